--- /dev/null
+++ b/internal/discovery/freshness.go
@@ -0,0 +1,125 @@
+package discovery
+
+import "time"
+
+const (
+	// TellWithin is how long after discovery had a change and could be reached, by the
+	// protocol, the change counts as told, whatever became of watches and calls.
+	TellWithin = 6 * time.Second
+	// tellEnded is how long after the end of a watch, by the protocol, what it has not
+	// told counts as told: a watch is a call that may wait, and may end instead of telling.
+	tellEnded = 2 * time.Second
+	// tellMoved is the same after a new configuration has named another address.
+	tellMoved = 4 * time.Second
+)
+
+// Fresh is for how long a list may be used.
+type Fresh struct {
+	// Until then it holds all that counts as told.
+	Until time.Time
+	// UntilServing is as far as it may be used, from Until on for those backends alone that
+	// have served a call that was sent within Serving.
+	UntilServing time.Time
+	Serving      time.Duration
+}
+
+// freshness keeps for how long a list may be used. docs/design.md has a table of the bounds
+// with their sources.
+//
+// Past the time until which the list holds all that counts as told, a backend that serves
+// calls is likely not drained, as one that drains turns calls away, but that is no proof:
+// some answer on. It is relied on only while discovery could not be reached, and never
+// after a watch was closed, a silence or a move, until there is a list.
+type freshness struct {
+	// unfollowed is for how long a list may be used that no watch follows: TellWithin, or
+	// less where lists are pushed, since what there is counts as told at once there.
+	unfollowed time.Duration
+	pushed     bool
+	serving    time.Duration // what drains by now was in service so long ago
+
+	word  time.Time // last list or sign of life; at first the start
+	until time.Time // by the last word of discovery
+	ended time.Time // bound by a watch that ended and may not have told all; zero: none
+	cut   time.Time // last time that discovery could not be reached; zero: never
+	deaf  bool      // discovery has been silent, or has moved: it may have told others of changes
+}
+
+// now is for how long the list may be used.
+func (f *freshness) now() Fresh {
+	now := Fresh{Until: f.until, UntilServing: f.until, Serving: f.serving}
+	if reached := f.cut.Add(TellWithin); !f.cut.IsZero() && !f.deaf && reached.After(f.until) {
+		now.UntilServing = reached
+	}
+	if !f.ended.IsZero() {
+		now.Until = earlier(now.Until, f.ended)
+		now.UntilServing = earlier(now.UntilServing, f.ended)
+	}
+	return now
+}
+
+func earlier(a, b time.Time) time.Time {
+	if a.Before(b) {
+		return a
+	}
+	return b
+}
+
+// extend puts the clock forward to a time, never back.
+func (f *freshness) extend(until time.Time) {
+	if until.After(f.until) {
+		f.until = until
+	}
+}
+
+// limit puts the clock back to a time, never forward.
+func (f *freshness) limit(until time.Time) {
+	if until.Before(f.until) {
+		f.until = until
+	}
+}
+
+// started takes that the list known at the start is in use.
+func (f *freshness) started(now time.Time) {
+	f.word = now
+	f.extend(now.Add(f.unfollowed))
+}
+
+// told takes that a watch has told all that it had: a list that is in use, or a sign of
+// life behind it. A change made before counts as told TellWithin later at the earliest.
+func (f *freshness) told(now time.Time) {
+	f.word, f.ended, f.cut, f.deaf = now, time.Time{}, time.Time{}, false
+	f.extend(now.Add(TellWithin))
+}
+
+// unreachable takes that nobody was there who could have told of a change made since the
+// last watch. What that one had to tell was made before.
+func (f *freshness) unreachable(now time.Time) { f.extend(now.Add(f.unfollowed)) }
+
+// watchEnded takes that a watch was closed, in order, by discovery: it may have had
+// something to tell.
+func (f *freshness) watchEnded(now time.Time) {
+	bound := now.Add(tellEnded)
+	if f.ended.IsZero() || bound.Before(f.ended) {
+		f.ended = bound
+	}
+}
+
+// callFailed takes that a call was turned away or failed, or that a watch broke, since
+// discovery could not be reached or had too much to do. What it may have missed counts as
+// told by the clock as it is; where lists are pushed, what there is counts at once.
+func (f *freshness) callFailed(now time.Time) {
+	f.cut = now
+	if f.pushed {
+		f.limit(now.Add(f.unfollowed))
+	}
+}
+
+// silent takes that a call or a watch fell silent, which moves nothing: what it misses counts
+// as told by the last word before it, also where lists are pushed.
+func (f *freshness) silent(time.Time) { f.deaf = true }
+
+// moved takes that a new configuration has named another source.
+func (f *freshness) moved(now time.Time) {
+	f.deaf = true
+	f.limit(now.Add(tellMoved))
+}
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -28,6 +28,7 @@
 	host     *Host
 	balancer *logic.Balancer
 	classes  map[string]int
+	lists    *listCalls // nil: lists are pushed
 }
 
 // New returns a host without instances.
@@ -98,7 +99,11 @@
 	case "lapsed":
 		in.balancer.Gone(now, *e.Txn)
 	case "elapsed":
-		in.balancer.Wake(now, *e.Nonce)
+		if *e.Nonce >= listNonces {
+			in.listDue(now, *e.Nonce)
+		} else {
+			in.balancer.Wake(now, *e.Nonce)
+		}
 	case "status-back", "neighbour-says", "first":
 		// The module probes nobody, talks to no peer, and waits for an answer's
 		// end whether or not it has begun.
@@ -117,12 +122,16 @@
 	}
 	h.instances[in.number] = in
 	in.balancer = logic.New(now, set, in)
+	if within, asked := e.Setup.ListAsked(); asked {
+		in.lists = newListCalls(within, set.Seed)
+		in.callForList(in.lists.pacer.First())
+	}
 	return nil
 }
 
 func (in *instance) list(now logic.Time, e *wire.Event) error {
 	if *e.Kind == "FAILED" {
-		in.balancer.ListFailed(now, logic.ListRefused) // the wire does not say how
+		in.listFailed(now)
 		return nil
 	}
 	if !slices.Contains([]string{"SAVED", "FULL", "INCREMENTAL"}, *e.Kind) {
@@ -148,6 +157,7 @@
 		}
 		lines = append(lines, line)
 	}
+	in.listTold()
 	in.balancer.List(now, *e.Kind != "INCREMENTAL", lines)
 	return nil
 }
@@ -202,8 +212,3 @@
 func (in *instance) CloseIdle(backend string) {
 	in.act(wire.Action{Type: "free-links", Backend: backend})
 }
-
-// WatchList implements logic.Actions.
-func (in *instance) WatchList() {
-	in.act(wire.Action{Type: "observe", Enable: true})
-}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -152,6 +152,12 @@
 // amount tells whether v is a number that a time, a weight or a worth can be.
 func amount(v float64) bool { return v >= 0 && v <= math.MaxFloat64 }
 
+// ListAsked tells whether lists come only once asked for, and within what time to ask again
+// then; 0: the settings do not say. Where they are pushed it returns false.
+func (o *Object) ListAsked() (within time.Duration, asked bool) {
+	return span(o.Rules.AskWithin), o.Discovery == discoveryAsked
+}
+
 // Logic returns the module's settings. The seed comes beside the object, since
 // it is new with each start.
 func (o *Object) Logic(seed uint64) (logic.Settings, error) {
@@ -167,8 +173,6 @@
 		// By worth, the worst-served class is always the same one; where it weighs this much, it must not be.
 		EvenClasses: o.Goal.WorstClass > 0 && o.Goal.WorstClass >= o.Goal.Whole/2,
 		MaxAttempts: o.Limits.MaxAttempts,
-		AskForList:  o.Discovery == discoveryAsked,
-		AskWithin:   span(o.Rules.AskWithin),
 		Grace:       span(o.Rules.Grace),
 		ColdShare:   o.Rules.ColdFrom,
 		WarmWithin:  span(o.Rules.WarmWithin),
--- a/logic/api.go
+++ b/logic/api.go
@@ -57,8 +57,6 @@
 	EvenClasses bool // no class is to be worse off than others for its worth
 	MaxAttempts int
 	MaxComeBack time.Duration // longest come-back time clients obey; 0: none
-	AskForList  bool          // list changes come only once asked for
-	AskWithin   time.Duration // ask at least this often while not watching
 	Grace       time.Duration // after being told of a drain, in which sends may still go there
 	ColdShare   float64       // share of its capacity a backend starts with
 	WarmWithin  time.Duration // it has all of it after this at the latest
@@ -84,15 +82,12 @@
 	State   State
 }
 
-// Loss is how asking for the list, or a watch of it, came to nothing.
-type Loss int
-
-// The losses.
-const (
-	ListRefused Loss = iota // the call was turned away, or failed we don't know how
-	ListSilent              // no answer, or a watch that says nothing more
-	ListBroken              // nobody there, or a watch that has ended
-)
+// ListFresh is for how long a list may be used.
+type ListFresh struct {
+	Until        Time          // it holds all that counts as told until then; 0: for ever
+	UntilServing Time          // as far as it may be used, by what has served a call
+	Serving      time.Duration // that was sent within this time
+}
 
 // Request is a client's request, or a call from the tier above.
 type Request struct {
@@ -142,6 +137,4 @@
 	Wake(token uint64, after time.Duration)
 	// CloseIdle closes this balancer's idle connections to a backend.
 	CloseIdle(backend string)
-	// WatchList subscribes to list changes.
-	WatchList()
 }
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -77,14 +77,8 @@
 	lostFade    = 0.02 // of one other answer
 	restedShare = 0.4  // of the first ejection's time: idle from then on
 	staleShare  = 0.02 // of outcomes broken, and one alone is no more: idle connections are taken for stale
-
-	askShare = 0.05 // of the ask-within time: the first wait to ask again
-	askMost  = 0.25 // the same, the longest wait after a call that did not wait itself
-	askAgain = 2    // of the time for which a call waited in vain
 )
 
-const listToken = 0 // the Wake token of the list; requests' tokens follow
-
 // Balancer decides for one proxy. It is not safe for concurrent use.
 type Balancer struct {
 	set      Settings
@@ -99,11 +93,7 @@
 	requests map[string]*request
 	wakes    map[uint64]*request
 	token    uint64
-	askWait  time.Duration
-	asked    Time          // for the list, until there was an answer; 0: there was
-	silent   bool          // the last call or watch just said nothing
-	stale    Time          // from then on the list may lack what counts as told; 0: never
-	lag      time.Duration // what changes then counts as told so much later
+	fresh    ListFresh
 	patience time.Duration // first ejection
 
 	open          float64 // the limit on calls in flight, as a multiple of the base
@@ -157,7 +147,7 @@
 	spacing  float64 // what part of the spacing of cold calls must pass after that
 	paused   Time    // full lately: until then
 	used     Time    // last answer
-	took     Time    // last send that it served: it was not drained then
+	took     Time    // last send that it served
 	gone     bool    // no longer listed
 	back     Time    // in again by hand, as a cold one: it was restarted meanwhile
 }
@@ -196,10 +186,7 @@
 		b.classes = append(b.classes, class{Class: c})
 		b.patience = max(b.patience, time.Duration(ejectPatience*float64(c.Deadline)))
 	}
-	b.askWait, b.gap = b.firstAsk(), float64(b.patience)
-	if set.AskForList {
-		act.Wake(listToken, b.jitter(b.askWait)) // all start together; don't ask together
-	}
+	b.gap = float64(b.patience)
 	return b
 }
 
@@ -384,9 +371,10 @@
 // serving tells whether m is in service by the list and by hand.
 func (b *Balancer) serving(m *backend) bool { return m.State == Up && !b.banned[m.ID] }
 
-// sure is serving, and by what m did where the list is stale: what took a call was not drained then.
+// sure is serving by a list that may be used, past its end for what has just served a call alone.
 func (b *Balancer) sure(now Time, m *backend) bool {
-	return b.serving(m) && (b.stale == 0 || now < max(b.stale, m.took+max(b.lag, b.set.Grace)))
+	f := b.fresh
+	return b.serving(m) && (f.Until == 0 || now < f.Until || now < min(f.UntilServing, m.took+f.Serving))
 }
 
 // tooSoon spaces the calls to a cold backend at its part of a warm one's rate, the first by a random part of
@@ -563,11 +551,6 @@
 
 // Wake takes the end of a wait that was asked for.
 func (b *Balancer) Wake(now Time, token uint64) {
-	if token == listToken {
-		b.asked = now
-		b.act.WatchList()
-		return
-	}
 	if q := b.wakes[token]; q != nil { // it has not ended: forget takes it out
 		delete(b.wakes, token)
 		q.token = 0
@@ -758,7 +741,6 @@
 
 // List takes news of the backends: the full list, or changed lines only.
 func (b *Balancer) List(now Time, full bool, lines []Backend) {
-	b.askWait, b.asked, b.silent = b.firstAsk(), 0, false
 	for _, m := range b.listed {
 		m.gone = full
 	}
@@ -868,33 +850,8 @@
 	}
 }
 
-// ListFailed takes that asking failed: ask again, later and later, after twice the time that the call waited:
-// guards against hundreds who keep discovery's queue too long. A first silence is no queue: time is short.
-func (b *Balancer) ListFailed(now Time, why Loss) {
-	most, waited := b.set.AskWithin, time.Duration(one(b.asked > 0))*(now-b.asked)
-	if soon := time.Duration(askMost * float64(most)); askAgain*waited < soon {
-		most = soon
-	}
-	wait := min(max(b.askWait, askAgain*waited), most)
-	if why == ListSilent && !b.silent {
-		wait = b.firstAsk()
-	}
-	b.asked, b.silent, b.askWait = 0, why == ListSilent, 2*wait
-	if b.set.AskForList {
-		b.act.Wake(listToken, min(b.jitter(wait), b.set.AskWithin))
-	}
-}
-
-// ListFresh takes until when the list holds all that counts as told, and how late changes count from then on.
-func (b *Balancer) ListFresh(until Time, lag time.Duration) { b.stale, b.lag = until, lag }
-
-// ListMoved takes that the list comes from another source: how the old one failed says nothing of it.
-func (b *Balancer) ListMoved() { b.askWait, b.asked, b.silent = b.firstAsk(), 0, false }
-
-// firstAsk is how long to wait before asking for the list, at first and after a watch that stood.
-func (b *Balancer) firstAsk() time.Duration {
-	return time.Duration(askShare * float64(b.set.AskWithin))
-}
+// ListFresh takes for how long the list may be used.
+func (b *Balancer) ListFresh(f ListFresh) { b.fresh = f }
 
 // jitter spreads d over half to one and a half times itself.
 func (b *Balancer) jitter(d time.Duration) time.Duration {
--- a/proxy/config.go
+++ b/proxy/config.go
@@ -15,6 +15,7 @@
 	"time"
 
 	"oxbowloft/internal/discovery"
+	"oxbowloft/internal/pacing"
 	"oxbowloft/internal/settings"
 	"oxbowloft/logic"
 )
@@ -39,8 +40,10 @@
 	// StateDir is shared by a process and the one that replaces it; empty: none.
 	StateDir string `json:"-"`
 
-	known *discovery.List
-	logic logic.Settings
+	known     *discovery.List
+	logic     logic.Settings
+	listAsked bool          // lists come only once asked for
+	askWithin time.Duration // the longest wait between calls for the list
 }
 
 // Limits are the machine's.
@@ -190,12 +193,13 @@
 	if c.logic, err = c.Settings.Logic(seed); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
-	if c.logic.AskWithin == 0 { // guards against calls with no pause between them while discovery is down
-		c.logic.AskWithin = discovery.TellWithin
+	c.askWithin, c.listAsked = c.Settings.ListAsked()
+	if c.askWithin == 0 { // guards against calls with no pause between them while discovery is down
+		c.askWithin = discovery.TellWithin
 	}
 	// Guards against waits between calls for the list that don't fit into the time after
-	// which what it misses counts as told: the module takes its waits from this one.
-	c.logic.AskWithin = min(c.logic.AskWithin, 2*discovery.TellWithin)
+	// which what it misses counts as told: the pacer takes its waits from this one.
+	c.askWithin = min(c.askWithin, 2*discovery.TellWithin)
 	c.known = known // last: what has it has been checked
 	return nil
 }
@@ -221,6 +225,16 @@
 	return l, nil
 }
 
+// pacer paces the calls for the list.
+func (c *Config) pacer() *pacing.Pacer {
+	const stream = 1 // of random numbers, beside the module's
+	rng := rand.New(rand.NewPCG(c.logic.Seed, stream))
+	if !c.listAsked {
+		return pacing.Pushed(rng)
+	}
+	return pacing.Asked(c.askWithin, rng)
+}
+
 // heapShare is the heap's part of the memory; the rest is stacks, sockets and files.
 const heapShare = 0.6
 
--- a/proxy/driver.go
+++ b/proxy/driver.go
@@ -29,7 +29,6 @@
 type driver struct {
 	clock clock
 	opt   *upstream.Options
-	ask   func() // for a watch of the list
 	stats *stats
 
 	mu       sync.Mutex
@@ -84,11 +83,10 @@
 	comeBack time.Duration
 }
 
-func newDriver(cfg *Config, opt *upstream.Options, ask func(), st *stats) *driver {
+func newDriver(cfg *Config, opt *upstream.Options, st *stats) *driver {
 	d := &driver{
 		clock:    clock{time.Now()},
 		opt:      opt,
-		ask:      ask,
 		stats:    st,
 		calls:    map[string]*call{},
 		open:     map[string]bool{},
@@ -268,26 +266,14 @@
 	}
 }
 
-// listMoved reports that the list has another source.
-func (d *driver) listMoved() {
-	d.do(func(logic.Time) { d.balancer.ListMoved() })
-}
-
-// listFresh reports until when the list holds all that counts as told, and how long after
-// it is made a change counts as told from then on.
-func (d *driver) listFresh(until time.Time, lag time.Duration) {
-	d.do(func(logic.Time) { d.balancer.ListFresh(d.clock.at(until), lag) })
-}
-
-// listFailed reports that asking for the list has failed.
-func (d *driver) listFailed(why discovery.Failure) {
-	losses := map[discovery.Failure]logic.Loss{
-		discovery.TurnedAway: logic.ListRefused,
-		discovery.Unreached:  logic.ListBroken,
-		discovery.Silent:     logic.ListSilent,
-		discovery.Ended:      logic.ListBroken,
+// listFresh reports for how long the list may be used.
+func (d *driver) listFresh(f discovery.Fresh) {
+	fresh := logic.ListFresh{
+		Until:        d.clock.at(f.Until),
+		UntilServing: d.clock.at(f.UntilServing),
+		Serving:      f.Serving,
 	}
-	d.do(func(now logic.Time) { d.balancer.ListFailed(now, losses[why]) })
+	d.do(func(logic.Time) { d.balancer.ListFresh(fresh) })
 }
 
 // all returns the backends there are.
@@ -377,6 +363,3 @@
 		d.later = append(d.later, b.Detach())
 	}
 }
-
-// WatchList implements logic.Actions.
-func (d *driver) WatchList() { d.ask() }
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -126,14 +126,16 @@
 	if opt.IdleLimit == 0 {
 		opt.IdleLimit = defaultIdle
 	}
-	p.list = discovery.New(cfg.Discovery, cfg.known.Rev)
-	p.driver = newDriver(cfg, opt, p.list.Ask, p.stats)
-	p.list.OnFailed = p.driver.listFailed
-	p.list.OnFresh = p.driver.listFresh
-	p.list.OnList = func(l *discovery.List) {
-		log.Printf("event=list rev=%d all=%t entries=%d", l.Rev, l.All, len(l.Targets))
-		p.driver.list(l)
+	p.list = discovery.New(cfg.Discovery, cfg.known.Rev, cfg.pacer())
+	if !cfg.listAsked {
+		p.list.Pushed(cfg.logic.Grace/2, cfg.logic.Grace) // the other half is for the send itself
+	}
+	p.driver = newDriver(cfg, opt, p.stats)
+	p.list.OnEnd = func(end discovery.End) {
+		log.Printf("event=watch_ended why=%s rev=%d err=%q", end.Why, end.Rev, end.Err)
 	}
+	p.list.OnFresh = p.driver.listFresh
+	p.list.OnList = p.driver.list
 	p.sockets.relieve, p.clients.short, p.clients.wanted = p.relieve, p.sockets.short, p.sockets.wanted
 	p.driver.list(cfg.known)
 	return p, nil
@@ -151,9 +153,6 @@
 	p.limits = cfg.Limits
 	p.applyLimits()
 	moved := p.list.Move(cfg.Discovery)
-	if moved {
-		p.driver.listMoved()
-	}
 	log.Printf("event=reload discovery=%s moved=%t sockets=%d not_taken=%q",
 		cfg.Discovery, moved, cfg.Limits.Sockets, strings.Join(p.cfg.fixed(cfg), ","))
 	return nil
@@ -246,9 +245,6 @@
 			return err
 		}
 	}
-	if !p.cfg.logic.AskForList { // the module leaves asking to us
-		p.list.Always(p.cfg.logic.Grace / 2) // the other half is for the send itself
-	}
 	background, stop := context.WithCancel(context.Background())
 	p.tasks.Go(func() { p.list.Run(background) })
 	p.tasks.Go(func() { p.housekeeping(background) })
@@ -453,11 +449,12 @@
 }
 
 // housekeeping closes connections to backends that have been idle for long, and
-// logs the counts.
+// logs the counts and each time that the list becomes stale.
 func (p *Proxy) housekeeping(ctx context.Context) {
 	reap, count := time.NewTicker(reapEvery), time.NewTicker(statsEvery)
 	defer reap.Stop()
 	defer count.Stop()
+	wasStale := false
 	for {
 		select {
 		case <-ctx.Done():
@@ -466,6 +463,11 @@
 			for _, b := range p.driver.all() {
 				b.Reap(now)
 			}
+			age, stale := p.list.Age()
+			if stale && !wasStale {
+				log.Printf("event=list_stale age=%.1f", age.Seconds())
+			}
+			wasStale = stale
 		case <-count.C:
 			p.stats.log(p)
 		}
--- a/proxy/stats.go
+++ b/proxy/stats.go
@@ -82,14 +82,15 @@
 // log writes the counts so far.
 func (s *stats) log(p *Proxy) {
 	used, most := p.sockets.inUse()
+	age, _ := p.list.Age()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r := s.results
 	log.Printf("event=stats served=%d refused=%d failed=%d gone=%d bad=%d unwritten=%d cut_short=%d p50_us=%d p99_us=%d "+
 		"error=%d cancelled=%d full=%d timed_out=%d no_connect=%d broken=%d never_sent=%d opened=%d sockets=%d sockets_most=%d "+
-		"timer_p99_us=%d timer_max_us=%d",
+		"timer_p99_us=%d timer_max_us=%d list_age=%.1f",
 		r[logic.OK], s.ended(throttled), s.ended(faulted), s.gone.Load(), s.bad.Load(), s.unwritten.Load(), s.cutShort.Load(),
 		s.latency.ValueAtQuantile(50), s.latency.ValueAtQuantile(99),
 		r[logic.Error], r[logic.Cancelled], r[logic.Full], r[logic.TimedOut], r[logic.NoConnect], r[logic.Broken], r[logic.NeverSent],
-		p.driver.opt.Opened.Load(), used, most, s.lateness.ValueAtQuantile(99), s.lateness.Max())
+		p.driver.opt.Opened.Load(), used, most, s.lateness.ValueAtQuantile(99), s.lateness.Max(), age.Seconds())
 }
