--- a/fleet/faultlink/faultlink.go
+++ b/fleet/faultlink/faultlink.go
@@ -65,8 +65,12 @@
 	dialTimeout = 5 * time.Second
 	reorderBy   = 20 * time.Millisecond
 	portTries   = 64
-	maxMembers  = 120
+	maxMembers  = 4096   // 33 of the 256 blocks; each takes two descriptors once it is added
 	maxDelayed  = 10_000 // datagrams under way at a time; more are lost
+
+	// blockMembers is how many members a block of 256 addresses holds, two addresses each:
+	// the first two and the last two of a block stay free.
+	blockMembers = 126
 )
 
 // Net is a set of members and the links between them. Its methods may be called from any
@@ -79,7 +83,7 @@
 
 	mu       sync.Mutex
 	closed   bool
-	base     [2]byte // second and third byte of all addresses
+	base     [2]byte // second byte of all addresses, third byte of the first block
 	members  map[string]*relay
 	byIP     map[netip.Addr]string
 	links    map[pair]*link
@@ -150,9 +154,7 @@
 	case len(n.members) >= maxMembers:
 		return Endpoint{}, fmt.Errorf("faultlink: %d members at most", maxMembers)
 	}
-	i := byte(2 * (len(n.members) + 1))
-	bind := netip.AddrFrom4([4]byte{127, n.base[0], n.base[1], i})
-	front := netip.AddrFrom4([4]byte{127, n.base[0], n.base[1], i + 1})
+	bind, front := n.addresses(len(n.members))
 	r, err := n.listen(front, "", name)
 	if err != nil {
 		return Endpoint{}, err
@@ -166,6 +168,16 @@
 	return Endpoint{Bind: r.real.String(), Advertise: r.addr()}, nil
 }
 
+// addresses returns where the member with this number, counted from 0, binds, and where the
+// others reach it. No two members share one.
+func (n *Net) addresses(number int) (bind, front netip.Addr) {
+	block := n.base[1] + byte(number/blockMembers) // goes on at 0 behind 255
+	host := byte(2 * (number%blockMembers + 1))
+	bind = netip.AddrFrom4([4]byte{127, n.base[0], block, host})
+	front = netip.AddrFrom4([4]byte{127, n.base[0], block, host + 1})
+	return bind, front
+}
+
 // Link returns an address at which from, and nobody else, reaches to, wherever it sends from.
 func (n *Net) Link(from, to string) (string, error) {
 	n.mu.Lock()
--- a/fleet/faultlink/faultlink_test.go
+++ b/fleet/faultlink/faultlink_test.go
@@ -36,25 +36,31 @@
 	n.Report(t)
 	peers := map[string]*peer{}
 	for _, name := range names {
-		e, err := n.Add(name)
-		if err != nil {
-			t.Fatal(err)
-		}
-		p := &peer{Endpoint: e, got: make(chan string, 4096)}
-		if p.udp, err = net.ListenUDP("udp4", net.UDPAddrFromAddrPort(netip.MustParseAddrPort(e.Bind))); err != nil {
-			t.Fatal(err)
-		}
-		if p.tcp, err = net.Listen("tcp4", e.Bind); err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(func() { p.udp.Close(); p.tcp.Close() })
-		go p.take()
-		go p.echo()
-		peers[name] = p
+		peers[name] = n.addPeer(t, name)
 	}
 	return n, peers
 }
 
+// addPeer adds a member that takes what comes.
+func (n *Net) addPeer(t *testing.T, name string) *peer {
+	t.Helper()
+	e, err := n.Add(name)
+	if err != nil {
+		t.Fatal(err)
+	}
+	p := &peer{Endpoint: e, got: make(chan string, 4096)}
+	if p.udp, err = net.ListenUDP("udp4", net.UDPAddrFromAddrPort(netip.MustParseAddrPort(e.Bind))); err != nil {
+		t.Fatal(err)
+	}
+	if p.tcp, err = net.Listen("tcp4", e.Bind); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { p.udp.Close(); p.tcp.Close() })
+	go p.take()
+	go p.echo()
+	return p
+}
+
 func (p *peer) take() {
 	buf := make([]byte, 2048)
 	for {
