--- /dev/null
+++ b/fleet/member/large_test.go
@@ -0,0 +1,69 @@
+package member
+
+import (
+	"fmt"
+	"math"
+	"reflect"
+	"strings"
+	"testing"
+	"time"
+)
+
+// manyMembers is over a thousand, as a large fleet has.
+const manyMembers = 1100
+
+// longestLife is a departed life whose fields take as many bytes as they may.
+func longestLife(number int) life {
+	name := fmt.Sprintf("%04d", number)
+	return life{
+		Name:        name + strings.Repeat("n", maxName-len(name)),
+		Incarnation: maxIncarnation,
+		Life:        math.MaxUint64,
+		Addr:        strings.Repeat("a", maxAddr),
+		State:       Gone,
+		Age:         math.MaxUint64,
+	}
+}
+
+// The departed lives of a large fleet go in one state, in all forms that their fields may
+// have. Guards against a state that its readers refuse, by which nobody hears of any.
+func TestManyDepartedInOneState(t *testing.T) {
+	for name, count := range map[string]int{"a large fleet": manyMembers, "the bound": maxRecords} {
+		all := memory{From: strings.Repeat("f", maxName)}
+		for number := range count {
+			all.Records = append(all.Records, longestLife(number))
+		}
+		buf := wire(t, all)
+		got, err := readMemory(buf)
+		if err != nil || !reflect.DeepEqual(got, all) {
+			t.Errorf("%s: %d records in %d bytes: read %d, %v", name, count, len(buf), len(got.Records), err)
+		}
+	}
+}
+
+// A roster knows all members of a large fleet, and remembers each of them once all have gone.
+// Guards against a life that comes back unnoticed because its end was forgotten for others'.
+func TestRosterOfManyMembers(t *testing.T) {
+	limits := Limits{StopAfter: time.Hour, DepartedFor: departedFor, MaxDeparted: maxRecords}
+	r := NewRoster(0, limits, mem("self", 0, 1), &book{})
+	r.Settled(0)
+	var others []Member
+	for number := range manyMembers {
+		others = append(others, mem(fmt.Sprintf("member-%04d", number), 1, uint64(number)))
+	}
+	for _, m := range others {
+		r.Alive(sec, m)
+	}
+	if got := len(r.Members()); got != manyMembers+1 {
+		t.Errorf("%d members, want %d with oneself", got, manyMembers+1)
+	}
+	for number, m := range others {
+		r.Died(sec+Time(number), m)
+	}
+	if got := len(r.Departed()); got != manyMembers {
+		t.Errorf("%d departed lives are remembered, want %d", got, manyMembers)
+	}
+	if got := r.Accept(others[0].Name, 1, others[0].Life); got != Older {
+		t.Errorf("a message of the first that departed: verdict %d, want %d", got, Older)
+	}
+}
--- a/fleet/member/wire.go
+++ b/fleet/member/wire.go
@@ -14,9 +14,9 @@
 const (
 	wireVersion = 1
 
-	maxName    = 64  // bytes of a name, a zone
-	maxAddr    = 64  // bytes of an address
-	maxRecords = 512 // departed lives in one state
+	maxName    = 64   // bytes of a name, a zone
+	maxAddr    = 64   // bytes of an address
+	maxRecords = 1536 // departed lives in one state: of a fleet of over a thousand, all of them
 	maxState   = 256 << 10
 	// MaxPayload is the longest payload in bytes of one message: with its head, and with
 	// memberlist's, it fits in one Ethernet frame.
