--- a/fleet/agree/errors.go
+++ b/fleet/agree/errors.go
@@ -8,7 +8,7 @@
 
 // Bounds on what is agreed, in bytes.
 const (
-	MaxEntry = 48 << 10 // an entry, a query or an answer
+	MaxEntry = 96 << 10 // an entry, a query or an answer
 )
 
 var (
--- a/fleet/agree/frame.go
+++ b/fleet/agree/frame.go
@@ -18,7 +18,7 @@
 // any order, each reply with the number of its request.
 const (
 	wireVersion = 1
-	maxFrame    = 64 << 10 // bytes after the length
+	maxFrame    = 128 << 10 // bytes after the length: MaxEntry, and room for what goes with it
 	frameHead   = 4
 )
 
--- a/fleet/schedule/schedule_test.go
+++ b/fleet/schedule/schedule_test.go
@@ -119,14 +119,14 @@
 	}
 	for i := range 100 {
 		plan := window.Ask{ID: fmt.Sprint("p", i), Region: "r", Duration: time.Hour, Earliest: time.Hour, Latest: 300 * time.Hour}
-		for j := range 12 {
-			plan.Backends = append(plan.Backends, fmt.Sprint(strings.Repeat("long", 10), i%4, "-", (i*12+j)%256))
+		for j := range 24 {
+			plan.Backends = append(plan.Backends, fmt.Sprint(strings.Repeat("long", 10), i%4, "-", (i*24+j)%256))
 		}
 		if a, err := schedule.Parse(apply(plan)); err != nil || a.Result != window.OK {
 			t.Fatalf("%s, %v", a.Describe(), err)
 		}
 	}
-	text := apply(window.SetFloor{Steps: []window.Step{{Floor: 10240 - 120}}}) // one at a time: nearly all move
+	text := apply(window.SetFloor{Steps: []window.Step{{Floor: 10240 - 240}}}) // one at a time: nearly all move
 	a, err := schedule.Parse(text)
 	if err != nil || len(text) > agree.MaxEntry || len(a.Events)+a.Left < 90 {
 		t.Errorf("%d bytes, %d events and %d left, %v", len(text), len(a.Events), a.Left, err)
--- /dev/null
+++ b/fleet/window/large_test.go
@@ -0,0 +1,88 @@
+package window
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+)
+
+// manyNames is over a thousand, as a large fleet has of backends, members and scopes.
+const manyNames = 1100
+
+// longNames are ids of the longest kind, in order.
+func longNames(kind string) []string {
+	var names []string
+	for number := range manyNames {
+		name := fmt.Sprintf("%s-%04d-", kind, number)
+		names = append(names, name+strings.Repeat("x", MaxID-len(name)))
+	}
+	return names
+}
+
+// newLargeBench is a machine with the backends ids, of one zone each in the region r.
+func newLargeBench(t *testing.T, ids []string) *bench {
+	t.Helper()
+	m, err := New(Settings{MaxServing: manyNames})
+	if err != nil {
+		t.Fatal(err)
+	}
+	b := &bench{t: t, m: m}
+	for number, id := range ids {
+		zone := fmt.Sprintf("zone-%04d", number)
+		b.want(Backends{[]Backend{{ID: id, Region: "r", Zone: zone, Size: 1, Ready: true}}}, OK, "")
+	}
+	return b
+}
+
+// Each list that grows with the fleet holds over a thousand, and a snapshot with it is read
+// again. Guards against a bound that a large fleet's operators meet first.
+func TestLargeFleet(t *testing.T) {
+	ids, members := longNames("backend"), longNames("member")
+	zone := func(number int) Scope { return Scope{Region: "r", Zone: fmt.Sprintf("zone-%04d", number)} }
+	for _, c := range []struct {
+		name    string
+		entries func() []Entry
+		right   func(m *Machine) bool
+	}{
+		{"backends in one plan", func() []Entry {
+			return []Entry{Ask{ID: "p", Region: "r", Backends: ids, Duration: time.Hour, Latest: 10 * time.Hour}}
+		}, func(m *Machine) bool {
+			w, ok := m.Window("p")
+			return ok && w.State == Granted && len(w.Ask.Backends) == manyNames
+		}},
+		{"members that serve", func() []Entry {
+			return []Entry{Serving{members}}
+		}, func(m *Machine) bool { return len(m.serving) == manyNames }},
+		{"scopes with a floor", func() (floors []Entry) {
+			for number := range manyNames {
+				floors = append(floors, SetFloor{zone(number), []Step{{Floor: 1}}})
+			}
+			return floors
+		}, func(m *Machine) bool { return len(m.Floors()) == manyNames }},
+		{"backends that fail and recover", func() []Entry {
+			return []Entry{Failed{ids}, Recovered{ids}}
+		}, func(m *Machine) bool { return len(m.backends) == manyNames && !m.backends[0].Failed }},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			b := newLargeBench(t, ids)
+			for _, e := range c.entries() {
+				b.want(e, OK, "")
+			}
+			if !c.right(b.m) {
+				t.Error("it is not there")
+			}
+			snapshot, err := b.m.Snapshot()
+			if err != nil {
+				t.Fatal(err)
+			}
+			again, err := Restore(snapshot)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if !c.right(again) {
+				t.Error("it is not in the snapshot")
+			}
+		})
+	}
+}
--- a/fleet/window/machine_test.go
+++ b/fleet/window/machine_test.go
@@ -198,7 +198,7 @@
 		{nil, ask(func(e *Ask) { e.Backends = nil }), Bad, "backends: either these"},
 		{nil, ask(func(e *Ask) { e.Zone, e.Amount = "n1", 1 }), Bad, "backends: either these"},
 		{nil, ask(func(e *Ask) { e.Backends = []string{"a", "a"} }), Bad, "named twice"},
-		{nil, ask(func(e *Ask) { e.Backends = many }), Bad, "backends: 65 are over 64"},
+		{nil, ask(func(e *Ask) { e.Backends = many }), Bad, "backends: 1281 are over 1280"},
 		{nil, ask(func(e *Ask) { e.Backends = []string{"x"} }), Bad, "backends: x is not known"},
 		{nil, ask(func(e *Ask) { e.Backends = []string{"d"} }), Bad, "backends: d is in region south"},
 		{nil, ask(func(e *Ask) { e.Backends, e.Zone, e.Amount = nil, "n9", 1 }), Bad, "zone: north/n9 has no backends"},
--- a/fleet/window/window.go
+++ b/fleet/window/window.go
@@ -11,10 +11,10 @@
 const (
 	MaxID       = 64      // bytes of an id or a name
 	MaxSize     = 1 << 30 // of a backend, an amount or a floor's step
-	MaxEntry    = 1 << 16 // bytes of an encoded entry
-	MaxPart     = 64      // backends in one plan
+	MaxEntry    = 1 << 17 // bytes of an encoded entry
+	MaxPart     = 1280    // backends in one plan; with the longest ids they fit in an entry of agree
 	MaxSteps    = 24      // steps of one floor
-	MaxFloors   = 256     // scopes with a floor
+	MaxFloors   = 2048    // scopes with a floor
 	MaxPriority = 9
 
 	day     = 24 * time.Hour
