--- /dev/null
+++ b/cmd/oxbowloft/large_test.go
@@ -0,0 +1,145 @@
+package main
+
+import (
+	"fmt"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"regexp"
+	"strconv"
+	"strings"
+	"testing"
+
+	"oxbowloft/internal/standin"
+)
+
+// A large deployment: what the program knows at its start, what discovery then tells it in
+// one list, and how many processes balance beside it.
+const (
+	largeKnown     = 1024
+	largeList      = 1100
+	largeBalancers = 1100
+)
+
+// What a process of a large deployment may take. Its configuration grants it 192 MB, which a
+// process and the one that replaces it share for a while; a third of that leaves each as much
+// again for requests. Threads come with processors and with blocking calls of the system, not
+// with backends: one for each would be over a thousand.
+const (
+	mostLargeMemory  = 64 << 10 // kB
+	mostLargeThreads = 64
+)
+
+// largeShape makes a configuration one of many balancers, with an operators' address.
+func largeShape(shape configure, balancers, door string) configure {
+	return func(listen, discovery string, sockets int, known string) string {
+		text := shape(listen, discovery, sockets, known)
+		return strings.NewReplacer(
+			`"balancers":`+balancers+`,`, fmt.Sprintf(`"balancers":%d,`, largeBalancers),
+			`"discovery":"`+discovery+`",`, fmt.Sprintf(`"discovery":%q,"admin":%q,`, discovery, door),
+		).Replace(text)
+	}
+}
+
+// buildPlain builds the program as it ships: the race detector takes several times its memory.
+func buildPlain(t *testing.T) string {
+	t.Helper()
+	path := filepath.Join(t.TempDir(), "oxbowloft")
+	if out, err := exec.Command("go", "build", "-o", path, ".").CombinedOutput(); err != nil {
+		t.Fatalf("build: %v\n%s", err, out)
+	}
+	return path
+}
+
+// statusOf reads one number of a process's status.
+func (r *running) statusOf(key string) int {
+	r.t.Helper()
+	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", r.cmd.Process.Pid))
+	if err != nil {
+		r.t.Fatal(err)
+	}
+	found := regexp.MustCompile(`(?m)^` + key + `:\s+(\d+)`).FindSubmatch(text)
+	if found == nil {
+		r.t.Fatalf("no %s in the status", key)
+	}
+	number, err := strconv.Atoi(string(found[1]))
+	if err != nil {
+		r.t.Fatal(err)
+	}
+	return number
+}
+
+// holdsBounds logs what the process takes, and holds it to the bounds.
+func (r *running) holdsBounds(when string) {
+	r.t.Helper()
+	memory, peak, threads := r.statusOf("VmRSS"), r.statusOf("VmHWM"), r.statusOf("Threads")
+	r.t.Logf("%s: %d kB of memory, %d kB at its peak, %d threads", when, memory, peak, threads)
+	if peak > mostLargeMemory {
+		r.t.Errorf("%s: %d kB of memory at its peak, %d at most", when, peak, mostLargeMemory)
+	}
+	if threads > mostLargeThreads {
+		r.t.Errorf("%s: %d threads, %d at most", when, threads, mostLargeThreads)
+	}
+}
+
+// A process with over a thousand backends, one of over a thousand, gets ready, serves, takes
+// a whole list with more of them, and counts them right; what it takes stays small. Guards
+// against bounds on lists, and against what is kept for each backend before a call goes there.
+func TestLargeDeployment(t *testing.T) {
+	plain := buildPlain(t)
+	for _, c := range []struct {
+		name, balancers string
+		shape           configure
+	}{{"chain", "1", standin.Config}, {"mesh", "100", standin.Mesh}} {
+		t.Run(c.name, func(t *testing.T) {
+			var backends []*standin.Backend
+			for range 16 { // each stands for many
+				backends = append(backends, standin.NewBackend(t, standin.Echo))
+			}
+			var targets []string
+			for number := range largeList {
+				address := backends[number%len(backends)].Addr()
+				targets = append(targets, standin.Target(fmt.Sprintf("backend-%04d", number), address))
+			}
+			known := standin.List(1, true, targets[:largeKnown]...)
+			discovery := standin.NewDiscovery(t, known)
+			address, door := freeAddr(t), freeAddr(t)
+			text := largeShape(c.shape, c.balancers, door)(address, discovery.Addr(), 1024, known)
+			if !strings.Contains(text, fmt.Sprintf(`"balancers":%d,`, largeBalancers)) || !strings.Contains(text, door) {
+				t.Fatal("the configuration is not the large one")
+			}
+			cmd := exec.Command(plain, "serve", "--grace", "20ms")
+			cmd.Env = append(os.Environ(), "BALANCER_CONFIG="+writeConfig(t, text))
+			r := &process{launch(t, cmd, address), door}
+
+			r.eventually("ready", func() bool { return r.call("PING") == "OK\n" })
+			r.eventually("a watch", func() bool { return discovery.Watches() == 1 })
+			r.servesThrough("before the list")
+			if got := r.figures()["registry_entries"]; got != largeKnown {
+				t.Errorf("%d backends known at the start, want %d", got, largeKnown)
+			}
+			r.holdsBounds("before the list")
+
+			discovery.Push(standin.List(2, true, targets...))
+			r.eventually("the list", func() bool {
+				return strings.Contains(r.text(), fmt.Sprintf("event=list rev=2 all=true entries=%d", largeList))
+			})
+			r.eventually("all backends counted", func() bool { return r.figures()["registry_entries"] == largeList })
+			r.servesThrough("after the list")
+			r.holdsBounds("after the list")
+		})
+	}
+}
+
+// servesThrough asks for some requests of each class, one after the other.
+func (r *running) servesThrough(when string) {
+	r.t.Helper()
+	c := r.dial()
+	for range 20 {
+		for _, request := range []string{get(2000), post("put", "x", 2000), post("pay", "x", 2000)} {
+			if got := c.ask(request); got.status != 200 {
+				r.t.Fatalf("%s: got %+v", when, got)
+			}
+		}
+	}
+}
