--- /dev/null
+++ b/logic/recovery_test.go
@@ -0,0 +1,322 @@
+package logic_test
+
+import (
+	"container/heap"
+	"fmt"
+	"math/rand/v2"
+	"strconv"
+	"testing"
+	"time"
+
+	"oxbowloft/logic"
+)
+
+// These tests play one balancer in virtual time before backends that are all bad for a spell
+// and then well again, with thin traffic. What they look for is a balancer that has learned
+// so much ill of its backends that it makes no attempt by which it could learn better.
+
+// health is how a backend answers.
+type health int
+
+const (
+	well     health = iota
+	failing         // with an error, at once
+	turning         // away, unseen
+	gone            // nobody there
+	hanging         // no answer
+	slow            // later than any attempt waits
+	sluggish        // within an attempt's time, most of them, and past the aim
+)
+
+func (h health) String() string {
+	return [...]string{"well", "failing", "turning away", "gone", "hanging", "slow", "sluggish"}[h]
+}
+
+// reply draws how a call ends at a backend, and after how long.
+func (h health) reply(rng *rand.Rand) (logic.Result, time.Duration) {
+	between := func(least, most time.Duration) time.Duration {
+		return least + time.Duration(rng.Int64N(int64(most-least)))
+	}
+	switch h {
+	case failing:
+		return logic.Error, between(time.Millisecond, 10*time.Millisecond)
+	case turning:
+		return logic.Full, between(time.Millisecond, 10*time.Millisecond)
+	case gone:
+		return logic.NoConnect, time.Millisecond
+	case hanging:
+		return logic.OK, time.Hour
+	case slow:
+		return logic.OK, between(1500*time.Millisecond, 3*time.Second)
+	case sluggish:
+		return logic.OK, between(500*time.Millisecond, 1100*time.Millisecond)
+	}
+	return logic.OK, between(50*time.Millisecond, 150*time.Millisecond)
+}
+
+// timer is something due in virtual time.
+type timer struct {
+	at     logic.Time
+	number int // of those due together, the one set first goes first
+	do     func()
+}
+
+// timers is a heap of them.
+type timers []timer
+
+func (t timers) Len() int      { return len(t) }
+func (t timers) Swap(i, j int) { t[i], t[j] = t[j], t[i] }
+func (t timers) Less(i, j int) bool {
+	return t[i].at < t[j].at || t[i].at == t[j].at && t[i].number < t[j].number
+}
+func (t *timers) Push(x any) { *t = append(*t, x.(timer)) }
+func (t *timers) Pop() any {
+	old := *t
+	last := old[len(old)-1]
+	*t = old[:len(old)-1]
+	return last
+}
+
+// stall is a stretch of time in which requests came and none was attempted.
+type stall struct {
+	began, ended logic.Time
+	requests     int
+}
+
+// What counts as a balancer that turns away all it gets: the operators call it a fault on a
+// calm day.
+const (
+	stallTime     = 4 * time.Second
+	stallRequests = 15
+)
+
+func (s stall) faulty() bool {
+	return s.ended-s.began >= stallTime && s.requests >= stallRequests
+}
+
+// play is one balancer, its requests and its backends. It carries out the balancer's Actions.
+type play struct {
+	balancer *logic.Balancer
+	rng      *rand.Rand
+	now      logic.Time
+	due      timers
+	set      int // timers ever
+	health   health
+	requests int // ever
+	attempts map[string]int
+	served   int
+
+	watching bool // the spell is over
+	since    stall
+	worst    stall
+}
+
+func (p *play) after(wait time.Duration, do func()) {
+	p.set++
+	heap.Push(&p.due, timer{p.now + wait, p.set, do})
+}
+
+// run plays until end.
+func (p *play) run(end logic.Time) {
+	for len(p.due) > 0 && p.due[0].at <= end {
+		next := heap.Pop(&p.due).(timer)
+		p.now = next.at
+		next.do()
+	}
+	p.now = end
+}
+
+// ask makes a request with a gap to the next one of mean length, until the gap is changed.
+func (p *play) ask(gap *time.Duration) {
+	p.requests++
+	id := "request-" + strconv.Itoa(p.requests)
+	class := p.rng.IntN(len(classes))
+	p.balancer.Arrive(p.now, logic.Request{ID: id, Class: class, Budget: classes[class].Deadline})
+	if p.attempts[id] == 0 {
+		p.since.requests++
+	}
+	p.note()
+	p.after(time.Duration((0.5+p.rng.Float64())*float64(*gap)), func() { p.ask(gap) })
+}
+
+// note keeps the worst stretch without an attempt: a faulty one, or else the one with the most
+// requests.
+func (p *play) note() {
+	p.since.ended = p.now
+	if p.watching && !p.worst.faulty() && (p.since.faulty() || p.since.requests > p.worst.requests) {
+		p.worst = p.since
+	}
+}
+
+// Send implements logic.Actions.
+func (p *play) Send(request, _ string, timeout time.Duration) {
+	p.note()
+	p.since = stall{began: p.now}
+	number := p.attempts[request]
+	p.attempts[request]++
+	result, latency := p.health.reply(p.rng)
+	if latency > timeout {
+		result, latency = logic.TimedOut, timeout
+	}
+	p.after(latency, func() {
+		if result == logic.OK {
+			p.served++
+		}
+		p.balancer.Done(p.now, logic.Outcome{
+			Request: request,
+			Attempt: number,
+			Result:  result,
+			Latency: latency,
+			Final:   result == logic.OK,
+		})
+	})
+}
+
+// Refuse implements logic.Actions.
+func (p *play) Refuse(string, time.Duration) {}
+
+// Fail implements logic.Actions.
+func (p *play) Fail(string) {}
+
+// Cancel implements logic.Actions. No client leaves here.
+func (p *play) Cancel(string, int) {}
+
+// Wake implements logic.Actions.
+func (p *play) Wake(token uint64, wait time.Duration) {
+	p.after(wait, func() { p.balancer.Wake(p.now, token) })
+}
+
+// CloseIdle implements logic.Actions.
+func (p *play) CloseIdle(string) {}
+
+// WatchList implements logic.Actions. The list does not change here.
+func (p *play) WatchList() {}
+
+var classes = []logic.Class{
+	{Name: "get", Aim: 800 * time.Millisecond, Deadline: 2 * time.Second, Worth: 3, Repeat: logic.Safe},
+	{Name: "put", Aim: 800 * time.Millisecond, Deadline: 2 * time.Second, Worth: 2, Repeat: logic.Keyed,
+		Memory: 5 * time.Second},
+	{Name: "pay", Aim: 800 * time.Millisecond, Deadline: 2 * time.Second, Worth: 1, Repeat: logic.Unsafe},
+}
+
+// shape is where the balancer stands.
+type shape struct {
+	name      string
+	balancers int
+	tier      int
+	uneven    bool
+	backends  int
+}
+
+func newPlay(s shape, seed uint64) *play {
+	p := &play{rng: rand.New(rand.NewPCG(seed, 1)), attempts: map[string]int{}}
+	p.balancer = logic.New(0, logic.Settings{
+		Seed:        seed,
+		Zone:        "z1",
+		Zones:       []string{"z1", "z2"},
+		Classes:     classes,
+		Tier:        s.tier,
+		Balancers:   s.balancers,
+		Uneven:      s.uneven,
+		MaxAttempts: 4,
+		MaxComeBack: 1500 * time.Millisecond,
+		ColdShare:   0.2,
+		WarmWithin:  10 * time.Second,
+	}, p)
+	var lines []logic.Backend
+	for number := range s.backends {
+		zone := fmt.Sprintf("z%d", 1+number%2)
+		lines = append(lines, logic.Backend{ID: fmt.Sprintf("backend-%d", number), Zone: zone, Cell: 1, Size: 1})
+	}
+	p.balancer.List(0, true, lines)
+	return p
+}
+
+// The parts of a play, and how dense requests are in them.
+const (
+	calmBefore = 20 * time.Second
+	calmAfter  = 60 * time.Second
+	settled    = 20 * time.Second // at the end of it, in which requests must be served again
+
+	thin  = 200 * time.Millisecond // 20 requests in the time of a stall
+	dense = 10 * time.Millisecond
+)
+
+// recover plays a spell and the calm after it. It returns the worst stall of that calm, and
+// the share of requests served at its end.
+func (p *play) recover(bad health, spell, gap time.Duration) (worst stall, served float64) {
+	every := thin
+	p.after(0, func() { p.ask(&every) })
+	p.run(calmBefore)
+	p.health, every = bad, gap
+	p.run(calmBefore + spell)
+	p.health, every = well, thin
+	p.watching, p.since = true, stall{began: p.now}
+	p.run(p.now + calmAfter - settled)
+	requests, before := p.requests, p.served
+	p.run(p.now + settled)
+	p.note()
+	return p.worst, float64(p.served-before) / float64(p.requests-requests)
+}
+
+// leastServed is the share of requests that a balancer before healthy backends must serve
+// once the calm has lasted for a while.
+const leastServed = 0.9
+
+// Once backends are well again, thin traffic alone brings a balancer back: no 4 s on end in
+// which it turns all of 15 requests or more away without an attempt, and soon they are served.
+// Guards against ejections and limits that only an attempt could lift, and that allow none.
+func TestThinTrafficRecovers(t *testing.T) {
+	shapes := []shape{
+		{"one balancer", 1, 0, false, 10},
+		{"one backend", 1, 0, false, 1},
+		{"few balancers", 8, 0, false, 10},
+		{"many balancers", 350, 0, false, 300},
+		{"a lower tier", 8, 1, false, 10},
+		{"a mesh", 100, 0, true, 30},
+		{"a large mesh", 1100, 0, true, 300},
+	}
+	spells := []time.Duration{5 * time.Second, 30 * time.Second, 2 * time.Minute}
+	for _, s := range shapes {
+		t.Run(s.name, func(t *testing.T) {
+			t.Parallel()
+			most := 0
+			for bad := failing; bad <= sluggish; bad++ {
+				for _, spell := range spells {
+					for _, gap := range []time.Duration{thin, dense} {
+						what := fmt.Sprintf("%s for %v, a request each %v", bad, spell, gap)
+						worst, served := newPlay(s, 1).recover(bad, spell, gap)
+						most = max(most, worst.requests)
+						if worst.faulty() {
+							t.Errorf("%s: from %v on no attempt for %v and %d requests",
+								what, worst.began, worst.ended-worst.began, worst.requests)
+						}
+						if served < leastServed {
+							t.Errorf("%s: at the end %.0f%% are served", what, 100*served)
+						}
+					}
+				}
+			}
+			t.Logf("at most %d requests on end without an attempt", most)
+		})
+	}
+}
+
+// A check that can't fail says nothing: stretches on either side of its bounds.
+func TestStallCheckSeesAFault(t *testing.T) {
+	for _, c := range []struct {
+		length   time.Duration
+		requests int
+		faulty   bool
+	}{
+		{stallTime, stallRequests, true},
+		{time.Minute, 300, true},
+		{stallTime - 1, 300, false},
+		{time.Minute, stallRequests - 1, false},
+	} {
+		s := stall{began: time.Second, ended: time.Second + c.length, requests: c.requests}
+		if s.faulty() != c.faulty {
+			t.Errorf("%v with %d requests: faulty %v, want %v", c.length, c.requests, s.faulty(), c.faulty)
+		}
+	}
+}
