--- /dev/null
+++ b/proxy/unanswered_test.go
@@ -0,0 +1,202 @@
+package proxy
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"math/rand/v2"
+	"net"
+	"net/http"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"oxbowloft/internal/standin"
+)
+
+// answerSlack is what an answer may come behind its request's own time, in these tests: the
+// way there and back over loopback, and a machine that is busy with other things. The proxy
+// itself keeps a fiftieth of the time for the way back.
+const answerSlack = time.Second
+
+// A burst in these tests.
+const (
+	burstClients  = 150
+	burstRequests = 4 // of each, one after the other
+
+	// burstSockets is ample for a connection of each client and of each attempt. Where
+	// descriptors are short, idle connections are closed, and a request may cross that.
+	burstSockets = 1024
+)
+
+// grant gives a proxy that does not run yet another budget of descriptors.
+func (p *Proxy) grant(sockets int) {
+	p.reloads.Lock()
+	defer p.reloads.Unlock()
+	p.limits.Sockets = sockets
+	p.applyLimits()
+}
+
+// burstClient asks on one connection, which it keeps as long as it may, and stays until each
+// answer is there or its time is over.
+type burstClient struct {
+	addr string
+	rng  *rand.Rand
+	conn net.Conn
+	read *bufio.Reader
+}
+
+// connect makes sure that there is a connection.
+func (c *burstClient) connect() error {
+	if c.conn != nil {
+		return nil
+	}
+	conn, err := net.Dial("tcp", c.addr)
+	if err != nil {
+		return err
+	}
+	c.conn, c.read = conn, bufio.NewReader(conn)
+	return nil
+}
+
+func (c *burstClient) close() {
+	if c.conn != nil {
+		c.conn.Close()
+		c.conn = nil
+	}
+}
+
+// ask makes one request of a class, with a budget, and returns the status of its answer. An
+// error says that there was none in the request's time and the slack.
+func (c *burstClient) ask(id, class string, budget time.Duration) (status int, err error) {
+	if err := c.connect(); err != nil {
+		return 0, err
+	}
+	request := strings.Replace(text(class, int(budget.Milliseconds())), "X-Request-ID: 1", "X-Request-ID: "+id, 1)
+	c.conn.SetDeadline(time.Now().Add(budget + answerSlack))
+	if _, err := io.WriteString(c.conn, request); err != nil {
+		return 0, err
+	}
+	resp, err := http.ReadResponse(c.read, nil)
+	if err != nil {
+		return 0, fmt.Errorf("head: %w", err)
+	}
+	if _, err := io.Copy(io.Discard, resp.Body); err != nil {
+		return 0, fmt.Errorf("body: %w", err)
+	}
+	if resp.Close {
+		c.close()
+	}
+	return resp.StatusCode, nil
+}
+
+// badBackend is a way for backends to fail that takes time, or an answer, from a request.
+type badBackend struct {
+	name   string
+	handle func(*standin.Call)
+}
+
+// badBackends hang, break and answer late, at different points of the exchange.
+var badBackends = []badBackend{
+	{"hangs", (*standin.Call).Hang},
+	{"hangs in the head", func(c *standin.Call) {
+		c.Raw("HTTP/1.1 200 OK\r\nContent-Le")
+		c.Hang()
+	}},
+	{"hangs in the body", func(c *standin.Call) {
+		c.Raw(lengthHead(9) + "half")
+		c.Hang()
+	}},
+	{"dribbles", (*standin.Call).Dribble},
+	{"resets", (*standin.Call).Reset},
+	{"resets in the body", func(c *standin.Call) {
+		c.Raw(lengthHead(9) + "half")
+		c.Reset()
+	}},
+	{"closes", (*standin.Call).Close},
+	{"answers late", func(c *standin.Call) {
+		time.Sleep(time.Duration(c.N%5) * 300 * time.Millisecond)
+		standin.Echo(c)
+	}},
+	{"answers an error late", func(c *standin.Call) {
+		time.Sleep(time.Duration(c.N%5) * 300 * time.Millisecond)
+		c.Reply(500, "late")
+	}},
+}
+
+// tally is how the requests of a burst ended.
+type tally struct {
+	mu         sync.Mutex
+	answered   map[int]int // by status
+	unanswered []string
+}
+
+func (t *tally) add(id, class string, budget time.Duration, status int, err error) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if err != nil {
+		t.unanswered = append(t.unanswered, fmt.Sprintf("%s of class %s with %v: %v", id, class, budget, err))
+		return
+	}
+	t.answered[status]++
+}
+
+// burst has all clients ask at once, each with budgets of its own, and waits for the last.
+func burst(addr string) *tally {
+	out := &tally{answered: map[int]int{}}
+	var clients sync.WaitGroup
+	for number := range burstClients {
+		clients.Go(func() {
+			c := &burstClient{addr: addr, rng: rand.New(rand.NewPCG(1, uint64(number)))}
+			defer c.close()
+			for turn := range burstRequests {
+				id := fmt.Sprintf("%d-%d", number, turn)
+				class := []string{"get", "put", "pay"}[c.rng.IntN(3)]
+				budget := time.Duration(300+c.rng.IntN(1700)) * time.Millisecond
+				status, err := c.ask(id, class, budget)
+				out.add(id, class, budget, status, err)
+				if err != nil {
+					c.close()
+				}
+			}
+		})
+	}
+	clients.Wait()
+	return out
+}
+
+// Whatever backends do, each request whose client stays has a final answer by the time that it
+// named: under a burst, with all backends bad in one way, and with some in each. Guards
+// against attempts without a time-out, and against requests that fall out of all queues.
+func TestNoRequestIsLeftUnanswered(t *testing.T) {
+	one := func(handle func(*standin.Call)) []func(*standin.Call) {
+		return []func(*standin.Call){handle, handle, handle}
+	}
+	var every []func(*standin.Call)
+	cases := map[string][]func(*standin.Call){}
+	for _, bad := range badBackends {
+		cases["each "+bad.name] = one(bad.handle)
+		every = append(every, bad.handle)
+	}
+	cases["one of each kind, and two well"] = append(every, standin.Echo, standin.Echo)
+	for name, handles := range cases {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			var targets []string
+			for number, handle := range handles {
+				b := standin.NewBackend(t, handle)
+				targets = append(targets, standin.Target(fmt.Sprintf("s-%d", number), b.Addr()))
+			}
+			p := listening(t, standin.List(1, true, targets...), "127.0.0.1:1")
+			p.cfg.Grace = time.Millisecond
+			p.grant(burstSockets)
+			defer running(t, p)()
+			got := burst(p.Addr().String())
+			t.Logf("answered, by status: %v", got.answered)
+			if n := len(got.unanswered); n > 0 {
+				t.Errorf("%d of %d are left without an answer: %s", n, burstClients*burstRequests, got.unanswered[0])
+			}
+		})
+	}
+}
