--- a/logic/recovery_test.go
+++ b/logic/recovery_test.go
@@ -226,7 +226,8 @@
 	var lines []logic.Backend
 	for number := range s.backends {
 		zone := fmt.Sprintf("z%d", 1+number%2)
-		lines = append(lines, logic.Backend{ID: fmt.Sprintf("backend-%d", number), Zone: zone, Cell: 1, Size: 1})
+		id := fmt.Sprintf("backend-%d", number)
+		lines = append(lines, logic.Backend{ID: id, Zone: zone, Cell: 1, Size: 1})
 	}
 	p.balancer.List(0, true, lines)
 	return p
