--- a/proxy/clients.go
+++ b/proxy/clients.go
@@ -55,8 +55,7 @@
 	// dribbles.
 	nudgedPart = 250 * time.Millisecond
 	// freshLeast is what a new connection has to say something, and idleLeast what an
-	// idle one has, before they are the first to be closed. An idle one, too, has freshLeast
-	// for its next request, unless a client waits for its descriptor.
+	// idle one has, before they are the first to be closed.
 	freshLeast = 20 * time.Millisecond
 	idleLeast  = time.Second
 
@@ -235,9 +234,6 @@
 	n = s.nudgeBefore(s.fresh, n, now.Add(-s.freshLeast))
 	n = s.nudgeBefore(s.waiting, n, now.Add(-idleLeast))
 	n = s.nudgeBefore(s.fresh, n, now)
-	if !s.wanted() { // guards against closes that cross the next request of a client that has just been answered
-		now = now.Add(-s.freshLeast)
-	}
 	s.nudgeBefore(s.waiting, n, now)
 }
 
--- a/proxy/linger_test.go
+++ b/proxy/linger_test.go
@@ -112,7 +112,6 @@
 	quick := func(p *Proxy) {
 		p.clients.idleLimit, p.clients.newLimit, p.clients.partLimit = time.Millisecond, time.Millisecond, time.Millisecond
 	}
-	soon := func(p *Proxy) { p.clients.freshLeast = 0 } // none is spared
 	finish := func(p *Proxy) { p.clients.close() }
 	for _, c := range []struct {
 		name, sent, late string
@@ -121,7 +120,7 @@
 	}{
 		{"nothing asked yet", "", request, quick, none, nil},
 		{"idle limit", request, request, quick, none, []string{"HTTP/1.1 200 "}},
-		{"needed for others", request, request, soon, func(p *Proxy) { p.clients.nudgeOldest(1) }, []string{"HTTP/1.1 200 "}},
+		{"needed for others", request, request, none, func(p *Proxy) { p.clients.nudgeOldest(1) }, []string{"HTTP/1.1 200 "}},
 		{"end of a drain", request, request, none, finish, []string{"HTTP/1.1 200 "}},
 		{"last answer of a drain", request, request, func(p *Proxy) { p.enter(Finishing) }, none, []string{"HTTP/1.1 200 "}},
 		{"Connection: close", last, request, none, none, []string{"HTTP/1.1 200 "}},
