--- a/fleet/member/delegate.go
+++ b/fleet/member/delegate.go
@@ -6,7 +6,6 @@
 	"net"
 	"strconv"
 	"sync"
-	"sync/atomic"
 
 	"github.com/hashicorp/memberlist"
 )
@@ -47,13 +46,6 @@
 	packet struct{ message message }
 )
 
-// counters are the node's Stats, written by many goroutines.
-type counters struct {
-	badMeta, badState, badMessage     atomic.Uint64
-	older, unknown, inboxFull, unread atomic.Uint64
-	eventsLost, tooMany               atomic.Uint64
-}
-
 func newDelegate(name string, life uint64, post func(any) bool, count *counters) *delegate {
 	return &delegate{
 		name:  name,
--- /dev/null
+++ b/fleet/member/member.go
@@ -0,0 +1,66 @@
+package member
+
+import (
+	"cmp"
+	"time"
+)
+
+// Time is a point on the caller's monotonic clock. Only differences matter.
+type Time = time.Duration
+
+// maxIncarnation bounds what is believed: one that is forged or damaged must not
+// bring a name near the end of its numbers.
+const maxIncarnation = 1 << 48
+
+// Member is one name of the fleet in one of its lives.
+type Member struct {
+	Name string
+	// Incarnation orders the lives of a name. It counts from 1; 0 is a process that
+	// has started and has not yet asked which incarnations there were before it.
+	Incarnation uint64
+	Life        uint64 // random, drawn at the start of the process
+	Zone        string
+	Addr        string // host:port where the others reach it
+	Version     uint8  // of the messages that it understands
+}
+
+// State is what is known of a life.
+type State uint8
+
+// The states of a life, each stronger than the one before: of the same incarnation and
+// life the stronger is kept, in whichever order they are heard.
+const (
+	// Heard is departed by the word of another member alone. It is weaker than Alive: a
+	// member that was cut off believes all others dead, and its return must not kill
+	// those that the rest can see.
+	Heard State = iota
+	Alive
+	Dead // found dead by this member's own failure detector
+	Gone // has said that it leaves
+)
+
+// Record is one life and what is known of it.
+type Record struct {
+	Member
+	State State
+	Since Time // when it departed, as far as is known
+}
+
+// compareLives orders two lives of a name.
+func compareLives(a, b Member) int {
+	if c := cmp.Compare(a.Incarnation, b.Incarnation); c != 0 {
+		return c
+	}
+	return cmp.Compare(a.Life, b.Life)
+}
+
+// above tells whether r replaces o. Records of a name are in one total order and the
+// highest is kept, so that views depend neither on the order nor on the doubling of news.
+func (r Record) above(o Record) bool {
+	if c := compareLives(r.Member, o.Member); c != 0 {
+		return c > 0
+	}
+	return r.State > o.State
+}
+
+func (r Record) departed() bool { return r.State != Alive }
--- /dev/null
+++ b/fleet/member/messages.go
@@ -0,0 +1,111 @@
+package member
+
+import (
+	"errors"
+	"fmt"
+	mrand "math/rand/v2"
+	"net/netip"
+
+	"github.com/hashicorp/memberlist"
+)
+
+// The errors of Send, Broadcast and Leave.
+var (
+	ErrClosed   = errors.New("member: node is closed")
+	ErrUnknown  = errors.New("member: no such member")
+	ErrTooLong  = fmt.Errorf("member: payload is over %d bytes", MaxPayload)
+	ErrNotReady = errors.New("member: not a member of the fleet")
+)
+
+// Message is what a member sent, as well as may be.
+type Message struct {
+	From        string
+	Incarnation uint64 // of the sender when it sent
+	Payload     []byte
+}
+
+// Messages returns what members of the view have sent, in no certain order. When its
+// reader is slow, messages are dropped. The channel is closed when the node is.
+func (n *Node) Messages() <-chan Message { return n.messages }
+
+// Send sends payload, at most MaxPayload bytes, to one member in one datagram. It may be
+// lost, come twice, or late.
+func (n *Node) Send(name string, payload []byte) error {
+	v := n.view.Load()
+	to, ok := v.named(name)
+	switch {
+	case len(payload) > MaxPayload:
+		return ErrTooLong
+	case v.phase != Serving:
+		return ErrNotReady
+	case !ok || name == v.self.Name:
+		return ErrUnknown
+	}
+	select {
+	case <-n.stop:
+		return ErrClosed
+	default:
+	}
+	return n.write(to, message{
+		Kind:        kindData,
+		From:        v.self.Name,
+		Incarnation: v.self.Incarnation,
+		Life:        v.self.Life,
+		Payload:     payload,
+	})
+}
+
+// Broadcast sends payload to k random members, or to all if they are fewer, and returns
+// to how many.
+func (n *Node) Broadcast(k int, payload []byte) (int, error) {
+	v := n.view.Load()
+	sent := 0
+	for _, i := range mrand.Perm(len(v.members)) {
+		if sent >= k {
+			break
+		}
+		if v.members[i].Name == v.self.Name {
+			continue
+		}
+		err := n.Send(v.members[i].Name, payload)
+		if err != nil && !errors.Is(err, ErrUnknown) { // it may have gone meanwhile
+			return sent, err
+		}
+		if err == nil {
+			sent++
+		}
+	}
+	return sent, nil
+}
+
+func (n *Node) write(to Member, m message) error {
+	buf, err := encode(m)
+	if err != nil {
+		return err
+	}
+	addr, err := netip.ParseAddrPort(to.Addr)
+	if err != nil {
+		return err
+	}
+	dest := memberlist.Node{Name: to.Name, Addr: addr.Addr().AsSlice(), Port: addr.Port()}
+	return n.list.SendBestEffort(&dest, buf)
+}
+
+func (n *Node) receive(now Time, m *message) {
+	if m.Kind == kindTold {
+		n.roster.Told(now, m.From, m.About.record(now))
+		return
+	}
+	switch n.roster.Accept(m.From, m.Incarnation, m.Life) {
+	case Older:
+		n.count.older.Add(1)
+	case Unknown:
+		n.count.unknown.Add(1)
+	case Take:
+		select {
+		case n.messages <- Message{m.From, m.Incarnation, m.Payload}:
+		default:
+			n.count.unread.Add(1)
+		}
+	}
+}
--- a/fleet/member/roster.go
+++ b/fleet/member/roster.go
@@ -1,13 +1,3 @@
-// Package member keeps who belongs to the fleet, and in which life.
-//
-// The deciding part is in roster.go: who each name is, from what is heard. It
-// does no I/O, has no clock and starts no goroutine. The task in node.go hears
-// by github.com/hashicorp/memberlist, tells the Roster what happened and when,
-// and carries out the Actions that it asks for.
-//
-// Membership is gossip (SWIM: Das, Gupta, Motivala, DSN 2002; Lifeguard: Dadgar,
-// Phillips, Currey, DSN 2018): views differ for seconds. Nothing that has to be
-// agreed may rest on them.
 package member
 
 import (
@@ -17,121 +7,6 @@
 	"time"
 )
 
-// Time is a point on the caller's monotonic clock. Only differences matter.
-type Time = time.Duration
-
-// maxIncarnation bounds what is believed: one that is forged or damaged must not
-// bring a name near the end of its numbers.
-const maxIncarnation = 1 << 48
-
-// Member is one name of the fleet in one of its lives.
-type Member struct {
-	Name string
-	// Incarnation orders the lives of a name. It counts from 1; 0 is a process that
-	// has started and has not yet asked which incarnations there were before it.
-	Incarnation uint64
-	Life        uint64 // random, drawn at the start of the process
-	Zone        string
-	Addr        string // host:port where the others reach it
-	Version     uint8  // of the messages that it understands
-}
-
-// State is what is known of a life.
-type State uint8
-
-// The states of a life, each stronger than the one before: of the same incarnation and
-// life the stronger is kept, in whichever order they are heard.
-const (
-	// Heard is departed by the word of another member alone. It is weaker than Alive: a
-	// member that was cut off believes all others dead, and its return must not kill
-	// those that the rest can see.
-	Heard State = iota
-	Alive
-	Dead // found dead by this member's own failure detector
-	Gone // has said that it leaves
-)
-
-// Record is one life and what is known of it.
-type Record struct {
-	Member
-	State State
-	Since Time // when it departed, as far as is known
-}
-
-// compareLives orders two lives of a name.
-func compareLives(a, b Member) int {
-	if c := cmp.Compare(a.Incarnation, b.Incarnation); c != 0 {
-		return c
-	}
-	return cmp.Compare(a.Life, b.Life)
-}
-
-// above tells whether r replaces o. Records of a name are in one total order and the
-// highest is kept, so that views depend neither on the order nor on the doubling of news.
-func (r Record) above(o Record) bool {
-	if c := compareLives(r.Member, o.Member); c != 0 {
-		return c > 0
-	}
-	return r.State > o.State
-}
-
-func (r Record) departed() bool { return r.State != Alive }
-
-// Kind is what happened.
-type Kind uint8
-
-// The kinds of Event.
-const (
-	Joined    Kind = iota // a name that was not known
-	Left                  // it has said so
-	Died                  // it was found dead; a Left may follow, if that is heard later
-	Returned              // the same life with its next incarnation, believed dead or not
-	Restarted             // another life; Old is the one before
-	Displaced             // Old has lost its name to Member; of oneself: the others are not seen any more
-	Resumed               // oneself, after the fleet went on without: drop what is held
-	Resync                // events were lost; see Node.Events
-)
-
-var kindNames = [...]string{
-	"joined", "left", "died", "returned", "restarted", "displaced", "resumed", "resync",
-}
-
-func (k Kind) String() string { return kindNames[k] }
-
-// Event is a change of the view.
-type Event struct {
-	Kind   Kind
-	Member Member
-	Old    Member // Returned, Restarted, Displaced
-
-	View    []Member // Resync: all that are alive
-	Dropped bool     // Resync: a Resumed was among the events lost
-}
-
-// Phase is how far one's own membership has come.
-type Phase uint8
-
-// The phases. The last two are final.
-const (
-	Starting Phase = iota // asking; no incarnation yet
-	Serving               // a member
-	Aside                 // displaced: another life keeps the name
-	Leaving               // has said that it leaves
-)
-
-// Actions carries out what a Roster decides, in the order of the calls.
-type Actions interface {
-	// Happened reports a change.
-	Happened(Event)
-	// Announce makes one's own member known to the others as it is now.
-	Announce(self Member)
-	// StepAside ends one's own part in the fleet: the winner keeps the name.
-	StepAside(winner Member)
-	// Tell sends to one member, as well as may be, what is known of its name. It may be
-	// lost: what has to arrive is told again.
-	Tell(to Member, about Record)
-}
-
 // Limits bounds what a Roster remembers and waits for.
 type Limits struct {
 	StopAfter   time.Duration // longest time between ticks after which nobody can have taken one for dead
@@ -363,76 +238,6 @@
 	r.tell(tell{cur.Member, Record{Member: m, State: Alive}, -1})
 }
 
-// Told reports what the member named from knows of one's own name; "" is a word without a
-// known teller.
-func (r *Roster) Told(now Time, from string, rec Record) {
-	r.awake(now)
-	if rec.Name != r.self.Name || rec.Incarnation > maxIncarnation || r.phase > Serving {
-		return
-	}
-	r.told = max(r.told, rec.Incarnation)
-	switch {
-	case r.phase == Starting:
-	case rec.Life == r.self.Life && rec.State == Alive:
-		// One's own echo. Above one's own incarnation it is damaged or forged.
-	case rec.Life == r.self.Life:
-		r.accuse(from, rec)
-	case rec.departed() || rec.Addr == r.self.Addr:
-		// Who has one's own address can't be running beside.
-	case compareLives(rec.Member, r.self) > 0:
-		r.stepAside(rec.Member)
-		return
-	default:
-		return // the other steps aside
-	}
-	if r.phase == Serving && r.told >= r.self.Incarnation && r.told < maxIncarnation {
-		if rec.Life != r.self.Life || rec.departed() {
-			r.take(r.told + 1)
-		}
-	}
-}
-
-// accuse counts those that have found this life dead. When a majority has, its parts may
-// have gone to others, and it must not act on what it holds; one that was cut off alone
-// takes the rest for dead, and must not make all of them drop all.
-func (r *Roster) accuse(from string, rec Record) {
-	if rec.State != Dead || from == "" || rec.Incarnation < max(r.accused, r.fresh) {
-		return
-	}
-	if rec.Incarnation > r.accused {
-		r.accused = rec.Incarnation
-		clear(r.accusers)
-	}
-	if r.accusers[from] || 2*len(r.accusers) > r.size() {
-		return
-	}
-	r.accusers[from] = true
-	if 2*len(r.accusers) > r.size() {
-		r.resume()
-	}
-}
-
-// size is how many members the fleet has had of late: those that left don't count, those
-// that died do.
-func (r *Roster) size() int {
-	n := 1
-	for _, rec := range r.names {
-		if rec.State == Alive || rec.State == Dead {
-			n++
-		}
-	}
-	return n
-}
-
-func (r *Roster) stepAside(winner Member) {
-	old := r.self
-	r.phase = Aside
-	clear(r.names)
-	clear(r.tells)
-	r.act.Happened(Event{Kind: Displaced, Member: winner, Old: old})
-	r.act.StepAside(winner)
-}
-
 // Leave reports that the process leaves the fleet.
 func (r *Roster) Leave(now Time) {
 	r.awake(now)
@@ -470,26 +275,6 @@
 	}
 }
 
-// awake notices at the first event after a stop that the process was stopped for longer
-// than the others wait before they take a member for dead.
-func (r *Roster) awake(now Time) {
-	if r.phase == Serving && now-r.ticked > r.limits.StopAfter {
-		r.ticked = now
-		r.resume()
-	}
-}
-
-func (r *Roster) resume() {
-	r.take(max(r.told, r.self.Incarnation) + 1)
-	r.fresh = r.self.Incarnation
-	r.act.Happened(Event{Kind: Resumed, Member: r.self})
-}
-
-func (r *Roster) take(incarnation uint64) {
-	r.self.Incarnation = incarnation
-	r.act.Announce(r.self)
-}
-
 // Accept tells what to make of a message that is said to come from a life of name.
 func (r *Roster) Accept(name string, incarnation, life uint64) Verdict {
 	rec, ok := r.names[name]
--- /dev/null
+++ b/fleet/member/stats.go
@@ -0,0 +1,41 @@
+package member
+
+import (
+	"sync/atomic"
+)
+
+// Stats counts what a node dropped since its start.
+type Stats struct {
+	BadMeta    uint64 // a member's own data that can't be read; it is not let in
+	BadState   uint64 // full exchanges whose memory can't be read
+	BadMessage uint64 // datagrams that can't be read
+	OlderLife  uint64 // messages from a life that is over
+	Unknown    uint64 // messages from one that is not among the members
+	InboxFull  uint64 // messages, claims and memories for which the inbox had no room
+	Unread     uint64 // messages that their reader had no room for
+	EventsLost uint64 // events replaced by a Resync
+	TooMany    uint64 // members over the bound of the view
+}
+
+// counters are the node's Stats, written by many goroutines.
+type counters struct {
+	badMeta, badState, badMessage     atomic.Uint64
+	older, unknown, inboxFull, unread atomic.Uint64
+	eventsLost, tooMany               atomic.Uint64
+}
+
+// Stats returns what the node dropped since its start.
+func (n *Node) Stats() Stats {
+	c := &n.count
+	return Stats{
+		BadMeta:    c.badMeta.Load(),
+		BadState:   c.badState.Load(),
+		BadMessage: c.badMessage.Load(),
+		OlderLife:  c.older.Load(),
+		Unknown:    c.unknown.Load(),
+		InboxFull:  c.inboxFull.Load(),
+		Unread:     c.unread.Load(),
+		EventsLost: c.eventsLost.Load(),
+		TooMany:    c.tooMany.Load(),
+	}
+}
--- /dev/null
+++ b/fleet/member/view.go
@@ -0,0 +1,78 @@
+package member
+
+import (
+	"slices"
+	"strings"
+)
+
+// view is what readers see, never changed once published.
+type view struct {
+	self    Member
+	phase   Phase
+	members []Member // by name
+}
+
+func (v *view) named(name string) (Member, bool) {
+	i, ok := slices.BinarySearchFunc(v.members, name, func(m Member, name string) int {
+		return strings.Compare(m.Name, name)
+	})
+	if !ok {
+		return Member{}, false
+	}
+	return v.members[i], true
+}
+
+func (n *Node) publish() {
+	n.view.Store(&view{n.roster.Self(), n.roster.Phase(), n.roster.Members()})
+}
+
+// Self returns the node as others see it; incarnation 0 until the seeds have been asked.
+func (n *Node) Self() Member { return n.view.Load().self }
+
+// Phase returns how far the node's membership has come.
+func (n *Node) Phase() Phase { return n.view.Load().phase }
+
+// Members returns all that are alive, the node itself among them, by name. The slice is
+// shared and must not be changed.
+func (n *Node) Members() []Member { return n.view.Load().members }
+
+// Events returns the changes of the view. When its reader is so slow that they find no
+// room, events are dropped, and the next is a Resync with the whole View as it is then.
+// The channel is closed when the node is.
+func (n *Node) Events() <-chan Event { return n.events }
+
+// flush publishes what the Roster has decided: the view first, so that who gets an event
+// finds at least that much in Members.
+func (n *Node) flush() {
+	if n.changed {
+		n.changed = false
+		n.publish()
+		n.remember(n.now())
+	}
+	for _, e := range n.pending {
+		n.emit(e)
+	}
+	n.pending = n.pending[:0]
+	if n.behind {
+		v := n.view.Load()
+		e := Event{Kind: Resync, Member: v.self, View: v.members, Dropped: n.stale}
+		select {
+		case n.events <- e:
+			n.behind, n.stale = false, false
+		default:
+		}
+	}
+}
+
+func (n *Node) emit(e Event) {
+	if !n.behind {
+		select {
+		case n.events <- e:
+			return
+		default:
+			n.behind = true
+		}
+	}
+	n.count.eventsLost.Add(1)
+	n.stale = n.stale || e.Kind == Resumed
+}
