--- /dev/null
+++ b/fleet/agree/backoff.go
@@ -0,0 +1,34 @@
+package agree
+
+import (
+	"context"
+	"errors"
+	"math/rand/v2"
+	"time"
+)
+
+// backoff waits longer after each try, by a random part (Brooker, "Exponential
+// Backoff and Jitter", 2015).
+type backoff struct {
+	cfg   *ClientConfig
+	tries int
+}
+
+// sleep waits before the next try after err. It returns ctx's error when it is over.
+func (b *backoff) sleep(ctx context.Context, err error) error {
+	bound := min(b.cfg.Backoff<<min(b.tries, 16), b.cfg.Longest)
+	b.tries++
+	wait := bound/2 + rand.N(bound/2+1)
+	var busy *BusyError
+	if errors.As(err, &busy) {
+		wait = busy.ComeBack + rand.N(busy.ComeBack/2+1)
+	}
+	t := time.NewTimer(wait)
+	defer t.Stop()
+	select {
+	case <-t.C:
+		return nil
+	case <-ctx.Done():
+		return ctx.Err()
+	}
+}
--- /dev/null
+++ b/fleet/agree/client_ask.go
@@ -0,0 +1,141 @@
+package agree
+
+import (
+	"context"
+	"errors"
+)
+
+// Ask has an entry agreed once: Prepare, Do and Drop.
+func (c *Client) Ask(ctx context.Context, entry []byte) (answer []byte, index uint64, err error) {
+	a := c.Prepare(entry)
+	defer a.Drop()
+	return a.Do(ctx)
+}
+
+// Asking is one ask, which may be asked any number of times. It is for one goroutine.
+type Asking struct {
+	c       *Client
+	entry   []byte
+	session uint64 // 0: not asked yet
+	seq     uint64
+	unknown bool // a try may have been applied
+}
+
+// Prepare returns an ask that nobody has been asked yet. Drop it at the end.
+func (c *Client) Prepare(entry []byte) *Asking { return &Asking{c: c, entry: entry} }
+
+// Do asks, again and again under the same sequence, until it knows or ctx is
+// over, and returns the machine's answer and the index at which the entry was
+// applied. ErrUnknown says that it may be applied, now or later: only another Do
+// tells. ErrSession says that it may have been and that nobody can tell any more.
+// After any other error it isn't and won't be applied by the tries so far.
+func (a *Asking) Do(ctx context.Context) (answer []byte, index uint64, err error) {
+	if len(a.entry) > MaxEntry {
+		return nil, 0, ErrTooLong
+	}
+	select {
+	case a.c.slots <- struct{}{}:
+		defer func() { <-a.c.slots }()
+	case <-ctx.Done():
+		return nil, 0, a.hedge(ctx.Err())
+	}
+	for {
+		if a.session == 0 {
+			if a.session, err = a.c.sessionFor(ctx); err != nil {
+				return nil, 0, err
+			}
+			a.seq = a.c.begin()
+		}
+		r, err := a.c.persist(ctx, func() *request {
+			return &request{
+				Kind: requestAsk, Session: a.session, Seq: a.seq, Done: a.c.done(), Body: a.entry,
+			}
+		}, &a.unknown)
+		if err == nil {
+			a.unknown = false
+			return r.Body, r.Index, nil
+		}
+		if !errors.Is(err, ErrSession) {
+			return nil, 0, a.hedge(err)
+		}
+		a.c.forget(a.session)
+		if a.unknown {
+			return nil, 0, ErrSession
+		}
+		a.Drop()
+	}
+}
+
+// hedge is err, or ErrUnknown if a try may have been applied.
+func (a *Asking) hedge(err error) error {
+	if a.unknown {
+		return ErrUnknown
+	}
+	return err
+}
+
+// Drop says that the answer is not asked for any more.
+func (a *Asking) Drop() {
+	if a.session != 0 {
+		a.c.end(a.seq)
+		a.session = 0
+	}
+}
+
+// sessionFor returns the session, which it opens if there is none.
+func (c *Client) sessionFor(ctx context.Context) (uint64, error) {
+	select {
+	case c.opening <- struct{}{}:
+		defer func() { <-c.opening }()
+	case <-ctx.Done():
+		return 0, ctx.Err()
+	}
+	c.mu.Lock()
+	session := c.session
+	c.mu.Unlock()
+	if session != 0 {
+		return session, nil
+	}
+	r, err := c.persist(ctx, func() *request { return &request{Kind: requestOpen} }, nil)
+	if err != nil {
+		return 0, err
+	}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.session = r.Index
+	return r.Index, nil
+}
+
+// forget drops a session that the voters don't know.
+func (c *Client) forget(session uint64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.session == session {
+		c.session = 0
+	}
+}
+
+func (c *Client) begin() uint64 {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.seq++
+	c.open[c.seq] = true
+	return c.seq
+}
+
+func (c *Client) end(seq uint64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	delete(c.open, seq)
+}
+
+// done is the highest sequence up to which no answer is waited for.
+func (c *Client) done() uint64 {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	done := c.seq
+	for seq := range c.open {
+		done = min(done, seq-1)
+	}
+	return done
+}
--- /dev/null
+++ b/fleet/agree/client_connect.go
@@ -0,0 +1,84 @@
+package agree
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net"
+	"slices"
+)
+
+// connect returns the connection, which it makes if there is none.
+func (c *Client) connect(ctx context.Context) (*link, error) {
+	for {
+		c.mu.Lock()
+		if c.closed {
+			c.mu.Unlock()
+			return nil, ErrShutdown
+		}
+		if c.link != nil && !c.link.dead() {
+			defer c.mu.Unlock()
+			return c.link, nil
+		}
+		if c.dialing == nil {
+			break
+		}
+		over := c.dialing
+		c.mu.Unlock()
+		select {
+		case <-over:
+		case <-ctx.Done():
+			return nil, ctx.Err()
+		}
+	}
+	if c.link != nil { // it broke: its voter is passed over
+		c.target = (c.target + 1) % len(c.cfg.Voters)
+		c.link = nil
+	}
+	over := make(chan struct{})
+	c.dialing = over
+	addr := c.cfg.Voters[c.target]
+	c.mu.Unlock()
+
+	conn, err := net.DialTimeout("tcp", addr, c.cfg.Try)
+
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.dialing = nil
+	close(over)
+	if err != nil {
+		c.target = (c.target + 1) % len(c.cfg.Voters)
+		return nil, fmt.Errorf("agree: %w", err)
+	}
+	if c.closed {
+		conn.Close()
+		return nil, ErrShutdown
+	}
+	c.link = newLink(conn, &c.cfg)
+	return c.link, nil
+}
+
+// turn goes to another voter if err says that l's is not the one to ask.
+func (c *Client) turn(l *link, err error) {
+	var notLeader *NotLeaderError
+	next := -1
+	switch {
+	case errors.As(err, &notLeader):
+		// Only one that we were told at our start: a wrong hint leads nowhere else.
+		next = slices.Index(c.cfg.Voters, notLeader.Leader)
+	case errors.Is(err, ErrShutdown), errors.Is(err, ErrUnknown):
+	default:
+		return
+	}
+	c.mu.Lock()
+	if c.link != l {
+		c.mu.Unlock()
+		return // somebody else has
+	}
+	if next < 0 || next == c.target {
+		next = (c.target + 1) % len(c.cfg.Voters)
+	}
+	c.target, c.link = next, nil
+	c.mu.Unlock()
+	l.retire()
+}
--- /dev/null
+++ b/fleet/agree/client_subscribe.go
@@ -0,0 +1,67 @@
+package agree
+
+import (
+	"context"
+	"errors"
+)
+
+// Subscribe calls f with each effect from an index on, in order and once, until
+// f returns an error or ctx is over. On a *GoneError read the state, and subscribe
+// from the index after the one that it was read at.
+func (c *Client) Subscribe(ctx context.Context, from uint64, f func(Effect) error) error {
+	wait := backoff{cfg: &c.cfg}
+	for {
+		before := from
+		err := c.subscribeOnce(ctx, &from, f)
+		var gone *GoneError
+		var own *callerError
+		switch {
+		case errors.As(err, &own):
+			return own.error
+		case errors.As(err, &gone), errors.Is(err, ErrShutdown) && c.isClosed():
+			return err
+		}
+		if from > before {
+			wait.tries = 0
+		}
+		if err := wait.sleep(ctx, err); err != nil {
+			return err
+		}
+	}
+}
+
+// callerError is an error of the caller's own function.
+type callerError struct{ error }
+
+func (c *Client) subscribeOnce(ctx context.Context, from *uint64, f func(Effect) error) error {
+	l, err := c.connect(ctx)
+	if err != nil {
+		return err
+	}
+	w, err := l.ask(&request{Kind: requestSubscribe, From: *from}, subscribed)
+	if err != nil {
+		return err
+	}
+	defer l.drop(w)
+	for {
+		select {
+		case r, ok := <-w.replies:
+			if !ok {
+				return errors.New("agree: subscription ended")
+			}
+			if err := r.err(); err != nil {
+				c.turn(l, err)
+				return err
+			}
+			if r.Index < *from {
+				continue
+			}
+			if err := f(Effect{r.Index, r.Body}); err != nil {
+				return &callerError{err}
+			}
+			*from = r.Index + 1
+		case <-ctx.Done():
+			return &callerError{ctx.Err()}
+		}
+	}
+}
--- a/fleet/agree/config.go
+++ b/fleet/agree/config.go
@@ -6,7 +6,6 @@
 	"net"
 	"time"
 
-	"github.com/hashicorp/go-hclog"
 	"github.com/hashicorp/raft"
 )
 
@@ -111,16 +110,3 @@
 	}
 	return nil
 }
-
-func (c *Config) raft(log hclog.Logger) *raft.Config {
-	r := raft.DefaultConfig()
-	r.LocalID = raft.ServerID(c.Name)
-	r.HeartbeatTimeout, r.ElectionTimeout = c.Heartbeat, c.Heartbeat
-	r.LeaderLeaseTimeout = c.Heartbeat / 2
-	r.CommitTimeout = c.Heartbeat / 20
-	r.SnapshotThreshold, r.TrailingLogs, r.SnapshotInterval = c.SnapshotEvery, c.Trailing, c.SnapshotCheck
-	r.BatchApplyCh = true // what comes during one fsync goes into the next
-	r.NoLegacyTelemetry = true
-	r.Logger = log
-	return r
-}
--- /dev/null
+++ b/fleet/agree/fsm.go
@@ -0,0 +1,180 @@
+package agree
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"sync"
+
+	"github.com/hashicorp/raft"
+)
+
+// Bounds of the effects that each voter keeps for subscribers.
+const (
+	maxEffects      = 4096
+	maxEffectsBytes = 4 << 20
+)
+
+// Effect is an answer of the machine with the index of the entry that caused it,
+// by which it is fenced: of two effects on one thing the one with the higher
+// index holds.
+type Effect struct {
+	Index  uint64 `cbor:"1,keyasint"`
+	Answer []byte `cbor:"2,keyasint"`
+}
+
+// decision is what fsm.Apply returns for a command.
+type decision struct {
+	outcome outcome
+	index   uint64
+	answer  []byte
+}
+
+// fsm puts a Machine under raft. Raft calls Apply, Snapshot and Restore from
+// one goroutine; the lock is for readers.
+type fsm struct {
+	failure chan error // room for one: a command that can't be applied
+
+	mu       sync.Mutex
+	err      error // a command that can't be applied; nothing is from there on
+	machine  Machine
+	sessions *sessions
+	applied  uint64        // index of the last command
+	effects  []Effect      // the latest, ascending
+	bytes    int           // of the effects
+	lost     uint64        // effects up to this index are not kept
+	grown    chan struct{} // closed when there are more
+}
+
+func newFSM(m Machine) *fsm {
+	return &fsm{
+		failure: make(chan error, 1), machine: m, sessions: newSessions(), grown: make(chan struct{}),
+	}
+}
+
+// Apply applies one committed entry; it returns a decision, or nil once an entry
+// could not be applied: to go on without it would leave another state than that
+// of the others.
+func (f *fsm) Apply(l *raft.Log) any {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.err != nil {
+		return nil
+	}
+	c, err := decodeCommand(l.Data)
+	if err != nil {
+		f.err = fmt.Errorf("log %d: %w", l.Index, err)
+		f.failure <- f.err
+		return nil
+	}
+	f.applied = l.Index
+	apply := func() []byte {
+		answer := f.machine.Apply(l.Index, c.ask.Entry)
+		f.tell(Effect{l.Index, answer})
+		return answer
+	}
+	switch c.kind {
+	case kindOpen:
+		f.sessions.open(l.Index)
+	case kindAsk:
+		h, o := f.sessions.do(l.Index, &c.ask, apply)
+		return decision{o, h.Index, h.Answer}
+	case kindTick:
+		// Measured under one leader and appended under another, it could cover
+		// time that the one between has counted.
+		if c.term != l.Term {
+			return decision{outcome: outcomeStale, index: l.Index}
+		}
+		apply()
+	}
+	return decision{index: l.Index}
+}
+
+func (f *fsm) tell(e Effect) {
+	if len(e.Answer) == 0 {
+		return
+	}
+	f.effects = append(f.effects, e)
+	f.bytes += len(e.Answer)
+	drop := 0
+	for len(f.effects)-drop > maxEffects || f.bytes > maxEffectsBytes && drop < len(f.effects)-1 {
+		f.lost = f.effects[drop].Index
+		f.bytes -= len(f.effects[drop].Answer)
+		f.effects[drop].Answer = nil
+		drop++
+	}
+	f.effects = f.effects[drop:]
+	f.wake()
+}
+
+func (f *fsm) wake() {
+	close(f.grown)
+	f.grown = make(chan struct{})
+}
+
+// since returns up to limit effects with an index from the given one on, and a
+// channel that is closed when there are more. An error says that some of them
+// are not kept any more.
+func (f *fsm) since(from uint64, limit int) ([]Effect, <-chan struct{}, error) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if from <= f.lost {
+		return nil, nil, &GoneError{Oldest: f.lost + 1}
+	}
+	var found []Effect
+	for i := len(f.effects); i > 0 && f.effects[i-1].Index >= from; i-- {
+		found = f.effects[i-1:]
+	}
+	return append([]Effect(nil), found[:min(limit, len(found))]...), f.grown, nil
+}
+
+// query asks the machine, and tells the index up to which it has applied.
+func (f *fsm) query(q []byte) (answer []byte, index uint64, err error) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.err != nil {
+		return nil, 0, ErrUnknown
+	}
+	m, ok := f.machine.(Querier)
+	if !ok {
+		return nil, 0, errors.New("agree: this machine answers no reads")
+	}
+	return m.Query(q), f.applied, nil
+}
+
+// Snapshot takes the state as it is.
+func (f *fsm) Snapshot() (raft.FSMSnapshot, error) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.err != nil {
+		return nil, f.err
+	}
+	b, err := encMode.Marshal(image{f.applied, f.sessions.image(), f.machine.Snapshot()})
+	if err != nil {
+		return nil, fmt.Errorf("agree: snapshot: %w", err)
+	}
+	return snapshot(sealSnapshot(b)), nil
+}
+
+// Restore replaces the state by a snapshot's, or leaves it and returns an error.
+func (f *fsm) Restore(r io.ReadCloser) error {
+	defer r.Close()
+	b, err := io.ReadAll(r)
+	if err != nil {
+		return err
+	}
+	i, err := decodeSnapshot(b)
+	if err != nil {
+		return fmt.Errorf("snapshot: %w", err)
+	}
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if err := f.machine.Restore(i.Machine); err != nil {
+		return fmt.Errorf("snapshot: machine: %w", err)
+	}
+	f.sessions.restore(i.Sessions)
+	f.applied = i.Index
+	f.effects, f.bytes, f.lost = nil, 0, i.Index
+	f.wake()
+	return nil
+}
--- /dev/null
+++ b/fleet/agree/proposal.go
@@ -0,0 +1,227 @@
+package agree
+
+import (
+	"context"
+	"errors"
+	"fmt"
+
+	"github.com/hashicorp/raft"
+)
+
+// proposal is a message to the voter's task.
+type proposal struct {
+	ctx   context.Context
+	read  bool
+	data  []byte // of a command, or the query of a read
+	admin func(*raft.Raft) raft.Future
+	done  chan result // room for one
+}
+
+type result struct {
+	answer []byte
+	index  uint64
+	err    error
+}
+
+// pending is a proposal that raft has.
+type pending struct {
+	p *proposal // nil: a tick
+	f raft.Future
+}
+
+// Open opens a session for asks. Its name is the index of the entry that did.
+// After ErrUnknown it may just be opened again: what is not used is forgotten.
+func (v *Voter) Open(ctx context.Context) (session uint64, err error) {
+	_, session, err = v.await(&proposal{ctx: ctx, data: (&command{kind: kindOpen}).encode()})
+	return session, err
+}
+
+// Propose asks that an entry be agreed, and returns the machine's answer and the
+// index at which it was applied. An ask with the session and sequence of one that
+// was applied before gets the answer and index of that time.
+//
+// The errors that say that this try is not and will not be applied are
+// *NotLeaderError, *BusyError, ErrShutdown, ErrSession, ErrStale, ErrCrowded and
+// ErrTooLong. ErrUnknown says that it may have been or may yet be.
+func (v *Voter) Propose(ctx context.Context, a Ask) (answer []byte, index uint64, err error) {
+	if len(a.Entry) > MaxEntry {
+		return nil, 0, ErrTooLong
+	}
+	if a.Seq == 0 {
+		return nil, 0, ErrStale
+	}
+	return v.await(&proposal{ctx: ctx, data: (&command{kind: kindAsk, ask: a}).encode()})
+}
+
+// Read asks the machine, which is a Querier, and returns its answer with the
+// index up to which it had applied. The answer holds all that was agreed before
+// Read was called.
+//
+// It appends a barrier to the log. Raft's VerifyLeader, which only waits for
+// heartbeats, would do without, but takes answers to those that were under way
+// before: a leader resumed after a stop could be confirmed by one from before it.
+func (v *Voter) Read(ctx context.Context, query []byte) (answer []byte, index uint64, err error) {
+	if len(query) > MaxEntry {
+		return nil, 0, ErrTooLong
+	}
+	return v.await(&proposal{ctx: ctx, read: true, data: query})
+}
+
+// Add makes the voter name at address one of the set, at once: it counts for
+// majorities while it is still being sent the log. It has been started with
+// Config.Join.
+func (v *Voter) Add(ctx context.Context, name, address string) error {
+	if name == "" || address == "" {
+		return errors.New("agree: add: name or address empty")
+	}
+	_, _, err := v.await(&proposal{ctx: ctx, admin: func(r *raft.Raft) raft.Future {
+		return r.AddVoter(raft.ServerID(name), raft.ServerAddress(address), 0, v.cfg.Heartbeat)
+	}})
+	return err
+}
+
+// Remove takes the voter name out of the set for good: it must not come back by
+// this name.
+func (v *Voter) Remove(ctx context.Context, name string) error {
+	_, _, err := v.await(&proposal{ctx: ctx, admin: func(r *raft.Raft) raft.Future {
+		return r.RemoveServer(raft.ServerID(name), 0, v.cfg.Heartbeat)
+	}})
+	return err
+}
+
+// Effects returns up to limit effects with an index from the given one on, and a
+// channel that is closed when there are more. A *GoneError says that some are not
+// kept. Any voter tells them; one that is cut off tells late.
+func (v *Voter) Effects(from uint64, limit int) ([]Effect, <-chan struct{}, error) {
+	return v.fsm.since(max(from, 1), limit)
+}
+
+func (v *Voter) await(p *proposal) ([]byte, uint64, error) {
+	r := v.running()
+	if r == nil {
+		select {
+		case <-v.over:
+			return nil, 0, ErrShutdown
+		default:
+			return nil, 0, &NotLeaderError{}
+		}
+	}
+	if r.State() != raft.Leader { // known without a place in the inbox
+		return nil, 0, v.notLeader()
+	}
+	p.done = make(chan result, 1)
+	select {
+	case v.inbox <- p:
+	default:
+		return nil, 0, &BusyError{v.cfg.ComeBack}
+	}
+	select {
+	case r := <-p.done:
+		return r.answer, r.index, r.err
+	case <-p.ctx.Done():
+		return nil, 0, ErrUnknown
+	case <-v.over:
+	}
+	select {
+	case r := <-p.done:
+		return r.answer, r.index, r.err
+	default: // it came into the inbox as the task ended
+		return nil, 0, ErrShutdown
+	}
+}
+
+// propose hands one proposal to raft. It waits while raft has all it can hold.
+func (v *Voter) propose(p *proposal) error {
+	var f raft.Future
+	switch {
+	case p.ctx.Err() != nil:
+		p.done <- result{err: p.ctx.Err()} // nobody waits for it
+		return nil
+	case v.raft.State() != raft.Leader:
+		p.done <- result{err: v.notLeader()}
+		return nil
+	case p.admin != nil:
+		f = p.admin(v.raft)
+	case p.read:
+		f = v.raft.Barrier(v.cfg.Heartbeat)
+	default:
+		f = v.raft.Apply(p.data, v.cfg.Heartbeat)
+	}
+	return v.push(pending{p, f})
+}
+
+// push hands a future to who collects them. It waits while there are too many,
+// unless raft can't go on, in which case it returns why.
+func (v *Voter) push(w pending) (err error) {
+	select {
+	case v.pending <- w:
+		return nil
+	case err = <-v.store.Failed():
+	case err = <-v.fsm.failure:
+	}
+	if w.p != nil {
+		w.p.done <- result{err: ErrUnknown}
+	}
+	return err
+}
+
+// collect answers proposals in the order in which raft was given them, which is
+// the order in which it decides them.
+func (v *Voter) collect(done chan<- struct{}) {
+	defer close(done)
+	for w := range v.pending {
+		err := settled(w.f, v.down)
+		if w.p == nil {
+			continue
+		}
+		w.p.done <- v.result(w, err)
+	}
+}
+
+func (v *Voter) result(w pending, err error) result {
+	switch {
+	case err == nil:
+	case errors.Is(err, raft.ErrNotLeader), errors.Is(err, raft.ErrLeadershipTransferInProgress):
+		return result{err: v.notLeader()}
+	case errors.Is(err, raft.ErrEnqueueTimeout):
+		return result{err: &BusyError{v.cfg.ComeBack}}
+	case w.p.admin != nil:
+		return result{err: fmt.Errorf("agree: %w", err)}
+	default:
+		v.log.Warn("outcome unknown", "err", err)
+		return result{err: ErrUnknown}
+	}
+	if w.p.admin != nil {
+		return result{}
+	}
+	if w.p.read {
+		answer, index, err := v.fsm.query(w.p.data)
+		return result{answer, index, err}
+	}
+	d, ok := w.f.(raft.ApplyFuture).Response().(decision)
+	if !ok { // the state machine has stopped
+		return result{err: ErrUnknown}
+	}
+	switch d.outcome {
+	case outcomeGone:
+		return result{err: ErrSession}
+	case outcomeStale:
+		return result{err: ErrStale}
+	case outcomeCrowded:
+		return result{err: ErrCrowded}
+	}
+	return result{answer: d.answer, index: d.index}
+}
+
+// settled waits for a future. Raft leaves some of those that it has at its
+// shutdown without an answer; done ends the wait for them.
+func settled(f raft.Future, done <-chan struct{}) error {
+	c := make(chan error, 1)
+	go func() { c <- f.Error() }()
+	select {
+	case err := <-c:
+		return err
+	case <-done:
+		return raft.ErrRaftShutdown
+	}
+}
--- /dev/null
+++ b/fleet/agree/raft.go
@@ -0,0 +1,119 @@
+package agree
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"log/slog"
+	"net"
+
+	"github.com/hashicorp/go-hclog"
+	"github.com/hashicorp/raft"
+)
+
+// startRaft lets this voter take part from here on.
+func (v *Voter) startRaft() (err error) {
+	defer func() {
+		if p := recover(); p != nil { // raft's way to say that it can't read its log
+			err = fmt.Errorf("agree: raft: %v", p)
+		}
+		if err != nil && v.trans != nil {
+			v.trans.Close()
+		}
+	}()
+	if v.trans, err = v.listen(); err != nil {
+		return err
+	}
+	conf := v.cfg.raft(v.hclog)
+	known, err := raft.HasExistingState(v.store, v.store, v.snaps)
+	if err != nil {
+		return err
+	}
+	if !known && !v.cfg.Join {
+		var servers []raft.Server
+		for _, p := range v.cfg.Voters {
+			servers = append(servers,
+				raft.Server{ID: raft.ServerID(p.Name), Address: raft.ServerAddress(p.Address)})
+		}
+		initial := raft.Configuration{Servers: servers}
+		if err := raft.BootstrapCluster(conf, v.store, v.store, v.snaps, v.trans, initial); err != nil {
+			return fmt.Errorf("agree: first start: %w", err)
+		}
+	}
+	r, err := raft.NewRaft(conf, v.fsm, v.store, v.store, v.snaps, v.trans)
+	if err != nil {
+		return fmt.Errorf("agree: %w", err)
+	}
+	v.store.running()
+	v.mu.Lock()
+	v.raft, v.phase = r, phaseRunning
+	v.mu.Unlock()
+	v.log.Info("running")
+	return nil
+}
+
+func (v *Voter) listen() (*raft.NetworkTransport, error) {
+	conf := &raft.NetworkTransportConfig{
+		Stream: v.cfg.layer, MaxPool: 2, Timeout: 10 * v.cfg.Heartbeat, Logger: v.hclog,
+	}
+	if conf.Stream != nil {
+		return raft.NewNetworkTransportWithConfig(conf), nil
+	}
+	var advertise net.Addr
+	for _, p := range v.cfg.Voters {
+		if p.Name == v.cfg.Name {
+			a, err := net.ResolveTCPAddr("tcp", p.Address)
+			if err != nil {
+				return nil, fmt.Errorf("agree: voters: address: %w", err)
+			}
+			advertise = a
+		}
+	}
+	t, err := raft.NewTCPTransportWithConfig(v.cfg.Bind, advertise, conf)
+	if err != nil {
+		return nil, fmt.Errorf("agree: bind: %w", err)
+	}
+	return t, nil
+}
+
+func (c *Config) raft(log hclog.Logger) *raft.Config {
+	r := raft.DefaultConfig()
+	r.LocalID = raft.ServerID(c.Name)
+	r.HeartbeatTimeout, r.ElectionTimeout = c.Heartbeat, c.Heartbeat
+	r.LeaderLeaseTimeout = c.Heartbeat / 2
+	r.CommitTimeout = c.Heartbeat / 20
+	r.SnapshotThreshold, r.TrailingLogs, r.SnapshotInterval = c.SnapshotEvery, c.Trailing, c.SnapshotCheck
+	r.BatchApplyCh = true // what comes during one fsync goes into the next
+	r.NoLegacyTelemetry = true
+	r.Logger = log
+	return r
+}
+
+// bridge hands raft's log on.
+func bridge(log *slog.Logger) hclog.Logger {
+	l := hclog.NewInterceptLogger(&hclog.LoggerOptions{Level: hclog.Info, Output: io.Discard})
+	l.RegisterSink(sink{log})
+	return l
+}
+
+type sink struct{ log *slog.Logger }
+
+func (s sink) Accept(_ string, level hclog.Level, msg string, args ...any) {
+	to := slog.LevelDebug
+	switch {
+	case level >= hclog.Error:
+		to = slog.LevelError
+	case level == hclog.Warn:
+		to = slog.LevelWarn
+	case level == hclog.Info:
+		to = slog.LevelInfo
+	}
+	all := []any{"from", "raft"}
+	for _, a := range args {
+		if f, ok := a.(hclog.Format); ok && len(f) > 0 {
+			a = fmt.Sprintf(fmt.Sprint(f[0]), f[1:]...)
+		}
+		all = append(all, a)
+	}
+	s.log.Log(context.Background(), to, msg, all...)
+}
--- /dev/null
+++ b/fleet/agree/snapshot.go
@@ -0,0 +1,113 @@
+package agree
+
+import (
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"hash/crc32"
+	"io"
+	"os"
+	"path/filepath"
+	"strings"
+
+	"github.com/hashicorp/go-hclog"
+	"github.com/hashicorp/raft"
+)
+
+// snapshotVersion is the format of what is in our snapshots:
+//
+//	version (1 byte), CBOR of image, CRC-32C of all before (4 bytes)
+const snapshotVersion = 1
+
+// image is the agreed state with the sessions.
+type image struct {
+	Index    uint64         `cbor:"1,keyasint"` // of the last command applied
+	Sessions []sessionImage `cbor:"2,keyasint"`
+	Machine  []byte         `cbor:"3,keyasint"`
+}
+
+func sealSnapshot(body []byte) []byte {
+	b := append([]byte{snapshotVersion}, body...)
+	return binary.BigEndian.AppendUint32(b, crc32.Checksum(b, castagnoli))
+}
+
+func decodeSnapshot(b []byte) (i image, err error) {
+	if len(b) < 5 {
+		return i, fmt.Errorf("%d bytes", len(b))
+	}
+	body, end := b[:len(b)-4], b[len(b)-4:]
+	if crc32.Checksum(body, castagnoli) != binary.BigEndian.Uint32(end) {
+		return i, errors.New("checksum mismatch")
+	}
+	if body[0] != snapshotVersion {
+		return i, fmt.Errorf("format version %d, not %d", body[0], snapshotVersion)
+	}
+	return i, snapMode.Unmarshal(body[1:], &i)
+}
+
+// snapshot is an encoded state on its way to disk.
+type snapshot []byte
+
+func (s snapshot) Persist(sink raft.SnapshotSink) error {
+	if _, err := sink.Write(s); err != nil {
+		sink.Cancel()
+		return err
+	}
+	return sink.Close()
+}
+
+func (snapshot) Release() {}
+
+// openSnapshots checks all snapshots in dir and that the log goes on from the
+// latest. Raft by itself would go back to an earlier one, or to none.
+func openSnapshots(dir string, store *Store, log hclog.Logger) (*raft.FileSnapshotStore, error) {
+	snaps, err := raft.NewFileSnapshotStoreWithLogger(dir, 2, log)
+	if err != nil {
+		return nil, fmt.Errorf("store %s: %w", dir, err)
+	}
+	base := filepath.Join(dir, "snapshots")
+	entries, err := os.ReadDir(base)
+	if err != nil {
+		return nil, fmt.Errorf("store: %w", err)
+	}
+	var covered uint64
+	for _, e := range entries {
+		path := filepath.Join(base, e.Name())
+		if strings.HasSuffix(e.Name(), ".tmp") { // it ended while it wrote it
+			if err := os.RemoveAll(path); err != nil {
+				return nil, fmt.Errorf("store: %w", err)
+			}
+			continue
+		}
+		index, err := checkSnapshot(snaps, e.Name())
+		if err != nil {
+			return nil, fmt.Errorf("store %s: %w", path, err)
+		}
+		covered = max(covered, index)
+	}
+	first, last := store.span()
+	if first > covered+1 {
+		return nil, fmt.Errorf("store %s: log %d: missing, snapshots end at %d", store.path, first-1, covered)
+	}
+	if last < covered && last != 0 {
+		// It ended between a snapshot from the leader and the clearing of the log.
+		if err := store.DeleteRange(first, last); err != nil {
+			return nil, err
+		}
+	}
+	return snaps, nil
+}
+
+func checkSnapshot(snaps *raft.FileSnapshotStore, id string) (index uint64, err error) {
+	meta, r, err := snaps.Open(id)
+	if err != nil {
+		return 0, err
+	}
+	defer r.Close()
+	b, err := io.ReadAll(r)
+	if err != nil {
+		return 0, err
+	}
+	_, err = decodeSnapshot(b)
+	return meta.Index, err
+}
--- /dev/null
+++ b/fleet/agree/store_check.go
@@ -0,0 +1,109 @@
+package agree
+
+import (
+	"bytes"
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"hash/crc32"
+	"os"
+	"time"
+
+	"github.com/hashicorp/raft"
+	"go.etcd.io/bbolt"
+)
+
+// check reads the whole file without writing to it.
+func (s *Store) check() error {
+	if info, err := os.Stat(s.path); errors.Is(err, os.ErrNotExist) || err == nil && info.Size() == 0 {
+		return nil
+	} else if err != nil {
+		return err
+	}
+	if err := checkPages(s.path); err != nil {
+		return err
+	}
+	return guard(func() error {
+		db, err := bbolt.Open(s.path, 0o600, &bbolt.Options{ReadOnly: true, Timeout: time.Second})
+		if err != nil {
+			return err
+		}
+		defer db.Close()
+		return db.View(s.checkRecords)
+	})
+}
+
+// checkRecords reads every record by the order of keys and by its key, and
+// compares the log's ends with those written down beside it.
+func (s *Store) checkRecords(tx *bbolt.Tx) error {
+	log, stable := tx.Bucket(bucketLog), tx.Bucket(bucketStable)
+	if log == nil && stable == nil && tx.ID() <= boltMade {
+		return nil // it ended before our first transaction
+	}
+	if log == nil || stable == nil {
+		return errors.New("log or term missing")
+	}
+	var first, last uint64
+	if text, err := payload(bucketStable, keySpan, stable.Get(keySpan)); err != nil {
+		return err
+	} else if len(text) == spanSize {
+		first, last = binary.BigEndian.Uint64(text), binary.BigEndian.Uint64(text[8:])
+	}
+	next := first
+	for k, v, c := firstOf(log); k != nil; k, v = c.Next() {
+		if len(k) != 8 {
+			return fmt.Errorf("log: key of %d bytes", len(k))
+		}
+		index := binary.BigEndian.Uint64(k)
+		if index != next || index > last {
+			return fmt.Errorf("log %d: found where %d was written", index, next)
+		}
+		if err := decodeLog(k, v, &raft.Log{}); err != nil {
+			return fmt.Errorf("log %d: %w", index, err)
+		}
+		if !bytes.Equal(log.Get(k), v) {
+			return fmt.Errorf("log %d: not found by its key", index)
+		}
+		next++
+	}
+	if last != 0 && next != last+1 {
+		return fmt.Errorf("log %d: missing, written up to %d", next, last)
+	}
+	for k, v, c := firstOf(stable); k != nil; k, v = c.Next() {
+		if _, err := payload(bucketStable, k, v); err != nil {
+			return fmt.Errorf("%s: %w", k, err)
+		}
+		if !bytes.Equal(stable.Get(k), v) {
+			return fmt.Errorf("%s: not found by its key", k)
+		}
+	}
+	if text, err := payload(bucketStable, keySeal, stable.Get(keySeal)); err != nil {
+		return err
+	} else if !bytes.Equal(text, sumOf(stable)) {
+		return errors.New("term or vote: missing")
+	}
+	s.first, s.last = first, last
+	return nil
+}
+
+// seal keeps what tells that a key has gone missing. It ends each transaction.
+func seal(tx *bbolt.Tx) error {
+	b := tx.Bucket(bucketStable)
+	return b.Put(keySeal, record(bucketStable, keySeal, sumOf(b)))
+}
+
+func sumOf(stable *bbolt.Bucket) []byte {
+	var c uint32
+	for k, v, cur := firstOf(stable); k != nil; k, v = cur.Next() {
+		if !bytes.Equal(k, keySeal) {
+			c = crc32.Update(crc32.Update(c, castagnoli, k), castagnoli, v)
+		}
+	}
+	return binary.BigEndian.AppendUint32(nil, c)
+}
+
+func firstOf(b *bbolt.Bucket) (k, v []byte, c *bbolt.Cursor) {
+	c = b.Cursor()
+	k, v = c.First()
+	return k, v, c
+}
--- /dev/null
+++ b/fleet/agree/store_log.go
@@ -0,0 +1,134 @@
+package agree
+
+import (
+	"encoding/binary"
+	"fmt"
+
+	"github.com/hashicorp/raft"
+	"go.etcd.io/bbolt"
+)
+
+// IsMonotonic makes raft clear the log when it takes in a snapshot, so that the
+// log never has a gap and a missing entry is always a fault.
+func (s *Store) IsMonotonic() bool { return true }
+
+// FirstIndex is the index of the first log entry; 0 if there is none.
+func (s *Store) FirstIndex() (uint64, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.first, s.err
+}
+
+// LastIndex is the index of the last log entry; 0 if there is none.
+func (s *Store) LastIndex() (uint64, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.last, s.err
+}
+
+// GetLog reads the entry with an index into l. It returns raft.ErrLogNotFound
+// if there is none; any other error ends raft.
+func (s *Store) GetLog(index uint64, l *raft.Log) error {
+	err := s.read(func(tx *bbolt.Tx) error {
+		k := key(index)
+		v := tx.Bucket(bucketLog).Get(k)
+		if v == nil {
+			return raft.ErrLogNotFound
+		}
+		if err := decodeLog(k, v, l); err != nil {
+			return fmt.Errorf("log %d: %w", index, err)
+		}
+		return nil
+	})
+	if err != nil && err != raft.ErrLogNotFound {
+		return s.halt(err)
+	}
+	return err
+}
+
+// StoreLog appends one entry.
+func (s *Store) StoreLog(l *raft.Log) error { return s.StoreLogs([]*raft.Log{l}) }
+
+// StoreLogs appends entries, all or none.
+func (s *Store) StoreLogs(logs []*raft.Log) error {
+	if len(logs) == 0 {
+		return nil
+	}
+	s.ends.Lock()
+	defer s.ends.Unlock()
+	first, last := s.span()
+	err := s.write(func(tx *bbolt.Tx) error {
+		b := tx.Bucket(bucketLog)
+		b.FillPercent = 0.9 // keys only grow
+		for _, l := range logs {
+			if last != 0 && l.Index != last+1 {
+				return fmt.Errorf("log %d: appended after %d", l.Index, last)
+			}
+			if first == 0 {
+				first = l.Index
+			}
+			last = l.Index
+			k := key(l.Index)
+			if err := b.Put(k, record(bucketLog, k, encodeLog(l))); err != nil {
+				return err
+			}
+		}
+		return putSpan(tx, first, last)
+	})
+	if err == nil {
+		s.setSpan(first, last)
+	}
+	return err
+}
+
+// DeleteRange deletes the entries from low to high at one end of the log.
+func (s *Store) DeleteRange(low, high uint64) error {
+	s.ends.Lock()
+	defer s.ends.Unlock()
+	first, last := s.span()
+	low, high = max(low, first), min(high, last)
+	if first == 0 || low > high {
+		return nil
+	}
+	from, to := low, high
+	switch {
+	case low == first && high == last:
+		first, last = 0, 0
+	case low == first:
+		first = high + 1
+	case high == last:
+		last = low - 1
+	default:
+		return fmt.Errorf("store %s: delete of %d to %d from %d to %d", s.path, low, high, first, last)
+	}
+	err := s.write(func(tx *bbolt.Tx) error {
+		b := tx.Bucket(bucketLog)
+		for index := from; index <= to; index++ {
+			if err := b.Delete(key(index)); err != nil {
+				return err
+			}
+		}
+		return putSpan(tx, first, last)
+	})
+	if err == nil {
+		s.setSpan(first, last)
+	}
+	return err
+}
+
+func (s *Store) span() (first, last uint64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.first, s.last
+}
+
+func (s *Store) setSpan(first, last uint64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.first, s.last = first, last
+}
+
+func putSpan(tx *bbolt.Tx, first, last uint64) error {
+	span := binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(nil, first), last)
+	return tx.Bucket(bucketStable).Put(keySpan, record(bucketStable, keySpan, span))
+}
--- /dev/null
+++ b/fleet/agree/store_stable.go
@@ -0,0 +1,46 @@
+package agree
+
+import (
+	"bytes"
+	"encoding/binary"
+	"fmt"
+
+	"go.etcd.io/bbolt"
+)
+
+// Set keeps val under key.
+func (s *Store) Set(key, val []byte) error {
+	return s.write(func(tx *bbolt.Tx) error {
+		return tx.Bucket(bucketStable).Put(key, record(bucketStable, key, val))
+	})
+}
+
+// Get is the value under key; empty if there is none.
+func (s *Store) Get(key []byte) (val []byte, err error) {
+	err = s.read(func(tx *bbolt.Tx) error {
+		text, err := payload(bucketStable, key, tx.Bucket(bucketStable).Get(key))
+		val = bytes.Clone(text) // the map's memory ends with the transaction
+		return err
+	})
+	return val, err
+}
+
+// SetUint64 keeps val under key. Raft keeps its term so, and panics if it can't.
+func (s *Store) SetUint64(key []byte, val uint64) error {
+	if err := s.Set(key, binary.BigEndian.AppendUint64(nil, val)); err != nil {
+		return s.halt(err)
+	}
+	return nil
+}
+
+// GetUint64 is the number under key; 0 if there is none.
+func (s *Store) GetUint64(key []byte) (uint64, error) {
+	val, err := s.Get(key)
+	if err != nil || len(val) == 0 {
+		return 0, err
+	}
+	if len(val) != 8 {
+		return 0, s.fail(fmt.Errorf("%s: number of %d bytes", key, len(val)))
+	}
+	return binary.BigEndian.Uint64(val), nil
+}
