--- a/fleet/agree/agree_test.go
+++ b/fleet/agree/agree_test.go
@@ -458,7 +458,7 @@
 	}
 	v := c.leader().voter
 	v.fsm.mu.Lock()
-	v.fsm.lost = 100
+	v.fsm.droppedTo = 100
 	v.fsm.mu.Unlock()
 	var gone *GoneError
 	if _, _, err := v.Effects(100, 1); !errors.As(err, &gone) || gone.Oldest != 101 {
--- a/fleet/agree/client.go
+++ b/fleet/agree/client.go
@@ -49,17 +49,17 @@
 	slots chan struct{}
 
 	// Opening a session is done by one at a time.
-	opening chan struct{}
+	sessionOpening chan struct{}
 
 	mu      sync.Mutex
 	closed  bool
 	target  int // index into cfg.Voters
-	link    *link
+	conn    *clientConn
 	dialing chan struct{} // closed when a dial is over; nil: none
 
-	session uint64          // 0: none
-	seq     uint64          // the last one given out
-	open    map[uint64]bool // sequences whose answer has not been had
+	session     uint64          // 0: none
+	seq         uint64          // the last one given out
+	outstanding map[uint64]bool // sequences whose answer has not been had
 }
 
 // NewClient returns a client. It connects when it is first asked.
@@ -68,8 +68,8 @@
 		return nil, err
 	}
 	return &Client{
-		cfg: cfg, log: log, slots: make(chan struct{}, cfg.Asks), opening: make(chan struct{}, 1),
-		target: rand.IntN(len(cfg.Voters)), open: map[uint64]bool{},
+		cfg: cfg, log: log, slots: make(chan struct{}, cfg.Asks), sessionOpening: make(chan struct{}, 1),
+		target: rand.IntN(len(cfg.Voters)), outstanding: map[uint64]bool{},
 	}, nil
 }
 
@@ -77,7 +77,7 @@
 func (c *Client) Close() {
 	c.mu.Lock()
 	c.closed = true
-	l := c.link
+	l := c.conn
 	c.mu.Unlock()
 	if l != nil {
 		l.fail(ErrShutdown)
@@ -96,7 +96,7 @@
 	if len(query) > MaxEntry {
 		return nil, 0, ErrTooLong
 	}
-	r, err := c.persist(ctx, func() *request { return &request{Kind: requestRead, Body: query} }, nil)
+	r, err := c.retry(ctx, func() *request { return &request{Kind: requestRead, Body: query} }, nil)
 	if err != nil {
 		return nil, 0, err
 	}
@@ -105,7 +105,7 @@
 
 // Add makes a voter one of the set, Remove takes one out. See Voter.
 func (c *Client) Add(ctx context.Context, name, address string) error {
-	_, err := c.persist(ctx, func() *request {
+	_, err := c.retry(ctx, func() *request {
 		return &request{Kind: requestAdd, Name: name, Address: address}
 	}, nil)
 	return err
@@ -113,13 +113,13 @@
 
 // Remove takes the voter name out of the set for good.
 func (c *Client) Remove(ctx context.Context, name string) error {
-	_, err := c.persist(ctx, func() *request { return &request{Kind: requestRemove, Name: name} }, nil)
+	_, err := c.retry(ctx, func() *request { return &request{Kind: requestRemove, Name: name} }, nil)
 	return err
 }
 
-// persist sends a request until it is answered with what another voter or a
+// retry sends a request until it is answered with what another voter or a
 // later try can't change. unknown is set when a try may have been agreed.
-func (c *Client) persist(ctx context.Context, q func() *request, unknown *bool) (*reply, error) {
+func (c *Client) retry(ctx context.Context, q func() *request, unknown *bool) (*reply, error) {
 	wait := backoff{cfg: &c.cfg}
 	for {
 		r, sent, err := c.try(ctx, q)
@@ -169,13 +169,13 @@
 		}
 		err := r.err()
 		if err != nil {
-			c.turn(l, err)
+			c.switchVoter(l, err)
 		}
 		return r, true, err
 	case <-ctx.Done():
 		return nil, true, ctx.Err()
 	case <-patience.C:
-		c.turn(l, ErrUnknown)
+		c.switchVoter(l, ErrUnknown)
 		return nil, true, errors.New("agree: no answer")
 	}
 }
--- a/fleet/agree/client_ask.go
+++ b/fleet/agree/client_ask.go
@@ -14,7 +14,7 @@
 
 // Asking is one ask, which may be asked any number of times. It is for one goroutine.
 type Asking struct {
-	c       *Client
+	client  *Client
 	entry   []byte
 	session uint64 // 0: not asked yet
 	seq     uint64
@@ -22,7 +22,7 @@
 }
 
 // Prepare returns an ask that nobody has been asked yet. Drop it at the end.
-func (c *Client) Prepare(entry []byte) *Asking { return &Asking{c: c, entry: entry} }
+func (c *Client) Prepare(entry []byte) *Asking { return &Asking{client: c, entry: entry} }
 
 // Do asks, again and again under the same sequence, until it knows or ctx is
 // over, and returns the machine's answer and the index at which the entry was
@@ -34,21 +34,21 @@
 		return nil, 0, ErrTooLong
 	}
 	select {
-	case a.c.slots <- struct{}{}:
-		defer func() { <-a.c.slots }()
+	case a.client.slots <- struct{}{}:
+		defer func() { <-a.client.slots }()
 	case <-ctx.Done():
-		return nil, 0, a.hedge(ctx.Err())
+		return nil, 0, a.orUnknown(ctx.Err())
 	}
 	for {
 		if a.session == 0 {
-			if a.session, err = a.c.sessionFor(ctx); err != nil {
+			if a.session, err = a.client.ensureSession(ctx); err != nil {
 				return nil, 0, err
 			}
-			a.seq = a.c.begin()
+			a.seq = a.client.nextSeq()
 		}
-		r, err := a.c.persist(ctx, func() *request {
+		r, err := a.client.retry(ctx, func() *request {
 			return &request{
-				Kind: requestAsk, Session: a.session, Seq: a.seq, Done: a.c.done(), Body: a.entry,
+				Kind: requestAsk, Session: a.session, Seq: a.seq, Done: a.client.confirmedSeq(), Body: a.entry,
 			}
 		}, &a.unknown)
 		if err == nil {
@@ -56,9 +56,9 @@
 			return r.Body, r.Index, nil
 		}
 		if !errors.Is(err, ErrSession) {
-			return nil, 0, a.hedge(err)
+			return nil, 0, a.orUnknown(err)
 		}
-		a.c.forget(a.session)
+		a.client.forgetSession(a.session)
 		if a.unknown {
 			return nil, 0, ErrSession
 		}
@@ -66,8 +66,8 @@
 	}
 }
 
-// hedge is err, or ErrUnknown if a try may have been applied.
-func (a *Asking) hedge(err error) error {
+// orUnknown is err, or ErrUnknown if a try may have been applied.
+func (a *Asking) orUnknown(err error) error {
 	if a.unknown {
 		return ErrUnknown
 	}
@@ -77,16 +77,16 @@
 // Drop says that the answer is not asked for any more.
 func (a *Asking) Drop() {
 	if a.session != 0 {
-		a.c.end(a.seq)
+		a.client.releaseSeq(a.seq)
 		a.session = 0
 	}
 }
 
-// sessionFor returns the session, which it opens if there is none.
-func (c *Client) sessionFor(ctx context.Context) (uint64, error) {
+// ensureSession returns the session, which it opens if there is none.
+func (c *Client) ensureSession(ctx context.Context) (uint64, error) {
 	select {
-	case c.opening <- struct{}{}:
-		defer func() { <-c.opening }()
+	case c.sessionOpening <- struct{}{}:
+		defer func() { <-c.sessionOpening }()
 	case <-ctx.Done():
 		return 0, ctx.Err()
 	}
@@ -96,7 +96,7 @@
 	if session != 0 {
 		return session, nil
 	}
-	r, err := c.persist(ctx, func() *request { return &request{Kind: requestOpen} }, nil)
+	r, err := c.retry(ctx, func() *request { return &request{Kind: requestOpen} }, nil)
 	if err != nil {
 		return 0, err
 	}
@@ -106,8 +106,8 @@
 	return r.Index, nil
 }
 
-// forget drops a session that the voters don't know.
-func (c *Client) forget(session uint64) {
+// forgetSession drops a session that the voters don't know.
+func (c *Client) forgetSession(session uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.session == session {
@@ -115,26 +115,26 @@
 	}
 }
 
-func (c *Client) begin() uint64 {
+func (c *Client) nextSeq() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.seq++
-	c.open[c.seq] = true
+	c.outstanding[c.seq] = true
 	return c.seq
 }
 
-func (c *Client) end(seq uint64) {
+func (c *Client) releaseSeq(seq uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.open, seq)
+	delete(c.outstanding, seq)
 }
 
-// done is the highest sequence up to which no answer is waited for.
-func (c *Client) done() uint64 {
+// confirmedSeq is the highest sequence up to which no answer is waited for.
+func (c *Client) confirmedSeq() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	done := c.seq
-	for seq := range c.open {
+	for seq := range c.outstanding {
 		done = min(done, seq-1)
 	}
 	return done
--- a/fleet/agree/link.go
+++ b/fleet/agree/client_conn.go
@@ -7,52 +7,52 @@
 	"time"
 )
 
-// link is one connection. Its reader hands replies to who waits for them.
-type link struct {
-	conn net.Conn
-	cfg  *ClientConfig
-	over chan struct{}
+// clientConn is one connection. Its reader hands replies to who waits for them.
+type clientConn struct {
+	conn   net.Conn
+	cfg    *ClientConfig
+	closed chan struct{}
 
-	write sync.Mutex
+	writeMu sync.Mutex
 
 	mu      sync.Mutex
-	last    uint64
-	waiting map[uint64]*waiter
+	lastID  uint64
+	waiting map[uint64]*replyWaiter
 	err     error
 	retired bool // closed when nobody waits
 }
 
-// subscribed is how many effects wait for a subscriber.
-const subscribed = 256
+// subscriberBuffer is how many effects wait for a subscriber.
+const subscriberBuffer = 256
 
-// waiter is a request whose replies are waited for.
-type waiter struct {
+// replyWaiter is a request whose replies are waited for.
+type replyWaiter struct {
 	id      uint64
 	replies chan *reply // closed when there will be no more
 }
 
-func newLink(conn net.Conn, cfg *ClientConfig) *link {
-	l := &link{conn: conn, cfg: cfg, over: make(chan struct{}), waiting: map[uint64]*waiter{}}
+func newClientConn(conn net.Conn, cfg *ClientConfig) *clientConn {
+	l := &clientConn{conn: conn, cfg: cfg, closed: make(chan struct{}), waiting: map[uint64]*replyWaiter{}}
 	go l.read()
 	go l.ping()
 	return l
 }
 
-func (l *link) dead() bool {
+func (l *clientConn) dead() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.err != nil
 }
 
 // fail ends the connection; all waiters learn of it.
-func (l *link) fail(err error) {
+func (l *clientConn) fail(err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.err != nil {
 		return
 	}
 	l.err = err
-	close(l.over)
+	close(l.closed)
 	l.conn.Close()
 	for id, w := range l.waiting {
 		close(w.replies)
@@ -60,13 +60,13 @@
 	}
 }
 
-// retire ends subscriptions, and the connection once what is under way has been
+// drain ends subscriptions, and the connection once what is under way has been
 // answered.
-func (l *link) retire() {
+func (l *clientConn) drain() {
 	l.mu.Lock()
 	l.retired = true
 	for id, w := range l.waiting {
-		if cap(w.replies) == subscribed {
+		if cap(w.replies) == subscriberBuffer {
 			close(w.replies)
 			delete(l.waiting, id)
 		}
@@ -79,15 +79,15 @@
 }
 
 // ask sends a request; up to room replies wait to be taken.
-func (l *link) ask(q *request, room int) (*waiter, error) {
+func (l *clientConn) ask(q *request, room int) (*replyWaiter, error) {
 	l.mu.Lock()
 	if l.err != nil {
 		defer l.mu.Unlock()
 		return nil, l.err
 	}
-	l.last++
-	q.ID = l.last
-	w := &waiter{q.ID, make(chan *reply, room)}
+	l.lastID++
+	q.ID = l.lastID
+	w := &replyWaiter{q.ID, make(chan *reply, room)}
 	l.waiting[q.ID] = w
 	l.mu.Unlock()
 	frame, err := encodeFrame(q)
@@ -95,8 +95,8 @@
 		l.drop(w)
 		return nil, err
 	}
-	l.write.Lock()
-	defer l.write.Unlock()
+	l.writeMu.Lock()
+	defer l.writeMu.Unlock()
 	l.conn.SetWriteDeadline(time.Now().Add(l.cfg.Try))
 	if _, err := l.conn.Write(frame); err != nil {
 		l.fail(err)
@@ -106,7 +106,7 @@
 }
 
 // drop stops waiting.
-func (l *link) drop(w *waiter) {
+func (l *clientConn) drop(w *replyWaiter) {
 	l.mu.Lock()
 	delete(l.waiting, w.id)
 	idle := l.retired && len(l.waiting) == 0
@@ -116,7 +116,7 @@
 	}
 }
 
-func (l *link) read() {
+func (l *clientConn) read() {
 	in := bufio.NewReaderSize(l.conn, 4096)
 	for {
 		// Pings are answered, so silence is the peer's or the net's.
@@ -133,7 +133,7 @@
 
 // deliver hands a reply over. A waiter that is behind by all its room is told
 // that there will be no more; it asks again from where it is.
-func (l *link) deliver(r *reply) {
+func (l *clientConn) deliver(r *reply) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	w := l.waiting[r.ID]
@@ -151,12 +151,12 @@
 	delete(l.waiting, r.ID)
 }
 
-func (l *link) ping() {
+func (l *clientConn) ping() {
 	t := time.NewTicker(l.cfg.Ping)
 	defer t.Stop()
 	for {
 		select {
-		case <-l.over:
+		case <-l.closed:
 			return
 		case <-t.C:
 			// The answer is dropped when it comes; none at all ends the reader's wait.
--- a/fleet/agree/client_connect.go
+++ b/fleet/agree/client_connect.go
@@ -9,16 +9,16 @@
 )
 
 // connect returns the connection, which it makes if there is none.
-func (c *Client) connect(ctx context.Context) (*link, error) {
+func (c *Client) connect(ctx context.Context) (*clientConn, error) {
 	for {
 		c.mu.Lock()
 		if c.closed {
 			c.mu.Unlock()
 			return nil, ErrShutdown
 		}
-		if c.link != nil && !c.link.dead() {
+		if c.conn != nil && !c.conn.dead() {
 			defer c.mu.Unlock()
-			return c.link, nil
+			return c.conn, nil
 		}
 		if c.dialing == nil {
 			break
@@ -31,9 +31,9 @@
 			return nil, ctx.Err()
 		}
 	}
-	if c.link != nil { // it broke: its voter is passed over
+	if c.conn != nil { // it broke: its voter is passed over
 		c.target = (c.target + 1) % len(c.cfg.Voters)
-		c.link = nil
+		c.conn = nil
 	}
 	over := make(chan struct{})
 	c.dialing = over
@@ -54,12 +54,12 @@
 		conn.Close()
 		return nil, ErrShutdown
 	}
-	c.link = newLink(conn, &c.cfg)
-	return c.link, nil
+	c.conn = newClientConn(conn, &c.cfg)
+	return c.conn, nil
 }
 
-// turn goes to another voter if err says that l's is not the one to ask.
-func (c *Client) turn(l *link, err error) {
+// switchVoter goes to another voter if err says that l's is not the one to ask.
+func (c *Client) switchVoter(l *clientConn, err error) {
 	var notLeader *NotLeaderError
 	next := -1
 	switch {
@@ -71,14 +71,14 @@
 		return
 	}
 	c.mu.Lock()
-	if c.link != l {
+	if c.conn != l {
 		c.mu.Unlock()
 		return // somebody else has
 	}
 	if next < 0 || next == c.target {
 		next = (c.target + 1) % len(c.cfg.Voters)
 	}
-	c.target, c.link = next, nil
+	c.target, c.conn = next, nil
 	c.mu.Unlock()
-	l.retire()
+	l.drain()
 }
--- a/fleet/agree/client_subscribe.go
+++ b/fleet/agree/client_subscribe.go
@@ -38,7 +38,7 @@
 	if err != nil {
 		return err
 	}
-	w, err := l.ask(&request{Kind: requestSubscribe, From: *from}, subscribed)
+	w, err := l.ask(&request{Kind: requestSubscribe, From: *from}, subscriberBuffer)
 	if err != nil {
 		return err
 	}
@@ -50,7 +50,7 @@
 				return errors.New("agree: subscription ended")
 			}
 			if err := r.err(); err != nil {
-				c.turn(l, err)
+				c.switchVoter(l, err)
 				return err
 			}
 			if r.Index < *from {
--- a/fleet/agree/entry.go
+++ b/fleet/agree/entry.go
@@ -35,10 +35,10 @@
 	ask  Ask    // a tick has its entry alone
 }
 
-const commandHead = 1 + 1 + 4*8
+const commandHeaderSize = 1 + 1 + 4*8
 
 func (c *command) encode() []byte {
-	b := append(make([]byte, 0, commandHead+len(c.ask.Entry)), entryVersion, byte(c.kind))
+	b := append(make([]byte, 0, commandHeaderSize+len(c.ask.Entry)), entryVersion, byte(c.kind))
 	for _, n := range [...]uint64{c.term, c.ask.Session, c.ask.Seq, c.ask.Done} {
 		b = binary.BigEndian.AppendUint64(b, n)
 	}
@@ -47,7 +47,7 @@
 
 // decodeCommand reads a command. Its entry shares memory with b.
 func decodeCommand(b []byte) (c command, err error) {
-	if len(b) < commandHead {
+	if len(b) < commandHeaderSize {
 		return c, fmt.Errorf("entry of %d bytes", len(b))
 	}
 	if b[0] != entryVersion {
@@ -59,6 +59,6 @@
 	for i, to := range [...]*uint64{&c.term, &c.ask.Session, &c.ask.Seq, &c.ask.Done} {
 		*to = binary.BigEndian.Uint64(b[2+8*i:])
 	}
-	c.ask.Entry = b[commandHead:]
+	c.ask.Entry = b[commandHeaderSize:]
 	return c, nil
 }
--- a/fleet/agree/form.go
+++ b/fleet/agree/form.go
@@ -56,7 +56,7 @@
 	}
 	if len(text) == 0 {
 		// What has a log but no owner has not been written by us.
-		if _, last := s.span(); last != 0 {
+		if _, last := s.bounds(); last != 0 {
 			return h, fmt.Errorf("store %s: %s: missing", s.path, keySelf)
 		}
 		var life [8]byte
@@ -121,11 +121,11 @@
 	v.log.Info("forming", "life", v.self.Life)
 	var before map[string]uint64
 	for {
-		found, err := v.lookRound()
+		found, err := v.askPeers()
 		if err != nil {
 			return err
 		}
-		lives, formed, err := judge(v.self, v.cfg.Voters, found)
+		lives, formed, err := decideFormation(v.self, v.cfg.Voters, found)
 		if err != nil {
 			return err
 		}
@@ -158,8 +158,8 @@
 // errStopped ends a voter that is stopped before it has formed.
 var errStopped = errors.New("agree: stopped before it had formed")
 
-// lookRound asks all others what they are. Who doesn't answer is left out.
-func (v *Voter) lookRound() (map[string]hello, error) {
+// askPeers asks all others what they are. Who doesn't answer is left out.
+func (v *Voter) askPeers() (map[string]hello, error) {
 	type answer struct {
 		name string
 		h    hello
@@ -175,7 +175,7 @@
 		}
 		asked++
 		go func() {
-			h, err := look(ctx, p.Ask)
+			h, err := askPeer(ctx, p.Ask)
 			answers <- answer{p.Name, h, err}
 		}()
 	}
@@ -188,8 +188,8 @@
 	return found, nil
 }
 
-// look asks the voter at addr what it is.
-func look(ctx context.Context, addr string) (h hello, err error) {
+// askPeer asks the voter at addr what it is.
+func askPeer(ctx context.Context, addr string) (h hello, err error) {
 	var d net.Dialer
 	c, err := d.DialContext(ctx, "tcp", addr)
 	if err != nil {
@@ -219,9 +219,9 @@
 	return *r.Hello, nil
 }
 
-// judge decides whether a voter may form, by what the others found say; nil
+// decideFormation decides whether a voter may form, by what the others found say; nil
 // lives: not yet. If formed is true another has, with these lives.
-func judge(self hello, voters []Peer, found map[string]hello) (lives map[string]uint64, formed bool, err error) {
+func decideFormation(self hello, voters []Peer, found map[string]hello) (lives map[string]uint64, formed bool, err error) {
 	all := map[string]uint64{self.Name: self.Life}
 	for _, p := range voters {
 		h, ok := found[p.Name]
--- a/fleet/agree/form_test.go
+++ b/fleet/agree/form_test.go
@@ -38,7 +38,7 @@
 		{"another voter", map[string]hello{"b": fresh("c", 30)}, nil, false,
 			"agree: voters: c is at the address of b"},
 	} {
-		got, f, err := judge(self, voters, x.found)
+		got, f, err := decideFormation(self, voters, x.found)
 		if !maps.Equal(got, x.lives) || f != x.formed || fmt.Sprint(err) != fmt.Sprint(errOf(x.err)) {
 			t.Errorf("%s: %v, %v, %v", x.name, got, f, err)
 		}
@@ -93,7 +93,7 @@
 			if now[me].Formed != nil {
 				continue
 			}
-			lives, formed, err := judge(*now[me], voters, looks[me])
+			lives, formed, err := decideFormation(*now[me], voters, looks[me])
 			looks[me] = map[string]hello{}
 			if err != nil {
 				continue // it has ended; a restart may follow
--- a/fleet/agree/frame.go
+++ b/fleet/agree/frame.go
@@ -17,9 +17,9 @@
 // The asker sends requests, each with a number of its own; the voter answers in
 // any order, each reply with the number of its request.
 const (
-	wireVersion = 1
-	maxFrame    = 64 << 10 // bytes after the length
-	frameHead   = 4
+	wireVersion     = 1
+	maxFrame        = 64 << 10 // bytes after the length
+	frameHeaderSize = 4
 )
 
 // ask kinds on the wire.
@@ -89,16 +89,16 @@
 
 // encodeFrame returns m in a frame.
 func encodeFrame(m any) ([]byte, error) {
-	b := bytes.NewBuffer(make([]byte, frameHead, 256))
+	b := bytes.NewBuffer(make([]byte, frameHeaderSize, 256))
 	b.WriteByte(wireVersion)
 	if err := encMode.NewEncoder(b).Encode(m); err != nil {
 		return nil, fmt.Errorf("agree: message: %w", err)
 	}
 	frame := b.Bytes()
-	if len(frame)-frameHead > maxFrame {
+	if len(frame)-frameHeaderSize > maxFrame {
 		return nil, ErrTooLong
 	}
-	binary.BigEndian.PutUint32(frame, uint32(len(frame)-frameHead))
+	binary.BigEndian.PutUint32(frame, uint32(len(frame)-frameHeaderSize))
 	return frame, nil
 }
 
@@ -109,7 +109,7 @@
 // has come, not with what the length promises. An error that is errFrame is the
 // sender's fault. begun is called once the first byte is there.
 func readFrame(r io.Reader, m any, begun func()) error {
-	var head [frameHead]byte
+	var head [frameHeaderSize]byte
 	if _, err := io.ReadFull(r, head[:1]); err != nil {
 		return err
 	}
--- a/fleet/agree/fsm.go
+++ b/fleet/agree/fsm.go
@@ -35,20 +35,20 @@
 type fsm struct {
 	failure chan error // room for one: a command that can't be applied
 
-	mu       sync.Mutex
-	err      error // a command that can't be applied; nothing is from there on
-	machine  Machine
-	sessions *sessions
-	applied  uint64        // index of the last command
-	effects  []Effect      // the latest, ascending
-	bytes    int           // of the effects
-	lost     uint64        // effects up to this index are not kept
-	grown    chan struct{} // closed when there are more
+	mu          sync.Mutex
+	err         error // a command that can't be applied; nothing is from there on
+	machine     Machine
+	sessions    *sessions
+	applied     uint64        // index of the last command
+	effects     []Effect      // the latest, ascending
+	effectBytes int           // of the effects
+	droppedTo   uint64        // effects up to this index are not kept
+	more        chan struct{} // closed when there are more
 }
 
 func newFSM(m Machine) *fsm {
 	return &fsm{
-		failure: make(chan error, 1), machine: m, sessions: newSessions(), grown: make(chan struct{}),
+		failure: make(chan error, 1), machine: m, sessions: newSessions(), more: make(chan struct{}),
 	}
 }
 
@@ -70,62 +70,62 @@
 	f.applied = l.Index
 	apply := func() []byte {
 		answer := f.machine.Apply(l.Index, c.ask.Entry)
-		f.tell(Effect{l.Index, answer})
+		f.appendEffect(Effect{l.Index, answer})
 		return answer
 	}
 	switch c.kind {
 	case kindOpen:
 		f.sessions.open(l.Index)
 	case kindAsk:
-		h, o := f.sessions.do(l.Index, &c.ask, apply)
+		h, o := f.sessions.applyOnce(l.Index, &c.ask, apply)
 		return decision{o, h.Index, h.Answer}
 	case kindTick:
 		// Measured under one leader and appended under another, it could cover
 		// time that the one between has counted.
 		if c.term != l.Term {
-			return decision{outcome: outcomeStale, index: l.Index}
+			return decision{outcome: outcomeConfirmed, index: l.Index}
 		}
 		apply()
 	}
 	return decision{index: l.Index}
 }
 
-func (f *fsm) tell(e Effect) {
+func (f *fsm) appendEffect(e Effect) {
 	if len(e.Answer) == 0 {
 		return
 	}
 	f.effects = append(f.effects, e)
-	f.bytes += len(e.Answer)
+	f.effectBytes += len(e.Answer)
 	drop := 0
-	for len(f.effects)-drop > maxEffects || f.bytes > maxEffectsBytes && drop < len(f.effects)-1 {
-		f.lost = f.effects[drop].Index
-		f.bytes -= len(f.effects[drop].Answer)
+	for len(f.effects)-drop > maxEffects || f.effectBytes > maxEffectsBytes && drop < len(f.effects)-1 {
+		f.droppedTo = f.effects[drop].Index
+		f.effectBytes -= len(f.effects[drop].Answer)
 		f.effects[drop].Answer = nil
 		drop++
 	}
 	f.effects = f.effects[drop:]
-	f.wake()
+	f.notifySubscribers()
 }
 
-func (f *fsm) wake() {
-	close(f.grown)
-	f.grown = make(chan struct{})
+func (f *fsm) notifySubscribers() {
+	close(f.more)
+	f.more = make(chan struct{})
 }
 
-// since returns up to limit effects with an index from the given one on, and a
+// effectsFrom returns up to limit effects with an index from the given one on, and a
 // channel that is closed when there are more. An error says that some of them
 // are not kept any more.
-func (f *fsm) since(from uint64, limit int) ([]Effect, <-chan struct{}, error) {
+func (f *fsm) effectsFrom(from uint64, limit int) ([]Effect, <-chan struct{}, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if from <= f.lost {
-		return nil, nil, &GoneError{Oldest: f.lost + 1}
+	if from <= f.droppedTo {
+		return nil, nil, &GoneError{Oldest: f.droppedTo + 1}
 	}
 	var found []Effect
 	for i := len(f.effects); i > 0 && f.effects[i-1].Index >= from; i-- {
 		found = f.effects[i-1:]
 	}
-	return append([]Effect(nil), found[:min(limit, len(found))]...), f.grown, nil
+	return append([]Effect(nil), found[:min(limit, len(found))]...), f.more, nil
 }
 
 // query asks the machine, and tells the index up to which it has applied.
@@ -149,7 +149,7 @@
 	if f.err != nil {
 		return nil, f.err
 	}
-	b, err := encMode.Marshal(image{f.applied, f.sessions.image(), f.machine.Snapshot()})
+	b, err := encMode.Marshal(snapshotImage{f.applied, f.sessions.image(), f.machine.Snapshot()})
 	if err != nil {
 		return nil, fmt.Errorf("agree: snapshot: %w", err)
 	}
@@ -174,7 +174,7 @@
 	}
 	f.sessions.restore(i.Sessions)
 	f.applied = i.Index
-	f.effects, f.bytes, f.lost = nil, 0, i.Index
-	f.wake()
+	f.effects, f.effectBytes, f.droppedTo = nil, 0, i.Index
+	f.notifySubscribers()
 	return nil
 }
--- a/fleet/agree/history_test.go
+++ b/fleet/agree/history_test.go
@@ -275,7 +275,7 @@
 	edit(t, dir, func(log, stable *bbolt.Bucket) error {
 		first, _ := log.Cursor().First()
 		last, _ := log.Cursor().Last()
-		return putSpan(stable.Tx(), binary.BigEndian.Uint64(first), binary.BigEndian.Uint64(last))
+		return writeBounds(stable.Tx(), binary.BigEndian.Uint64(first), binary.BigEndian.Uint64(last))
 	})
-	edit(t, dir, func(_, stable *bbolt.Bucket) error { return seal(stable.Tx()) })
+	edit(t, dir, func(_, stable *bbolt.Bucket) error { return writeSeal(stable.Tx()) })
 }
--- a/fleet/agree/proposal.go
+++ b/fleet/agree/proposal.go
@@ -14,7 +14,7 @@
 	read  bool
 	data  []byte // of a command, or the query of a read
 	admin func(*raft.Raft) raft.Future
-	done  chan result // room for one
+	reply chan result // room for one
 }
 
 type result struct {
@@ -25,8 +25,8 @@
 
 // pending is a proposal that raft has.
 type pending struct {
-	p *proposal // nil: a tick
-	f raft.Future
+	proposal *proposal // nil: a tick
+	future   raft.Future
 }
 
 // Open opens a session for asks. Its name is the index of the entry that did.
@@ -93,14 +93,14 @@
 // channel that is closed when there are more. A *GoneError says that some are not
 // kept. Any voter tells them; one that is cut off tells late.
 func (v *Voter) Effects(from uint64, limit int) ([]Effect, <-chan struct{}, error) {
-	return v.fsm.since(max(from, 1), limit)
+	return v.fsm.effectsFrom(max(from, 1), limit)
 }
 
 func (v *Voter) await(p *proposal) ([]byte, uint64, error) {
 	r := v.running()
 	if r == nil {
 		select {
-		case <-v.over:
+		case <-v.ended:
 			return nil, 0, ErrShutdown
 		default:
 			return nil, 0, &NotLeaderError{}
@@ -109,36 +109,36 @@
 	if r.State() != raft.Leader { // known without a place in the inbox
 		return nil, 0, v.notLeader()
 	}
-	p.done = make(chan result, 1)
+	p.reply = make(chan result, 1)
 	select {
 	case v.inbox <- p:
 	default:
 		return nil, 0, &BusyError{v.cfg.ComeBack}
 	}
 	select {
-	case r := <-p.done:
+	case r := <-p.reply:
 		return r.answer, r.index, r.err
 	case <-p.ctx.Done():
 		return nil, 0, ErrUnknown
-	case <-v.over:
+	case <-v.ended:
 	}
 	select {
-	case r := <-p.done:
+	case r := <-p.reply:
 		return r.answer, r.index, r.err
 	default: // it came into the inbox as the task ended
 		return nil, 0, ErrShutdown
 	}
 }
 
-// propose hands one proposal to raft. It waits while raft has all it can hold.
-func (v *Voter) propose(p *proposal) error {
+// submit hands one proposal to raft. It waits while raft has all it can hold.
+func (v *Voter) submit(p *proposal) error {
 	var f raft.Future
 	switch {
 	case p.ctx.Err() != nil:
-		p.done <- result{err: p.ctx.Err()} // nobody waits for it
+		p.reply <- result{err: p.ctx.Err()} // nobody waits for it
 		return nil
 	case v.raft.State() != raft.Leader:
-		p.done <- result{err: v.notLeader()}
+		p.reply <- result{err: v.notLeader()}
 		return nil
 	case p.admin != nil:
 		f = p.admin(v.raft)
@@ -159,8 +159,8 @@
 	case err = <-v.store.Failed():
 	case err = <-v.fsm.failure:
 	}
-	if w.p != nil {
-		w.p.done <- result{err: ErrUnknown}
+	if w.proposal != nil {
+		w.proposal.reply <- result{err: ErrUnknown}
 	}
 	return err
 }
@@ -170,52 +170,52 @@
 func (v *Voter) collect(done chan<- struct{}) {
 	defer close(done)
 	for w := range v.pending {
-		err := settled(w.f, v.down)
-		if w.p == nil {
+		err := awaitFuture(w.future, v.raftDown)
+		if w.proposal == nil {
 			continue
 		}
-		w.p.done <- v.result(w, err)
+		w.proposal.reply <- v.resultOf(w, err)
 	}
 }
 
-func (v *Voter) result(w pending, err error) result {
+func (v *Voter) resultOf(w pending, err error) result {
 	switch {
 	case err == nil:
 	case errors.Is(err, raft.ErrNotLeader), errors.Is(err, raft.ErrLeadershipTransferInProgress):
 		return result{err: v.notLeader()}
 	case errors.Is(err, raft.ErrEnqueueTimeout):
 		return result{err: &BusyError{v.cfg.ComeBack}}
-	case w.p.admin != nil:
+	case w.proposal.admin != nil:
 		return result{err: fmt.Errorf("agree: %w", err)}
 	default:
 		v.log.Warn("outcome unknown", "err", err)
 		return result{err: ErrUnknown}
 	}
-	if w.p.admin != nil {
+	if w.proposal.admin != nil {
 		return result{}
 	}
-	if w.p.read {
-		answer, index, err := v.fsm.query(w.p.data)
+	if w.proposal.read {
+		answer, index, err := v.fsm.query(w.proposal.data)
 		return result{answer, index, err}
 	}
-	d, ok := w.f.(raft.ApplyFuture).Response().(decision)
+	d, ok := w.future.(raft.ApplyFuture).Response().(decision)
 	if !ok { // the state machine has stopped
 		return result{err: ErrUnknown}
 	}
 	switch d.outcome {
-	case outcomeGone:
+	case outcomeUnknownSession:
 		return result{err: ErrSession}
-	case outcomeStale:
+	case outcomeConfirmed:
 		return result{err: ErrStale}
-	case outcomeCrowded:
+	case outcomeTooManyUnconfirmed:
 		return result{err: ErrCrowded}
 	}
 	return result{answer: d.answer, index: d.index}
 }
 
-// settled waits for a future. Raft leaves some of those that it has at its
+// awaitFuture waits for a future. Raft leaves some of those that it has at its
 // shutdown without an answer; done ends the wait for them.
-func settled(f raft.Future, done <-chan struct{}) error {
+func awaitFuture(f raft.Future, done <-chan struct{}) error {
 	c := make(chan error, 1)
 	go func() { c <- f.Error() }()
 	select {
--- a/fleet/agree/raft.go
+++ b/fleet/agree/raft.go
@@ -44,7 +44,7 @@
 	if err != nil {
 		return fmt.Errorf("agree: %w", err)
 	}
-	v.store.running()
+	v.store.enterRaft()
 	v.mu.Lock()
 	v.raft, v.phase = r, phaseRunning
 	v.mu.Unlock()
@@ -89,16 +89,16 @@
 	return r
 }
 
-// bridge hands raft's log on.
-func bridge(log *slog.Logger) hclog.Logger {
+// newRaftLogger hands raft's log on.
+func newRaftLogger(log *slog.Logger) hclog.Logger {
 	l := hclog.NewInterceptLogger(&hclog.LoggerOptions{Level: hclog.Info, Output: io.Discard})
-	l.RegisterSink(sink{log})
+	l.RegisterSink(raftLogSink{log})
 	return l
 }
 
-type sink struct{ log *slog.Logger }
+type raftLogSink struct{ log *slog.Logger }
 
-func (s sink) Accept(_ string, level hclog.Level, msg string, args ...any) {
+func (s raftLogSink) Accept(_ string, level hclog.Level, msg string, args ...any) {
 	to := slog.LevelDebug
 	switch {
 	case level >= hclog.Error:
--- a/fleet/agree/server.go
+++ b/fleet/agree/server.go
@@ -87,18 +87,18 @@
 			}
 			continue
 		}
-		if !s.enter(c) {
-			s.turnAway(c)
+		if !s.register(c) {
+			s.rejectBusy(c)
 			continue
 		}
 		s.tasks.Go(func() {
-			defer s.leave(c)
+			defer s.unregister(c)
 			s.serve(c)
 		})
 	}
 }
 
-func (s *Server) enter(c net.Conn) bool {
+func (s *Server) register(c net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.conns) >= s.limits.Connections || s.ctx.Err() != nil {
@@ -108,15 +108,15 @@
 	return true
 }
 
-func (s *Server) leave(c net.Conn) {
+func (s *Server) unregister(c net.Conn) {
 	s.mu.Lock()
 	delete(s.conns, c)
 	s.mu.Unlock()
 	c.Close()
 }
 
-// turnAway tells busy. A fresh connection takes one small frame without waiting.
-func (s *Server) turnAway(c net.Conn) {
+// rejectBusy tells busy. A fresh connection takes one small frame without waiting.
+func (s *Server) rejectBusy(c net.Conn) {
 	r := &reply{}
 	r.setError(&BusyError{s.voter.cfg.ComeBack})
 	if frame, err := encodeFrame(r); err == nil {
@@ -126,21 +126,21 @@
 	c.Close()
 }
 
-// peer is one asker's connection.
-type peer struct {
+// serverConn is one asker's connection.
+type serverConn struct {
 	*Server
 	conn  net.Conn
 	ctx   context.Context
 	slots chan struct{}
 
-	sub func() // ends the subscription and waits for its end
+	endSubscription func() // ends the subscription and waits for its end
 
-	mu sync.Mutex // of writing
+	writeMu sync.Mutex // of writing
 }
 
 func (s *Server) serve(c net.Conn) {
 	ctx, cancel := context.WithCancel(s.ctx)
-	p := &peer{Server: s, conn: c, ctx: ctx, slots: make(chan struct{}, s.limits.Asks), sub: func() {}}
+	p := &serverConn{Server: s, conn: c, ctx: ctx, slots: make(chan struct{}, s.limits.Asks), endSubscription: func() {}}
 	var under sync.WaitGroup
 	defer under.Wait()
 	defer cancel()
@@ -156,10 +156,10 @@
 			return
 		}
 		if q.Kind == requestSubscribe {
-			p.sub()
+			p.endSubscription()
 			subCtx, end := context.WithCancel(ctx)
 			ended := make(chan struct{})
-			p.sub = func() { end(); <-ended }
+			p.endSubscription = func() { end(); <-ended }
 			under.Go(func() {
 				defer close(ended)
 				p.subscribe(subCtx, q.ID, q.From)
@@ -182,13 +182,13 @@
 }
 
 // send writes a reply; what can't be written in time ends the connection.
-func (p *peer) send(r *reply) {
+func (p *serverConn) send(r *reply) {
 	frame, err := encodeFrame(r)
 	if err != nil {
 		frame, _ = encodeFrame(&reply{ID: r.ID, Code: codeBad, Text: "answer longer than a frame"})
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
+	p.writeMu.Lock()
+	defer p.writeMu.Unlock()
 	p.conn.SetWriteDeadline(time.Now().Add(p.limits.Slow))
 	if _, err := p.conn.Write(frame); err != nil {
 		p.conn.Close()
@@ -196,7 +196,7 @@
 }
 
 // answer does what a request asks.
-func (p *peer) answer(q *request) *reply {
+func (p *serverConn) answer(q *request) *reply {
 	patience := p.limits.Patience
 	if ms := q.Patience; ms > 0 && ms < patience.Milliseconds() {
 		patience = time.Duration(ms) * time.Millisecond
@@ -229,7 +229,7 @@
 
 // subscribe sends effects from an index on, until another subscription replaces
 // this one or this voter is out of touch with a leader.
-func (p *peer) subscribe(ctx context.Context, id, from uint64) {
+func (p *serverConn) subscribe(ctx context.Context, id, from uint64) {
 	const batch = 64
 	check := time.NewTicker(p.voter.cfg.Heartbeat)
 	defer check.Stop()
--- a/fleet/agree/session.go
+++ b/fleet/agree/session.go
@@ -21,23 +21,23 @@
 type outcome uint8
 
 const (
-	outcomeApplied outcome = iota // by this entry, or an earlier one with the same number
-	outcomeGone                   // the session is not known (any more); not applied
-	outcomeStale                  // its answer has been confirmed; not applied again
-	outcomeCrowded                // too many answers are unconfirmed; not applied
+	outcomeApplied            outcome = iota // by this entry, or an earlier one with the same number
+	outcomeUnknownSession                    // the session is not known (any more); not applied
+	outcomeConfirmed                         // its answer has been confirmed; not applied again
+	outcomeTooManyUnconfirmed                // too many answers are unconfirmed; not applied
 )
 
-// held is the answer to an ask that was applied.
-type held struct {
+// heldAnswer is the answer to an ask that was applied.
+type heldAnswer struct {
 	Seq    uint64 `cbor:"1,keyasint"`
 	Index  uint64 `cbor:"2,keyasint"`
 	Answer []byte `cbor:"3,keyasint"`
 }
 
 type session struct {
-	id      uint64
-	done    uint64
-	answers map[uint64]held
+	id        uint64
+	confirmed uint64
+	answers   map[uint64]heldAnswer
 }
 
 // sessions are ordered by their last use, the longest ago first.
@@ -46,26 +46,26 @@
 	byID  map[uint64]*list.Element
 	bytes int // of the answers
 
-	most, mostBytes int // bounds
+	maxSessions, maxBytes int // bounds
 }
 
 func newSessions() *sessions {
 	return &sessions{
 		order: list.New(), byID: map[uint64]*list.Element{},
-		most: maxSessions, mostBytes: maxHeldBytes,
+		maxSessions: maxSessions, maxBytes: maxHeldBytes,
 	}
 }
 
 func (s *sessions) open(id uint64) {
-	s.byID[id] = s.order.PushBack(&session{id: id, answers: map[uint64]held{}})
-	s.trim()
+	s.byID[id] = s.order.PushBack(&session{id: id, answers: map[uint64]heldAnswer{}})
+	s.evict()
 }
 
-// do answers an ask, by apply if it has not been applied before.
-func (s *sessions) do(index uint64, a *Ask, apply func() []byte) (held, outcome) {
+// applyOnce answers an ask, by apply if it has not been applied before.
+func (s *sessions) applyOnce(index uint64, a *Ask, apply func() []byte) (heldAnswer, outcome) {
 	e := s.byID[a.Session]
 	if e == nil {
-		return held{}, outcomeGone
+		return heldAnswer{}, outcomeUnknownSession
 	}
 	s.order.MoveToBack(e)
 	one := e.Value.(*session)
@@ -73,25 +73,25 @@
 	if h, ok := one.answers[a.Seq]; ok {
 		return h, outcomeApplied
 	}
-	if a.Seq <= one.done {
-		return held{}, outcomeStale
+	if a.Seq <= one.confirmed {
+		return heldAnswer{}, outcomeConfirmed
 	}
 	if len(one.answers) >= maxHeld {
-		return held{}, outcomeCrowded
+		return heldAnswer{}, outcomeTooManyUnconfirmed
 	}
-	h := held{Seq: a.Seq, Index: index, Answer: apply()}
+	h := heldAnswer{Seq: a.Seq, Index: index, Answer: apply()}
 	one.answers[a.Seq] = h
 	s.bytes += len(h.Answer)
-	s.trim()
+	s.evict()
 	return h, outcomeApplied
 }
 
 // confirm forgets answers that the asker has had.
 func (s *sessions) confirm(one *session, done uint64) {
-	if done <= one.done {
+	if done <= one.confirmed {
 		return
 	}
-	one.done = done
+	one.confirmed = done
 	for seq, h := range one.answers {
 		if seq <= done {
 			s.bytes -= len(h.Answer)
@@ -100,9 +100,9 @@
 	}
 }
 
-// trim keeps to the bounds; the session used last is kept in any case.
-func (s *sessions) trim() {
-	for s.order.Len() > 1 && (s.order.Len() > s.most || s.bytes > s.mostBytes) {
+// evict keeps to the bounds; the session used last is kept in any case.
+func (s *sessions) evict() {
+	for s.order.Len() > 1 && (s.order.Len() > s.maxSessions || s.bytes > s.maxBytes) {
 		one := s.order.Remove(s.order.Front()).(*session)
 		delete(s.byID, one.id)
 		for _, h := range one.answers {
@@ -113,16 +113,16 @@
 
 // sessionImage is a session in a snapshot.
 type sessionImage struct {
-	ID      uint64 `cbor:"1,keyasint"`
-	Done    uint64 `cbor:"2,keyasint"`
-	Answers []held `cbor:"3,keyasint"`
+	ID      uint64       `cbor:"1,keyasint"`
+	Done    uint64       `cbor:"2,keyasint"`
+	Answers []heldAnswer `cbor:"3,keyasint"`
 }
 
 func (s *sessions) image() []sessionImage {
 	all := make([]sessionImage, 0, s.order.Len())
 	for e := s.order.Front(); e != nil; e = e.Next() {
 		one := e.Value.(*session)
-		image := sessionImage{ID: one.id, Done: one.done}
+		image := sessionImage{ID: one.id, Done: one.confirmed}
 		for _, seq := range slices.Sorted(maps.Keys(one.answers)) {
 			image.Answers = append(image.Answers, one.answers[seq])
 		}
@@ -136,7 +136,7 @@
 	clear(s.byID)
 	s.bytes = 0
 	for _, image := range all {
-		one := &session{id: image.ID, done: image.Done, answers: map[uint64]held{}}
+		one := &session{id: image.ID, confirmed: image.Done, answers: map[uint64]heldAnswer{}}
 		for _, h := range image.Answers {
 			one.answers[h.Seq] = h
 			s.bytes += len(h.Answer)
--- a/fleet/agree/session_test.go
+++ b/fleet/agree/session_test.go
@@ -40,7 +40,7 @@
 	a, b := &counting{applied: map[string]int{}}, &counting{applied: map[string]int{}}
 	fa, fb := newFSM(a), newFSM(b)
 	for _, f := range []*fsm{fa, fb} {
-		f.sessions.most, f.sessions.mostBytes = 3, 8*20
+		f.sessions.maxSessions, f.sessions.maxBytes = 3, 8*20
 		plant(f)
 	}
 	var opened []uint64
@@ -78,7 +78,7 @@
 				return err
 			}
 			fb = newFSM(b)
-			fb.sessions.most, fb.sessions.mostBytes = 3, 8*20
+			fb.sessions.maxSessions, fb.sessions.maxBytes = 3, 8*20
 			plant(fb)
 			if err := fb.Restore(io.NopCloser(bytes.NewReader(s.(snapshot)))); err != nil {
 				return err
@@ -129,7 +129,7 @@
 	for name, plant := range map[string]func(*fsm){
 		"applies twice":         func(f *fsm) { f.machine = twice{f.machine} },
 		"forgets in a snapshot": func(f *fsm) { f.machine = unlike{f.machine, &n} },
-		"keeps all sessions":    func(f *fsm) { f.sessions.most, f.sessions.mostBytes = 100, 1<<20 },
+		"keeps all sessions":    func(f *fsm) { f.sessions.maxSessions, f.sessions.maxBytes = 100, 1<<20 },
 	} {
 		caught := false
 		for seed := 0; seed < 100 && !caught; seed++ {
@@ -172,20 +172,20 @@
 func TestEffectsBound(t *testing.T) {
 	f := newFSM(&counting{applied: map[string]int{}})
 	for i := range uint64(maxEffects + 10) {
-		f.tell(Effect{i + 1, []byte{1}})
+		f.appendEffect(Effect{i + 1, []byte{1}})
 	}
-	if len(f.effects) != maxEffects || f.lost != 10 {
-		t.Fatalf("%d effects, %d lost", len(f.effects), f.lost)
+	if len(f.effects) != maxEffects || f.droppedTo != 10 {
+		t.Fatalf("%d effects, %d lost", len(f.effects), f.droppedTo)
 	}
 	big := make([]byte, 1<<20)
 	for i := range uint64(10) {
-		f.tell(Effect{maxEffects + 11 + i, big})
+		f.appendEffect(Effect{maxEffects + 11 + i, big})
 	}
-	if f.bytes > maxEffectsBytes {
-		t.Fatalf("%d bytes", f.bytes)
+	if f.effectBytes > maxEffectsBytes {
+		t.Fatalf("%d bytes", f.effectBytes)
 	}
-	got, _, err := f.since(f.lost+1, 2)
-	if err != nil || len(got) != 2 || got[0].Index != f.lost+1 {
+	got, _, err := f.effectsFrom(f.droppedTo+1, 2)
+	if err != nil || len(got) != 2 || got[0].Index != f.droppedTo+1 {
 		t.Fatalf("%v, %v", got, err)
 	}
 }
--- a/fleet/agree/snapshot.go
+++ b/fleet/agree/snapshot.go
@@ -19,8 +19,8 @@
 //	version (1 byte), CBOR of image, CRC-32C of all before (4 bytes)
 const snapshotVersion = 1
 
-// image is the agreed state with the sessions.
-type image struct {
+// snapshotImage is the agreed state with the sessions.
+type snapshotImage struct {
 	Index    uint64         `cbor:"1,keyasint"` // of the last command applied
 	Sessions []sessionImage `cbor:"2,keyasint"`
 	Machine  []byte         `cbor:"3,keyasint"`
@@ -31,7 +31,7 @@
 	return binary.BigEndian.AppendUint32(b, crc32.Checksum(b, castagnoli))
 }
 
-func decodeSnapshot(b []byte) (i image, err error) {
+func decodeSnapshot(b []byte) (i snapshotImage, err error) {
 	if len(b) < 5 {
 		return i, fmt.Errorf("%d bytes", len(b))
 	}
@@ -85,7 +85,7 @@
 		}
 		covered = max(covered, index)
 	}
-	first, last := store.span()
+	first, last := store.bounds()
 	if first > covered+1 {
 		return nil, fmt.Errorf("store %s: log %d: missing, snapshots end at %d", store.path, first-1, covered)
 	}
--- a/fleet/agree/store.go
+++ b/fleet/agree/store.go
@@ -50,12 +50,12 @@
 
 	// Raft appends from one goroutine and compacts from another; both change
 	// the log's ends.
-	ends sync.Mutex
+	boundsMu sync.Mutex
 
 	mu          sync.Mutex
 	first, last uint64 // of the log; 0: empty
 	err         error  // of the first write that failed
-	strict      bool   // raft runs: what it would panic on ends its goroutine
+	inRaft      bool   // raft runs: what it would panic on ends its goroutine
 }
 
 // OpenStore opens the store in the directory dir, which it makes if there is
@@ -74,7 +74,7 @@
 			err = fmt.Errorf("store %s: %w", s.path, err)
 		}
 	}()
-	if err := s.acquire(filepath.Join(dir, "lock")); err != nil {
+	if err := s.lockDir(filepath.Join(dir, "lock")); err != nil {
 		return nil, err
 	}
 	if err := s.check(); err != nil {
@@ -83,15 +83,15 @@
 	// The list of free pages has no checksum, so it is made anew from the tree
 	// at each start instead of read.
 	options := bbolt.Options{Timeout: time.Second, NoFreelistSync: true, NoStatistics: true, MaxSize: maxSize}
-	if err := guard(func() error { s.db, err = bbolt.Open(s.path, 0o600, &options); return err }); err != nil {
+	if err := recoverFault(func() error { s.db, err = bbolt.Open(s.path, 0o600, &options); return err }); err != nil {
 		return nil, err
 	}
 	s.update = s.db.Update
-	return s, s.make()
+	return s, s.createBuckets()
 }
 
-// make makes the two buckets of a new file.
-func (s *Store) make() error {
+// createBuckets makes the two buckets of a new file.
+func (s *Store) createBuckets() error {
 	made := false
 	err := s.db.View(func(tx *bbolt.Tx) error {
 		made = tx.Bucket(bucketStable) != nil
@@ -107,13 +107,13 @@
 		if _, err := tx.CreateBucket(bucketStable); err != nil {
 			return err
 		}
-		return seal(tx)
+		return writeSeal(tx)
 	})
 }
 
-// acquire takes the lock on the directory, which lasts until Close or until the
+// lockDir takes the lock on the directory, which lasts until Close or until the
 // process ends.
-func (s *Store) acquire(path string) error {
+func (s *Store) lockDir(path string) error {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR|syscall.O_CLOEXEC, 0o600)
 	if err != nil {
 		return err
@@ -161,19 +161,19 @@
 	return s.err
 }
 
-// running tells the store that raft calls it from here on.
-func (s *Store) running() {
+// enterRaft tells the store that raft calls it from here on.
+func (s *Store) enterRaft() {
 	s.mu.Lock()
-	s.strict = true
+	s.inRaft = true
 	s.mu.Unlock()
 }
 
-// halt ends the calling goroutine, which is one of raft's, instead of returning
+// haltCaller ends the calling goroutine, which is one of raft's, instead of returning
 // an error that raft panics on. The voter sees Failed and shuts raft down. What
 // is deferred runs, so that asks under way are told that their leader is lost.
-func (s *Store) halt(err error) error {
+func (s *Store) haltCaller(err error) error {
 	s.mu.Lock()
-	strict := s.strict
+	strict := s.inRaft
 	s.mu.Unlock()
 	if strict {
 		runtime.Goexit()
@@ -189,9 +189,9 @@
 		if err := f(tx); err != nil {
 			return err
 		}
-		return seal(tx)
+		return writeSeal(tx)
 	}
-	if err := guard(func() error { return s.update(sealed) }); err != nil {
+	if err := recoverFault(func() error { return s.update(sealed) }); err != nil {
 		return s.fail(err)
 	}
 	return nil
@@ -201,16 +201,16 @@
 	if err := s.failed(); err != nil {
 		return err
 	}
-	err := guard(func() error { return s.db.View(f) })
+	err := recoverFault(func() error { return s.db.View(f) })
 	if err != nil && err != raft.ErrLogNotFound {
 		return s.fail(err)
 	}
 	return err
 }
 
-// guard turns what bolt does on spoilt pages, a panic or a fault in its memory
+// recoverFault turns what bolt does on spoilt pages, a panic or a fault in its memory
 // map, into an error.
-func guard(f func() error) (err error) {
+func recoverFault(f func() error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if p := recover(); p != nil {
--- a/fleet/agree/store_check.go
+++ b/fleet/agree/store_check.go
@@ -23,7 +23,7 @@
 	if err := checkPages(s.path); err != nil {
 		return err
 	}
-	return guard(func() error {
+	return recoverFault(func() error {
 		db, err := bbolt.Open(s.path, 0o600, &bbolt.Options{ReadOnly: true, Timeout: time.Second})
 		if err != nil {
 			return err
@@ -44,13 +44,13 @@
 		return errors.New("log or term missing")
 	}
 	var first, last uint64
-	if text, err := payload(bucketStable, keySpan, stable.Get(keySpan)); err != nil {
+	if text, err := recordPayload(bucketStable, keySpan, stable.Get(keySpan)); err != nil {
 		return err
 	} else if len(text) == spanSize {
 		first, last = binary.BigEndian.Uint64(text), binary.BigEndian.Uint64(text[8:])
 	}
 	next := first
-	for k, v, c := firstOf(log); k != nil; k, v = c.Next() {
+	for k, v, c := seekFirst(log); k != nil; k, v = c.Next() {
 		if len(k) != 8 {
 			return fmt.Errorf("log: key of %d bytes", len(k))
 		}
@@ -69,32 +69,32 @@
 	if last != 0 && next != last+1 {
 		return fmt.Errorf("log %d: missing, written up to %d", next, last)
 	}
-	for k, v, c := firstOf(stable); k != nil; k, v = c.Next() {
-		if _, err := payload(bucketStable, k, v); err != nil {
+	for k, v, c := seekFirst(stable); k != nil; k, v = c.Next() {
+		if _, err := recordPayload(bucketStable, k, v); err != nil {
 			return fmt.Errorf("%s: %w", k, err)
 		}
 		if !bytes.Equal(stable.Get(k), v) {
 			return fmt.Errorf("%s: not found by its key", k)
 		}
 	}
-	if text, err := payload(bucketStable, keySeal, stable.Get(keySeal)); err != nil {
+	if text, err := recordPayload(bucketStable, keySeal, stable.Get(keySeal)); err != nil {
 		return err
-	} else if !bytes.Equal(text, sumOf(stable)) {
+	} else if !bytes.Equal(text, stableSum(stable)) {
 		return errors.New("term or vote: missing")
 	}
 	s.first, s.last = first, last
 	return nil
 }
 
-// seal keeps what tells that a key has gone missing. It ends each transaction.
-func seal(tx *bbolt.Tx) error {
+// writeSeal keeps what tells that a key has gone missing. It ends each transaction.
+func writeSeal(tx *bbolt.Tx) error {
 	b := tx.Bucket(bucketStable)
-	return b.Put(keySeal, record(bucketStable, keySeal, sumOf(b)))
+	return b.Put(keySeal, newRecord(bucketStable, keySeal, stableSum(b)))
 }
 
-func sumOf(stable *bbolt.Bucket) []byte {
+func stableSum(stable *bbolt.Bucket) []byte {
 	var c uint32
-	for k, v, cur := firstOf(stable); k != nil; k, v = cur.Next() {
+	for k, v, cur := seekFirst(stable); k != nil; k, v = cur.Next() {
 		if !bytes.Equal(k, keySeal) {
 			c = crc32.Update(crc32.Update(c, castagnoli, k), castagnoli, v)
 		}
@@ -102,7 +102,7 @@
 	return binary.BigEndian.AppendUint32(nil, c)
 }
 
-func firstOf(b *bbolt.Bucket) (k, v []byte, c *bbolt.Cursor) {
+func seekFirst(b *bbolt.Bucket) (k, v []byte, c *bbolt.Cursor) {
 	c = b.Cursor()
 	k, v = c.First()
 	return k, v, c
--- a/fleet/agree/store_log.go
+++ b/fleet/agree/store_log.go
@@ -30,7 +30,7 @@
 // if there is none; any other error ends raft.
 func (s *Store) GetLog(index uint64, l *raft.Log) error {
 	err := s.read(func(tx *bbolt.Tx) error {
-		k := key(index)
+		k := logKey(index)
 		v := tx.Bucket(bucketLog).Get(k)
 		if v == nil {
 			return raft.ErrLogNotFound
@@ -41,7 +41,7 @@
 		return nil
 	})
 	if err != nil && err != raft.ErrLogNotFound {
-		return s.halt(err)
+		return s.haltCaller(err)
 	}
 	return err
 }
@@ -54,9 +54,9 @@
 	if len(logs) == 0 {
 		return nil
 	}
-	s.ends.Lock()
-	defer s.ends.Unlock()
-	first, last := s.span()
+	s.boundsMu.Lock()
+	defer s.boundsMu.Unlock()
+	first, last := s.bounds()
 	err := s.write(func(tx *bbolt.Tx) error {
 		b := tx.Bucket(bucketLog)
 		b.FillPercent = 0.9 // keys only grow
@@ -68,24 +68,24 @@
 				first = l.Index
 			}
 			last = l.Index
-			k := key(l.Index)
-			if err := b.Put(k, record(bucketLog, k, encodeLog(l))); err != nil {
+			k := logKey(l.Index)
+			if err := b.Put(k, newRecord(bucketLog, k, encodeLog(l))); err != nil {
 				return err
 			}
 		}
-		return putSpan(tx, first, last)
+		return writeBounds(tx, first, last)
 	})
 	if err == nil {
-		s.setSpan(first, last)
+		s.setBounds(first, last)
 	}
 	return err
 }
 
 // DeleteRange deletes the entries from low to high at one end of the log.
 func (s *Store) DeleteRange(low, high uint64) error {
-	s.ends.Lock()
-	defer s.ends.Unlock()
-	first, last := s.span()
+	s.boundsMu.Lock()
+	defer s.boundsMu.Unlock()
+	first, last := s.bounds()
 	low, high = max(low, first), min(high, last)
 	if first == 0 || low > high {
 		return nil
@@ -104,31 +104,31 @@
 	err := s.write(func(tx *bbolt.Tx) error {
 		b := tx.Bucket(bucketLog)
 		for index := from; index <= to; index++ {
-			if err := b.Delete(key(index)); err != nil {
+			if err := b.Delete(logKey(index)); err != nil {
 				return err
 			}
 		}
-		return putSpan(tx, first, last)
+		return writeBounds(tx, first, last)
 	})
 	if err == nil {
-		s.setSpan(first, last)
+		s.setBounds(first, last)
 	}
 	return err
 }
 
-func (s *Store) span() (first, last uint64) {
+func (s *Store) bounds() (first, last uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.first, s.last
 }
 
-func (s *Store) setSpan(first, last uint64) {
+func (s *Store) setBounds(first, last uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.first, s.last = first, last
 }
 
-func putSpan(tx *bbolt.Tx, first, last uint64) error {
+func writeBounds(tx *bbolt.Tx, first, last uint64) error {
 	span := binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(nil, first), last)
-	return tx.Bucket(bucketStable).Put(keySpan, record(bucketStable, keySpan, span))
+	return tx.Bucket(bucketStable).Put(keySpan, newRecord(bucketStable, keySpan, span))
 }
--- a/fleet/agree/store_record.go
+++ b/fleet/agree/store_record.go
@@ -12,44 +12,44 @@
 )
 
 const (
-	recordHead = 1 + 4
-	logHead    = 8 + 1 + 8 + 4 // term, type, time of appending, length of the data
-	spanSize   = 16            // first and last index
+	recordHeaderSize = 1 + 4
+	logHeaderSize    = 8 + 1 + 8 + 4 // term, type, time of appending, length of the data
+	spanSize         = 16            // first and last index
 
 	boltMade = 1 // number of the last transaction of a file that bolt has just made
 )
 
-func key(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
+func logKey(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
 
-func record(bucket, key, payload []byte) []byte {
-	v := append(make([]byte, 0, recordHead+len(payload)), storeVersion)
-	v = binary.BigEndian.AppendUint32(v, sum(bucket, key, payload))
+func newRecord(bucket, key, payload []byte) []byte {
+	v := append(make([]byte, 0, recordHeaderSize+len(payload)), storeVersion)
+	v = binary.BigEndian.AppendUint32(v, recordSum(bucket, key, payload))
 	return append(v, payload...)
 }
 
-// payload checks a record and returns what it holds; nothing for no record.
-func payload(bucket, key, v []byte) ([]byte, error) {
+// recordPayload checks a record and returns what it holds; nothing for no record.
+func recordPayload(bucket, key, v []byte) ([]byte, error) {
 	switch {
 	case v == nil:
 		return nil, nil
-	case len(v) < recordHead:
+	case len(v) < recordHeaderSize:
 		return nil, fmt.Errorf("record of %d bytes", len(v))
 	case v[0] != storeVersion:
 		return nil, fmt.Errorf("format version %d, not %d", v[0], storeVersion)
-	case binary.BigEndian.Uint32(v[1:]) != sum(bucket, key, v[recordHead:]):
+	case binary.BigEndian.Uint32(v[1:]) != recordSum(bucket, key, v[recordHeaderSize:]):
 		return nil, errors.New("checksum mismatch")
 	}
-	return v[recordHead:], nil
+	return v[recordHeaderSize:], nil
 }
 
-func sum(bucket, key, payload []byte) uint32 {
+func recordSum(bucket, key, payload []byte) uint32 {
 	c := crc32.Update(0, castagnoli, bucket)
 	c = crc32.Update(c, castagnoli, key)
 	return crc32.Update(c, castagnoli, payload)
 }
 
 func encodeLog(l *raft.Log) []byte {
-	b := make([]byte, 0, logHead+len(l.Data)+len(l.Extensions))
+	b := make([]byte, 0, logHeaderSize+len(l.Data)+len(l.Extensions))
 	b = binary.BigEndian.AppendUint64(b, l.Term)
 	b = append(b, byte(l.Type))
 	var at int64
@@ -63,15 +63,15 @@
 
 // decodeLog reads the record v under key k into l, which shares no memory with v.
 func decodeLog(k, v []byte, l *raft.Log) error {
-	b, err := payload(bucketLog, k, v)
+	b, err := recordPayload(bucketLog, k, v)
 	if err != nil {
 		return err
 	}
-	if len(b) < logHead {
+	if len(b) < logHeaderSize {
 		return fmt.Errorf("entry of %d bytes", len(b))
 	}
 	size := binary.BigEndian.Uint32(b[17:])
-	body := b[logHead:]
+	body := b[logHeaderSize:]
 	if uint64(size) > uint64(len(body)) {
 		return fmt.Errorf("data of %d bytes in %d", size, len(body))
 	}
--- a/fleet/agree/store_stable.go
+++ b/fleet/agree/store_stable.go
@@ -11,14 +11,14 @@
 // Set keeps val under key.
 func (s *Store) Set(key, val []byte) error {
 	return s.write(func(tx *bbolt.Tx) error {
-		return tx.Bucket(bucketStable).Put(key, record(bucketStable, key, val))
+		return tx.Bucket(bucketStable).Put(key, newRecord(bucketStable, key, val))
 	})
 }
 
 // Get is the value under key; empty if there is none.
 func (s *Store) Get(key []byte) (val []byte, err error) {
 	err = s.read(func(tx *bbolt.Tx) error {
-		text, err := payload(bucketStable, key, tx.Bucket(bucketStable).Get(key))
+		text, err := recordPayload(bucketStable, key, tx.Bucket(bucketStable).Get(key))
 		val = bytes.Clone(text) // the map's memory ends with the transaction
 		return err
 	})
@@ -28,7 +28,7 @@
 // SetUint64 keeps val under key. Raft keeps its term so, and panics if it can't.
 func (s *Store) SetUint64(key []byte, val uint64) error {
 	if err := s.Set(key, binary.BigEndian.AppendUint64(nil, val)); err != nil {
-		return s.halt(err)
+		return s.haltCaller(err)
 	}
 	return nil
 }
--- a/fleet/agree/store_test.go
+++ b/fleet/agree/store_test.go
@@ -68,18 +68,18 @@
 		name, want string
 		spoil      func(log, stable *bbolt.Bucket) error
 	}{
-		{"data", "log 17: checksum mismatch", func(l, _ *bbolt.Bucket) error { return flip(l, key(17), 30) }},
-		{"sum", "log 17: checksum mismatch", func(l, _ *bbolt.Bucket) error { return flip(l, key(17), 2) }},
-		{"version", "log 17: format version 0, not 1", func(l, _ *bbolt.Bucket) error { return flip(l, key(17), 0) }},
+		{"data", "log 17: checksum mismatch", func(l, _ *bbolt.Bucket) error { return flip(l, logKey(17), 30) }},
+		{"sum", "log 17: checksum mismatch", func(l, _ *bbolt.Bucket) error { return flip(l, logKey(17), 2) }},
+		{"version", "log 17: format version 0, not 1", func(l, _ *bbolt.Bucket) error { return flip(l, logKey(17), 0) }},
 		{"swapped", "log 5: checksum mismatch", func(l, _ *bbolt.Bucket) error {
-			return l.Put(key(5), bytes.Clone(l.Get(key(6))))
+			return l.Put(logKey(5), bytes.Clone(l.Get(logKey(6))))
 		}},
-		{"short", "log 4: record of 3 bytes", func(l, _ *bbolt.Bucket) error { return l.Put(key(4), []byte{1, 2, 3}) }},
-		{"hole", "log 9: found where 8 was written", func(l, _ *bbolt.Bucket) error { return l.Delete(key(8)) }},
-		{"first lost", "log 2: found where 1 was written", func(l, _ *bbolt.Bucket) error { return l.Delete(key(1)) }},
-		{"last lost", "log 20: missing, written up to 20", func(l, _ *bbolt.Bucket) error { return l.Delete(key(20)) }},
+		{"short", "log 4: record of 3 bytes", func(l, _ *bbolt.Bucket) error { return l.Put(logKey(4), []byte{1, 2, 3}) }},
+		{"hole", "log 9: found where 8 was written", func(l, _ *bbolt.Bucket) error { return l.Delete(logKey(8)) }},
+		{"first lost", "log 2: found where 1 was written", func(l, _ *bbolt.Bucket) error { return l.Delete(logKey(1)) }},
+		{"last lost", "log 20: missing, written up to 20", func(l, _ *bbolt.Bucket) error { return l.Delete(logKey(20)) }},
 		{"one more", "log 21: found where 21 was written", func(l, _ *bbolt.Bucket) error {
-			return l.Put(key(21), bytes.Clone(l.Get(key(20))))
+			return l.Put(logKey(21), bytes.Clone(l.Get(logKey(20))))
 		}},
 		{"vote lost", "term or vote: missing", func(_, s *bbolt.Bucket) error { return s.Delete([]byte("vote")) }},
 		{"term", "term: checksum mismatch", func(_, s *bbolt.Bucket) error { return flip(s, []byte("term"), 12) }},
@@ -280,20 +280,20 @@
 }
 
 func FuzzStoreRecord(f *testing.F) {
-	k := key(7)
-	f.Add(record(bucketLog, k, encodeLog(&raft.Log{Index: 7, Term: 2, Data: []byte("data")})))
+	k := logKey(7)
+	f.Add(newRecord(bucketLog, k, encodeLog(&raft.Log{Index: 7, Term: 2, Data: []byte("data")})))
 	f.Add([]byte{1, 2, 3})
 	f.Fuzz(func(t *testing.T, v []byte) {
 		var l raft.Log
 		if err := decodeLog(k, v, &l); err == nil {
-			if again := record(bucketLog, k, encodeLog(&l)); !bytes.Equal(again, v) {
+			if again := newRecord(bucketLog, k, encodeLog(&l)); !bytes.Equal(again, v) {
 				t.Fatalf("%x read and written is %x", v, again)
 			}
 		}
-		if len(v) > recordHead { // with a good sum, so that the rest is reached
+		if len(v) > recordHeaderSize { // with a good sum, so that the rest is reached
 			v = bytes.Clone(v)
 			v[0] = storeVersion
-			binary.BigEndian.PutUint32(v[1:], sum(bucketLog, k, v[recordHead:]))
+			binary.BigEndian.PutUint32(v[1:], recordSum(bucketLog, k, v[recordHeaderSize:]))
 			decodeLog(k, v, &l)
 		}
 	})
--- a/fleet/agree/voter.go
+++ b/fleet/agree/voter.go
@@ -31,12 +31,12 @@
 	fsm   *fsm
 	self  hello // what it tells of itself while forming
 
-	inbox   chan *proposal
-	pending chan pending  // handed to raft, in order
-	stop    chan bool     // whether to hand leadership over first
-	down    chan struct{} // closed once raft is shut down
-	over    chan struct{}
-	stopped sync.Once
+	inbox    chan *proposal
+	pending  chan pending  // handed to raft, in order
+	stop     chan bool     // whether to hand leadership over first
+	raftDown chan struct{} // closed once raft is shut down
+	ended    chan struct{}
+	stopOnce sync.Once
 
 	mu    sync.Mutex
 	phase phase
@@ -63,9 +63,9 @@
 	v := &Voter{
 		cfg: cfg, log: log.With("voter", cfg.Name), store: store, fsm: newFSM(m),
 		inbox: make(chan *proposal, cfg.Inbox), pending: make(chan pending, cfg.Inbox),
-		stop: make(chan bool, 1), down: make(chan struct{}), over: make(chan struct{}),
+		stop: make(chan bool, 1), raftDown: make(chan struct{}), ended: make(chan struct{}),
 	}
-	v.hclog = bridge(v.log)
+	v.hclog = newRaftLogger(v.log)
 	if err := v.prepare(); err != nil {
 		store.Close()
 		return nil, err
@@ -101,7 +101,7 @@
 		go v.collect(collected)
 		err = v.serve()
 		v.shutRaft()
-		close(v.down)
+		close(v.raftDown)
 		close(v.pending)
 		<-collected
 	}
@@ -111,7 +111,7 @@
 	v.mu.Lock()
 	v.phase, v.err = phaseOver, err
 	v.mu.Unlock()
-	close(v.over)
+	close(v.ended)
 	v.refuseRest()
 	v.store.Close()
 	if err != nil {
@@ -124,7 +124,7 @@
 	for {
 		select {
 		case p := <-v.inbox:
-			p.done <- result{err: ErrShutdown}
+			p.reply <- result{err: ErrShutdown}
 		default:
 			return
 		}
@@ -141,11 +141,11 @@
 	}
 	health := time.NewTicker(v.cfg.Heartbeat)
 	defer health.Stop()
-	clock := ticker{make: v.cfg.Tick}
+	clock := leaderClock{newEntry: v.cfg.Tick}
 	for {
 		select {
 		case p := <-v.inbox:
-			if err := v.propose(p); err != nil {
+			if err := v.submit(p); err != nil {
 				return err
 			}
 		case <-ticks:
@@ -177,7 +177,7 @@
 func (v *Voter) handOver() {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*v.cfg.Heartbeat)
 	defer cancel()
-	if err := settled(v.raft.LeadershipTransfer(), ctx.Done()); err != nil {
+	if err := awaitFuture(v.raft.LeadershipTransfer(), ctx.Done()); err != nil {
 		v.log.Warn("leadership not handed over", "err", err)
 	}
 }
@@ -228,13 +228,13 @@
 // Stop ends the voter, after it has handed its leadership to another if
 // handOver is true and it leads, and returns why it had ended before, if so.
 func (v *Voter) Stop(handOver bool) error {
-	v.stopped.Do(func() { v.stop <- handOver })
-	<-v.over
+	v.stopOnce.Do(func() { v.stop <- handOver })
+	<-v.ended
 	return v.Err()
 }
 
 // Over is closed when the voter has ended. Err says why.
-func (v *Voter) Over() <-chan struct{} { return v.over }
+func (v *Voter) Over() <-chan struct{} { return v.ended }
 
 // Err is why the voter ended by itself; nil if it was stopped or has not ended.
 func (v *Voter) Err() error {
--- a/fleet/agree/wire_test.go
+++ b/fleet/agree/wire_test.go
@@ -55,9 +55,9 @@
 	addr, _ := served(t, ServerLimits{Slow: 200 * time.Millisecond})
 	good := frame(t, &request{Kind: requestPing, ID: 1})
 	version := bytes.Clone(good)
-	version[frameHead] = 7
+	version[frameHeaderSize] = 7
 	cut := bytes.Clone(good)
-	binary.BigEndian.PutUint32(cut, uint32(len(cut)-frameHead-1))
+	binary.BigEndian.PutUint32(cut, uint32(len(cut)-frameHeaderSize-1))
 	for _, x := range []struct {
 		name, want string
 		b          []byte
