--- a/fleet/member/actions.go
+++ b/fleet/member/actions.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// actions is how the Roster's decisions reach the rest.
-type actions Node
+// nodeActions is how the Roster's decisions reach the rest.
+type nodeActions Node
 
 // Happened implements Actions.
-func (a *actions) Happened(e Event) {
+func (a *nodeActions) Happened(e Event) {
 	level := slog.LevelInfo
 	if e.Kind == Displaced || e.Kind == Resumed {
 		level = slog.LevelWarn
@@ -18,45 +18,45 @@
 	a.log.Log(context.Background(), level, "fleet", "event", "member_"+e.Kind.String(), "name", e.Member.Name,
 		"incarnation", e.Member.Incarnation, "zone", e.Member.Zone, "addr", e.Member.Addr)
 	a.pending = append(a.pending, e)
-	a.changed = true
+	a.viewChanged = true
 }
 
 // Announce implements Actions.
-func (a *actions) Announce(self Member) {
+func (a *nodeActions) Announce(self Member) {
 	n := (*Node)(a)
-	n.changed = true
+	n.viewChanged = true
 	left := n.roster.Phase() == Leaving
-	n.say(self, left)
+	n.publishMeta(self, left)
 	if left {
 		return // Leave waits for it to go out
 	}
 	n.log.Info("fleet", "event", "member_incarnation", "incarnation", self.Incarnation)
-	n.updating.Lock()
-	defer n.updating.Unlock()
+	n.listMu.Lock()
+	defer n.listMu.Unlock()
 	n.list.UpdateNode(time.Millisecond) // it goes out later; there is nothing to wait for
 }
 
 // StepAside implements Actions: others are told that this life has left, and it is silent
 // from then on. Memberlist's own farewell would hit the winner, which has the same name.
-func (a *actions) StepAside(Member) {
+func (a *nodeActions) StepAside(Member) {
 	n := (*Node)(a)
-	n.changed = true
-	n.say(n.roster.Self(), true)
-	n.work.Go(func() {
-		n.updating.Lock()
-		defer n.updating.Unlock()
+	n.viewChanged = true
+	n.publishMeta(n.roster.Self(), true)
+	n.tasks.Go(func() {
+		n.listMu.Lock()
+		defer n.listMu.Unlock()
 		n.list.UpdateNode(5 * n.cfg.GossipInterval)
-		n.down = true
+		n.listDown = true
 		n.list.Shutdown()
 	})
 }
 
 // Tell implements Actions.
-func (a *actions) Tell(to Member, about Record) {
+func (a *nodeActions) Tell(to Member, about Record) {
 	n := (*Node)(a)
-	l := lifeOf(n.now(), about)
+	l := toWireLife(n.now(), about)
 	self := n.roster.Self()
-	n.write(to, message{
+	n.sendMessage(to, message{
 		Kind:        kindTold,
 		From:        self.Name,
 		Incarnation: self.Incarnation,
@@ -65,8 +65,8 @@
 	})
 }
 
-// say sets what others hear of this node.
-func (n *Node) say(self Member, leaving bool) {
+// publishMeta sets what others hear of this node.
+func (n *Node) publishMeta(self Member, leaving bool) {
 	buf, err := encode(meta{
 		Incarnation: self.Incarnation,
 		Life:        self.Life,
@@ -75,19 +75,19 @@
 		Leaving:     leaving,
 	})
 	if err == nil {
-		n.delegate.say(buf, nil)
+		n.delegate.setShared(buf, nil)
 	}
 }
 
-// remember renews what a full exchange carries. Ages in it are as of now: they may go out
+// publishMemory renews what a full exchange carries. Ages in it are as of now: they may go out
 // up to memoryEvery too young, which keeps a departed life in memory that much longer.
-func (n *Node) remember(now Time) {
-	n.memoryAt = now + memoryEvery
+func (n *Node) publishMemory(now Time) {
+	n.nextMemory = now + memoryInterval
 	m := memory{From: n.cfg.Name}
 	for _, rec := range n.roster.Departed() {
-		m.Records = append(m.Records, lifeOf(now, rec))
+		m.Records = append(m.Records, toWireLife(now, rec))
 	}
 	if buf, err := encode(m); err == nil {
-		n.delegate.say(nil, buf)
+		n.delegate.setShared(nil, buf)
 	}
 }
--- a/fleet/member/config.go
+++ b/fleet/member/config.go
@@ -57,18 +57,18 @@
 
 // The bounds of a node beside those of Config.
 const (
-	inboxRoom   = 1024
-	departedFor = 24 * time.Hour // longer than any operator's restart takes
-	deadTries   = 3              // dead members tried again beside the seeds, each time
-	startTries  = 3              // rounds of asking the seeds before a node serves alone
-	memoryEvery = 10 * time.Second
+	inboxRoom        = 1024
+	rememberDeparted = 24 * time.Hour // longer than any operator's restart takes
+	deadPerJoin      = 3              // dead members tried again beside the seeds, each time
+	maxJoinRounds    = 3              // rounds of asking the seeds before a node serves alone
+	memoryInterval   = 10 * time.Second
 	// reclaim is when a name may come back at another address once its old one is dead: at
 	// once, since who it is follows from incarnation and life, not from the address.
-	reclaim = time.Nanosecond
+	reclaimAfter = time.Nanosecond
 	// retransmit times log10 of the fleet's size is how often each member passes on a piece
 	// of news; each other misses it with a chance of about e to the minus that. With
 	// memberlist's 4, at 50 members, that is one pair in 3,000, until a full exchange.
-	retransmit = 5
+	retransmitMult = 5
 )
 
 func (c *Config) check() (bind, advertise netip.AddrPort, err error) {
@@ -122,7 +122,7 @@
 	return bind, advertise, nil
 }
 
-func (n *Node) settings(advertise netip.AddrPort, logger *log.Logger) *memberlist.Config {
+func (n *Node) memberlistConfig(advertise netip.AddrPort, logger *log.Logger) *memberlist.Config {
 	c := memberlist.DefaultLANConfig()
 	c.Name = n.cfg.Name
 	c.Transport = n.transport
@@ -135,9 +135,9 @@
 	c.GossipInterval = n.cfg.GossipInterval
 	c.PushPullInterval = n.cfg.PushPullInterval
 	c.GossipToTheDeadTime = n.cfg.DeadGossip
-	c.RetransmitMult = retransmit
+	c.RetransmitMult = retransmitMult
 	c.TCPTimeout = n.cfg.StreamTimeout
-	c.DeadNodeReclaimTime = reclaim
+	c.DeadNodeReclaimTime = reclaimAfter
 	c.EnableCompression = false // messages are small, and processors are the proxies'
 	c.Logger = logger
 	c.Delegate = n.delegate
--- a/fleet/member/delegate.go
+++ b/fleet/member/delegate.go
@@ -13,10 +13,10 @@
 // maxMembers bounds the view; 512 bytes each.
 const maxMembers = 4096
 
-var errFull = fmt.Errorf("member: there are %d members already", maxMembers)
+var errTooManyMembers = fmt.Errorf("member: there are %d members already", maxMembers)
 
-// heard is what memberlist holds of one name.
-type heard struct {
+// memberChange is what memberlist holds of one name.
+type memberChange struct {
 	member  Member
 	leaving bool
 	alive   bool
@@ -26,40 +26,40 @@
 // who is alive are kept as the latest of each name, so that none is lost however late the
 // node's goroutine comes; all else goes through the inbox and is dropped when it is full.
 type delegate struct {
-	name  string
-	life  uint64
-	post  func(any) bool
-	count *counters
-
-	mu     sync.Mutex
-	meta   []byte
-	memory []byte
-	names  map[string]bool  // that are alive
-	dirty  map[string]heard // the latest of each, until changes takes it
-	wake   chan struct{}    // one place
+	name     string
+	life     uint64
+	enqueue  func(any) bool
+	counters *counters
+
+	mu      sync.Mutex
+	meta    []byte
+	memory  []byte
+	alive   map[string]bool         // that are alive
+	changed map[string]memberChange // the latest of each, until changes takes it
+	wake    chan struct{}           // one place
 }
 
 // What is posted to the node's inbox.
 type (
-	claim  struct{ member Member }
-	news   struct{ memory memory }
-	packet struct{ message message }
+	nameClaim   struct{ member Member }
+	remoteState struct{ memory memory }
+	datagram    struct{ message message }
 )
 
 func newDelegate(name string, life uint64, post func(any) bool, count *counters) *delegate {
 	return &delegate{
-		name:  name,
-		life:  life,
-		post:  post,
-		count: count,
-		names: map[string]bool{},
-		dirty: map[string]heard{},
-		wake:  make(chan struct{}, 1),
+		name:     name,
+		life:     life,
+		enqueue:  post,
+		counters: count,
+		alive:    map[string]bool{},
+		changed:  map[string]memberChange{},
+		wake:     make(chan struct{}, 1),
 	}
 }
 
-// say sets what others are told from now on.
-func (d *delegate) say(meta, memory []byte) {
+// setShared sets what others are told from now on.
+func (d *delegate) setShared(meta, memory []byte) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if meta != nil {
@@ -71,28 +71,28 @@
 }
 
 // changes returns what is new since the last call.
-func (d *delegate) changes() map[string]heard {
+func (d *delegate) changes() map[string]memberChange {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if len(d.dirty) == 0 {
+	if len(d.changed) == 0 {
 		return nil
 	}
-	out := d.dirty
-	d.dirty = map[string]heard{}
+	out := d.changed
+	d.changed = map[string]memberChange{}
 	return out
 }
 
-func (d *delegate) note(n *memberlist.Node, alive bool) {
+func (d *delegate) noteChange(n *memberlist.Node, alive bool) {
 	m, meta, err := memberOf(n)
 	if err != nil || n.Name == d.name {
 		return
 	}
 	d.mu.Lock()
-	d.dirty[n.Name] = heard{member: m, leaving: meta.Leaving, alive: alive}
+	d.changed[n.Name] = memberChange{member: m, leaving: meta.Leaving, alive: alive}
 	if alive {
-		d.names[n.Name] = true
+		d.alive[n.Name] = true
 	} else {
-		delete(d.names, n.Name)
+		delete(d.alive, n.Name)
 	}
 	d.mu.Unlock()
 	select {
@@ -137,20 +137,20 @@
 func (d *delegate) MergeRemoteState(buf []byte, _ bool) {
 	m, err := readMemory(buf)
 	if err != nil {
-		d.count.badState.Add(1)
+		d.counters.badState.Add(1)
 		return
 	}
-	d.post(news{m})
+	d.enqueue(remoteState{m})
 }
 
 // NotifyMsg implements memberlist.Delegate.
 func (d *delegate) NotifyMsg(buf []byte) {
 	m, err := readMessage(buf) // copies what it keeps
 	if err != nil {
-		d.count.badMessage.Add(1)
+		d.counters.badMessage.Add(1)
 		return
 	}
-	d.post(packet{m})
+	d.enqueue(datagram{m})
 }
 
 // GetBroadcasts implements memberlist.Delegate. All that has to reach each member goes in
@@ -158,35 +158,35 @@
 func (d *delegate) GetBroadcasts(int, int) [][]byte { return nil }
 
 // NotifyJoin implements memberlist.EventDelegate.
-func (d *delegate) NotifyJoin(n *memberlist.Node) { d.note(n, true) }
+func (d *delegate) NotifyJoin(n *memberlist.Node) { d.noteChange(n, true) }
 
 // NotifyUpdate implements memberlist.EventDelegate.
-func (d *delegate) NotifyUpdate(n *memberlist.Node) { d.note(n, true) }
+func (d *delegate) NotifyUpdate(n *memberlist.Node) { d.noteChange(n, true) }
 
 // NotifyLeave implements memberlist.EventDelegate. It comes for deaths as well, and does
 // not tell which: who leaves has said so in its meta before.
-func (d *delegate) NotifyLeave(n *memberlist.Node) { d.note(n, false) }
+func (d *delegate) NotifyLeave(n *memberlist.Node) { d.noteChange(n, false) }
 
 // NotifyAlive implements memberlist.AliveDelegate. It sees each word of a living member
 // before memberlist decides on it, those under one's own name among them.
 func (d *delegate) NotifyAlive(n *memberlist.Node) error {
 	m, meta, err := memberOf(n)
 	if err != nil {
-		d.count.badMeta.Add(1)
+		d.counters.badMeta.Add(1)
 		return err
 	}
 	if n.Name == d.name {
 		if m.Life != d.life && !meta.Leaving {
-			d.post(claim{m})
+			d.enqueue(nameClaim{m})
 		}
 		return nil
 	}
 	d.mu.Lock()
-	full := !d.names[n.Name] && len(d.names) >= maxMembers
+	full := !d.alive[n.Name] && len(d.alive) >= maxMembers
 	d.mu.Unlock()
 	if full {
-		d.count.tooMany.Add(1)
-		return errFull
+		d.counters.tooMany.Add(1)
+		return errTooManyMembers
 	}
 	return nil
 }
@@ -195,6 +195,6 @@
 func (d *delegate) NotifyConflict(_, other *memberlist.Node) {
 	m, meta, err := memberOf(other)
 	if err == nil && !meta.Leaving && other.Name != d.name {
-		d.post(claim{m})
+		d.enqueue(nameClaim{m})
 	}
 }
--- a/fleet/member/leave.go
+++ b/fleet/member/leave.go
@@ -14,7 +14,7 @@
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
-	case n.inbox <- leaving{done}:
+	case n.inbox <- leaveRequest{done}:
 	case <-n.stop:
 		return ErrClosed
 	case <-timer.C:
@@ -27,9 +27,9 @@
 	case <-timer.C:
 		return errors.New("member: leave: no answer")
 	}
-	n.updating.Lock()
-	defer n.updating.Unlock()
-	if n.down {
+	n.listMu.Lock()
+	defer n.listMu.Unlock()
+	if n.listDown {
 		return ErrClosed
 	}
 	// First in words that tell it from a death, then in memberlist's, by which it is no
--- a/fleet/member/log.go
+++ b/fleet/member/log.go
@@ -5,10 +5,10 @@
 	"strings"
 )
 
-// debugLog takes memberlist's own log.
-type debugLog struct{ log *slog.Logger }
+// memberlistLog takes memberlist's own log.
+type memberlistLog struct{ log *slog.Logger }
 
-func (d debugLog) Write(p []byte) (int, error) {
+func (d memberlistLog) Write(p []byte) (int, error) {
 	d.log.Debug("memberlist", "event", "memberlist", "text", strings.TrimSpace(string(p)))
 	return len(p), nil
 }
--- a/fleet/member/member.go
+++ b/fleet/member/member.go
@@ -54,9 +54,9 @@
 	return cmp.Compare(a.Life, b.Life)
 }
 
-// above tells whether r replaces o. Records of a name are in one total order and the
+// supersedes tells whether r replaces o. Records of a name are in one total order and the
 // highest is kept, so that views depend neither on the order nor on the doubling of news.
-func (r Record) above(o Record) bool {
+func (r Record) supersedes(o Record) bool {
 	if c := compareLives(r.Member, o.Member); c != 0 {
 		return c > 0
 	}
--- a/fleet/member/messages.go
+++ b/fleet/member/messages.go
@@ -46,7 +46,7 @@
 		return ErrClosed
 	default:
 	}
-	return n.write(to, message{
+	return n.sendMessage(to, message{
 		Kind:        kindData,
 		From:        v.self.Name,
 		Incarnation: v.self.Incarnation,
@@ -78,7 +78,7 @@
 	return sent, nil
 }
 
-func (n *Node) write(to Member, m message) error {
+func (n *Node) sendMessage(to Member, m message) error {
 	buf, err := encode(m)
 	if err != nil {
 		return err
@@ -93,19 +93,19 @@
 
 func (n *Node) receive(now Time, m *message) {
 	if m.Kind == kindTold {
-		n.roster.Told(now, m.From, m.About.record(now))
+		n.roster.Told(now, m.From, m.About.toRecord(now))
 		return
 	}
 	switch n.roster.Accept(m.From, m.Incarnation, m.Life) {
 	case Older:
-		n.count.older.Add(1)
+		n.counters.older.Add(1)
 	case Unknown:
-		n.count.unknown.Add(1)
+		n.counters.unknown.Add(1)
 	case Take:
 		select {
 		case n.messages <- Message{m.From, m.Incarnation, m.Payload}:
 		default:
-			n.count.unread.Add(1)
+			n.counters.unread.Add(1)
 		}
 	}
 }
--- a/fleet/member/node.go
+++ b/fleet/member/node.go
@@ -17,13 +17,13 @@
 
 // Node is a member of the fleet. Its methods may be called from any goroutine.
 type Node struct {
-	cfg    Config
-	log    *slog.Logger
-	start  time.Time
-	life   uint64
-	roster *Roster // only in run, after Start
-	view   atomic.Pointer[view]
-	count  counters
+	cfg      Config
+	log      *slog.Logger
+	start    time.Time
+	life     uint64
+	roster   *Roster // only in run, after Start
+	view     atomic.Pointer[view]
+	counters counters
 
 	inbox    chan any
 	events   chan Event
@@ -31,25 +31,25 @@
 	stop     chan struct{}
 	stopped  chan struct{}
 	closing  sync.Once
-	work     sync.WaitGroup // joins, and the end of one that steps aside
+	tasks    sync.WaitGroup // joins, and the end of one that steps aside
 
 	delegate  *delegate
 	transport *transport
 	list      *memberlist.Memberlist
-	updating  sync.Mutex // memberlist's Leave and UpdateNode read without its locks
-	down      bool       // under updating: the list has been shut down
-	ticked    atomic.Int64
+	listMu    sync.Mutex // memberlist's Leave and UpdateNode read without its locks
+	listDown  bool       // under updating: the list has been shut down
+	lastTick  atomic.Int64
 
 	// Only in run.
-	pending  []Event
-	changed  bool
-	behind   bool // events were lost, a Resync is due
-	stale    bool // a Resumed among them
-	joining  bool
-	tries    int
-	backoff  time.Duration
-	joinAt   Time
-	memoryAt Time
+	pending       []Event
+	viewChanged   bool
+	behind        bool // events were lost, a Resync is due
+	stale         bool // a Resumed among them
+	joinRunning   bool
+	joinRounds    int
+	rejoinBackoff time.Duration
+	nextJoin      Time
+	nextMemory    Time
 }
 
 // Start makes a node and lets it join. It returns at once: until a seed has answered, or all
@@ -60,22 +60,22 @@
 		return nil, fmt.Errorf("member: %w", err)
 	}
 	n := &Node{
-		cfg:      cfg,
-		log:      cfg.Logger.With("member", cfg.Name),
-		start:    time.Now(),
-		inbox:    make(chan any, inboxRoom),
-		events:   make(chan Event, cfg.EventRoom),
-		messages: make(chan Message, cfg.MessageRoom),
-		stop:     make(chan struct{}),
-		stopped:  make(chan struct{}),
-		backoff:  cfg.RejoinMin,
+		cfg:           cfg,
+		log:           cfg.Logger.With("member", cfg.Name),
+		start:         time.Now(),
+		inbox:         make(chan any, inboxRoom),
+		events:        make(chan Event, cfg.EventRoom),
+		messages:      make(chan Message, cfg.MessageRoom),
+		stop:          make(chan struct{}),
+		stopped:       make(chan struct{}),
+		rejoinBackoff: cfg.RejoinMin,
 	}
 	var seed [8]byte
 	rand.Read(seed[:]) // never fails
 	n.life = binary.BigEndian.Uint64(seed[:])
-	n.delegate = newDelegate(cfg.Name, n.life, n.post, &n.count)
+	n.delegate = newDelegate(cfg.Name, n.life, n.enqueue, &n.counters)
 
-	logger := log.New(debugLog{n.log}, "", 0)
+	logger := log.New(memberlistLog{n.log}, "", 0)
 	n.transport, err = newTransport(bind.Addr().AsSlice(), int(bind.Port()), logger)
 	if err != nil {
 		return nil, fmt.Errorf("member: bind: %w", err)
@@ -88,32 +88,32 @@
 	self.Addr = advertise.String()
 	limits := Limits{
 		StopAfter:   time.Duration(cfg.SuspicionMult) * cfg.ProbeInterval,
-		DepartedFor: departedFor,
+		DepartedFor: rememberDeparted,
 		MaxDeparted: maxRecords,
 	}
-	n.roster = NewRoster(n.now(), limits, self, (*actions)(n))
-	n.say(self, false)
-	n.remember(n.now())
+	n.roster = NewRoster(n.now(), limits, self, (*nodeActions)(n))
+	n.publishMeta(self, false)
+	n.publishMemory(n.now())
 	n.publish()
 
-	n.list, err = memberlist.Create(n.settings(advertise, logger))
+	n.list, err = memberlist.Create(n.memberlistConfig(advertise, logger))
 	if err != nil {
 		n.transport.Shutdown()
 		return nil, fmt.Errorf("member: %w", err)
 	}
-	n.ticked.Store(int64(n.now()))
+	n.lastTick.Store(int64(n.now()))
 	go n.run()
 	return n, nil
 }
 
 func (n *Node) now() Time { return time.Since(n.start) }
 
-func (n *Node) post(v any) bool {
+func (n *Node) enqueue(v any) bool {
 	select {
 	case n.inbox <- v:
 		return true
 	default:
-		n.count.inboxFull.Add(1)
+		n.counters.inboxFull.Add(1)
 		return false
 	}
 }
@@ -132,24 +132,24 @@
 			close(n.messages)
 			return
 		case <-ticker.C:
-			n.hear()
+			n.applyChanges()
 			n.roster.Tick(n.now())
-			n.ticked.Store(int64(n.now()))
-			if n.now() >= n.memoryAt {
-				n.remember(n.now())
+			n.lastTick.Store(int64(n.now()))
+			if n.now() >= n.nextMemory {
+				n.publishMemory(n.now())
 			}
 		case <-n.delegate.wake:
-			n.hear()
+			n.applyChanges()
 		case v := <-n.inbox:
-			n.hear() // who a sender is comes before what it says
-			n.handle(v)
+			n.applyChanges() // who a sender is comes before what it says
+			n.handleInbox(v)
 		}
 	}
 }
 
-// hear hands on what memberlist has found, in the order of names: it is the latest of
+// applyChanges hands on what memberlist has found, in the order of names: it is the latest of
 // each, so that no other order is known.
-func (n *Node) hear() {
+func (n *Node) applyChanges() {
 	changes := n.delegate.changes()
 	names := make([]string, 0, len(changes))
 	for name := range changes {
@@ -168,26 +168,26 @@
 	}
 }
 
-func (n *Node) handle(v any) {
+func (n *Node) handleInbox(v any) {
 	now := n.now()
 	switch v := v.(type) {
-	case claim:
+	case nameClaim:
 		n.roster.Claim(now, v.member)
-	case news:
+	case remoteState:
 		records := make([]Record, len(v.memory.Records))
 		for i := range records {
-			records[i] = v.memory.Records[i].record(now)
+			records[i] = v.memory.Records[i].toRecord(now)
 		}
 		n.roster.Hearsay(now, v.memory.From, records)
-	case packet:
+	case datagram:
 		n.receive(now, &v.message)
-	case joined:
-		n.joining = false
-		n.tries++
-		if v.reached > 0 || n.tries >= startTries {
+	case joinDone:
+		n.joinRunning = false
+		n.joinRounds++
+		if v.reached > 0 || n.joinRounds >= maxJoinRounds {
 			n.roster.Settled(now)
 		}
-	case leaving:
+	case leaveRequest:
 		n.roster.Leave(now)
 		close(v.done)
 	}
@@ -198,12 +198,12 @@
 // follows where it has.
 func (n *Node) Fresh() bool {
 	stop := time.Duration(n.cfg.SuspicionMult) * n.cfg.ProbeInterval
-	return n.now()-Time(n.ticked.Load()) <= stop && n.Phase() == Serving
+	return n.now()-Time(n.lastTick.Load()) <= stop && n.Phase() == Serving
 }
 
 type (
-	joined  struct{ reached int }
-	leaving struct{ done chan struct{} }
+	joinDone     struct{ reached int }
+	leaveRequest struct{ done chan struct{} }
 )
 
 // Close ends the node without a word: to the others it dies, unless it has left. Sockets
@@ -212,11 +212,11 @@
 	n.closing.Do(func() {
 		close(n.stop)
 		<-n.stopped
-		n.updating.Lock()
-		n.down = true
+		n.listMu.Lock()
+		n.listDown = true
 		n.list.Shutdown()
-		n.updating.Unlock()
-		n.work.Wait()
+		n.listMu.Unlock()
+		n.tasks.Wait()
 	})
 	return nil
 }
--- a/fleet/member/node_test.go
+++ b/fleet/member/node_test.go
@@ -376,13 +376,13 @@
 	c.start("a")
 	c.same()
 	late := message{From: "a", Incarnation: old.Incarnation, Life: old.Life, Payload: []byte("late")}
-	if err := c.nodes["c"].write(c.nodes["b"].Self(), late); err != nil {
+	if err := c.nodes["c"].sendMessage(c.nodes["b"].Self(), late); err != nil {
 		t.Fatal(err)
 	}
 	b := c.nodes["b"]
 	c.eventually("the late word is counted", func() bool { return b.Stats().OlderLife == 1 })
 	late.From = "stranger"
-	c.nodes["c"].write(b.Self(), late)
+	c.nodes["c"].sendMessage(b.Self(), late)
 	c.eventually("the stranger's is counted", func() bool { return b.Stats().Unknown == 1 })
 	c.nodes["c"].list.SendBestEffort(b.list.LocalNode(), []byte{99, 1, 2})
 	c.eventually("one of a strange version is counted", func() bool { return b.Stats().BadMessage == 1 })
--- a/fleet/member/rejoin.go
+++ b/fleet/member/rejoin.go
@@ -14,20 +14,20 @@
 // else would bring the sides together.
 func (n *Node) rejoin(now Time) {
 	phase := n.roster.Phase()
-	if n.joining || now < n.joinAt || phase > Serving {
+	if n.joinRunning || now < n.nextJoin || phase > Serving {
 		return
 	}
-	targets := n.missing()
+	targets := n.joinTargets()
 	if len(targets) == 0 {
-		n.backoff = n.cfg.RejoinMin
-		n.joinAt = now + n.cfg.RejoinMin
+		n.rejoinBackoff = n.cfg.RejoinMin
+		n.nextJoin = now + n.cfg.RejoinMin
 		n.roster.Settled(now)
 		return
 	}
-	n.joinAt = now + time.Duration((0.5+mrand.Float64())*float64(n.backoff))
-	n.backoff = min(2*n.backoff, n.cfg.RejoinMax)
-	n.joining = true
-	n.work.Go(func() {
+	n.nextJoin = now + time.Duration((0.5+mrand.Float64())*float64(n.rejoinBackoff))
+	n.rejoinBackoff = min(2*n.rejoinBackoff, n.cfg.RejoinMax)
+	n.joinRunning = true
+	n.tasks.Go(func() {
 		var each sync.WaitGroup
 		var reached atomic.Int32
 		for _, addr := range targets {
@@ -40,13 +40,13 @@
 		each.Wait()
 		// The node must learn that this is over.
 		select {
-		case n.inbox <- joined{int(reached.Load())}:
+		case n.inbox <- joinDone{int(reached.Load())}:
 		case <-n.stop:
 		}
 	})
 }
 
-func (n *Node) missing() []string {
+func (n *Node) joinTargets() []string {
 	here := map[string]bool{n.roster.Self().Addr: true}
 	members := n.view.Load().members
 	for _, m := range members {
@@ -67,5 +67,5 @@
 		}
 	}
 	mrand.Shuffle(len(dead), func(i, j int) { dead[i], dead[j] = dead[j], dead[i] })
-	return append(out, dead[:min(deadTries, len(dead))]...)
+	return append(out, dead[:min(deadPerJoin, len(dead))]...)
 }
--- a/fleet/member/roster.go
+++ b/fleet/member/roster.go
@@ -26,27 +26,27 @@
 
 // Roster is one member's view of the fleet. It is not safe for concurrent use.
 type Roster struct {
-	limits Limits
-	act    Actions
-	self   Member
-	phase  Phase
-	names  map[string]Record // all but one's own
-	told   uint64            // the highest incarnation heard of for one's own name
-	ticked Time
-	tells  map[string]tell
+	limits      Limits
+	actions     Actions
+	self        Member
+	phase       Phase
+	names       map[string]Record // all but one's own
+	highestTold uint64            // the highest incarnation heard of for one's own name
+	lastTick    Time
+	notices     map[string]notice
 
 	// Who has said to have found this life dead in incarnation accused. What was said of
 	// those before fresh, the one taken at the last Resumed, is dealt with.
-	fresh    uint64
-	accused  uint64
-	accusers map[string]bool
+	resumedIncarnation uint64
+	accusedIncarnation uint64
+	accusers           map[string]bool
 }
 
-// tell is something to be told again. A lost one would leave a living member out.
-type tell struct {
-	to    Member
-	about Record
-	left  int // -1: until it has helped
+// notice is something to be told again. A lost one would leave a living member out.
+type notice struct {
+	to        Member
+	about     Record
+	remaining int // -1: until it has helped
 }
 
 // NewRoster returns the view of a process that starts. The incarnation of self is not
@@ -55,11 +55,11 @@
 	self.Incarnation = 0
 	return &Roster{
 		limits:   limits,
-		act:      act,
+		actions:  act,
 		self:     self,
 		names:    map[string]Record{},
-		ticked:   now,
-		tells:    map[string]tell{},
+		lastTick: now,
+		notices:  map[string]notice{},
 		accusers: map[string]bool{},
 	}
 }
@@ -101,13 +101,13 @@
 		return
 	}
 	r.phase = Serving
-	r.ticked = now
-	r.take(r.told + 1)
+	r.lastTick = now
+	r.setIncarnation(r.highestTold + 1)
 }
 
 // Alive reports that the failure detector has m among the living.
 func (r *Roster) Alive(now Time, m Member) {
-	r.awake(now)
+	r.detectStop(now)
 	// A process that is still asking is nobody yet.
 	if m.Incarnation == 0 || m.Incarnation > maxIncarnation || r.phase == Aside {
 		return
@@ -116,27 +116,27 @@
 		r.Claim(now, m)
 		return
 	}
-	r.hear(now, Record{Member: m, State: Alive})
+	r.merge(now, Record{Member: m, State: Alive})
 }
 
 // Died reports that the failure detector has found m dead.
 func (r *Roster) Died(now Time, m Member) {
-	r.awake(now)
-	r.depart(now, Record{Member: m, State: Dead, Since: now})
-	r.forget(now)
+	r.detectStop(now)
+	r.mergeDeparted(now, Record{Member: m, State: Dead, Since: now})
+	r.expireDeparted(now)
 }
 
 // Left reports that m has said that it leaves.
 func (r *Roster) Left(now Time, m Member) {
-	r.awake(now)
-	r.depart(now, Record{Member: m, State: Gone, Since: now})
-	r.forget(now)
+	r.detectStop(now)
+	r.mergeDeparted(now, Record{Member: m, State: Gone, Since: now})
+	r.expireDeparted(now)
 }
 
 // Hearsay reports what the member named from remembers as departed. The Since of its
 // records is on the clock of this Roster.
 func (r *Roster) Hearsay(now Time, from string, records []Record) {
-	r.awake(now)
+	r.detectStop(now)
 	for _, rec := range records {
 		if rec.Name == r.self.Name {
 			r.Told(now, from, rec)
@@ -146,42 +146,42 @@
 			rec.State = Heard
 		}
 		rec.Since = min(rec.Since, now)
-		r.depart(now, rec)
+		r.mergeDeparted(now, rec)
 	}
-	r.forget(now)
+	r.expireDeparted(now)
 }
 
-func (r *Roster) depart(now Time, rec Record) {
+func (r *Roster) mergeDeparted(now Time, rec Record) {
 	if rec.Incarnation == 0 || rec.Incarnation > maxIncarnation || r.phase == Aside ||
 		rec.Name == r.self.Name || now-rec.Since > r.limits.DepartedFor {
 		return
 	}
-	r.hear(now, rec)
+	r.merge(now, rec)
 }
 
-// hear takes in news of another name.
-func (r *Roster) hear(now Time, rec Record) {
+// merge takes in news of another name.
+func (r *Roster) merge(now Time, rec Record) {
 	old, known := r.names[rec.Name]
 	switch {
-	case !known || rec.above(old):
+	case !known || rec.supersedes(old):
 		r.names[rec.Name] = rec
-		delete(r.tells, rec.Name)
-		r.change(old, known, rec)
+		delete(r.notices, rec.Name)
+		r.reportChange(old, known, rec)
 	case rec.State == Alive && old.departed():
 		// It lives and does not know how it is remembered. As long as it does not, its
 		// words are dropped here.
-		r.tell(tell{rec.Member, old, -1})
+		r.sendNotice(notice{rec.Member, old, -1})
 	case rec.departed() && old.departed():
 		if compareLives(rec.Member, old.Member) == 0 && rec.Since < old.Since {
 			old.Since = rec.Since
 			r.names[rec.Name] = old
 		}
-		delete(r.tells, rec.Name)
+		delete(r.notices, rec.Name)
 	}
 }
 
-// change reports the step from one record of a name to a higher one.
-func (r *Roster) change(old Record, known bool, rec Record) {
+// reportChange reports the step from one record of a name to a higher one.
+func (r *Roster) reportChange(old Record, known bool, rec Record) {
 	seen := known && old.State != Heard
 	sameLife := old.Life == rec.Life
 	e := Event{Member: rec.Member, Old: old.Member}
@@ -200,22 +200,22 @@
 	default:
 		return
 	}
-	r.act.Happened(e)
+	r.actions.Happened(e)
 	if e.Kind == Returned && old.State == Dead {
 		// Each that had it dead says so once: it must know whether most had.
-		r.tell(tell{rec.Member, old, 2})
+		r.sendNotice(notice{rec.Member, old, 2})
 	}
 }
 
-func (r *Roster) tell(t tell) {
-	r.tells[t.to.Name] = t
-	r.act.Tell(t.to, t.about)
+func (r *Roster) sendNotice(t notice) {
+	r.notices[t.to.Name] = t
+	r.actions.Tell(t.to, t.about)
 }
 
 // Claim reports that m is said to be alive, by a word that the failure detector does not
 // follow: another life under one's own name, or a second address of another's.
 func (r *Roster) Claim(now Time, m Member) {
-	r.awake(now)
+	r.detectStop(now)
 	if m.Incarnation > maxIncarnation || r.phase == Aside {
 		return
 	}
@@ -228,50 +228,50 @@
 		return
 	}
 	if compareLives(m, cur.Member) < 0 {
-		r.act.Tell(m, cur)
+		r.actions.Tell(m, cur)
 		return
 	}
 	// Said once a claim: the tell stays until the record changes.
-	if t := r.tells[m.Name]; t.about.Member != m {
-		r.act.Happened(Event{Kind: Displaced, Member: m, Old: cur.Member})
+	if t := r.notices[m.Name]; t.about.Member != m {
+		r.actions.Happened(Event{Kind: Displaced, Member: m, Old: cur.Member})
 	}
-	r.tell(tell{cur.Member, Record{Member: m, State: Alive}, -1})
+	r.sendNotice(notice{cur.Member, Record{Member: m, State: Alive}, -1})
 }
 
 // Leave reports that the process leaves the fleet.
 func (r *Roster) Leave(now Time) {
-	r.awake(now)
+	r.detectStop(now)
 	if r.phase > Serving {
 		return
 	}
 	if r.phase == Starting {
-		r.self.Incarnation = r.told + 1
+		r.self.Incarnation = r.highestTold + 1
 	}
 	r.phase = Leaving
-	r.act.Announce(r.self)
+	r.actions.Announce(r.self)
 }
 
 // Tick reports that time has passed. It is to come several times in Limits.StopAfter.
 func (r *Roster) Tick(now Time) {
-	r.awake(now)
-	r.ticked = now
-	r.forget(now)
-	names := make([]string, 0, len(r.tells))
-	for name := range r.tells {
+	r.detectStop(now)
+	r.lastTick = now
+	r.expireDeparted(now)
+	names := make([]string, 0, len(r.notices))
+	for name := range r.notices {
 		names = append(names, name)
 	}
 	slices.Sort(names)
 	for _, name := range names {
-		t := r.tells[name]
-		if t.left == 0 {
-			delete(r.tells, name)
+		t := r.notices[name]
+		if t.remaining == 0 {
+			delete(r.notices, name)
 			continue
 		}
-		if t.left > 0 {
-			t.left--
-			r.tells[name] = t
+		if t.remaining > 0 {
+			t.remaining--
+			r.notices[name] = t
 		}
-		r.act.Tell(t.to, t.about)
+		r.actions.Tell(t.to, t.about)
 	}
 }
 
@@ -292,15 +292,15 @@
 	return Take
 }
 
-// forget keeps the memory of departed lives within its bounds.
-func (r *Roster) forget(now Time) {
+// expireDeparted keeps the memory of departed lives within its bounds.
+func (r *Roster) expireDeparted(now Time) {
 	var departed []Record
 	for name, rec := range r.names {
 		switch {
 		case !rec.departed():
 		case now-rec.Since > r.limits.DepartedFor:
 			delete(r.names, name)
-			delete(r.tells, name)
+			delete(r.notices, name)
 		default:
 			departed = append(departed, rec)
 		}
@@ -316,6 +316,6 @@
 	})
 	for _, rec := range departed[:len(departed)-r.limits.MaxDeparted] {
 		delete(r.names, rec.Name)
-		delete(r.tells, rec.Name)
+		delete(r.notices, rec.Name)
 	}
 }
--- a/fleet/member/roster_test.go
+++ b/fleet/member/roster_test.go
@@ -608,9 +608,9 @@
 
 func (r backward) Alive(now Time, m Member) {
 	if cur, ok := r.names[m.Name]; ok && cur.State == Alive && m.Incarnation > 0 && m.Incarnation < cur.Incarnation {
-		r.awake(now)
+		r.detectStop(now)
 		delete(r.names, m.Name)
-		r.act.Happened(Event{Kind: Died, Member: cur.Member})
+		r.actions.Happened(Event{Kind: Died, Member: cur.Member})
 	}
 	r.Roster.Alive(now, m)
 }
@@ -643,20 +643,20 @@
 
 type deaf struct{ *Roster } // does not go above what it is told
 
-func (r deaf) Told(now Time, _ string, _ Record)            { r.awake(now) }
-func (r deaf) Hearsay(now Time, _ string, records []Record) { r.awake(now) }
+func (r deaf) Told(now Time, _ string, _ Record)            { r.detectStop(now) }
+func (r deaf) Hearsay(now Time, _ string, records []Record) { r.detectStop(now) }
 
 type sleepy struct{ *Roster } // does not notice a stop
 
 func (r sleepy) Tick(now Time) {
-	r.ticked = now
+	r.lastTick = now
 	r.Roster.Tick(now)
 }
 
 type secretive struct{ *Roster } // takes the next incarnation and does not say so
 
 func (r secretive) Told(now Time, from string, rec Record) {
-	r.awake(now)
+	r.detectStop(now)
 	if rec.Incarnation >= r.self.Incarnation && r.phase == Serving {
 		r.self.Incarnation = rec.Incarnation + 1
 	}
@@ -664,10 +664,10 @@
 
 type stubborn struct{ *Roster } // never steps aside
 
-func (r stubborn) Claim(now Time, _ Member) { r.awake(now) }
+func (r stubborn) Claim(now Time, _ Member) { r.detectStop(now) }
 
 func (r stubborn) Alive(now Time, m Member) {
-	r.awake(now)
+	r.detectStop(now)
 	if m.Name != r.self.Name {
 		r.Roster.Alive(now, m)
 	}
@@ -685,7 +685,7 @@
 type credulous struct{ *Roster } // drops what it holds at the word of one
 
 func (r credulous) Told(now Time, from string, rec Record) {
-	r.awake(now)
+	r.detectStop(now)
 	if r.phase == Serving && rec.Life == r.self.Life && rec.Incarnation >= r.self.Incarnation {
 		r.resume()
 	}
@@ -710,7 +710,7 @@
 type timid struct{ *Roster } // steps aside for anyone
 
 func (r timid) Claim(now Time, m Member) {
-	r.awake(now)
+	r.detectStop(now)
 	if m.Name == r.self.Name && m.Life != r.self.Life && r.phase == Serving {
 		r.stepAside(m)
 		return
--- a/fleet/member/self.go
+++ b/fleet/member/self.go
@@ -3,17 +3,17 @@
 // Told reports what the member named from knows of one's own name; "" is a word without a
 // known teller.
 func (r *Roster) Told(now Time, from string, rec Record) {
-	r.awake(now)
+	r.detectStop(now)
 	if rec.Name != r.self.Name || rec.Incarnation > maxIncarnation || r.phase > Serving {
 		return
 	}
-	r.told = max(r.told, rec.Incarnation)
+	r.highestTold = max(r.highestTold, rec.Incarnation)
 	switch {
 	case r.phase == Starting:
 	case rec.Life == r.self.Life && rec.State == Alive:
 		// One's own echo. Above one's own incarnation it is damaged or forged.
 	case rec.Life == r.self.Life:
-		r.accuse(from, rec)
+		r.countAccuser(from, rec)
 	case rec.departed() || rec.Addr == r.self.Addr:
 		// Who has one's own address can't be running beside.
 	case compareLives(rec.Member, r.self) > 0:
@@ -22,36 +22,36 @@
 	default:
 		return // the other steps aside
 	}
-	if r.phase == Serving && r.told >= r.self.Incarnation && r.told < maxIncarnation {
+	if r.phase == Serving && r.highestTold >= r.self.Incarnation && r.highestTold < maxIncarnation {
 		if rec.Life != r.self.Life || rec.departed() {
-			r.take(r.told + 1)
+			r.setIncarnation(r.highestTold + 1)
 		}
 	}
 }
 
-// accuse counts those that have found this life dead. When a majority has, its parts may
+// countAccuser counts those that have found this life dead. When a majority has, its parts may
 // have gone to others, and it must not act on what it holds; one that was cut off alone
 // takes the rest for dead, and must not make all of them drop all.
-func (r *Roster) accuse(from string, rec Record) {
-	if rec.State != Dead || from == "" || rec.Incarnation < max(r.accused, r.fresh) {
+func (r *Roster) countAccuser(from string, rec Record) {
+	if rec.State != Dead || from == "" || rec.Incarnation < max(r.accusedIncarnation, r.resumedIncarnation) {
 		return
 	}
-	if rec.Incarnation > r.accused {
-		r.accused = rec.Incarnation
+	if rec.Incarnation > r.accusedIncarnation {
+		r.accusedIncarnation = rec.Incarnation
 		clear(r.accusers)
 	}
-	if r.accusers[from] || 2*len(r.accusers) > r.size() {
+	if r.accusers[from] || 2*len(r.accusers) > r.fleetSize() {
 		return
 	}
 	r.accusers[from] = true
-	if 2*len(r.accusers) > r.size() {
+	if 2*len(r.accusers) > r.fleetSize() {
 		r.resume()
 	}
 }
 
-// size is how many members the fleet has had of late: those that left don't count, those
+// fleetSize is how many members the fleet has had of late: those that left don't count, those
 // that died do.
-func (r *Roster) size() int {
+func (r *Roster) fleetSize() int {
 	n := 1
 	for _, rec := range r.names {
 		if rec.State == Alive || rec.State == Dead {
@@ -65,27 +65,27 @@
 	old := r.self
 	r.phase = Aside
 	clear(r.names)
-	clear(r.tells)
-	r.act.Happened(Event{Kind: Displaced, Member: winner, Old: old})
-	r.act.StepAside(winner)
+	clear(r.notices)
+	r.actions.Happened(Event{Kind: Displaced, Member: winner, Old: old})
+	r.actions.StepAside(winner)
 }
 
-// awake notices at the first event after a stop that the process was stopped for longer
+// detectStop notices at the first event after a stop that the process was stopped for longer
 // than the others wait before they take a member for dead.
-func (r *Roster) awake(now Time) {
-	if r.phase == Serving && now-r.ticked > r.limits.StopAfter {
-		r.ticked = now
+func (r *Roster) detectStop(now Time) {
+	if r.phase == Serving && now-r.lastTick > r.limits.StopAfter {
+		r.lastTick = now
 		r.resume()
 	}
 }
 
 func (r *Roster) resume() {
-	r.take(max(r.told, r.self.Incarnation) + 1)
-	r.fresh = r.self.Incarnation
-	r.act.Happened(Event{Kind: Resumed, Member: r.self})
+	r.setIncarnation(max(r.highestTold, r.self.Incarnation) + 1)
+	r.resumedIncarnation = r.self.Incarnation
+	r.actions.Happened(Event{Kind: Resumed, Member: r.self})
 }
 
-func (r *Roster) take(incarnation uint64) {
+func (r *Roster) setIncarnation(incarnation uint64) {
 	r.self.Incarnation = incarnation
-	r.act.Announce(r.self)
+	r.actions.Announce(r.self)
 }
--- a/fleet/member/stats.go
+++ b/fleet/member/stats.go
@@ -26,7 +26,7 @@
 
 // Stats returns what the node dropped since its start.
 func (n *Node) Stats() Stats {
-	c := &n.count
+	c := &n.counters
 	return Stats{
 		BadMeta:    c.badMeta.Load(),
 		BadState:   c.badState.Load(),
--- a/fleet/member/view.go
+++ b/fleet/member/view.go
@@ -44,10 +44,10 @@
 // flush publishes what the Roster has decided: the view first, so that who gets an event
 // finds at least that much in Members.
 func (n *Node) flush() {
-	if n.changed {
-		n.changed = false
+	if n.viewChanged {
+		n.viewChanged = false
 		n.publish()
-		n.remember(n.now())
+		n.publishMemory(n.now())
 	}
 	for _, e := range n.pending {
 		n.emit(e)
@@ -73,6 +73,6 @@
 			n.behind = true
 		}
 	}
-	n.count.eventsLost.Add(1)
+	n.counters.eventsLost.Add(1)
 	n.stale = n.stale || e.Kind == Resumed
 }
--- a/fleet/member/wire.go
+++ b/fleet/member/wire.go
@@ -33,9 +33,9 @@
 	Leaving     bool
 }
 
-// life is one Record on the network. An age travels instead of a time, since no two
+// wireLife is one Record on the network. An age travels instead of a time, since no two
 // members' clocks can be compared.
-type life struct {
+type wireLife struct {
 	_           struct{} `cbor:",toarray"`
 	Name        string
 	Incarnation uint64
@@ -49,7 +49,7 @@
 type memory struct {
 	_       struct{} `cbor:",toarray"`
 	From    string
-	Records []life
+	Records []wireLife
 }
 
 type messageKind uint8
@@ -57,7 +57,7 @@
 const (
 	kindData messageKind = iota // for the users of the node
 	kindTold                    // what is known of the receiver's name
-	kinds
+	messageKinds
 )
 
 // message is one datagram.
@@ -67,13 +67,13 @@
 	From        string
 	Incarnation uint64
 	Life        uint64
-	Payload     []byte // kindData
-	About       *life  // kindTold
+	Payload     []byte    // kindData
+	About       *wireLife // kindTold
 }
 
 var (
-	encoder = must(cbor.EncOptions{}.EncMode())
-	decoder = must(cbor.DecOptions{
+	encoder = mustMode(cbor.EncOptions{}.EncMode())
+	decoder = mustMode(cbor.DecOptions{
 		DupMapKey:        cbor.DupMapKeyEnforcedAPF,
 		IndefLength:      cbor.IndefLengthForbidden,
 		TagsMd:           cbor.TagsForbidden,
@@ -84,7 +84,7 @@
 	}.DecMode())
 )
 
-func must[T any](v T, err error) T {
+func mustMode[T any](v T, err error) T {
 	if err != nil {
 		panic(err) // the options above are constants
 	}
@@ -128,7 +128,7 @@
 	return m, nil
 }
 
-func (l *life) check() error {
+func (l *wireLife) check() error {
 	switch {
 	case l.Name == "" || len(l.Name) > maxName:
 		return fmt.Errorf("name: %d bytes, 1 to %d allowed", len(l.Name), maxName)
@@ -142,15 +142,15 @@
 	return nil
 }
 
-// record puts a life on the clock of the receiver.
-func (l *life) record(now Time) Record {
+// toRecord puts a life on the clock of the receiver.
+func (l *wireLife) toRecord(now Time) Record {
 	m := Member{Name: l.Name, Incarnation: l.Incarnation, Life: l.Life, Addr: l.Addr}
 	age := time.Duration(min(l.Age, uint64(1<<40))) * time.Millisecond
 	return Record{Member: m, State: l.State, Since: now - age}
 }
 
-func lifeOf(now Time, r Record) life {
-	l := life{Name: r.Name, Incarnation: r.Incarnation, Life: r.Life, Addr: r.Addr, State: r.State}
+func toWireLife(now Time, r Record) wireLife {
+	l := wireLife{Name: r.Name, Incarnation: r.Incarnation, Life: r.Life, Addr: r.Addr, State: r.State}
 	if r.departed() {
 		l.Age = uint64(max(0, now-r.Since) / time.Millisecond)
 	}
@@ -178,7 +178,7 @@
 func readMessage(buf []byte) (m message, err error) {
 	if err = decode(buf, 1400, &m); err == nil {
 		switch {
-		case m.Kind >= kinds:
+		case m.Kind >= messageKinds:
 			err = fmt.Errorf("kind: %d is not known", m.Kind)
 		case m.From == "" || len(m.From) > maxName:
 			err = fmt.Errorf("from: %d bytes, 1 to %d allowed", len(m.From), maxName)
--- a/fleet/member/wire_test.go
+++ b/fleet/member/wire_test.go
@@ -22,7 +22,7 @@
 	if got, err := readMeta(buf); got != m || err != nil || len(buf) > 512 {
 		t.Errorf("%+v, %v, %d bytes", got, err, len(buf))
 	}
-	l := life{Name: strings.Repeat("n", maxName), Incarnation: 2, Life: 3, Addr: strings.Repeat("a", maxAddr), State: Gone, Age: 4}
+	l := wireLife{Name: strings.Repeat("n", maxName), Incarnation: 2, Life: 3, Addr: strings.Repeat("a", maxAddr), State: Gone, Age: 4}
 	s := memory{From: "a"}
 	for range maxRecords {
 		s.Records = append(s.Records, l)
@@ -53,12 +53,12 @@
 		"member: meta: incarnation":     second(readMeta(wire(t, meta{Incarnation: 1 << 49}))),
 		"member: meta: cbor":            second(readMeta([]byte{1, 0x82, 1, 1})),
 		"member: state: from":           second(readMemory(wire(t, memory{From: long}))),
-		"member: state: name":           second(readMemory(wire(t, memory{Records: []life{{}}}))),
-		"member: state: state: alive":   second(readMemory(wire(t, memory{Records: []life{{Name: "a", State: Alive}}}))),
-		"member: state: state: 9":       second(readMemory(wire(t, memory{Records: []life{{Name: "a", State: 9}}}))),
-		"member: state: addr":           second(readMemory(wire(t, memory{Records: []life{{Name: "a", Addr: long}}}))),
-		"member: state: incarnation":    second(readMemory(wire(t, memory{Records: []life{{Name: "a", Incarnation: 1 << 60}}}))),
-		"member: state: cbor":           second(readMemory(wire(t, memory{Records: make([]life, maxRecords+1)}))),
+		"member: state: name":           second(readMemory(wire(t, memory{Records: []wireLife{{}}}))),
+		"member: state: state: alive":   second(readMemory(wire(t, memory{Records: []wireLife{{Name: "a", State: Alive}}}))),
+		"member: state: state: 9":       second(readMemory(wire(t, memory{Records: []wireLife{{Name: "a", State: 9}}}))),
+		"member: state: addr":           second(readMemory(wire(t, memory{Records: []wireLife{{Name: "a", Addr: long}}}))),
+		"member: state: incarnation":    second(readMemory(wire(t, memory{Records: []wireLife{{Name: "a", Incarnation: 1 << 60}}}))),
+		"member: state: cbor":           second(readMemory(wire(t, memory{Records: make([]wireLife, maxRecords+1)}))),
 		"member: message: from":         second(readMessage(wire(t, message{}))),
 		"member: message: kind":         second(readMessage(wire(t, message{Kind: 7, From: "a"}))),
 		"member: message: about":        second(readMessage(wire(t, message{Kind: kindTold, From: "a"}))),
@@ -97,14 +97,14 @@
 }
 
 func FuzzState(f *testing.F) {
-	f.Add(wire(f, memory{From: "a", Records: []life{{Name: "b", Incarnation: 2, Life: 3, State: Dead, Age: 1 << 60}}}))
+	f.Add(wire(f, memory{From: "a", Records: []wireLife{{Name: "b", Incarnation: 2, Life: 3, State: Dead, Age: 1 << 60}}}))
 	f.Fuzz(func(t *testing.T, buf []byte) {
 		again(t, buf, readMemory)
 		if m, err := readMemory(buf); err == nil { // and a Roster bears it
 			r := NewRoster(0, testLimits, mem("me", 0, 7), &book{})
 			r.Settled(0)
 			for i := range m.Records {
-				r.Hearsay(sec, m.From, []Record{m.Records[i].record(sec)})
+				r.Hearsay(sec, m.From, []Record{m.Records[i].toRecord(sec)})
 			}
 		}
 	})
@@ -112,13 +112,13 @@
 
 func FuzzMessage(f *testing.F) {
 	f.Add(wire(f, message{From: "a", Incarnation: 1, Life: 2, Payload: []byte("x")}))
-	f.Add(wire(f, message{Kind: kindTold, From: "a", About: &life{Name: "b"}}))
+	f.Add(wire(f, message{Kind: kindTold, From: "a", About: &wireLife{Name: "b"}}))
 	f.Fuzz(func(t *testing.T, buf []byte) {
 		again(t, buf, readMessage)
 		if m, err := readMessage(buf); err == nil && m.About != nil {
 			r := NewRoster(0, testLimits, mem("me", 0, 7), &book{})
 			r.Settled(0)
-			r.Told(sec, m.From, m.About.record(sec))
+			r.Told(sec, m.From, m.About.toRecord(sec))
 		}
 	})
 }
