--- a/fleet/agree/agree_test.go
+++ b/fleet/agree/agree_test.go
@@ -53,7 +53,7 @@
 	for _, n := range c.nodes {
 		n.machine = func() Machine {
 			return hooked{register.New(), func(entry []byte) {
-				if bytes.Equal(entry, marked) && n.voter.Leading() {
+				if bytes.Equal(entry, marked) && n.voter.leading() {
 					once.Do(func() {
 						n.server.Close() // the asker is without an answer from here on
 						dead <- n
@@ -85,30 +85,30 @@
 	c := newCluster(t, 3, newRegister, nil).start()
 	v := c.leader().voter
 	ctx := within(t)
-	session, err := v.Open(ctx)
+	session, err := v.openSession(ctx)
 	if err != nil {
 		t.Fatal(err)
 	}
-	ask := Ask{Session: session, Seq: 1, Entry: register.Add(0, 5)}
-	first, index, err := v.Propose(ctx, ask)
+	ask := sessionEntry{Session: session, Seq: 1, Entry: register.Add(0, 5)}
+	first, index, err := v.propose(ctx, ask)
 	value(t, first, err)
 	for range 3 {
-		again, at, err := v.Propose(ctx, ask)
+		again, at, err := v.propose(ctx, ask)
 		if value(t, again, err) != 5 || at != index {
 			t.Fatalf("again: %v at %d, first %v at %d", again, at, first, index)
 		}
 	}
 	for _, x := range []struct {
-		ask  Ask
+		ask  sessionEntry
 		want error
 	}{
-		{Ask{Session: session, Seq: 2, Done: 1, Entry: register.Add(0, 1)}, nil},
+		{sessionEntry{Session: session, Seq: 2, Done: 1, Entry: register.Add(0, 1)}, nil},
 		{ask, ErrStale},
-		{Ask{Session: session, Entry: ask.Entry}, ErrStale},
-		{Ask{Session: 1 << 40, Seq: 1, Entry: ask.Entry}, ErrSession},
-		{Ask{Session: session, Seq: 3, Entry: make([]byte, MaxEntry+1)}, ErrTooLong},
+		{sessionEntry{Session: session, Entry: ask.Entry}, ErrStale},
+		{sessionEntry{Session: 1 << 40, Seq: 1, Entry: ask.Entry}, ErrSession},
+		{sessionEntry{Session: session, Seq: 3, Entry: make([]byte, MaxEntry+1)}, ErrTooLong},
 	} {
-		if _, _, err := v.Propose(ctx, x.ask); !errors.Is(err, x.want) {
+		if _, _, err := v.propose(ctx, x.ask); !errors.Is(err, x.want) {
 			t.Errorf("%d/%d: %v, not %v", x.ask.Session, x.ask.Seq, err, x.want)
 		}
 	}
@@ -130,10 +130,10 @@
 		n.setCut(true)
 	}
 	// The cut leader, asked directly, grants nothing.
-	if _, _, err := lead.voter.Propose(within(t), Ask{Session: 1, Seq: 1, Entry: register.Add(0, 1)}); err == nil {
+	if _, _, err := lead.voter.propose(within(t), sessionEntry{Session: 1, Seq: 1, Entry: register.Add(0, 1)}); err == nil {
 		t.Fatal("a leader cut off agreed to an ask")
 	}
-	if _, _, err := lead.voter.Read(within(t), register.Get(0)); err == nil {
+	if _, _, err := lead.voter.read(within(t), register.Get(0)); err == nil {
 		t.Fatal("a leader cut off answered a read")
 	}
 	if got := c.add(k, 1); got != 2 {
@@ -144,15 +144,15 @@
 	third.setCut(true)
 	ctx, cancel := context.WithTimeout(context.Background(), 5*heartbeat)
 	defer cancel()
-	asking := k.Prepare(register.Add(0, 1))
-	defer asking.Drop()
-	if _, _, err := asking.Do(ctx); err == nil {
+	asking := k.prepare(register.Add(0, 1))
+	defer asking.drop()
+	if _, _, err := asking.do(ctx); err == nil {
 		t.Fatal("two of five agreed")
 	}
 	for _, n := range append(cut, third) {
 		n.setCut(false)
 	}
-	answer, _, err := asking.Do(within(t))
+	answer, _, err := asking.do(within(t))
 	if got := value(t, answer, err); got != 3 {
 		t.Fatalf("all back: %d, not 3", got)
 	}
@@ -200,7 +200,7 @@
 }
 
 // faulty makes a store fail from some write on, before or after it is on disk.
-func faulty(s *Store, after bool) (arm func()) {
+func faulty(s *logStore, after bool) (arm func()) {
 	var armed bool
 	var mu sync.Mutex
 	s.update = func(f func(*bbolt.Tx) error) error {
@@ -228,7 +228,7 @@
 		c := newCluster(t, 3, newRegister, nil)
 		arms := map[*node]func(){}
 		for _, n := range c.nodes {
-			n.fault = func(s *Store) { arms[n] = faulty(s, after) }
+			n.fault = func(s *logStore) { arms[n] = faulty(s, after) }
 		}
 		c.start()
 		k := c.client()
@@ -240,7 +240,7 @@
 				t.Fatalf("after=%v: %d, not %d", after, got, sum)
 			}
 			<-lead.voter.Over()
-			if err := lead.voter.Err(); err == nil || !bytes.Contains([]byte(err.Error()), []byte("no space")) {
+			if err := lead.voter.cause(); err == nil || !bytes.Contains([]byte(err.Error()), []byte("no space")) {
 				t.Fatalf("after=%v: ended with %v", after, err)
 			}
 			lead.stop()
@@ -260,7 +260,7 @@
 	c := newCluster(t, 3, newRegister, nil)
 	arms := map[*node]func(){}
 	for _, n := range c.nodes {
-		n.fault = func(s *Store) { arms[n] = faulty(s, false) }
+		n.fault = func(s *logStore) { arms[n] = faulty(s, false) }
 	}
 	c.start()
 	k := c.client()
@@ -278,7 +278,7 @@
 	// Of the two left one asks for a vote first; without it there is no second.
 	await(t, "the end of one", func() bool {
 		for _, n := range c.nodes {
-			if n != lead && n.voter.Err() != nil {
+			if n != lead && n.voter.cause() != nil {
 				return true
 			}
 		}
@@ -314,7 +314,7 @@
 		t.Fatal(err)
 	}
 	<-lost.voter.Over()
-	if err := lost.voter.Err(); !errors.Is(err, errLost) {
+	if err := lost.voter.cause(); !errors.Is(err, errLost) {
 		t.Fatalf("ended with %v", err)
 	}
 	lost.stop()
@@ -336,7 +336,7 @@
 		t.Fatal(err)
 	}
 	<-lead.voter.Over()
-	if err := lead.voter.Err(); !errors.Is(err, errRemoved) {
+	if err := lead.voter.cause(); !errors.Is(err, errRemoved) {
 		t.Fatalf("removed leader ended with %v", err)
 	}
 	if got := c.add(k, 1); got != 8 {
@@ -355,7 +355,7 @@
 	}, func(cfg *Config) { cfg.Inbox = 2 }).start()
 	v := c.leader().voter
 	ctx, cancel := context.WithCancel(context.Background())
-	session, err := v.Open(ctx)
+	session, err := v.openSession(ctx)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -363,12 +363,12 @@
 	saw := make(chan error, 1024)
 	await(t, "busy", func() bool {
 		asks.Go(func() {
-			_, _, err := v.Propose(ctx, Ask{Session: session, Seq: 1, Entry: register.Add(0, 1)})
+			_, _, err := v.propose(ctx, sessionEntry{Session: session, Seq: 1, Entry: register.Add(0, 1)})
 			saw <- err
 		})
 		select {
 		case err := <-saw:
-			var busy *BusyError
+			var busy *busyError
 			if !errors.As(err, &busy) || busy.ComeBack <= 0 {
 				t.Fatalf("%v, not busy", err)
 			}
@@ -381,7 +381,7 @@
 	close(hold)
 	asks.Wait()
 	c.nodes[0].stop()
-	if _, _, err := v.Propose(within(t), Ask{Session: session, Seq: 1}); !errors.Is(err, ErrShutdown) {
+	if _, _, err := v.propose(within(t), sessionEntry{Session: session, Seq: 1}); !errors.Is(err, ErrShutdown) {
 		t.Fatalf("after its end: %v", err)
 	}
 }
@@ -419,11 +419,11 @@
 	c := newCluster(t, 3, newRegister, nil).start()
 	k := c.client()
 	ctx, cancel := context.WithCancel(within(t))
-	var got []Effect
+	var got []effect
 	var seen sync.WaitGroup
 	const all = 300
 	seen.Go(func() {
-		err := k.Subscribe(ctx, 1, func(e Effect) error {
+		err := k.subscribe(ctx, 1, func(e effect) error {
 			if got = append(got, e); len(got) == all {
 				cancel()
 			}
@@ -434,11 +434,11 @@
 		}
 	})
 	asker := c.client()
-	var want []Effect
+	var want []effect
 	for i := range all {
 		answer, index, err := asker.Ask(within(t), register.Add(0, 1))
 		value(t, answer, err)
-		want = append(want, Effect{index, answer})
+		want = append(want, effect{index, answer})
 		if i == all/2 {
 			lead := c.leader()
 			lead.stop()
@@ -460,8 +460,8 @@
 	v.fsm.mu.Lock()
 	v.fsm.droppedTo = 100
 	v.fsm.mu.Unlock()
-	var gone *GoneError
-	if _, _, err := v.Effects(100, 1); !errors.As(err, &gone) || gone.Oldest != 101 {
+	var gone *goneError
+	if _, _, err := v.effects(100, 1); !errors.As(err, &gone) || gone.Oldest != 101 {
 		t.Fatalf("effects lost: %v", err)
 	}
 }
--- a/fleet/agree/backoff.go
+++ b/fleet/agree/backoff.go
@@ -19,7 +19,7 @@
 	bound := min(b.cfg.Backoff<<min(b.tries, 16), b.cfg.Longest)
 	b.tries++
 	wait := bound/2 + rand.N(bound/2+1)
-	var busy *BusyError
+	var busy *busyError
 	if errors.As(err, &busy) {
 		wait = busy.ComeBack + rand.N(busy.ComeBack/2+1)
 	}
--- a/fleet/agree/client.go
+++ b/fleet/agree/client.go
@@ -126,8 +126,8 @@
 		if err == nil {
 			return r, nil
 		}
-		var notLeader *NotLeaderError
-		var busy *BusyError
+		var notLeader *notLeaderError
+		var busy *busyError
 		switch {
 		case errors.As(err, &notLeader), errors.As(err, &busy), errors.Is(err, ErrShutdown):
 			if c.isClosed() {
--- a/fleet/agree/client_ask.go
+++ b/fleet/agree/client_ask.go
@@ -5,15 +5,15 @@
 	"errors"
 )
 
-// Ask has an entry agreed once: Prepare, Do and Drop.
+// Ask has an entry agreed once: prepare, do and drop.
 func (c *Client) Ask(ctx context.Context, entry []byte) (answer []byte, index uint64, err error) {
-	a := c.Prepare(entry)
-	defer a.Drop()
-	return a.Do(ctx)
+	a := c.prepare(entry)
+	defer a.drop()
+	return a.do(ctx)
 }
 
-// Asking is one ask, which may be asked any number of times. It is for one goroutine.
-type Asking struct {
+// clientAsk is one ask, which may be asked any number of times. It is for one goroutine.
+type clientAsk struct {
 	client  *Client
 	entry   []byte
 	session uint64 // 0: not asked yet
@@ -21,15 +21,15 @@
 	unknown bool // a try may have been applied
 }
 
-// Prepare returns an ask that nobody has been asked yet. Drop it at the end.
-func (c *Client) Prepare(entry []byte) *Asking { return &Asking{client: c, entry: entry} }
+// prepare returns an ask that nobody has been asked yet. Drop it at the end.
+func (c *Client) prepare(entry []byte) *clientAsk { return &clientAsk{client: c, entry: entry} }
 
-// Do asks, again and again under the same sequence, until it knows or ctx is
+// do asks, again and again under the same sequence, until it knows or ctx is
 // over, and returns the machine's answer and the index at which the entry was
-// applied. ErrUnknown says that it may be applied, now or later: only another Do
+// applied. ErrUnknown says that it may be applied, now or later: only another do
 // tells. ErrSession says that it may have been and that nobody can tell any more.
 // After any other error it isn't and won't be applied by the tries so far.
-func (a *Asking) Do(ctx context.Context) (answer []byte, index uint64, err error) {
+func (a *clientAsk) do(ctx context.Context) (answer []byte, index uint64, err error) {
 	if len(a.entry) > MaxEntry {
 		return nil, 0, ErrTooLong
 	}
@@ -62,20 +62,20 @@
 		if a.unknown {
 			return nil, 0, ErrSession
 		}
-		a.Drop()
+		a.drop()
 	}
 }
 
 // orUnknown is err, or ErrUnknown if a try may have been applied.
-func (a *Asking) orUnknown(err error) error {
+func (a *clientAsk) orUnknown(err error) error {
 	if a.unknown {
 		return ErrUnknown
 	}
 	return err
 }
 
-// Drop says that the answer is not asked for any more.
-func (a *Asking) Drop() {
+// drop says that the answer is not asked for any more.
+func (a *clientAsk) drop() {
 	if a.session != 0 {
 		a.client.releaseSeq(a.seq)
 		a.session = 0
--- a/fleet/agree/client_connect.go
+++ b/fleet/agree/client_connect.go
@@ -60,7 +60,7 @@
 
 // switchVoter goes to another voter if err says that l's is not the one to ask.
 func (c *Client) switchVoter(l *clientConn, err error) {
-	var notLeader *NotLeaderError
+	var notLeader *notLeaderError
 	next := -1
 	switch {
 	case errors.As(err, &notLeader):
--- a/fleet/agree/client_subscribe.go
+++ b/fleet/agree/client_subscribe.go
@@ -5,15 +5,15 @@
 	"errors"
 )
 
-// Subscribe calls f with each effect from an index on, in order and once, until
-// f returns an error or ctx is over. On a *GoneError read the state, and subscribe
+// subscribe calls f with each effect from an index on, in order and once, until
+// f returns an error or ctx is over. On a *goneError read the state, and subscribe
 // from the index after the one that it was read at.
-func (c *Client) Subscribe(ctx context.Context, from uint64, f func(Effect) error) error {
+func (c *Client) subscribe(ctx context.Context, from uint64, f func(effect) error) error {
 	wait := backoff{cfg: &c.cfg}
 	for {
 		before := from
 		err := c.subscribeOnce(ctx, &from, f)
-		var gone *GoneError
+		var gone *goneError
 		var own *callerError
 		switch {
 		case errors.As(err, &own):
@@ -33,7 +33,7 @@
 // callerError is an error of the caller's own function.
 type callerError struct{ error }
 
-func (c *Client) subscribeOnce(ctx context.Context, from *uint64, f func(Effect) error) error {
+func (c *Client) subscribeOnce(ctx context.Context, from *uint64, f func(effect) error) error {
 	l, err := c.connect(ctx)
 	if err != nil {
 		return err
@@ -56,7 +56,7 @@
 			if r.Index < *from {
 				continue
 			}
-			if err := f(Effect{r.Index, r.Body}); err != nil {
+			if err := f(effect{r.Index, r.Body}); err != nil {
 				return &callerError{err}
 			}
 			*from = r.Index + 1
--- a/fleet/agree/cluster_test.go
+++ b/fleet/agree/cluster_test.go
@@ -55,7 +55,7 @@
 	cfg     Config
 	ask     string // for askers
 	machine func() Machine
-	fault   func(*Store) // put into the store before it is used
+	fault   func(*logStore) // put into the store before it is used
 
 	mu    sync.Mutex
 	cut   bool
@@ -129,7 +129,7 @@
 	cfg := n.cfg
 	cfg.layer = &layer{ln, n}
 	if n.fault != nil {
-		if cfg.store, err = OpenStore(cfg.Dir); err != nil {
+		if cfg.store, err = openStore(cfg.Dir); err != nil {
 			ln.Close()
 			return err
 		}
@@ -206,7 +206,7 @@
 	c.t.Helper()
 	await(c.t, "a leader", func() bool {
 		for _, n := range c.nodes {
-			if n.voter != nil && !n.isCut() && n.voter.Leading() {
+			if n.voter != nil && !n.isCut() && n.voter.leading() {
 				found = n
 				return true
 			}
--- a/fleet/agree/config.go
+++ b/fleet/agree/config.go
@@ -44,7 +44,7 @@
 	SnapshotCheck time.Duration // how often the entries are counted; 0: 2 min
 
 	layer raft.StreamLayer // in place of a TCP listener, in tests
-	store *Store           // opened already, in tests
+	store *logStore        // opened already, in tests
 }
 
 // Check fills in defaults and says what is wrong, naming the key.
--- a/fleet/agree/entry.go
+++ b/fleet/agree/entry.go
@@ -20,9 +20,9 @@
 
 func (k entryKind) String() string { return [...]string{"open", "ask", "tick"}[k] }
 
-// Ask is one entry that an asker wants to be agreed.
-type Ask struct {
-	Session uint64 // as Voter.Open gave it
+// sessionEntry is one entry that an asker wants to be agreed.
+type sessionEntry struct {
+	Session uint64 // as Voter.openSession returned it
 	Seq     uint64 // of the session, from 1; the same each time this is asked again
 	Done    uint64 // answers to this and all lower sequences have been had
 	Entry   []byte // for the machine, MaxEntry bytes at most
@@ -31,8 +31,8 @@
 // command is what the log holds.
 type command struct {
 	kind entryKind
-	term uint64 // of a tick
-	ask  Ask    // a tick has its entry alone
+	term uint64       // of a tick
+	ask  sessionEntry // a tick has its entry alone
 }
 
 const commandHeaderSize = 1 + 1 + 4*8
--- a/fleet/agree/errors.go
+++ b/fleet/agree/errors.go
@@ -31,32 +31,32 @@
 	ErrTooLong = fmt.Errorf("agree: longer than %d bytes", MaxEntry)
 )
 
-// NotLeaderError is returned by a voter that doesn't lead. The ask was not proposed.
-type NotLeaderError struct {
+// notLeaderError is returned by a voter that doesn't lead. The ask was not proposed.
+type notLeaderError struct {
 	Leader string // where the leader is to be asked; empty: not known
 }
 
-func (e *NotLeaderError) Error() string {
+func (e *notLeaderError) Error() string {
 	if e.Leader == "" {
 		return "agree: not the leader, none known"
 	}
 	return "agree: not the leader, which is at " + e.Leader
 }
 
-// BusyError is returned when the inbox is full. The ask was not proposed.
-type BusyError struct {
+// busyError is returned when the inbox is full. The ask was not proposed.
+type busyError struct {
 	ComeBack time.Duration // after which to ask again
 }
 
-func (e *BusyError) Error() string { return fmt.Sprintf("agree: busy, come back in %v", e.ComeBack) }
+func (e *busyError) Error() string { return fmt.Sprintf("agree: busy, come back in %v", e.ComeBack) }
 
-// GoneError is returned for effects that are not kept any more. Read the state,
+// goneError is returned for effects that are not kept any more. Read the state,
 // then subscribe from the index after the one that it was read at.
-type GoneError struct {
+type goneError struct {
 	Oldest uint64 // index from which on effects are kept
 }
 
-func (e *GoneError) Error() string {
+func (e *goneError) Error() string {
 	return fmt.Sprintf("agree: effects before %d are not kept", e.Oldest)
 }
 
@@ -86,9 +86,9 @@
 // setError fills in the fields of r that say err.
 func (r *reply) setError(err error) {
 	var (
-		notLeader *NotLeaderError
-		busy      *BusyError
-		gone      *GoneError
+		notLeader *notLeaderError
+		busy      *busyError
+		gone      *goneError
 	)
 	switch {
 	case err == nil:
@@ -115,12 +115,12 @@
 	case codeOK, codeMore:
 		return nil
 	case codeNotLeader:
-		return &NotLeaderError{Leader: r.Text}
+		return &notLeaderError{Leader: r.Text}
 	case codeBusy:
 		const longest = int64(time.Hour / time.Millisecond)
-		return &BusyError{ComeBack: time.Duration(min(max(r.ComeBack, 0), longest)) * time.Millisecond}
+		return &busyError{ComeBack: time.Duration(min(max(r.ComeBack, 0), longest)) * time.Millisecond}
 	case codeGone:
-		return &GoneError{Oldest: r.Index}
+		return &goneError{Oldest: r.Index}
 	case codeBad:
 		return fmt.Errorf("agree: refused: %.200q", r.Text)
 	}
--- a/fleet/agree/form.go
+++ b/fleet/agree/form.go
@@ -49,7 +49,7 @@
 )
 
 // identity reads who the store belongs to, or makes it this voter's.
-func (s *Store) identity(cfg *Config) (h hello, err error) {
+func (s *logStore) identity(cfg *Config) (h hello, err error) {
 	text, err := s.Get(keySelf)
 	if err != nil {
 		return h, err
@@ -77,7 +77,7 @@
 	return h, nil
 }
 
-func (s *Store) setSelf(h *hello) error {
+func (s *logStore) setSelf(h *hello) error {
 	text, err := encMode.Marshal(h)
 	if err != nil {
 		return err
@@ -86,7 +86,7 @@
 }
 
 // setFormed writes down that the voter takes part from here on.
-func (s *Store) setFormed(h *hello, lives map[string]uint64) error {
+func (s *logStore) setFormed(h *hello, lives map[string]uint64) error {
 	h.Formed, h.Member = lives, true
 	return s.setSelf(h)
 }
--- a/fleet/agree/fsm.go
+++ b/fleet/agree/fsm.go
@@ -15,10 +15,10 @@
 	maxEffectsBytes = 4 << 20
 )
 
-// Effect is an answer of the machine with the index of the entry that caused it,
+// effect is an answer of the machine with the index of the entry that caused it,
 // by which it is fenced: of two effects on one thing the one with the higher
 // index holds.
-type Effect struct {
+type effect struct {
 	Index  uint64 `cbor:"1,keyasint"`
 	Answer []byte `cbor:"2,keyasint"`
 }
@@ -40,7 +40,7 @@
 	machine     Machine
 	sessions    *sessions
 	applied     uint64        // index of the last command
-	effects     []Effect      // the latest, ascending
+	effects     []effect      // the latest, ascending
 	effectBytes int           // of the effects
 	droppedTo   uint64        // effects up to this index are not kept
 	more        chan struct{} // closed when there are more
@@ -70,7 +70,7 @@
 	f.applied = l.Index
 	apply := func() []byte {
 		answer := f.machine.Apply(l.Index, c.ask.Entry)
-		f.appendEffect(Effect{l.Index, answer})
+		f.appendEffect(effect{l.Index, answer})
 		return answer
 	}
 	switch c.kind {
@@ -90,7 +90,7 @@
 	return decision{index: l.Index}
 }
 
-func (f *fsm) appendEffect(e Effect) {
+func (f *fsm) appendEffect(e effect) {
 	if len(e.Answer) == 0 {
 		return
 	}
@@ -115,17 +115,17 @@
 // effectsFrom returns up to limit effects with an index from the given one on, and a
 // channel that is closed when there are more. An error says that some of them
 // are not kept any more.
-func (f *fsm) effectsFrom(from uint64, limit int) ([]Effect, <-chan struct{}, error) {
+func (f *fsm) effectsFrom(from uint64, limit int) ([]effect, <-chan struct{}, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if from <= f.droppedTo {
-		return nil, nil, &GoneError{Oldest: f.droppedTo + 1}
+		return nil, nil, &goneError{Oldest: f.droppedTo + 1}
 	}
-	var found []Effect
+	var found []effect
 	for i := len(f.effects); i > 0 && f.effects[i-1].Index >= from; i-- {
 		found = f.effects[i-1:]
 	}
-	return append([]Effect(nil), found[:min(limit, len(found))]...), f.more, nil
+	return append([]effect(nil), found[:min(limit, len(found))]...), f.more, nil
 }
 
 // query asks the machine, and tells the index up to which it has applied.
--- a/fleet/agree/history_test.go
+++ b/fleet/agree/history_test.go
@@ -235,7 +235,7 @@
 		for i, n := range c.nodes {
 			lose(t, n.cfg.Dir, 15)
 			if i == 0 {
-				if _, err := OpenStore(n.cfg.Dir); err == nil {
+				if _, err := openStore(n.cfg.Dir); err == nil {
 					t.Error("a store that lost its last records is opened")
 				}
 			}
--- a/fleet/agree/proposal.go
+++ b/fleet/agree/proposal.go
@@ -29,21 +29,21 @@
 	future   raft.Future
 }
 
-// Open opens a session for asks. Its name is the index of the entry that did.
+// openSession opens a session for asks. Its name is the index of the entry that did.
 // After ErrUnknown it may just be opened again: what is not used is forgotten.
-func (v *Voter) Open(ctx context.Context) (session uint64, err error) {
+func (v *Voter) openSession(ctx context.Context) (session uint64, err error) {
 	_, session, err = v.await(&proposal{ctx: ctx, data: (&command{kind: kindOpen}).encode()})
 	return session, err
 }
 
-// Propose asks that an entry be agreed, and returns the machine's answer and the
+// propose asks that an entry be agreed, and returns the machine's answer and the
 // index at which it was applied. An ask with the session and sequence of one that
 // was applied before gets the answer and index of that time.
 //
 // The errors that say that this try is not and will not be applied are
-// *NotLeaderError, *BusyError, ErrShutdown, ErrSession, ErrStale, ErrCrowded and
+// *notLeaderError, *busyError, ErrShutdown, ErrSession, ErrStale, ErrCrowded and
 // ErrTooLong. ErrUnknown says that it may have been or may yet be.
-func (v *Voter) Propose(ctx context.Context, a Ask) (answer []byte, index uint64, err error) {
+func (v *Voter) propose(ctx context.Context, a sessionEntry) (answer []byte, index uint64, err error) {
 	if len(a.Entry) > MaxEntry {
 		return nil, 0, ErrTooLong
 	}
@@ -53,24 +53,24 @@
 	return v.await(&proposal{ctx: ctx, data: (&command{kind: kindAsk, ask: a}).encode()})
 }
 
-// Read asks the machine, which is a Querier, and returns its answer with the
+// read asks the machine, which is a Querier, and returns its answer with the
 // index up to which it had applied. The answer holds all that was agreed before
-// Read was called.
+// read was called.
 //
 // It appends a barrier to the log. Raft's VerifyLeader, which only waits for
 // heartbeats, would do without, but takes answers to those that were under way
 // before: a leader resumed after a stop could be confirmed by one from before it.
-func (v *Voter) Read(ctx context.Context, query []byte) (answer []byte, index uint64, err error) {
+func (v *Voter) read(ctx context.Context, query []byte) (answer []byte, index uint64, err error) {
 	if len(query) > MaxEntry {
 		return nil, 0, ErrTooLong
 	}
 	return v.await(&proposal{ctx: ctx, read: true, data: query})
 }
 
-// Add makes the voter name at address one of the set, at once: it counts for
+// addVoter makes the voter name at address one of the set, at once: it counts for
 // majorities while it is still being sent the log. It has been started with
 // Config.Join.
-func (v *Voter) Add(ctx context.Context, name, address string) error {
+func (v *Voter) addVoter(ctx context.Context, name, address string) error {
 	if name == "" || address == "" {
 		return errors.New("agree: add: name or address empty")
 	}
@@ -80,19 +80,19 @@
 	return err
 }
 
-// Remove takes the voter name out of the set for good: it must not come back by
+// removeVoter takes the voter name out of the set for good: it must not come back by
 // this name.
-func (v *Voter) Remove(ctx context.Context, name string) error {
+func (v *Voter) removeVoter(ctx context.Context, name string) error {
 	_, _, err := v.await(&proposal{ctx: ctx, admin: func(r *raft.Raft) raft.Future {
 		return r.RemoveServer(raft.ServerID(name), 0, v.cfg.Heartbeat)
 	}})
 	return err
 }
 
-// Effects returns up to limit effects with an index from the given one on, and a
-// channel that is closed when there are more. A *GoneError says that some are not
+// effects returns up to limit effects with an index from the given one on, and a
+// channel that is closed when there are more. A *goneError says that some are not
 // kept. Any voter tells them; one that is cut off tells late.
-func (v *Voter) Effects(from uint64, limit int) ([]Effect, <-chan struct{}, error) {
+func (v *Voter) effects(from uint64, limit int) ([]effect, <-chan struct{}, error) {
 	return v.fsm.effectsFrom(max(from, 1), limit)
 }
 
@@ -103,7 +103,7 @@
 		case <-v.ended:
 			return nil, 0, ErrShutdown
 		default:
-			return nil, 0, &NotLeaderError{}
+			return nil, 0, &notLeaderError{}
 		}
 	}
 	if r.State() != raft.Leader { // known without a place in the inbox
@@ -113,7 +113,7 @@
 	select {
 	case v.inbox <- p:
 	default:
-		return nil, 0, &BusyError{v.cfg.ComeBack}
+		return nil, 0, &busyError{v.cfg.ComeBack}
 	}
 	select {
 	case r := <-p.reply:
@@ -184,7 +184,7 @@
 	case errors.Is(err, raft.ErrNotLeader), errors.Is(err, raft.ErrLeadershipTransferInProgress):
 		return result{err: v.notLeader()}
 	case errors.Is(err, raft.ErrEnqueueTimeout):
-		return result{err: &BusyError{v.cfg.ComeBack}}
+		return result{err: &busyError{v.cfg.ComeBack}}
 	case w.proposal.admin != nil:
 		return result{err: fmt.Errorf("agree: %w", err)}
 	default:
--- a/fleet/agree/server.go
+++ b/fleet/agree/server.go
@@ -118,7 +118,7 @@
 // rejectBusy tells busy. A fresh connection takes one small frame without waiting.
 func (s *Server) rejectBusy(c net.Conn) {
 	r := &reply{}
-	r.setError(&BusyError{s.voter.cfg.ComeBack})
+	r.setError(&busyError{s.voter.cfg.ComeBack})
 	if frame, err := encodeFrame(r); err == nil {
 		c.SetWriteDeadline(time.Now().Add(10 * time.Millisecond))
 		c.Write(frame)
@@ -170,7 +170,7 @@
 		case p.slots <- struct{}{}:
 		default:
 			r := &reply{ID: q.ID}
-			r.setError(&BusyError{s.voter.cfg.ComeBack})
+			r.setError(&busyError{s.voter.cfg.ComeBack})
 			p.send(r)
 			continue
 		}
@@ -211,15 +211,15 @@
 		h := p.voter.hello()
 		r.Hello = &h
 	case requestOpen:
-		r.Index, err = p.voter.Open(ctx)
+		r.Index, err = p.voter.openSession(ctx)
 	case requestAsk:
-		r.Body, r.Index, err = p.voter.Propose(ctx, Ask{q.Session, q.Seq, q.Done, q.Body})
+		r.Body, r.Index, err = p.voter.propose(ctx, sessionEntry{q.Session, q.Seq, q.Done, q.Body})
 	case requestRead:
-		r.Body, r.Index, err = p.voter.Read(ctx, q.Body)
+		r.Body, r.Index, err = p.voter.read(ctx, q.Body)
 	case requestAdd:
-		err = p.voter.Add(ctx, q.Name, q.Address)
+		err = p.voter.addVoter(ctx, q.Name, q.Address)
 	case requestRemove:
-		err = p.voter.Remove(ctx, q.Name)
+		err = p.voter.removeVoter(ctx, q.Name)
 	default:
 		err = errors.New("agree: kind of request not known")
 	}
@@ -233,8 +233,8 @@
 	const batch = 64
 	check := time.NewTicker(p.voter.cfg.Heartbeat)
 	defer check.Stop()
-	for p.voter.Fresh() {
-		effects, more, err := p.voter.Effects(from, batch)
+	for p.voter.inTouch() {
+		effects, more, err := p.voter.effects(from, batch)
 		if err != nil {
 			r := &reply{ID: id}
 			r.setError(err)
@@ -259,6 +259,6 @@
 		}
 	}
 	r := &reply{ID: id}
-	r.setError(&NotLeaderError{})
+	r.setError(&notLeaderError{})
 	p.send(r)
 }
--- a/fleet/agree/session.go
+++ b/fleet/agree/session.go
@@ -62,7 +62,7 @@
 }
 
 // applyOnce answers an ask, by apply if it has not been applied before.
-func (s *sessions) applyOnce(index uint64, a *Ask, apply func() []byte) (heldAnswer, outcome) {
+func (s *sessions) applyOnce(index uint64, a *sessionEntry, apply func() []byte) (heldAnswer, outcome) {
 	e := s.byID[a.Session]
 	if e == nil {
 		return heldAnswer{}, outcomeUnknownSession
--- a/fleet/agree/session_test.go
+++ b/fleet/agree/session_test.go
@@ -149,7 +149,7 @@
 func TestCommands(t *testing.T) {
 	m := &counting{applied: map[string]int{}}
 	f := newFSM(m)
-	tick := command{kind: kindTick, term: 3, ask: Ask{Entry: []byte("t")}}
+	tick := command{kind: kindTick, term: 3, ask: sessionEntry{Entry: []byte("t")}}
 	f.Apply(&raft.Log{Index: 1, Term: 3, Data: tick.encode()})
 	f.Apply(&raft.Log{Index: 2, Term: 5, Data: tick.encode()})
 	if m.n != 1 {
@@ -172,14 +172,14 @@
 func TestEffectsBound(t *testing.T) {
 	f := newFSM(&counting{applied: map[string]int{}})
 	for i := range uint64(maxEffects + 10) {
-		f.appendEffect(Effect{i + 1, []byte{1}})
+		f.appendEffect(effect{i + 1, []byte{1}})
 	}
 	if len(f.effects) != maxEffects || f.droppedTo != 10 {
 		t.Fatalf("%d effects, %d lost", len(f.effects), f.droppedTo)
 	}
 	big := make([]byte, 1<<20)
 	for i := range uint64(10) {
-		f.appendEffect(Effect{maxEffects + 11 + i, big})
+		f.appendEffect(effect{maxEffects + 11 + i, big})
 	}
 	if f.effectBytes > maxEffectsBytes {
 		t.Fatalf("%d bytes", f.effectBytes)
@@ -191,7 +191,7 @@
 }
 
 func FuzzCommand(f *testing.F) {
-	f.Add((&command{kind: kindAsk, ask: Ask{1, 2, 3, []byte("entry")}}).encode())
+	f.Add((&command{kind: kindAsk, ask: sessionEntry{1, 2, 3, []byte("entry")}}).encode())
 	f.Add([]byte{1})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if c, err := decodeCommand(b); err == nil && !bytes.Equal(c.encode(), b) {
@@ -203,7 +203,7 @@
 func FuzzSnapshot(f *testing.F) {
 	one := newFSM(&counting{applied: map[string]int{}})
 	one.Apply(&raft.Log{Index: 1, Data: (&command{}).encode()})
-	one.Apply(&raft.Log{Index: 2, Data: (&command{kind: kindAsk, ask: Ask{1, 1, 0, []byte("e")}}).encode()})
+	one.Apply(&raft.Log{Index: 2, Data: (&command{kind: kindAsk, ask: sessionEntry{1, 1, 0, []byte("e")}}).encode()})
 	s, _ := one.Snapshot()
 	f.Add([]byte(s.(snapshot)[1 : len(s.(snapshot))-4]))
 	f.Fuzz(func(t *testing.T, body []byte) {
--- a/fleet/agree/snapshot.go
+++ b/fleet/agree/snapshot.go
@@ -60,7 +60,7 @@
 
 // openSnapshots checks all snapshots in dir and that the log goes on from the
 // latest. Raft by itself would go back to an earlier one, or to none.
-func openSnapshots(dir string, store *Store, log hclog.Logger) (*raft.FileSnapshotStore, error) {
+func openSnapshots(dir string, store *logStore, log hclog.Logger) (*raft.FileSnapshotStore, error) {
 	snaps, err := raft.NewFileSnapshotStoreWithLogger(dir, 2, log)
 	if err != nil {
 		return nil, fmt.Errorf("store %s: %w", dir, err)
--- a/fleet/agree/store.go
+++ b/fleet/agree/store.go
@@ -33,14 +33,14 @@
 	castagnoli = crc32.MakeTable(crc32.Castagnoli)
 )
 
-// Store keeps raft's log, term and vote in one bbolt file. Each write is one
+// logStore keeps raft's log, term and vote in one bbolt file. Each write is one
 // transaction that is on disk (fsync) before it returns.
 //
-// Open reads the whole file and refuses one that is torn or spoilt: a voter
+// openStore reads the whole file and refuses one that is torn or spoilt: a voter
 // that has forgotten a vote or an entry it acknowledged could help to decide
 // the opposite. After a write that failed it isn't known what the disk holds,
-// so all later calls fail too and Failed tells; the next Open finds out.
-type Store struct {
+// so all later calls fail too and Failed tells; the next openStore finds out.
+type logStore struct {
 	path string
 	db   *bbolt.DB
 	lock *os.File
@@ -58,16 +58,16 @@
 	inRaft      bool   // raft runs: what it would panic on ends its goroutine
 }
 
-// OpenStore opens the store in the directory dir, which it makes if there is
+// openStore opens the store in the directory dir, which it makes if there is
 // none, checks it and locks it against other processes.
-func OpenStore(dir string) (*Store, error) { return openStore(dir, 0) }
+func openStore(dir string) (*logStore, error) { return openBoundedStore(dir, 0) }
 
-// openStore is OpenStore with a bound on the file's size in bytes; 0: none.
-func openStore(dir string, maxSize int) (_ *Store, err error) {
+// openBoundedStore is openStore with a bound on the file's size in bytes; 0: none.
+func openBoundedStore(dir string, maxSize int) (_ *logStore, err error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, fmt.Errorf("store: %w", err)
 	}
-	s := &Store{path: filepath.Join(dir, "raft.db"), failure: make(chan error, 1)}
+	s := &logStore{path: filepath.Join(dir, "raft.db"), failure: make(chan error, 1)}
 	defer func() {
 		if err != nil {
 			s.Close()
@@ -91,7 +91,7 @@
 }
 
 // createBuckets makes the two buckets of a new file.
-func (s *Store) createBuckets() error {
+func (s *logStore) createBuckets() error {
 	made := false
 	err := s.db.View(func(tx *bbolt.Tx) error {
 		made = tx.Bucket(bucketStable) != nil
@@ -113,7 +113,7 @@
 
 // lockDir takes the lock on the directory, which lasts until Close or until the
 // process ends.
-func (s *Store) lockDir(path string) error {
+func (s *logStore) lockDir(path string) error {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR|syscall.O_CLOEXEC, 0o600)
 	if err != nil {
 		return err
@@ -130,7 +130,7 @@
 }
 
 // Close gives the file and its lock free.
-func (s *Store) Close() error {
+func (s *logStore) Close() error {
 	var err error
 	if s.db != nil {
 		err = s.db.Close()
@@ -142,10 +142,10 @@
 }
 
 // Failed yields the error of the first write or read that failed.
-func (s *Store) Failed() <-chan error { return s.failure }
+func (s *logStore) Failed() <-chan error { return s.failure }
 
 // fail marks the store as unusable.
-func (s *Store) fail(err error) error {
+func (s *logStore) fail(err error) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.err == nil {
@@ -155,14 +155,14 @@
 	return s.err
 }
 
-func (s *Store) failed() error {
+func (s *logStore) failed() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.err
 }
 
 // enterRaft tells the store that raft calls it from here on.
-func (s *Store) enterRaft() {
+func (s *logStore) enterRaft() {
 	s.mu.Lock()
 	s.inRaft = true
 	s.mu.Unlock()
@@ -171,7 +171,7 @@
 // haltCaller ends the calling goroutine, which is one of raft's, instead of returning
 // an error that raft panics on. The voter sees Failed and shuts raft down. What
 // is deferred runs, so that asks under way are told that their leader is lost.
-func (s *Store) haltCaller(err error) error {
+func (s *logStore) haltCaller(err error) error {
 	s.mu.Lock()
 	strict := s.inRaft
 	s.mu.Unlock()
@@ -181,7 +181,7 @@
 	return err
 }
 
-func (s *Store) write(f func(*bbolt.Tx) error) error {
+func (s *logStore) write(f func(*bbolt.Tx) error) error {
 	if err := s.failed(); err != nil {
 		return err
 	}
@@ -197,7 +197,7 @@
 	return nil
 }
 
-func (s *Store) read(f func(*bbolt.Tx) error) error {
+func (s *logStore) read(f func(*bbolt.Tx) error) error {
 	if err := s.failed(); err != nil {
 		return err
 	}
--- a/fleet/agree/store_check.go
+++ b/fleet/agree/store_check.go
@@ -14,7 +14,7 @@
 )
 
 // check reads the whole file without writing to it.
-func (s *Store) check() error {
+func (s *logStore) check() error {
 	if info, err := os.Stat(s.path); errors.Is(err, os.ErrNotExist) || err == nil && info.Size() == 0 {
 		return nil
 	} else if err != nil {
@@ -35,7 +35,7 @@
 
 // checkRecords reads every record by the order of keys and by its key, and
 // compares the log's ends with those written down beside it.
-func (s *Store) checkRecords(tx *bbolt.Tx) error {
+func (s *logStore) checkRecords(tx *bbolt.Tx) error {
 	log, stable := tx.Bucket(bucketLog), tx.Bucket(bucketStable)
 	if log == nil && stable == nil && tx.ID() <= boltMade {
 		return nil // it ended before our first transaction
--- a/fleet/agree/store_log.go
+++ b/fleet/agree/store_log.go
@@ -10,17 +10,17 @@
 
 // IsMonotonic makes raft clear the log when it takes in a snapshot, so that the
 // log never has a gap and a missing entry is always a fault.
-func (s *Store) IsMonotonic() bool { return true }
+func (s *logStore) IsMonotonic() bool { return true }
 
 // FirstIndex is the index of the first log entry; 0 if there is none.
-func (s *Store) FirstIndex() (uint64, error) {
+func (s *logStore) FirstIndex() (uint64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.first, s.err
 }
 
 // LastIndex is the index of the last log entry; 0 if there is none.
-func (s *Store) LastIndex() (uint64, error) {
+func (s *logStore) LastIndex() (uint64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.last, s.err
@@ -28,7 +28,7 @@
 
 // GetLog reads the entry with an index into l. It returns raft.ErrLogNotFound
 // if there is none; any other error ends raft.
-func (s *Store) GetLog(index uint64, l *raft.Log) error {
+func (s *logStore) GetLog(index uint64, l *raft.Log) error {
 	err := s.read(func(tx *bbolt.Tx) error {
 		k := logKey(index)
 		v := tx.Bucket(bucketLog).Get(k)
@@ -47,10 +47,10 @@
 }
 
 // StoreLog appends one entry.
-func (s *Store) StoreLog(l *raft.Log) error { return s.StoreLogs([]*raft.Log{l}) }
+func (s *logStore) StoreLog(l *raft.Log) error { return s.StoreLogs([]*raft.Log{l}) }
 
 // StoreLogs appends entries, all or none.
-func (s *Store) StoreLogs(logs []*raft.Log) error {
+func (s *logStore) StoreLogs(logs []*raft.Log) error {
 	if len(logs) == 0 {
 		return nil
 	}
@@ -82,7 +82,7 @@
 }
 
 // DeleteRange deletes the entries from low to high at one end of the log.
-func (s *Store) DeleteRange(low, high uint64) error {
+func (s *logStore) DeleteRange(low, high uint64) error {
 	s.boundsMu.Lock()
 	defer s.boundsMu.Unlock()
 	first, last := s.bounds()
@@ -116,13 +116,13 @@
 	return err
 }
 
-func (s *Store) bounds() (first, last uint64) {
+func (s *logStore) bounds() (first, last uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.first, s.last
 }
 
-func (s *Store) setBounds(first, last uint64) {
+func (s *logStore) setBounds(first, last uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.first, s.last = first, last
--- a/fleet/agree/store_stable.go
+++ b/fleet/agree/store_stable.go
@@ -9,14 +9,14 @@
 )
 
 // Set keeps val under key.
-func (s *Store) Set(key, val []byte) error {
+func (s *logStore) Set(key, val []byte) error {
 	return s.write(func(tx *bbolt.Tx) error {
 		return tx.Bucket(bucketStable).Put(key, newRecord(bucketStable, key, val))
 	})
 }
 
 // Get is the value under key; empty if there is none.
-func (s *Store) Get(key []byte) (val []byte, err error) {
+func (s *logStore) Get(key []byte) (val []byte, err error) {
 	err = s.read(func(tx *bbolt.Tx) error {
 		text, err := recordPayload(bucketStable, key, tx.Bucket(bucketStable).Get(key))
 		val = bytes.Clone(text) // the map's memory ends with the transaction
@@ -26,7 +26,7 @@
 }
 
 // SetUint64 keeps val under key. Raft keeps its term so, and panics if it can't.
-func (s *Store) SetUint64(key []byte, val uint64) error {
+func (s *logStore) SetUint64(key []byte, val uint64) error {
 	if err := s.Set(key, binary.BigEndian.AppendUint64(nil, val)); err != nil {
 		return s.haltCaller(err)
 	}
@@ -34,7 +34,7 @@
 }
 
 // GetUint64 is the number under key; 0 if there is none.
-func (s *Store) GetUint64(key []byte) (uint64, error) {
+func (s *logStore) GetUint64(key []byte) (uint64, error) {
 	val, err := s.Get(key)
 	if err != nil || len(val) == 0 {
 		return 0, err
--- a/fleet/agree/store_test.go
+++ b/fleet/agree/store_test.go
@@ -15,8 +15,8 @@
 	"pgregory.net/rapid"
 )
 
-func mustOpen(t interface{ Fatal(...any) }, dir string) *Store {
-	s, err := OpenStore(dir)
+func mustOpen(t interface{ Fatal(...any) }, dir string) *logStore {
+	s, err := openStore(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -87,7 +87,7 @@
 		t.Run(x.name, func(t *testing.T) {
 			dir := filled(t, 20)
 			edit(t, dir, x.spoil)
-			_, err := OpenStore(dir)
+			_, err := openStore(dir)
 			want := fmt.Sprintf("store %s: %s", filepath.Join(dir, "raft.db"), x.want)
 			if err == nil || err.Error() != want {
 				t.Fatalf("%v, not %s", err, want)
@@ -112,7 +112,7 @@
 		if err := os.WriteFile(path, whole[:size], 0o600); err != nil {
 			t.Fatal(err)
 		}
-		_, err := OpenStore(dir)
+		_, err := openStore(dir)
 		if err == nil || !strings.Contains(err.Error(), "torn") {
 			t.Errorf("%d bytes: %v", size, err)
 		}
@@ -120,7 +120,7 @@
 }
 
 // contents is all that raft can read from a store.
-func contents(s *Store) string {
+func contents(s *logStore) string {
 	var b strings.Builder
 	first, _ := s.FirstIndex()
 	last, _ := s.LastIndex()
@@ -159,7 +159,7 @@
 		if err := os.WriteFile(path, spoilt, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		s, err := OpenStore(dir)
+		s, err := openStore(dir)
 		if err != nil {
 			refused++
 			continue
@@ -175,7 +175,7 @@
 func TestLockedStore(t *testing.T) {
 	dir := filled(t, 1)
 	s := mustOpen(t, dir)
-	if _, err := OpenStore(dir); err == nil || !strings.HasSuffix(err.Error(), "in use by another process") {
+	if _, err := openStore(dir); err == nil || !strings.HasSuffix(err.Error(), "in use by another process") {
 		t.Fatalf("opened twice: %v", err)
 	}
 	s.Close()
@@ -185,7 +185,7 @@
 // A file that can't grow fails the append, all after it, and nothing before it.
 func TestFullStore(t *testing.T) {
 	dir := t.TempDir()
-	s, err := openStore(dir, 256<<10)
+	s, err := openBoundedStore(dir, 256<<10)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/fleet/agree/tick.go
+++ b/fleet/agree/tick.go
@@ -25,5 +25,5 @@
 		t.term = term
 		return nil
 	}
-	return (&command{kind: kindTick, term: term, ask: Ask{Entry: t.newEntry(passed)}}).encode()
+	return (&command{kind: kindTick, term: term, ask: sessionEntry{Entry: t.newEntry(passed)}}).encode()
 }
--- a/fleet/agree/voter.go
+++ b/fleet/agree/voter.go
@@ -26,7 +26,7 @@
 	cfg   Config
 	log   *slog.Logger
 	hclog hclog.Logger
-	store *Store
+	store *logStore
 	snaps *raft.FileSnapshotStore
 	fsm   *fsm
 	self  hello // what it tells of itself while forming
@@ -56,7 +56,7 @@
 	}
 	store := cfg.store
 	if store == nil {
-		if store, err = OpenStore(cfg.Dir); err != nil {
+		if store, err = openStore(cfg.Dir); err != nil {
 			return nil, err
 		}
 	}
@@ -191,7 +191,7 @@
 
 // notLeader says where the leader is.
 func (v *Voter) notLeader() error {
-	e := &NotLeaderError{}
+	e := &notLeaderError{}
 	if r := v.running(); r != nil {
 		_, id := r.LeaderWithID()
 		for _, p := range v.cfg.Voters {
@@ -213,14 +213,14 @@
 	return v.raft
 }
 
-// Fresh tells whether this voter leads or has lately heard from who does.
-func (v *Voter) Fresh() bool {
+// inTouch tells whether this voter leads or has lately heard from who does.
+func (v *Voter) inTouch() bool {
 	r := v.running()
 	return r != nil && (r.State() == raft.Leader || time.Since(r.LastContact()) < 3*v.cfg.Heartbeat)
 }
 
-// Leading tells whether this voter believes that it leads.
-func (v *Voter) Leading() bool {
+// leading tells whether this voter believes that it leads.
+func (v *Voter) leading() bool {
 	r := v.running()
 	return r != nil && r.State() == raft.Leader
 }
@@ -230,14 +230,14 @@
 func (v *Voter) Stop(handOver bool) error {
 	v.stopOnce.Do(func() { v.stop <- handOver })
 	<-v.ended
-	return v.Err()
+	return v.cause()
 }
 
-// Over is closed when the voter has ended. Err says why.
+// Over is closed when the voter has ended. Stop returns why.
 func (v *Voter) Over() <-chan struct{} { return v.ended }
 
-// Err is why the voter ended by itself; nil if it was stopped or has not ended.
-func (v *Voter) Err() error {
+// cause is why the voter ended by itself; nil if it was stopped or has not ended.
+func (v *Voter) cause() error {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.err
--- a/fleet/agree/wire_test.go
+++ b/fleet/agree/wire_test.go
@@ -118,7 +118,7 @@
 	c := newCluster(t, 1, func() Machine {
 		return hooked{register.New(), func([]byte) { <-hold }}
 	}, nil).start()
-	session, err := c.leader().voter.Open(within(t))
+	session, err := c.leader().voter.openSession(within(t))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -175,7 +175,7 @@
 func TestErrorsOnTheWire(t *testing.T) {
 	for _, err := range []error{
 		nil, ErrUnknown, ErrShutdown, ErrSession, ErrStale, ErrCrowded, ErrTooLong,
-		&NotLeaderError{"127.0.0.1:1"}, &NotLeaderError{}, &BusyError{30 * time.Millisecond}, &GoneError{7},
+		&notLeaderError{"127.0.0.1:1"}, &notLeaderError{}, &busyError{30 * time.Millisecond}, &goneError{7},
 	} {
 		var r, back reply
 		r.setError(err)
