--- a/fleet/member/actions.go
+++ b/fleet/member/actions.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// nodeActions is how the Roster's decisions reach the rest.
+// nodeActions is how the roster's decisions reach the rest.
 type nodeActions Node
 
-// Happened implements Actions.
+// Happened implements rosterActions.
 func (a *nodeActions) Happened(e Event) {
 	level := slog.LevelInfo
 	if e.Kind == Displaced || e.Kind == Resumed {
@@ -21,7 +21,7 @@
 	a.viewChanged = true
 }
 
-// Announce implements Actions.
+// Announce implements rosterActions.
 func (a *nodeActions) Announce(self Member) {
 	n := (*Node)(a)
 	n.viewChanged = true
@@ -36,7 +36,7 @@
 	n.list.UpdateNode(time.Millisecond) // it goes out later; there is nothing to wait for
 }
 
-// StepAside implements Actions: others are told that this life has left, and it is silent
+// StepAside implements rosterActions: others are told that this life has left, and it is silent
 // from then on. Memberlist's own farewell would hit the winner, which has the same name.
 func (a *nodeActions) StepAside(Member) {
 	n := (*Node)(a)
@@ -51,8 +51,8 @@
 	})
 }
 
-// Tell implements Actions.
-func (a *nodeActions) Tell(to Member, about Record) {
+// Tell implements rosterActions.
+func (a *nodeActions) Tell(to Member, about lifeRecord) {
 	n := (*Node)(a)
 	l := toWireLife(n.now(), about)
 	self := n.roster.Self()
@@ -81,7 +81,7 @@
 
 // publishMemory renews what a full exchange carries. Ages in it are as of now: they may go out
 // up to memoryEvery too young, which keeps a departed life in memory that much longer.
-func (n *Node) publishMemory(now Time) {
+func (n *Node) publishMemory(now clockTime) {
 	n.nextMemory = now + memoryInterval
 	m := memory{From: n.cfg.Name}
 	for _, rec := range n.roster.Departed() {
--- a/fleet/member/event.go
+++ b/fleet/member/event.go
@@ -42,8 +42,8 @@
 	Leaving               // has said that it leaves
 )
 
-// Actions carries out what a Roster decides, in the order of the calls.
-type Actions interface {
+// rosterActions carries out what a roster decides, in the order of the calls.
+type rosterActions interface {
 	// Happened reports a change.
 	Happened(Event)
 	// Announce makes one's own member known to the others as it is now.
@@ -52,5 +52,5 @@
 	StepAside(winner Member)
 	// Tell sends to one member, as well as may be, what is known of its name. It may be
 	// lost: what has to arrive is told again.
-	Tell(to Member, about Record)
+	Tell(to Member, about lifeRecord)
 }
--- a/fleet/member/member.go
+++ b/fleet/member/member.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Time is a point on the caller's monotonic clock. Only differences matter.
-type Time = time.Duration
+// clockTime is a point on the caller's monotonic clock. Only differences matter.
+type clockTime = time.Duration
 
 // maxIncarnation bounds what is believed: one that is forged or damaged must not
 // bring a name near the end of its numbers.
@@ -24,26 +24,26 @@
 	Version     uint8  // of the messages that it understands
 }
 
-// State is what is known of a life.
-type State uint8
+// lifeState is what is known of a life.
+type lifeState uint8
 
 // The states of a life, each stronger than the one before: of the same incarnation and
 // life the stronger is kept, in whichever order they are heard.
 const (
-	// Heard is departed by the word of another member alone. It is weaker than Alive: a
+	// stateHeard is departed by the word of another member alone. It is weaker than stateAlive: a
 	// member that was cut off believes all others dead, and its return must not kill
 	// those that the rest can see.
-	Heard State = iota
-	Alive
-	Dead // found dead by this member's own failure detector
-	Gone // has said that it leaves
+	stateHeard lifeState = iota
+	stateAlive
+	stateDead // found dead by this member's own failure detector
+	stateGone // has said that it leaves
 )
 
-// Record is one life and what is known of it.
-type Record struct {
+// lifeRecord is one life and what is known of it.
+type lifeRecord struct {
 	Member
-	State State
-	Since Time // when it departed, as far as is known
+	State lifeState
+	Since clockTime // when it departed, as far as is known
 }
 
 // compareLives orders two lives of a name.
@@ -56,11 +56,11 @@
 
 // supersedes tells whether r replaces o. Records of a name are in one total order and the
 // highest is kept, so that views depend neither on the order nor on the doubling of news.
-func (r Record) supersedes(o Record) bool {
+func (r lifeRecord) supersedes(o lifeRecord) bool {
 	if c := compareLives(r.Member, o.Member); c != 0 {
 		return c > 0
 	}
 	return r.State > o.State
 }
 
-func (r Record) departed() bool { return r.State != Alive }
+func (r lifeRecord) departed() bool { return r.State != stateAlive }
--- a/fleet/member/messages.go
+++ b/fleet/member/messages.go
@@ -91,17 +91,17 @@
 	return n.list.SendBestEffort(&dest, buf)
 }
 
-func (n *Node) receive(now Time, m *message) {
+func (n *Node) receive(now clockTime, m *message) {
 	if m.Kind == kindTold {
 		n.roster.Told(now, m.From, m.About.toRecord(now))
 		return
 	}
 	switch n.roster.Accept(m.From, m.Incarnation, m.Life) {
-	case Older:
+	case verdictOlder:
 		n.counters.older.Add(1)
-	case Unknown:
+	case verdictUnknown:
 		n.counters.unknown.Add(1)
-	case Take:
+	case verdictTake:
 		select {
 		case n.messages <- Message{m.From, m.Incarnation, m.Payload}:
 		default:
--- a/fleet/member/node.go
+++ b/fleet/member/node.go
@@ -21,7 +21,7 @@
 	log      *slog.Logger
 	start    time.Time
 	life     uint64
-	roster   *Roster // only in run, after Start
+	roster   *roster // only in run, after Start
 	view     atomic.Pointer[view]
 	counters counters
 
@@ -48,8 +48,8 @@
 	joinRunning   bool
 	joinRounds    int
 	rejoinBackoff time.Duration
-	nextJoin      Time
-	nextMemory    Time
+	nextJoin      clockTime
+	nextMemory    clockTime
 }
 
 // Start makes a node and lets it join. It returns at once: until a seed has answered, or all
@@ -86,12 +86,12 @@
 		advertise = netip.AddrPortFrom(bind.Addr(), port)
 	}
 	self.Addr = advertise.String()
-	limits := Limits{
+	limits := rosterLimits{
 		StopAfter:   time.Duration(cfg.SuspicionMult) * cfg.ProbeInterval,
 		DepartedFor: rememberDeparted,
 		MaxDeparted: maxRecords,
 	}
-	n.roster = NewRoster(n.now(), limits, self, (*nodeActions)(n))
+	n.roster = newRoster(n.now(), limits, self, (*nodeActions)(n))
 	n.publishMeta(self, false)
 	n.publishMemory(n.now())
 	n.publish()
@@ -106,7 +106,7 @@
 	return n, nil
 }
 
-func (n *Node) now() Time { return time.Since(n.start) }
+func (n *Node) now() clockTime { return time.Since(n.start) }
 
 func (n *Node) enqueue(v any) bool {
 	select {
@@ -118,7 +118,7 @@
 	}
 }
 
-// run is the node's goroutine: it alone calls the Roster.
+// run is the node's goroutine: it alone calls the roster.
 func (n *Node) run() {
 	defer close(n.stopped)
 	ticker := time.NewTicker(n.cfg.ProbeInterval / 4)
@@ -174,7 +174,7 @@
 	case nameClaim:
 		n.roster.Claim(now, v.member)
 	case remoteState:
-		records := make([]Record, len(v.memory.Records))
+		records := make([]lifeRecord, len(v.memory.Records))
 		for i := range records {
 			records[i] = v.memory.Records[i].toRecord(now)
 		}
@@ -198,7 +198,7 @@
 // follows where it has.
 func (n *Node) Fresh() bool {
 	stop := time.Duration(n.cfg.SuspicionMult) * n.cfg.ProbeInterval
-	return n.now()-Time(n.lastTick.Load()) <= stop && n.Phase() == Serving
+	return n.now()-clockTime(n.lastTick.Load()) <= stop && n.Phase() == Serving
 }
 
 type (
--- a/fleet/member/rejoin.go
+++ b/fleet/member/rejoin.go
@@ -12,7 +12,7 @@
 // rejoin asks the seeds, at the start and whenever one is not among the members, and some
 // of the dead: after a partition longer than memberlist tells the dead that they are, nothing
 // else would bring the sides together.
-func (n *Node) rejoin(now Time) {
+func (n *Node) rejoin(now clockTime) {
 	phase := n.roster.Phase()
 	if n.joinRunning || now < n.nextJoin || phase > Serving {
 		return
@@ -62,7 +62,7 @@
 	}
 	var dead []string
 	for _, rec := range n.roster.Departed() {
-		if rec.State == Dead && rec.Addr != "" && !here[rec.Addr] && !slices.Contains(out, rec.Addr) {
+		if rec.State == stateDead && rec.Addr != "" && !here[rec.Addr] && !slices.Contains(out, rec.Addr) {
 			dead = append(dead, rec.Addr)
 		}
 	}
--- a/fleet/member/roster.go
+++ b/fleet/member/roster.go
@@ -7,32 +7,32 @@
 	"time"
 )
 
-// Limits bounds what a Roster remembers and waits for.
-type Limits struct {
+// rosterLimits bounds what a roster remembers and waits for.
+type rosterLimits struct {
 	StopAfter   time.Duration // longest time between ticks after which nobody can have taken one for dead
 	DepartedFor time.Duration // how long a departed life is remembered
 	MaxDeparted int           // how many departed names are remembered; the longest departed goes first
 }
 
-// Verdict is what to make of a message.
-type Verdict uint8
+// verdict is what to make of a message.
+type verdict uint8
 
 // The verdicts on a sender.
 const (
-	Take    Verdict = iota
-	Older           // from a life, or an incarnation, that is over
-	Unknown         // from one that is not among the members
+	verdictTake    verdict = iota
+	verdictOlder           // from a life, or an incarnation, that is over
+	verdictUnknown         // from one that is not among the members
 )
 
-// Roster is one member's view of the fleet. It is not safe for concurrent use.
-type Roster struct {
-	limits      Limits
-	actions     Actions
+// roster is one member's view of the fleet. It is not safe for concurrent use.
+type roster struct {
+	limits      rosterLimits
+	actions     rosterActions
 	self        Member
 	phase       Phase
-	names       map[string]Record // all but one's own
-	highestTold uint64            // the highest incarnation heard of for one's own name
-	lastTick    Time
+	names       map[string]lifeRecord // all but one's own
+	highestTold uint64                // the highest incarnation heard of for one's own name
+	lastTick    clockTime
 	notices     map[string]notice
 
 	// Who has said to have found this life dead in incarnation accused. What was said of
@@ -45,19 +45,19 @@
 // notice is something to be told again. A lost one would leave a living member out.
 type notice struct {
 	to        Member
-	about     Record
+	about     lifeRecord
 	remaining int // -1: until it has helped
 }
 
-// NewRoster returns the view of a process that starts. The incarnation of self is not
+// newRoster returns the view of a process that starts. The incarnation of self is not
 // used: it is known once all have been asked, see Settled.
-func NewRoster(now Time, limits Limits, self Member, act Actions) *Roster {
+func newRoster(now clockTime, limits rosterLimits, self Member, act rosterActions) *roster {
 	self.Incarnation = 0
-	return &Roster{
+	return &roster{
 		limits:   limits,
 		actions:  act,
 		self:     self,
-		names:    map[string]Record{},
+		names:    map[string]lifeRecord{},
 		lastTick: now,
 		notices:  map[string]notice{},
 		accusers: map[string]bool{},
@@ -65,16 +65,16 @@
 }
 
 // Self returns oneself.
-func (r *Roster) Self() Member { return r.self }
+func (r *roster) Self() Member { return r.self }
 
 // Phase returns how far one's own membership has come.
-func (r *Roster) Phase() Phase { return r.phase }
+func (r *roster) Phase() Phase { return r.phase }
 
 // Members returns all that are alive, oneself among them, by name.
-func (r *Roster) Members() []Member {
+func (r *roster) Members() []Member {
 	out := []Member{r.self}
 	for _, rec := range r.names {
-		if rec.State == Alive {
+		if rec.State == stateAlive {
 			out = append(out, rec.Member)
 		}
 	}
@@ -83,20 +83,20 @@
 }
 
 // Departed returns the departed lives that are remembered, by name, for the memory of others.
-func (r *Roster) Departed() []Record {
-	var out []Record
+func (r *roster) Departed() []lifeRecord {
+	var out []lifeRecord
 	for _, rec := range r.names {
 		if rec.departed() {
 			out = append(out, rec)
 		}
 	}
-	slices.SortFunc(out, func(a, b Record) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(out, func(a, b lifeRecord) int { return strings.Compare(a.Name, b.Name) })
 	return out
 }
 
 // Settled reports that all that could be asked have been: the process takes one more than
 // any incarnation it was told of.
-func (r *Roster) Settled(now Time) {
+func (r *roster) Settled(now clockTime) {
 	if r.phase != Starting {
 		return
 	}
@@ -106,7 +106,7 @@
 }
 
 // Alive reports that the failure detector has m among the living.
-func (r *Roster) Alive(now Time, m Member) {
+func (r *roster) Alive(now clockTime, m Member) {
 	r.detectStop(now)
 	// A process that is still asking is nobody yet.
 	if m.Incarnation == 0 || m.Incarnation > maxIncarnation || r.phase == Aside {
@@ -116,34 +116,34 @@
 		r.Claim(now, m)
 		return
 	}
-	r.merge(now, Record{Member: m, State: Alive})
+	r.merge(now, lifeRecord{Member: m, State: stateAlive})
 }
 
 // Died reports that the failure detector has found m dead.
-func (r *Roster) Died(now Time, m Member) {
+func (r *roster) Died(now clockTime, m Member) {
 	r.detectStop(now)
-	r.mergeDeparted(now, Record{Member: m, State: Dead, Since: now})
+	r.mergeDeparted(now, lifeRecord{Member: m, State: stateDead, Since: now})
 	r.expireDeparted(now)
 }
 
 // Left reports that m has said that it leaves.
-func (r *Roster) Left(now Time, m Member) {
+func (r *roster) Left(now clockTime, m Member) {
 	r.detectStop(now)
-	r.mergeDeparted(now, Record{Member: m, State: Gone, Since: now})
+	r.mergeDeparted(now, lifeRecord{Member: m, State: stateGone, Since: now})
 	r.expireDeparted(now)
 }
 
 // Hearsay reports what the member named from remembers as departed. The Since of its
-// records is on the clock of this Roster.
-func (r *Roster) Hearsay(now Time, from string, records []Record) {
+// records is on the clock of this roster.
+func (r *roster) Hearsay(now clockTime, from string, records []lifeRecord) {
 	r.detectStop(now)
 	for _, rec := range records {
 		if rec.Name == r.self.Name {
 			r.Told(now, from, rec)
 			continue
 		}
-		if rec.State != Gone {
-			rec.State = Heard
+		if rec.State != stateGone {
+			rec.State = stateHeard
 		}
 		rec.Since = min(rec.Since, now)
 		r.mergeDeparted(now, rec)
@@ -151,7 +151,7 @@
 	r.expireDeparted(now)
 }
 
-func (r *Roster) mergeDeparted(now Time, rec Record) {
+func (r *roster) mergeDeparted(now clockTime, rec lifeRecord) {
 	if rec.Incarnation == 0 || rec.Incarnation > maxIncarnation || r.phase == Aside ||
 		rec.Name == r.self.Name || now-rec.Since > r.limits.DepartedFor {
 		return
@@ -160,14 +160,14 @@
 }
 
 // merge takes in news of another name.
-func (r *Roster) merge(now Time, rec Record) {
+func (r *roster) merge(now clockTime, rec lifeRecord) {
 	old, known := r.names[rec.Name]
 	switch {
 	case !known || rec.supersedes(old):
 		r.names[rec.Name] = rec
 		delete(r.notices, rec.Name)
 		r.reportChange(old, known, rec)
-	case rec.State == Alive && old.departed():
+	case rec.State == stateAlive && old.departed():
 		// It lives and does not know how it is remembered. As long as it does not, its
 		// words are dropped here.
 		r.sendNotice(notice{rec.Member, old, -1})
@@ -181,46 +181,46 @@
 }
 
 // reportChange reports the step from one record of a name to a higher one.
-func (r *Roster) reportChange(old Record, known bool, rec Record) {
-	seen := known && old.State != Heard
+func (r *roster) reportChange(old lifeRecord, known bool, rec lifeRecord) {
+	seen := known && old.State != stateHeard
 	sameLife := old.Life == rec.Life
 	e := Event{Member: rec.Member, Old: old.Member}
 	switch {
-	case rec.State == Alive && !seen:
+	case rec.State == stateAlive && !seen:
 		e = Event{Kind: Joined, Member: rec.Member}
-	case rec.State == Alive && sameLife:
+	case rec.State == stateAlive && sameLife:
 		e.Kind = Returned
-	case rec.State == Alive:
+	case rec.State == stateAlive:
 		e.Kind = Restarted
-	case seen && sameLife && rec.State == Gone && old.State != Gone:
+	case seen && sameLife && rec.State == stateGone && old.State != stateGone:
 		e = Event{Kind: Left, Member: rec.Member}
-	case known && old.State == Alive:
+	case known && old.State == stateAlive:
 		// Also where a later life is known to have come and gone meanwhile.
 		e = Event{Kind: Died, Member: old.Member}
 	default:
 		return
 	}
 	r.actions.Happened(e)
-	if e.Kind == Returned && old.State == Dead {
+	if e.Kind == Returned && old.State == stateDead {
 		// Each that had it dead says so once: it must know whether most had.
 		r.sendNotice(notice{rec.Member, old, 2})
 	}
 }
 
-func (r *Roster) sendNotice(t notice) {
+func (r *roster) sendNotice(t notice) {
 	r.notices[t.to.Name] = t
 	r.actions.Tell(t.to, t.about)
 }
 
 // Claim reports that m is said to be alive, by a word that the failure detector does not
 // follow: another life under one's own name, or a second address of another's.
-func (r *Roster) Claim(now Time, m Member) {
+func (r *roster) Claim(now clockTime, m Member) {
 	r.detectStop(now)
 	if m.Incarnation > maxIncarnation || r.phase == Aside {
 		return
 	}
 	if m.Name == r.self.Name {
-		r.Told(now, "", Record{Member: m, State: Alive})
+		r.Told(now, "", lifeRecord{Member: m, State: stateAlive})
 		return
 	}
 	cur, known := r.names[m.Name]
@@ -235,11 +235,11 @@
 	if t := r.notices[m.Name]; t.about.Member != m {
 		r.actions.Happened(Event{Kind: Displaced, Member: m, Old: cur.Member})
 	}
-	r.sendNotice(notice{cur.Member, Record{Member: m, State: Alive}, -1})
+	r.sendNotice(notice{cur.Member, lifeRecord{Member: m, State: stateAlive}, -1})
 }
 
 // Leave reports that the process leaves the fleet.
-func (r *Roster) Leave(now Time) {
+func (r *roster) Leave(now clockTime) {
 	r.detectStop(now)
 	if r.phase > Serving {
 		return
@@ -251,8 +251,8 @@
 	r.actions.Announce(r.self)
 }
 
-// Tick reports that time has passed. It is to come several times in Limits.StopAfter.
-func (r *Roster) Tick(now Time) {
+// Tick reports that time has passed. It is to come several times in rosterLimits.StopAfter.
+func (r *roster) Tick(now clockTime) {
 	r.detectStop(now)
 	r.lastTick = now
 	r.expireDeparted(now)
@@ -276,25 +276,25 @@
 }
 
 // Accept tells what to make of a message that is said to come from a life of name.
-func (r *Roster) Accept(name string, incarnation, life uint64) Verdict {
+func (r *roster) Accept(name string, incarnation, life uint64) verdict {
 	rec, ok := r.names[name]
 	switch {
 	case !ok || name == r.self.Name:
-		return Unknown
+		return verdictUnknown
 	case compareLives(Member{Incarnation: incarnation, Life: life}, rec.Member) < 0:
-		return Older
+		return verdictOlder
 	case rec.departed() && incarnation == rec.Incarnation && life == rec.Life:
-		return Older
+		return verdictOlder
 	case rec.departed() || life != rec.Life:
-		return Unknown
+		return verdictUnknown
 	}
 	// Its next incarnation may be a little ahead of the news of it.
-	return Take
+	return verdictTake
 }
 
 // expireDeparted keeps the memory of departed lives within its bounds.
-func (r *Roster) expireDeparted(now Time) {
-	var departed []Record
+func (r *roster) expireDeparted(now clockTime) {
+	var departed []lifeRecord
 	for name, rec := range r.names {
 		switch {
 		case !rec.departed():
@@ -308,7 +308,7 @@
 	if len(departed) <= r.limits.MaxDeparted {
 		return
 	}
-	slices.SortFunc(departed, func(a, b Record) int {
+	slices.SortFunc(departed, func(a, b lifeRecord) int {
 		if c := cmp.Compare(a.Since, b.Since); c != 0 {
 			return c
 		}
--- a/fleet/member/roster_test.go
+++ b/fleet/member/roster_test.go
@@ -15,29 +15,29 @@
 
 const sec = time.Second
 
-var testLimits = Limits{StopAfter: 4 * sec, DepartedFor: 1000 * sec, MaxDeparted: 8}
+var testLimits = rosterLimits{StopAfter: 4 * sec, DepartedFor: 1000 * sec, MaxDeparted: 8}
 
-// subject is a Roster, or one that is broken in one way.
+// subject is a roster, or one that is broken in one way.
 type subject interface {
-	Settled(Time)
-	Alive(Time, Member)
-	Died(Time, Member)
-	Left(Time, Member)
-	Hearsay(Time, string, []Record)
-	Claim(Time, Member)
-	Told(Time, string, Record)
-	Tick(Time)
-	Accept(string, uint64, uint64) Verdict
+	Settled(clockTime)
+	Alive(clockTime, Member)
+	Died(clockTime, Member)
+	Left(clockTime, Member)
+	Hearsay(clockTime, string, []lifeRecord)
+	Claim(clockTime, Member)
+	Told(clockTime, string, lifeRecord)
+	Tick(clockTime)
+	Accept(string, uint64, uint64) verdict
 	Members() []Member
-	Departed() []Record
+	Departed() []lifeRecord
 	Self() Member
 	Phase() Phase
 }
 
-type maker func(Time, Limits, Member, Actions) subject
+type maker func(clockTime, rosterLimits, Member, rosterActions) subject
 
-func sound(now Time, l Limits, self Member, act Actions) subject {
-	return NewRoster(now, l, self, act)
+func sound(now clockTime, l rosterLimits, self Member, act rosterActions) subject {
+	return newRoster(now, l, self, act)
 }
 
 // book keeps what a subject asked for, in order.
@@ -48,14 +48,14 @@
 	aside     struct{ winner Member }
 	tellLine  struct {
 		to    Member
-		about Record
+		about lifeRecord
 	}
 )
 
-func (b *book) Happened(e Event)             { b.lines = append(b.lines, e) }
-func (b *book) Announce(self Member)         { b.lines = append(b.lines, announced{self}) }
-func (b *book) StepAside(winner Member)      { b.lines = append(b.lines, aside{winner}) }
-func (b *book) Tell(to Member, about Record) { b.lines = append(b.lines, tellLine{to, about}) }
+func (b *book) Happened(e Event)                 { b.lines = append(b.lines, e) }
+func (b *book) Announce(self Member)             { b.lines = append(b.lines, announced{self}) }
+func (b *book) StepAside(winner Member)          { b.lines = append(b.lines, aside{winner}) }
+func (b *book) Tell(to Member, about lifeRecord) { b.lines = append(b.lines, tellLine{to, about}) }
 
 func (b *book) take() (out []any) {
 	out, b.lines = b.lines, nil
@@ -90,28 +90,28 @@
 
 func at(addr string, m Member) Member { m.Addr = addr; return m }
 
-func rec(m Member, s State) Record { return Record{Member: m, State: s} }
+func rec(m Member, s lifeState) lifeRecord { return lifeRecord{Member: m, State: s} }
 
 func TestRoster(t *testing.T) {
 	type step struct {
-		do   func(r *Roster, now Time)
+		do   func(r *roster, now clockTime)
 		want []string
 	}
-	alive := func(m Member) func(*Roster, Time) { return func(r *Roster, now Time) { r.Alive(now, m) } }
-	died := func(m Member) func(*Roster, Time) { return func(r *Roster, now Time) { r.Died(now, m) } }
-	left := func(m Member) func(*Roster, Time) { return func(r *Roster, now Time) { r.Left(now, m) } }
-	claim := func(m Member) func(*Roster, Time) { return func(r *Roster, now Time) { r.Claim(now, m) } }
-	told := func(from string, rec Record) func(*Roster, Time) {
-		return func(r *Roster, now Time) { r.Told(now, from, rec) }
+	alive := func(m Member) func(*roster, clockTime) { return func(r *roster, now clockTime) { r.Alive(now, m) } }
+	died := func(m Member) func(*roster, clockTime) { return func(r *roster, now clockTime) { r.Died(now, m) } }
+	left := func(m Member) func(*roster, clockTime) { return func(r *roster, now clockTime) { r.Left(now, m) } }
+	claim := func(m Member) func(*roster, clockTime) { return func(r *roster, now clockTime) { r.Claim(now, m) } }
+	told := func(from string, rec lifeRecord) func(*roster, clockTime) {
+		return func(r *roster, now clockTime) { r.Told(now, from, rec) }
 	}
-	hearsay := func(recs ...Record) func(*Roster, Time) {
-		return func(r *Roster, now Time) { r.Hearsay(now, "z", recs) }
+	hearsay := func(recs ...lifeRecord) func(*roster, clockTime) {
+		return func(r *roster, now clockTime) { r.Hearsay(now, "z", recs) }
 	}
-	tick := func(r *Roster, now Time) { r.Tick(now) }
-	wait := func(d time.Duration) func(*Roster, Time) {
-		return func(r *Roster, now Time) { r.Tick(now + d) }
+	tick := func(r *roster, now clockTime) { r.Tick(now) }
+	wait := func(d time.Duration) func(*roster, clockTime) {
+		return func(r *roster, now clockTime) { r.Tick(now + d) }
 	}
-	settled := func(r *Roster, now Time) { r.Settled(now) }
+	settled := func(r *roster, now clockTime) { r.Settled(now) }
 	a := mem("a", 1, 5)
 	cases := map[string][]step{
 		"join, death and leaving are three things": {
@@ -152,25 +152,25 @@
 		},
 		"the word of another does not kill, its farewell does": {
 			{alive(a), []string{"joined a/1/5"}},
-			{hearsay(rec(a, Dead)), nil},
-			{hearsay(rec(a, Gone)), []string{"left a/1/5"}},
-			{hearsay(rec(mem("b", 4, 4), Dead)), nil},
+			{hearsay(rec(a, stateDead)), nil},
+			{hearsay(rec(a, stateGone)), []string{"left a/1/5"}},
+			{hearsay(rec(mem("b", 4, 4), stateDead)), nil},
 			{alive(mem("b", 1, 9)), []string{"tell b/1/9 of b/4/4 0"}}, // must go above
 			{alive(mem("b", 5, 9)), []string{"joined b/5/9"}},
 		},
 		"told that one is dead, by one": {
 			{alive(a), []string{"joined a/1/5"}},
 			{alive(mem("b", 1, 1)), []string{"joined b/1/1"}},
-			{told("a", rec(mem("me", 1, 7), Dead)), []string{"announce me/2/7"}},
-			{told("a", rec(mem("me", 1, 7), Dead)), nil},
+			{told("a", rec(mem("me", 1, 7), stateDead)), []string{"announce me/2/7"}},
+			{told("a", rec(mem("me", 1, 7), stateDead)), nil},
 		},
 		"told that one is dead, by most": {
 			{alive(a), []string{"joined a/1/5"}},
 			{alive(mem("b", 1, 1)), []string{"joined b/1/1"}},
-			{told("a", rec(mem("me", 1, 7), Dead)), []string{"announce me/2/7"}},
-			{told("b", rec(mem("me", 1, 7), Dead)), []string{"announce me/3/7", "resumed me/3/7"}},
-			{told("b", rec(mem("me", 1, 7), Dead)), nil},
-			{told("a", rec(mem("me", 3, 7), Dead)), []string{"announce me/4/7"}},
+			{told("a", rec(mem("me", 1, 7), stateDead)), []string{"announce me/2/7"}},
+			{told("b", rec(mem("me", 1, 7), stateDead)), []string{"announce me/3/7", "resumed me/3/7"}},
+			{told("b", rec(mem("me", 1, 7), stateDead)), nil},
+			{told("a", rec(mem("me", 3, 7), stateDead)), []string{"announce me/4/7"}},
 		},
 		"a stop": {
 			{wait(4 * sec), nil},
@@ -178,12 +178,12 @@
 			{wait(10 * sec), nil},
 		},
 		"a stop, noticed by what comes first": {
-			{func(r *Roster, now Time) { r.Alive(now+5*sec, a) },
+			{func(r *roster, now clockTime) { r.Alive(now+5*sec, a) },
 				[]string{"announce me/2/7", "resumed me/2/7", "joined a/1/5"}},
 			{wait(5 * sec), nil},
 		},
 		"one's old life": {
-			{told("a", rec(mem("me", 6, 4), Dead)), []string{"announce me/7/7"}},
+			{told("a", rec(mem("me", 6, 4), stateDead)), []string{"announce me/7/7"}},
 			{claim(mem("me", 9, 4)), []string{"announce me/10/7"}}, // at one's own address
 			{settled, nil},
 		},
@@ -203,20 +203,20 @@
 			{alive(at("other", mem("a", 2, 4))), []string{"restarted a/2/4 for a/1/5"}},
 		},
 		"leaving": {
-			{func(r *Roster, now Time) { r.Leave(now) }, []string{"announce me/1/7"}},
-			{told("a", rec(mem("me", 1, 7), Dead)), nil},
+			{func(r *roster, now clockTime) { r.Leave(now) }, []string{"announce me/1/7"}},
+			{told("a", rec(mem("me", 1, 7), stateDead)), nil},
 			{wait(9 * sec), nil},
 		},
 		"incarnations beyond belief": {
 			{alive(mem("a", 1<<60, 1)), nil},
-			{told("a", rec(mem("me", 1<<60, 7), Dead)), nil},
-			{hearsay(rec(mem("b", 1<<60, 1), Gone)), nil},
+			{told("a", rec(mem("me", 1<<60, 7), stateDead)), nil},
+			{hearsay(rec(mem("b", 1<<60, 1), stateGone)), nil},
 		},
 	}
 	for name, steps := range cases {
 		t.Run(name, func(t *testing.T) {
 			var b book
-			r := NewRoster(0, testLimits, mem("me", 0, 7), &b)
+			r := newRoster(0, testLimits, mem("me", 0, 7), &b)
 			r.Settled(0)
 			if got := b.text(); !slices.Equal(got, []string{"announce me/1/7"}) {
 				t.Fatalf("settled: %q", got)
@@ -234,10 +234,10 @@
 // What is told while asking decides the first incarnation, the departed and the living.
 func TestStartTakesOneMore(t *testing.T) {
 	var b book
-	r := NewRoster(0, testLimits, mem("me", 0, 7), &b)
-	r.Hearsay(0, "a", []Record{rec(mem("me", 3, 1), Gone)})
+	r := newRoster(0, testLimits, mem("me", 0, 7), &b)
+	r.Hearsay(0, "a", []lifeRecord{rec(mem("me", 3, 1), stateGone)})
 	r.Claim(0, at("other", mem("me", 5, 9)))
-	r.Hearsay(0, "a", []Record{rec(mem("me", 4, 2), Dead)})
+	r.Hearsay(0, "a", []lifeRecord{rec(mem("me", 4, 2), stateDead)})
 	if got := b.text(); got != nil {
 		t.Errorf("before it has asked all: %q", got)
 	}
@@ -248,7 +248,7 @@
 }
 
 func TestAccept(t *testing.T) {
-	r := NewRoster(0, testLimits, mem("me", 0, 7), &book{})
+	r := newRoster(0, testLimits, mem("me", 0, 7), &book{})
 	r.Settled(0)
 	r.Alive(0, mem("a", 2, 5))
 	r.Alive(0, mem("b", 2, 5))
@@ -256,18 +256,18 @@
 	for _, c := range []struct {
 		name              string
 		incarnation, life uint64
-		want              Verdict
+		want              verdict
 	}{
-		{"a", 2, 5, Take},
-		{"a", 3, 5, Take}, // ahead of the news
-		{"a", 1, 5, Older},
-		{"a", 1, 9, Older},
-		{"a", 2, 4, Older},
-		{"a", 3, 9, Unknown},
-		{"b", 2, 5, Older},
-		{"b", 3, 5, Unknown}, // until it is heard of
-		{"c", 1, 1, Unknown},
-		{"me", 1, 7, Unknown},
+		{"a", 2, 5, verdictTake},
+		{"a", 3, 5, verdictTake}, // ahead of the news
+		{"a", 1, 5, verdictOlder},
+		{"a", 1, 9, verdictOlder},
+		{"a", 2, 4, verdictOlder},
+		{"a", 3, 9, verdictUnknown},
+		{"b", 2, 5, verdictOlder},
+		{"b", 3, 5, verdictUnknown}, // until it is heard of
+		{"c", 1, 1, verdictUnknown},
+		{"me", 1, 7, verdictUnknown},
 	} {
 		if got := r.Accept(c.name, c.incarnation, c.life); got != c.want {
 			t.Errorf("%s/%d/%d: %d, want %d", c.name, c.incarnation, c.life, got, c.want)
@@ -276,9 +276,9 @@
 }
 
 func TestForgets(t *testing.T) {
-	r := NewRoster(0, testLimits, mem("me", 0, 7), &book{})
+	r := newRoster(0, testLimits, mem("me", 0, 7), &book{})
 	for i := range 12 {
-		r.Died(Time(i)*sec, mem(fmt.Sprintf("m%02d", i), 1, 1))
+		r.Died(clockTime(i)*sec, mem(fmt.Sprintf("m%02d", i), 1, 1))
 	}
 	d := r.Departed()
 	if len(d) != 8 || d[0].Name != "m04" {
@@ -289,8 +289,8 @@
 		t.Errorf("%d remembered after their time", len(d))
 	}
 	// The memory of others does not make it younger.
-	r.Hearsay(1007*sec, "a", []Record{{Member: mem("m00", 1, 1), State: Dead, Since: 0}})
-	r.Hearsay(1007*sec, "a", []Record{{Member: mem("m11", 1, 1), State: Dead, Since: 7 * sec}})
+	r.Hearsay(1007*sec, "a", []lifeRecord{{Member: mem("m00", 1, 1), State: stateDead, Since: 0}})
+	r.Hearsay(1007*sec, "a", []lifeRecord{{Member: mem("m11", 1, 1), State: stateDead, Since: 7 * sec}})
 	if d = r.Departed(); len(d) != 5 || d[4].Since != 7*sec {
 		t.Errorf("%v", d)
 	}
@@ -302,7 +302,7 @@
 	Name   string
 	Inc    uint64
 	Life   uint64
-	State  State
+	State  lifeState
 	From   string
 	Passes time.Duration
 }
@@ -324,7 +324,7 @@
 		Name:  rapid.SampledFrom([]string{"a", "b", "c", "me"}).Draw(t, "name"),
 		Inc:   rapid.Uint64Range(0, 4).Draw(t, "incarnation"),
 		Life:  rapid.Uint64Range(5, 9).Draw(t, "life"),
-		State: rapid.SampledFrom([]State{Heard, Dead, Gone}).Draw(t, "state"),
+		State: rapid.SampledFrom([]lifeState{stateHeard, stateDead, stateGone}).Draw(t, "state"),
 		From:  rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "from"),
 		Passes: rapid.SampledFrom([]time.Duration{0, 0, 0, sec, 3 * sec, 5 * sec, 400 * sec}).
 			Draw(t, "passes"),
@@ -341,7 +341,7 @@
 	return m
 }
 
-func (o op) apply(r subject, now Time) {
+func (o op) apply(r subject, now clockTime) {
 	m := o.member()
 	switch o.Kind {
 	case opAlive:
@@ -351,17 +351,17 @@
 	case opLeft:
 		r.Left(now, m)
 	case opHearsay:
-		r.Hearsay(now, o.From, []Record{{Member: m, State: o.State, Since: now}})
+		r.Hearsay(now, o.From, []lifeRecord{{Member: m, State: o.State, Since: now}})
 	case opClaim:
 		r.Claim(now, m)
 	case opTold:
-		r.Told(now, o.From, Record{Member: mem("me", o.Inc, o.Life), State: o.State})
+		r.Told(now, o.From, lifeRecord{Member: mem("me", o.Inc, o.Life), State: o.State})
 	case opTick:
 		r.Tick(now)
 	}
 }
 
-// walk plays a schedule and checks after each event all that one Roster promises.
+// walk plays a schedule and checks after each event all that one roster promises.
 func walk(make maker, schedule []op) error {
 	var b book
 	limits := testLimits
@@ -383,9 +383,9 @@
 
 type walker struct {
 	r       subject
-	limits  Limits
-	now     Time
-	ticked  Time
+	limits  rosterLimits
+	now     clockTime
+	ticked  clockTime
 	model   map[string]Member // the view that follows from the events
 	highest map[string]Member // the highest life of each name that was in the view
 	lost    uint64            // the highest departed incarnation told of one's own name
@@ -490,10 +490,10 @@
 			for life := uint64(5); life < 10; life++ {
 				m := mem(name, inc, life)
 				got := w.r.Accept(name, inc, life)
-				if here, in := w.model[name]; got == Take && (!in || here.Life != life) {
+				if here, in := w.model[name]; got == verdictTake && (!in || here.Life != life) {
 					return fmt.Errorf("a message of %s is taken, the member is %s", id(m), id(here))
 				}
-				if got == Take && compareLives(m, high) < 0 {
+				if got == verdictTake && compareLives(m, high) < 0 {
 					return fmt.Errorf("a message of %s is taken after %s", id(m), id(high))
 				}
 			}
@@ -597,130 +597,132 @@
 
 // The planted faults, each of which a check must find.
 
-type lastWord struct{ *Roster } // the latest news wins
+type lastWord struct{ *roster } // the latest news wins
 
-func (r lastWord) Alive(now Time, m Member) {
+func (r lastWord) Alive(now clockTime, m Member) {
 	delete(r.names, m.Name)
-	r.Roster.Alive(now, m)
+	r.roster.Alive(now, m)
 }
 
-type backward struct{ *Roster } // a lower life replaces a living one, with its event
+type backward struct{ *roster } // a lower life replaces a living one, with its event
 
-func (r backward) Alive(now Time, m Member) {
-	if cur, ok := r.names[m.Name]; ok && cur.State == Alive && m.Incarnation > 0 && m.Incarnation < cur.Incarnation {
+func (r backward) Alive(now clockTime, m Member) {
+	if cur, ok := r.names[m.Name]; ok && cur.State == stateAlive && m.Incarnation > 0 && m.Incarnation < cur.Incarnation {
 		r.detectStop(now)
 		delete(r.names, m.Name)
 		r.actions.Happened(Event{Kind: Died, Member: cur.Member})
 	}
-	r.Roster.Alive(now, m)
+	r.roster.Alive(now, m)
 }
 
-type elephant struct{ *Roster } // forgets by number alone
+type elephant struct{ *roster } // forgets by number alone
 
-func (r elephant) Tick(now Time) {
+func (r elephant) Tick(now clockTime) {
 	d := r.limits.DepartedFor
 	r.limits.DepartedFor = 1 << 60
-	r.Roster.Tick(now)
+	r.roster.Tick(now)
 	r.limits.DepartedFor = d
 }
 
-type forgetsLife struct{ *Roster } // takes messages of any life
+type forgetsLife struct{ *roster } // takes messages of any life
 
-func (r forgetsLife) Accept(name string, _, _ uint64) Verdict {
+func (r forgetsLife) Accept(name string, _, _ uint64) verdict {
 	if rec, ok := r.names[name]; ok && !rec.departed() {
-		return Take
+		return verdictTake
 	}
-	return Unknown
+	return verdictUnknown
 }
 
-type silent struct{ *Roster } // drops the dead without an event
+type silent struct{ *roster } // drops the dead without an event
 
-func (r silent) Died(now Time, m Member) {
+func (r silent) Died(now clockTime, m Member) {
 	if cur, ok := r.names[m.Name]; ok && cur.Member == m {
 		delete(r.names, m.Name)
 	}
 }
 
-type deaf struct{ *Roster } // does not go above what it is told
+type deaf struct{ *roster } // does not go above what it is told
 
-func (r deaf) Told(now Time, _ string, _ Record)            { r.detectStop(now) }
-func (r deaf) Hearsay(now Time, _ string, records []Record) { r.detectStop(now) }
+func (r deaf) Told(now clockTime, _ string, _ lifeRecord)            { r.detectStop(now) }
+func (r deaf) Hearsay(now clockTime, _ string, records []lifeRecord) { r.detectStop(now) }
 
-type sleepy struct{ *Roster } // does not notice a stop
+type sleepy struct{ *roster } // does not notice a stop
 
-func (r sleepy) Tick(now Time) {
+func (r sleepy) Tick(now clockTime) {
 	r.lastTick = now
-	r.Roster.Tick(now)
+	r.roster.Tick(now)
 }
 
-type secretive struct{ *Roster } // takes the next incarnation and does not say so
+type secretive struct{ *roster } // takes the next incarnation and does not say so
 
-func (r secretive) Told(now Time, from string, rec Record) {
+func (r secretive) Told(now clockTime, from string, rec lifeRecord) {
 	r.detectStop(now)
 	if rec.Incarnation >= r.self.Incarnation && r.phase == Serving {
 		r.self.Incarnation = rec.Incarnation + 1
 	}
 }
 
-type stubborn struct{ *Roster } // never steps aside
+type stubborn struct{ *roster } // never steps aside
 
-func (r stubborn) Claim(now Time, _ Member) { r.detectStop(now) }
+func (r stubborn) Claim(now clockTime, _ Member) { r.detectStop(now) }
 
-func (r stubborn) Alive(now Time, m Member) {
+func (r stubborn) Alive(now clockTime, m Member) {
 	r.detectStop(now)
 	if m.Name != r.self.Name {
-		r.Roster.Alive(now, m)
+		r.roster.Alive(now, m)
 	}
 }
 
-type hoarder struct{ *Roster } // remembers all
+type hoarder struct{ *roster } // remembers all
 
-func (r hoarder) Left(now Time, m Member) {
+func (r hoarder) Left(now clockTime, m Member) {
 	n := r.limits.MaxDeparted
 	r.limits.MaxDeparted = 1 << 20
-	r.Roster.Left(now, m)
+	r.roster.Left(now, m)
 	r.limits.MaxDeparted = n
 }
 
-type credulous struct{ *Roster } // drops what it holds at the word of one
+type credulous struct{ *roster } // drops what it holds at the word of one
 
-func (r credulous) Told(now Time, from string, rec Record) {
+func (r credulous) Told(now clockTime, from string, rec lifeRecord) {
 	r.detectStop(now)
 	if r.phase == Serving && rec.Life == r.self.Life && rec.Incarnation >= r.self.Incarnation {
 		r.resume()
 	}
 }
 
-func (r credulous) Hearsay(now Time, from string, records []Record) {
+func (r credulous) Hearsay(now clockTime, from string, records []lifeRecord) {
 	for _, rec := range records {
 		if rec.Name == r.self.Name {
 			r.Told(now, from, rec)
 		} else {
-			r.Roster.Hearsay(now, from, []Record{rec})
+			r.roster.Hearsay(now, from, []lifeRecord{rec})
 		}
 	}
 }
 
-type obstinate struct{ *Roster } // never drops what it holds by the word of others
+type obstinate struct{ *roster } // never drops what it holds by the word of others
 
-func (r obstinate) Told(now Time, _ string, rec Record) { r.Roster.Told(now, "", rec) }
+func (r obstinate) Told(now clockTime, _ string, rec lifeRecord) { r.roster.Told(now, "", rec) }
 
-func (r obstinate) Hearsay(now Time, _ string, records []Record) { r.Roster.Hearsay(now, "", records) }
+func (r obstinate) Hearsay(now clockTime, _ string, records []lifeRecord) {
+	r.roster.Hearsay(now, "", records)
+}
 
-type timid struct{ *Roster } // steps aside for anyone
+type timid struct{ *roster } // steps aside for anyone
 
-func (r timid) Claim(now Time, m Member) {
+func (r timid) Claim(now clockTime, m Member) {
 	r.detectStop(now)
 	if m.Name == r.self.Name && m.Life != r.self.Life && r.phase == Serving {
 		r.stepAside(m)
 		return
 	}
-	r.Roster.Claim(now, m)
+	r.roster.Claim(now, m)
 }
 
-func plant[T subject](wrap func(*Roster) T) maker {
-	return func(now Time, l Limits, self Member, act Actions) subject {
-		return wrap(NewRoster(now, l, self, act))
+func plant[T subject](wrap func(*roster) T) maker {
+	return func(now clockTime, l rosterLimits, self Member, act rosterActions) subject {
+		return wrap(newRoster(now, l, self, act))
 	}
 }
 
@@ -737,32 +739,32 @@
 		make  maker
 		want  string
 	}{
-		"the latest news wins": {order, plant(func(r *Roster) lastWord { return lastWord{r} }), "in another order"},
-		"a name goes back":     {walks, plant(func(r *Roster) backward { return backward{r} }), " after "},
-		"messages of any life": {walks, plant(func(r *Roster) forgetsLife { return forgetsLife{r} }), "is taken"},
+		"the latest news wins": {order, plant(func(r *roster) lastWord { return lastWord{r} }), "in another order"},
+		"a name goes back":     {walks, plant(func(r *roster) backward { return backward{r} }), " after "},
+		"messages of any life": {walks, plant(func(r *roster) forgetsLife { return forgetsLife{r} }), "is taken"},
 		"a death without event": {
-			walks, plant(func(r *Roster) silent { return silent{r} }), "events say"},
+			walks, plant(func(r *roster) silent { return silent{r} }), "events say"},
 		"stays below what it is told": {
-			walks, plant(func(r *Roster) deaf { return deaf{r} }), "not above the departed"},
+			walks, plant(func(r *roster) deaf { return deaf{r} }), "not above the departed"},
 		"a stop goes unnoticed": {
-			walks, plant(func(r *Roster) sleepy { return sleepy{r} }), "a stop was not noticed"},
+			walks, plant(func(r *roster) sleepy { return sleepy{r} }), "a stop was not noticed"},
 		"an incarnation goes unannounced": {
-			walks, plant(func(r *Roster) secretive { return secretive{r} }), "announced was"},
+			walks, plant(func(r *roster) secretive { return secretive{r} }), "announced was"},
 		"goes on beside the higher claim": {
-			walks, plant(func(r *Roster) stubborn { return stubborn{r} }), "goes on beside"},
+			walks, plant(func(r *roster) stubborn { return stubborn{r} }), "goes on beside"},
 		"steps aside for the lower claim": {
-			walks, plant(func(r *Roster) timid { return timid{r} }), "stepped aside for"},
+			walks, plant(func(r *roster) timid { return timid{r} }), "stepped aside for"},
 		"remembers without bound": {
-			walks, plant(func(r *Roster) hoarder { return hoarder{r} }), "departed remembered"},
+			walks, plant(func(r *roster) hoarder { return hoarder{r} }), "departed remembered"},
 		"remembers for ever": {
-			walks, plant(func(r *Roster) elephant { return elephant{r} }), "remembered for"},
-		"views don't converge": {sims, plant(func(r *Roster) deaf { return deaf{r} }), "running are"},
-		"both keep the name":   {claims, plant(func(r *Roster) stubborn { return stubborn{r} }), "in phase 1"},
+			walks, plant(func(r *roster) elephant { return elephant{r} }), "remembered for"},
+		"views don't converge": {sims, plant(func(r *roster) deaf { return deaf{r} }), "running are"},
+		"both keep the name":   {claims, plant(func(r *roster) stubborn { return stubborn{r} }), "in phase 1"},
 		"one word makes it drop all": {
-			returns, plant(func(r *Roster) credulous { return credulous{r} }), "resumed: map[a:"},
+			returns, plant(func(r *roster) credulous { return credulous{r} }), "resumed: map[a:"},
 		"not even most make it drop": {
-			returns, plant(func(r *Roster) obstinate { return obstinate{r} }), "resumed: map[]"},
-		"none keeps the name": {claims, plant(func(r *Roster) timid { return timid{r} }), "in phase 2"},
+			returns, plant(func(r *roster) obstinate { return obstinate{r} }), "resumed: map[]"},
+		"none keeps the name": {claims, plant(func(r *roster) timid { return timid{r} }), "in phase 2"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range 500 {
--- a/fleet/member/self.go
+++ b/fleet/member/self.go
@@ -2,7 +2,7 @@
 
 // Told reports what the member named from knows of one's own name; "" is a word without a
 // known teller.
-func (r *Roster) Told(now Time, from string, rec Record) {
+func (r *roster) Told(now clockTime, from string, rec lifeRecord) {
 	r.detectStop(now)
 	if rec.Name != r.self.Name || rec.Incarnation > maxIncarnation || r.phase > Serving {
 		return
@@ -10,7 +10,7 @@
 	r.highestTold = max(r.highestTold, rec.Incarnation)
 	switch {
 	case r.phase == Starting:
-	case rec.Life == r.self.Life && rec.State == Alive:
+	case rec.Life == r.self.Life && rec.State == stateAlive:
 		// One's own echo. Above one's own incarnation it is damaged or forged.
 	case rec.Life == r.self.Life:
 		r.countAccuser(from, rec)
@@ -32,8 +32,8 @@
 // countAccuser counts those that have found this life dead. When a majority has, its parts may
 // have gone to others, and it must not act on what it holds; one that was cut off alone
 // takes the rest for dead, and must not make all of them drop all.
-func (r *Roster) countAccuser(from string, rec Record) {
-	if rec.State != Dead || from == "" || rec.Incarnation < max(r.accusedIncarnation, r.resumedIncarnation) {
+func (r *roster) countAccuser(from string, rec lifeRecord) {
+	if rec.State != stateDead || from == "" || rec.Incarnation < max(r.accusedIncarnation, r.resumedIncarnation) {
 		return
 	}
 	if rec.Incarnation > r.accusedIncarnation {
@@ -51,17 +51,17 @@
 
 // fleetSize is how many members the fleet has had of late: those that left don't count, those
 // that died do.
-func (r *Roster) fleetSize() int {
+func (r *roster) fleetSize() int {
 	n := 1
 	for _, rec := range r.names {
-		if rec.State == Alive || rec.State == Dead {
+		if rec.State == stateAlive || rec.State == stateDead {
 			n++
 		}
 	}
 	return n
 }
 
-func (r *Roster) stepAside(winner Member) {
+func (r *roster) stepAside(winner Member) {
 	old := r.self
 	r.phase = Aside
 	clear(r.names)
@@ -72,20 +72,20 @@
 
 // detectStop notices at the first event after a stop that the process was stopped for longer
 // than the others wait before they take a member for dead.
-func (r *Roster) detectStop(now Time) {
+func (r *roster) detectStop(now clockTime) {
 	if r.phase == Serving && now-r.lastTick > r.limits.StopAfter {
 		r.lastTick = now
 		r.resume()
 	}
 }
 
-func (r *Roster) resume() {
+func (r *roster) resume() {
 	r.setIncarnation(max(r.highestTold, r.self.Incarnation) + 1)
 	r.resumedIncarnation = r.self.Incarnation
 	r.actions.Happened(Event{Kind: Resumed, Member: r.self})
 }
 
-func (r *Roster) setIncarnation(incarnation uint64) {
+func (r *roster) setIncarnation(incarnation uint64) {
 	r.self.Incarnation = incarnation
 	r.actions.Announce(r.self)
 }
--- a/fleet/member/simulate_test.go
+++ b/fleet/member/simulate_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// This file plays whole fleets of Rosters against a model of the failure detector and the
+// This file plays whole fleets of rosters against a model of the failure detector and the
 // network: who can't be reached is found dead, words are lost, come twice and late.
 
 // move is one step of a play: something happens to the fleet, or news pass.
@@ -47,7 +47,7 @@
 // fleet is the model's world.
 type fleet struct {
 	make  maker
-	now   Time
+	now   clockTime
 	lives uint64
 	procs [fleetSize]*proc
 	cut   [fleetSize][fleetSize]bool // from, to
@@ -67,7 +67,7 @@
 func (p *proc) Happened(Event)   {}
 func (p *proc) Announce(Member)  {}
 func (p *proc) StepAside(Member) {}
-func (p *proc) Tell(to Member, about Record) {
+func (p *proc) Tell(to Member, about lifeRecord) {
 	f, from, since := p.fleet, p.r.Self().Name, p.fleet.now
 	age := since - about.Since
 	for j, q := range f.procs {
@@ -99,7 +99,7 @@
 	f.lives++
 	p := &proc{fleet: f, i: i, up: true}
 	self := Member{Name: name(i), Life: f.lives * 2654435761 % 97, Addr: name(i)}
-	p.r = f.make(f.now, Limits{StopAfter: 4 * sec, DepartedFor: time.Hour, MaxDeparted: 64}, self, p)
+	p.r = f.make(f.now, rosterLimits{StopAfter: 4 * sec, DepartedFor: time.Hour, MaxDeparted: 64}, self, p)
 	f.procs[i] = p
 	for j, q := range f.procs {
 		if f.linked(i, j) {
@@ -225,7 +225,7 @@
 func returnOfOne(make maker) error {
 	f := &fleet{}
 	resumed := map[string]int{}
-	f.make = func(now Time, l Limits, self Member, act Actions) subject {
+	f.make = func(now clockTime, l rosterLimits, self Member, act rosterActions) subject {
 		return make(now, l, self, watch{act, func(e Event) {
 			if e.Kind == Resumed {
 				resumed[self.Name]++
@@ -255,7 +255,7 @@
 }
 
 type watch struct {
-	Actions
+	rosterActions
 	see func(Event)
 }
 
@@ -282,7 +282,7 @@
 	for i, inc := range v.Incs {
 		self := Member{Name: "me", Life: uint64(i*7%5 + 1), Addr: fmt.Sprint(i)}
 		r := make(0, testLimits, self, &book{})
-		r.Told(0, "", rec(at("before", mem("me", inc, 99)), Gone))
+		r.Told(0, "", rec(at("before", mem("me", inc, 99)), stateGone))
 		r.Settled(0)
 		all = append(all, r)
 	}
--- a/fleet/member/view.go
+++ b/fleet/member/view.go
@@ -41,7 +41,7 @@
 // The channel is closed when the node is.
 func (n *Node) Events() <-chan Event { return n.events }
 
-// flush publishes what the Roster has decided: the view first, so that who gets an event
+// flush publishes what the roster has decided: the view first, so that who gets an event
 // finds at least that much in Members.
 func (n *Node) flush() {
 	if n.viewChanged {
--- a/fleet/member/wire.go
+++ b/fleet/member/wire.go
@@ -33,7 +33,7 @@
 	Leaving     bool
 }
 
-// wireLife is one Record on the network. An age travels instead of a time, since no two
+// wireLife is one lifeRecord on the network. An age travels instead of a time, since no two
 // members' clocks can be compared.
 type wireLife struct {
 	_           struct{} `cbor:",toarray"`
@@ -41,7 +41,7 @@
 	Incarnation uint64
 	Life        uint64
 	Addr        string
-	State       State
+	State       lifeState
 	Age         uint64 // in milliseconds
 }
 
@@ -136,20 +136,20 @@
 		return fmt.Errorf("addr: %d bytes, %d at most", len(l.Addr), maxAddr)
 	case l.Incarnation > maxIncarnation:
 		return fmt.Errorf("incarnation: %d is too high", l.Incarnation)
-	case l.State > Gone:
+	case l.State > stateGone:
 		return fmt.Errorf("state: %d is not known", l.State)
 	}
 	return nil
 }
 
 // toRecord puts a life on the clock of the receiver.
-func (l *wireLife) toRecord(now Time) Record {
+func (l *wireLife) toRecord(now clockTime) lifeRecord {
 	m := Member{Name: l.Name, Incarnation: l.Incarnation, Life: l.Life, Addr: l.Addr}
 	age := time.Duration(min(l.Age, uint64(1<<40))) * time.Millisecond
-	return Record{Member: m, State: l.State, Since: now - age}
+	return lifeRecord{Member: m, State: l.State, Since: now - age}
 }
 
-func toWireLife(now Time, r Record) wireLife {
+func toWireLife(now clockTime, r lifeRecord) wireLife {
 	l := wireLife{Name: r.Name, Incarnation: r.Incarnation, Life: r.Life, Addr: r.Addr, State: r.State}
 	if r.departed() {
 		l.Age = uint64(max(0, now-r.Since) / time.Millisecond)
@@ -165,7 +165,7 @@
 		if err == nil {
 			err = m.Records[i].check()
 		}
-		if err == nil && m.Records[i].State == Alive {
+		if err == nil && m.Records[i].State == stateAlive {
 			err = errors.New("state: alive among the departed")
 		}
 	}
--- a/fleet/member/wire_test.go
+++ b/fleet/member/wire_test.go
@@ -22,7 +22,7 @@
 	if got, err := readMeta(buf); got != m || err != nil || len(buf) > 512 {
 		t.Errorf("%+v, %v, %d bytes", got, err, len(buf))
 	}
-	l := wireLife{Name: strings.Repeat("n", maxName), Incarnation: 2, Life: 3, Addr: strings.Repeat("a", maxAddr), State: Gone, Age: 4}
+	l := wireLife{Name: strings.Repeat("n", maxName), Incarnation: 2, Life: 3, Addr: strings.Repeat("a", maxAddr), State: stateGone, Age: 4}
 	s := memory{From: "a"}
 	for range maxRecords {
 		s.Records = append(s.Records, l)
@@ -54,7 +54,7 @@
 		"member: meta: cbor":            second(readMeta([]byte{1, 0x82, 1, 1})),
 		"member: state: from":           second(readMemory(wire(t, memory{From: long}))),
 		"member: state: name":           second(readMemory(wire(t, memory{Records: []wireLife{{}}}))),
-		"member: state: state: alive":   second(readMemory(wire(t, memory{Records: []wireLife{{Name: "a", State: Alive}}}))),
+		"member: state: state: alive":   second(readMemory(wire(t, memory{Records: []wireLife{{Name: "a", State: stateAlive}}}))),
 		"member: state: state: 9":       second(readMemory(wire(t, memory{Records: []wireLife{{Name: "a", State: 9}}}))),
 		"member: state: addr":           second(readMemory(wire(t, memory{Records: []wireLife{{Name: "a", Addr: long}}}))),
 		"member: state: incarnation":    second(readMemory(wire(t, memory{Records: []wireLife{{Name: "a", Incarnation: 1 << 60}}}))),
@@ -97,14 +97,14 @@
 }
 
 func FuzzState(f *testing.F) {
-	f.Add(wire(f, memory{From: "a", Records: []wireLife{{Name: "b", Incarnation: 2, Life: 3, State: Dead, Age: 1 << 60}}}))
+	f.Add(wire(f, memory{From: "a", Records: []wireLife{{Name: "b", Incarnation: 2, Life: 3, State: stateDead, Age: 1 << 60}}}))
 	f.Fuzz(func(t *testing.T, buf []byte) {
 		again(t, buf, readMemory)
-		if m, err := readMemory(buf); err == nil { // and a Roster bears it
-			r := NewRoster(0, testLimits, mem("me", 0, 7), &book{})
+		if m, err := readMemory(buf); err == nil { // and a roster bears it
+			r := newRoster(0, testLimits, mem("me", 0, 7), &book{})
 			r.Settled(0)
 			for i := range m.Records {
-				r.Hearsay(sec, m.From, []Record{m.Records[i].toRecord(sec)})
+				r.Hearsay(sec, m.From, []lifeRecord{m.Records[i].toRecord(sec)})
 			}
 		}
 	})
@@ -116,7 +116,7 @@
 	f.Fuzz(func(t *testing.T, buf []byte) {
 		again(t, buf, readMessage)
 		if m, err := readMessage(buf); err == nil && m.About != nil {
-			r := NewRoster(0, testLimits, mem("me", 0, 7), &book{})
+			r := newRoster(0, testLimits, mem("me", 0, 7), &book{})
 			r.Settled(0)
 			r.Told(sec, m.From, m.About.toRecord(sec))
 		}
