--- a/fleet/agree/client.go
+++ b/fleet/agree/client.go
@@ -119,10 +119,10 @@
 
 // retry sends a request until it is answered with what another voter or a
 // later try can't change. unknown is set when a try may have been agreed.
-func (c *Client) retry(ctx context.Context, q func() *request, unknown *bool) (*reply, error) {
+func (c *Client) retry(ctx context.Context, newRequest func() *request, unknown *bool) (*reply, error) {
 	wait := backoff{cfg: &c.cfg}
 	for {
-		r, sent, err := c.try(ctx, q)
+		r, sent, err := c.try(ctx, newRequest)
 		if err == nil {
 			return r, nil
 		}
@@ -148,34 +148,34 @@
 }
 
 // try sends a request once. The reply is nil if there was none.
-func (c *Client) try(ctx context.Context, q func() *request) (r *reply, sent bool, err error) {
-	l, err := c.connect(ctx)
+func (c *Client) try(ctx context.Context, newRequest func() *request) (r *reply, sent bool, err error) {
+	conn, err := c.connect(ctx)
 	if err != nil {
 		return nil, false, err
 	}
-	m := q()
-	m.Patience = c.cfg.Try.Milliseconds()
-	w, err := l.ask(m, 1)
+	q := newRequest()
+	q.Patience = c.cfg.Try.Milliseconds()
+	waiter, err := conn.ask(q, 1)
 	if err != nil {
 		return nil, true, err
 	}
-	defer l.drop(w)
+	defer conn.drop(waiter)
 	patience := time.NewTimer(c.cfg.Try)
 	defer patience.Stop()
 	select {
-	case r, ok := <-w.replies:
+	case r, ok := <-waiter.replies:
 		if !ok {
 			return nil, true, errors.New("agree: connection lost")
 		}
 		err := r.err()
 		if err != nil {
-			c.switchVoter(l, err)
+			c.switchVoter(conn, err)
 		}
 		return r, true, err
 	case <-ctx.Done():
 		return nil, true, ctx.Err()
 	case <-patience.C:
-		c.switchVoter(l, ErrUnknown)
+		c.switchVoter(conn, ErrUnknown)
 		return nil, true, errors.New("agree: no answer")
 	}
 }
--- a/fleet/agree/client_conn.go
+++ b/fleet/agree/client_conn.go
@@ -32,111 +32,111 @@
 }
 
 func newClientConn(conn net.Conn, cfg *ClientConfig) *clientConn {
-	l := &clientConn{conn: conn, cfg: cfg, closed: make(chan struct{}), waiting: map[uint64]*replyWaiter{}}
-	go l.read()
-	go l.ping()
-	return l
+	c := &clientConn{conn: conn, cfg: cfg, closed: make(chan struct{}), waiting: map[uint64]*replyWaiter{}}
+	go c.read()
+	go c.ping()
+	return c
 }
 
-func (l *clientConn) dead() bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.err != nil
+func (c *clientConn) dead() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.err != nil
 }
 
 // fail ends the connection; all waiters learn of it.
-func (l *clientConn) fail(err error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.err != nil {
+func (c *clientConn) fail(err error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.err != nil {
 		return
 	}
-	l.err = err
-	close(l.closed)
-	l.conn.Close()
-	for id, w := range l.waiting {
+	c.err = err
+	close(c.closed)
+	c.conn.Close()
+	for id, w := range c.waiting {
 		close(w.replies)
-		delete(l.waiting, id)
+		delete(c.waiting, id)
 	}
 }
 
 // drain ends subscriptions, and the connection once what is under way has been
 // answered.
-func (l *clientConn) drain() {
-	l.mu.Lock()
-	l.retired = true
-	for id, w := range l.waiting {
+func (c *clientConn) drain() {
+	c.mu.Lock()
+	c.retired = true
+	for id, w := range c.waiting {
 		if cap(w.replies) == subscriberBuffer {
 			close(w.replies)
-			delete(l.waiting, id)
+			delete(c.waiting, id)
 		}
 	}
-	idle := len(l.waiting) == 0
-	l.mu.Unlock()
+	idle := len(c.waiting) == 0
+	c.mu.Unlock()
 	if idle {
-		l.fail(net.ErrClosed)
+		c.fail(net.ErrClosed)
 	}
 }
 
 // ask sends a request; up to room replies wait to be taken.
-func (l *clientConn) ask(q *request, room int) (*replyWaiter, error) {
-	l.mu.Lock()
-	if l.err != nil {
-		defer l.mu.Unlock()
-		return nil, l.err
+func (c *clientConn) ask(q *request, room int) (*replyWaiter, error) {
+	c.mu.Lock()
+	if c.err != nil {
+		defer c.mu.Unlock()
+		return nil, c.err
 	}
-	l.lastID++
-	q.ID = l.lastID
+	c.lastID++
+	q.ID = c.lastID
 	w := &replyWaiter{q.ID, make(chan *reply, room)}
-	l.waiting[q.ID] = w
-	l.mu.Unlock()
+	c.waiting[q.ID] = w
+	c.mu.Unlock()
 	frame, err := encodeFrame(q)
 	if err != nil {
-		l.drop(w)
+		c.drop(w)
 		return nil, err
 	}
-	l.writeMu.Lock()
-	defer l.writeMu.Unlock()
-	l.conn.SetWriteDeadline(time.Now().Add(l.cfg.Try))
-	if _, err := l.conn.Write(frame); err != nil {
-		l.fail(err)
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
+	c.conn.SetWriteDeadline(time.Now().Add(c.cfg.Try))
+	if _, err := c.conn.Write(frame); err != nil {
+		c.fail(err)
 		return nil, err
 	}
 	return w, nil
 }
 
 // drop stops waiting.
-func (l *clientConn) drop(w *replyWaiter) {
-	l.mu.Lock()
-	delete(l.waiting, w.id)
-	idle := l.retired && len(l.waiting) == 0
-	l.mu.Unlock()
+func (c *clientConn) drop(w *replyWaiter) {
+	c.mu.Lock()
+	delete(c.waiting, w.id)
+	idle := c.retired && len(c.waiting) == 0
+	c.mu.Unlock()
 	if idle {
-		l.fail(net.ErrClosed)
+		c.fail(net.ErrClosed)
 	}
 }
 
-func (l *clientConn) read() {
-	in := bufio.NewReaderSize(l.conn, 4096)
+func (c *clientConn) read() {
+	in := bufio.NewReaderSize(c.conn, 4096)
 	for {
 		// Pings are answered, so silence is the peer's or the net's.
-		l.conn.SetReadDeadline(time.Now().Add(2*l.cfg.Ping + l.cfg.Try))
+		c.conn.SetReadDeadline(time.Now().Add(2*c.cfg.Ping + c.cfg.Try))
 		r := &reply{}
-		err := readFrame(in, r, func() { l.conn.SetReadDeadline(time.Now().Add(l.cfg.Try)) })
+		err := readFrame(in, r, func() { c.conn.SetReadDeadline(time.Now().Add(c.cfg.Try)) })
 		if err != nil {
-			l.fail(err)
+			c.fail(err)
 			return
 		}
-		l.deliver(r)
+		c.deliver(r)
 	}
 }
 
 // deliver hands a reply over. A waiter that is behind by all its room is told
 // that there will be no more; it asks again from where it is.
-func (l *clientConn) deliver(r *reply) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	w := l.waiting[r.ID]
+func (c *clientConn) deliver(r *reply) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	w := c.waiting[r.ID]
 	if w == nil {
 		return
 	}
@@ -148,19 +148,19 @@
 	default:
 		close(w.replies)
 	}
-	delete(l.waiting, r.ID)
+	delete(c.waiting, r.ID)
 }
 
-func (l *clientConn) ping() {
-	t := time.NewTicker(l.cfg.Ping)
+func (c *clientConn) ping() {
+	t := time.NewTicker(c.cfg.Ping)
 	defer t.Stop()
 	for {
 		select {
-		case <-l.closed:
+		case <-c.closed:
 			return
 		case <-t.C:
 			// The answer is dropped when it comes; none at all ends the reader's wait.
-			l.ask(&request{Kind: requestPing}, 1)
+			c.ask(&request{Kind: requestPing}, 1)
 		}
 	}
 }
--- a/fleet/agree/client_connect.go
+++ b/fleet/agree/client_connect.go
@@ -23,10 +23,10 @@
 		if c.dialing == nil {
 			break
 		}
-		over := c.dialing
+		dialed := c.dialing
 		c.mu.Unlock()
 		select {
-		case <-over:
+		case <-dialed:
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
@@ -35,8 +35,8 @@
 		c.target = (c.target + 1) % len(c.cfg.Voters)
 		c.conn = nil
 	}
-	over := make(chan struct{})
-	c.dialing = over
+	dialed := make(chan struct{})
+	c.dialing = dialed
 	addr := c.cfg.Voters[c.target]
 	c.mu.Unlock()
 
@@ -45,7 +45,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.dialing = nil
-	close(over)
+	close(dialed)
 	if err != nil {
 		c.target = (c.target + 1) % len(c.cfg.Voters)
 		return nil, fmt.Errorf("agree: %w", err)
@@ -58,8 +58,8 @@
 	return c.conn, nil
 }
 
-// switchVoter goes to another voter if err says that l's is not the one to ask.
-func (c *Client) switchVoter(l *clientConn, err error) {
+// switchVoter goes to another voter if err says that the one of connection from is not the one to ask.
+func (c *Client) switchVoter(from *clientConn, err error) {
 	var notLeader *notLeaderError
 	next := -1
 	switch {
@@ -71,7 +71,7 @@
 		return
 	}
 	c.mu.Lock()
-	if c.conn != l {
+	if c.conn != from {
 		c.mu.Unlock()
 		return // somebody else has
 	}
@@ -80,5 +80,5 @@
 	}
 	c.target, c.conn = next, nil
 	c.mu.Unlock()
-	l.drain()
+	from.drain()
 }
--- a/fleet/agree/client_subscribe.go
+++ b/fleet/agree/client_subscribe.go
@@ -34,23 +34,23 @@
 type callerError struct{ error }
 
 func (c *Client) subscribeOnce(ctx context.Context, from *uint64, f func(effect) error) error {
-	l, err := c.connect(ctx)
+	conn, err := c.connect(ctx)
 	if err != nil {
 		return err
 	}
-	w, err := l.ask(&request{Kind: requestSubscribe, From: *from}, subscriberBuffer)
+	waiter, err := conn.ask(&request{Kind: requestSubscribe, From: *from}, subscriberBuffer)
 	if err != nil {
 		return err
 	}
-	defer l.drop(w)
+	defer conn.drop(waiter)
 	for {
 		select {
-		case r, ok := <-w.replies:
+		case r, ok := <-waiter.replies:
 			if !ok {
 				return errors.New("agree: subscription ended")
 			}
 			if err := r.err(); err != nil {
-				c.switchVoter(l, err)
+				c.switchVoter(conn, err)
 				return err
 			}
 			if r.Index < *from {
--- a/fleet/agree/proposal.go
+++ b/fleet/agree/proposal.go
@@ -152,15 +152,15 @@
 
 // push hands a future to who collects them. It waits while there are too many,
 // unless raft can't go on, in which case it returns why.
-func (v *Voter) push(w pending) (err error) {
+func (v *Voter) push(sent pending) (err error) {
 	select {
-	case v.pending <- w:
+	case v.pending <- sent:
 		return nil
 	case err = <-v.store.Failed():
 	case err = <-v.fsm.failure:
 	}
-	if w.proposal != nil {
-		w.proposal.reply <- result{err: ErrUnknown}
+	if sent.proposal != nil {
+		sent.proposal.reply <- result{err: ErrUnknown}
 	}
 	return err
 }
@@ -169,36 +169,36 @@
 // the order in which it decides them.
 func (v *Voter) collect(done chan<- struct{}) {
 	defer close(done)
-	for w := range v.pending {
-		err := awaitFuture(w.future, v.raftDown)
-		if w.proposal == nil {
+	for sent := range v.pending {
+		err := awaitFuture(sent.future, v.raftDown)
+		if sent.proposal == nil {
 			continue
 		}
-		w.proposal.reply <- v.resultOf(w, err)
+		sent.proposal.reply <- v.resultOf(sent, err)
 	}
 }
 
-func (v *Voter) resultOf(w pending, err error) result {
+func (v *Voter) resultOf(sent pending, err error) result {
 	switch {
 	case err == nil:
 	case errors.Is(err, raft.ErrNotLeader), errors.Is(err, raft.ErrLeadershipTransferInProgress):
 		return result{err: v.notLeader()}
 	case errors.Is(err, raft.ErrEnqueueTimeout):
 		return result{err: &busyError{v.cfg.ComeBack}}
-	case w.proposal.admin != nil:
+	case sent.proposal.admin != nil:
 		return result{err: fmt.Errorf("agree: %w", err)}
 	default:
 		v.log.Warn("outcome unknown", "err", err)
 		return result{err: ErrUnknown}
 	}
-	if w.proposal.admin != nil {
+	if sent.proposal.admin != nil {
 		return result{}
 	}
-	if w.proposal.read {
-		answer, index, err := v.fsm.query(w.proposal.data)
+	if sent.proposal.read {
+		answer, index, err := v.fsm.query(sent.proposal.data)
 		return result{answer, index, err}
 	}
-	d, ok := w.future.(raft.ApplyFuture).Response().(decision)
+	d, ok := sent.future.(raft.ApplyFuture).Response().(decision)
 	if !ok { // the state machine has stopped
 		return result{err: ErrUnknown}
 	}
--- a/fleet/agree/session.go
+++ b/fleet/agree/session.go
@@ -68,34 +68,34 @@
 		return heldAnswer{}, outcomeUnknownSession
 	}
 	s.order.MoveToBack(e)
-	one := e.Value.(*session)
-	s.confirm(one, a.Done)
-	if h, ok := one.answers[a.Seq]; ok {
+	sess := e.Value.(*session)
+	s.confirm(sess, a.Done)
+	if h, ok := sess.answers[a.Seq]; ok {
 		return h, outcomeApplied
 	}
-	if a.Seq <= one.confirmed {
+	if a.Seq <= sess.confirmed {
 		return heldAnswer{}, outcomeConfirmed
 	}
-	if len(one.answers) >= maxHeld {
+	if len(sess.answers) >= maxHeld {
 		return heldAnswer{}, outcomeTooManyUnconfirmed
 	}
 	h := heldAnswer{Seq: a.Seq, Index: index, Answer: apply()}
-	one.answers[a.Seq] = h
+	sess.answers[a.Seq] = h
 	s.bytes += len(h.Answer)
 	s.evict()
 	return h, outcomeApplied
 }
 
 // confirm forgets answers that the asker has had.
-func (s *sessions) confirm(one *session, done uint64) {
-	if done <= one.confirmed {
+func (s *sessions) confirm(sess *session, done uint64) {
+	if done <= sess.confirmed {
 		return
 	}
-	one.confirmed = done
-	for seq, h := range one.answers {
+	sess.confirmed = done
+	for seq, h := range sess.answers {
 		if seq <= done {
 			s.bytes -= len(h.Answer)
-			delete(one.answers, seq)
+			delete(sess.answers, seq)
 		}
 	}
 }
@@ -103,9 +103,9 @@
 // evict keeps to the bounds; the session used last is kept in any case.
 func (s *sessions) evict() {
 	for s.order.Len() > 1 && (s.order.Len() > s.maxSessions || s.bytes > s.maxBytes) {
-		one := s.order.Remove(s.order.Front()).(*session)
-		delete(s.byID, one.id)
-		for _, h := range one.answers {
+		sess := s.order.Remove(s.order.Front()).(*session)
+		delete(s.byID, sess.id)
+		for _, h := range sess.answers {
 			s.bytes -= len(h.Answer)
 		}
 	}
@@ -121,10 +121,10 @@
 func (s *sessions) image() []sessionImage {
 	all := make([]sessionImage, 0, s.order.Len())
 	for e := s.order.Front(); e != nil; e = e.Next() {
-		one := e.Value.(*session)
-		image := sessionImage{ID: one.id, Done: one.confirmed}
-		for _, seq := range slices.Sorted(maps.Keys(one.answers)) {
-			image.Answers = append(image.Answers, one.answers[seq])
+		sess := e.Value.(*session)
+		image := sessionImage{ID: sess.id, Done: sess.confirmed}
+		for _, seq := range slices.Sorted(maps.Keys(sess.answers)) {
+			image.Answers = append(image.Answers, sess.answers[seq])
 		}
 		all = append(all, image)
 	}
@@ -136,11 +136,11 @@
 	clear(s.byID)
 	s.bytes = 0
 	for _, image := range all {
-		one := &session{id: image.ID, confirmed: image.Done, answers: map[uint64]heldAnswer{}}
+		sess := &session{id: image.ID, confirmed: image.Done, answers: map[uint64]heldAnswer{}}
 		for _, h := range image.Answers {
-			one.answers[h.Seq] = h
+			sess.answers[h.Seq] = h
 			s.bytes += len(h.Answer)
 		}
-		s.byID[one.id] = s.order.PushBack(one)
+		s.byID[sess.id] = s.order.PushBack(sess)
 	}
 }
