--- a/fleet/agree/client_conn.go
+++ b/fleet/agree/client_conn.go
@@ -7,6 +7,17 @@
 	"time"
 )
 
+// connState is how far a connection of the client has come. It only goes up.
+type connState uint8
+
+const (
+	connOpen     connState = iota // takes requests
+	connDraining                  // another voter is asked by now; closed when nobody waits
+	connClosed                    // failed or closed; err says why
+)
+
+func (s connState) String() string { return [...]string{"open", "draining", "closed"}[s] }
+
 // clientConn is one connection. Its reader hands replies to who waits for them.
 type clientConn struct {
 	conn   net.Conn
@@ -18,8 +29,8 @@
 	mu      sync.Mutex
 	lastID  uint64
 	waiting map[uint64]*replyWaiter
-	err     error
-	retired bool // closed when nobody waits
+	state   connState
+	err     error // in connClosed: why
 }
 
 // subscriberBuffer is how many effects wait for a subscriber.
@@ -38,20 +49,21 @@
 	return c
 }
 
-func (c *clientConn) dead() bool {
+// isClosed reports whether the connection takes no more requests.
+func (c *clientConn) isClosed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.err != nil
+	return c.state == connClosed
 }
 
 // fail ends the connection; all waiters learn of it.
 func (c *clientConn) fail(err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.err != nil {
+	if c.state == connClosed {
 		return
 	}
-	c.err = err
+	c.state, c.err = connClosed, err
 	close(c.closed)
 	c.conn.Close()
 	for id, w := range c.waiting {
@@ -64,7 +76,7 @@
 // answered.
 func (c *clientConn) drain() {
 	c.mu.Lock()
-	c.retired = true
+	c.state = max(c.state, connDraining)
 	for id, w := range c.waiting {
 		if cap(w.replies) == subscriberBuffer {
 			close(w.replies)
@@ -81,7 +93,7 @@
 // ask sends a request; up to room replies wait to be taken.
 func (c *clientConn) ask(q *request, room int) (*replyWaiter, error) {
 	c.mu.Lock()
-	if c.err != nil {
+	if c.state == connClosed {
 		defer c.mu.Unlock()
 		return nil, c.err
 	}
@@ -109,13 +121,14 @@
 func (c *clientConn) drop(w *replyWaiter) {
 	c.mu.Lock()
 	delete(c.waiting, w.id)
-	idle := c.retired && len(c.waiting) == 0
+	idle := c.state == connDraining && len(c.waiting) == 0
 	c.mu.Unlock()
 	if idle {
 		c.fail(net.ErrClosed)
 	}
 }
 
+// read delivers replies until the connection fails or is silent for too long.
 func (c *clientConn) read() {
 	in := bufio.NewReaderSize(c.conn, 4096)
 	for {
@@ -151,6 +164,7 @@
 	delete(c.waiting, r.ID)
 }
 
+// ping sends a request each ClientConfig.Ping, so that a silent connection is found out.
 func (c *clientConn) ping() {
 	t := time.NewTicker(c.cfg.Ping)
 	defer t.Stop()
--- a/fleet/agree/client_connect.go
+++ b/fleet/agree/client_connect.go
@@ -16,7 +16,7 @@
 			c.mu.Unlock()
 			return nil, ErrShutdown
 		}
-		if c.conn != nil && !c.conn.dead() {
+		if c.conn != nil && !c.conn.isClosed() {
 			defer c.mu.Unlock()
 			return c.conn, nil
 		}
--- a/fleet/agree/config.go
+++ b/fleet/agree/config.go
@@ -47,7 +47,7 @@
 	store *logStore        // opened already, in tests
 }
 
-// Check fills in defaults and says what is wrong, naming the key.
+// Check fills in defaults. Its error names the key that is wrong and what would be right.
 func (c *Config) Check() error {
 	if c.Name == "" {
 		return errors.New("name: empty")
@@ -55,6 +55,21 @@
 	if c.Dir == "" {
 		return errors.New("dir: empty")
 	}
+	if err := c.checkVoters(); err != nil {
+		return err
+	}
+	c.setDefaults()
+	if c.Heartbeat < 20*time.Millisecond {
+		return fmt.Errorf("heartbeat: %v, 20ms at least", c.Heartbeat)
+	}
+	if c.Heartbeat > time.Minute {
+		return fmt.Errorf("heartbeat: %v, 1m at most", c.Heartbeat)
+	}
+	return nil
+}
+
+// checkVoters checks the initial set, and that this voter is in it or joins.
+func (c *Config) checkVoters() error {
 	if n := len(c.Voters); n != 1 && n != 3 && n != 5 {
 		return fmt.Errorf("voters: %d, not 3 or 5 (or 1 to try things out)", n)
 	}
@@ -82,6 +97,11 @@
 	} else if !own && !c.Join {
 		return fmt.Errorf("voters: %s itself is not among them", c.Name)
 	}
+	return nil
+}
+
+// setDefaults replaces what is 0. Numbers below 0 are left.
+func (c *Config) setDefaults() {
 	for _, d := range []struct {
 		to  *time.Duration
 		def time.Duration
@@ -93,12 +113,6 @@
 			*d.to = d.def
 		}
 	}
-	if c.Heartbeat < 20*time.Millisecond {
-		return fmt.Errorf("heartbeat: %v, 20ms at least", c.Heartbeat)
-	}
-	if c.Heartbeat > time.Minute {
-		return fmt.Errorf("heartbeat: %v, 1m at most", c.Heartbeat)
-	}
 	if c.Inbox == 0 {
 		c.Inbox = 256
 	}
@@ -108,5 +122,4 @@
 	if c.Trailing == 0 {
 		c.Trailing = 2048
 	}
-	return nil
 }
--- a/fleet/agree/proposal.go
+++ b/fleet/agree/proposal.go
@@ -8,22 +8,34 @@
 	"github.com/hashicorp/raft"
 )
 
+// proposalKind is how a proposal is handed to raft and what its result is.
+type proposalKind uint8
+
+const (
+	proposeCommand proposalKind = iota // appended to the log; the result is the machine's answer
+	proposeRead                        // a barrier, then a query of the machine
+	proposeChange                      // of the set of voters; the result is empty
+)
+
+func (k proposalKind) String() string { return [...]string{"command", "read", "change"}[k] }
+
 // proposal is a message to the voter's task.
 type proposal struct {
-	ctx   context.Context
-	read  bool
-	data  []byte // of a command, or the query of a read
-	admin func(*raft.Raft) raft.Future
-	reply chan result // room for one
+	kind   proposalKind
+	ctx    context.Context
+	data   []byte                       // of a command, or the query of a read
+	change func(*raft.Raft) raft.Future // proposeChange: asks raft for it
+	reply  chan result                  // room for one
 }
 
+// result is what became of a proposal. With an error the other fields are empty.
 type result struct {
 	answer []byte
 	index  uint64
 	err    error
 }
 
-// pending is a proposal that raft has.
+// pending is a proposal or a tick that raft has been handed.
 type pending struct {
 	proposal *proposal // nil: a tick
 	future   raft.Future
@@ -32,7 +44,7 @@
 // openSession opens a session for asks. Its name is the index of the entry that did.
 // After ErrUnknown it may just be opened again: what is not used is forgotten.
 func (v *Voter) openSession(ctx context.Context) (session uint64, err error) {
-	_, session, err = v.await(&proposal{ctx: ctx, data: (&command{kind: kindOpen}).encode()})
+	_, session, err = v.await(&proposal{kind: proposeCommand, ctx: ctx, data: (&command{kind: kindOpen}).encode()})
 	return session, err
 }
 
@@ -50,7 +62,7 @@
 	if a.Seq == 0 {
 		return nil, 0, ErrStale
 	}
-	return v.await(&proposal{ctx: ctx, data: (&command{kind: kindAsk, ask: a}).encode()})
+	return v.await(&proposal{kind: proposeCommand, ctx: ctx, data: (&command{kind: kindAsk, ask: a}).encode()})
 }
 
 // read asks the machine, which is a Querier, and returns its answer with the
@@ -64,7 +76,7 @@
 	if len(query) > MaxEntry {
 		return nil, 0, ErrTooLong
 	}
-	return v.await(&proposal{ctx: ctx, read: true, data: query})
+	return v.await(&proposal{kind: proposeRead, ctx: ctx, data: query})
 }
 
 // addVoter makes the voter name at address one of the set, at once: it counts for
@@ -74,7 +86,7 @@
 	if name == "" || address == "" {
 		return errors.New("agree: add: name or address empty")
 	}
-	_, _, err := v.await(&proposal{ctx: ctx, admin: func(r *raft.Raft) raft.Future {
+	_, _, err := v.await(&proposal{kind: proposeChange, ctx: ctx, change: func(r *raft.Raft) raft.Future {
 		return r.AddVoter(raft.ServerID(name), raft.ServerAddress(address), 0, v.cfg.Heartbeat)
 	}})
 	return err
@@ -83,7 +95,7 @@
 // removeVoter takes the voter name out of the set for good: it must not come back by
 // this name.
 func (v *Voter) removeVoter(ctx context.Context, name string) error {
-	_, _, err := v.await(&proposal{ctx: ctx, admin: func(r *raft.Raft) raft.Future {
+	_, _, err := v.await(&proposal{kind: proposeChange, ctx: ctx, change: func(r *raft.Raft) raft.Future {
 		return r.RemoveServer(raft.ServerID(name), 0, v.cfg.Heartbeat)
 	}})
 	return err
@@ -96,6 +108,8 @@
 	return v.fsm.effectsFrom(max(from, 1), limit)
 }
 
+// await hands a proposal to the voter's task and waits for its result. A full inbox is a
+// *busyError at once; once it is in, the end of its context is ErrUnknown.
 func (v *Voter) await(p *proposal) ([]byte, uint64, error) {
 	r := v.running()
 	if r == nil {
@@ -140,9 +154,9 @@
 	case v.raft.State() != raft.Leader:
 		p.reply <- result{err: v.notLeader()}
 		return nil
-	case p.admin != nil:
-		f = p.admin(v.raft)
-	case p.read:
+	case p.kind == proposeChange:
+		f = p.change(v.raft)
+	case p.kind == proposeRead:
 		f = v.raft.Barrier(v.cfg.Heartbeat)
 	default:
 		f = v.raft.Apply(p.data, v.cfg.Heartbeat)
@@ -178,23 +192,15 @@
 	}
 }
 
+// resultOf is the result of a proposal that raft has decided, or given up with err.
 func (v *Voter) resultOf(sent pending, err error) result {
-	switch {
-	case err == nil:
-	case errors.Is(err, raft.ErrNotLeader), errors.Is(err, raft.ErrLeadershipTransferInProgress):
-		return result{err: v.notLeader()}
-	case errors.Is(err, raft.ErrEnqueueTimeout):
-		return result{err: &busyError{v.cfg.ComeBack}}
-	case sent.proposal.admin != nil:
-		return result{err: fmt.Errorf("agree: %w", err)}
-	default:
-		v.log.Warn("outcome unknown", "err", err)
-		return result{err: ErrUnknown}
+	if err != nil {
+		return result{err: v.proposalError(sent.proposal, err)}
 	}
-	if sent.proposal.admin != nil {
+	switch sent.proposal.kind {
+	case proposeChange:
 		return result{}
-	}
-	if sent.proposal.read {
+	case proposeRead:
 		answer, index, err := v.fsm.query(sent.proposal.data)
 		return result{answer, index, err}
 	}
@@ -213,6 +219,21 @@
 	return result{answer: d.answer, index: d.index}
 }
 
+// proposalError is what the error of a future says of its proposal: that it was not
+// appended, or that the outcome isn't known.
+func (v *Voter) proposalError(p *proposal, err error) error {
+	switch {
+	case errors.Is(err, raft.ErrNotLeader), errors.Is(err, raft.ErrLeadershipTransferInProgress):
+		return v.notLeader()
+	case errors.Is(err, raft.ErrEnqueueTimeout):
+		return &busyError{v.cfg.ComeBack}
+	case p.kind == proposeChange:
+		return fmt.Errorf("agree: %w", err)
+	}
+	v.log.Warn("outcome unknown", "err", err)
+	return ErrUnknown
+}
+
 // awaitFuture waits for a future. Raft leaves some of those that it has at its
 // shutdown without an answer; done ends the wait for them.
 func awaitFuture(f raft.Future, done <-chan struct{}) error {
--- a/fleet/agree/server.go
+++ b/fleet/agree/server.go
@@ -129,20 +129,21 @@
 // serverConn is one asker's connection.
 type serverConn struct {
 	*Server
-	conn  net.Conn
-	ctx   context.Context
-	slots chan struct{}
+	conn    net.Conn
+	ctx     context.Context
+	slots   chan struct{}  // one taken by each request under way
+	running sync.WaitGroup // requests and subscriptions
 
 	endSubscription func() // ends the subscription and waits for its end
 
 	writeMu sync.Mutex // of writing
 }
 
+// serve reads requests until the connection fails or is silent, then ends what they started.
 func (s *Server) serve(c net.Conn) {
 	ctx, cancel := context.WithCancel(s.ctx)
 	p := &serverConn{Server: s, conn: c, ctx: ctx, slots: make(chan struct{}, s.limits.Asks), endSubscription: func() {}}
-	var under sync.WaitGroup
-	defer under.Wait()
+	defer p.running.Wait()
 	defer cancel()
 	in := bufio.NewReaderSize(c, 1024)
 	for {
@@ -156,31 +157,41 @@
 			return
 		}
 		if q.Kind == requestSubscribe {
-			p.endSubscription()
-			subCtx, end := context.WithCancel(ctx)
-			ended := make(chan struct{})
-			p.endSubscription = func() { end(); <-ended }
-			under.Go(func() {
-				defer close(ended)
-				p.subscribe(subCtx, q.ID, q.From)
-			})
-			continue
-		}
-		select {
-		case p.slots <- struct{}{}:
-		default:
-			r := &reply{ID: q.ID}
-			r.setError(&busyError{s.voter.cfg.ComeBack})
-			p.send(r)
-			continue
+			p.replaceSubscription(&q)
+		} else {
+			p.startAnswer(&q)
 		}
-		under.Go(func() {
-			defer func() { <-p.slots }()
-			p.send(p.answer(&q))
-		})
 	}
 }
 
+// replaceSubscription waits for the end of the connection's subscription and starts another.
+func (p *serverConn) replaceSubscription(q *request) {
+	p.endSubscription()
+	ctx, end := context.WithCancel(p.ctx)
+	ended := make(chan struct{})
+	p.endSubscription = func() { end(); <-ended }
+	p.running.Go(func() {
+		defer close(ended)
+		p.subscribe(ctx, q.ID, q.From)
+	})
+}
+
+// startAnswer answers a request beside those under way, or tells busy if they are too many.
+func (p *serverConn) startAnswer(q *request) {
+	select {
+	case p.slots <- struct{}{}:
+	default:
+		r := &reply{ID: q.ID}
+		r.setError(&busyError{p.voter.cfg.ComeBack})
+		p.send(r)
+		return
+	}
+	p.running.Go(func() {
+		defer func() { <-p.slots }()
+		p.send(p.answer(q))
+	})
+}
+
 // send writes a reply; what can't be written in time ends the connection.
 func (p *serverConn) send(r *reply) {
 	frame, err := encodeFrame(r)
--- a/fleet/agree/session.go
+++ b/fleet/agree/session.go
@@ -27,6 +27,10 @@
 	outcomeTooManyUnconfirmed                // too many answers are unconfirmed; not applied
 )
 
+func (o outcome) String() string {
+	return [...]string{"applied", "session unknown", "confirmed", "too many unconfirmed"}[o]
+}
+
 // heldAnswer is the answer to an ask that was applied.
 type heldAnswer struct {
 	Seq    uint64 `cbor:"1,keyasint"`
--- a/fleet/agree/store_check.go
+++ b/fleet/agree/store_check.go
@@ -49,6 +49,18 @@
 	} else if len(text) == spanSize {
 		first, last = binary.BigEndian.Uint64(text), binary.BigEndian.Uint64(text[8:])
 	}
+	if err := checkLogBucket(log, first, last); err != nil {
+		return err
+	}
+	if err := checkStableBucket(stable); err != nil {
+		return err
+	}
+	s.first, s.last = first, last
+	return nil
+}
+
+// checkLogBucket checks that the log is whole from first to last and nothing beside.
+func checkLogBucket(log *bbolt.Bucket, first, last uint64) error {
 	next := first
 	for k, v, c := seekFirst(log); k != nil; k, v = c.Next() {
 		if len(k) != 8 {
@@ -69,6 +81,11 @@
 	if last != 0 && next != last+1 {
 		return fmt.Errorf("log %d: missing, written up to %d", next, last)
 	}
+	return nil
+}
+
+// checkStableBucket checks each record beside the log, and by their sum that none is missing.
+func checkStableBucket(stable *bbolt.Bucket) error {
 	for k, v, c := seekFirst(stable); k != nil; k, v = c.Next() {
 		if _, err := recordPayload(bucketStable, k, v); err != nil {
 			return fmt.Errorf("%s: %w", k, err)
@@ -82,7 +99,6 @@
 	} else if !bytes.Equal(text, stableSum(stable)) {
 		return errors.New("term or vote: missing")
 	}
-	s.first, s.last = first, last
 	return nil
 }
 
--- a/fleet/agree/voter.go
+++ b/fleet/agree/voter.go
@@ -21,6 +21,8 @@
 	phaseOver                 // has ended
 )
 
+func (p phase) String() string { return [...]string{"forming", "running", "over"}[p] }
+
 // Voter takes part in agreeing. It is one task with one bounded inbox.
 type Voter struct {
 	cfg   Config
