--- a/fleet/agree/client.go
+++ b/fleet/agree/client.go
@@ -14,11 +14,12 @@
 	Voters  []string      // addresses at which they answer askers
 	Try     time.Duration // for one voter's answer; 0: 2 s
 	Backoff time.Duration // before the second try, doubled for each after it; 0: 20 ms
-	Longest time.Duration // between tries; 0: 1 s
+	Longest time.Duration // between two tries at most; 0: 1 s
 	Ping    time.Duration // between signs of life on a connection; 0: 10 s
 	Asks    int           // under way at once, 32 at most; others wait; 0: 8
 }
 
+// fill checks the configuration and replaces what is 0 by its default.
 func (c *ClientConfig) fill() error {
 	if len(c.Voters) == 0 {
 		return errors.New("agree: client: no voters")
@@ -41,8 +42,9 @@
 	return nil
 }
 
-// Client asks voters over one connection, to the one that leads as far as it
-// knows. Its methods may be called from any goroutine.
+// Client proposes entries to the voters and reads from them over one connection, to the one
+// that it believes to be the leader. It retries with backoff, at another voter where that may
+// help, until ctx is over. Its methods may be called from any goroutine.
 type Client struct {
 	cfg   ClientConfig
 	log   *slog.Logger
@@ -62,7 +64,8 @@
 	outstanding map[uint64]bool // sequences whose answer has not been had
 }
 
-// NewClient returns a client. It connects when it is first asked.
+// NewClient returns a client, which connects at its first call. It returns an error if
+// cfg.Voters is empty.
 func NewClient(cfg ClientConfig, log *slog.Logger) (*Client, error) {
 	if err := cfg.fill(); err != nil {
 		return nil, err
@@ -73,7 +76,8 @@
 	}, nil
 }
 
-// Close ends the connection and what waits on it.
+// Close closes the connection. Calls under way and later ones return
+// ErrShutdown, an Ask whose entry may have been applied ErrUnknown.
 func (c *Client) Close() {
 	c.mu.Lock()
 	c.closed = true
@@ -90,8 +94,10 @@
 	return c.closed
 }
 
-// Read asks the machine and returns its answer with the index up to which it
-// had applied, which holds all that was agreed before Read was called.
+// Read queries the machine and returns its answer with the index of the last command that it
+// had applied; the answer reflects all that was agreed before Read was called. It returns
+// ErrTooLong for a query of more than MaxEntry bytes, ErrShutdown after Close, the error of
+// ctx, and an error if the machine is not a Querier.
 func (c *Client) Read(ctx context.Context, query []byte) (answer []byte, index uint64, err error) {
 	if len(query) > MaxEntry {
 		return nil, 0, ErrTooLong
@@ -103,7 +109,9 @@
 	return r.Body, r.Index, nil
 }
 
-// Add makes a voter one of the set, Remove takes one out. See Voter.
+// Add adds a voter, which was started with Config.Join, to the set under a name and the address
+// at which other voters reach it. It counts for the quorum at once, while the log is still being
+// sent to it. It returns an error if raft refuses the change.
 func (c *Client) Add(ctx context.Context, name, address string) error {
 	_, err := c.retry(ctx, func() *request {
 		return &request{Kind: requestAdd, Name: name, Address: address}
@@ -111,14 +119,14 @@
 	return err
 }
 
-// Remove takes the voter name out of the set for good.
+// Remove removes the voter with a name from the set. The name must not be used again.
 func (c *Client) Remove(ctx context.Context, name string) error {
 	_, err := c.retry(ctx, func() *request { return &request{Kind: requestRemove, Name: name} }, nil)
 	return err
 }
 
-// retry sends a request until it is answered with what another voter or a
-// later try can't change. unknown is set when a try may have been agreed.
+// retry sends a request until its reply is final: one that neither another voter nor a later
+// try could change. It sets unknown, if not nil, once a try may have been agreed.
 func (c *Client) retry(ctx context.Context, newRequest func() *request, unknown *bool) (*reply, error) {
 	wait := backoff{cfg: &c.cfg}
 	for {
@@ -147,7 +155,8 @@
 	}
 }
 
-// try sends a request once. The reply is nil if there was none.
+// try sends a request once and waits for the reply for ClientConfig.Try. The reply is nil if
+// there was none; sent tells whether the request may have reached the voter.
 func (c *Client) try(ctx context.Context, newRequest func() *request) (r *reply, sent bool, err error) {
 	conn, err := c.connect(ctx)
 	if err != nil {
--- a/fleet/agree/client_ask.go
+++ b/fleet/agree/client_ask.go
@@ -5,7 +5,11 @@
 	"errors"
 )
 
-// Ask has an entry agreed once: prepare, do and drop.
+// Ask proposes an entry, of MaxEntry bytes at most, in the client's session, so that it is
+// applied once however often it is sent, and returns the machine's answer and the index of the
+// log at which it was applied. ErrUnknown says that it may have been applied or may yet be,
+// ErrSession that it may have been and that nobody can tell any more; after any other error it
+// was not applied and won't be.
 func (c *Client) Ask(ctx context.Context, entry []byte) (answer []byte, index uint64, err error) {
 	a := c.prepare(entry)
 	defer a.drop()
@@ -21,7 +25,7 @@
 	unknown bool // a try may have been applied
 }
 
-// prepare returns an ask that nobody has been asked yet. Drop it at the end.
+// prepare returns an ask that has not been sent. It must be dropped at the end.
 func (c *Client) prepare(entry []byte) *clientAsk { return &clientAsk{client: c, entry: entry} }
 
 // do asks, again and again under the same sequence, until it knows or ctx is
@@ -74,7 +78,7 @@
 	return err
 }
 
-// drop says that the answer is not asked for any more.
+// drop gives up the sequence of the ask: its answer need not be kept any more.
 func (a *clientAsk) drop() {
 	if a.session != 0 {
 		a.client.releaseSeq(a.seq)
@@ -115,6 +119,7 @@
 	}
 }
 
+// nextSeq gives out the next sequence of the session, as outstanding.
 func (c *Client) nextSeq() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -123,6 +128,7 @@
 	return c.seq
 }
 
+// releaseSeq ends the wait for the answer to a sequence.
 func (c *Client) releaseSeq(seq uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/fleet/agree/client_conn.go
+++ b/fleet/agree/client_conn.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// connState is how far a connection of the client has come. It only goes up.
+// connState is how far a connection of the client has come. No state is followed by an earlier one.
 type connState uint8
 
 const (
@@ -18,7 +18,8 @@
 
 func (s connState) String() string { return [...]string{"open", "draining", "closed"}[s] }
 
-// clientConn is one connection. Its reader hands replies to who waits for them.
+// clientConn is one connection to a voter. Its reader goroutine delivers each reply to the
+// replyWaiter of its request.
 type clientConn struct {
 	conn   net.Conn
 	cfg    *ClientConfig
@@ -56,7 +57,7 @@
 	return c.state == connClosed
 }
 
-// fail ends the connection; all waiters learn of it.
+// fail closes the connection and the channels of all waiters. Calls after the first do nothing.
 func (c *clientConn) fail(err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -72,7 +73,7 @@
 	}
 }
 
-// drain ends subscriptions, and the connection once what is under way has been
+// drain ends subscriptions, and closes the connection once the requests under way have been
 // answered.
 func (c *clientConn) drain() {
 	c.mu.Lock()
@@ -90,7 +91,8 @@
 	}
 }
 
-// ask sends a request; up to room replies wait to be taken.
+// ask sends a request under a new number. Up to room replies are buffered. An error says that
+// the connection is closed, or that the request is longer than a frame.
 func (c *clientConn) ask(q *request, room int) (*replyWaiter, error) {
 	c.mu.Lock()
 	if c.state == connClosed {
@@ -117,7 +119,7 @@
 	return w, nil
 }
 
-// drop stops waiting.
+// drop ends the wait for replies; later ones are discarded.
 func (c *clientConn) drop(w *replyWaiter) {
 	c.mu.Lock()
 	delete(c.waiting, w.id)
--- a/fleet/agree/config.go
+++ b/fleet/agree/config.go
@@ -9,14 +9,14 @@
 	"github.com/hashicorp/raft"
 )
 
-// Peer is one voter of the initial set.
+// Peer is one voter of the initial set. Addresses are host:port.
 type Peer struct {
 	Name    string `json:"name"`
 	Address string `json:"address"` // at which other voters reach it
 	Ask     string `json:"ask"`     // at which askers, and voters not yet formed, reach it
 }
 
-// Config says what a voter is.
+// Config configures a voter. The zero values of durations and numbers stand for defaults.
 type Config struct {
 	Name   string // its own; of a voter that lost its store, a new one
 	Bind   string // address to listen on for other voters
--- a/fleet/agree/errors.go
+++ b/fleet/agree/errors.go
@@ -8,7 +8,8 @@
 
 // Bounds on what is agreed, in bytes.
 const (
-	MaxEntry = 48 << 10 // an entry, a query or an answer
+	// MaxEntry bounds an entry, a query and an answer each.
+	MaxEntry = 48 << 10
 )
 
 var (
--- a/fleet/agree/form.go
+++ b/fleet/agree/form.go
@@ -101,7 +101,7 @@
 	return n
 }
 
-// Hello is what this voter tells of itself.
+// hello returns what this voter tells of itself.
 func (v *Voter) hello() hello {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/fleet/agree/server.go
+++ b/fleet/agree/server.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// ServerLimits bound what askers can take. The zero value is replaced by defaults.
+// ServerLimits bounds what clients can use. Zero fields stand for the defaults.
 type ServerLimits struct {
 	Connections int           // 0: 1024; others are told busy and closed
 	Asks        int           // under way on one connection; 0: 16
@@ -36,7 +36,7 @@
 	}
 }
 
-// Server answers askers for a voter.
+// Server serves clients of a voter. Its methods may be called from any goroutine.
 type Server struct {
 	voter  *Voter
 	limits ServerLimits
@@ -60,7 +60,8 @@
 	return s
 }
 
-// Close ends all connections and waits for what they had under way.
+// Close closes the listener and all connections and waits for what they had under way. The
+// voter goes on.
 func (s *Server) Close() {
 	s.cancel()
 	s.ln.Close()
--- a/fleet/agree/voter.go
+++ b/fleet/agree/voter.go
@@ -23,7 +23,9 @@
 
 func (p phase) String() string { return [...]string{"forming", "running", "over"}[p] }
 
-// Voter takes part in agreeing. It is one task with one bounded inbox.
+// Voter is one replica of the agreed state: it runs raft on its store and applies what is
+// committed to its Machine. It is one task with one bounded inbox. Its methods may be called
+// from any goroutine.
 type Voter struct {
 	cfg   Config
 	log   *slog.Logger
@@ -47,8 +49,9 @@
 	err   error // why it ended
 }
 
-// Start opens the store in cfg.Dir and starts the voter. A store that is torn,
-// spoilt, in use or another voter's is refused.
+// Start opens the store in cfg.Dir and starts the voter. It returns an error if cfg is not
+// valid (see Config.Check), if the store is torn, corrupt, in use by another process or
+// another voter's, or, of a voter that has formed, if cfg.Bind can't be listened on.
 //
 // A voter whose store is empty does not vote at once, for it can't tell whether
 // it is new or has lost what it promised. See form.
@@ -176,6 +179,7 @@
 // errRemoved ends a leader that has taken itself out of the set.
 var errRemoved = errors.New("agree: removed from the set of voters")
 
+// handOver transfers the leadership to another voter, if that succeeds in time.
 func (v *Voter) handOver() {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*v.cfg.Heartbeat)
 	defer cancel()
@@ -227,8 +231,9 @@
 	return r != nil && r.State() == raft.Leader
 }
 
-// Stop ends the voter, after it has handed its leadership to another if
-// handOver is true and it leads, and returns why it had ended before, if so.
+// Stop ends the voter and waits until it has. If handOver is true and it leads, it first
+// transfers its leadership, for five heartbeats at most. Stop returns the error for which the
+// voter had ended by itself before; nil if it had not.
 func (v *Voter) Stop(handOver bool) error {
 	v.stopOnce.Do(func() { v.stop <- handOver })
 	<-v.ended
