--- a/fleet/member/delegate.go
+++ b/fleet/member/delegate.go
@@ -15,11 +15,21 @@
 
 var errTooManyMembers = fmt.Errorf("member: there are %d members already", maxMembers)
 
+// finding is what the failure detector, which is memberlist's, has found of a member.
+type finding uint8
+
+const (
+	foundDead    finding = iota
+	foundAlive           // it joined, or spoke up
+	foundLeaving         // it has said that it leaves, whether or not it is still there
+)
+
+func (f finding) String() string { return [...]string{"dead", "alive", "leaving"}[f] }
+
 // memberChange is what memberlist holds of one name.
 type memberChange struct {
 	member  Member
-	leaving bool
-	alive   bool
+	finding finding
 }
 
 // delegate takes memberlist's calls, which come under its locks and must not wait. News of
@@ -46,12 +56,12 @@
 	datagram    struct{ message message }
 )
 
-func newDelegate(name string, life uint64, post func(any) bool, count *counters) *delegate {
+func newDelegate(name string, life uint64, enqueue func(any) bool, counters *counters) *delegate {
 	return &delegate{
 		name:     name,
 		life:     life,
-		enqueue:  post,
-		counters: count,
+		enqueue:  enqueue,
+		counters: counters,
 		alive:    map[string]bool{},
 		changed:  map[string]memberChange{},
 		wake:     make(chan struct{}, 1),
@@ -82,13 +92,21 @@
 	return out
 }
 
+// noteChange keeps what memberlist has found of a member and wakes the node's goroutine.
 func (d *delegate) noteChange(n *memberlist.Node, alive bool) {
 	m, meta, err := memberOf(n)
 	if err != nil || n.Name == d.name {
 		return
 	}
+	found := foundDead
+	switch {
+	case meta.Leaving:
+		found = foundLeaving
+	case alive:
+		found = foundAlive
+	}
 	d.mu.Lock()
-	d.changed[n.Name] = memberChange{member: m, leaving: meta.Leaving, alive: alive}
+	d.changed[n.Name] = memberChange{member: m, finding: found}
 	if alive {
 		d.alive[n.Name] = true
 	} else {
@@ -101,6 +119,7 @@
 	}
 }
 
+// memberOf returns the member that memberlist holds, with its meta as it was sent.
 func memberOf(n *memberlist.Node) (Member, meta, error) {
 	m, err := readMeta(n.Meta)
 	if err != nil {
--- a/fleet/member/event.go
+++ b/fleet/member/event.go
@@ -42,6 +42,8 @@
 	Leaving               // has said that it leaves
 )
 
+func (p Phase) String() string { return [...]string{"starting", "serving", "aside", "leaving"}[p] }
+
 // rosterActions carries out what a roster decides, in the order of the calls.
 type rosterActions interface {
 	// Happened reports a change.
--- a/fleet/member/member.go
+++ b/fleet/member/member.go
@@ -39,6 +39,8 @@
 	stateGone // has said that it leaves
 )
 
+func (s lifeState) String() string { return [...]string{"heard", "alive", "dead", "gone"}[s] }
+
 // lifeRecord is one life and what is known of it.
 type lifeRecord struct {
 	Member
--- a/fleet/member/node.go
+++ b/fleet/member/node.go
@@ -43,8 +43,7 @@
 	// Only in run.
 	pending       []Event
 	viewChanged   bool
-	behind        bool // events were lost, a Resync is due
-	stale         bool // a Resumed among them
+	backlog       eventBacklog
 	joinRunning   bool
 	joinRounds    int
 	rejoinBackoff time.Duration
@@ -157,12 +156,12 @@
 	}
 	slices.Sort(names)
 	for _, name := range names {
-		switch c := changes[name]; {
-		case c.leaving:
+		switch c := changes[name]; c.finding {
+		case foundLeaving:
 			n.roster.Left(n.now(), c.member)
-		case c.alive:
+		case foundAlive:
 			n.roster.Alive(n.now(), c.member)
-		default:
+		case foundDead:
 			n.roster.Died(n.now(), c.member)
 		}
 	}
--- a/fleet/member/roster.go
+++ b/fleet/member/roster.go
@@ -24,6 +24,8 @@
 	verdictUnknown         // from one that is not among the members
 )
 
+func (v verdict) String() string { return [...]string{"take", "older", "unknown"}[v] }
+
 // roster is one member's view of the fleet. It is not safe for concurrent use.
 type roster struct {
 	limits      rosterLimits
@@ -151,6 +153,7 @@
 	r.expireDeparted(now)
 }
 
+// mergeDeparted takes in news of a departed life, unless it is too old or not to be believed.
 func (r *roster) mergeDeparted(now clockTime, rec lifeRecord) {
 	if rec.Incarnation == 0 || rec.Incarnation > maxIncarnation || r.phase == Aside ||
 		rec.Name == r.self.Name || now-rec.Since > r.limits.DepartedFor {
@@ -159,7 +162,7 @@
 	r.merge(now, rec)
 }
 
-// merge takes in news of another name.
+// merge takes in news of another name: the higher of what was known and what is reported is kept.
 func (r *roster) merge(now clockTime, rec lifeRecord) {
 	old, known := r.names[rec.Name]
 	switch {
@@ -207,6 +210,7 @@
 	}
 }
 
+// sendNotice tells a member what is known of its name, and again with later ticks.
 func (r *roster) sendNotice(t notice) {
 	r.notices[t.to.Name] = t
 	r.actions.Tell(t.to, t.about)
--- a/fleet/member/view.go
+++ b/fleet/member/view.go
@@ -5,6 +5,17 @@
 	"strings"
 )
 
+// eventBacklog is what the reader of Events has missed, and is owed by the next Resync.
+type eventBacklog uint8
+
+const (
+	backlogNone        eventBacklog = iota
+	backlogLost                     // events were lost, a Resync is due
+	backlogLostResumed              // a Resumed was among them
+)
+
+func (b eventBacklog) String() string { return [...]string{"none", "lost", "lost resumed"}[b] }
+
 // view is what readers see, never changed once published.
 type view struct {
 	self    Member
@@ -12,6 +23,7 @@
 	members []Member // by name
 }
 
+// named returns the member with a name.
 func (v *view) named(name string) (Member, bool) {
 	i, ok := slices.BinarySearchFunc(v.members, name, func(m Member, name string) int {
 		return strings.Compare(m.Name, name)
@@ -22,6 +34,7 @@
 	return v.members[i], true
 }
 
+// publish makes what the roster holds the view that readers see.
 func (n *Node) publish() {
 	n.view.Store(&view{n.roster.Self(), n.roster.Phase(), n.roster.Members()})
 }
@@ -53,26 +66,36 @@
 		n.emit(e)
 	}
 	n.pending = n.pending[:0]
-	if n.behind {
-		v := n.view.Load()
-		e := Event{Kind: Resync, Member: v.self, View: v.members, Dropped: n.stale}
-		select {
-		case n.events <- e:
-			n.behind, n.stale = false, false
-		default:
-		}
+	if n.backlog != backlogNone {
+		n.resync()
+	}
+}
+
+// resync sends the whole view in place of the events lost, if there is room for it.
+func (n *Node) resync() {
+	v := n.view.Load()
+	e := Event{Kind: Resync, Member: v.self, View: v.members, Dropped: n.backlog == backlogLostResumed}
+	select {
+	case n.events <- e:
+		n.backlog = backlogNone
+	default:
 	}
 }
 
+// emit sends an event, or notes that it is lost: once one is, those after it are too, until a
+// Resync has been sent.
 func (n *Node) emit(e Event) {
-	if !n.behind {
+	if n.backlog == backlogNone {
 		select {
 		case n.events <- e:
 			return
 		default:
-			n.behind = true
 		}
 	}
 	n.counters.eventsLost.Add(1)
-	n.stale = n.stale || e.Kind == Resumed
+	if e.Kind == Resumed {
+		n.backlog = backlogLostResumed
+	} else {
+		n.backlog = max(n.backlog, backlogLost)
+	}
 }
