--- a/fleet/member/actions.go
+++ b/fleet/member/actions.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// nodeActions is how the roster's decisions reach the rest.
+// nodeActions carries out what the roster decides, in the goroutine of run.
 type nodeActions Node
 
-// Happened implements rosterActions.
+// Happened implements rosterActions: the event is logged, and sent by the next flush.
 func (a *nodeActions) Happened(e Event) {
 	level := slog.LevelInfo
 	if e.Kind == Displaced || e.Kind == Resumed {
@@ -21,7 +21,7 @@
 	a.viewChanged = true
 }
 
-// Announce implements rosterActions.
+// Announce implements rosterActions: memberlist gossips this node with its new meta.
 func (a *nodeActions) Announce(self Member) {
 	n := (*Node)(a)
 	n.viewChanged = true
@@ -51,21 +51,21 @@
 	})
 }
 
-// Tell implements rosterActions.
+// Tell implements rosterActions: one datagram, which may be lost.
 func (a *nodeActions) Tell(to Member, about lifeRecord) {
 	n := (*Node)(a)
-	l := toWireLife(n.now(), about)
+	life := toWireLife(n.now(), about)
 	self := n.roster.Self()
 	n.sendMessage(to, message{
 		Kind:        kindTold,
 		From:        self.Name,
 		Incarnation: self.Incarnation,
 		Life:        self.Life,
-		About:       &l,
+		About:       &life,
 	})
 }
 
-// publishMeta sets what others hear of this node.
+// publishMeta sets what memberlist gossips of this node.
 func (n *Node) publishMeta(self Member, leaving bool) {
 	buf, err := encode(meta{
 		Incarnation: self.Incarnation,
@@ -80,7 +80,7 @@
 }
 
 // publishMemory renews what a full exchange carries. Ages in it are as of now: they may go out
-// up to memoryEvery too young, which keeps a departed life in memory that much longer.
+// up to memoryInterval too young, which keeps a departed life in memory that much longer.
 func (n *Node) publishMemory(now clockTime) {
 	n.nextMemory = now + memoryInterval
 	m := memory{From: n.cfg.Name}
--- a/fleet/member/config.go
+++ b/fleet/member/config.go
@@ -2,6 +2,7 @@
 
 import (
 	"cmp"
+	"errors"
 	"fmt"
 	"log"
 	"log/slog"
@@ -62,16 +63,25 @@
 	deadPerJoin      = 3              // dead members tried again beside the seeds, each time
 	maxJoinRounds    = 3              // rounds of asking the seeds before a node serves alone
 	memoryInterval   = 10 * time.Second
-	// reclaim is when a name may come back at another address once its old one is dead: at
+	// reclaimAfter is when a name may come back at another address once its old one is dead: at
 	// once, since who it is follows from incarnation and life, not from the address.
 	reclaimAfter = time.Nanosecond
-	// retransmit times log10 of the fleet's size is how often each member passes on a piece
+	// retransmitMult times log10 of the fleet's size is how often each member passes on a piece
 	// of news; each other misses it with a chance of about e to the minus that. With
 	// memberlist's 4, at 50 members, that is one pair in 3,000, until a full exchange.
 	retransmitMult = 5
 )
 
+// check fills in defaults and returns the two addresses. Its error names the key that is wrong.
 func (c *Config) check() (bind, advertise netip.AddrPort, err error) {
+	c.setDefaults()
+	if err := c.checkBounds(); err != nil {
+		return bind, advertise, err
+	}
+	return c.addresses()
+}
+
+func (c *Config) setDefaults() {
 	c.ProbeInterval = cmp.Or(c.ProbeInterval, time.Second)
 	c.ProbeTimeout = cmp.Or(c.ProbeTimeout, 300*time.Millisecond)
 	c.SuspicionMult = cmp.Or(c.SuspicionMult, 4)
@@ -86,42 +96,50 @@
 	if c.Logger == nil {
 		c.Logger = slog.New(slog.DiscardHandler)
 	}
-	fail := func(key, why string, args ...any) (netip.AddrPort, netip.AddrPort, error) {
-		return bind, advertise, fmt.Errorf(key+": "+why, args...)
-	}
+}
+
+// checkBounds checks all but the addresses.
+func (c *Config) checkBounds() error {
 	switch k := len(c.Key); {
 	case c.Name == "" || len(c.Name) > maxName:
-		return fail("name", "%d bytes, 1 to %d allowed", len(c.Name), maxName)
+		return fmt.Errorf("name: %d bytes, 1 to %d allowed", len(c.Name), maxName)
 	case len(c.Zone) > maxName:
-		return fail("zone", "%d bytes, %d at most", len(c.Zone), maxName)
+		return fmt.Errorf("zone: %d bytes, %d at most", len(c.Zone), maxName)
 	case k != 0 && k != 16 && k != 24 && k != 32:
-		return fail("key", "%d bytes, 16, 24 or 32 needed", k)
+		return fmt.Errorf("key: %d bytes, 16, 24 or 32 needed", k)
 	case c.ProbeInterval < 0 || c.ProbeTimeout < 0 || c.ProbeTimeout > c.ProbeInterval:
-		return fail("probe", "a time-out of %v with an interval of %v", c.ProbeTimeout, c.ProbeInterval)
+		return fmt.Errorf("probe: a time-out of %v with an interval of %v", c.ProbeTimeout, c.ProbeInterval)
 	case c.GossipInterval < 0 || c.PushPullInterval < 0 || c.DeadGossip < 0 || c.StreamTimeout < 0 ||
 		c.SuspicionMult < 0 || c.EventRoom < 0 || c.MessageRoom < 0:
-		return fail("times and numbers", "one is negative")
+		return errors.New("times and numbers: one is negative")
 	case c.RejoinMin < 0 || c.RejoinMax < c.RejoinMin:
-		return fail("rejoin", "from %v to %v", c.RejoinMin, c.RejoinMax)
+		return fmt.Errorf("rejoin: from %v to %v", c.RejoinMin, c.RejoinMax)
 	}
+	return nil
+}
+
+// addresses parses Bind and Advertise, which is not valid if it is to follow from Bind, and
+// checks those of Join.
+func (c *Config) addresses() (bind, advertise netip.AddrPort, err error) {
 	if bind, err = netip.ParseAddrPort(c.Bind); err != nil {
-		return fail("bind", "%w", err)
+		return bind, advertise, fmt.Errorf("bind: %w", err)
 	}
 	if c.Advertise != "" {
 		if advertise, err = netip.ParseAddrPort(c.Advertise); err != nil {
-			return fail("advertise", "%w", err)
+			return bind, advertise, fmt.Errorf("advertise: %w", err)
 		}
 	} else if bind.Addr().IsUnspecified() {
-		return fail("advertise", "needed, since bind is %s", bind.Addr())
+		return bind, advertise, fmt.Errorf("advertise: needed, since bind is %s", bind.Addr())
 	}
 	for _, s := range c.Join {
 		if _, _, err := net.SplitHostPort(s); err != nil {
-			return fail("join", "%w", err)
+			return bind, advertise, fmt.Errorf("join: %w", err)
 		}
 	}
 	return bind, advertise, nil
 }
 
+// memberlistConfig returns what the node runs memberlist with.
 func (n *Node) memberlistConfig(advertise netip.AddrPort, logger *log.Logger) *memberlist.Config {
 	c := memberlist.DefaultLANConfig()
 	c.Name = n.cfg.Name
--- a/fleet/member/node.go
+++ b/fleet/member/node.go
@@ -37,7 +37,7 @@
 	transport *transport
 	list      *memberlist.Memberlist
 	listMu    sync.Mutex // memberlist's Leave and UpdateNode read without its locks
-	listDown  bool       // under updating: the list has been shut down
+	listDown  bool       // under listMu: the list has been shut down
 	lastTick  atomic.Int64
 
 	// Only in run.
@@ -51,8 +51,9 @@
 	nextMemory    clockTime
 }
 
-// Start makes a node and lets it join. It returns at once: until a seed has answered, or all
-// have been asked three times in vain, Self has incarnation 0 and the others don't see it.
+// Start starts a node, which then joins. It returns at once: until a seed has answered, or all
+// have been asked three times in vain, Self has incarnation 0 and the others don't see it. It
+// returns an error if cfg is not valid or its address can't be listened on.
 func Start(cfg Config) (*Node, error) {
 	bind, advertise, err := cfg.check()
 	if err != nil {
@@ -69,9 +70,7 @@
 		stopped:       make(chan struct{}),
 		rejoinBackoff: cfg.RejoinMin,
 	}
-	var seed [8]byte
-	rand.Read(seed[:]) // never fails
-	n.life = binary.BigEndian.Uint64(seed[:])
+	n.life = drawLife()
 	n.delegate = newDelegate(cfg.Name, n.life, n.enqueue, &n.counters)
 
 	logger := log.New(memberlistLog{n.log}, "", 0)
@@ -79,21 +78,11 @@
 	if err != nil {
 		return nil, fmt.Errorf("member: bind: %w", err)
 	}
-	self := Member{Name: cfg.Name, Life: n.life, Zone: cfg.Zone, Version: cfg.Version}
 	if !advertise.IsValid() {
 		port := uint16(n.transport.GetAutoBindPort())
 		advertise = netip.AddrPortFrom(bind.Addr(), port)
 	}
-	self.Addr = advertise.String()
-	limits := rosterLimits{
-		StopAfter:   time.Duration(cfg.SuspicionMult) * cfg.ProbeInterval,
-		DepartedFor: rememberDeparted,
-		MaxDeparted: maxRecords,
-	}
-	n.roster = newRoster(n.now(), limits, self, (*nodeActions)(n))
-	n.publishMeta(self, false)
-	n.publishMemory(n.now())
-	n.publish()
+	n.startRoster(advertise)
 
 	n.list, err = memberlist.Create(n.memberlistConfig(advertise, logger))
 	if err != nil {
@@ -105,8 +94,37 @@
 	return n, nil
 }
 
+// drawLife draws the number by which this process differs from others of its name.
+func drawLife() uint64 {
+	var b [8]byte
+	rand.Read(b[:]) // never fails
+	return binary.BigEndian.Uint64(b[:])
+}
+
+// startRoster makes the roster and publishes it as it is then.
+func (n *Node) startRoster(advertise netip.AddrPort) {
+	self := Member{
+		Name: n.cfg.Name, Life: n.life, Zone: n.cfg.Zone, Addr: advertise.String(), Version: n.cfg.Version,
+	}
+	limits := rosterLimits{
+		StopAfter:   n.stopAfter(),
+		DepartedFor: rememberDeparted,
+		MaxDeparted: maxRecords,
+	}
+	n.roster = newRoster(n.now(), limits, self, (*nodeActions)(n))
+	n.publishMeta(self, false)
+	n.publishMemory(n.now())
+	n.publish()
+}
+
+// stopAfter is the shortest time after which others may take a silent member for dead.
+func (n *Node) stopAfter() time.Duration {
+	return time.Duration(n.cfg.SuspicionMult) * n.cfg.ProbeInterval
+}
+
 func (n *Node) now() clockTime { return time.Since(n.start) }
 
+// enqueue puts a message into the inbox, or drops and counts it if there is no room.
 func (n *Node) enqueue(v any) bool {
 	select {
 	case n.inbox <- v:
@@ -146,8 +164,8 @@
 	}
 }
 
-// applyChanges hands on what memberlist has found, in the order of names: it is the latest of
-// each, so that no other order is known.
+// applyChanges passes to the roster what the failure detector has found, in the order of names:
+// it is the latest of each, so that no other order is known.
 func (n *Node) applyChanges() {
 	changes := n.delegate.changes()
 	names := make([]string, 0, len(changes))
@@ -167,6 +185,7 @@
 	}
 }
 
+// handleInbox passes one message of the inbox to the roster or its reader.
 func (n *Node) handleInbox(v any) {
 	now := n.now()
 	switch v := v.(type) {
@@ -196,8 +215,7 @@
 // not just been stopped for so long that the others may have gone on without it. A Resumed
 // follows where it has.
 func (n *Node) Fresh() bool {
-	stop := time.Duration(n.cfg.SuspicionMult) * n.cfg.ProbeInterval
-	return n.now()-clockTime(n.lastTick.Load()) <= stop && n.Phase() == Serving
+	return n.now()-clockTime(n.lastTick.Load()) <= n.stopAfter() && n.Phase() == Serving
 }
 
 type (
--- a/fleet/member/rejoin.go
+++ b/fleet/member/rejoin.go
@@ -27,25 +27,29 @@
 	n.nextJoin = now + time.Duration((0.5+mrand.Float64())*float64(n.rejoinBackoff))
 	n.rejoinBackoff = min(2*n.rejoinBackoff, n.cfg.RejoinMax)
 	n.joinRunning = true
-	n.tasks.Go(func() {
-		var each sync.WaitGroup
-		var reached atomic.Int32
-		for _, addr := range targets {
-			each.Go(func() {
-				if _, err := n.list.Join([]string{addr}); err == nil { // it logs an error itself
-					reached.Add(1)
-				}
-			})
-		}
-		each.Wait()
-		// The node must learn that this is over.
-		select {
-		case n.inbox <- joinDone{int(reached.Load())}:
-		case <-n.stop:
-		}
-	})
+	n.tasks.Go(func() { n.joinAll(targets) })
+}
+
+// joinAll asks all targets at once and posts to the inbox how many were reached.
+func (n *Node) joinAll(targets []string) {
+	var each sync.WaitGroup
+	var reached atomic.Int32
+	for _, addr := range targets {
+		each.Go(func() {
+			if _, err := n.list.Join([]string{addr}); err == nil { // it logs an error itself
+				reached.Add(1)
+			}
+		})
+	}
+	each.Wait()
+	// The node must learn that this is over.
+	select {
+	case n.inbox <- joinDone{int(reached.Load())}:
+	case <-n.stop:
+	}
 }
 
+// joinTargets returns the seeds that are not among the members and some of the dead.
 func (n *Node) joinTargets() []string {
 	here := map[string]bool{n.roster.Self().Addr: true}
 	members := n.view.Load().members
--- a/fleet/member/self.go
+++ b/fleet/member/self.go
@@ -61,6 +61,7 @@
 	return n
 }
 
+// stepAside ends this process's part in the fleet, for good: winner keeps the name.
 func (r *roster) stepAside(winner Member) {
 	old := r.self
 	r.phase = Aside
@@ -79,12 +80,14 @@
 	}
 }
 
+// resume takes an incarnation above all that others may have accused.
 func (r *roster) resume() {
 	r.setIncarnation(max(r.highestTold, r.self.Incarnation) + 1)
 	r.resumedIncarnation = r.self.Incarnation
 	r.actions.Happened(Event{Kind: Resumed, Member: r.self})
 }
 
+// setIncarnation takes an incarnation and announces it.
 func (r *roster) setIncarnation(incarnation uint64) {
 	r.self.Incarnation = incarnation
 	r.actions.Announce(r.self)
