--- /dev/null
+++ b/fleet/model/client.go
@@ -0,0 +1,97 @@
+package model
+
+import (
+	"oxbowloft/logic"
+	"slices"
+	"strconv"
+	"time"
+)
+
+// call is one client's request over all its tries.
+type call struct {
+	key      uint64
+	class    int
+	first    time.Duration
+	deadline time.Duration
+	tries    int
+	member   int
+	over     bool
+	// of the current try
+	id     string
+	sends  []send
+	final  bool
+	second int
+}
+
+// arrive brings a client's first try, and the next client.
+func (m *Model) arrive() {
+	rate := m.offered(m.now)
+	if rate == 0 {
+		return
+	}
+	m.after(time.Duration(m.rng.ExpFloat64()/rate*float64(time.Second)), &event{kind: arrival})
+	pick, class := m.rng.Float64(), 0
+	for class < len(m.cfg.Classes)-1 && pick >= m.cfg.Classes[class].Mix {
+		pick -= m.cfg.Classes[class].Mix
+		class++
+	}
+	c := &m.cfg.Classes[class]
+	q := &call{key: m.rng.Uint64(), class: class, first: m.now, deadline: m.now + c.Deadline,
+		member: m.someMember(), second: int(m.now / time.Second)}
+	m.res.Offered[q.second] += c.Worth
+	m.res.First[q.second]++
+	m.ask(q)
+}
+
+func (m *Model) someMember() int {
+	at, _ := slices.BinarySearch(m.cumul, m.rng.Float64())
+	return min(at, len(m.members)-1)
+}
+
+// ask makes a client's next try. Every second one of the later ones meets another member.
+func (m *Model) ask(q *call) {
+	if q.tries > 0 && m.rng.IntN(2) == 0 {
+		q.member = m.someMember()
+	}
+	q.tries++
+	q.id, q.sends, q.final = strconv.FormatUint(q.key, 36)+"."+strconv.Itoa(q.tries), nil, false
+	p := m.members[q.member]
+	if q.tries == 1 {
+		p.count.First[q.class]++
+	}
+	if m.cfg.Policy == Seeing {
+		m.decide(q)
+		return
+	}
+	if p.numbers.Shed(q.class, q.key) {
+		base := m.cfg.Classes[q.class].Aim / 4
+		p.refused(q, p.numbers.ComeBack(q.key, base, 2*time.Second))
+		return
+	}
+	p.calls[q.id] = q
+	p.b.Arrive(m.now, logic.Request{ID: q.id, Class: q.class, Budget: q.deadline - m.now, Retry: q.tries > 1})
+}
+
+// refused is what a client does on a refusal: some wait as they are told, the others a moment.
+func (p *member) refused(q *call, comeBack time.Duration) {
+	m := p.m
+	wait := comeBack
+	if m.rng.Float64() >= m.cfg.Obey {
+		wait = time.Duration((20 + 30*m.rng.Float64()) * float64(time.Millisecond))
+	}
+	if q.tries >= m.cfg.Tries || m.now+wait >= q.deadline {
+		m.res.Refused++
+		return
+	}
+	m.after(wait, &event{kind: again, call: q})
+}
+
+func (m *Model) success(q *call) {
+	if q.over {
+		return
+	}
+	q.over = true
+	c, took := &m.cfg.Classes[q.class], m.now-q.first
+	late := float64(took-c.Aim) / float64(c.Deadline-c.Aim)
+	m.res.Worth[q.second] += c.Worth * max(0, min(1, 1-late))
+}
