--- a/fleet/model/backend.go
+++ b/fleet/model/backend.go
@@ -30,7 +30,7 @@
 func (m *Model) serve(e *event) {
 	m.backends[e.to].busy++
 	service := time.Duration(m.rng.ExpFloat64() * float64(m.cfg.Classes[e.call.class].Service))
-	m.after(service, &event{kind: served, member: e.member, call: e.call, try: e.try, to: e.to, token: e.token})
+	m.after(service, &event{kind: callServed, member: e.member, call: e.call, try: e.try, to: e.to, token: e.token})
 }
 
 func (m *Model) served(e *event) {
--- a/fleet/model/member.go
+++ b/fleet/model/member.go
@@ -9,16 +9,16 @@
 )
 
 type member struct {
-	m       *Model
-	number  int
-	name    string
-	zone    string
-	share   float64
-	b       *logic.Balancer
-	f       *overload.Fleet
-	numbers overload.Numbers
-	calls   map[string]*call
-	count   overload.Counters
+	model    *Model
+	number   int
+	name     string
+	zone     string
+	share    float64
+	balancer *logic.Balancer
+	fleet    *overload.Fleet
+	numbers  overload.Numbers
+	calls    map[string]*clientCall
+	counters overload.Counters
 }
 
 type send struct {
@@ -35,13 +35,13 @@
 	q := p.calls[id]
 	n, _ := strconv.Atoi(to)
 	if len(q.sends) > 0 && q.sends[len(q.sends)-1].mayRun {
-		p.count.Repeats++
-		p.m.res.Repeats[p.m.now/time.Second]++
+		p.counters.Repeats++
+		p.model.result.Repeats[p.model.now/time.Second]++
 	}
-	q.sends = append(q.sends, send{id: id, at: p.m.now, backend: n})
+	q.sends = append(q.sends, send{id: id, at: p.model.now, backend: n})
 	try := len(q.sends) - 1
-	p.m.after(link, &event{kind: reach, member: p.number, call: q, try: try, to: n})
-	p.m.after(patience, &event{kind: timeout, member: p.number, call: q, try: try, result: logic.TimedOut, token: uint64(q.tries)})
+	p.model.after(link, &event{kind: callArrives, member: p.number, call: q, try: try, to: n})
+	p.model.after(patience, &event{kind: timeout, member: p.number, call: q, try: try, result: logic.TimedOut, token: uint64(q.tries)})
 }
 
 func (p *member) Refuse(id string, comeBack time.Duration) {
@@ -49,7 +49,7 @@
 	q.final = true
 	p.drop(q)
 	if q.tries == 1 {
-		p.count.Refused[q.class]++
+		p.counters.Refused[q.class]++
 	}
 	p.refused(q, comeBack)
 }
@@ -58,10 +58,10 @@
 	q := p.calls[id]
 	q.final = true
 	p.drop(q)
-	p.m.res.Refused++
+	p.model.result.Refused++
 }
 
-func (p *member) drop(q *call) {
+func (p *member) drop(q *clientCall) {
 	for _, s := range q.sends {
 		if !s.done {
 			return
@@ -77,12 +77,12 @@
 func (p *member) WatchList() {}
 
 func (p *member) Wake(token uint64, after time.Duration) {
-	p.m.after(after, &event{kind: wake, member: p.number, token: token})
+	p.model.after(after, &event{kind: wake, member: p.number, token: token})
 }
 
-// done takes an attempt's end: its answer or its time-out, whichever is first.
-func (p *member) done(e *event) {
-	m, q := p.m, e.call
+// attemptDone takes an attempt's end: its answer or its time-out, whichever is first.
+func (p *member) attemptDone(e *event) {
+	m, q := p.model, e.call
 	if m.cfg.Policy == Seeing {
 		m.success(q)
 		return
@@ -97,15 +97,15 @@
 	if e.result == logic.OK || e.result == logic.TimedOut {
 		// The target is that of the balancer's own limit.
 		const target = 0.25
-		p.count.Answers++
-		p.count.Strain += min(4, min(1, float64(latency)/float64(m.cfg.Classes[q.class].Aim))/target)
+		p.counters.Answers++
+		p.counters.Strain += min(4, min(1, float64(latency)/float64(m.cfg.Classes[q.class].Aim))/target)
 	}
 	if ok {
-		p.count.Served[q.class]++
+		p.counters.Served[q.class]++
 		m.success(q)
 		q.final = true
 	}
-	p.b.Done(m.now, logic.Outcome{Request: s.id, Attempt: e.try, Result: e.result, Latency: latency, Final: ok})
+	p.balancer.Done(m.now, logic.Outcome{Request: s.id, Attempt: e.try, Result: e.result, Latency: latency, Final: ok})
 	if q.final {
 		p.drop(q)
 	}
@@ -113,30 +113,30 @@
 
 // The fleet's part.
 
-func (p *member) clear() {
-	n := len(p.m.cfg.Classes)
-	p.count = overload.Counters{First: make([]float64, n), Served: make([]float64, n), Refused: make([]float64, n)}
+func (p *member) resetCounters() {
+	n := len(p.model.cfg.Classes)
+	p.counters = overload.Counters{First: make([]float64, n), Served: make([]float64, n), Refused: make([]float64, n)}
 }
 
-func (p *member) tell() {
-	p.f.Own(p.m.now, p.count)
-	p.clear()
-	p.numbers = p.f.Numbers(p.m.now)
-	p.m.res.Level[p.m.now/time.Second] += p.numbers.Cut[len(p.m.cfg.Classes)-1] / 2 / float64(len(p.m.members))
-	if p.m.now < p.m.until {
-		p.m.after(time.Second/2, &event{kind: tellOwn, member: p.number})
+func (p *member) report() {
+	p.fleet.Own(p.model.now, p.counters)
+	p.resetCounters()
+	p.numbers = p.fleet.Numbers(p.model.now)
+	p.model.result.Level[p.model.now/time.Second] += p.numbers.Cut[len(p.model.cfg.Classes)-1] / 2 / float64(len(p.model.members))
+	if p.model.now < p.model.until {
+		p.model.after(time.Second/2, &event{kind: report, member: p.number})
 	}
 }
 
 func (p *member) gossip() {
-	m := p.m
-	b := p.f.Digest(m.now)
-	m.res.Size = len(b)
+	m := p.model
+	b := p.fleet.Digest(m.now)
+	m.result.Size = len(b)
 	for range min(m.cfg.Fanout, len(m.members)-1) {
-		to := m.net.IntN(len(m.members))
-		lost := m.net.Float64() < m.cfg.Loss
-		delay := link + time.Duration(m.net.ExpFloat64()*float64(m.cfg.Delay))
-		m.res.Messages++
+		to := m.netRNG.IntN(len(m.members))
+		lost := m.netRNG.Float64() < m.cfg.Loss
+		delay := link + time.Duration(m.netRNG.ExpFloat64()*float64(m.cfg.Delay))
+		m.result.Messages++
 		if to == p.number || lost || max(to, p.number) >= len(m.members)-m.cfg.CutOff {
 			continue
 		}
--- a/fleet/model/model.go
+++ b/fleet/model/model.go
@@ -17,21 +17,21 @@
 
 // Model is a run under way.
 type Model struct {
-	cfg      Config
-	rng      *rand.Rand
-	net      *rand.Rand // of the digests, apart: with all of them lost a run is that of balancers alone
-	now      time.Duration
-	serial   uint64
-	queue    queue
-	members  []*member
-	backends []backend
-	cumul    []float64
-	capacity float64 // calls a second of the mix
-	until    time.Duration
-	res      Result
-	hash     interface{ Write([]byte) (int, error) }
-	sum      func() uint64
-	planned  []float64 // Seeing: cut by class now
+	cfg        Config
+	rng        *rand.Rand
+	netRNG     *rand.Rand // of the digests, apart: with all of them lost a run is that of balancers alone
+	now        time.Duration
+	serial     uint64
+	queue      eventQueue
+	members    []*member
+	backends   []backend
+	cumulative []float64
+	capacity   float64 // calls a second of the mix
+	until      time.Duration
+	result     Result
+	hash       interface{ Write([]byte) (int, error) }
+	sum        func() uint64
+	planned    []float64 // Seeing: cut by class now
 }
 
 const link = time.Millisecond
@@ -39,7 +39,7 @@
 // Run plays cfg to its end.
 func Run(cfg Config) Result {
 	h := fnv.New64a()
-	m := &Model{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 7)), net: rand.New(rand.NewPCG(cfg.Seed, 8)), hash: h, sum: h.Sum64}
+	m := &Model{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 7)), netRNG: rand.New(rand.NewPCG(cfg.Seed, 8)), hash: h, sum: h.Sum64}
 	m.build()
 	for len(m.queue) > 0 {
 		e := heap.Pop(&m.queue).(*event)
@@ -47,8 +47,8 @@
 		m.trace(e)
 		m.handle(e)
 	}
-	m.res.Hash = m.sum()
-	return m.res
+	m.result.Hash = m.sum()
+	return m.result
 }
 
 func (m *Model) trace(e *event) {
@@ -75,7 +75,7 @@
 		m.until += s.For
 	}
 	seconds := int(m.until/time.Second) + 1
-	for _, to := range []*[]float64{&m.res.Offered, &m.res.Worth, &m.res.Repeats, &m.res.First, &m.res.Level} {
+	for _, to := range []*[]float64{&m.result.Offered, &m.result.Worth, &m.result.Repeats, &m.result.First, &m.result.Level} {
 		*to = make([]float64, seconds+30)
 	}
 	m.backends = make([]backend, cfg.Backends)
@@ -98,17 +98,17 @@
 	}
 	total := 0.0
 	for i, v := range view {
-		p := &member{m: m, number: i, name: v.Name, zone: v.Zone, calls: map[string]*call{},
+		p := &member{model: m, number: i, name: v.Name, zone: v.Zone, calls: map[string]*clientCall{},
 			numbers: overload.Alone(), share: math.Exp(cfg.Sigma * m.rng.NormFloat64())}
-		p.b = logic.New(0, logic.Settings{
+		p.balancer = logic.New(0, logic.Settings{
 			Seed: cfg.Seed*1000 + uint64(i), Zone: v.Zone, Zones: zones, Classes: classes,
 			Balancers: cfg.Members, Me: i, Uneven: cfg.Uneven, MaxAttempts: 3,
 			MaxComeBack: 2 * time.Second, Grace: time.Second,
 		}, p)
-		p.b.List(0, true, list)
-		p.f, _ = overload.New(0, overload.Settings{Classes: told, Compact: cfg.Compact}, v)
-		p.f.View(0, cfg.Members, view)
-		p.clear()
+		p.balancer.List(0, true, list)
+		p.fleet, _ = overload.New(0, overload.Settings{Classes: told, Compact: cfg.Compact}, v)
+		p.fleet.View(0, cfg.Members, view)
+		p.resetCounters()
 		total += p.share
 		m.members = append(m.members, p)
 	}
@@ -116,13 +116,13 @@
 	for _, p := range m.members {
 		p.share /= total
 		at += p.share
-		m.cumul = append(m.cumul, at)
+		m.cumulative = append(m.cumulative, at)
 		if cfg.Policy == Fleet {
-			m.after(time.Duration(m.net.Float64()*float64(time.Second/2)), &event{kind: tellOwn, member: p.number})
-			m.after(time.Duration(m.net.Float64()*float64(time.Second)), &event{kind: gossip, member: p.number})
+			m.after(time.Duration(m.netRNG.Float64()*float64(time.Second/2)), &event{kind: report, member: p.number})
+			m.after(time.Duration(m.netRNG.Float64()*float64(time.Second)), &event{kind: gossip, member: p.number})
 		}
 	}
-	m.after(0, &event{kind: arrival})
+	m.after(0, &event{kind: clientArrives})
 }
 
 // offered is the rate of first tries now, a second.
@@ -138,23 +138,23 @@
 
 func (m *Model) handle(e *event) {
 	switch e.kind {
-	case arrival:
-		m.arrive()
+	case clientArrives:
+		m.nextClient()
 	case again:
-		m.ask(e.call)
-	case reach:
+		m.nextTry(e.call)
+	case callArrives:
 		m.reach(e)
-	case served:
+	case callServed:
 		m.served(e)
 	case answer, timeout:
-		m.members[e.member].done(e)
+		m.members[e.member].attemptDone(e)
 	case wake:
-		m.members[e.member].b.Wake(m.now, e.token)
-	case tellOwn:
-		m.members[e.member].tell()
+		m.members[e.member].balancer.Wake(m.now, e.token)
+	case report:
+		m.members[e.member].report()
 	case gossip:
 		m.members[e.member].gossip()
 	case digest:
-		m.members[e.member].f.Take(m.now, e.bytes)
+		m.members[e.member].fleet.Take(m.now, e.bytes)
 	}
 }
--- a/fleet/model/oracle.go
+++ b/fleet/model/oracle.go
@@ -8,7 +8,7 @@
 
 // decide is the policy that sees all: what fits the capacity, worthiest for its work first, by the true
 // rates; to the backend with the least to do; and nothing that would come late.
-func (m *Model) decide(q *call) {
+func (m *Model) decide(q *clientCall) {
 	if m.planned == nil || q.tries == 1 {
 		m.plan()
 	}
@@ -27,7 +27,7 @@
 		p.refused(q, c.Aim/4)
 		return
 	}
-	m.after(link, &event{kind: reach, member: q.member, call: q, to: best})
+	m.after(link, &event{kind: callArrives, member: q.member, call: q, to: best})
 }
 
 func (m *Model) plan() {
--- a/fleet/model/queue.go
+++ b/fleet/model/queue.go
@@ -9,14 +9,14 @@
 type kind byte
 
 const (
-	arrival kind = iota
-	reach
-	served
+	clientArrives kind = iota
+	callArrives
+	callServed
 	answer
 	timeout
 	wake
 	again
-	tellOwn
+	report
 	gossip
 	digest
 )
@@ -26,7 +26,7 @@
 	serial uint64
 	kind   kind
 	member int
-	call   *call
+	call   *clientCall
 	try    int
 	token  uint64
 	bytes  []byte
@@ -34,19 +34,19 @@
 	to     int
 }
 
-type queue []*event
+type eventQueue []*event
 
-func (q queue) Len() int { return len(q) }
+func (q eventQueue) Len() int { return len(q) }
 
-func (q queue) Less(i, j int) bool {
+func (q eventQueue) Less(i, j int) bool {
 	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].serial < q[j].serial
 }
 
-func (q queue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
-func (q *queue) Push(x any) { *q = append(*q, x.(*event)) }
+func (q *eventQueue) Push(x any) { *q = append(*q, x.(*event)) }
 
-func (q *queue) Pop() any {
+func (q *eventQueue) Pop() any {
 	old := *q
 	e := old[len(old)-1]
 	*q = old[:len(old)-1]
