--- a/fleet/model/backend.go
+++ b/fleet/model/backend.go
@@ -8,7 +8,6 @@
 type backend struct {
 	busy  int
 	queue []*event // to be served, in order
-	work  time.Duration
 }
 
 // Backends.
--- a/fleet/model/config.go
+++ b/fleet/model/config.go
@@ -15,6 +15,8 @@
 	Seeing               // one that knows all rates, queues and capacity
 )
 
+func (p Policy) String() string { return [...]string{"alone", "fleet", "seeing"}[p] }
+
 // Class is one class of request and what it costs a backend.
 type Class struct {
 	logic.Class
--- a/fleet/model/model.go
+++ b/fleet/model/model.go
@@ -64,6 +64,7 @@
 	m.hash.Write(e.bytes)
 }
 
+// build sets up the run: its capacity and length, the members, and the first events.
 func (m *Model) build() {
 	cfg := &m.cfg
 	mean := 0.0
@@ -79,6 +80,16 @@
 		*to = make([]float64, seconds+30)
 	}
 	m.backends = make([]backend, cfg.Backends)
+	m.makeMembers()
+	if cfg.Policy == Fleet {
+		m.startGossip()
+	}
+	m.after(0, &event{kind: clientArrives})
+}
+
+// makeMembers makes the balancers and draws their shares of the traffic, which sum to 1.
+func (m *Model) makeMembers() {
+	cfg := &m.cfg
 	zones := make([]string, cfg.Zones)
 	for i := range zones {
 		zones[i] = "z" + strconv.Itoa(i)
@@ -117,12 +128,15 @@
 		p.share /= total
 		at += p.share
 		m.cumulative = append(m.cumulative, at)
-		if cfg.Policy == Fleet {
-			m.after(time.Duration(m.netRNG.Float64()*float64(time.Second/2)), &event{kind: report, member: p.number})
-			m.after(time.Duration(m.netRNG.Float64()*float64(time.Second)), &event{kind: gossip, member: p.number})
-		}
 	}
-	m.after(0, &event{kind: clientArrives})
+}
+
+// startGossip starts each member's reports and digests, at a random time each.
+func (m *Model) startGossip() {
+	for _, p := range m.members {
+		m.after(time.Duration(m.netRNG.Float64()*float64(time.Second/2)), &event{kind: report, member: p.number})
+		m.after(time.Duration(m.netRNG.Float64()*float64(time.Second)), &event{kind: gossip, member: p.number})
+	}
 }
 
 // offered is the rate of first tries now, a second.
