--- a/fleet/member/config.go
+++ b/fleet/member/config.go
@@ -13,8 +13,8 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// Config says who a node is and whom it asks. Zero durations and numbers stand for the
-// defaults, which are those of a LAN.
+// Config configures a node. Zero durations and numbers stand for the defaults, which are those
+// of a LAN.
 type Config struct {
 	Name    string // the operator's, 1 to 64 bytes; outlasts the process
 	Zone    string // at most 64 bytes
--- a/fleet/member/doc.go
+++ b/fleet/member/doc.go
@@ -1,4 +1,5 @@
-// Package member keeps who belongs to the fleet, and in which life.
+// Package member keeps the membership of the fleet: which names are alive, and in
+// which incarnation and life (one run of a process) each is.
 //
 // The deciding part is in roster.go and self.go: who each name is, by what
 // members report. It does no I/O, has no clock and starts no goroutine. The task
--- a/fleet/member/event.go
+++ b/fleet/member/event.go
@@ -1,6 +1,6 @@
 package member
 
-// Kind is what happened.
+// Kind is the kind of an Event.
 type Kind uint8
 
 // The kinds of Event.
@@ -31,7 +31,7 @@
 	Dropped bool     // Resync: a Resumed was among the events lost
 }
 
-// Phase is how far one's own membership has come.
+// Phase is the state of one's own membership.
 type Phase uint8
 
 // The phases. The last two are final.
--- a/fleet/member/leave.go
+++ b/fleet/member/leave.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// Leave tells the others that the node leaves, and returns once it has been said or the
-// time is over. The node still hears; Close follows.
+// Leave announces that the node leaves, and returns once memberlist has sent it, or an error if
+// it has not within timeout. ErrClosed says that the node was closed or displaced before. The
+// node goes on to receive until it is closed.
 func (n *Node) Leave(timeout time.Duration) error {
 	until := time.Now().Add(timeout)
 	done := make(chan struct{})
--- a/fleet/member/messages.go
+++ b/fleet/member/messages.go
@@ -11,13 +11,17 @@
 
 // The errors of Send, Broadcast and Leave.
 var (
-	ErrClosed   = errors.New("member: node is closed")
-	ErrUnknown  = errors.New("member: no such member")
-	ErrTooLong  = fmt.Errorf("member: payload is over %d bytes", MaxPayload)
+	// ErrClosed is returned after Close, and by Leave of a node that was displaced.
+	ErrClosed = errors.New("member: node is closed")
+	// ErrUnknown is returned by Send for a name that is not alive, and for the node's own.
+	ErrUnknown = errors.New("member: no such member")
+	// ErrTooLong is returned for a payload of more than MaxPayload bytes.
+	ErrTooLong = fmt.Errorf("member: payload is over %d bytes", MaxPayload)
+	// ErrNotReady is returned while the node's Phase is not Serving.
 	ErrNotReady = errors.New("member: not a member of the fleet")
 )
 
-// Message is what a member sent, as well as may be.
+// Message is one datagram from a member. It may be lost, come twice, or late.
 type Message struct {
 	From        string
 	Incarnation uint64 // of the sender when it sent
@@ -28,8 +32,9 @@
 // reader is slow, messages are dropped. The channel is closed when the node is.
 func (n *Node) Messages() <-chan Message { return n.messages }
 
-// Send sends payload, at most MaxPayload bytes, to one member in one datagram. It may be
-// lost, come twice, or late.
+// Send sends payload, at most MaxPayload bytes, to the member with a name in one datagram, which
+// may be lost, come twice, or late. It returns ErrTooLong, ErrNotReady, ErrUnknown,
+// ErrClosed, or an error of the socket.
 func (n *Node) Send(name string, payload []byte) error {
 	v := n.view.Load()
 	to, ok := v.named(name)
@@ -55,13 +60,14 @@
 	})
 }
 
-// Broadcast sends payload to k random members, or to all if they are fewer, and returns
-// to how many.
-func (n *Node) Broadcast(k int, payload []byte) (int, error) {
+// Broadcast sends payload, at most MaxPayload bytes, to count random members, or to all others
+// if they are fewer, and returns to how many. It stops at the first error of Send but
+// ErrUnknown.
+func (n *Node) Broadcast(count int, payload []byte) (int, error) {
 	v := n.view.Load()
 	sent := 0
 	for _, i := range mrand.Perm(len(v.members)) {
-		if sent >= k {
+		if sent >= count {
 			break
 		}
 		if v.members[i].Name == v.self.Name {
@@ -78,6 +84,7 @@
 	return sent, nil
 }
 
+// sendMessage sends one datagram to a member at its address.
 func (n *Node) sendMessage(to Member, m message) error {
 	buf, err := encode(m)
 	if err != nil {
@@ -91,6 +98,8 @@
 	return n.list.SendBestEffort(&dest, buf)
 }
 
+// receive passes a datagram on to the roster or to the reader of Messages, if its sender is the
+// life that the roster knows.
 func (n *Node) receive(now clockTime, m *message) {
 	if m.Kind == kindTold {
 		n.roster.Told(now, m.From, m.About.toRecord(now))
--- a/fleet/member/stats.go
+++ b/fleet/member/stats.go
@@ -4,7 +4,8 @@
 	"sync/atomic"
 )
 
-// Stats counts what a node dropped since its start.
+// Stats counts what a node dropped since its start. News of members that are dropped come
+// again with later gossip, a full exchange or a Resync; messages do not.
 type Stats struct {
 	BadMeta    uint64 // a member's own data that can't be read; it is not let in
 	BadState   uint64 // full exchanges whose memory can't be read
--- a/fleet/member/view.go
+++ b/fleet/member/view.go
@@ -42,7 +42,7 @@
 // Self returns the node as others see it; incarnation 0 until the seeds have been asked.
 func (n *Node) Self() Member { return n.view.Load().self }
 
-// Phase returns how far the node's membership has come.
+// Phase returns the state of the node's own membership.
 func (n *Node) Phase() Phase { return n.view.Load().phase }
 
 // Members returns all that are alive, the node itself among them, by name. The slice is
