--- /dev/null
+++ b/fleet/agree/client_connect.go
@@ -0,0 +1,84 @@
+package agree
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net"
+	"slices"
+)
+
+// connect returns the connection, which it makes if there is none.
+func (c *Client) connect(ctx context.Context) (*clientConn, error) {
+	for {
+		c.mu.Lock()
+		if c.closed {
+			c.mu.Unlock()
+			return nil, ErrShutdown
+		}
+		if c.conn != nil && !c.conn.isClosed() {
+			defer c.mu.Unlock()
+			return c.conn, nil
+		}
+		if c.dialing == nil {
+			break
+		}
+		dialed := c.dialing
+		c.mu.Unlock()
+		select {
+		case <-dialed:
+		case <-ctx.Done():
+			return nil, ctx.Err()
+		}
+	}
+	if c.conn != nil { // it broke: its voter is passed over
+		c.target = (c.target + 1) % len(c.cfg.Voters)
+		c.conn = nil
+	}
+	dialed := make(chan struct{})
+	c.dialing = dialed
+	addr := c.cfg.Voters[c.target]
+	c.mu.Unlock()
+
+	conn, err := net.DialTimeout("tcp", addr, c.cfg.Try)
+
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.dialing = nil
+	close(dialed)
+	if err != nil {
+		c.target = (c.target + 1) % len(c.cfg.Voters)
+		return nil, fmt.Errorf("agree: %w", err)
+	}
+	if c.closed {
+		conn.Close()
+		return nil, ErrShutdown
+	}
+	c.conn = newClientConn(conn, &c.cfg)
+	return c.conn, nil
+}
+
+// switchVoter goes to another voter if err says that the one of connection from is not the one to ask.
+func (c *Client) switchVoter(from *clientConn, err error) {
+	var notLeader *notLeaderError
+	next := -1
+	switch {
+	case errors.As(err, &notLeader):
+		// Only one that we were told at our start: a wrong hint leads nowhere else.
+		next = slices.Index(c.cfg.Voters, notLeader.Leader)
+	case errors.Is(err, ErrShutdown), errors.Is(err, ErrUnknown):
+	default:
+		return
+	}
+	c.mu.Lock()
+	if c.conn != from {
+		c.mu.Unlock()
+		return // somebody else has
+	}
+	if next < 0 || next == c.target {
+		next = (c.target + 1) % len(c.cfg.Voters)
+	}
+	c.target, c.conn = next, nil
+	c.mu.Unlock()
+	from.drain()
+}
--- a/fleet/agree/config.go
+++ b/fleet/agree/config.go
@@ -6,18 +6,17 @@
 	"net"
 	"time"
 
-	"github.com/hashicorp/go-hclog"
 	"github.com/hashicorp/raft"
 )
 
-// Peer is one voter of the initial set.
+// Peer is one voter of the initial set. Addresses are host:port.
 type Peer struct {
 	Name    string `json:"name"`
 	Address string `json:"address"` // at which other voters reach it
 	Ask     string `json:"ask"`     // at which askers, and voters not yet formed, reach it
 }
 
-// Config says what a voter is.
+// Config configures a voter. The zero values of durations and numbers stand for defaults.
 type Config struct {
 	Name   string // its own; of a voter that lost its store, a new one
 	Bind   string // address to listen on for other voters
@@ -45,10 +44,10 @@
 	SnapshotCheck time.Duration // how often the entries are counted; 0: 2 min
 
 	layer raft.StreamLayer // in place of a TCP listener, in tests
-	store *Store           // opened already, in tests
+	store *logStore        // opened already, in tests
 }
 
-// Check fills in defaults and says what is wrong, naming the key.
+// Check fills in defaults. Its error names the key that is wrong and what would be right.
 func (c *Config) Check() error {
 	if c.Name == "" {
 		return errors.New("name: empty")
@@ -56,6 +55,21 @@
 	if c.Dir == "" {
 		return errors.New("dir: empty")
 	}
+	if err := c.checkVoters(); err != nil {
+		return err
+	}
+	c.setDefaults()
+	if c.Heartbeat < 20*time.Millisecond {
+		return fmt.Errorf("heartbeat: %v, 20ms at least", c.Heartbeat)
+	}
+	if c.Heartbeat > time.Minute {
+		return fmt.Errorf("heartbeat: %v, 1m at most", c.Heartbeat)
+	}
+	return nil
+}
+
+// checkVoters checks the initial set, and that this voter is in it or joins.
+func (c *Config) checkVoters() error {
 	if n := len(c.Voters); n != 1 && n != 3 && n != 5 {
 		return fmt.Errorf("voters: %d, not 3 or 5 (or 1 to try things out)", n)
 	}
@@ -83,6 +97,11 @@
 	} else if !own && !c.Join {
 		return fmt.Errorf("voters: %s itself is not among them", c.Name)
 	}
+	return nil
+}
+
+// setDefaults replaces what is 0. Numbers below 0 are left.
+func (c *Config) setDefaults() {
 	for _, d := range []struct {
 		to  *time.Duration
 		def time.Duration
@@ -94,12 +113,6 @@
 			*d.to = d.def
 		}
 	}
-	if c.Heartbeat < 20*time.Millisecond {
-		return fmt.Errorf("heartbeat: %v, 20ms at least", c.Heartbeat)
-	}
-	if c.Heartbeat > time.Minute {
-		return fmt.Errorf("heartbeat: %v, 1m at most", c.Heartbeat)
-	}
 	if c.Inbox == 0 {
 		c.Inbox = 256
 	}
@@ -109,18 +122,4 @@
 	if c.Trailing == 0 {
 		c.Trailing = 2048
 	}
-	return nil
-}
-
-func (c *Config) raft(log hclog.Logger) *raft.Config {
-	r := raft.DefaultConfig()
-	r.LocalID = raft.ServerID(c.Name)
-	r.HeartbeatTimeout, r.ElectionTimeout = c.Heartbeat, c.Heartbeat
-	r.LeaderLeaseTimeout = c.Heartbeat / 2
-	r.CommitTimeout = c.Heartbeat / 20
-	r.SnapshotThreshold, r.TrailingLogs, r.SnapshotInterval = c.SnapshotEvery, c.Trailing, c.SnapshotCheck
-	r.BatchApplyCh = true // what comes during one fsync goes into the next
-	r.NoLegacyTelemetry = true
-	r.Logger = log
-	return r
 }
--- a/fleet/agree/server.go
+++ b/fleet/agree/server.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// ServerLimits bound what askers can take. The zero value is replaced by defaults.
+// ServerLimits bounds what clients can use. Zero fields stand for the defaults.
 type ServerLimits struct {
 	Connections int           // 0: 1024; others are told busy and closed
 	Asks        int           // under way on one connection; 0: 16
@@ -36,7 +36,7 @@
 	}
 }
 
-// Server answers askers for a voter.
+// Server serves clients of a voter. Its methods may be called from any goroutine.
 type Server struct {
 	voter  *Voter
 	limits ServerLimits
@@ -60,7 +60,8 @@
 	return s
 }
 
-// Close ends all connections and waits for what they had under way.
+// Close closes the listener and all connections and waits for what they had under way. The
+// voter goes on.
 func (s *Server) Close() {
 	s.cancel()
 	s.ln.Close()
@@ -87,18 +88,18 @@
 			}
 			continue
 		}
-		if !s.enter(c) {
-			s.turnAway(c)
+		if !s.register(c) {
+			s.rejectBusy(c)
 			continue
 		}
 		s.tasks.Go(func() {
-			defer s.leave(c)
+			defer s.unregister(c)
 			s.serve(c)
 		})
 	}
 }
 
-func (s *Server) enter(c net.Conn) bool {
+func (s *Server) register(c net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.conns) >= s.limits.Connections || s.ctx.Err() != nil {
@@ -108,17 +109,17 @@
 	return true
 }
 
-func (s *Server) leave(c net.Conn) {
+func (s *Server) unregister(c net.Conn) {
 	s.mu.Lock()
 	delete(s.conns, c)
 	s.mu.Unlock()
 	c.Close()
 }
 
-// turnAway tells busy. A fresh connection takes one small frame without waiting.
-func (s *Server) turnAway(c net.Conn) {
+// rejectBusy tells busy. A fresh connection takes one small frame without waiting.
+func (s *Server) rejectBusy(c net.Conn) {
 	r := &reply{}
-	r.setError(&BusyError{s.voter.cfg.ComeBack})
+	r.setError(&busyError{s.voter.cfg.ComeBack})
 	if frame, err := encodeFrame(r); err == nil {
 		c.SetWriteDeadline(time.Now().Add(10 * time.Millisecond))
 		c.Write(frame)
@@ -126,23 +127,24 @@
 	c.Close()
 }
 
-// peer is one asker's connection.
-type peer struct {
+// serverConn is one asker's connection.
+type serverConn struct {
 	*Server
-	conn  net.Conn
-	ctx   context.Context
-	slots chan struct{}
+	conn    net.Conn
+	ctx     context.Context
+	slots   chan struct{}  // one taken by each request under way
+	running sync.WaitGroup // requests and subscriptions
 
-	sub func() // ends the subscription and waits for its end
+	endSubscription func() // ends the subscription and waits for its end
 
-	mu sync.Mutex // of writing
+	writeMu sync.Mutex // of writing
 }
 
+// serve reads requests until the connection fails or is silent, then ends what they started.
 func (s *Server) serve(c net.Conn) {
 	ctx, cancel := context.WithCancel(s.ctx)
-	p := &peer{Server: s, conn: c, ctx: ctx, slots: make(chan struct{}, s.limits.Asks), sub: func() {}}
-	var under sync.WaitGroup
-	defer under.Wait()
+	p := &serverConn{Server: s, conn: c, ctx: ctx, slots: make(chan struct{}, s.limits.Asks), endSubscription: func() {}}
+	defer p.running.Wait()
 	defer cancel()
 	in := bufio.NewReaderSize(c, 1024)
 	for {
@@ -156,39 +158,49 @@
 			return
 		}
 		if q.Kind == requestSubscribe {
-			p.sub()
-			subCtx, end := context.WithCancel(ctx)
-			ended := make(chan struct{})
-			p.sub = func() { end(); <-ended }
-			under.Go(func() {
-				defer close(ended)
-				p.subscribe(subCtx, q.ID, q.From)
-			})
-			continue
-		}
-		select {
-		case p.slots <- struct{}{}:
-		default:
-			r := &reply{ID: q.ID}
-			r.setError(&BusyError{s.voter.cfg.ComeBack})
-			p.send(r)
-			continue
+			p.replaceSubscription(&q)
+		} else {
+			p.startAnswer(&q)
 		}
-		under.Go(func() {
-			defer func() { <-p.slots }()
-			p.send(p.answer(&q))
-		})
 	}
 }
 
+// replaceSubscription waits for the end of the connection's subscription and starts another.
+func (p *serverConn) replaceSubscription(q *request) {
+	p.endSubscription()
+	ctx, end := context.WithCancel(p.ctx)
+	ended := make(chan struct{})
+	p.endSubscription = func() { end(); <-ended }
+	p.running.Go(func() {
+		defer close(ended)
+		p.subscribe(ctx, q.ID, q.From)
+	})
+}
+
+// startAnswer answers a request beside those under way, or tells busy if they are too many.
+func (p *serverConn) startAnswer(q *request) {
+	select {
+	case p.slots <- struct{}{}:
+	default:
+		r := &reply{ID: q.ID}
+		r.setError(&busyError{p.voter.cfg.ComeBack})
+		p.send(r)
+		return
+	}
+	p.running.Go(func() {
+		defer func() { <-p.slots }()
+		p.send(p.answer(q))
+	})
+}
+
 // send writes a reply; what can't be written in time ends the connection.
-func (p *peer) send(r *reply) {
+func (p *serverConn) send(r *reply) {
 	frame, err := encodeFrame(r)
 	if err != nil {
 		frame, _ = encodeFrame(&reply{ID: r.ID, Code: codeBad, Text: "answer longer than a frame"})
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
+	p.writeMu.Lock()
+	defer p.writeMu.Unlock()
 	p.conn.SetWriteDeadline(time.Now().Add(p.limits.Slow))
 	if _, err := p.conn.Write(frame); err != nil {
 		p.conn.Close()
@@ -196,7 +208,7 @@
 }
 
 // answer does what a request asks.
-func (p *peer) answer(q *request) *reply {
+func (p *serverConn) answer(q *request) *reply {
 	patience := p.limits.Patience
 	if ms := q.Patience; ms > 0 && ms < patience.Milliseconds() {
 		patience = time.Duration(ms) * time.Millisecond
@@ -211,15 +223,15 @@
 		h := p.voter.hello()
 		r.Hello = &h
 	case requestOpen:
-		r.Index, err = p.voter.Open(ctx)
+		r.Index, err = p.voter.openSession(ctx)
 	case requestAsk:
-		r.Body, r.Index, err = p.voter.Propose(ctx, Ask{q.Session, q.Seq, q.Done, q.Body})
+		r.Body, r.Index, err = p.voter.propose(ctx, sessionEntry{q.Session, q.Seq, q.Done, q.Body})
 	case requestRead:
-		r.Body, r.Index, err = p.voter.Read(ctx, q.Body)
+		r.Body, r.Index, err = p.voter.read(ctx, q.Body)
 	case requestAdd:
-		err = p.voter.Add(ctx, q.Name, q.Address)
+		err = p.voter.addVoter(ctx, q.Name, q.Address)
 	case requestRemove:
-		err = p.voter.Remove(ctx, q.Name)
+		err = p.voter.removeVoter(ctx, q.Name)
 	default:
 		err = errors.New("agree: kind of request not known")
 	}
@@ -229,12 +241,12 @@
 
 // subscribe sends effects from an index on, until another subscription replaces
 // this one or this voter is out of touch with a leader.
-func (p *peer) subscribe(ctx context.Context, id, from uint64) {
+func (p *serverConn) subscribe(ctx context.Context, id, from uint64) {
 	const batch = 64
 	check := time.NewTicker(p.voter.cfg.Heartbeat)
 	defer check.Stop()
-	for p.voter.Fresh() {
-		effects, more, err := p.voter.Effects(from, batch)
+	for p.voter.inTouch() {
+		effects, more, err := p.voter.effects(from, batch)
 		if err != nil {
 			r := &reply{ID: id}
 			r.setError(err)
@@ -259,6 +271,6 @@
 		}
 	}
 	r := &reply{ID: id}
-	r.setError(&NotLeaderError{})
+	r.setError(&notLeaderError{})
 	p.send(r)
 }
--- /dev/null
+++ b/fleet/member/log.go
@@ -0,0 +1,14 @@
+package member
+
+import (
+	"log/slog"
+	"strings"
+)
+
+// memberlistLog takes memberlist's own log.
+type memberlistLog struct{ log *slog.Logger }
+
+func (d memberlistLog) Write(p []byte) (int, error) {
+	d.log.Debug("memberlist", "event", "memberlist", "text", strings.TrimSpace(string(p)))
+	return len(p), nil
+}
--- /dev/null
+++ b/fleet/member/messages.go
@@ -0,0 +1,120 @@
+package member
+
+import (
+	"errors"
+	"fmt"
+	mrand "math/rand/v2"
+	"net/netip"
+
+	"github.com/hashicorp/memberlist"
+)
+
+// The errors of Send, Broadcast and Leave.
+var (
+	// ErrClosed is returned after Close, and by Leave of a node that was displaced.
+	ErrClosed = errors.New("member: node is closed")
+	// ErrUnknown is returned by Send for a name that is not alive, and for the node's own.
+	ErrUnknown = errors.New("member: no such member")
+	// ErrTooLong is returned for a payload of more than MaxPayload bytes.
+	ErrTooLong = fmt.Errorf("member: payload is over %d bytes", MaxPayload)
+	// ErrNotReady is returned while the node's Phase is not Serving.
+	ErrNotReady = errors.New("member: not a member of the fleet")
+)
+
+// Message is one datagram from a member. It may be lost, come twice, or late.
+type Message struct {
+	From        string
+	Incarnation uint64 // of the sender when it sent
+	Payload     []byte
+}
+
+// Messages returns what members of the view have sent, in no certain order. When its
+// reader is slow, messages are dropped. The channel is closed when the node is.
+func (n *Node) Messages() <-chan Message { return n.messages }
+
+// Send sends payload, at most MaxPayload bytes, to the member with a name in one datagram, which
+// may be lost, come twice, or late. It returns ErrTooLong, ErrNotReady, ErrUnknown,
+// ErrClosed, or an error of the socket.
+func (n *Node) Send(name string, payload []byte) error {
+	v := n.view.Load()
+	to, ok := v.named(name)
+	switch {
+	case len(payload) > MaxPayload:
+		return ErrTooLong
+	case v.phase != Serving:
+		return ErrNotReady
+	case !ok || name == v.self.Name:
+		return ErrUnknown
+	}
+	select {
+	case <-n.stop:
+		return ErrClosed
+	default:
+	}
+	return n.sendMessage(to, message{
+		Kind:        kindData,
+		From:        v.self.Name,
+		Incarnation: v.self.Incarnation,
+		Life:        v.self.Life,
+		Payload:     payload,
+	})
+}
+
+// Broadcast sends payload, at most MaxPayload bytes, to count random members, or to all others
+// if they are fewer, and returns to how many. It stops at the first error of Send but
+// ErrUnknown.
+func (n *Node) Broadcast(count int, payload []byte) (int, error) {
+	v := n.view.Load()
+	sent := 0
+	for _, i := range mrand.Perm(len(v.members)) {
+		if sent >= count {
+			break
+		}
+		if v.members[i].Name == v.self.Name {
+			continue
+		}
+		err := n.Send(v.members[i].Name, payload)
+		if err != nil && !errors.Is(err, ErrUnknown) { // it may have gone meanwhile
+			return sent, err
+		}
+		if err == nil {
+			sent++
+		}
+	}
+	return sent, nil
+}
+
+// sendMessage sends one datagram to a member at its address.
+func (n *Node) sendMessage(to Member, m message) error {
+	buf, err := encode(m)
+	if err != nil {
+		return err
+	}
+	addr, err := netip.ParseAddrPort(to.Addr)
+	if err != nil {
+		return err
+	}
+	dest := memberlist.Node{Name: to.Name, Addr: addr.Addr().AsSlice(), Port: addr.Port()}
+	return n.list.SendBestEffort(&dest, buf)
+}
+
+// receive passes a datagram on to the roster or to the reader of Messages, if its sender is the
+// life that the roster knows.
+func (n *Node) receive(now clockTime, m *message) {
+	if m.Kind == kindTold {
+		n.roster.Told(now, m.From, m.About.toRecord(now))
+		return
+	}
+	switch n.roster.Accept(m.From, m.Incarnation, m.Life) {
+	case verdictOlder:
+		n.counters.older.Add(1)
+	case verdictUnknown:
+		n.counters.unknown.Add(1)
+	case verdictTake:
+		select {
+		case n.messages <- Message{m.From, m.Incarnation, m.Payload}:
+		default:
+			n.counters.unread.Add(1)
+		}
+	}
+}
--- /dev/null
+++ b/fleet/member/self.go
@@ -0,0 +1,94 @@
+package member
+
+// Told reports what the member named from knows of one's own name; "" is a word without a
+// known teller.
+func (r *roster) Told(now clockTime, from string, rec lifeRecord) {
+	r.detectStop(now)
+	if rec.Name != r.self.Name || rec.Incarnation > maxIncarnation || r.phase > Serving {
+		return
+	}
+	r.highestTold = max(r.highestTold, rec.Incarnation)
+	switch {
+	case r.phase == Starting:
+	case rec.Life == r.self.Life && rec.State == stateAlive:
+		// One's own echo. Above one's own incarnation it is damaged or forged.
+	case rec.Life == r.self.Life:
+		r.countAccuser(from, rec)
+	case rec.departed() || rec.Addr == r.self.Addr:
+		// Who has one's own address can't be running beside.
+	case compareLives(rec.Member, r.self) > 0:
+		r.stepAside(rec.Member)
+		return
+	default:
+		return // the other steps aside
+	}
+	if r.phase == Serving && r.highestTold >= r.self.Incarnation && r.highestTold < maxIncarnation {
+		if rec.Life != r.self.Life || rec.departed() {
+			r.setIncarnation(r.highestTold + 1)
+		}
+	}
+}
+
+// countAccuser counts those that have found this life dead. When a majority has, its parts may
+// have gone to others, and it must not act on what it holds; one that was cut off alone
+// takes the rest for dead, and must not make all of them drop all.
+func (r *roster) countAccuser(from string, rec lifeRecord) {
+	if rec.State != stateDead || from == "" || rec.Incarnation < max(r.accusedIncarnation, r.resumedIncarnation) {
+		return
+	}
+	if rec.Incarnation > r.accusedIncarnation {
+		r.accusedIncarnation = rec.Incarnation
+		clear(r.accusers)
+	}
+	if r.accusers[from] || 2*len(r.accusers) > r.fleetSize() {
+		return
+	}
+	r.accusers[from] = true
+	if 2*len(r.accusers) > r.fleetSize() {
+		r.resume()
+	}
+}
+
+// fleetSize is how many members the fleet has had of late: those that left don't count, those
+// that died do.
+func (r *roster) fleetSize() int {
+	n := 1
+	for _, rec := range r.names {
+		if rec.State == stateAlive || rec.State == stateDead {
+			n++
+		}
+	}
+	return n
+}
+
+// stepAside ends this process's part in the fleet, for good: winner keeps the name.
+func (r *roster) stepAside(winner Member) {
+	old := r.self
+	r.phase = Aside
+	clear(r.names)
+	clear(r.notices)
+	r.actions.Happened(Event{Kind: Displaced, Member: winner, Old: old})
+	r.actions.StepAside(winner)
+}
+
+// detectStop notices at the first event after a stop that the process was stopped for longer
+// than the others wait before they take a member for dead.
+func (r *roster) detectStop(now clockTime) {
+	if r.phase == Serving && now-r.lastTick > r.limits.StopAfter {
+		r.lastTick = now
+		r.resume()
+	}
+}
+
+// resume takes an incarnation above all that others may have accused.
+func (r *roster) resume() {
+	r.setIncarnation(max(r.highestTold, r.self.Incarnation) + 1)
+	r.resumedIncarnation = r.self.Incarnation
+	r.actions.Happened(Event{Kind: Resumed, Member: r.self})
+}
+
+// setIncarnation takes an incarnation and announces it.
+func (r *roster) setIncarnation(incarnation uint64) {
+	r.self.Incarnation = incarnation
+	r.actions.Announce(r.self)
+}
