--- /dev/null
+++ b/cmd/oxbowloft/client_end_test.go
@@ -0,0 +1,161 @@
+package main
+
+import (
+	"net"
+	"strings"
+	"sync"
+	"syscall"
+	"testing"
+	"time"
+
+	"oxbowloft/internal/standin"
+)
+
+// Clients that leave, fall silent, or send and read slowly.
+
+func TestClientGone(t *testing.T) {
+	b := standin.NewBackend(t, (*standin.Call).Hang)
+	r := startOn(t, b)
+	c := r.dial()
+	c.send(post("pay", "x", 1500))
+	r.eventually("the attempt", func() bool { return b.Calls() == 1 })
+	c.Close()
+	before := r.descriptors()
+	r.eventually("the client's descriptor given back", func() bool { return r.descriptors() < before })
+	r.signal(syscall.SIGTERM)
+	if err := r.wait(); err != nil {
+		t.Errorf("exit: %v", err)
+	}
+	if !strings.Contains(r.text(), " gone=1 ") {
+		t.Error("not counted as gone")
+	}
+}
+
+// Guards against no answer at all to a client that ends its own side once it has asked,
+// and still reads: what has begun then is answered as it ends. (Nothing begins for it: proxy's
+// TestClientGoneInDial and TestClientGoneBefore.)
+func TestHalfClosed(t *testing.T) {
+	began, release := make(chan bool), make(chan bool)
+	b := standin.NewBackend(t, func(c *standin.Call) {
+		began <- true
+		<-release
+		if c.Method == "POST" {
+			c.Reset()
+			return
+		}
+		standin.Echo(c)
+	})
+	r := startOn(t, b)
+	for _, c := range []struct {
+		text   string
+		status int
+	}{{get(2000), 200}, {post("pay", "x", 2000), 502}} {
+		cl := r.dial()
+		cl.send(c.text)
+		<-began
+		cl.Conn.(*net.TCPConn).CloseWrite()
+		time.Sleep(20 * time.Millisecond) // so that it is most likely noticed first
+		release <- true
+		if got := cl.read(); got.status != c.status || !cl.ended() {
+			t.Errorf("got %+v, want %d and the end", got, c.status)
+		}
+	}
+}
+
+// A connection on which nothing has been asked for a while is closed, so that
+// callers who keep theirs for good hold nothing here.
+func TestIdleClients(t *testing.T) {
+	r := startOn(t, standin.NewBackend(t, standin.Echo))
+	c, d := r.dial(), r.dial()
+	if got := c.ask(get(2000)); got.status != 200 || got.close {
+		t.Fatalf("got %+v", got)
+	}
+	began := time.Now()
+	if !c.ended() || !d.ended() {
+		t.Error("still open")
+	}
+	if took := time.Since(began); took < 2*time.Second {
+		t.Errorf("closed after %v, 2 s are allowed", took)
+	}
+	r.eventually("descriptors given back", func() bool { return r.descriptors() <= 5 })
+}
+
+// A client that is slow, but within what the protocol allows, is served; one that
+// stalls in a body gets 408 soon, and the backend is not held for it.
+func TestSlowClients(t *testing.T) {
+	b := standin.NewBackend(t, standin.Echo)
+	r := newPlatform(t, 256, targets(b)).start()
+	var tasks sync.WaitGroup
+	tasks.Go(func() {
+		c := r.dial()
+		text := get(2000)
+		for _, part := range []string{text[:5], text[5:40], text[40 : len(text)-1], text[len(text)-1:]} {
+			c.send(part)
+			time.Sleep(450 * time.Millisecond)
+		}
+		if got := c.read(); got.status != 200 {
+			t.Errorf("a slow head: %+v", got)
+		}
+	})
+	tasks.Go(func() {
+		c := r.dial()
+		text := post("pay", strings.Repeat("x", 200_000), 2000)
+		for len(text) > 0 {
+			n := min(len(text), 16<<10)
+			c.send(text[:n])
+			text = text[n:]
+			time.Sleep(250 * time.Millisecond)
+		}
+		if got := c.read(); got.status != 200 {
+			t.Errorf("a slow body: %d %.30q", got.status, got.body)
+		}
+	})
+	for _, size := range []int{1000, 200_000} {
+		tasks.Go(func() {
+			c := r.dial()
+			text := post("pay", strings.Repeat("x", size), 2000)
+			c.send(text[:len(text)-500])
+			if got := c.read(); got.status != 408 {
+				t.Errorf("stalls in a body of %d: %d", size, got.status)
+			}
+		})
+	}
+	tasks.Wait()
+	if got := r.dial().ask(get(2000)); got.status != 200 {
+		t.Errorf("then %+v", got)
+	}
+}
+
+// A slow reader of a long answer holds back nobody else, however many there are.
+func TestSlowReaders(t *testing.T) {
+	long := strings.Repeat("x", 8<<20)
+	b := standin.NewBackend(t, func(c *standin.Call) {
+		if c.RequestURI == "/api/long" {
+			c.Reply(200, long)
+		} else {
+			standin.Echo(c)
+		}
+	})
+	r := newPlatform(t, 256, targets(b)).start()
+	var readers []*conn
+	for range 20 {
+		c := r.dial()
+		c.send(head("GET", "/api/long", "get", 2000))
+		readers = append(readers, c)
+	}
+	c := r.dial()
+	for range 40 {
+		for {
+			got := c.ask(get(2000))
+			if got.status == 200 {
+				break
+			}
+			time.Sleep(10 * time.Millisecond)
+		}
+	}
+	for _, c := range readers { // none was cut off meanwhile
+		if got := c.read(); got.status != 503 && got.body != long {
+			t.Errorf("%d with %d bytes", got.status, len(got.body))
+		}
+	}
+}
--- /dev/null
+++ b/cmd/oxbowloft/discovery_test.go
@@ -0,0 +1,150 @@
+package main
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"oxbowloft/internal/standin"
+)
+
+// The list of backends that discovery gives, its changes and its outages.
+
+func TestDiscovery(t *testing.T) {
+	name := func(n string) func(*standin.Call) { return func(c *standin.Call) { c.Reply(200, n) } }
+	a, b := standin.NewBackend(t, name("a")), standin.NewBackend(t, name("b"))
+	d := standin.NewDiscovery(t, standin.List(3, false))
+	r := start(t, d.Addr(), 256, standin.List(3, true, standin.Target("s-1", a.Addr())))
+	c := r.dial()
+	served := func(by string) func() bool { return func() bool { return c.ask(get(2000)).body == by } }
+	if !served("a")() {
+		t.Error("the known list does not serve")
+	}
+	r.eventually("a watch", func() bool { return d.Watches() == 1 })
+	if got := d.Asked()[0]; got != "/v1/servers?stream=1&index=3" {
+		t.Errorf("asked %q", got)
+	}
+
+	// Another endpoint for the same backend: the old one's connections end.
+	d.Push(standin.List(4, false, standin.Target("s-1", b.Addr())))
+	r.eventually("the new endpoint", served("b"))
+	r.eventually("old idle connections closed", func() bool { _, open := a.Conns(); return open == 0 })
+
+	// It has started again: connections from before are not used.
+	opened, _ := b.Conns()
+	d.Push(standin.List(4, false, strings.Replace(standin.Target("s-1", b.Addr()), `"boot_ms":0`, `"boot_ms":1000`, 1)))
+	r.eventually("connections from before closed", func() bool { _, open := b.Conns(); return open == 0 })
+	if !served("b")() {
+		t.Error("not served after it started again")
+	}
+	if again, _ := b.Conns(); again != opened+1 {
+		t.Errorf("%d connections opened, then %d", opened, again)
+	}
+
+	// It drains: nothing new goes to it.
+	d.Push(standin.List(5, false, standin.TargetIn("terminating", "s-1", b.Addr()), standin.Target("s-2", a.Addr())))
+	r.eventually("the other backend", served("a"))
+	calls := b.Calls()
+	for range 20 {
+		if !served("a")() {
+			t.Error("served by one that drains")
+		}
+	}
+	if b.Calls() != calls {
+		t.Error("called one that drains")
+	}
+
+	// It is gone: idle connections to it end.
+	d.Push(standin.List(6, false, standin.TargetIn("terminated", "s-1", "")))
+	r.eventually("idle connections closed", func() bool { _, open := b.Conns(); return open == 0 })
+
+	// What can't be read is logged; the last list serves on, and the watch is
+	// taken up after it.
+	d.Begin(standin.List(6, false))
+	d.Push(`{"rev":7,"all":true,"targets":"none"}`)
+	r.eventually("a line in the log", func() bool { return strings.Contains(r.text(), "event=watch_ended why=ended rev=6") })
+	if !served("a")() {
+		t.Error("the last list does not serve on")
+	}
+	r.eventually("another watch", func() bool { return d.Watches() == 1 })
+	if asked := d.Asked(); asked[len(asked)-1] != "/v1/servers?stream=1&index=6" {
+		t.Errorf("asked %q", asked)
+	}
+
+	// An outage: served on, asked with waits between.
+	d.Down(true)
+	d.Break()
+	before := len(d.Asked())
+	time.Sleep(time.Second)
+	if !served("a")() {
+		t.Error("the last list does not serve on")
+	}
+	// The first waits are 0.1 s at the least; no flood.
+	if n := len(d.Asked()) - before; n > 10 {
+		t.Errorf("asked %d times in a second", n)
+	}
+	d.Down(false)
+	r.eventually("a watch again", func() bool { return d.Watches() == 1 })
+
+	// A whole list without a backend takes it away.
+	d.Push(standin.List(9, true, standin.Target("s-3", b.Addr())))
+	r.eventually("the whole list", served("b"))
+}
+
+func TestOutageFromTheStart(t *testing.T) {
+	b := standin.NewBackend(t, standin.Echo)
+	r := start(t, freeAddr(t), 256, standin.List(1, true, standin.Target("s-1", b.Addr())))
+	if got := r.dial().ask(get(2000)); got.status != 200 {
+		t.Errorf("got %+v", got)
+	}
+}
+
+func TestNoBackendKnown(t *testing.T) {
+	b := standin.NewBackend(t, standin.Echo)
+	d := standin.NewDiscovery(t, standin.List(1, true))
+	r := start(t, d.Addr(), 256, "null")
+	health := func() int { return r.dial().ask("GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n").status }
+	if got := health(); got != 503 {
+		t.Errorf("ready without a backend: %d", got)
+	}
+	if got := r.dial().ask(get(1000)); got.status != 503 {
+		t.Errorf("got %+v", got)
+	}
+	r.eventually("a watch", func() bool { return d.Watches() == 1 })
+	d.Push(standin.List(2, false, standin.Target("s-1", b.Addr())))
+	r.eventually("ready", func() bool { return health() == 200 })
+}
+
+// A fleet that comes and goes: requests are served throughout, and connections
+// to those that are gone do not pile up.
+func TestFleetComesAndGoes(t *testing.T) {
+	const sockets = 64
+	fleet := []*standin.Backend{}
+	for range 8 {
+		fleet = append(fleet, standin.NewBackend(t, standin.Echo))
+	}
+	d := standin.NewDiscovery(t, standin.List(1, false))
+	r := start(t, d.Addr(), sockets, standin.List(1, true, standin.Target("s-0", fleet[0].Addr())))
+	r.eventually("a watch", func() bool { return d.Watches() == 1 })
+	c := r.dial()
+	for rev := 2; rev < 300; rev++ {
+		// Each time another replaces the one before, under a name of its own.
+		d.Push(standin.List(rev, false, standin.TargetIn("terminated", fmt.Sprintf("s-%d", rev-2), ""),
+			standin.Target(fmt.Sprintf("s-%d", rev-1), fleet[rev%len(fleet)].Addr())))
+		if got := c.ask(get(2000)); got.status != 200 {
+			t.Fatalf("list %d: got %+v", rev, got)
+		}
+	}
+	r.eventually("one idle connection, to the last", func() bool {
+		open := 0
+		for _, b := range fleet {
+			_, n := b.Conns()
+			open += n
+		}
+		return open <= 1
+	})
+	if n := r.descriptors(); n > 8 {
+		t.Errorf("%d sockets", n)
+	}
+}
--- /dev/null
+++ b/cmd/oxbowloft/drain_test.go
@@ -0,0 +1,220 @@
+package main
+
+import (
+	"bufio"
+	"io"
+	"net"
+	"net/http"
+	"os/exec"
+	"strings"
+	"sync"
+	"syscall"
+	"testing"
+	"time"
+
+	"oxbowloft/internal/standin"
+)
+
+// The end on SIGTERM: what is still served, and what each open request is told.
+
+func TestDrain(t *testing.T) {
+	release := make(chan bool)
+	b := standin.NewBackend(t, func(c *standin.Call) {
+		if c.Method == "POST" {
+			<-release
+		}
+		standin.Echo(c)
+	})
+	list := standin.List(1, true, standin.Target("s-0", b.Addr()))
+	r := start(t, standin.NewDiscovery(t, list).Addr(), 256, list, "--grace", "4s")
+	idle, busy := r.dial(), r.dial()
+	if got := idle.ask(get(2000)); got.status != 200 {
+		t.Fatalf("got %+v", got)
+	}
+	busy.send(post("pay", "x", 8000))
+	r.eventually("the attempt", func() bool { return b.Calls() == 2 })
+	r.signal(syscall.SIGTERM)
+	r.eventually("draining", func() bool { return strings.Contains(r.text(), "phase=draining") })
+	// It still takes what comes, by old connections and new ones.
+	for range 2 {
+		if got := idle.ask(get(2000)); got.status != 200 || got.close {
+			t.Errorf("on an old connection: got %+v", got)
+		}
+	}
+	if got := r.dial().ask(get(2000)); got.status != 200 || got.close {
+		t.Errorf("on a new connection: got %+v", got)
+	}
+	if got := r.dial().ask("GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n"); got.status != 503 {
+		t.Errorf("healthz: got %+v", got)
+	}
+	unused := r.dial()
+	close(release)
+	if got := busy.read(); got.status != 200 || got.body != "POST /api x" {
+		t.Errorf("in flight: got %+v", got)
+	}
+	if !unused.ended() {
+		t.Error("an idle connection goes on")
+	}
+	if err := r.wait(); err != nil {
+		t.Errorf("exit: %v", err)
+	}
+	for _, phase := range []string{"serving", "draining", "finishing", "stopped"} {
+		if !strings.Contains(r.text(), "phase="+phase) {
+			t.Errorf("no phase %s in the log", phase)
+		}
+	}
+}
+
+// Once no new connection is taken, those that are open are served on for as long as
+// the shortest deadline fits before the end: guards against callers with nobody to
+// ask while proxies start again one after the other. What does not fit any more is
+// refused at once.
+func TestDrainServesOpenConnections(t *testing.T) {
+	b := standin.NewBackend(t, standin.Echo)
+	list := standin.List(1, true, standin.Target("s-0", b.Addr()))
+	addr := freeAddr(t)
+	text := strings.Replace(standin.Config(addr, standin.NewDiscovery(t, list).Addr(), 256, list),
+		`"give-up-ms":2000`, `"give-up-ms":400`, 1)
+	cmd := exec.Command(program, "serve", "--grace", "20ms", writeConfig(t, text))
+	r := launch(t, cmd, addr)
+	c := r.dial()
+	if got := c.ask(post("pay", "x", 2000)); got.status != 200 {
+		t.Fatalf("got %+v", got)
+	}
+	r.signal(syscall.SIGTERM)
+	r.eventually("no new connections", func() bool {
+		nc, err := net.Dial("tcp", r.addr)
+		if err == nil {
+			nc.Close()
+		}
+		return err != nil
+	})
+	if got := c.ask(get(400)); got.status != 200 || got.close {
+		t.Errorf("got %+v", got)
+	}
+	began := time.Now()
+	if !c.ended() {
+		t.Error("the connection goes on")
+	}
+	if err := r.wait(); err != nil {
+		t.Errorf("exit: %v", err)
+	}
+	if took := time.Since(began); took > patience/2 {
+		t.Errorf("ended after %v", took)
+	}
+}
+
+// The platform ends a process 3.7 s after SIGTERM at the latest, however long deadlines
+// are: what was taken before the signal, and what came after it, has its answer by then.
+// Guards against requests that are lost with the process. Of those whose attempts are out
+// only what may run again is told that trying again is harmless.
+func TestDrainAnswersBeforeLongDeadlines(t *testing.T) {
+	b := standin.NewBackend(t, (*standin.Call).Hang)
+	list := standin.List(1, true, standin.Target("s-0", b.Addr()))
+	addr := freeAddr(t)
+	text := strings.ReplaceAll(standin.Config(addr, standin.NewDiscovery(t, list).Addr(), 256, list),
+		`"give-up-ms":2000`, `"give-up-ms":60000`)
+	r := launch(t, exec.Command(program, "serve", "--grace", "300ms", writeConfig(t, text)), addr)
+	safe, unsafe, late := r.dial(), r.dial(), r.dial()
+	safe.send(get(60000))
+	unsafe.send(post("pay", "x", 60000))
+	r.eventually("two attempts", func() bool { return b.Calls() == 2 })
+	r.signal(syscall.SIGTERM)
+	r.eventually("draining", func() bool { return strings.Contains(r.text(), "phase=draining") })
+	late.send(get(60000))
+	if got := safe.read(); got.status != 503 {
+		t.Errorf("safe: got %+v", got)
+	}
+	if got := unsafe.read(); got.status != 502 {
+		t.Errorf("unsafe: got %+v", got)
+	}
+	if got := late.read(); got.status != 503 {
+		t.Errorf("taken in the drain: got %+v", got)
+	}
+	if err := r.wait(); err != nil {
+		t.Errorf("exit: %v", err)
+	}
+	if strings.Contains(r.text(), "cut_off") {
+		t.Error("cut off")
+	}
+}
+
+// Callers that go on asking through a drain, on the connections they have and on
+// new ones, lose nothing: every request sent is answered.
+func TestDrainUnderLoad(t *testing.T) {
+	b := standin.NewBackend(t, func(c *standin.Call) {
+		time.Sleep(5 * time.Millisecond)
+		standin.Echo(c)
+	})
+	list := standin.List(1, true, standin.Target("s-0", b.Addr()))
+	r := start(t, standin.NewDiscovery(t, list).Addr(), 256, list, "--grace", "3s")
+	var callers sync.WaitGroup
+	var sent, answered counter
+	end := make(chan bool)
+	for range 8 {
+		callers.Go(func() {
+			for {
+				nc, err := net.Dial("tcp", r.addr)
+				if err != nil {
+					t.Errorf("dial: %v", err)
+					return
+				}
+				nc.SetDeadline(time.Now().Add(patience))
+				in := bufio.NewReader(nc)
+				for last := false; !last; {
+					select {
+					case <-end:
+						nc.Close()
+						return
+					default:
+					}
+					if _, err := io.WriteString(nc, get(2000)); err != nil {
+						t.Errorf("send: %v", err)
+						return
+					}
+					sent.next()
+					resp, err := http.ReadResponse(in, nil)
+					if err != nil {
+						t.Errorf("answer: %v", err)
+						return
+					}
+					io.Copy(io.Discard, resp.Body)
+					answered.next()
+					last = resp.Close
+				}
+				nc.Close()
+			}
+		})
+	}
+	r.eventually("some load", func() bool { return b.Calls() > 50 })
+	r.signal(syscall.SIGTERM)
+	r.eventually("draining", func() bool { return strings.Contains(r.text(), "phase=draining") })
+	calls := b.Calls()
+	r.eventually("load while it drains", func() bool { return b.Calls() > calls+50 })
+	close(end)
+	callers.Wait()
+	if s, a := sent.set(0), answered.set(0); s != a {
+		t.Errorf("%d sent, %d answered", s, a)
+	}
+	if err := r.wait(); err != nil {
+		t.Errorf("exit: %v", err)
+	}
+}
+
+func TestSecondSignal(t *testing.T) {
+	b := standin.NewBackend(t, (*standin.Call).Hang)
+	r := startOn(t, b)
+	r.dial().send(post("pay", "x", 10000))
+	r.eventually("the attempt", func() bool { return b.Calls() == 1 })
+	r.signal(syscall.SIGTERM)
+	r.eventually("draining", func() bool { return strings.Contains(r.text(), "phase=draining") })
+	// The log may come before the handler of the first signal is gone: a signal in between
+	// is one more of the first kind.
+	r.eventually("the end", func() bool {
+		r.cmd.Process.Signal(syscall.SIGTERM)
+		return len(r.dead) > 0
+	})
+	if err := r.wait(); err == nil {
+		t.Error("ended as if all were answered")
+	}
+}
--- /dev/null
+++ b/cmd/oxbowloft/limits_test.go
@@ -0,0 +1,153 @@
+package main
+
+import (
+	"bytes"
+	"fmt"
+	"io"
+	"os"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"oxbowloft/internal/standin"
+)
+
+// More connections than the limit on descriptors allows.
+
+// Crowds that say nothing, or stop half way, are closed in time; with few
+// descriptors and little memory an ordinary client is served all the while.
+func TestSilentCrowd(t *testing.T) {
+	b := standin.NewBackend(t, standin.Echo)
+	r := startOn(t, b)
+	ordinary := r.dial()
+	serve := func() {
+		t.Helper()
+		if got := ordinary.ask(get(2000)); got.status != 200 {
+			t.Fatalf("got %+v", got)
+		}
+	}
+	serve()
+	for _, part := range []string{"", "GET /a", head("POST", "/api", "pay", 500, "Content-Length: 9") + "abc"} {
+		began := time.Now()
+		var crowd []*conn
+		for i := range 400 {
+			c := r.dial()
+			if part != "" {
+				c.send(part)
+			}
+			crowd = append(crowd, c)
+			if i%20 == 0 {
+				serve()
+			}
+		}
+		for _, c := range crowd {
+			if got, err := io.ReadAll(c); err == nil && part != "" && !bytes.HasPrefix(got, []byte("HTTP/1.1 408 ")) {
+				t.Fatalf("%q: got %q", part, got)
+			}
+		}
+		if took := time.Since(began); took > patience/2 {
+			t.Errorf("%q: open for %v", part, took)
+		}
+		serve()
+	}
+	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", r.cmd.Process.Pid))
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Logf("%s", status[bytes.Index(status, []byte("VmHWM")):][:30]) // the race detector's share is most of it
+	if n := r.descriptors(); n > 256 {
+		t.Errorf("%d descriptors", n)
+	}
+}
+
+// Connections beyond the budget: idle ones are given up, requests are answered,
+// and the budget is kept.
+func TestCrowd(t *testing.T) {
+	const sockets = 64
+	b := standin.NewBackend(t, standin.Echo)
+	list := standin.List(1, true, standin.Target("s-1", b.Addr()))
+	r := start(t, standin.NewDiscovery(t, list).Addr(), sockets, list)
+	for range 3 * sockets {
+		if got := r.dial().ask(get(2000)); got.status != 200 {
+			t.Fatalf("got %+v", got)
+		}
+		if n := r.descriptors(); n > sockets {
+			t.Fatalf("%d sockets", n)
+		}
+	}
+	// Silent ones too.
+	for range 3 * sockets {
+		r.dial()
+	}
+	if got := r.dial().ask(get(2000)); got.status != 200 {
+		t.Errorf("behind a silent crowd: got %+v", got)
+	}
+	if n := r.descriptors(); n > sockets {
+		t.Errorf("%d sockets", n)
+	}
+}
+
+// More requests at once than descriptors to pass them on, to backends that say
+// nothing: each is answered in its time.
+func TestSilentBackends(t *testing.T) {
+	const sockets = 64
+	b := standin.NewBackend(t, (*standin.Call).Hang)
+	list := standin.List(1, true, standin.Target("s-1", b.Addr()))
+	r := start(t, standin.NewDiscovery(t, list).Addr(), sockets, list)
+	var conns []*conn
+	for range 2 * sockets {
+		c := r.dial()
+		c.send(post("pay", "x", 1000))
+		conns = append(conns, c)
+	}
+	for _, c := range conns {
+		if got := c.read(); got.status != 502 && got.status != 503 {
+			t.Errorf("got %+v", got)
+		}
+	}
+	if n := r.descriptors(); n > sockets {
+		t.Errorf("%d sockets", n)
+	}
+	for _, c := range conns {
+		c.Close()
+	}
+	r.eventually("descriptors given back", func() bool { return r.descriptors() <= 8 })
+}
+
+// While two processes run, both together hold no more descriptors than one may, however
+// many callers come; alone again, the one that stays serves on.
+func TestSharedDescriptors(t *testing.T) {
+	const limit = 128
+	slow, release := held(t)
+	p := newPlatform(t, limit, targets(slow))
+	old := p.start()
+	for range 200 {
+		old.dial().send(get(2000))
+	}
+	next := p.start()
+	for range 200 {
+		next.dial().send(get(2000))
+	}
+	next.eventually("each knows of the other", func() bool {
+		return strings.Contains(old.text(), "event=processes count=2") &&
+			strings.Contains(next.text(), "event=processes count=2")
+	})
+	together := func() int { return old.descriptors() + next.descriptors() }
+	next.eventually("within the limit together", func() bool { return together() <= limit })
+	for range 20 {
+		if n := together(); n > limit {
+			t.Errorf("%d descriptors together", n)
+		}
+		time.Sleep(10 * time.Millisecond)
+	}
+	close(release)
+	old.signal(syscall.SIGTERM)
+	if err := old.wait(); err != nil {
+		t.Errorf("the old one: %v", err)
+	}
+	next.eventually("alone again", func() bool { return strings.Contains(next.text(), "event=processes count=1") })
+	if got := next.call("PING"); got != "OK\n" {
+		t.Errorf("got %q", got)
+	}
+}
