--- a/cmd/oxbowloft/admin_test.go
+++ b/cmd/oxbowloft/admin_test.go
@@ -30,10 +30,10 @@
 			standin.Echo(c)
 		}
 	})
-	r := newPlatform(t, 256, targets(b)).start()
+	r := newPlatform(t, 256, discoveryList(b)).start()
 	for _, name := range []string{"fulfilled", "throttled", "faulted"} {
 		for _, class := range []string{"get", "put", "pay"} {
-			if n, ok := r.figures()[fmt.Sprintf("%s{priority=%q}", name, class)]; !ok || n != 0 {
+			if n, ok := r.metrics()[fmt.Sprintf("%s{priority=%q}", name, class)]; !ok || n != 0 {
 				t.Errorf("%s of %s: %d, %t", name, class, n, ok)
 			}
 		}
@@ -44,27 +44,27 @@
 		mode.Store(m)
 		for i := range 30 {
 			class := []string{"get", "put", "pay"}[i%3]
-			text := post(class, "hi", 2000)
+			text := postRequest(class, "hi", 2000)
 			if class == "get" {
-				text = get(2000)
+				text = getRequest(2000)
 			}
-			kind := map[int]string{200: "fulfilled", 503: "throttled"}[c.ask(text).status]
+			kind := map[int]string{200: "fulfilled", 503: "throttled"}[c.roundTrip(text).status]
 			if kind == "" {
 				kind = "faulted"
 			}
 			got[fmt.Sprintf("%s{priority=%q}", kind, class)]++
 		}
 	}
-	r.dial().ask("GET /api HTTP/1.1\r\nHost: h\r\n\r\n") // counts for no class
-	r.eventually("nothing open", func() bool { return r.figures()["open_requests"] == 0 })
-	figures := r.figures()
+	r.dial().roundTrip("GET /api HTTP/1.1\r\nHost: h\r\n\r\n") // counts for no class
+	r.eventually("nothing open", func() bool { return r.metrics()["open_requests"] == 0 })
+	metrics := r.metrics()
 	for name, n := range got {
-		if figures[name] != n {
-			t.Errorf("%s: %d, the client saw %d", name, figures[name], n)
+		if metrics[name] != n {
+			t.Errorf("%s: %d, the client saw %d", name, metrics[name], n)
 		}
 	}
-	if figures["relayed"] != b.Calls() || figures["registry_entries"] != 1 {
-		t.Errorf("%d calls at the backend; %v", b.Calls(), figures)
+	if metrics["relayed"] != b.Calls() || metrics["registry_entries"] != 1 {
+		t.Errorf("%d calls at the backend; %v", b.Calls(), metrics)
 	}
 	if len(got) < 6 {
 		t.Errorf("too little was seen: %v", got)
@@ -74,60 +74,60 @@
 // A backend that is out by hand gets nothing, though the list is told again and the
 // configuration is read again, and open requests are counted.
 func TestDetach(t *testing.T) {
-	slow, release := held(t)
+	slow, release := newHeldBackend(t)
 	b := standin.NewBackend(t, standin.Echo)
-	r := newPlatform(t, 256, targets(slow, b)).start()
-	if got := r.call("DETACH s-9"); !strings.HasPrefix(got, "ERR ") {
+	r := newPlatform(t, 256, discoveryList(slow, b)).start()
+	if got := r.adminCommand("DETACH s-9"); !strings.HasPrefix(got, "ERR ") {
 		t.Errorf("an id that nobody has: %q", got)
 	}
-	if got := r.call("DETACH s-1") + r.call("DETACH s-1"); got != "OK\nOK\n" {
+	if got := r.adminCommand("DETACH s-1") + r.adminCommand("DETACH s-1"); got != "OK\nOK\n" {
 		t.Errorf("twice: %q", got)
 	}
 	calls := b.Calls()
 	waiting := r.dial()
-	waiting.send(get(2000))
+	waiting.send(getRequest(2000))
 	r.eventually("a call", func() bool { return slow.Calls() > 0 })
-	if f := r.figures(); f["open_requests"] != 1 || f["out_of_rotation"] != 1 || f["registry_entries"] != 2 {
+	if f := r.metrics(); f["open_requests"] != 1 || f["out_of_rotation"] != 1 || f["registry_entries"] != 2 {
 		t.Errorf("figures %v", f)
 	}
 	r.signal(syscall.SIGHUP)
-	r.eventually("read again", func() bool { return r.count("reload") > 0 })
+	r.eventually("read again", func() bool { return r.countEvents("reload") > 0 })
 	close(release)
 	waiting.read()
 	c := r.dial()
 	for range 50 {
-		c.ask(get(2000))
+		c.roundTrip(getRequest(2000))
 	}
 	if n := b.Calls(); n != calls {
 		t.Errorf("%d calls at a backend that is out", n-calls)
 	}
-	if got := r.call("ATTACH s-1") + r.call("ATTACH s-1"); got != "OK\nOK\n" {
+	if got := r.adminCommand("ATTACH s-1") + r.adminCommand("ATTACH s-1"); got != "OK\nOK\n" {
 		t.Errorf("back: %q", got)
 	}
-	r.eventually("a call to the one that is back", func() bool { c.ask(get(2000)); return b.Calls() > calls })
+	r.eventually("a call to the one that is back", func() bool { c.roundTrip(getRequest(2000)); return b.Calls() > calls })
 }
 
-// The door answers while the proxy is short of descriptors and has more callers of
+// The admin port answers while the proxy is short of descriptors and has more callers of
 // every kind than it can hold.
 func TestDoorWhileSaturated(t *testing.T) {
-	slow, release := held(t)
-	r := newPlatform(t, 64, targets(slow)).start()
+	slow, release := newHeldBackend(t)
+	r := newPlatform(t, 64, discoveryList(slow)).start()
 	defer close(release)
 	for range 100 {
-		r.dial().send(get(2000))
+		r.dial().send(getRequest(2000))
 	}
 	for range 20 {
-		if c, err := net.Dial("tcp", r.door); err == nil {
+		if c, err := net.Dial("tcp", r.adminAddr); err == nil {
 			defer c.Close()
 		}
 	}
 	for range 10 {
-		if got := r.call("PING"); got != "OK\n" {
+		if got := r.adminCommand("PING"); got != "OK\n" {
 			t.Errorf("got %q", got)
 		}
-		r.figures()
+		r.metrics()
 	}
-	if n := r.descriptors(); n > 64 {
+	if n := r.openSockets(); n > 64 {
 		t.Errorf("%d descriptors", n)
 	}
 }
--- a/cmd/oxbowloft/client_end_test.go
+++ b/cmd/oxbowloft/client_end_test.go
@@ -13,20 +13,21 @@
 
 // Clients that leave, fall silent, or send and read slowly.
 
+// A client that leaves gives its descriptor back, and is counted as gone.
 func TestClientGone(t *testing.T) {
 	b := standin.NewBackend(t, (*standin.Call).Hang)
-	r := startOn(t, b)
+	r := startWithBackends(t, b)
 	c := r.dial()
-	c.send(post("pay", "x", 1500))
+	c.send(postRequest("pay", "x", 1500))
 	r.eventually("the attempt", func() bool { return b.Calls() == 1 })
 	c.Close()
-	before := r.descriptors()
-	r.eventually("the client's descriptor given back", func() bool { return r.descriptors() < before })
+	before := r.openSockets()
+	r.eventually("the client's descriptor given back", func() bool { return r.openSockets() < before })
 	r.signal(syscall.SIGTERM)
 	if err := r.wait(); err != nil {
 		t.Errorf("exit: %v", err)
 	}
-	if !strings.Contains(r.text(), " gone=1 ") {
+	if !strings.Contains(r.logText(), " gone=1 ") {
 		t.Error("not counted as gone")
 	}
 }
@@ -45,18 +46,18 @@
 		}
 		standin.Echo(c)
 	})
-	r := startOn(t, b)
+	r := startWithBackends(t, b)
 	for _, c := range []struct {
 		text   string
 		status int
-	}{{get(2000), 200}, {post("pay", "x", 2000), 502}} {
+	}{{getRequest(2000), 200}, {postRequest("pay", "x", 2000), 502}} {
 		cl := r.dial()
 		cl.send(c.text)
 		<-began
 		cl.Conn.(*net.TCPConn).CloseWrite()
 		time.Sleep(20 * time.Millisecond) // so that it is most likely noticed first
 		release <- true
-		if got := cl.read(); got.status != c.status || !cl.ended() {
+		if got := cl.read(); got.status != c.status || !cl.closedByProxy() {
 			t.Errorf("got %+v, want %d and the end", got, c.status)
 		}
 	}
@@ -65,30 +66,30 @@
 // A connection on which nothing has been asked for a while is closed, so that
 // callers who keep theirs for good hold nothing here.
 func TestIdleClients(t *testing.T) {
-	r := startOn(t, standin.NewBackend(t, standin.Echo))
+	r := startWithBackends(t, standin.NewBackend(t, standin.Echo))
 	c, d := r.dial(), r.dial()
-	if got := c.ask(get(2000)); got.status != 200 || got.close {
+	if got := c.roundTrip(getRequest(2000)); got.status != 200 || got.close {
 		t.Fatalf("got %+v", got)
 	}
 	began := time.Now()
-	if !c.ended() || !d.ended() {
+	if !c.closedByProxy() || !d.closedByProxy() {
 		t.Error("still open")
 	}
 	if took := time.Since(began); took < 2*time.Second {
 		t.Errorf("closed after %v, 2 s are allowed", took)
 	}
-	r.eventually("descriptors given back", func() bool { return r.descriptors() <= 5 })
+	r.eventually("descriptors given back", func() bool { return r.openSockets() <= 5 })
 }
 
 // A client that is slow, but within what the protocol allows, is served; one that
 // stalls in a body gets 408 soon, and the backend is not held for it.
 func TestSlowClients(t *testing.T) {
 	b := standin.NewBackend(t, standin.Echo)
-	r := newPlatform(t, 256, targets(b)).start()
+	r := newPlatform(t, 256, discoveryList(b)).start()
 	var tasks sync.WaitGroup
 	tasks.Go(func() {
 		c := r.dial()
-		text := get(2000)
+		text := getRequest(2000)
 		for _, part := range []string{text[:5], text[5:40], text[40 : len(text)-1], text[len(text)-1:]} {
 			c.send(part)
 			time.Sleep(450 * time.Millisecond)
@@ -99,7 +100,7 @@
 	})
 	tasks.Go(func() {
 		c := r.dial()
-		text := post("pay", strings.Repeat("x", 200_000), 2000)
+		text := postRequest("pay", strings.Repeat("x", 200_000), 2000)
 		for len(text) > 0 {
 			n := min(len(text), 16<<10)
 			c.send(text[:n])
@@ -113,7 +114,7 @@
 	for _, size := range []int{1000, 200_000} {
 		tasks.Go(func() {
 			c := r.dial()
-			text := post("pay", strings.Repeat("x", size), 2000)
+			text := postRequest("pay", strings.Repeat("x", size), 2000)
 			c.send(text[:len(text)-500])
 			if got := c.read(); got.status != 408 {
 				t.Errorf("stalls in a body of %d: %d", size, got.status)
@@ -121,7 +122,7 @@
 		})
 	}
 	tasks.Wait()
-	if got := r.dial().ask(get(2000)); got.status != 200 {
+	if got := r.dial().roundTrip(getRequest(2000)); got.status != 200 {
 		t.Errorf("then %+v", got)
 	}
 }
@@ -136,17 +137,17 @@
 			standin.Echo(c)
 		}
 	})
-	r := newPlatform(t, 256, targets(b)).start()
-	var readers []*conn
+	r := newPlatform(t, 256, discoveryList(b)).start()
+	var readers []*clientConn
 	for range 20 {
 		c := r.dial()
-		c.send(head("GET", "/api/long", "get", 2000))
+		c.send(requestHead("GET", "/api/long", "get", 2000))
 		readers = append(readers, c)
 	}
 	c := r.dial()
 	for range 40 {
 		for {
-			got := c.ask(get(2000))
+			got := c.roundTrip(getRequest(2000))
 			if got.status == 200 {
 				break
 			}
--- a/cmd/oxbowloft/deploy_test.go
+++ b/cmd/oxbowloft/deploy_test.go
@@ -15,12 +15,15 @@
 	"oxbowloft/internal/standin"
 )
 
-const root = "../.."
+// The build and the start as the operators do them, and the README's example.
 
-// deployed is the value of a key in the operators' file.
-func deployed(t *testing.T, key string) string {
+// repositoryRoot is the path from this package to the root of the repository.
+const repositoryRoot = "../.."
+
+// deploySetting is the value of a key in deploy/balancer.toml, the operators' file.
+func deploySetting(t *testing.T, key string) string {
 	t.Helper()
-	text, err := os.ReadFile(filepath.Join(root, "deploy/balancer.toml"))
+	text, err := os.ReadFile(filepath.Join(repositoryRoot, "deploy/balancer.toml"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -31,18 +34,18 @@
 	return strings.Trim(string(m[1]), `"`)
 }
 
-// shell runs a command as the operators do: by the shell, from the root.
-func shell(command string, env ...string) *exec.Cmd {
+// shellCommand is a command run as the operators do: by the shell, from the root.
+func shellCommand(command string, env ...string) *exec.Cmd {
 	cmd := exec.Command("/bin/sh", "-c", command)
-	cmd.Dir = root
+	cmd.Dir = repositoryRoot
 	cmd.Env = append(os.Environ(), env...)
 	return cmd
 }
 
-// example is the example configuration on free addresses, with backends there.
-func example(t *testing.T) (path, addr string) {
+// exampleConfig writes the example configuration on free addresses, with backends there.
+func exampleConfig(t *testing.T) (path, addr string) {
 	t.Helper()
-	text, err := os.ReadFile(filepath.Join(root, "examples/config.json"))
+	text, err := os.ReadFile(filepath.Join(repositoryRoot, "examples/config.json"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -55,11 +58,11 @@
 
 // The program is built and started as the operators do, with the example.
 func TestDeploy(t *testing.T) {
-	if out, err := shell(deployed(t, "build")).CombinedOutput(); err != nil {
+	if out, err := shellCommand(deploySetting(t, "build")).CombinedOutput(); err != nil {
 		t.Fatalf("build: %v\n%s", err, out)
 	}
-	path, addr := example(t)
-	r := launch(t, shell(deployed(t, "run"), "BALANCER_NAME=n1", "BALANCER_CONFIG="+path), addr)
+	path, addr := exampleConfig(t)
+	r := startCommand(t, shellCommand(deploySetting(t, "run"), "BALANCER_NAME=n1", "BALANCER_CONFIG="+path), addr)
 	r.eventually("ready", func() bool {
 		resp, err := http.Get("http://" + addr + "/healthz")
 		if err != nil {
@@ -69,7 +72,7 @@
 		return resp.StatusCode == 200
 	})
 	http.DefaultClient.CloseIdleConnections()
-	if got := r.dial().ask(post("order", "one tile", 900)); got.status != 200 || got.body != "POST /api one tile" {
+	if got := r.dial().roundTrip(postRequest("order", "one tile", 900)); got.status != 200 || got.body != "POST /api one tile" {
 		t.Errorf("got %+v", got)
 	}
 }
@@ -78,14 +81,14 @@
 // against a build without cgo or with internal linking, whose static program the
 // operators' bench for the full fleet can't lead.
 func TestDeployDynamic(t *testing.T) {
-	if out, err := shell(deployed(t, "build")).CombinedOutput(); err != nil {
+	if out, err := shellCommand(deploySetting(t, "build")).CombinedOutput(); err != nil {
 		t.Fatalf("build: %v\n%s", err, out)
 	}
-	m := regexp.MustCompile(`^exec (bin/\S+)( |$)`).FindStringSubmatch(deployed(t, "run"))
+	m := regexp.MustCompile(`^exec (bin/\S+)( |$)`).FindStringSubmatch(deploySetting(t, "run"))
 	if m == nil {
-		t.Fatalf("run = %q is no exec of one of our programs", deployed(t, "run"))
+		t.Fatalf("run = %q is no exec of one of our programs", deploySetting(t, "run"))
 	}
-	f, err := elf.Open(filepath.Join(root, m[1]))
+	f, err := elf.Open(filepath.Join(repositoryRoot, m[1]))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -106,11 +109,11 @@
 func TestDeployNames(t *testing.T) {
 	for _, key := range []string{"policy", "node"} {
 		var names []string
-		if err := json.Unmarshal([]byte(deployed(t, key)), &names); err != nil {
+		if err := json.Unmarshal([]byte(deploySetting(t, key)), &names); err != nil {
 			t.Fatalf("%s: %v", key, err)
 		}
 		for _, name := range names {
-			if _, err := os.Stat(filepath.Join(root, name)); err != nil {
+			if _, err := os.Stat(filepath.Join(repositoryRoot, name)); err != nil {
 				t.Errorf("%s: %v", key, err)
 			}
 		}
@@ -119,12 +122,12 @@
 
 // The README's requests, against its example, bring what it says.
 func TestReadme(t *testing.T) {
-	text, err := os.ReadFile(filepath.Join(root, "README.md"))
+	text, err := os.ReadFile(filepath.Join(repositoryRoot, "README.md"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	path, addr := example(t)
-	launch(t, exec.Command(program, "serve", path), addr)
+	path, addr := exampleConfig(t)
+	startCommand(t, exec.Command(program, "serve", path), addr)
 	lines := regexp.MustCompile(`(?m)^    curl -i 127\.0\.0\.1:3000(/\S*)(.*)$`).FindAllStringSubmatch(string(text), -1)
 	if len(lines) != 3 {
 		t.Fatalf("%d requests in the README", len(lines))
--- a/cmd/oxbowloft/discovery_test.go
+++ b/cmd/oxbowloft/discovery_test.go
@@ -11,13 +11,15 @@
 
 // The list of backends that discovery gives, its changes and its outages.
 
+// Each change of the list that discovery gives is followed, and the last list serves on
+// through what can't be read and through an outage.
 func TestDiscovery(t *testing.T) {
 	name := func(n string) func(*standin.Call) { return func(c *standin.Call) { c.Reply(200, n) } }
 	a, b := standin.NewBackend(t, name("a")), standin.NewBackend(t, name("b"))
 	d := standin.NewDiscovery(t, standin.List(3, false))
 	r := start(t, d.Addr(), 256, standin.List(3, true, standin.Target("s-1", a.Addr())))
 	c := r.dial()
-	served := func(by string) func() bool { return func() bool { return c.ask(get(2000)).body == by } }
+	served := func(by string) func() bool { return func() bool { return c.roundTrip(getRequest(2000)).body == by } }
 	if !served("a")() {
 		t.Error("the known list does not serve")
 	}
@@ -63,7 +65,7 @@
 	// taken up after it.
 	d.Begin(standin.List(6, false))
 	d.Push(`{"rev":7,"all":true,"targets":"none"}`)
-	r.eventually("a line in the log", func() bool { return strings.Contains(r.text(), "event=watch_ended why=ended rev=6") })
+	r.eventually("a line in the log", func() bool { return strings.Contains(r.logText(), "event=watch_ended why=ended rev=6") })
 	if !served("a")() {
 		t.Error("the last list does not serve on")
 	}
@@ -92,23 +94,25 @@
 	r.eventually("the whole list", served("b"))
 }
 
+// The known list serves where discovery never answers.
 func TestOutageFromTheStart(t *testing.T) {
 	b := standin.NewBackend(t, standin.Echo)
 	r := start(t, freeAddr(t), 256, standin.List(1, true, standin.Target("s-1", b.Addr())))
-	if got := r.dial().ask(get(2000)); got.status != 200 {
+	if got := r.dial().roundTrip(getRequest(2000)); got.status != 200 {
 		t.Errorf("got %+v", got)
 	}
 }
 
+// Without a backend the program is up but not ready; the first one makes it ready.
 func TestNoBackendKnown(t *testing.T) {
 	b := standin.NewBackend(t, standin.Echo)
 	d := standin.NewDiscovery(t, standin.List(1, true))
 	r := start(t, d.Addr(), 256, "null")
-	health := func() int { return r.dial().ask("GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n").status }
+	health := func() int { return r.dial().roundTrip("GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n").status }
 	if got := health(); got != 503 {
 		t.Errorf("ready without a backend: %d", got)
 	}
-	if got := r.dial().ask(get(1000)); got.status != 503 {
+	if got := r.dial().roundTrip(getRequest(1000)); got.status != 503 {
 		t.Errorf("got %+v", got)
 	}
 	r.eventually("a watch", func() bool { return d.Watches() == 1 })
@@ -132,7 +136,7 @@
 		// Each time another replaces the one before, under a name of its own.
 		d.Push(standin.List(rev, false, standin.TargetIn("terminated", fmt.Sprintf("s-%d", rev-2), ""),
 			standin.Target(fmt.Sprintf("s-%d", rev-1), fleet[rev%len(fleet)].Addr())))
-		if got := c.ask(get(2000)); got.status != 200 {
+		if got := c.roundTrip(getRequest(2000)); got.status != 200 {
 			t.Fatalf("list %d: got %+v", rev, got)
 		}
 	}
@@ -144,7 +148,7 @@
 		}
 		return open <= 1
 	})
-	if n := r.descriptors(); n > 8 {
+	if n := r.openSockets(); n > 8 {
 		t.Errorf("%d sockets", n)
 	}
 }
--- a/cmd/oxbowloft/drain_test.go
+++ b/cmd/oxbowloft/drain_test.go
@@ -17,6 +17,8 @@
 
 // The end on SIGTERM: what is still served, and what each open request is told.
 
+// Within the grace after SIGTERM all is served, on old connections and new ones; then what
+// is in flight is finished, and the program exits without an error.
 func TestDrain(t *testing.T) {
 	release := make(chan bool)
 	b := standin.NewBackend(t, func(c *standin.Call) {
@@ -28,23 +30,23 @@
 	list := standin.List(1, true, standin.Target("s-0", b.Addr()))
 	r := start(t, standin.NewDiscovery(t, list).Addr(), 256, list, "--grace", "4s")
 	idle, busy := r.dial(), r.dial()
-	if got := idle.ask(get(2000)); got.status != 200 {
+	if got := idle.roundTrip(getRequest(2000)); got.status != 200 {
 		t.Fatalf("got %+v", got)
 	}
-	busy.send(post("pay", "x", 8000))
+	busy.send(postRequest("pay", "x", 8000))
 	r.eventually("the attempt", func() bool { return b.Calls() == 2 })
 	r.signal(syscall.SIGTERM)
-	r.eventually("draining", func() bool { return strings.Contains(r.text(), "phase=draining") })
+	r.eventually("draining", func() bool { return strings.Contains(r.logText(), "phase=draining") })
 	// It still takes what comes, by old connections and new ones.
 	for range 2 {
-		if got := idle.ask(get(2000)); got.status != 200 || got.close {
+		if got := idle.roundTrip(getRequest(2000)); got.status != 200 || got.close {
 			t.Errorf("on an old connection: got %+v", got)
 		}
 	}
-	if got := r.dial().ask(get(2000)); got.status != 200 || got.close {
+	if got := r.dial().roundTrip(getRequest(2000)); got.status != 200 || got.close {
 		t.Errorf("on a new connection: got %+v", got)
 	}
-	if got := r.dial().ask("GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n"); got.status != 503 {
+	if got := r.dial().roundTrip("GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n"); got.status != 503 {
 		t.Errorf("healthz: got %+v", got)
 	}
 	unused := r.dial()
@@ -52,14 +54,14 @@
 	if got := busy.read(); got.status != 200 || got.body != "POST /api x" {
 		t.Errorf("in flight: got %+v", got)
 	}
-	if !unused.ended() {
+	if !unused.closedByProxy() {
 		t.Error("an idle connection goes on")
 	}
 	if err := r.wait(); err != nil {
 		t.Errorf("exit: %v", err)
 	}
 	for _, phase := range []string{"serving", "draining", "finishing", "stopped"} {
-		if !strings.Contains(r.text(), "phase="+phase) {
+		if !strings.Contains(r.logText(), "phase="+phase) {
 			t.Errorf("no phase %s in the log", phase)
 		}
 	}
@@ -76,9 +78,9 @@
 	text := strings.Replace(standin.Config(addr, standin.NewDiscovery(t, list).Addr(), 256, list),
 		`"give-up-ms":2000`, `"give-up-ms":400`, 1)
 	cmd := exec.Command(program, "serve", "--grace", "20ms", writeConfig(t, text))
-	r := launch(t, cmd, addr)
+	r := startCommand(t, cmd, addr)
 	c := r.dial()
-	if got := c.ask(post("pay", "x", 2000)); got.status != 200 {
+	if got := c.roundTrip(postRequest("pay", "x", 2000)); got.status != 200 {
 		t.Fatalf("got %+v", got)
 	}
 	r.signal(syscall.SIGTERM)
@@ -89,17 +91,17 @@
 		}
 		return err != nil
 	})
-	if got := c.ask(get(400)); got.status != 200 || got.close {
+	if got := c.roundTrip(getRequest(400)); got.status != 200 || got.close {
 		t.Errorf("got %+v", got)
 	}
 	began := time.Now()
-	if !c.ended() {
+	if !c.closedByProxy() {
 		t.Error("the connection goes on")
 	}
 	if err := r.wait(); err != nil {
 		t.Errorf("exit: %v", err)
 	}
-	if took := time.Since(began); took > patience/2 {
+	if took := time.Since(began); took > maxWait/2 {
 		t.Errorf("ended after %v", took)
 	}
 }
@@ -114,14 +116,14 @@
 	addr := freeAddr(t)
 	text := strings.ReplaceAll(standin.Config(addr, standin.NewDiscovery(t, list).Addr(), 256, list),
 		`"give-up-ms":2000`, `"give-up-ms":60000`)
-	r := launch(t, exec.Command(program, "serve", "--grace", "300ms", writeConfig(t, text)), addr)
+	r := startCommand(t, exec.Command(program, "serve", "--grace", "300ms", writeConfig(t, text)), addr)
 	safe, unsafe, late := r.dial(), r.dial(), r.dial()
-	safe.send(get(60000))
-	unsafe.send(post("pay", "x", 60000))
+	safe.send(getRequest(60000))
+	unsafe.send(postRequest("pay", "x", 60000))
 	r.eventually("two attempts", func() bool { return b.Calls() == 2 })
 	r.signal(syscall.SIGTERM)
-	r.eventually("draining", func() bool { return strings.Contains(r.text(), "phase=draining") })
-	late.send(get(60000))
+	r.eventually("draining", func() bool { return strings.Contains(r.logText(), "phase=draining") })
+	late.send(getRequest(60000))
 	if got := safe.read(); got.status != 503 {
 		t.Errorf("safe: got %+v", got)
 	}
@@ -134,7 +136,7 @@
 	if err := r.wait(); err != nil {
 		t.Errorf("exit: %v", err)
 	}
-	if strings.Contains(r.text(), "cut_off") {
+	if strings.Contains(r.logText(), "cut_off") {
 		t.Error("cut off")
 	}
 }
@@ -159,7 +161,7 @@
 					t.Errorf("dial: %v", err)
 					return
 				}
-				nc.SetDeadline(time.Now().Add(patience))
+				nc.SetDeadline(time.Now().Add(maxWait))
 				in := bufio.NewReader(nc)
 				for last := false; !last; {
 					select {
@@ -168,18 +170,18 @@
 						return
 					default:
 					}
-					if _, err := io.WriteString(nc, get(2000)); err != nil {
+					if _, err := io.WriteString(nc, getRequest(2000)); err != nil {
 						t.Errorf("send: %v", err)
 						return
 					}
-					sent.next()
+					sent.increment()
 					resp, err := http.ReadResponse(in, nil)
 					if err != nil {
 						t.Errorf("answer: %v", err)
 						return
 					}
 					io.Copy(io.Discard, resp.Body)
-					answered.next()
+					answered.increment()
 					last = resp.Close
 				}
 				nc.Close()
@@ -188,12 +190,12 @@
 	}
 	r.eventually("some load", func() bool { return b.Calls() > 50 })
 	r.signal(syscall.SIGTERM)
-	r.eventually("draining", func() bool { return strings.Contains(r.text(), "phase=draining") })
+	r.eventually("draining", func() bool { return strings.Contains(r.logText(), "phase=draining") })
 	calls := b.Calls()
 	r.eventually("load while it drains", func() bool { return b.Calls() > calls+50 })
 	close(end)
 	callers.Wait()
-	if s, a := sent.set(0), answered.set(0); s != a {
+	if s, a := sent.swap(0), answered.swap(0); s != a {
 		t.Errorf("%d sent, %d answered", s, a)
 	}
 	if err := r.wait(); err != nil {
@@ -201,18 +203,19 @@
 	}
 }
 
+// A second signal ends the program at once, with an error while requests are open.
 func TestSecondSignal(t *testing.T) {
 	b := standin.NewBackend(t, (*standin.Call).Hang)
-	r := startOn(t, b)
-	r.dial().send(post("pay", "x", 10000))
+	r := startWithBackends(t, b)
+	r.dial().send(postRequest("pay", "x", 10000))
 	r.eventually("the attempt", func() bool { return b.Calls() == 1 })
 	r.signal(syscall.SIGTERM)
-	r.eventually("draining", func() bool { return strings.Contains(r.text(), "phase=draining") })
+	r.eventually("draining", func() bool { return strings.Contains(r.logText(), "phase=draining") })
 	// The log may come before the handler of the first signal is gone: a signal in between
 	// is one more of the first kind.
 	r.eventually("the end", func() bool {
 		r.cmd.Process.Signal(syscall.SIGTERM)
-		return len(r.dead) > 0
+		return len(r.exited) > 0
 	})
 	if err := r.wait(); err == nil {
 		t.Error("ended as if all were answered")
--- a/cmd/oxbowloft/end_test.go
+++ b/cmd/oxbowloft/end_test.go
@@ -14,6 +14,8 @@
 	"oxbowloft/internal/standin"
 )
 
+// Signals before serving, and answers that the end of the process cuts off.
+
 // A signal that comes while the configuration is still being read ends the program as any
 // other, or is taken as any other: the platform may tell it to end in its first moment.
 // The configuration is a pipe, so that the moment lasts for as long as the test wants.
@@ -33,8 +35,8 @@
 			if err := cmd.Start(); err != nil {
 				t.Fatal(err)
 			}
-			r := &running{t: t, cmd: cmd, dead: make(chan error, 1)}
-			go func() { r.dead <- cmd.Wait() }()
+			r := &runningProgram{t: t, cmd: cmd, exited: make(chan error, 1)}
+			go func() { r.exited <- cmd.Wait() }()
 			pipe, err := os.OpenFile(path, os.O_WRONLY, 0) // once the program has opened it
 			if err != nil {
 				t.Fatal(err)
@@ -59,9 +61,9 @@
 		c.Raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n30d40\r\n" + long + "\r\n")
 		c.Hang()
 	})
-	r := startOn(t, b)
+	r := startWithBackends(t, b)
 	c := r.dial()
-	c.send(strings.Replace(get(2000), "HTTP/1.1", "HTTP/1.0", 1))
+	c.send(strings.Replace(getRequest(2000), "HTTP/1.1", "HTTP/1.0", 1))
 	if _, err := io.ReadFull(c.r, make([]byte, len(long))); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/oxbowloft/harness_test.go
+++ b/cmd/oxbowloft/harness_test.go
@@ -21,8 +21,10 @@
 // detector in it, and speak to it over sockets. Bounds on time are wide: they tell a hang
 // from an answer.
 
+// program is the path of the built program.
 var program string
 
+// TestMain builds the program with the race detector and runs the tests.
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "oxbowloft")
 	if err != nil {
@@ -39,29 +41,33 @@
 	os.Exit(code)
 }
 
-const patience = 20 * time.Second
+// maxWait is the longest that a test waits for any one thing.
+const maxWait = 20 * time.Second
 
-// running is a started program.
-type running struct {
-	t    *testing.T
-	cmd  *exec.Cmd
-	addr string
-	dead chan error
-	over bool // waited for
+// runningProgram is a started program. It keeps what the program logs, as the writer of its
+// standard output and error.
+type runningProgram struct {
+	t      *testing.T
+	cmd    *exec.Cmd
+	addr   string
+	exited chan error
+	waited bool // wait was called
 
-	config string // its file
+	configPath string
 
 	mu  sync.Mutex
 	log bytes.Buffer
 }
 
-func (r *running) Write(b []byte) (int, error) {
+// Write takes a part of the log.
+func (r *runningProgram) Write(b []byte) (int, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.log.Write(b)
 }
 
-func (r *running) text() string {
+// logText returns all that the program has logged.
+func (r *runningProgram) logText() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.log.String()
@@ -78,6 +84,7 @@
 	return ln.Addr().String()
 }
 
+// writeConfig writes a configuration to a file that ends with the test, and returns its path.
 func writeConfig(t *testing.T, text string) string {
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -86,19 +93,20 @@
 	return path
 }
 
-// start starts the program with a known list and waits until it is ready. At
-// the end of the test it must still run, unless the test has ended it, and must
-// then end on SIGTERM without a complaint.
-func start(t *testing.T, discovery string, sockets int, known string, args ...string) *running {
+// start starts the program with a list of backends known from the start, and waits until it
+// listens. At the end of the test it must still run, unless the test has ended it, and must
+// then exit on SIGTERM without an error.
+func start(t *testing.T, discovery string, sockets int, known string, args ...string) *runningProgram {
 	t.Helper()
-	return startAs(t, standin.Config, discovery, sockets, known, args...)
+	return startWithConfig(t, standin.Config, discovery, sockets, known, args...)
 }
 
-// configure is how a configuration is made: standin.Config or standin.Mesh.
-type configure func(listen, discovery string, sockets int, known string) string
+// configFunc makes a configuration: standin.Config or standin.Mesh.
+type configFunc func(listen, discovery string, sockets int, known string) string
 
-// startAs is start with a configuration of either shape.
-func startAs(t *testing.T, shape configure, discovery string, sockets int, known string, args ...string) *running {
+// startWithConfig does as start, with a configuration of either shape.
+func startWithConfig(t *testing.T, shape configFunc, discovery string, sockets int, known string,
+	args ...string) *runningProgram {
 	t.Helper()
 	addr := freeAddr(t)
 	if len(args) == 0 {
@@ -107,34 +115,35 @@
 	cmd := exec.Command(program, append([]string{"serve"}, args...)...)
 	config := writeConfig(t, shape(addr, discovery, sockets, known))
 	cmd.Env = append(os.Environ(), "BALANCER_CONFIG="+config)
-	r := launch(t, cmd, addr)
-	r.config = config
+	r := startCommand(t, cmd, addr)
+	r.configPath = config
 	return r
 }
 
-// launch starts cmd, which is to listen at addr.
-func launch(t *testing.T, cmd *exec.Cmd, addr string) *running {
+// startCommand starts cmd and waits until it listens at addr. At the end of the test it ends
+// the program, unless the test has, and looks for data races and panics in its log.
+func startCommand(t *testing.T, cmd *exec.Cmd, addr string) *runningProgram {
 	t.Helper()
-	r := &running{t: t, cmd: cmd, addr: addr, dead: make(chan error, 1)}
+	r := &runningProgram{t: t, cmd: cmd, addr: addr, exited: make(chan error, 1)}
 	cmd.Stdout, cmd.Stderr = r, r
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	go func() { r.dead <- cmd.Wait() }()
+	go func() { r.exited <- cmd.Wait() }()
 	t.Cleanup(func() {
-		if !r.over {
+		if !r.waited {
 			r.signal(syscall.SIGTERM)
 			if err := r.wait(); err != nil {
 				t.Errorf("exit: %v", err)
 			}
 		}
 		for _, bad := range []string{"DATA RACE", "panic"} {
-			if strings.Contains(r.text(), bad) {
+			if strings.Contains(r.logText(), bad) {
 				t.Errorf("%s in the log", bad)
 			}
 		}
 		if t.Failed() {
-			t.Logf("log:\n%s", r.text())
+			t.Logf("log:\n%s", r.logText())
 		}
 	})
 	r.eventually("listening", func() bool {
@@ -147,16 +156,17 @@
 	return r
 }
 
-// startOn starts the program before backends that are known from the start.
-func startOn(t *testing.T, backends ...*standin.Backend) *running {
+// startWithBackends starts the program with backends that are known from the start.
+func startWithBackends(t *testing.T, backends ...*standin.Backend) *runningProgram {
 	t.Helper()
-	r, _ := startBefore(t, standin.Config, backends...)
+	r, _ := startWithDiscovery(t, standin.Config, backends...)
 	return r
 }
 
-// startBefore starts the program with a configuration of either shape before
-// backends that its discovery names, too.
-func startBefore(t *testing.T, shape configure, backends ...*standin.Backend) (*running, *standin.Discovery) {
+// startWithDiscovery starts the program with a configuration of either shape. Its backends
+// are known from the start, and the discovery returned has them too.
+func startWithDiscovery(t *testing.T, shape configFunc,
+	backends ...*standin.Backend) (*runningProgram, *standin.Discovery) {
 	t.Helper()
 	var targets []string
 	for i, b := range backends {
@@ -164,36 +174,38 @@
 	}
 	list := standin.List(1, true, targets...)
 	d := standin.NewDiscovery(t, list)
-	return startAs(t, shape, d.Addr(), 256, list), d
+	return startWithConfig(t, shape, d.Addr(), 256, list), d
 }
 
-func (r *running) signal(s os.Signal) {
+// signal sends the program a signal.
+func (r *runningProgram) signal(s os.Signal) {
 	if err := r.cmd.Process.Signal(s); err != nil {
 		r.t.Fatal(err)
 	}
 }
 
-// wait waits for the end of the program.
-func (r *running) wait() error {
+// wait waits for the end of the program, and returns why it exited.
+func (r *runningProgram) wait() error {
 	r.t.Helper()
-	r.over = true
+	r.waited = true
 	select {
-	case err := <-r.dead:
+	case err := <-r.exited:
 		return err
-	case <-time.After(patience):
+	case <-time.After(maxWait):
 		r.cmd.Process.Kill()
-		r.t.Fatalf("still runs; log:\n%s", r.text())
+		r.t.Fatalf("still runs; log:\n%s", r.logText())
 	}
 	return nil
 }
 
-func (r *running) eventually(what string, f func() bool) {
+// eventually waits until f holds; what names it where it never does.
+func (r *runningProgram) eventually(what string, f func() bool) {
 	r.t.Helper()
-	standin.Eventually(r.t, patience, what, f)
+	standin.Eventually(r.t, maxWait, what, f)
 }
 
-// descriptors is how many sockets the program holds.
-func (r *running) descriptors() int {
+// openSockets is how many sockets the program holds.
+func (r *runningProgram) openSockets() int {
 	dir := fmt.Sprintf("/proc/%d/fd", r.cmd.Process.Pid)
 	entries, err := os.ReadDir(dir)
 	if err != nil {
@@ -208,8 +220,8 @@
 	return n
 }
 
-// held is a backend that answers each call when it is released.
-func held(t *testing.T) (b *standin.Backend, release chan bool) {
+// newHeldBackend starts a backend that answers each call when it is released.
+func newHeldBackend(t *testing.T) (b *standin.Backend, release chan bool) {
 	release = make(chan bool)
 	return standin.NewBackend(t, func(c *standin.Call) {
 		<-release
@@ -217,7 +229,8 @@
 	}), release
 }
 
-func targets(backends ...*standin.Backend) string {
+// discoveryList is the whole list of backends as discovery gives it, named s-0, s-1 and so on.
+func discoveryList(backends ...*standin.Backend) string {
 	var lines []string
 	for i, b := range backends {
 		lines = append(lines, standin.Target(fmt.Sprintf("s-%d", i), b.Addr()))
--- a/cmd/oxbowloft/limits_test.go
+++ b/cmd/oxbowloft/limits_test.go
@@ -19,18 +19,18 @@
 // descriptors and little memory an ordinary client is served all the while.
 func TestSilentCrowd(t *testing.T) {
 	b := standin.NewBackend(t, standin.Echo)
-	r := startOn(t, b)
+	r := startWithBackends(t, b)
 	ordinary := r.dial()
 	serve := func() {
 		t.Helper()
-		if got := ordinary.ask(get(2000)); got.status != 200 {
+		if got := ordinary.roundTrip(getRequest(2000)); got.status != 200 {
 			t.Fatalf("got %+v", got)
 		}
 	}
 	serve()
-	for _, part := range []string{"", "GET /a", head("POST", "/api", "pay", 500, "Content-Length: 9") + "abc"} {
+	for _, part := range []string{"", "GET /a", requestHead("POST", "/api", "pay", 500, "Content-Length: 9") + "abc"} {
 		began := time.Now()
-		var crowd []*conn
+		var crowd []*clientConn
 		for i := range 400 {
 			c := r.dial()
 			if part != "" {
@@ -46,7 +46,7 @@
 				t.Fatalf("%q: got %q", part, got)
 			}
 		}
-		if took := time.Since(began); took > patience/2 {
+		if took := time.Since(began); took > maxWait/2 {
 			t.Errorf("%q: open for %v", part, took)
 		}
 		serve()
@@ -56,7 +56,7 @@
 		t.Fatal(err)
 	}
 	t.Logf("%s", status[bytes.Index(status, []byte("VmHWM")):][:30]) // the race detector's share is most of it
-	if n := r.descriptors(); n > 256 {
+	if n := r.openSockets(); n > 256 {
 		t.Errorf("%d descriptors", n)
 	}
 }
@@ -69,10 +69,10 @@
 	list := standin.List(1, true, standin.Target("s-1", b.Addr()))
 	r := start(t, standin.NewDiscovery(t, list).Addr(), sockets, list)
 	for range 3 * sockets {
-		if got := r.dial().ask(get(2000)); got.status != 200 {
+		if got := r.dial().roundTrip(getRequest(2000)); got.status != 200 {
 			t.Fatalf("got %+v", got)
 		}
-		if n := r.descriptors(); n > sockets {
+		if n := r.openSockets(); n > sockets {
 			t.Fatalf("%d sockets", n)
 		}
 	}
@@ -80,10 +80,10 @@
 	for range 3 * sockets {
 		r.dial()
 	}
-	if got := r.dial().ask(get(2000)); got.status != 200 {
+	if got := r.dial().roundTrip(getRequest(2000)); got.status != 200 {
 		t.Errorf("behind a silent crowd: got %+v", got)
 	}
-	if n := r.descriptors(); n > sockets {
+	if n := r.openSockets(); n > sockets {
 		t.Errorf("%d sockets", n)
 	}
 }
@@ -95,10 +95,10 @@
 	b := standin.NewBackend(t, (*standin.Call).Hang)
 	list := standin.List(1, true, standin.Target("s-1", b.Addr()))
 	r := start(t, standin.NewDiscovery(t, list).Addr(), sockets, list)
-	var conns []*conn
+	var conns []*clientConn
 	for range 2 * sockets {
 		c := r.dial()
-		c.send(post("pay", "x", 1000))
+		c.send(postRequest("pay", "x", 1000))
 		conns = append(conns, c)
 	}
 	for _, c := range conns {
@@ -106,34 +106,34 @@
 			t.Errorf("got %+v", got)
 		}
 	}
-	if n := r.descriptors(); n > sockets {
+	if n := r.openSockets(); n > sockets {
 		t.Errorf("%d sockets", n)
 	}
 	for _, c := range conns {
 		c.Close()
 	}
-	r.eventually("descriptors given back", func() bool { return r.descriptors() <= 8 })
+	r.eventually("descriptors given back", func() bool { return r.openSockets() <= 8 })
 }
 
 // While two processes run, both together hold no more descriptors than one may, however
 // many callers come; alone again, the one that stays serves on.
 func TestSharedDescriptors(t *testing.T) {
 	const limit = 128
-	slow, release := held(t)
-	p := newPlatform(t, limit, targets(slow))
+	slow, release := newHeldBackend(t)
+	p := newPlatform(t, limit, discoveryList(slow))
 	old := p.start()
 	for range 200 {
-		old.dial().send(get(2000))
+		old.dial().send(getRequest(2000))
 	}
 	next := p.start()
 	for range 200 {
-		next.dial().send(get(2000))
+		next.dial().send(getRequest(2000))
 	}
 	next.eventually("each knows of the other", func() bool {
-		return strings.Contains(old.text(), "event=processes count=2") &&
-			strings.Contains(next.text(), "event=processes count=2")
+		return strings.Contains(old.logText(), "event=processes count=2") &&
+			strings.Contains(next.logText(), "event=processes count=2")
 	})
-	together := func() int { return old.descriptors() + next.descriptors() }
+	together := func() int { return old.openSockets() + next.openSockets() }
 	next.eventually("within the limit together", func() bool { return together() <= limit })
 	for range 20 {
 		if n := together(); n > limit {
@@ -146,8 +146,8 @@
 	if err := old.wait(); err != nil {
 		t.Errorf("the old one: %v", err)
 	}
-	next.eventually("alone again", func() bool { return strings.Contains(next.text(), "event=processes count=1") })
-	if got := next.call("PING"); got != "OK\n" {
+	next.eventually("alone again", func() bool { return strings.Contains(next.logText(), "event=processes count=1") })
+	if got := next.adminCommand("PING"); got != "OK\n" {
 		t.Errorf("got %q", got)
 	}
 }
--- a/cmd/oxbowloft/main_test.go
+++ b/cmd/oxbowloft/main_test.go
@@ -12,6 +12,7 @@
 
 // The commands, and what they say of a configuration.
 
+// A configuration that can't be used ends both commands with one line that names the fault.
 func TestBadConfig(t *testing.T) {
 	good := standin.Config("127.0.0.1:0", "127.0.0.1:1", 256, standin.List(1, true))
 	goodMesh := standin.Mesh("127.0.0.1:0", "127.0.0.1:1", 256, standin.List(1, true))
@@ -94,6 +95,7 @@
 	}
 }
 
+// The version command names the program.
 func TestVersion(t *testing.T) {
 	if out, err := exec.Command(program, "version").Output(); err != nil || !strings.HasPrefix(string(out), "oxbowloft ") {
 		t.Errorf("%q, %v", out, err)
--- a/cmd/oxbowloft/mesh_test.go
+++ b/cmd/oxbowloft/mesh_test.go
@@ -9,10 +9,13 @@
 	"oxbowloft/internal/standin"
 )
 
-// startMesh starts the program as one client process's proxy, before the backends.
-func startMesh(t *testing.T, backends ...*standin.Backend) *running {
+// The proxy of one client process among many, whose clients mark retries.
+
+// startMesh starts the program as one client process's proxy, with backends known from the
+// start.
+func startMesh(t *testing.T, backends ...*standin.Backend) *runningProgram {
 	t.Helper()
-	r, _ := startBefore(t, standin.Mesh, backends...)
+	r, _ := startWithDiscovery(t, standin.Mesh, backends...)
 	return r
 }
 
@@ -20,7 +23,7 @@
 // there, and only there, a mark on retries is read.
 func TestMeshServes(t *testing.T) {
 	b := standin.NewBackend(t, standin.Echo)
-	mesh, chain := startMesh(t, b), startOn(t, b)
+	mesh, chain := startMesh(t, b), startWithBackends(t, b)
 	for _, c := range []struct {
 		name        string
 		headers     []string
@@ -33,10 +36,10 @@
 		{"two marks", []string{"X-Retried: 1", "X-Retried: 0"}, 400, 200},
 	} {
 		for _, r := range []struct {
-			*running
+			*runningProgram
 			want int
 		}{{mesh, c.mesh}, {chain, c.chain}} {
-			if got := r.dial().ask(head("GET", "/api", "get", 2000, c.headers...)); got.status != r.want {
+			if got := r.dial().roundTrip(requestHead("GET", "/api", "get", 2000, c.headers...)); got.status != r.want {
 				t.Errorf("%s: got %+v, want %d", c.name, got, r.want)
 			}
 		}
@@ -63,7 +66,7 @@
 			c := r.dial()
 			for range 6 {
 				began := time.Now()
-				got := c.ask(head("GET", "/api", "get", 2000, mark))
+				got := c.roundTrip(requestHead("GET", "/api", "get", 2000, mark))
 				switch {
 				case got.status == 200:
 					served.Add(1)
@@ -96,13 +99,13 @@
 			c.Hang()
 			ended <- time.Since(began)
 		})
-		begin := startOn
+		begin := startWithBackends
 		if mesh {
 			begin = startMesh
 		}
 		r := begin(t, b)
 		c := r.dial()
-		c.send(post("pay", "x", 2000))
+		c.send(postRequest("pay", "x", 2000))
 		r.eventually("the attempt", func() bool { return b.Calls() == 1 })
 		c.Close()
 		// A call that may not be repeated has all of its 2 s for its one attempt.
--- a/cmd/oxbowloft/outcome_test.go
+++ b/cmd/oxbowloft/outcome_test.go
@@ -72,38 +72,38 @@
 			t.Parallel()
 			calls := counter{n: 1} // none is the first yet
 			handle := func(call *standin.Call) {
-				if calls.next() == 1 {
+				if calls.increment() == 1 {
 					c.first(call)
 					return
 				}
 				standin.Echo(call)
 			}
-			r := startOn(t, standin.NewBackend(t, handle), standin.NewBackend(t, handle))
+			r := startWithBackends(t, standin.NewBackend(t, handle), standin.NewBackend(t, handle))
 			cl := r.dial()
-			r.warm(cl)
-			calls.set(0)
+			r.warmUp(cl)
+			calls.swap(0)
 			began := time.Now()
-			if got := cl.ask(get(2000)); got.status != 200 || got.body != "GET /api " {
+			if got := cl.roundTrip(getRequest(2000)); got.status != 200 || got.body != "GET /api " {
 				t.Errorf("may run again: got %d %q", got.status, got.body)
 			}
-			if n := calls.set(0); n != 2 {
+			if n := calls.swap(0); n != 2 {
 				t.Errorf("may run again: %d calls", n)
 			}
-			if took := time.Since(began); took > 2*time.Second+patience/10 {
+			if took := time.Since(began); took > 2*time.Second+maxWait/10 {
 				t.Errorf("answered after %v, 2 s allowed", took)
 			}
 			began = time.Now()
-			if got := cl.ask(post("pay", "x", 1000)); got.status != c.pay {
+			if got := cl.roundTrip(postRequest("pay", "x", 1000)); got.status != c.pay {
 				t.Errorf("must not run twice: got %d %q", got.status, got.body)
 			}
-			if n := calls.set(1); n != c.payCalled {
+			if n := calls.swap(1); n != c.payCalled {
 				t.Errorf("must not run twice: %d calls", n)
 			}
-			if took := time.Since(began); took > 1070*time.Millisecond+patience/10 {
+			if took := time.Since(began); took > 1070*time.Millisecond+maxWait/10 {
 				t.Errorf("answered after %v, 1 s allowed", took)
 			}
 			// Whatever came of it, the connection goes on.
-			if got := cl.ask(get(2000)); got.status != 200 {
+			if got := cl.roundTrip(getRequest(2000)); got.status != 200 {
 				t.Errorf("then: got %d", got.status)
 			}
 		})
@@ -130,11 +130,11 @@
 				}
 				c.Reply(200, "next")
 			})
-			r := startOn(t, b)
+			r := startWithBackends(t, b)
 			c := r.dial()
 			for range 5 {
 				for _, want := range []string{"first", "next"} {
-					if got := c.ask(post("pay", "x", 2000)); got.status != 200 || got.body != want {
+					if got := c.roundTrip(postRequest("pay", "x", 2000)); got.status != 200 || got.body != want {
 						t.Fatalf("got %+v, want %s", got, want)
 					}
 				}
@@ -151,8 +151,8 @@
 func TestNobodyThere(t *testing.T) {
 	gone := standin.NewBackend(t, standin.Echo)
 	gone.Stop()
-	r := startOn(t, gone)
-	got := r.dial().ask(post("pay", "x", 1000))
+	r := startWithBackends(t, gone)
+	got := r.dial().roundTrip(postRequest("pay", "x", 1000))
 	if got.status != 503 {
 		t.Errorf("got %+v", got)
 	}
@@ -184,7 +184,7 @@
 			if err != nil {
 				return
 			}
-			broken.next()
+			broken.increment()
 			time.Sleep(50 * time.Millisecond)
 			nc.(*net.TCPConn).SetLinger(0)
 			nc.Close()
@@ -194,11 +194,11 @@
 	list := standin.List(1, true, standin.Target("s-0", ln.Addr().String()), standin.Target("s-1", b.Addr()))
 	r := start(t, standin.NewDiscovery(t, list).Addr(), 256, list)
 	for range 4 { // the two take turns
-		if got := r.dial().ask(post("pay", strings.Repeat("x", 64<<10), 2000)); got.status != 200 || got.body != "65536" {
+		if got := r.dial().roundTrip(postRequest("pay", strings.Repeat("x", 64<<10), 2000)); got.status != 200 || got.body != "65536" {
 			t.Errorf("got %+v", got)
 		}
 	}
-	if n := broken.set(0); n == 0 {
+	if n := broken.swap(0); n == 0 {
 		t.Error("the backend that does not read was not tried")
 	}
 }
@@ -207,10 +207,10 @@
 // which must not run twice.
 func TestIdleClosedByBackend(t *testing.T) {
 	b := standin.NewBackend(t, standin.Echo)
-	r := startOn(t, b)
+	r := startWithBackends(t, b)
 	c := r.dial()
 	for range 5 {
-		if got := c.ask(post("pay", "x", 2000)); got.status != 200 {
+		if got := c.roundTrip(postRequest("pay", "x", 2000)); got.status != 200 {
 			t.Fatalf("got %+v", got)
 		}
 		b.Cut()
@@ -224,7 +224,7 @@
 	closed := make(chan bool, 1)
 	calls := counter{n: 2} // neither the first nor the second yet
 	handle := func(c *standin.Call) {
-		n := calls.next()
+		n := calls.increment()
 		if n == 1 {
 			c.Hang()
 			closed <- true
@@ -242,14 +242,14 @@
 			c.Reply(500, "the first attempt is still out")
 		}
 	}
-	r := startOn(t, standin.NewBackend(t, handle), standin.NewBackend(t, handle))
+	r := startWithBackends(t, standin.NewBackend(t, handle), standin.NewBackend(t, handle))
 	c := r.dial()
-	r.warm(c)
-	calls.set(0)
-	if got := c.ask(get(2000)); got.status != 200 {
+	r.warmUp(c)
+	calls.swap(0)
+	if got := c.roundTrip(getRequest(2000)); got.status != 200 {
 		t.Errorf("got %+v", got)
 	}
-	if n := calls.set(0); n != 2 {
+	if n := calls.swap(0); n != 2 {
 		t.Errorf("%d calls", n)
 	}
 }
@@ -259,22 +259,22 @@
 func TestCallersFault(t *testing.T) {
 	calls := counter{}
 	handle := func(c *standin.Call) {
-		calls.next()
+		calls.increment()
 		if c.RequestURI == "/odd" {
 			c.Reply(400, "no")
 			return
 		}
 		standin.Echo(c)
 	}
-	r := startOn(t, standin.NewBackend(t, handle), standin.NewBackend(t, handle))
+	r := startWithBackends(t, standin.NewBackend(t, handle), standin.NewBackend(t, handle))
 	c := r.dial()
 	for range 20 {
-		if got := c.ask(head("GET", "/odd", "get", 2000)); got.status != 400 {
+		if got := c.roundTrip(requestHead("GET", "/odd", "get", 2000)); got.status != 400 {
 			t.Errorf("got %+v", got)
 		}
 	}
-	if n := calls.set(0); n != 20 {
+	if n := calls.swap(0); n != 20 {
 		t.Errorf("%d calls for 20 requests", n)
 	}
-	r.warm(c)
+	r.warmUp(c)
 }
--- a/cmd/oxbowloft/platform_test.go
+++ b/cmd/oxbowloft/platform_test.go
@@ -17,14 +17,16 @@
 // The harness of the tests with an admin port: programs that take over one listener from
 // each other, as the operators' platform has them do.
 
-// platform is what holds the clients' listener and the directory that processes share.
+// platform holds the clients' listener, which each process inherits, and the directory that
+// processes share.
 type platform struct {
-	t      *testing.T
-	ln     *net.TCPListener
-	tmp    string
-	config string
+	t          *testing.T
+	ln         *net.TCPListener
+	tmp        string
+	configPath string
 }
 
+// newPlatform opens the listener and starts a discovery that knows the list given.
 func newPlatform(t *testing.T, sockets int, known string) *platform {
 	t.Helper()
 	ln, err := net.Listen("tcp", freeAddr(t))
@@ -37,12 +39,13 @@
 		writeConfig(t, standin.Config(ln.Addr().String(), d.Addr(), sockets, known))}
 }
 
-// process is a program on the platform, with its door.
+// process is a program started on the platform, with its admin port.
 type process struct {
-	*running
-	door string
+	*runningProgram
+	adminAddr string
 }
 
+// start starts a process on the platform and waits until its admin port answers.
 func (p *platform) start() *process {
 	p.t.Helper()
 	f, err := p.ln.File()
@@ -50,33 +53,34 @@
 		p.t.Fatal(err)
 	}
 	defer f.Close()
-	door := freeAddr(p.t)
+	adminAddr := freeAddr(p.t)
 	cmd := exec.Command(program, "serve", "--grace", "20ms")
 	cmd.ExtraFiles = []*os.File{f}
-	cmd.Env = append(os.Environ(), "BALANCER_CONFIG="+p.config, "BALANCER_LISTEN_FD=3",
-		"BALANCER_ADMIN="+door, "TMPDIR="+p.tmp)
-	r := &process{launch(p.t, cmd, p.ln.Addr().String()), door}
-	r.eventually("yes to PING", func() bool { return r.call("PING") == "OK\n" })
+	cmd.Env = append(os.Environ(), "BALANCER_CONFIG="+p.configPath, "BALANCER_LISTEN_FD=3",
+		"BALANCER_ADMIN="+adminAddr, "TMPDIR="+p.tmp)
+	r := &process{startCommand(p.t, cmd, p.ln.Addr().String()), adminAddr}
+	r.eventually("yes to PING", func() bool { return r.adminCommand("PING") == "OK\n" })
 	return r
 }
 
-// call is an operator's call; nothing where the door is shut.
-func (r *process) call(line string) string {
-	c, err := net.Dial("tcp", r.door)
+// adminCommand sends one line to the admin port and returns the answer, or nothing where
+// the port does not accept.
+func (r *process) adminCommand(line string) string {
+	c, err := net.Dial("tcp", r.adminAddr)
 	if err != nil {
 		return ""
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(maxWait))
 	io.WriteString(c, line+"\n")
 	got, _ := io.ReadAll(c)
 	return string(got)
 }
 
-// figures reads INFO.
-func (r *process) figures() map[string]int {
+// metrics returns the values that the admin command INFO gives, by name.
+func (r *process) metrics() map[string]int {
 	r.t.Helper()
-	text := r.call("INFO")
+	text := r.adminCommand("INFO")
 	if !strings.HasSuffix(text, "\nEND\n") {
 		r.t.Fatalf("INFO: %q", text)
 	}
--- a/cmd/oxbowloft/ready_test.go
+++ b/cmd/oxbowloft/ready_test.go
@@ -13,6 +13,8 @@
 	"oxbowloft/internal/standin"
 )
 
+// How soon a started or restarted process is ready.
+
 // readyWithin is what the operators give nine in ten restarted processes; here each has it.
 const readyWithin = 10 * time.Second
 
@@ -46,9 +48,9 @@
 					return strings.Replace(text, `"discovery":"on_request"`, fmt.Sprintf(`"discovery":%q`, mode), 1)
 				}
 				began := time.Now()
-				r := startAs(t, shape, c.discovery, 256, standin.List(1, true, targets...))
+				r := startWithConfig(t, shape, c.discovery, 256, standin.List(1, true, targets...))
 				r.ready(began)
-				var held []*conn
+				var held []*clientConn
 				for range 20 {
 					cl := r.dial()
 					io.WriteString(cl, "GET /ap") // half a request
@@ -57,7 +59,7 @@
 				r.signal(syscall.SIGKILL)
 				r.wait()
 				began = time.Now()
-				again := launch(t, exec.Command(program, "serve", "--grace", "20ms", r.config), r.addr)
+				again := startCommand(t, exec.Command(program, "serve", "--grace", "20ms", r.configPath), r.addr)
 				again.ready(began)
 				for _, cl := range held {
 					cl.Close()
@@ -69,10 +71,10 @@
 
 // ready waits until the process says that it can serve, and asks that it took no longer
 // than it may.
-func (r *running) ready(began time.Time) {
+func (r *runningProgram) ready(began time.Time) {
 	r.t.Helper()
 	r.eventually("ready", func() bool {
-		return r.dial().ask("GET /healthz HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n").status == 200
+		return r.dial().roundTrip("GET /healthz HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n").status == 200
 	})
 	if took := time.Since(began); took > readyWithin {
 		r.t.Errorf("ready after %v, want %v", took, readyWithin)
--- a/cmd/oxbowloft/reload_test.go
+++ b/cmd/oxbowloft/reload_test.go
@@ -13,18 +13,23 @@
 	"oxbowloft/internal/standin"
 )
 
-// rewrite puts another configuration in the place of the program's, whole.
-func (r *running) rewrite(text string) {
+// The configuration read again on SIGHUP.
+
+// replaceConfig replaces the program's configuration file in one step.
+func (r *runningProgram) replaceConfig(text string) {
 	r.t.Helper()
-	if err := os.WriteFile(r.config+".new", []byte(text), 0o600); err != nil {
+	if err := os.WriteFile(r.configPath+".new", []byte(text), 0o600); err != nil {
 		r.t.Fatal(err)
 	}
-	if err := os.Rename(r.config+".new", r.config); err != nil {
+	if err := os.Rename(r.configPath+".new", r.configPath); err != nil {
 		r.t.Fatal(err)
 	}
 }
 
-func (r *running) count(event string) int { return strings.Count(r.text(), "event="+event+" ") }
+// countEvents returns how often an event is in the log.
+func (r *runningProgram) countEvents(event string) int {
+	return strings.Count(r.logText(), "event="+event+" ")
+}
 
 // SIGHUP under load: no request is lost, and the list comes from the new address,
 // also one of an older revision. Guards against the signal's default, which ends the
@@ -45,27 +50,27 @@
 	for range 8 {
 		tasks.Go(func() {
 			for c := r.dial(); !stop.Load(); {
-				if got := c.ask(post("pay", "x", 2000)); got.status != 200 {
+				if got := c.roundTrip(postRequest("pay", "x", 2000)); got.status != 200 {
 					t.Errorf("got %+v", got)
 					return
 				}
 			}
 		})
 	}
-	r.rewrite(standin.Config(r.addr, newSource.Addr(), 128, listA))
+	r.replaceConfig(standin.Config(r.addr, newSource.Addr(), 128, listA))
 	r.signal(syscall.SIGHUP)
 	r.signal(syscall.SIGHUP) // twice at once is no more than once
 	c := r.dial()
-	r.eventually("the new source's list", func() bool { return c.ask(get(2000)).body == "b" })
+	r.eventually("the new source's list", func() bool { return c.roundTrip(getRequest(2000)).body == "b" })
 	r.eventually("the old watch ended", func() bool { return oldSource.Watches() == 0 })
 	newSource.Push(standin.List(3, false, standin.Target("s-a", a.Addr())))
-	r.eventually("both", func() bool { return c.ask(get(2000)).body == "a" })
+	r.eventually("both", func() bool { return c.roundTrip(getRequest(2000)).body == "a" })
 	stop.Store(true)
 	tasks.Wait()
 	if asked := newSource.Asked(); len(asked) != 1 || !strings.HasSuffix(asked[0], "index=0") {
 		t.Errorf("asked the new source for %q", asked)
 	}
-	if !strings.Contains(r.text(), "sockets=128 not_taken=\"\"") {
+	if !strings.Contains(r.logText(), "sockets=128 not_taken=\"\"") {
 		t.Error("the new limit is not in the log")
 	}
 }
@@ -73,61 +78,61 @@
 // A configuration that can't be used is told in one line, and nothing of it is
 // taken.
 func TestReloadOfBadConfig(t *testing.T) {
-	r, d := startBefore(t, standin.Config, standin.NewBackend(t, standin.Echo))
-	r.eventually("a watch", func() bool { return d.Watches() == 1 && r.count("list") == 1 })
-	good, err := os.ReadFile(r.config)
+	r, d := startWithDiscovery(t, standin.Config, standin.NewBackend(t, standin.Echo))
+	r.eventually("a watch", func() bool { return d.Watches() == 1 && r.countEvents("list") == 1 })
+	good, err := os.ReadFile(r.configPath)
 	if err != nil {
 		t.Fatal(err)
 	}
 	c := r.dial()
 	failed := 0
-	lines := func() int { return strings.Count(r.text(), "\n") - r.count("stats") } // stats come by the clock
+	lines := func() int { return strings.Count(r.logText(), "\n") - r.countEvents("stats") } // stats come by the clock
 	try := func(what string) {
 		t.Helper()
 		failed++
 		before := lines()
 		r.signal(syscall.SIGHUP)
-		r.eventually(what+": a line in the log", func() bool { return r.count("reload_failed") == failed })
+		r.eventually(what+": a line in the log", func() bool { return r.countEvents("reload_failed") == failed })
 		if n := lines() - before; n != 1 {
 			t.Errorf("%s: %d lines in the log", what, n)
 		}
-		if got := c.ask(get(2000)); got.status != 200 {
+		if got := c.roundTrip(getRequest(2000)); got.status != 200 {
 			t.Errorf("%s: got %+v", what, got)
 		}
 	}
-	r.rewrite(string(good[:len(good)/2]))
+	r.replaceConfig(string(good[:len(good)/2]))
 	try("cut off")
-	r.rewrite(strings.ReplaceAll(string(good), "single_shot", "twice"))
+	r.replaceConfig(strings.ReplaceAll(string(good), "single_shot", "twice"))
 	try("wrong")
-	r.rewrite(string(bytes.Replace(good, []byte(d.Addr()), []byte("nowhere"), 1)))
+	r.replaceConfig(string(bytes.Replace(good, []byte(d.Addr()), []byte("nowhere"), 1)))
 	try("no address")
-	r.rewrite(strings.Replace(string(good), `"stage":0`, `"kind-of-service":"mesh","stage":1`, 1))
+	r.replaceConfig(strings.Replace(string(good), `"stage":0`, `"kind-of-service":"mesh","stage":1`, 1))
 	try("a lower tier in a mesh")
-	if err := os.Remove(r.config); err != nil {
+	if err := os.Remove(r.configPath); err != nil {
 		t.Fatal(err)
 	}
 	try("missing")
 	if d.Watches() != 1 || len(d.Asked()) != 1 {
 		t.Errorf("the watch did not go on: %q", d.Asked())
 	}
-	r.rewrite(strings.Replace(string(good), `"zones":["z1","z2"]`, `"zones":["z1"]`, 1))
+	r.replaceConfig(strings.Replace(string(good), `"zones":["z1","z2"]`, `"zones":["z1"]`, 1))
 	r.signal(syscall.SIGHUP)
-	r.eventually("taken", func() bool { return strings.Contains(r.text(), `not_taken="settings"`) })
+	r.eventually("taken", func() bool { return strings.Contains(r.logText(), `not_taken="settings"`) })
 }
 
 // Guards against a signal in a drain, or just before the end, that ends the program
 // with requests in flight.
 func TestReloadInDrain(t *testing.T) {
-	b, release := held(t)
-	r := startOn(t, b)
+	b, release := newHeldBackend(t)
+	r := startWithBackends(t, b)
 	c := r.dial()
-	c.send(post("pay", "x", 2000))
+	c.send(postRequest("pay", "x", 2000))
 	time.Sleep(20 * time.Millisecond) // most likely in flight
 	r.signal(syscall.SIGHUP)
 	r.signal(syscall.SIGTERM)
-	r.eventually("draining", func() bool { return strings.Contains(r.text(), "phase=draining") })
+	r.eventually("draining", func() bool { return strings.Contains(r.logText(), "phase=draining") })
 	r.signal(syscall.SIGHUP)
-	r.eventually("read again", func() bool { return r.count("reload") > 0 })
+	r.eventually("read again", func() bool { return r.countEvents("reload") > 0 })
 	release <- true
 	if got := c.read(); got.status != 200 {
 		t.Errorf("got %+v", got)
--- a/cmd/oxbowloft/request_test.go
+++ b/cmd/oxbowloft/request_test.go
@@ -15,49 +15,51 @@
 
 // What a client may ask, and what is refused before it reaches a backend.
 
+// Requests of all ordinary forms are served, one after the other on a connection.
 func TestRequests(t *testing.T) {
-	r := startOn(t, standin.NewBackend(t, standin.Echo), standin.NewBackend(t, standin.Echo))
+	r := startWithBackends(t, standin.NewBackend(t, standin.Echo), standin.NewBackend(t, standin.Echo))
 	c := r.dial()
-	want := func(got reply, body string) {
+	want := func(got response, body string) {
 		t.Helper()
 		if got.status != 200 || got.body != body || got.close {
 			t.Fatalf("got %+v, want %q", got, body)
 		}
 	}
 	large := strings.Repeat("x", 64<<10)
-	want(c.ask(get(2000)), "GET /api ")
-	want(c.ask(head("GET", "/api?a=b%20c&d", "get", 2000)), "GET /api?a=b%20c&d ")
-	want(c.ask(post("pay", "hello", 2000)), "POST /api hello")
-	want(c.ask(head("POST", "/api", "pay", 2000, "Transfer-Encoding: chunked")+"2\r\nhe\r\n3\r\nllo\r\n0\r\n\r\n"),
+	want(c.roundTrip(getRequest(2000)), "GET /api ")
+	want(c.roundTrip(requestHead("GET", "/api?a=b%20c&d", "get", 2000)), "GET /api?a=b%20c&d ")
+	want(c.roundTrip(postRequest("pay", "hello", 2000)), "POST /api hello")
+	want(c.roundTrip(requestHead("POST", "/api", "pay", 2000, "Transfer-Encoding: chunked")+"2\r\nhe\r\n3\r\nllo\r\n0\r\n\r\n"),
 		"POST /api hello")
-	want(c.ask(post("pay", large[:60<<10], 2000)), "POST /api "+large[:60<<10])
+	want(c.roundTrip(postRequest("pay", large[:60<<10], 2000)), "POST /api "+large[:60<<10])
 
 	// One in many small pieces.
-	for _, b := range []byte(post("pay", "slow", 2000)) {
+	for _, b := range []byte(postRequest("pay", "slow", 2000)) {
 		c.send(string(b))
 	}
 	want(c.read(), "POST /api slow")
 
 	// An id may come again once its request has its answer.
-	text := get(2000)
-	want(c.ask(text), "GET /api ")
-	want(r.dial().ask(text), "GET /api ")
+	text := getRequest(2000)
+	want(c.roundTrip(text), "GET /api ")
+	want(r.dial().roundTrip(text), "GET /api ")
 
-	if got := c.ask(head("GET", "/api", "get", 2000, "Connection: close")); got.status != 200 || !got.close || !c.ended() {
+	if got := c.roundTrip(requestHead("GET", "/api", "get", 2000, "Connection: close")); got.status != 200 || !got.close || !c.closedByProxy() {
 		t.Errorf("after Connection: close got %+v", got)
 	}
-	if got := r.dial().ask("GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n"); got.status != 200 {
+	if got := r.dial().roundTrip("GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n"); got.status != 200 {
 		t.Errorf("healthz: %+v", got)
 	}
 }
 
+// What of a request's head reaches the backend, and of the answer's the client.
 func TestForwarded(t *testing.T) {
 	var seen http.Header
-	r := startOn(t, standin.NewBackend(t, func(c *standin.Call) {
+	r := startWithBackends(t, standin.NewBackend(t, func(c *standin.Call) {
 		seen = c.Header
 		c.Reply(200, "", "Content-Type: text/x")
 	}))
-	got := r.dial().ask("GET /api HTTP/1.1\r\nHost: h\r\nX-Request-ID: 00ff\r\nX-Priority-Class: get\r\n" +
+	got := r.dial().roundTrip("GET /api HTTP/1.1\r\nHost: h\r\nX-Request-ID: 00ff\r\nX-Priority-Class: get\r\n" +
 		"X-Timeout-Ms: 2000\r\nX-Retried: 1\r\nKeep-Alive: x\r\n\r\n")
 	if got.status != 200 || got.header.Get("Content-Type") != "text/x" {
 		t.Errorf("got %+v", got)
@@ -75,13 +77,13 @@
 // beside it goes on being served.
 func TestBadRequests(t *testing.T) {
 	b := standin.NewBackend(t, standin.Echo)
-	r := startOn(t, b)
+	r := startWithBackends(t, b)
 	with := func(headers ...string) string {
 		return "GET /api HTTP/1.1\r\nHost: h\r\n" + strings.Join(append(headers, ""), "\r\n") + "\r\n"
 	}
-	sent := func(headers ...string) string { return head("POST", "/api", "pay", 500, headers...) }
+	sent := func(headers ...string) string { return requestHead("POST", "/api", "pay", 500, headers...) }
 	const id, class, ms = "X-Request-ID: 00ff", "X-Priority-Class: get", "X-Timeout-Ms: 500"
-	hidden := post("pay", "x", 500)
+	hidden := postRequest("pay", "x", 500)
 	cases := []struct {
 		name, text string
 		status     int
@@ -91,15 +93,15 @@
 		{"noise with line ends", "\x16\x03\r\n\x01\x02\r\n\r\n", 400},
 		{"bad header", "GET / HTTP/1.1\r\nno colon here\r\n\r\n", 400},
 		{"bad version", "GET /api HTTP/9.9\r\n\r\n", 400},
-		{"spaces in the request line", strings.Replace(get(500), "GET /api", "GET  /api", 1), 400},
-		{"control character in the target", strings.Replace(get(500), "/api", "/a\x01pi", 1), 400},
+		{"spaces in the request line", strings.Replace(getRequest(500), "GET /api", "GET  /api", 1), 400},
+		{"control character in the target", strings.Replace(getRequest(500), "/api", "/a\x01pi", 1), 400},
 		{"control character in a header", with(id, class, ms, "X-A: a\x01b"), 400},
 		{"carriage return in a header", with(id, class, ms, "X-A: a\rX-B: b"), 400},
-		{"lines without carriage returns", strings.ReplaceAll(get(500), "\r", ""), 400},
+		{"lines without carriage returns", strings.ReplaceAll(getRequest(500), "\r", ""), 400},
 		{"folded header", with(id, class, ms, "X-A: a\r\n b"), 400},
 		{"space before the colon", sent("Content-Length : 1") + "x", 400},
 		{"header without a name", with(id, class, ms, ": x"), 400},
-		{"no host", strings.Replace(get(500), "Host: api.internal\r\n", "", 1), 400},
+		{"no host", strings.Replace(getRequest(500), "Host: api.internal\r\n", "", 1), 400},
 		{"two hosts", with(id, class, ms, "Host: other"), 400},
 		{"length is no number", sent("Content-Length: x"), 400},
 		{"length below zero", sent("Content-Length: -4") + "abcd", 400},
@@ -118,9 +120,9 @@
 		{"bad chunk", sent("Transfer-Encoding: chunked") + "4\r\nabcd\r\nzz\r\nabcd\r\n0\r\n\r\n", 400},
 		{"body longer than told", sent("Content-Length: 1") + "xyz", 400},
 		{"a request behind it", hidden + hidden, 400},
-		{"body of a get", head("GET", "/api", "get", 500, "Content-Length: 4") + "abcd", 400},
+		{"body of a get", requestHead("GET", "/api", "get", 500, "Content-Length: 4") + "abcd", 400},
 		{"head too large", "GET /" + strings.Repeat("x", 40<<10) + " HTTP/1.1\r\n\r\n", 431},
-		{"head without end", get(500)[:20] + strings.Repeat("X-Pad: p\r\n", 20<<10), 431},
+		{"head without end", getRequest(500)[:20] + strings.Repeat("X-Pad: p\r\n", 20<<10), 431},
 		{"body too large", sent("Content-Length: 40000000") + strings.Repeat("x", 70000), 413},
 		{"body much too large", sent("Content-Length: 60000000") + strings.Repeat("x", 70000), 413},
 		{"unknown class", with(id, "X-Priority-Class: odd", ms), 400},
@@ -137,8 +139,8 @@
 		{"id without end", with("X-Request-ID: "+strings.Repeat("f", 10<<10), class, ms), 400},
 		{"id under two names", with(id, "X_Request_ID: 00fe", class, ms), 400},
 		{"connection takes a header away", with(id, class, ms, "Connection: X-Request-ID"), 400},
-		{"unknown method", head("BREW", "/api", "get", 500), 405},
-		{"connect", head("CONNECT", "h:1", "get", 500), 405},
+		{"unknown method", requestHead("BREW", "/api", "get", 500), 405},
+		{"connect", requestHead("CONNECT", "h:1", "get", 500), 405},
 	}
 	ordinary := r.dial()
 	for _, c := range cases {
@@ -148,10 +150,10 @@
 			if got := cl.read(); got.status != c.status || !got.close {
 				t.Errorf("got %+v", got)
 			}
-			if !cl.ended() {
+			if !cl.closedByProxy() {
 				t.Error("the connection goes on")
 			}
-			if got := ordinary.ask(get(2000)); got.status != 200 {
+			if got := ordinary.roundTrip(getRequest(2000)); got.status != 200 {
 				t.Errorf("a client beside it: got %+v", got)
 			}
 		})
@@ -163,7 +165,7 @@
 	if err := r.wait(); err != nil {
 		t.Errorf("exit: %v", err)
 	}
-	if !strings.Contains(r.text(), fmt.Sprintf(" bad=%d ", len(cases))) {
+	if !strings.Contains(r.logText(), fmt.Sprintf(" bad=%d ", len(cases))) {
 		t.Error("not counted as bad")
 	}
 }
@@ -171,12 +173,12 @@
 // The id of a request that is open here is turned away, and the open one is not
 // touched: guards against an answer made for another's request.
 func TestIDOfOpenRequest(t *testing.T) {
-	b, release := held(t)
-	r := startOn(t, b)
-	c, text := r.dial(), get(2000)
+	b, release := newHeldBackend(t)
+	r := startWithBackends(t, b)
+	c, text := r.dial(), getRequest(2000)
 	c.send(text)
 	r.eventually("the attempt", func() bool { return b.Calls() == 1 })
-	if got := r.dial().ask(strings.Replace(text, "/api", "/api?x", 1)); got.status != 409 || !got.close {
+	if got := r.dial().roundTrip(strings.Replace(text, "/api", "/api?x", 1)); got.status != 409 || !got.close {
 		t.Errorf("the same id: got %+v", got)
 	}
 	release <- true
@@ -190,15 +192,15 @@
 
 // A request sent before the last one's answer is never served, nor is that one.
 func TestAhead(t *testing.T) {
-	b, release := held(t)
-	r := startOn(t, b)
+	b, release := newHeldBackend(t)
+	r := startWithBackends(t, b)
 	c := r.dial()
-	c.send(get(2000))
+	c.send(getRequest(2000))
 	r.eventually("the attempt", func() bool { return b.Calls() == 1 })
-	c.send(get(2000))
+	c.send(getRequest(2000))
 	time.Sleep(20 * time.Millisecond) // most likely noticed
 	release <- true
-	if got := c.read(); got.status != 400 || !got.close || !c.ended() {
+	if got := c.read(); got.status != 400 || !got.close || !c.closedByProxy() {
 		t.Errorf("got %+v and no end", got)
 	}
 	if b.Calls() != 1 {
--- a/cmd/oxbowloft/restart_test.go
+++ b/cmd/oxbowloft/restart_test.go
@@ -24,13 +24,13 @@
 	d := standin.NewDiscovery(t, list)
 	r := start(t, d.Addr(), 256, list)
 	c := r.dial()
-	if got := c.ask(get(2000)); got.status != 200 {
+	if got := c.roundTrip(getRequest(2000)); got.status != 200 {
 		t.Fatalf("got %+v", got)
 	}
 	r.signal(syscall.SIGKILL)
 	r.wait()
-	again := launch(t, exec.Command(program, "serve", writeConfig(t, standin.Config(r.addr, d.Addr(), 256, list))), r.addr)
-	if got := again.dial().ask(get(2000)); got.status != 200 {
+	again := startCommand(t, exec.Command(program, "serve", writeConfig(t, standin.Config(r.addr, d.Addr(), 256, list))), r.addr)
+	if got := again.dial().roundTrip(getRequest(2000)); got.status != 200 {
 		t.Errorf("got %+v", got)
 	}
 }
@@ -43,7 +43,7 @@
 	var twice counter
 	echo := func(c *standin.Call) {
 		if _, again := ran.LoadOrStore(c.Header.Get("X-Request-ID"), true); again {
-			twice.next()
+			twice.increment()
 		}
 		if c.Text == "slow" {
 			time.Sleep(time.Second)
@@ -51,28 +51,28 @@
 		standin.Echo(c)
 	}
 	out, b, b2 := standin.NewBackend(t, echo), standin.NewBackend(t, echo), standin.NewBackend(t, echo)
-	p := newPlatform(t, 256, targets(out, b, b2))
+	p := newPlatform(t, 256, discoveryList(out, b, b2))
 	old := p.start()
-	if got := old.call("DETACH s-0"); got != "OK\n" {
+	if got := old.adminCommand("DETACH s-0"); got != "OK\n" {
 		t.Fatalf("got %q", got)
 	}
 	calls := out.Calls()
 	end := make(chan bool)
-	answered, wait := steady(t, old.addr, 4, end)
+	answered, wait := startLoad(t, old.addr, 4, end)
 	for range 2 {
 		half, long := old.dial(), old.dial()
-		text := post("pay", "half", 2000)
+		text := postRequest("pay", "half", 2000)
 		half.send(text[:20])
-		long.send(post("pay", "slow", 2000))
+		long.send(postRequest("pay", "slow", 2000))
 		time.Sleep(50 * time.Millisecond) // the old process has them
 		next := p.start()
-		if got := old.call("DETACH s-2"); got != "OK\n" {
+		if got := old.adminCommand("DETACH s-2"); got != "OK\n" {
 			t.Errorf("at the old one while two run: %q", got)
 		}
-		next.eventually("the ban is known", func() bool { return next.figures()["out_of_rotation"] >= 2 })
+		next.eventually("the ban is known", func() bool { return next.metrics()["out_of_rotation"] >= 2 })
 		old.eventually("each knows of the other", func() bool {
-			return strings.Contains(old.text(), "event=processes count=2") &&
-				strings.Contains(next.text(), "event=processes count=2")
+			return strings.Contains(old.logText(), "event=processes count=2") &&
+				strings.Contains(next.logText(), "event=processes count=2")
 		})
 		n := answered.Load()
 		old.signal(syscall.SIGTERM)
@@ -89,8 +89,8 @@
 			t.Errorf("the old one: %v", err)
 		}
 		next.eventually("load after the replacement", func() bool { return answered.Load() > n+50 })
-		next.eventually("load at the new one", func() bool { return next.figures()[`fulfilled{priority="pay"}`] > 50 })
-		if got := next.call("ATTACH s-2"); got != "OK\n" {
+		next.eventually("load at the new one", func() bool { return next.metrics()[`fulfilled{priority="pay"}`] > 50 })
+		if got := next.adminCommand("ATTACH s-2"); got != "OK\n" {
 			t.Errorf("back: %q", got)
 		}
 		old = next
@@ -100,7 +100,7 @@
 	if n := out.Calls(); n != calls {
 		t.Errorf("%d calls at a backend that is out", n-calls)
 	}
-	if n := twice.set(0); n > 0 {
+	if n := twice.swap(0); n > 0 {
 		t.Errorf("%d requests ran twice", n)
 	}
 }
@@ -109,7 +109,7 @@
 // serves whole; so does one that is killed.
 func TestReplacementFails(t *testing.T) {
 	b := standin.NewBackend(t, standin.Echo)
-	p := newPlatform(t, 256, targets(b))
+	p := newPlatform(t, 256, discoveryList(b))
 	old := p.start()
 	udp, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
@@ -126,17 +126,17 @@
 		t.Fatal(err)
 	}
 	defer f.Close()
-	for _, c := range []struct{ name, fd, door, want string }{
+	for _, c := range []struct{ name, fd, adminAddr, want string }{
 		{"no number", "three", freeAddr(t), "BALANCER_LISTEN_FD"},
 		{"standard output", "1", freeAddr(t), "BALANCER_LISTEN_FD"},
 		{"not open", "77", freeAddr(t), "BALANCER_LISTEN_FD"},
 		{"no listener", "3", freeAddr(t), "BALANCER_LISTEN_FD"},
-		{"the door is taken", "4", old.door, "admin"},
+		{"the door is taken", "4", old.adminAddr, "admin"},
 	} {
 		cmd := exec.Command(program, "serve")
 		cmd.ExtraFiles = []*os.File{noListener, f}
-		cmd.Env = append(os.Environ(), "BALANCER_CONFIG="+p.config, "BALANCER_LISTEN_FD="+c.fd,
-			"BALANCER_ADMIN="+c.door, "TMPDIR="+p.tmp)
+		cmd.Env = append(os.Environ(), "BALANCER_CONFIG="+p.configPath, "BALANCER_LISTEN_FD="+c.fd,
+			"BALANCER_ADMIN="+c.adminAddr, "TMPDIR="+p.tmp)
 		said, err := cmd.CombinedOutput()
 		if err == nil || !strings.Contains(string(said), c.want) {
 			t.Errorf("%s: %v, %q", c.name, err, said)
@@ -146,21 +146,21 @@
 		}
 	}
 	next := p.start()
-	old.eventually("not alone", func() bool { return strings.Contains(old.text(), "event=processes count=2") })
+	old.eventually("not alone", func() bool { return strings.Contains(old.logText(), "event=processes count=2") })
 	next.cmd.Process.Kill()
-	next.over = true
-	<-next.dead
-	old.eventually("alone again", func() bool { return strings.Contains(old.text(), "event=processes count=1") })
+	next.waited = true
+	<-next.exited
+	old.eventually("alone again", func() bool { return strings.Contains(old.logText(), "event=processes count=1") })
 	for _, name := range []string{"127.0.0.1", "oxbowloft-spoilt.bans"} {
 		os.WriteFile(filepath.Join(p.tmp, name), []byte("\x00"), 0o600)
 	}
 	c := old.dial()
 	for range 20 {
-		if got := c.ask(get(2000)); got.status != 200 {
+		if got := c.roundTrip(getRequest(2000)); got.status != 200 {
 			t.Errorf("got %+v", got)
 		}
 	}
-	if got := old.call("PING"); got != "OK\n" {
+	if got := old.adminCommand("PING"); got != "OK\n" {
 		t.Errorf("got %q", got)
 	}
 }
@@ -176,21 +176,21 @@
 			c.Hang()
 		}
 	})
-	r := startOn(t, b)
-	var open []*conn
+	r := startWithBackends(t, b)
+	var open []*clientConn
 	for range 5 {
 		c := r.dial()
-		c.send(post("pay", "x", 1000))
+		c.send(postRequest("pay", "x", 1000))
 		open = append(open, c)
 	}
 	r.eventually("in flight", func() bool { return b.Calls() == 5 })
 	half := r.dial()
-	text := get(2000)
+	text := getRequest(2000)
 	half.send(text[:len(text)/2])
 	r.signal(syscall.SIGSTOP)
 	for range 5 {
 		c := r.dial() // the kernel accepts
-		c.send(post("pay", "y", 1000))
+		c.send(postRequest("pay", "y", 1000))
 		open = append(open, c)
 	}
 	half.send(text[len(text)/2:])
--- a/cmd/oxbowloft/shapes_test.go
+++ b/cmd/oxbowloft/shapes_test.go
@@ -13,6 +13,8 @@
 	"oxbowloft/internal/standin"
 )
 
+// Configurations of every shape that the operators' pages allow.
+
 // shape is what the test asks of a configuration: its class names, and the values by
 // which it tells what the files cover.
 type shape struct {
@@ -145,19 +147,19 @@
 	}
 	cmd := exec.Command(program, "serve", "--grace", "20ms")
 	cmd.Env = append(os.Environ(), "BALANCER_CONFIG="+config)
-	r := launch(t, cmd, addr)
+	r := startCommand(t, cmd, addr)
 	r.eventually("ready", func() bool {
-		return r.dial().ask("GET /healthz HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n").status == 200
+		return r.dial().roundTrip("GET /healthz HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n").status == 200
 	})
 	// Where lists are pushed, what there is counts as told from the first moment, and a
 	// list known from before is not used for long.
-	r.eventually("the list", func() bool { return strings.Contains(r.text(), "event=list ") })
+	r.eventually("the list", func() bool { return strings.Contains(r.logText(), "event=list ") })
 	for _, class := range s.Settings.Classes {
-		request, want := head("GET", "/api", class.Name, 4000), "GET /api "
+		request, want := requestHead("GET", "/api", class.Name, 4000), "GET /api "
 		if class.Idempotency != "free" {
-			request, want = post(class.Name, "x", 4000), "POST /api x"
+			request, want = postRequest(class.Name, "x", 4000), "POST /api x"
 		}
-		if got := r.dial().ask(request); got.status != 200 || got.body != want {
+		if got := r.dial().roundTrip(request); got.status != 200 || got.body != want {
 			t.Errorf("%s: got %+v", class.Name, got)
 		}
 	}
--- a/cmd/oxbowloft/streaming_test.go
+++ b/cmd/oxbowloft/streaming_test.go
@@ -39,7 +39,7 @@
 			c.Reply(200, strconv.Itoa(len(c.Text)))
 		}
 	})
-	r := newPlatform(t, 256, targets(b)).start()
+	r := newPlatform(t, 256, discoveryList(b)).start()
 	var tasks sync.WaitGroup
 	chunked := &strings.Builder{}
 	for i := 0; i < size; i += 70_001 {
@@ -62,8 +62,8 @@
 					if a.length != "" {
 						more = append(more, a.length)
 					}
-					var got reply
-					got, c = r.askAnew(c, head(a.method, a.uri, class, 2000, more...)+a.body)
+					var got response
+					got, c = r.roundTripReconnecting(c, requestHead(a.method, a.uri, class, 2000, more...)+a.body)
 					if got.status == 503 && got.header.Get("Retry-After") != "" { // as the module sees fit
 						time.Sleep(20 * time.Millisecond)
 						continue
@@ -108,10 +108,10 @@
 		}
 		c.Raw(strings.Repeat("x", 100000-4))
 	})
-	r := newPlatform(t, 256, targets(b)).start()
+	r := newPlatform(t, 256, discoveryList(b)).start()
 	for _, uri := range []string{"/api/chunks", "/api/short", "/api/whole"} {
 		c := r.dial()
-		c.send(head("GET", uri, "get", 2000))
+		c.send(requestHead("GET", uri, "get", 2000))
 		resp, err := http.ReadResponse(c.r, nil)
 		if err != nil {
 			t.Fatal(err)
@@ -127,7 +127,7 @@
 		}
 	}
 	r.eventually("one whole, two cut short", func() bool {
-		f := r.figures()
+		f := r.metrics()
 		return f[`fulfilled{priority="get"}`] == 1 && f[`faulted{priority="get"}`] == 2
 	})
 }
@@ -156,7 +156,7 @@
 				if n, _ := c.Read(buf); n == 0 {
 					return
 				}
-				heads.next()
+				heads.increment()
 				io.WriteString(c, "HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n")
 				io.Copy(io.Discard, c)
 			})
@@ -167,16 +167,16 @@
 	body := strings.Repeat("x", 1<<20)
 	// It sends no more until it has the answer: guards against one that is seen only with
 	// the next part.
-	c.send(head("POST", "/api", "pay", 2000, "Content-Length: "+strconv.Itoa(len(body))) + body[:100_000])
+	c.send(requestHead("POST", "/api", "pay", 2000, "Content-Length: "+strconv.Itoa(len(body))) + body[:100_000])
 	got := c.read()
 	if got.status != 503 || got.header.Get("Retry-After") == "" {
 		t.Errorf("got %+v", got)
 	}
 	c.send(body[100_000:])
-	if n := heads.set(0); n != 1 {
+	if n := heads.swap(0); n != 1 {
 		t.Errorf("sent %d times", n)
 	}
-	if got := c.ask(get(2000)); got.status != 503 {
+	if got := c.roundTrip(getRequest(2000)); got.status != 503 {
 		t.Errorf("then %+v", got)
 	}
 }
@@ -201,17 +201,17 @@
 			c.Reply(200, strconv.Itoa(len(c.Text)))
 		}
 	})
-	r := newPlatform(t, 256, targets(b)).start()
+	r := newPlatform(t, 256, discoveryList(b)).start()
 	for uri, want := range map[string]string{"/api/end": long, "/api/end/short": "short", "/api/chunks": long} {
 		c := r.dial()
-		if got := c.ask(head("GET", uri, "get", 2000)); got.status != 200 || got.body != want {
+		if got := c.roundTrip(requestHead("GET", uri, "get", 2000)); got.status != 200 || got.body != want {
 			t.Errorf("%s: %d with %d bytes", uri, got.status, len(got.body))
 		}
-		if got := c.ask(post("pay", "then", 2000)); got.status != 200 || got.body != "4" {
+		if got := c.roundTrip(postRequest("pay", "then", 2000)); got.status != 200 || got.body != "4" {
 			t.Errorf("after %s: %+v", uri, got)
 		}
 		old := r.dial()
-		old.send(strings.Replace(head("GET", uri, "get", 2000), "HTTP/1.1", "HTTP/1.0", 1))
+		old.send(strings.Replace(requestHead("GET", uri, "get", 2000), "HTTP/1.1", "HTTP/1.0", 1))
 		text, err := io.ReadAll(old.r)
 		resp, body, _ := strings.Cut(string(text), "\r\n\r\n")
 		if err != nil || body != want || strings.Contains(resp, "chunked") {
@@ -220,7 +220,7 @@
 	}
 	for _, size := range []int{10, 200_000} {
 		c := r.dial()
-		c.send(head("POST", "/api", "pay", 2000, "Expect: 100-continue", "Content-Length: "+strconv.Itoa(size)))
+		c.send(requestHead("POST", "/api", "pay", 2000, "Expect: 100-continue", "Content-Length: "+strconv.Itoa(size)))
 		line, err := c.r.ReadString('\n')
 		if err != nil || !strings.HasPrefix(line, "HTTP/1.1 100 ") {
 			t.Fatalf("leave to send: %q, %v", line, err)
@@ -237,27 +237,27 @@
 // nobody else anything; the request never runs.
 func TestLongBodyBrokenOff(t *testing.T) {
 	b := standin.NewBackend(t, standin.Echo)
-	r := newPlatform(t, 256, targets(b)).start()
+	r := newPlatform(t, 256, discoveryList(b)).start()
 	calls := b.Calls()
 	gone := r.dial()
-	gone.send(head("POST", "/api", "pay", 2000, "Content-Length: 1000000") + strings.Repeat("x", 300_000))
+	gone.send(requestHead("POST", "/api", "pay", 2000, "Content-Length: 1000000") + strings.Repeat("x", 300_000))
 	gone.Close()
 	spoilt := r.dial()
-	spoilt.send(head("POST", "/api", "pay", 2000, "Transfer-Encoding: chunked") +
+	spoilt.send(requestHead("POST", "/api", "pay", 2000, "Transfer-Encoding: chunked") +
 		"30000\r\n" + strings.Repeat("x", 0x30000) + "\r\nzz\r\n")
 	if got := spoilt.read(); got.status != 400 {
 		t.Errorf("spoilt: %+v", got)
 	}
 	ahead := r.dial()
-	ahead.send(head("POST", "/api", "pay", 2000, "Content-Length: 200000") + strings.Repeat("x", 200_000) + "noise")
+	ahead.send(requestHead("POST", "/api", "pay", 2000, "Content-Length: 200000") + strings.Repeat("x", 200_000) + "noise")
 	if got := ahead.read(); got.status != 400 {
 		t.Errorf("more than told: %+v", got)
 	}
-	if got := r.dial().ask(get(2000)); got.status != 200 {
+	if got := r.dial().roundTrip(getRequest(2000)); got.status != 200 {
 		t.Errorf("then %+v", got)
 	}
 	if n := b.Calls() - calls; n > 2 { // the one that was whole, and the last
 		t.Errorf("%d calls", n)
 	}
-	r.eventually("nothing open", func() bool { return r.figures()["open_requests"] == 0 })
+	r.eventually("nothing open", func() bool { return r.metrics()["open_requests"] == 0 })
 }
