--- a/cmd/oxbowloft/main.go
+++ b/cmd/oxbowloft/main.go
@@ -1,4 +1,5 @@
-// Command oxbowloft is the load balancer on sockets.
+// Command oxbowloft is the load balancer on sockets: "serve" balances until SIGTERM, "check"
+// reads a configuration and says what is wrong with it, "version" prints the version.
 package main
 
 import (
@@ -15,6 +16,7 @@
 	"oxbowloft/proxy"
 )
 
+// version is what the version command prints.
 var version = "0.1.0"
 
 func main() {
@@ -37,6 +39,8 @@
 	}
 }
 
+// serve returns the command that runs the proxy. SIGTERM drains it, a second signal ends it
+// at once, and SIGHUP makes it read its configuration again.
 func serve() *cobra.Command {
 	var grace time.Duration
 	cmd := &cobra.Command{
@@ -84,6 +88,7 @@
 	}
 }
 
+// check returns the command that reads the configuration and serves nothing.
 func check() *cobra.Command {
 	return &cobra.Command{
 		Use:   "check [config.json]",
@@ -99,6 +104,8 @@
 	}
 }
 
+// load reads the configuration at the path given, or else at $BALANCER_CONFIG. The environment
+// serves where it lacks a value.
 func load(args []string) (*proxy.Config, error) {
 	path := os.Getenv("BALANCER_CONFIG")
 	if len(args) > 0 {
