--- a/fleet/model/model.go
+++ b/fleet/model/model.go
@@ -146,7 +146,6 @@
 type backend struct {
 	busy  int
 	queue []*event // to be served, in order
-	work  time.Duration
 }
 
 type member struct {
--- a/fleet/overload/estimate.go
+++ b/fleet/overload/estimate.go
@@ -60,9 +60,9 @@
 
 // A holder keeps what members say within a few times what most say.
 type holder struct {
-	f                     *Fleet
-	total                 float64 // the most that a member's traffic counts for
-	served, part, repeats float64 // medians
+	f            *Fleet
+	total        float64 // the most that a member's traffic counts for
+	served, part float64 // medians
 }
 
 func (f *Fleet) holder() holder {
--- a/fleet/track/bench_test.go
+++ b/fleet/track/bench_test.go
@@ -11,11 +11,9 @@
 type pipe struct {
 	tabs   []*Table
 	byName map[string]*Table
-	names  []string
 	now    time.Duration
 	msgs   int
 	bytes  int
-	last   map[uint64]Verdict // of the table that opens
 }
 
 func newPipe(tb testing.TB, n, most int) *pipe {
--- a/fleet/track/model_test.go
+++ b/fleet/track/model_test.go
@@ -6,7 +6,6 @@
 	"fmt"
 	"math/rand/v2"
 	"slices"
-	"testing"
 	"time"
 )
 
@@ -44,8 +43,7 @@
 	inc        uint32
 	skew       time.Duration // own clock is the fleet's plus this
 	stopped    bool
-	frozen     time.Duration // when it was stopped
-	rosterCut  bool          // hears nothing of the agreed roster
+	rosterCut  bool // hears nothing of the agreed roster
 	bornAt     time.Duration
 	viewAt     time.Duration
 	member     bool
@@ -56,10 +54,9 @@
 }
 
 type event struct {
-	at   time.Duration
-	seq  uint64
-	do   func()
-	heap int
+	at  time.Duration
+	seq uint64
+	do  func()
 }
 
 type events []*event
@@ -122,10 +119,6 @@
 	broken   func(*node) // breaks a new table
 	meddle   func(*node) // breaks a table now and then
 
-	verdicts  map[Kind]int
-	reasons   map[Reason]int
-	messages  int
-	bytes     int
 	checkLive bool
 	keys      int
 	quiet     time.Duration // no traffic until then
@@ -154,7 +147,7 @@
 		okSince: map[[2]string]time.Duration{},
 		sends:   map[string][]send{}, truths: map[Key]map[ident]*truth{},
 		pendings: map[string]map[uint64]func(Verdict){}, faulty: map[int]bool{},
-		verdicts: map[Kind]int{}, reasons: map[Reason]int{}, checkLive: true,
+		checkLive: true,
 	}
 	for i := range n {
 		f.join(fmt.Sprintf("m%d", i), fmt.Sprintf("z%d", i%zones), tune)
@@ -317,8 +310,6 @@
 }
 
 func (f *fleet) post(from, to *node, msg []byte) {
-	f.messages++
-	f.bytes += len(msg)
 	if f.cut(from, to) {
 		return
 	}
@@ -540,8 +531,6 @@
 	asked := f.now
 	tab := x.tab
 	then := func(v Verdict) {
-		f.verdicts[v.Kind]++
-		f.reasons[v.Reason]++
 		if v.Kind == Refused || v.Kind == Pending {
 			if v.Reason == FullTable && v.ComeBack <= 0 {
 				f.failf(5, "%s: full, and no time to come back", x.name)
@@ -794,7 +783,3 @@
 	}
 	return ""
 }
-
-func (f *fleet) report(tb testing.TB) {
-	tb.Logf("%v %v, %d messages, %d bytes", f.verdicts, f.reasons, f.messages, f.bytes)
-}
