--- a/fleet/window/entry.go
+++ b/fleet/window/entry.go
@@ -208,6 +208,9 @@
 	return e, nil
 }
 
+// nameBytes says which bytes checkName allows.
+const nameBytes = "letters, digits and ._-/:"
+
 // checkName says whether an id or a name can stand in a line of the door.
 func checkName(what, key, s string) error {
 	if s == "" || len(s) > MaxID {
@@ -216,7 +219,7 @@
 	for _, c := range []byte(s) {
 		if !(c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' ||
 			c == '.' || c == '_' || c == '-' || c == '/' || c == ':') {
-			return fmt.Errorf("window: %s: %s: %q has other signs than letters, digits and ._-/:", what, key, s)
+			return fmt.Errorf("window: %s: %s: %q has other signs than %s", what, key, s, nameBytes)
 		}
 	}
 	return nil
