--- a/test.sh
+++ b/test.sh
@@ -13,6 +13,7 @@
 steps='
 format           all Go files are as gofmt writes them
 vet              go vet finds nothing
+staticcheck      staticcheck finds nothing
 build            the deploy build, the very command that the operators run
 exchange         a scripted exchange through the built program
 policy           the size of the decision module
@@ -30,6 +31,10 @@
 # schedules take minutes under the detector.
 deciding_packages='./fleet/model ./fleet/overload ./fleet/schedule ./fleet/track ./fleet/window'
 
+# Packages that staticcheck does not check yet, for a finding that is not yet mended:
+# SA4006 in internal/discovery/discovery.go, SA4000 in logic/logic_test.go.
+staticcheck_left_out='oxbowloft/internal/discovery oxbowloft/logic'
+
 step_format() {
 	unformatted=$(gofmt -l cmd examples fleet internal logic proxy)
 	if [ -n "$unformatted" ]; then
@@ -42,6 +47,12 @@
 	go vet ./...
 }
 
+step_staticcheck() {
+	all=$(go list ./...)
+	# shellcheck disable=SC2046,SC2086 # one word a package
+	go tool staticcheck $(echo "$all" | grep -vxF "$(printf '%s\n' $staticcheck_left_out)")
+}
+
 step_build() {
 	build=$(sed -n 's/^build = "\(.*\)"$/\1/p' deploy/balancer.toml)
 	sh -c "$build"
