--- a/cmd/oxbowloft/large_test.go
+++ b/cmd/oxbowloft/large_test.go
@@ -31,7 +31,7 @@
 )
 
 // largeShape makes a configuration one of many balancers, with an operators' address.
-func largeShape(shape configure, balancers, door string) configure {
+func largeShape(shape configFunc, balancers, door string) configFunc {
 	return func(listen, discovery string, sockets int, known string) string {
 		text := shape(listen, discovery, sockets, known)
 		return strings.NewReplacer(
@@ -52,7 +52,7 @@
 }
 
 // statusOf reads one number of a process's status.
-func (r *running) statusOf(key string) int {
+func (r *runningProgram) statusOf(key string) int {
 	r.t.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", r.cmd.Process.Pid))
 	if err != nil {
@@ -70,7 +70,7 @@
 }
 
 // holdsBounds logs what the process takes, and holds it to the bounds.
-func (r *running) holdsBounds(when string) {
+func (r *runningProgram) holdsBounds(when string) {
 	r.t.Helper()
 	memory, peak, threads := r.statusOf("VmRSS"), r.statusOf("VmHWM"), r.statusOf("Threads")
 	r.t.Logf("%s: %d kB of memory, %d kB at its peak, %d threads", when, memory, peak, threads)
@@ -89,7 +89,7 @@
 	plain := buildPlain(t)
 	for _, c := range []struct {
 		name, balancers string
-		shape           configure
+		shape           configFunc
 	}{{"chain", "1", standin.Config}, {"mesh", "100", standin.Mesh}} {
 		t.Run(c.name, func(t *testing.T) {
 			var backends []*standin.Backend
@@ -110,21 +110,21 @@
 			}
 			cmd := exec.Command(plain, "serve", "--grace", "20ms")
 			cmd.Env = append(os.Environ(), "BALANCER_CONFIG="+writeConfig(t, text))
-			r := &process{launch(t, cmd, address), door}
+			r := &process{startCommand(t, cmd, address), door}
 
-			r.eventually("ready", func() bool { return r.call("PING") == "OK\n" })
+			r.eventually("ready", func() bool { return r.adminCommand("PING") == "OK\n" })
 			r.eventually("a watch", func() bool { return discovery.Watches() == 1 })
 			r.servesThrough("before the list")
-			if got := r.figures()["registry_entries"]; got != largeKnown {
+			if got := r.metrics()["registry_entries"]; got != largeKnown {
 				t.Errorf("%d backends known at the start, want %d", got, largeKnown)
 			}
 			r.holdsBounds("before the list")
 
 			discovery.Push(standin.List(2, true, targets...))
 			r.eventually("the list", func() bool {
-				return strings.Contains(r.text(), fmt.Sprintf("event=list rev=2 all=true entries=%d", largeList))
+				return strings.Contains(r.logText(), fmt.Sprintf("event=list rev=2 all=true entries=%d", largeList))
 			})
-			r.eventually("all backends counted", func() bool { return r.figures()["registry_entries"] == largeList })
+			r.eventually("all backends counted", func() bool { return r.metrics()["registry_entries"] == largeList })
 			r.servesThrough("after the list")
 			r.holdsBounds("after the list")
 		})
@@ -132,12 +132,12 @@
 }
 
 // servesThrough asks for some requests of each class, one after the other.
-func (r *running) servesThrough(when string) {
+func (r *runningProgram) servesThrough(when string) {
 	r.t.Helper()
 	c := r.dial()
 	for range 20 {
-		for _, request := range []string{get(2000), post("put", "x", 2000), post("pay", "x", 2000)} {
-			if got := c.ask(request); got.status != 200 {
+		for _, request := range []string{getRequest(2000), postRequest("put", "x", 2000), postRequest("pay", "x", 2000)} {
+			if got := c.roundTrip(request); got.status != 200 {
 				r.t.Fatalf("%s: got %+v", when, got)
 			}
 		}
--- a/fleet/member/large_test.go
+++ b/fleet/member/large_test.go
@@ -58,7 +58,7 @@
 		t.Errorf("%d members, want %d with oneself", got, manyMembers+1)
 	}
 	for number, m := range others {
-		r.Died(sec+Time(number), m)
+		r.Died(sec+clockTime(number), m)
 	}
 	if got := len(r.Departed()); got != manyMembers {
 		t.Errorf("%d departed lives are remembered, want %d", got, manyMembers)
