--- a/logic/api.go
+++ b/logic/api.go
@@ -1,8 +1,8 @@
 // Package logic is oxbowloft's decision module: which backend gets a call, for
 // how long, whether another attempt follows, and when a request is turned away.
 //
-// This file is the module's whole interface, types only. The decisions are in
-// logic.go. The module does no I/O, has no clock and starts no goroutines: the
+// This file is the module's whole interface, types only. The decisions are in the
+// files beside it, one for each concern. The module does no I/O, has no clock and starts no goroutines: the
 // program around it reports events, each with the time it happened, and carries
 // out the Actions that the module asks for while it handles them.
 package logic
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -467,7 +467,9 @@
 			b.Detach("b1")
 			b.Attach(110*ms, "b1")
 		}, false},
-		{"the list is stale", safe, false, func(b *Balancer) { b.ListFresh(ListFresh{Until: 150 * ms}) }, false},
+		{"the list is stale", safe, false, func(b *Balancer) {
+			b.ListFresh(ListFresh{Until: 150 * ms})
+		}, false},
 		{"the client left", safe, false, func(b *Balancer) { b.Gone(100*ms, "r") }, false},
 		{"this balancer ends", safe, false, func(b *Balancer) { b.End("r") }, false},
 		{"a repeat in time", keyed, true, func(*Balancer) {}, true},
--- /dev/null
+++ b/logic/slowstart.go
@@ -0,0 +1,30 @@
+// Slow start: what cold backends get.
+
+package logic
+
+const coldCaution = 1.5 // divides a cold backend's part: it may be a slow one, too
+
+// tooSoon spaces the calls to a cold backend at its part of a warm one's rate, the first by a random part of
+// it: guards against hundreds that learn of it together, and, as none gets over the cold part of what it
+// carries warm, in its group or, for other zones' calls, in all, against zones that return cold.
+func (b *Balancer) tooSoon(now Time, m *backend) bool {
+	warmth := m.warmth(now, &b.set)
+	if warmth == 1 {
+		return false
+	}
+	among := m.group.members
+	if m.Zone != b.set.Zone {
+		among = b.listed
+	}
+	t, part := b.tally(now, among), max(m.part, 1e-9)*warmth // out of reach: as good as never
+	return float64(now-m.sent) < m.spacing*b.gap*max(m.Size, t.parts, coldCaution*t.reach)/part
+}
+
+// warmth is the share of its capacity that a backend surely has.
+func (m *backend) warmth(now Time, set *Settings) float64 {
+	started := max(m.Started, m.back)
+	if started == 0 || set.WarmWithin == 0 || now-started >= set.WarmWithin {
+		return 1
+	}
+	return max(0.01, set.ColdShare+(1-set.ColdShare)*max(0, float64(now-started)/float64(set.WarmWithin)))
+}
