--- a/logic/api.go
+++ b/logic/api.go
@@ -2,9 +2,9 @@
 // how long, whether another attempt follows, and when a request is turned away.
 //
 // This file is the module's whole interface, types only. The decisions are in the
-// files beside it, one for each concern. The module does no I/O, has no clock and starts no goroutines: the
-// program around it reports events, each with the time it happened, and carries
-// out the Actions that the module asks for while it handles them.
+// files beside it, one for each concern. The module does no I/O, has no clock and
+// starts no goroutines: the program around it reports events, each with the time it
+// happened, and carries out the Actions that the module asks for while it handles them.
 package logic
 
 import "time"
