--- /dev/null
+++ b/logic/admission_test.go
@@ -0,0 +1,243 @@
+// The concurrency limit.
+
+package logic
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"testing"
+	"time"
+)
+
+// Guards against queues that make every answer late: late answers shrink the
+// limit, and what is worth least is refused first.
+func TestLimitRefusesTheLeastWorthFirst(t *testing.T) {
+	refused := func(class int) int {
+		b, f := start(testSettings(), zoneLines("b", 4)...)
+		b.setLimit(2) // for each of four
+		for i := range b.classes {
+			b.classes[i].meet(2000*ms, false)
+		}
+		for i := range 12 {
+			b.Arrive(0, Request{ID: fmt.Sprint("r", i), Class: class, Budget: 2000 * ms})
+		}
+		for id := range f.answers {
+			if got := f.one(t, id); !got.refused || got.comeBack <= 0 {
+				t.Errorf("turned away with %+v, want a refusal with a come-back time", got)
+			}
+		}
+		return len(f.answers)
+	}
+	high, low := refused(safe), refused(keyed)
+	if high != 1 || low <= high {
+		t.Errorf("refused %d of the most and %d of the least worthwhile, want 1 and more", high, low)
+	}
+}
+
+func TestLimitFollowsStrain(t *testing.T) {
+	b, _ := start(testSettings(), zoneLines("b", 4)...)
+	b.backends["b0"].inFlight = 100
+	before := b.limit()
+	b.correctLimit(0, &b.classes[safe], 2*strainTarget)
+	if b.limit() >= before {
+		t.Error("late answers did not lower the limit")
+	}
+	before = b.limit()
+	b.correctLimit(0, &b.classes[safe], strainTarget/2)
+	if b.limit() <= before {
+		t.Error("early answers did not raise the limit")
+	}
+	b.backends["b0"].inFlight, before = 0, b.limit()
+	b.correctLimit(0, &b.classes[safe], 0)
+	b.correctLimit(0, &b.classes[safe], 1)
+	if b.limit() != before {
+		t.Error("the limit moved while it was not in use")
+	}
+}
+
+// Guards against work turned away where latencies are long without any queue, and
+// against a target that follows a queue without end.
+func TestLimitAtRest(t *testing.T) {
+	play := func(latency func(i int) time.Duration) float64 {
+		b, _ := start(testSettings(), zoneLines("b", 4)...)
+		for i := range 3000 {
+			id, now := fmt.Sprint("r", i), Time(i)*20*ms
+			for _, m := range b.listed { // in use all the time
+				m.inFlight = int(b.limit()) + 1
+			}
+			b.requests[id] = &request{Request: Request{ID: id, Class: safe}, deadline: now + 2000*ms, out: 1,
+				attempts: []attempt{{to: b.listed[i%4], sent: now}}}
+			b.classes[safe].meet(2000*ms, false)
+			b.Done(now, Outcome{Request: id, Result: OK, Latency: latency(i), Final: true})
+		}
+		return b.limit() / b.base
+	}
+	aim := float64(testSettings().Classes[safe].Aim)
+	of := func(share float64) time.Duration { return time.Duration(share * aim) }
+	if got := play(func(i int) time.Duration { return of(0.2 + 0.15*float64(i%3)) }); got < 1 {
+		t.Errorf("at rest the limit falls to %.2f of the first", got)
+	}
+	// Quick at first, then a queue.
+	if got := play(func(i int) time.Duration { return of(0.05 + min(0.45, float64(i)/1000)) }); got > 1 {
+		t.Errorf("with a queue the limit grows to %.2f of the first", got)
+	}
+}
+
+// Guards against a flood at the start: the first limit is shared by all
+// balancers, however many there are.
+func TestFirstLimitIsShared(t *testing.T) {
+	total := func(balancers int) float64 {
+		set := testSettings()
+		set.Balancers = balancers
+		b, _ := start(set, zoneLines("b", 40)...)
+		return b.limit() * float64(balancers)
+	}
+	if few, many := total(2), total(8); few != many || few == 0 {
+		t.Errorf("two balancers open with %v calls together, eight with %v", few, many)
+	}
+}
+
+// Guards against a limit learned with more backends: when half of them vanish,
+// or their successors start cold, the rest would get all the calls and tip.
+func TestLimitShrinksWithTheFleet(t *testing.T) {
+	admitted := func(change func(b *Balancer)) int {
+		b, f := start(testSettings(), zoneLines("b", 8)...)
+		b.setLimit(4)
+		change(b)
+		for i := range 60 {
+			b.Arrive(0, Request{ID: fmt.Sprint("r", i), Class: safe, Budget: 2000 * ms})
+		}
+		return len(f.sends)
+	}
+	all := admitted(func(*Balancer) {})
+	half := admitted(func(b *Balancer) { b.List(0, true, zoneLines("b", 4)) })
+	ejected := admitted(func(b *Balancer) {
+		for _, m := range b.listed[:4] {
+			m.ejected, m.inFlight, m.trialAt = 1, 4, 1000*ms // with calls that hang there
+		}
+	})
+	if all != 35 || half != 19 || ejected != 19 {
+		t.Errorf("admitted %d with all, %d with half gone, %d with half ejected", all, half, ejected)
+	}
+}
+
+// Guards against one balancer holding most of the calls in flight while others,
+// who suffer the same queues, are driven to the floor.
+func TestLimitComesDownInProportion(t *testing.T) {
+	drop := func(limit float64) float64 {
+		b, _ := start(testSettings(), zoneLines("b", 4)...)
+		b.setLimit(limit * b.base)
+		b.backends["b0"].inFlight = 1000
+		before := b.limit()
+		b.correctLimit(0, &b.classes[safe], 1)
+		return before - b.limit()
+	}
+	if small, large := drop(1), drop(4); large < 3.9*small || small <= 0 {
+		t.Errorf("gave back %v of a limit, %v of one four times as large", small, large)
+	}
+}
+
+// meanInFlight plays many balancers, each with a few requests a second that
+// take 200 ms, and gives their summed mean of calls in flight and sum of limits.
+func meanInFlight(balancers, backends int, perSecond float64) (mean, limit float64) {
+	const seconds, hold = 60, 200 * ms
+	for n := range balancers {
+		set := testSettings()
+		set.Balancers, set.Seed = balancers, uint64(n)
+		b, f := start(set, zoneLines("b", backends)...)
+		b.classes[keyed].meet(2000*ms, false)
+		b.hold, b.classes[keyed].cost = float64(hold), float64(hold)
+		rng := rand.New(rand.NewPCG(uint64(n), 1))
+		var out []Time
+		for now := Time(0); now < seconds*1000*ms; {
+			now += time.Duration(rng.ExpFloat64() / perSecond * 1000 * float64(ms))
+			for len(out) > 0 && out[0] <= now {
+				id := fmt.Sprint("r", int64(out[0]))
+				// On the target: the limit stays where it is.
+				onTarget := time.Duration(strainCeiling * float64(set.Classes[keyed].Aim))
+				b.Done(out[0], Outcome{Request: id, Result: OK, Latency: onTarget, Final: true})
+				b.hold, b.classes[keyed].cost = float64(hold), float64(hold)
+				out = out[1:]
+			}
+			sends := len(f.sends)
+			b.Arrive(now, Request{ID: fmt.Sprint("r", int64(now+hold)), Class: keyed, Budget: 2000 * ms})
+			if len(f.sends) > sends {
+				out = append(out, now+hold)
+				mean += float64(hold) / float64(seconds*1000*ms)
+			}
+		}
+		limit += b.limit() * float64(backends)
+	}
+	return mean, limit
+}
+
+// Guards against a limit around one call or less, as each of hundreds of
+// balancers has, that refuses by chance what the fleet has room for, or, rounded
+// up to one call each, lets in more than the fleet can do.
+func TestManyBalancersKeepTheLimitInSum(t *testing.T) {
+	for _, balancers := range []int{1, 20, 300} {
+		limit := limitPerBackend * 15 / float64(balancers) // of one, in calls
+		mean, sum := meanInFlight(balancers, 15, 4*limit/0.2)
+		if mean < 0.7*sum || mean > 1.15*sum {
+			t.Errorf("%d balancers with four times the work for %.0f calls hold %.0f", balancers, sum, mean)
+		}
+		mean, sum = meanInFlight(balancers, 15, 0.4*limit/0.2)
+		if mean < 0.38*sum || mean > 0.42*sum {
+			t.Errorf("%d balancers with 0.4 of the work for %.0f calls hold %.0f", balancers, sum, mean)
+		}
+	}
+}
+
+// Errors that come late are the time-outs of a tier below: where it chokes, the limit comes
+// down. Guards against a front that keeps a choked tier choked, since it hears of no latency.
+func TestLateErrorsBringTheLimitDown(t *testing.T) {
+	for _, c := range []struct {
+		name    string
+		latency time.Duration
+		down    bool
+	}{{"late", 650 * ms, true}, {"early", 50 * ms, false}} {
+		b, _ := start(testSettings(), zoneLines("b", 4)...)
+		b.setLimit(5)
+		for i := range 40 {
+			id, now := fmt.Sprint("r", i), Time(i)*100*ms
+			b.Arrive(now, Request{ID: id, Class: unsafe, Budget: 2000 * ms})
+			if i < 14 { // they keep the limit in use
+				continue
+			}
+			b.allow(unsafe, 700*ms)
+			b.Done(now+c.latency, Outcome{Request: id, Result: Error, Latency: c.latency, Final: true})
+		}
+		if got := b.limit() * 4; (got < 18) != c.down {
+			t.Errorf("%s errors: the limit is %.1f after 20", c.name, got)
+		}
+	}
+}
+
+// Guards against the class of least worth that alone pays where the limit is short, and is the worst
+// served: where none is to be worse off, all classes are let in alike.
+func TestEvenClasses(t *testing.T) {
+	for _, even := range []bool{false, true} {
+		set := uneven()
+		set.Uneven, set.EvenClasses = false, even // the limit is set below, not by traffic
+		b, f := start(set, zoneLines("b", 10)...)
+		b.allow(safe, 700*ms)
+		b.allow(keyed, 700*ms) // a tenth of the worth
+		var sent [2]int
+		for i := range 2000 {
+			now := Time(i) * ms   // far more than fits, held for 100 ms
+			b.open, b.base = 1, 1 // ten calls
+			class := i % 2
+			before := len(f.sends)
+			id := fmt.Sprint(even, i)
+			b.Arrive(now, Request{ID: id, Class: class, Budget: 2000 * ms})
+			sent[class] += len(f.sends) - before
+			if i >= 100 {
+				done := fmt.Sprint(even, i-100)
+				b.Done(now, Outcome{Request: done, Result: OK, Latency: 100 * ms, Final: true})
+			}
+		}
+		if alike := float64(sent[1]) > 0.8*float64(sent[0]); alike != even {
+			t.Errorf("even classes %t: %d of the worthiest sent, %d of the least", even, sent[0], sent[1])
+		}
+	}
+}
--- /dev/null
+++ b/logic/list_test.go
@@ -0,0 +1,126 @@
+// What the list says, and for how long.
+
+package logic
+
+import (
+	"fmt"
+	"testing"
+)
+
+func TestDrain(t *testing.T) {
+	b, f := start(testSettings(), line("b", 1), line("b", 2))
+	b.allow(safe, 100*ms)
+	b.Arrive(0, Request{ID: "r", Class: safe, Budget: 2000 * ms})
+	b.Done(10*ms, Outcome{Request: "r", Result: Full})
+	token, wait := f.wait(t)
+	for _, id := range []string{"b1", "b2"} { // while the retry waits
+		l := line("b", int(id[1]-'0'))
+		l.State = Draining
+		if id == "b2" {
+			l.State = Removed
+		}
+		b.List(15*ms, false, []Backend{l})
+	}
+	b.Wake(10*ms+wait, token)
+	b.Arrive(200*ms, Request{ID: "s", Class: safe, Budget: 2000 * ms})
+	if len(f.sends) != 1 {
+		t.Errorf("sent to %s, which drains or is gone", f.last(t).backend)
+	}
+	f.one(t, "r")
+	f.one(t, "s")
+	b.List(300*ms, true, []Backend{line("b", 3)}) // a full list without b1 and b2
+	b.Arrive(300*ms, Request{ID: "u", Class: safe, Budget: 2000 * ms})
+	if f.last(t).backend != "b3" {
+		t.Errorf("sent to %s, want b3", f.last(t).backend)
+	}
+	if len(b.backends) != 1 {
+		t.Errorf("%d backends remembered, want 1", len(b.backends))
+	}
+}
+
+func TestEmptyList(t *testing.T) {
+	b, f := start(testSettings())
+	b.Arrive(0, Request{ID: "r", Class: unsafe, Budget: 2000 * ms})
+	if !f.one(t, "r").refused {
+		t.Error("nothing was sent, yet the answer is not a refusal")
+	}
+}
+
+// From the moment at which the list may lack what counts as told, any backend may be drained.
+// One that has just served a call is used for somewhat longer, where discovery could not be
+// reached; all else is refused at once until the list is fresh. A list by itself, from
+// whatever source, does not move that moment. Incident: docs/incidents/silentwatch.md.
+func TestNothingStaleIsUsed(t *testing.T) {
+	set := testSettings()
+	set.Grace = 500 * ms
+	b, f := start(set, line("b", 0), line("b", 1))
+	b.setLimit(10)
+	serial := 0
+	ask := func(at Time) string { // the backend that gets it, or ""
+		serial++
+		id, sends := fmt.Sprint(serial), len(f.sends)
+		b.Arrive(at, Request{ID: id, Class: safe, Budget: 2000 * ms})
+		if len(f.sends) == sends {
+			if a := f.one(t, id); !a.refused || a.comeBack == 0 {
+				t.Errorf("at %v: %+v, want a refusal that says when to come back", at, a)
+			}
+			return ""
+		}
+		return f.last(t).backend
+	}
+	served := func(at Time) {
+		b.Done(at, Outcome{Request: fmt.Sprint(serial), Result: OK, Latency: 100 * ms, Final: true})
+	}
+	none := func(why string, times ...Time) {
+		t.Helper()
+		for _, at := range times {
+			if to := ask(at); to != "" {
+				t.Errorf("at %v to %q: %s", at, to, why)
+			}
+		}
+	}
+	b.ListFresh(ListFresh{Until: 16000 * ms, UntilServing: 16000 * ms, Serving: 6000 * ms})
+	if ask(15900*ms) == "" {
+		t.Fatal("refused while the list may be held")
+	}
+	served(15990 * ms)
+	none("it may be drained, whatever it has answered", 16000*ms, 16100*ms, 16390*ms, 30000*ms)
+	b.List(30100*ms, true, []Backend{line("b", 0), line("b", 1)})
+	none("the list is no word of now", 30150*ms)
+	b.ListFresh(ListFresh{Until: 36100 * ms, UntilServing: 36100 * ms, Serving: 6000 * ms})
+	if ask(30200*ms) == "" {
+		t.Error("refused though the list is fresh")
+	}
+	served(30300 * ms)
+	took, first := ask(36000*ms), fmt.Sprint(serial)
+	if took == "" {
+		t.Fatal("refused though the list is fresh")
+	}
+	// Discovery can't be reached: what has served a call is used, for as long as it goes on
+	// serving and no longer than the time that is given.
+	b.ListFresh(ListFresh{Until: 36100 * ms, UntilServing: 44000 * ms, Serving: 1000 * ms})
+	none("it has served nothing yet", 36150*ms)
+	b.Done(36200*ms, Outcome{Request: first, Result: OK, Latency: 100 * ms, Final: true})
+	for _, at := range []Time{36300 * ms, 36990 * ms} {
+		if to := ask(at); to != took {
+			t.Errorf("at %v to %q, want %q, which served a call sent at 36 s", at, to, took)
+		}
+	}
+	served(37100 * ms) // sent at 36.99 s
+	if to := ask(37980 * ms); to != took {
+		t.Errorf("to %q, want %q, which served a call sent at 36.99 s", to, took)
+	}
+	b.Done(37990*ms, Outcome{Request: fmt.Sprint(serial), Result: Full, Latency: 10 * ms, Final: true})
+	none("it turned the last call away", 38000*ms)
+	b.ListFresh(ListFresh{Until: 50000 * ms, UntilServing: 50000 * ms, Serving: 6000 * ms})
+	if ask(49900*ms) == "" {
+		t.Fatal("refused though the list is fresh")
+	}
+	served(49950 * ms)
+	b.ListFresh(ListFresh{Until: 49000 * ms, UntilServing: 49500 * ms, Serving: 6000 * ms})
+	none("the time that is given is over, whatever has served since", 49960*ms)
+	b.ListFresh(ListFresh{}) // no clock is kept, as in the simulator
+	if ask(60000*ms) == "" {
+		t.Error("refused though no clock is kept")
+	}
+}
--- /dev/null
+++ b/logic/outlier_test.go
@@ -0,0 +1,172 @@
+// Outlier ejection, and the trial calls that end it.
+
+package logic
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"testing"
+)
+
+// Guards against a backend that fails fast: it looks idle and draws the calls.
+func TestEjectionAndTrial(t *testing.T) {
+	b, f := start(testSettings(), zoneLines("b", 4)...)
+	b.set.Tier = 1
+	n := 0
+	call := func(now Time, bad bool) string {
+		id := fmt.Sprint("r", n)
+		n++
+		b.retryTokens = 0
+		b.Arrive(now, Request{ID: id, Class: safe, Budget: 2000 * ms})
+		to := f.last(t).backend
+		if bad && to == "b2" {
+			b.Done(now+ms, Outcome{Request: id, Result: Error, Latency: ms})
+		} else {
+			b.Done(now+ms, Outcome{Request: id, Result: OK, Latency: ms, Final: true})
+		}
+		return to
+	}
+	for i := range 40 {
+		call(Time(i)*ms, true)
+	}
+	for i := range 20 {
+		if call(100*ms+Time(i), true) == "b2" {
+			t.Fatal("the failing backend still gets calls")
+		}
+	}
+	later := b.backends["b2"].trialAt
+	if call(later, true) != "b2" {
+		t.Fatal("no trial call when it is due")
+	}
+	if call(later+2*ms, true) == "b2" {
+		t.Fatal("in use again after a failed trial")
+	}
+	if next := b.backends["b2"].trialAt; next-later <= b.patience {
+		t.Errorf("second ejection lasts %v, want longer than the first", next-later)
+	}
+	later = b.backends["b2"].trialAt
+	if call(later, false) != "b2" || b.backends["b2"].ejected != 0 {
+		t.Error("a good trial did not bring the backend back")
+	}
+}
+
+// Failures that all backends share are no reason to eject any of them.
+func TestSharedFailureEjectsNobody(t *testing.T) {
+	b, f := start(testSettings(), zoneLines("b", 4)...)
+	b.set.Tier = 1
+	for i := range 100 {
+		id := fmt.Sprint("r", i)
+		b.Arrive(Time(i)*ms, Request{ID: id, Class: unsafe, Budget: 2000 * ms})
+		b.Done(Time(i)*ms, Outcome{Request: id, Result: Error})
+	}
+	for id, m := range b.backends {
+		if m.ejected > 0 {
+			t.Errorf("%s was ejected", id)
+		}
+	}
+	if len(f.sends) != 100 {
+		t.Errorf("%d sends, want 100: with all failing traffic stays", len(f.sends))
+	}
+}
+
+// Guards against backends that are full or drain unheard: turning calls away at
+// once, they look the idlest of all.
+func TestFullBackendIsLeftAlone(t *testing.T) {
+	b, f := start(testSettings(), zoneLines("b", 3)...)
+	b.set.Tier = 1
+	full := 0
+	for i := range 300 {
+		id := fmt.Sprint("r", i)
+		now := Time(i) * ms
+		b.Arrive(now, Request{ID: id, Class: safe, Budget: 2000 * ms})
+		if f.last(t).backend == "b1" {
+			full++
+			b.Done(now, Outcome{Request: id, Result: Full})
+			continue
+		}
+		b.Done(now+40*ms, Outcome{Request: id, Result: OK, Latency: 40 * ms, Final: true})
+	}
+	if full == 0 || full > 15 { // a pause is about half the mean latency, 20 ms
+		t.Errorf("%d calls to the full backend, want a few of 300", full)
+	}
+}
+
+// Guards against all traffic on one backend when every group fails, and against
+// calls at backends that are full where no other is left.
+func TestAllFailing(t *testing.T) {
+	b, f := start(testSettings(), zoneLines("b", 8)...)
+	b.set.Tier = 1
+	for _, m := range b.listed[:5] {
+		m.ejected, m.trialAt = 1, 1000*ms
+	}
+	got := map[string]int{}
+	for i := range 9 {
+		b.Arrive(0, Request{ID: fmt.Sprint("r", i), Class: safe, Budget: 2000 * ms})
+		got[f.last(t).backend]++
+	}
+	if len(got) != 3 {
+		t.Errorf("calls %v, want them spread over the three in use", got)
+	}
+	for _, m := range b.listed {
+		m.paused = 50 * ms
+	}
+	b.Arrive(ms, Request{ID: "full", Class: unsafe, Budget: 2000 * ms})
+	if !f.one(t, "full").refused {
+		t.Error("not refused, though every backend was full just now")
+	}
+}
+
+// Guards against healthy backends left out where a few in a hundred answers are spoilt,
+// on any backend alike: two such in a row are chance.
+func TestSpoiltAnswersEjectNobody(t *testing.T) {
+	b, f := start(testSettings(), zoneLines("b", 4)...)
+	b.set.Tier = 1
+	rng := rand.New(rand.NewPCG(3, 0))
+	out, calls := 0, 4000
+	for i := range calls {
+		id, now := fmt.Sprint("r", i), Time(i)*10*ms
+		b.retryTokens = 0
+		b.Arrive(now, Request{ID: id, Class: safe, Budget: 2000 * ms})
+		f.last(t)
+		if rng.Float64() < 0.08 {
+			b.Done(now+5*ms, Outcome{Request: id, Result: Error, Latency: 5 * ms})
+		} else {
+			b.Done(now+5*ms, Outcome{Request: id, Result: OK, Latency: 5 * ms, Final: true})
+		}
+		for _, m := range b.listed {
+			if m.ejected > 0 {
+				out++
+			}
+		}
+	}
+	if share := float64(out) / float64(calls*len(b.listed)); share > 0.03 {
+		t.Errorf("%.2f of the healthy fleet is left out", share)
+	}
+}
+
+// Guards against a backend that is left out for good where allowances are long: no
+// request could then be tried again after a trial, so none was made.
+func TestOverdueTrial(t *testing.T) {
+	for _, class := range []int{safe, unsafe} {
+		b, f := start(testSettings(), zoneLines("b", 4)...)
+		b.set.Tier = 1
+		for i := range b.classes {
+			b.allow(i, 1300*ms) // twice that fits no budget
+		}
+		b.eject(0, b.backends["b2"])
+		due := b.backends["b2"].trialAt
+		tried := func(now Time) bool {
+			id := fmt.Sprint("r", now)
+			b.Arrive(now, Request{ID: id, Class: class, Budget: 2000 * ms})
+			to := f.last(t).backend
+			b.Done(now, Outcome{Request: id, Result: OK, Latency: 100 * ms, Final: true})
+			return to == "b2"
+		}
+		if tried(due) || tried(due+b.patience-1) {
+			t.Error("a trial with a request that can't be tried again, before it is overdue")
+		}
+		if !tried(due+b.patience) || b.backends["b2"].ejected != 0 {
+			t.Error("no trial when overdue")
+		}
+	}
+}
