--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -302,6 +302,9 @@
 // due waits until a call is due: the wait is over, it is asked for, or the source has
 // moved. It tells whether there is to be one.
 func (c *Client) due(ctx context.Context, wait time.Duration, at source) bool {
+	if wait <= 0 || ctx.Err() != nil {
+		return ctx.Err() == nil
+	}
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	select {
