--- a/fleet/member/config.go
+++ b/fleet/member/config.go
@@ -54,6 +54,11 @@
 	MessageRoom int // messages that wait for theirs: 1024
 
 	Logger *slog.Logger // nil: no log
+
+	// WrapTransport, if set, returns what memberlist sends and receives through in place of
+	// the node's own transport, which it is given. It is for measurements that count messages
+	// and bytes; nil costs nothing.
+	WrapTransport func(memberlist.NodeAwareTransport) memberlist.NodeAwareTransport
 }
 
 // The bounds of a node beside those of Config.
@@ -144,6 +149,9 @@
 	c := memberlist.DefaultLANConfig()
 	c.Name = n.cfg.Name
 	c.Transport = n.transport
+	if n.cfg.WrapTransport != nil {
+		c.Transport = n.cfg.WrapTransport(n.transport)
+	}
 	c.AdvertiseAddr = advertise.Addr().String()
 	c.AdvertisePort = int(advertise.Port())
 	c.SecretKey = n.cfg.Key
