--- /dev/null
+++ b/internal/scale/experiment/check.go
@@ -0,0 +1,226 @@
+package experiment
+
+import (
+	"fmt"
+	"regexp"
+	"time"
+)
+
+// namePattern is what an experiment's name may be, since it names the files of its results.
+var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9-]*$`)
+
+// check returns a KeyError for the first key that is wrong.
+func (e *Experiment) check() error {
+	checks := []func() error{
+		e.checkDurations, e.checkName, e.checkSizes, e.checkZones, e.checkLimits, e.checkMember, e.checkFaults,
+	}
+	for _, check := range checks {
+		if err := check(); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// checkDurations reports text that is no duration. An error's text has one line, however long
+// or broken the file's is.
+func (e *Experiment) checkDurations() error {
+	type entry struct {
+		key   string
+		value Duration
+	}
+	entries := []entry{
+		{"settle", e.Settle},
+		{"rest", e.Rest},
+		{"time_limit", e.TimeLimit},
+		{"member.probe_interval", e.Member.ProbeInterval},
+		{"member.probe_timeout", e.Member.ProbeTimeout},
+		{"member.gossip_interval", e.Member.GossipInterval},
+		{"member.push_pull_interval", e.Member.PushPullInterval},
+		{"member.rejoin_min", e.Member.RejoinMin},
+		{"member.rejoin_max", e.Member.RejoinMax},
+	}
+	for number, fault := range e.Faults {
+		entries = append(entries, entry{faultKey(number, "at"), fault.At})
+	}
+	for _, entry := range entries {
+		if text := entry.value.invalid; text != "" {
+			return &KeyError{entry.key, fmt.Sprintf(`%.40q is no duration, text such as "1.5s" is needed`, text)}
+		}
+		if entry.value.Duration < 0 {
+			return &KeyError{entry.key, fmt.Sprintf("%v is negative", entry.value)}
+		}
+	}
+	return nil
+}
+
+func (e *Experiment) checkName() error {
+	if len(e.Name) > maxNameBytes || !namePattern.MatchString(e.Name) {
+		return &KeyError{"name", fmt.Sprintf("%.70q: 1 to %d small letters, digits and hyphens are needed", e.Name, maxNameBytes)}
+	}
+	return nil
+}
+
+func (e *Experiment) checkSizes() error {
+	if len(e.Sizes) == 0 || len(e.Sizes) > maxSizes {
+		return &KeyError{"sizes", fmt.Sprintf("%d of them, 1 to %d allowed", len(e.Sizes), maxSizes)}
+	}
+	for number, size := range e.Sizes {
+		key := fmt.Sprintf("sizes[%d]", number)
+		if size < minSize || size > maxSize {
+			return &KeyError{key, fmt.Sprintf("%d members, %d to %d allowed", size, minSize, maxSize)}
+		}
+		if number > 0 && size <= e.Sizes[number-1] {
+			return &KeyError{key, fmt.Sprintf("%d behind %d, rising order is needed", size, e.Sizes[number-1])}
+		}
+	}
+	return nil
+}
+
+func (e *Experiment) checkZones() error {
+	if most := min(maxZones, e.Sizes[0]); e.Zones < 1 || e.Zones > most {
+		return &KeyError{"zones", fmt.Sprintf("%d zones, 1 to %d allowed, the smallest size at most", e.Zones, most)}
+	}
+	return nil
+}
+
+func (e *Experiment) checkLimits() error {
+	switch {
+	case e.Rest.Duration < minRest:
+		return &KeyError{"rest", fmt.Sprintf("%v, %v at least", e.Rest, minRest)}
+	case e.TimeLimit.Duration <= e.FaultsFrom() || e.TimeLimit.Duration > maxTimeLimit:
+		return &KeyError{"time_limit", fmt.Sprintf("%v, over settle and rest, which are %v, and %v at most", e.TimeLimit, e.FaultsFrom(), maxTimeLimit)}
+	case e.MemoryLimitMiB < 1 || e.MemoryLimitMiB > maxMemoryLimit:
+		return &KeyError{"memory_limit_mib", fmt.Sprintf("%d, 1 to %d allowed", e.MemoryLimitMiB, maxMemoryLimit)}
+	}
+	return nil
+}
+
+// checkMember checks what fleet/member would refuse, and intervals so short that a run would
+// measure nothing but its own load.
+func (e *Experiment) checkMember() error {
+	intervals := []struct {
+		key   string
+		value time.Duration
+	}{
+		{"member.probe_interval", e.Member.ProbeInterval.Duration},
+		{"member.probe_timeout", e.Member.ProbeTimeout.Duration},
+		{"member.gossip_interval", e.Member.GossipInterval.Duration},
+		{"member.push_pull_interval", e.Member.PushPullInterval.Duration},
+		{"member.rejoin_min", e.Member.RejoinMin.Duration},
+		{"member.rejoin_max", e.Member.RejoinMax.Duration},
+	}
+	for _, interval := range intervals {
+		if interval.value != 0 && interval.value < minInterval {
+			return &KeyError{interval.key, fmt.Sprintf("%v, %v at least", interval.value, minInterval)}
+		}
+	}
+	switch member := &e.Member; {
+	case (member.ProbeInterval.Duration == 0) != (member.ProbeTimeout.Duration == 0):
+		return &KeyError{"member.probe_timeout", "probe_interval and probe_timeout are needed together"}
+	case member.ProbeTimeout.Duration > member.ProbeInterval.Duration:
+		return &KeyError{"member.probe_timeout", fmt.Sprintf("%v, over probe_interval, which is %v", member.ProbeTimeout, member.ProbeInterval)}
+	case member.SuspicionMult < 0:
+		return &KeyError{"member.suspicion_mult", fmt.Sprintf("%d is negative", member.SuspicionMult)}
+	case (member.RejoinMin.Duration == 0) != (member.RejoinMax.Duration == 0):
+		return &KeyError{"member.rejoin_max", "rejoin_min and rejoin_max are needed together"}
+	case member.RejoinMax.Duration < member.RejoinMin.Duration:
+		return &KeyError{"member.rejoin_max", fmt.Sprintf("%v, under rejoin_min, which is %v", member.RejoinMax, member.RejoinMin)}
+	}
+	return nil
+}
+
+// checkFaults checks each fault by itself and their order: a restart needs members that are
+// down, a cut whole links, a heal a cut.
+func (e *Experiment) checkFaults() error {
+	if len(e.Faults) > maxFaults {
+		return &KeyError{"faults", fmt.Sprintf("%d of them, %d at most", len(e.Faults), maxFaults)}
+	}
+	var state faultState
+	previous := e.FaultsFrom()
+	for number, fault := range e.Faults {
+		at := fault.At.Duration
+		if at < previous || number > 0 && at == previous {
+			return &KeyError{faultKey(number, "at"), fmt.Sprintf("%v, it has to be behind the measurement at rest and the fault before, %v", at, previous)}
+		}
+		if at >= e.TimeLimit.Duration {
+			return &KeyError{faultKey(number, "at"), fmt.Sprintf("%v, under time_limit is needed, which is %v", at, e.TimeLimit)}
+		}
+		if err := e.checkFault(number, fault, &state); err != nil {
+			return err
+		}
+		previous = at
+	}
+	return nil
+}
+
+// faultState is what the faults up to one have left behind.
+type faultState struct {
+	down int
+	cut  bool
+}
+
+func (e *Experiment) checkFault(number int, fault Fault, state *faultState) error {
+	if fault.Kind != Kill && fault.Count != 0 {
+		return &KeyError{faultKey(number, "count"), "only a kill has one"}
+	}
+	if fault.Kind != Cut && fault.Zone != 0 {
+		return &KeyError{faultKey(number, "zone"), "only a cut has one"}
+	}
+	switch fault.Kind {
+	case Kill:
+		return e.checkKill(number, fault, state)
+	case Restart:
+		if state.down == 0 {
+			return &KeyError{faultKey(number, "kind"), "a restart, and no member is down"}
+		}
+		state.down = 0
+	case Cut:
+		return e.checkCut(number, fault, state)
+	case Heal:
+		if !state.cut {
+			return &KeyError{faultKey(number, "kind"), "a heal, and nothing is cut"}
+		}
+		state.cut = false
+	default:
+		return &KeyError{faultKey(number, "kind"), fmt.Sprintf("%.40q is not known, kill, restart, cut and heal are", string(fault.Kind))}
+	}
+	return nil
+}
+
+// checkKill leaves two members up at least, so that there is somebody to notice.
+func (e *Experiment) checkKill(number int, fault Fault, state *faultState) error {
+	if fault.Count < 0 {
+		return &KeyError{faultKey(number, "count"), fmt.Sprintf("%d is negative", fault.Count)}
+	}
+	const leastUp = 2
+	most := e.Sizes[0] - leastUp - state.down
+	if fault.kills() > most {
+		return &KeyError{faultKey(number, "count"), fmt.Sprintf("%d members, %d at most at the smallest size", fault.kills(), most)}
+	}
+	state.down += fault.kills()
+	return nil
+}
+
+func (e *Experiment) checkCut(number int, fault Fault, state *faultState) error {
+	switch {
+	case state.cut:
+		return &KeyError{faultKey(number, "kind"), "a cut, and another has not been healed"}
+	case e.Zones < 2:
+		return &KeyError{faultKey(number, "kind"), "a cut, and there is one zone alone"}
+	case fault.Zone < 1 || fault.Zone > e.Zones:
+		return &KeyError{faultKey(number, "zone"), fmt.Sprintf("zone %d, 1 to %d allowed", fault.Zone, e.Zones)}
+	}
+	state.cut = true
+	return nil
+}
+
+// kills returns how many members a kill ends.
+func (f Fault) kills() int {
+	if f.Count == 0 {
+		return defaultKillSize
+	}
+	return f.Count
+}
+
+func faultKey(number int, key string) string { return fmt.Sprintf("faults[%d].%s", number, key) }
--- /dev/null
+++ b/internal/scale/experiment/schedule.go
@@ -0,0 +1,73 @@
+package experiment
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"time"
+)
+
+// Place is where a member of a fleet belongs.
+type Place struct {
+	Name string
+	Zone int // from 1
+}
+
+// Action is a fault with all that was left open drawn.
+type Action struct {
+	At      time.Duration
+	Kind    FaultKind
+	Members []int // Kill, Restart: numbers of the members, from 0
+	Zone    int   // Cut
+}
+
+// Places returns the members of a fleet of one size, dealt to the zones in turn.
+func (e *Experiment) Places(size int) []Place {
+	places := make([]Place, size)
+	for number := range places {
+		places[number] = Place{
+			Name: fmt.Sprintf("member-%04d", number),
+			Zone: number%e.Zones + 1,
+		}
+	}
+	return places
+}
+
+// Schedule returns the faults for a fleet of one size. It depends on nothing but the
+// experiment and the size.
+func (e *Experiment) Schedule(size int) []Action {
+	random := rand.New(rand.NewPCG(e.Seed, uint64(size)))
+	down := make(map[int]bool)
+	var downInOrder []int
+	actions := make([]Action, 0, len(e.Faults))
+	for _, fault := range e.Faults {
+		action := Action{At: fault.At.Duration, Kind: fault.Kind, Zone: fault.Zone}
+		switch fault.Kind {
+		case Kill:
+			action.Members = drawUp(random, size, down, fault.kills())
+			downInOrder = append(downInOrder, action.Members...)
+		case Restart:
+			action.Members = downInOrder
+			downInOrder = nil
+			clear(down)
+		}
+		actions = append(actions, action)
+	}
+	return actions
+}
+
+// drawUp draws members that are up, and notes them as down. The first member is never drawn:
+// the others ask it first when they join.
+func drawUp(random *rand.Rand, size int, down map[int]bool, count int) []int {
+	var drawn []int
+	for _, number := range random.Perm(size) {
+		if len(drawn) == count {
+			break
+		}
+		if number == 0 || down[number] {
+			continue
+		}
+		down[number] = true
+		drawn = append(drawn, number)
+	}
+	return drawn
+}
