--- /dev/null
+++ b/internal/scale/fit/fit.go
@@ -0,0 +1,192 @@
+// Package fit fits straight lines to what was measured at several sizes, and tells where a
+// measure grows faster than a line.
+package fit
+
+import (
+	"errors"
+	"fmt"
+	"math"
+)
+
+// Point is one measurement: a value at a size.
+type Point struct {
+	Size  float64
+	Value float64
+}
+
+// Line is a line fitted by least squares, and the judgement on its bend.
+type Line struct {
+	Points    int
+	Intercept float64
+	Slope     float64
+	// SlopeError is the slope's standard error; not known with fewer than three points.
+	SlopeError      float64
+	SlopeErrorKnown bool
+	Bend            Bend
+}
+
+// Bend says whether the points bend away from a line.
+type Bend string
+
+// The judgements on a bend: the sign of the quadratic term where it differs from zero at
+// the 95% level, by Student's t.
+const (
+	BendUnknown Bend = "not known" // fewer than four points
+	BendNone    Bend = "none seen"
+	BendUp      Bend = "upward"
+	BendDown    Bend = "downward"
+)
+
+const (
+	leastForLine  = 2
+	leastForError = 3
+	leastForBend  = 4
+)
+
+// roundingPart is the part of the values' size below which a residual is rounding.
+const roundingPart = 1e-9
+
+// studentT holds the two-sided 95% quantiles of Student's t for 1, 2, ... degrees of freedom.
+var studentT = []float64{12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228}
+
+// studentTLimit is for more degrees of freedom: somewhat strict.
+const studentTLimit = 2.228
+
+// ErrTooFew says that the points have fewer than two sizes.
+var ErrTooFew = errors.New("fit: two sizes at least are needed")
+
+// Fit fits a line to points, each at a size of its own.
+func Fit(points []Point) (Line, error) {
+	if len(points) < leastForLine {
+		return Line{}, ErrTooFew
+	}
+	scale, err := scaleOf(points)
+	if err != nil {
+		return Line{}, err
+	}
+	linear := leastSquares(points, 1, scale)
+	line := Line{
+		Points:    len(points),
+		Intercept: linear.coefficients[0],
+		Slope:     linear.coefficients[1] / scale,
+		Bend:      BendUnknown,
+	}
+	if len(points) >= leastForError {
+		line.SlopeError = linear.errors[1] / scale
+		line.SlopeErrorKnown = true
+	}
+	if len(points) >= leastForBend {
+		line.Bend = judgeBend(points, scale)
+	}
+	return line, nil
+}
+
+// scaleOf returns the largest size, by which sizes are divided so that powers of them stay
+// near one.
+func scaleOf(points []Point) (float64, error) {
+	seen := map[float64]bool{}
+	largest := 0.0
+	for _, point := range points {
+		if math.IsNaN(point.Value) || math.IsInf(point.Value, 0) {
+			return 0, fmt.Errorf("fit: the value at size %v is %v", point.Size, point.Value)
+		}
+		if point.Size <= 0 || seen[point.Size] {
+			return 0, fmt.Errorf("fit: size %v is not positive or comes twice", point.Size)
+		}
+		seen[point.Size] = true
+		largest = max(largest, point.Size)
+	}
+	return largest, nil
+}
+
+func judgeBend(points []Point, scale float64) Bend {
+	quadratic := leastSquares(points, 2, scale)
+	term := quadratic.coefficients[2]
+	bound := studentQuantile(len(points)-leastForError) * quadratic.errors[2]
+	if math.Abs(term) <= max(bound, roundingPart*largestValue(points)) {
+		return BendNone
+	}
+	if term > 0 {
+		return BendUp
+	}
+	return BendDown
+}
+
+func studentQuantile(degrees int) float64 {
+	if degrees <= len(studentT) {
+		return studentT[degrees-1]
+	}
+	return studentTLimit
+}
+
+func largestValue(points []Point) float64 {
+	largest := 0.0
+	for _, point := range points {
+		largest = max(largest, math.Abs(point.Value))
+	}
+	return largest
+}
+
+// polynomial is a fitted polynomial in size/scale, lowest power first.
+type polynomial struct {
+	coefficients []float64
+	errors       []float64 // standard errors; zero where there are no degrees of freedom
+}
+
+// leastSquares solves the normal equations for a polynomial of a degree.
+func leastSquares(points []Point, degree int, scale float64) polynomial {
+	terms := degree + 1
+	normal := newMatrix(terms)
+	right := make([]float64, terms)
+	for _, point := range points {
+		powers := powersOf(point.Size/scale, terms)
+		for row := range terms {
+			right[row] += powers[row] * point.Value
+			for column := range terms {
+				normal[row][column] += powers[row] * powers[column]
+			}
+		}
+	}
+	inverse := invert(normal)
+	fitted := polynomial{
+		coefficients: make([]float64, terms),
+		errors:       make([]float64, terms),
+	}
+	for row := range terms {
+		for column := range terms {
+			fitted.coefficients[row] += inverse[row][column] * right[column]
+		}
+	}
+	degrees := len(points) - terms
+	if degrees <= 0 {
+		return fitted
+	}
+	variance := residualSquares(points, fitted.coefficients, scale) / float64(degrees)
+	for row := range terms {
+		fitted.errors[row] = math.Sqrt(max(0, variance*inverse[row][row]))
+	}
+	return fitted
+}
+
+func residualSquares(points []Point, coefficients []float64, scale float64) float64 {
+	sum := 0.0
+	for _, point := range points {
+		residual := point.Value
+		for power, value := range powersOf(point.Size/scale, len(coefficients)) {
+			residual -= coefficients[power] * value
+		}
+		sum += residual * residual
+	}
+	return sum
+}
+
+// powersOf returns 1, x, x², ...
+func powersOf(x float64, count int) []float64 {
+	powers := make([]float64, count)
+	power := 1.0
+	for number := range powers {
+		powers[number] = power
+		power *= x
+	}
+	return powers
+}
--- /dev/null
+++ b/internal/scale/resources/resources_test.go
@@ -0,0 +1,63 @@
+package resources
+
+import (
+	"math"
+	"os"
+	"testing"
+	"time"
+)
+
+func read(t *testing.T) Usage {
+	t.Helper()
+	usage, err := Read()
+	if err != nil {
+		t.Fatal(err)
+	}
+	return usage
+}
+
+func TestProcessorTimeGrows(t *testing.T) {
+	before := read(t)
+	for end := time.Now().Add(30 * time.Second); read(t).Processor == before.Processor; {
+		if time.Now().After(end) {
+			t.Fatal("no processor time was counted in 30 s of work")
+		}
+	}
+}
+
+func TestDescriptorsAndGoroutines(t *testing.T) {
+	before := read(t)
+	const opened = 5
+	done := make(chan struct{})
+	for range opened {
+		file, err := os.Open(os.DevNull)
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer file.Close()
+		go func() { <-done }()
+	}
+	after := read(t)
+	close(done)
+	if after.Descriptors != before.Descriptors+opened {
+		t.Errorf("%d descriptors after %d and %d more", after.Descriptors, before.Descriptors, opened)
+	}
+	if after.Goroutines < before.Goroutines+opened {
+		t.Errorf("%d goroutines after %d and %d more", after.Goroutines, before.Goroutines, opened)
+	}
+}
+
+func TestResidentMemoryIsPlausible(t *testing.T) {
+	if bytes := read(t).ResidentBytes; bytes < 1<<20 || bytes > 1<<40 {
+		t.Errorf("%d bytes are resident", bytes)
+	}
+}
+
+func TestCheckDescriptors(t *testing.T) {
+	if err := CheckDescriptors(1); err != nil {
+		t.Error(err)
+	}
+	if err := CheckDescriptors(math.MaxInt); err == nil {
+		t.Error("any number of descriptors may be open")
+	}
+}
--- /dev/null
+++ b/internal/scale/traffic/traffic.go
@@ -0,0 +1,105 @@
+// Package traffic counts the messages and bytes that one member sends and receives, by
+// standing between memberlist and the member's transport.
+package traffic
+
+import (
+	"sync/atomic"
+)
+
+// Kind is the kind of a message of memberlist.
+type Kind uint8
+
+// The kinds of message.
+const (
+	Ping Kind = iota
+	IndirectPing
+	Ack
+	Nack
+	Suspect
+	Alive
+	Dead
+	User     // of fleet/member itself
+	PushPull // one side of a full exchange of state, on a connection
+	Other    // cannot be told: encrypted, compressed or unknown
+	Kinds
+)
+
+var kindNames = [Kinds]string{
+	"ping", "indirect_ping", "ack", "nack", "suspect", "alive", "dead", "user", "push_pull", "other",
+}
+
+// String returns the name that results have.
+func (k Kind) String() string { return kindNames[k] }
+
+// Counts is what one member sent or received.
+type Counts struct {
+	Datagrams     uint64
+	DatagramBytes uint64 // payload, without the heads of UDP and IP
+	Streams       uint64 // connections, which either side may have opened
+	StreamBytes   uint64
+	Messages      [Kinds]uint64 // several may share a datagram
+}
+
+// Bytes returns the bytes of datagrams and connections.
+func (c Counts) Bytes() uint64 { return c.DatagramBytes + c.StreamBytes }
+
+// AllMessages returns the number of messages of all kinds.
+func (c Counts) AllMessages() uint64 {
+	var sum uint64
+	for _, count := range c.Messages {
+		sum += count
+	}
+	return sum
+}
+
+// Sub returns what was counted since an earlier reading.
+func (c Counts) Sub(earlier Counts) Counts {
+	c.Datagrams -= earlier.Datagrams
+	c.DatagramBytes -= earlier.DatagramBytes
+	c.Streams -= earlier.Streams
+	c.StreamBytes -= earlier.StreamBytes
+	for kind := range c.Messages {
+		c.Messages[kind] -= earlier.Messages[kind]
+	}
+	return c
+}
+
+// Counter counts the traffic of one member, which may be restarted in between. It may be read
+// at any time.
+type Counter struct {
+	sent     direction
+	received direction
+}
+
+// Sent returns what the member has sent since its first start.
+func (c *Counter) Sent() Counts { return c.sent.read() }
+
+// Received returns what the member has received since its first start.
+func (c *Counter) Received() Counts { return c.received.read() }
+
+// direction counts one direction.
+type direction struct {
+	datagrams, datagramBytes atomic.Uint64
+	streams, streamBytes     atomic.Uint64
+	messages                 [Kinds]atomic.Uint64
+}
+
+func (d *direction) read() Counts {
+	counts := Counts{
+		Datagrams:     d.datagrams.Load(),
+		DatagramBytes: d.datagramBytes.Load(),
+		Streams:       d.streams.Load(),
+		StreamBytes:   d.streamBytes.Load(),
+	}
+	for kind := range counts.Messages {
+		counts.Messages[kind] = d.messages[kind].Load()
+	}
+	return counts
+}
+
+// datagram counts one datagram and the messages in it.
+func (d *direction) datagram(payload []byte) {
+	d.datagrams.Add(1)
+	d.datagramBytes.Add(uint64(len(payload)))
+	eachMessage(payload, func(kind Kind) { d.messages[kind].Add(1) })
+}
