--- /dev/null
+++ b/internal/scale/report/markdown.go
@@ -0,0 +1,216 @@
+package report
+
+import (
+	"fmt"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+
+	"oxbowloft/internal/scale/fit"
+	"oxbowloft/internal/scale/runner"
+	"oxbowloft/internal/scale/traffic"
+)
+
+// notMeasured stands where a run has no figure.
+const notMeasured = "-"
+
+// Markdown returns the tables of a result.
+func Markdown(result *runner.Result) string {
+	var page strings.Builder
+	writeHead(&page, result)
+	writeRest(&page, result.Sizes)
+	writeKinds(&page, result.Sizes)
+	writeFaults(&page, result.Sizes)
+	writeFits(&page, result.Fits)
+	return page.String()
+}
+
+func writeHead(page *strings.Builder, result *runner.Result) {
+	plan, environment := &result.Experiment, &result.Environment
+	fmt.Fprintf(page, "# Scale run: %s\n\n", plan.Name)
+	fmt.Fprintf(page, "- Command: `%s`\n", strings.Join(environment.Command, " "))
+	fmt.Fprintf(page, "- Begun: %s\n", environment.StartedAt.UTC().Format(time.RFC3339))
+	fmt.Fprintf(page, "- Seed: %d\n", plan.Seed)
+	fmt.Fprintf(page, "- Sizes: %s; zones: %d\n", joinNumbers(plan.Sizes), plan.Zones)
+	fmt.Fprintf(page, "- %s, %d cores, %d of them used at a time\n", environment.GoVersion, environment.Cores, environment.GoMaxProcs)
+	fmt.Fprintf(page, "- Links: %s\n", linksText(result.Relayed))
+	for _, size := range result.Sizes {
+		if size.Failure != "" {
+			fmt.Fprintf(page, "- **Failed** at %d members: %s\n", size.Size, size.Failure)
+		}
+	}
+	if len(result.NotRun) > 0 {
+		fmt.Fprintf(page, "- **Not run**: %s members\n", joinNumbers(result.NotRun))
+	}
+}
+
+func linksText(relayed bool) string {
+	if relayed {
+		return "through relays of the same process, whose processor time, memory, goroutines and descriptors are in the figures"
+	}
+	return "direct"
+}
+
+func joinNumbers(numbers []int) string {
+	words := make([]string, len(numbers))
+	for number, value := range numbers {
+		words[number] = strconv.Itoa(value)
+	}
+	return strings.Join(words, ", ")
+}
+
+// restColumn is one column of the table of a fleet at rest.
+type restColumn struct {
+	title string
+	value func(*runner.Rest) float64
+}
+
+var restColumns = []restColumn{
+	{"bytes/s out", func(rest *runner.Rest) float64 { return rest.BytesOut.Mean }},
+	{"out, p99", func(rest *runner.Rest) float64 { return rest.BytesOut.P99 }},
+	{"out, on connections", func(rest *runner.Rest) float64 { return rest.StreamOut.Mean }},
+	{"bytes/s in", func(rest *runner.Rest) float64 { return rest.BytesIn.Mean }},
+	{"messages/s out", func(rest *runner.Rest) float64 { return rest.MessagesOut.Mean }},
+	{"messages/s in", func(rest *runner.Rest) float64 { return rest.MessagesIn.Mean }},
+	{"processor, ms/s", func(rest *runner.Rest) float64 { return rest.PerMember.ProcessorMillis }},
+	{"resident, KiB", func(rest *runner.Rest) float64 { return rest.PerMember.ResidentKiB }},
+	{"goroutines", func(rest *runner.Rest) float64 { return rest.PerMember.Goroutines }},
+	{"descriptors", func(rest *runner.Rest) float64 { return rest.PerMember.Descriptors }},
+}
+
+func writeRest(page *strings.Builder, sizes []runner.SizeResult) {
+	page.WriteString("\n## At rest, for each member\n\n")
+	titles := []string{"members", "one view after, s"}
+	for _, column := range restColumns {
+		titles = append(titles, column.title)
+	}
+	writeTitles(page, titles)
+	for _, size := range sizes {
+		cells := []string{strconv.Itoa(size.Size), secondsText(size.StartSeconds)}
+		for _, column := range restColumns {
+			cells = append(cells, restText(size.Rest, column.value))
+		}
+		writeRow(page, cells)
+	}
+}
+
+func restText(rest *runner.Rest, value func(*runner.Rest) float64) string {
+	if rest == nil {
+		return notMeasured
+	}
+	return figure(value(rest))
+}
+
+func writeKinds(page *strings.Builder, sizes []runner.SizeResult) {
+	page.WriteString("\n## Messages sent a second by each member at rest, by kind\n\n")
+	titles := []string{"members"}
+	for kind := range traffic.Kinds {
+		titles = append(titles, kind.String())
+	}
+	writeTitles(page, titles)
+	for _, size := range sizes {
+		cells := []string{strconv.Itoa(size.Size)}
+		for kind := range traffic.Kinds {
+			cells = append(cells, restText(size.Rest, func(rest *runner.Rest) float64 { return rest.KindsOut[kind.String()] }))
+		}
+		writeRow(page, cells)
+	}
+}
+
+func writeFaults(page *strings.Builder, sizes []runner.SizeResult) {
+	page.WriteString("\n## Faults: seconds until a member's view is as the fault makes it\n\n")
+	writeTitles(page, []string{"members", "fault", "p50", "p99", "last member", "views that were not"})
+	for _, size := range sizes {
+		for _, fault := range size.Faults {
+			writeRow(page, []string{
+				strconv.Itoa(size.Size),
+				faultText(&fault),
+				spreadText(fault.Seconds.Count, fault.Seconds.Median),
+				spreadText(fault.Seconds.Count, fault.Seconds.P99),
+				secondsText(fault.LastSeconds),
+				strconv.Itoa(fault.Missing),
+			})
+		}
+	}
+}
+
+func faultText(fault *runner.FaultResult) string {
+	text := fmt.Sprintf("%s at %g s", fault.Kind, fault.At)
+	if len(fault.Members) > 0 {
+		text += fmt.Sprintf(" (%d members)", len(fault.Members))
+	}
+	if fault.Zone > 0 {
+		text += fmt.Sprintf(" (zone %d)", fault.Zone)
+	}
+	return text
+}
+
+func spreadText(count int64, value float64) string {
+	if count == 0 {
+		return notMeasured
+	}
+	return figure(value)
+}
+
+// secondsText leaves out a time of zero, which stands for none.
+func secondsText(seconds float64) string {
+	if seconds == 0 {
+		return notMeasured
+	}
+	return figure(seconds)
+}
+
+func writeFits(page *strings.Builder, fits []runner.NamedFit) {
+	page.WriteString("\n## Growth with the number of members: lines by least squares\n\n")
+	page.WriteString("The bend is the sign of a quadratic term where it differs from zero at the 95% level.\n\n")
+	writeTitles(page, []string{"measure", "unit", "at 0 members", "by each 100 members", "standard error", "bend"})
+	for _, each := range fits {
+		writeRow(page, []string{
+			each.Measure,
+			each.Unit,
+			figure(each.Line.Intercept),
+			figure(each.Line.Slope * slopeMembers),
+			errorText(each.Line),
+			bendText(each.Line.Bend),
+		})
+	}
+}
+
+// slopeMembers is how many members a printed slope is for.
+const slopeMembers = 100
+
+func errorText(line fit.Line) string {
+	if !line.SlopeErrorKnown {
+		return "not known"
+	}
+	return figure(line.SlopeError * slopeMembers)
+}
+
+func bendText(bend fit.Bend) string {
+	if bend == fit.BendUp {
+		return "**bends upward**"
+	}
+	return string(bend)
+}
+
+func writeTitles(page *strings.Builder, titles []string) {
+	writeRow(page, titles)
+	writeRow(page, slices.Repeat([]string{"---"}, len(titles)))
+}
+
+func writeRow(page *strings.Builder, cells []string) {
+	page.WriteString("| " + strings.Join(cells, " | ") + " |\n")
+}
+
+// figure prints three digits, and all of a whole number's.
+func figure(value float64) string {
+	switch magnitude := max(value, -value); {
+	case magnitude >= 100:
+		return strconv.FormatFloat(value, 'f', 0, 64)
+	case magnitude >= 10:
+		return strconv.FormatFloat(value, 'f', 1, 64)
+	default:
+		return strconv.FormatFloat(value, 'g', 3, 64)
+	}
+}
--- /dev/null
+++ b/internal/scale/runner/runner_test.go
@@ -0,0 +1,157 @@
+package runner
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"log/slog"
+	"math"
+	"reflect"
+	"runtime"
+	"strings"
+	"testing"
+	"time"
+
+	"oxbowloft/internal/scale/experiment"
+	"oxbowloft/internal/scale/fit"
+)
+
+// planOf reads an experiment of members with short times.
+func planOf(t *testing.T, sizes string, memoryMiB int, faults string) experiment.Experiment {
+	t.Helper()
+	plan, err := experiment.Parse(fmt.Appendf(nil, `{
+		"name": "test", "seed": 3, "sizes": %s, "zones": 2,
+		"settle": "100ms", "rest": "1s", "time_limit": "5m", "memory_limit_mib": %d,
+		"member": {
+			"probe_interval": "100ms", "probe_timeout": "40ms", "suspicion_mult": 3,
+			"gossip_interval": "20ms", "push_pull_interval": "400ms"
+		},
+		"faults": %s
+	}`, sizes, memoryMiB, faults))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return plan
+}
+
+var quiet = slog.New(slog.DiscardHandler)
+
+// Two small fleets are measured, and each is in one view without the member that is killed.
+func TestRun(t *testing.T) {
+	plan := planOf(t, `[4, 6]`, 4096, `[{"at": "1200ms", "kind": "kill"}]`)
+	result, err := Run(t.Context(), plan, Environment{}, quiet)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if len(result.Sizes) != 2 || len(result.NotRun) != 0 {
+		t.Fatalf("sizes %+v, not run %v", result.Sizes, result.NotRun)
+	}
+	for _, size := range result.Sizes {
+		if size.Failure != "" {
+			t.Fatalf("%d members: %s", size.Size, size.Failure)
+		}
+		if rest := size.Rest; rest.BytesOut.Mean <= 0 || rest.MessagesIn.Mean <= 0 || rest.KindsOut["ping"] <= 0 {
+			t.Errorf("%d members: at rest %+v", size.Size, rest)
+		}
+		if len(size.Faults) != 1 || size.Faults[0].Missing != 0 || size.Faults[0].Seconds.Count != int64(size.Size-1) {
+			t.Errorf("%d members: faults %+v", size.Size, size.Faults)
+		}
+	}
+	if len(result.Fits) == 0 {
+		t.Error("nothing was fitted")
+	}
+}
+
+// A size that needs too much memory says so, and no larger one is run.
+func TestMemoryLimit(t *testing.T) {
+	result, err := Run(t.Context(), planOf(t, `[4, 5, 6]`, 1, `[]`), Environment{}, quiet)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if len(result.Sizes) != 1 || !strings.Contains(result.Sizes[0].Failure, "memory_limit_mib") {
+		t.Errorf("sizes %+v, want one that names memory_limit_mib", result.Sizes)
+	}
+	if want := []int{5, 6}; !reflect.DeepEqual(result.NotRun, want) {
+		t.Errorf("not run: %v, want %v", result.NotRun, want)
+	}
+}
+
+// A fault whose outcome is not there at the time limit is in the result with the views that
+// are missing. The killed member's death takes longer to notice than the limit allows.
+func TestTimeLimit(t *testing.T) {
+	plan := planOf(t, `[4, 5]`, 4096, `[{"at": "4s", "kind": "kill"}]`)
+	plan.Member = experiment.Member{} // a death takes 4 s at least
+	plan.TimeLimit.Duration = 6 * time.Second
+	result, err := Run(t.Context(), plan, Environment{}, quiet)
+	if err != nil {
+		t.Fatal(err)
+	}
+	first := result.Sizes[0]
+	if len(result.Sizes) != 1 || !strings.Contains(first.Failure, ErrTimeLimit.Error()) {
+		t.Errorf("sizes %+v, want one that names the time limit", result.Sizes)
+	}
+	if first.Rest != nil && len(first.Faults) == 1 && (first.Faults[0].Missing == 0 || first.Faults[0].LastSeconds != 0) {
+		t.Errorf("fault %+v, want views missing", first.Faults[0])
+	}
+}
+
+// An interrupted run ends what it started and has no result.
+func TestInterrupted(t *testing.T) {
+	before := runtime.NumGoroutine()
+	interrupted := errors.New("interrupted")
+	ctx, cancel := context.WithCancelCause(t.Context())
+	time.AfterFunc(time.Second, func() { cancel(interrupted) })
+	result, err := Run(ctx, planOf(t, `[4, 6]`, 4096, `[{"at": "1m", "kind": "kill"}]`), Environment{}, quiet)
+	if !errors.Is(err, interrupted) || result != nil {
+		t.Errorf("result %+v, error %v", result, err)
+	}
+	for end := time.Now().Add(time.Minute); runtime.NumGoroutine() > before; time.Sleep(10 * time.Millisecond) {
+		if time.Now().After(end) {
+			t.Fatalf("%d goroutines, %d before", runtime.NumGoroutine(), before)
+		}
+	}
+}
+
+func TestSpread(t *testing.T) {
+	var values []float64
+	for number := range 1000 {
+		values = append(values, float64(number+1)/10)
+	}
+	spread := spreadOf(values)
+	near := func(got, want float64) bool { return math.Abs(got-want) <= 0.002*want }
+	if spread.Count != 1000 || !near(spread.Mean, 50.05) || !near(spread.Median, 50) || !near(spread.P99, 99) || !near(spread.Max, 100) {
+		t.Errorf("%+v", spread)
+	}
+	if empty := spreadOf(nil); empty != (Spread{}) {
+		t.Errorf("of nothing: %+v", empty)
+	}
+}
+
+// A measure is fitted over the sizes that have it: a fault whose outcome was missing has no
+// time.
+func TestFits(t *testing.T) {
+	var sizes []SizeResult
+	for _, size := range []int{100, 200, 300, 400} {
+		value := float64(size)
+		sizes = append(sizes, SizeResult{
+			Size:         size,
+			StartSeconds: 1,
+			Rest:         &Rest{BytesOut: Spread{Mean: 5 + 2*value}, BytesIn: Spread{Mean: value * value}},
+			Faults:       []FaultResult{{Kind: experiment.Kill, At: 1, LastSeconds: value / 100}},
+		})
+	}
+	sizes[3].Faults[0].Missing = 2
+	lines := map[string]fit.Line{}
+	for _, each := range fitAll(sizes) {
+		lines[each.Measure] = each.Line
+	}
+	if line := lines["bytes out"]; math.Abs(line.Slope-2) > 1e-6 || line.Bend != fit.BendNone {
+		t.Errorf("bytes out: %+v", line)
+	}
+	if line := lines["bytes in"]; line.Bend != fit.BendUp {
+		t.Errorf("bytes in: %+v", line)
+	}
+	if line := lines["kill at 1 s, last member"]; line.Points != 3 || math.Abs(line.Slope-0.01) > 1e-6 {
+		t.Errorf("kill: %+v", line)
+	}
+}
