--- /dev/null
+++ b/cmd/oxbowscale/main_test.go
@@ -0,0 +1,132 @@
+package main
+
+import (
+	"bufio"
+	"errors"
+	"io"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+)
+
+const (
+	experimentFiles = "../../docs/capacity/experiments/*.json"
+	// endBound is how long an interrupted run may take to end; it takes less than a second.
+	endBound = time.Minute
+)
+
+// outputOf runs a command line within this process.
+func outputOf(args ...string) (string, error) {
+	var output strings.Builder
+	root := command()
+	root.SetArgs(args)
+	root.SetOut(&output)
+	root.SetErr(&output)
+	err := root.Execute()
+	return output.String(), err
+}
+
+// The files of the runs that are kept are valid, and give the same schedule each time.
+func TestKeptExperiments(t *testing.T) {
+	files, err := filepath.Glob(experimentFiles)
+	if err != nil || len(files) == 0 {
+		t.Fatalf("files %v, error %v", files, err)
+	}
+	for _, file := range files {
+		first, err := outputOf("check", file)
+		if err != nil {
+			t.Errorf("%v", err)
+			continue
+		}
+		if again, _ := outputOf("check", file); again != first || first == "" {
+			t.Errorf("%s: the schedules are\n%s\nand\n%s", file, first, again)
+		}
+	}
+}
+
+// A file that is wrong ends the command with its name and the key's, before anything starts.
+func TestWrongFile(t *testing.T) {
+	file := filepath.Join(t.TempDir(), "wrong.json")
+	if err := os.WriteFile(file, []byte(`{"name": "wrong", "sizes": [1]}`), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	folder := filepath.Join(t.TempDir(), "out")
+	for _, args := range [][]string{{"check", file}, {"run", file, folder}} {
+		_, err := outputOf(args...)
+		if err == nil || !strings.Contains(err.Error(), "wrong.json: sizes[0]: ") {
+			t.Errorf("%v: error %v", args, err)
+		}
+	}
+	if _, err := os.Stat(folder); !errors.Is(err, os.ErrNotExist) {
+		t.Errorf("the folder of results was made: %v", err)
+	}
+}
+
+// An interrupt ends a run early, with an error and without results.
+func TestInterrupt(t *testing.T) {
+	program := filepath.Join(t.TempDir(), "oxbowscale")
+	if output, err := exec.Command("go", "build", "-o", program, ".").CombinedOutput(); err != nil {
+		t.Fatalf("%v\n%s", err, output)
+	}
+	folder := filepath.Join(t.TempDir(), "out")
+	run := exec.Command(program, "run", writeLongExperiment(t), folder)
+	log, err := run.StderrPipe()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := run.Start(); err != nil {
+		t.Fatal(err)
+	}
+	kill := time.AfterFunc(2*endBound, func() { run.Process.Kill() })
+	defer kill.Stop()
+	lines := bufio.NewReader(log)
+	for line := ""; !strings.Contains(line, "all are in one view"); {
+		if line, err = lines.ReadString('\n'); err != nil {
+			t.Fatalf("the run ended before its fleet was in one view: %v", err)
+		}
+	}
+	interruptedAt := time.Now()
+	if err := run.Process.Signal(syscall.SIGTERM); err != nil {
+		t.Fatal(err)
+	}
+	rest, _ := io.ReadAll(lines)
+	var exit *exec.ExitError
+	if err := run.Wait(); !errors.As(err, &exit) || exit.ExitCode() != 1 {
+		t.Errorf("ended with %v, want exit code 1; log %s", err, rest)
+	}
+	if took := time.Since(interruptedAt); took > endBound {
+		t.Errorf("the end took %v", took)
+	}
+	if _, err := os.Stat(folder); !errors.Is(err, os.ErrNotExist) {
+		t.Errorf("the folder of results was made: %v", err)
+	}
+}
+
+// writeLongExperiment writes an experiment that is at rest until long after the test's end.
+func writeLongExperiment(t *testing.T) string {
+	t.Helper()
+	file := filepath.Join(t.TempDir(), "long.json")
+	content := `{
+		"name": "long", "seed": 1, "sizes": [4], "zones": 2,
+		"settle": "0s", "rest": "9m", "time_limit": "10m", "memory_limit_mib": 1024, "faults": []
+	}`
+	if err := os.WriteFile(file, []byte(content), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	return file
+}
+
+// The balancer does not link this program's packages.
+func TestBalancerDoesNotLinkIt(t *testing.T) {
+	output, err := exec.Command("go", "list", "-deps", "oxbowloft/cmd/oxbowloft").Output()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if strings.Contains(string(output), "oxbowloft/internal/scale") {
+		t.Error("cmd/oxbowloft links internal/scale")
+	}
+}
