--- a/internal/scale/fit/fit.go
+++ b/internal/scale/fit/fit.go
@@ -16,13 +16,13 @@
 
 // Line is a line fitted by least squares, and the judgement on its bend.
 type Line struct {
-	Points    int
-	Intercept float64
-	Slope     float64
+	Points    int     `json:"points"`
+	Intercept float64 `json:"intercept"`
+	Slope     float64 `json:"slope"`
 	// SlopeError is the slope's standard error; not known with fewer than three points.
-	SlopeError      float64
-	SlopeErrorKnown bool
-	Bend            Bend
+	SlopeError      float64 `json:"slope_error"`
+	SlopeErrorKnown bool    `json:"slope_error_known"`
+	Bend            Bend    `json:"bend"`
 }
 
 // Bend says whether the points bend away from a line.
@@ -65,14 +65,15 @@
 		return Line{}, err
 	}
 	linear := leastSquares(points, 1, scale)
+	rounding := roundingPart * largestValue(points)
 	line := Line{
 		Points:    len(points),
-		Intercept: linear.coefficients[0],
-		Slope:     linear.coefficients[1] / scale,
+		Intercept: withoutRounding(linear.coefficients[0], rounding),
+		Slope:     withoutRounding(linear.coefficients[1], rounding) / scale,
 		Bend:      BendUnknown,
 	}
 	if len(points) >= leastForError {
-		line.SlopeError = linear.errors[1] / scale
+		line.SlopeError = withoutRounding(linear.errors[1], rounding) / scale
 		line.SlopeErrorKnown = true
 	}
 	if len(points) >= leastForBend {
@@ -99,6 +100,14 @@
 	return largest, nil
 }
 
+// withoutRounding returns a figure, or zero in place of one that is rounding alone.
+func withoutRounding(value, rounding float64) float64 {
+	if math.Abs(value) <= rounding {
+		return 0
+	}
+	return value
+}
+
 func judgeBend(points []Point, scale float64) Bend {
 	quadratic := leastSquares(points, 2, scale)
 	term := quadratic.coefficients[2]
--- a/internal/scale/fit/fit_test.go
+++ b/internal/scale/fit/fit_test.go
@@ -69,6 +69,14 @@
 	}
 }
 
+// Values that are all alike have a slope of exactly zero, not one of rounding.
+func TestNoGrowth(t *testing.T) {
+	line := mustFit(t, pointsOf(func(float64) float64 { return 14.95 }, 6, 12, 20, 30))
+	if line.Slope != 0 || line.SlopeError != 0 || line.Bend != BendNone {
+		t.Errorf("fitted %+v", line)
+	}
+}
+
 // Scatter that is large beside the bend hides it, scatter that is small does not.
 func TestBendBesideScatter(t *testing.T) {
 	scatter := []float64{1, -1, 1, 1, -1, -1}
--- a/internal/scale/report/markdown.go
+++ b/internal/scale/report/markdown.go
@@ -137,8 +137,11 @@
 
 func faultText(fault *runner.FaultResult) string {
 	text := fmt.Sprintf("%s at %g s", fault.Kind, fault.At)
-	if len(fault.Members) > 0 {
-		text += fmt.Sprintf(" (%d members)", len(fault.Members))
+	switch count := len(fault.Members); {
+	case count == 1:
+		text += " (1 member)"
+	case count > 1:
+		text += fmt.Sprintf(" (%d members)", count)
 	}
 	if fault.Zone > 0 {
 		text += fmt.Sprintf(" (zone %d)", fault.Zone)
--- a/internal/scale/runner/runner.go
+++ b/internal/scale/runner/runner.go
@@ -7,6 +7,7 @@
 	"errors"
 	"fmt"
 	"log/slog"
+	"runtime"
 	"time"
 
 	"oxbowloft/internal/scale/experiment"
@@ -31,6 +32,8 @@
 const (
 	mebibyte            = 1 << 20
 	memoryCheckInterval = 250 * time.Millisecond
+	endCheckInterval    = 20 * time.Millisecond
+	endWait             = 10 * time.Second // memberlist's goroutines end within a probe
 )
 
 // Run runs an experiment. When ctx ends it ends what it started and returns ctx's cause. A size
@@ -85,7 +88,10 @@
 	if err != nil {
 		return fmt.Errorf("start: %w", err)
 	}
-	defer fleet.Close()
+	defer func() {
+		fleet.Close()
+		awaitGoroutines(ctx, empty.Goroutines)
+	}()
 	if err := r.awaitOneView(ctx, fleet, began); err != nil {
 		return err
 	}
@@ -154,6 +160,16 @@
 	return nil
 }
 
+// awaitGoroutines waits, for a bounded time, until there are no more goroutines than before a
+// fleet, so that the next one is not measured with the remains of this one.
+func awaitGoroutines(ctx context.Context, before int) {
+	for end := time.Now().Add(endWait); runtime.NumGoroutine() > before && time.Now().Before(end); {
+		if hollow.Sleep(ctx, endCheckInterval) != nil {
+			return
+		}
+	}
+}
+
 func inSeconds(times []time.Duration) []float64 {
 	seconds := make([]float64, len(times))
 	for number, length := range times {
