--- a/cmd/oxbowscale/main.go
+++ b/cmd/oxbowscale/main.go
@@ -73,7 +73,11 @@
 
 func printSchedule(cmd *cobra.Command, plan *experiment.Experiment) {
 	for _, size := range plan.Sizes {
-		for _, action := range plan.Schedule(size) {
+		actions := plan.Schedule(size)
+		if len(actions) == 0 {
+			cmd.Printf("%d members: no fault\n", size)
+		}
+		for _, action := range actions {
 			cmd.Printf("%d members, %v: %s", size, action.At, action.Kind)
 			if len(action.Members) > 0 {
 				cmd.Printf(" members %v", action.Members)
--- a/internal/scale/fit/fit_test.go
+++ b/internal/scale/fit/fit_test.go
@@ -15,7 +15,7 @@
 }
 
 func near(got, want float64) bool {
-	return math.Abs(got-want) <= 1e-6*max(1, math.Abs(want))
+	return math.Abs(got-want) <= 1e-6*math.Abs(want)+1e-12
 }
 
 func mustFit(t *testing.T, points []Point) Line {
--- a/internal/scale/report/markdown.go
+++ b/internal/scale/report/markdown.go
@@ -73,6 +73,7 @@
 	{"bytes/s in", func(rest *runner.Rest) float64 { return rest.BytesIn.Mean }},
 	{"messages/s out", func(rest *runner.Rest) float64 { return rest.MessagesOut.Mean }},
 	{"messages/s in", func(rest *runner.Rest) float64 { return rest.MessagesIn.Mean }},
+	{"bytes of one side of an exchange", func(rest *runner.Rest) float64 { return rest.ExchangeBytes }},
 	{"processor, ms/s", func(rest *runner.Rest) float64 { return rest.PerMember.ProcessorMillis }},
 	{"resident, KiB", func(rest *runner.Rest) float64 { return rest.PerMember.ResidentKiB }},
 	{"goroutines", func(rest *runner.Rest) float64 { return rest.PerMember.Goroutines }},
--- a/internal/scale/runner/rest.go
+++ b/internal/scale/runner/rest.go
@@ -56,13 +56,14 @@
 	members := float64(len(after.sent))
 	processor := after.usage.Processor - before.usage.Processor
 	return &Rest{
-		Seconds:     seconds,
-		BytesOut:    spreadOf(sent.bytes),
-		BytesIn:     spreadOf(received.bytes),
-		MessagesOut: spreadOf(sent.messages),
-		MessagesIn:  spreadOf(received.messages),
-		StreamOut:   spreadOf(sent.streamBytes),
-		KindsOut:    sent.kinds,
+		Seconds:       seconds,
+		BytesOut:      spreadOf(sent.bytes),
+		BytesIn:       spreadOf(received.bytes),
+		MessagesOut:   spreadOf(sent.messages),
+		MessagesIn:    spreadOf(received.messages),
+		StreamOut:     spreadOf(sent.streamBytes),
+		ExchangeBytes: exchangeBytes(before.sent, after.sent),
+		KindsOut:      sent.kinds,
 		PerMember: PerMember{
 			ProcessorMillis: processor.Seconds() * 1000 / seconds / members,
 			ResidentKiB:     float64(after.usage.ResidentBytes-empty.ResidentBytes) / kibibyte / members,
@@ -72,6 +73,21 @@
 	}
 }
 
+// exchangeBytes returns the mean length of one side of a full exchange of state. What was under
+// way as the reading was taken is counted in part.
+func exchangeBytes(before, after []traffic.Counts) float64 {
+	var exchanges, bytes uint64
+	for number := range after {
+		counts := after[number].Sub(before[number])
+		exchanges += counts.Messages[traffic.PushPull]
+		bytes += counts.StreamBytes
+	}
+	if exchanges == 0 {
+		return 0
+	}
+	return float64(bytes) / float64(exchanges)
+}
+
 // rates are one direction's, by member, and by kind the mean over the members.
 type rates struct {
 	bytes, streamBytes, messages []float64
--- a/internal/scale/runner/result.go
+++ b/internal/scale/runner/result.go
@@ -37,14 +37,17 @@
 
 // Rest is what the members used at rest.
 type Rest struct {
-	Seconds     float64            `json:"seconds"`
-	BytesOut    Spread             `json:"bytes_out_per_second"`
-	BytesIn     Spread             `json:"bytes_in_per_second"`
-	MessagesOut Spread             `json:"messages_out_per_second"`
-	MessagesIn  Spread             `json:"messages_in_per_second"`
-	StreamOut   Spread             `json:"stream_bytes_out_per_second"` // part of BytesOut that is on connections
-	KindsOut    map[string]float64 `json:"messages_out_per_second_by_kind"`
-	PerMember   PerMember          `json:"per_member"`
+	Seconds     float64 `json:"seconds"`
+	BytesOut    Spread  `json:"bytes_out_per_second"`
+	BytesIn     Spread  `json:"bytes_in_per_second"`
+	MessagesOut Spread  `json:"messages_out_per_second"`
+	MessagesIn  Spread  `json:"messages_in_per_second"`
+	StreamOut   Spread  `json:"stream_bytes_out_per_second"` // part of BytesOut that is on connections
+	// ExchangeBytes is how long one side of a full exchange of state was, in the mean; 0 if
+	// there was none.
+	ExchangeBytes float64            `json:"exchange_bytes"`
+	KindsOut      map[string]float64 `json:"messages_out_per_second_by_kind"`
+	PerMember     PerMember          `json:"per_member"`
 }
 
 // PerMember is what the process used, divided by the number of members.
--- a/internal/scale/runner/runner_test.go
+++ b/internal/scale/runner/runner_test.go
@@ -50,7 +50,7 @@
 		if size.Failure != "" {
 			t.Fatalf("%d members: %s", size.Size, size.Failure)
 		}
-		if rest := size.Rest; rest.BytesOut.Mean <= 0 || rest.MessagesIn.Mean <= 0 || rest.KindsOut["ping"] <= 0 {
+		if rest := size.Rest; rest.BytesOut.Mean <= 0 || rest.MessagesIn.Mean <= 0 || rest.KindsOut["ping"] <= 0 || rest.ExchangeBytes <= 0 {
 			t.Errorf("%d members: at rest %+v", size.Size, rest)
 		}
 		if len(size.Faults) != 1 || size.Faults[0].Missing != 0 || size.Faults[0].Seconds.Count != int64(size.Size-1) {
--- a/internal/scale/runner/slopes.go
+++ b/internal/scale/runner/slopes.go
@@ -44,6 +44,7 @@
 		ofRest("processor", "ms/s", func(rest *Rest) float64 { return rest.PerMember.ProcessorMillis }),
 		ofRest("resident memory", "KiB", func(rest *Rest) float64 { return rest.PerMember.ResidentKiB }),
 		ofRest("goroutines", "goroutines", func(rest *Rest) float64 { return rest.PerMember.Goroutines }),
+		{"one side of an exchange", "bytes", exchangeLength},
 		{"start to one view", "s", startSeconds},
 	}
 }
@@ -57,6 +58,13 @@
 	}}
 }
 
+func exchangeLength(result *SizeResult) (float64, bool) {
+	if result.Rest == nil {
+		return 0, false
+	}
+	return result.Rest.ExchangeBytes, result.Rest.ExchangeBytes > 0
+}
+
 func startSeconds(result *SizeResult) (float64, bool) {
 	return result.StartSeconds, result.StartSeconds > 0
 }
