--- a/internal/scale/traffic/classify.go
+++ b/internal/scale/traffic/classify.go
@@ -69,7 +69,7 @@
 	}
 	count := int(payload[1])
 	lengths := payload[compoundHead:]
-	if len(lengths) < count*compoundLength {
+	if count == 0 || len(lengths) < count*compoundLength {
 		found(Other)
 		return
 	}
--- a/internal/scale/traffic/traffic_test.go
+++ b/internal/scale/traffic/traffic_test.go
@@ -26,6 +26,7 @@
 		"empty":               {nil, map[Kind]int{Other: 1}},
 		"checksum alone":      {checksum, map[Kind]int{Other: 1}},
 		"no count":            {[]byte{wireCompound}, map[Kind]int{Other: 1}},
+		"no messages":         {[]byte{wireCompound, 0}, map[Kind]int{Other: 1}},
 		"no lengths":          {[]byte{wireCompound, 2, 0, 1}, map[Kind]int{Other: 1}},
 		"part is cut off":     {[]byte{wireCompound, 2, 0, 1, 0, 2, wireDead, wireDead}, map[Kind]int{Dead: 1, Other: 1}},
 		"part without a byte": {[]byte{wireCompound, 1, 0, 0}, map[Kind]int{Other: 1}},
