--- a/cmd/oxbowscale/main.go
+++ b/cmd/oxbowscale/main.go
@@ -95,6 +95,9 @@
 	if err != nil {
 		return err
 	}
+	if err := report.Prepare(folder); err != nil {
+		return err
+	}
 	logger := slog.New(slog.NewTextHandler(os.Stderr, nil))
 	result, err := runner.Run(ctx, plan, environment(), logger)
 	if err != nil {
--- a/internal/scale/report/report_test.go
+++ b/internal/scale/report/report_test.go
@@ -68,6 +68,9 @@
 // The JSON file has all of the result, and the folder is made.
 func TestWrite(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "new", "folder")
+	if err := Prepare(folder); err != nil {
+		t.Fatal(err)
+	}
 	paths, err := Write(folder, sample())
 	if err != nil {
 		t.Fatal(err)
@@ -88,3 +91,14 @@
 		t.Errorf("the Markdown file has %q, error %v", page, err)
 	}
 }
+
+// A folder that can't be made is told before anything is run.
+func TestPrepareWhereAFileIs(t *testing.T) {
+	file := filepath.Join(t.TempDir(), "file")
+	if err := os.WriteFile(file, nil, fileMode); err != nil {
+		t.Fatal(err)
+	}
+	if err := Prepare(file); err == nil {
+		t.Error("no error")
+	}
+}
