--- a/fleet/schedule/schedule.go
+++ b/fleet/schedule/schedule.go
@@ -21,7 +21,7 @@
 // Answer is what the machine answers to an entry, the same at all voters.
 type Answer struct {
 	window.Answer
-	Left int // events that did not fit into an answer; the windows have what they told
+	Left int `cbor:"Left"` // events that did not fit into an answer; the windows have what they told
 }
 
 // Machine is an agree.Machine and agree.Querier. It is not safe for concurrent use.
--- a/fleet/window/window.go
+++ b/fleet/window/window.go
@@ -222,36 +222,36 @@
 
 // Event is one thing that an applied entry brought about.
 type Event struct {
-	Kind   EventKind
-	Window Window // of EventState and EventMoved
-	Scope  Scope  // of the others
-	Floor  int64
-	Have   int64
+	Kind   EventKind `cbor:"Kind"`
+	Window Window    `cbor:"Window"` // of EventState and EventMoved
+	Scope  Scope     `cbor:"Scope"`  // of the others
+	Floor  int64     `cbor:"Floor"`
+	Have   int64     `cbor:"Have"`
 }
 
 // Answer is what an entry came to. It is the same at all voters.
 type Answer struct {
-	Index  uint64
-	Now    time.Duration // log time after the entry
-	Result Result
-	Err    string // of all results but OK: the reason, naming the key
-	Known  bool   // Window is set
-	Window Window // the plan that the entry is about, as it stands after the entry
-	Events []Event
+	Index  uint64        `cbor:"Index"`
+	Now    time.Duration `cbor:"Now"` // log time after the entry
+	Result Result        `cbor:"Result"`
+	Err    string        `cbor:"Err"`    // of all results but OK: the reason, naming the key
+	Known  bool          `cbor:"Known"`  // Window is set
+	Window Window        `cbor:"Window"` // the plan that the entry is about, as it stands after the entry
+	Events []Event       `cbor:"Events"`
 }
 
 // Window is a plan as operators and members see it. Times are log time.
 type Window struct {
-	Ask     Ask
-	State   State
-	First   time.Duration // the start that the first answer told
-	Start   time.Duration // planned start; once granted, the time of the grant
-	End     time.Duration // planned end; once granted, it is overdue after this
-	Fence   Fence         // 0 before the grant
-	Drained int           // members that have confirmed
-	Serving int           // members that are to confirm
-	Why     string
-	Could   time.Duration // of a refused one: the earliest start that would do, as things stood; -1: none
+	Ask     Ask           `cbor:"Ask"`
+	State   State         `cbor:"State"`
+	First   time.Duration `cbor:"First"`   // the start that the first answer told
+	Start   time.Duration `cbor:"Start"`   // planned start; once granted, the time of the grant
+	End     time.Duration `cbor:"End"`     // planned end; once granted, it is overdue after this
+	Fence   Fence         `cbor:"Fence"`   // 0 before the grant
+	Drained int           `cbor:"Drained"` // members that have confirmed
+	Serving int           `cbor:"Serving"` // members that are to confirm
+	Why     string        `cbor:"Why"`
+	Could   time.Duration `cbor:"Could"` // of a refused one: the earliest start that would do, as things stood; -1: none
 }
 
 func (m *Machine) row(p *plan) Window {
