--- a/fleet/window/window.go
+++ b/fleet/window/window.go
@@ -28,13 +28,13 @@
 // Settings are the same at all voters for the life of the log; a snapshot carries
 // them. A zero field takes its default.
 type Settings struct {
-	MaxTick     time.Duration // longest Tick taken; default 10 s, at most 1 h
-	Overrun     time.Duration // plans count on what is overdue or failed after this; default 10 min
-	Horizon     time.Duration // a latest end is at most this far ahead; default 14 d, at most 60 d
-	MaxPlans    int           // open plans; default 128, at most 512
-	MaxBackends int           // default 4096, at most 8192
-	MaxServing  int           // members that serve; default 1024, at most 8192
-	History     int           // ended plans kept; default 256, at most 8192
+	MaxTick     time.Duration `cbor:"MaxTick"`     // longest Tick taken; default 10 s, at most 1 h
+	Overrun     time.Duration `cbor:"Overrun"`     // plans count on what is overdue or failed after this; default 10 min
+	Horizon     time.Duration `cbor:"Horizon"`     // a latest end is at most this far ahead; default 14 d, at most 60 d
+	MaxPlans    int           `cbor:"MaxPlans"`    // open plans; default 128, at most 512
+	MaxBackends int           `cbor:"MaxBackends"` // default 4096, at most 8192
+	MaxServing  int           `cbor:"MaxServing"`  // members that serve; default 1024, at most 8192
+	History     int           `cbor:"History"`     // ended plans kept; default 256, at most 8192
 }
 
 func (s *Settings) check() error {
