--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -16,8 +16,8 @@
 	"time"
 )
 
-// Operated is what the calls act on. An error's text is what the operator reads.
-type Operated interface {
+// Handler is what the calls act on. An error's text is what the operator reads.
+type Handler interface {
 	Ping() error
 	// Info returns the figures, a line each.
 	Info() string
@@ -39,13 +39,13 @@
 	restLimit = 100 * time.Millisecond
 )
 
-// Descriptors is how many the door ever holds: the listener, its callers, and one
+// MaxDescriptors is how many the door ever holds: the listener, its callers, and one
 // that has just been accepted.
-const Descriptors = mostCallers + 2
+const MaxDescriptors = mostCallers + 2
 
-// Door is an open door.
-type Door struct {
-	to    Operated
+// Server is an open door.
+type Server struct {
+	to    Handler
 	ln    net.Listener
 	tasks sync.WaitGroup
 
@@ -54,22 +54,22 @@
 	closed  bool
 }
 
-// Open listens at addr and answers calls until Close.
-func Open(addr string, to Operated) (*Door, error) {
+// Listen listens at addr and answers calls until Close.
+func Listen(addr string, to Handler) (*Server, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, fmt.Errorf("admin: %w", err)
 	}
-	d := &Door{to: to, ln: ln, callers: list.New()}
+	d := &Server{to: to, ln: ln, callers: list.New()}
 	d.tasks.Go(d.accept)
 	return d, nil
 }
 
 // Addr is where the door listens.
-func (d *Door) Addr() net.Addr { return d.ln.Addr() }
+func (d *Server) Addr() net.Addr { return d.ln.Addr() }
 
 // Close ends the door and all calls under way.
-func (d *Door) Close() {
+func (d *Server) Close() {
 	d.ln.Close()
 	d.mu.Lock()
 	d.closed = true
@@ -80,7 +80,7 @@
 	d.tasks.Wait()
 }
 
-func (d *Door) accept() {
+func (d *Server) accept() {
 	for {
 		c, err := d.ln.Accept()
 		switch {
@@ -97,7 +97,7 @@
 
 // admit takes a caller in. Where there are too many, the oldest leaves: guards
 // against silent ones that keep all others out. A call takes some milliseconds at most.
-func (d *Door) admit(c net.Conn) {
+func (d *Server) admit(c net.Conn) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.closed {
@@ -120,7 +120,7 @@
 }
 
 // serve takes one call.
-func (d *Door) serve(c net.Conn) {
+func (d *Server) serve(c net.Conn) {
 	c.SetReadDeadline(time.Now().Add(silence))
 	line, err := readLine(c)
 	if err != nil && !errors.Is(err, errLine) {
@@ -163,7 +163,7 @@
 }
 
 // call carries out one call and words its answer.
-func (d *Door) call(line string) string {
+func (d *Server) call(line string) string {
 	words := strings.Split(line, " ")
 	word, args := words[0], words[1:]
 	takesID := word == "DETACH" || word == "ATTACH"
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -35,10 +35,10 @@
 func (o *operated) Detach(id string) error { return o.note("detach " + id) }
 func (o *operated) Attach(id string) error { return o.note("attach " + id) }
 
-func open(t *testing.T) (*Door, *operated) {
+func open(t *testing.T) (*Server, *operated) {
 	t.Helper()
 	o := &operated{}
-	d, err := Open("127.0.0.1:0", o)
+	d, err := Listen("127.0.0.1:0", o)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -46,7 +46,7 @@
 	return d, o
 }
 
-func dial(t *testing.T, d *Door) *net.TCPConn {
+func dial(t *testing.T, d *Server) *net.TCPConn {
 	t.Helper()
 	c, err := net.Dial("tcp", d.Addr().String())
 	if err != nil {
@@ -57,7 +57,7 @@
 	return c.(*net.TCPConn)
 }
 
-func ask(t *testing.T, d *Door, text string) string {
+func ask(t *testing.T, d *Server, text string) string {
 	t.Helper()
 	c := dial(t, d)
 	io.WriteString(c, text)
@@ -145,7 +145,7 @@
 
 func TestOpenFails(t *testing.T) {
 	d, o := open(t)
-	if _, err := Open(d.Addr().String(), o); err == nil || !strings.HasPrefix(err.Error(), "admin: ") {
+	if _, err := Listen(d.Addr().String(), o); err == nil || !strings.HasPrefix(err.Error(), "admin: ") {
 		t.Errorf("a second door at one address: %v", err)
 	}
 }
--- a/internal/discovery/check.go
+++ b/internal/discovery/check.go
@@ -19,8 +19,8 @@
 // many doubt, and all at once they would keep discovery from telling anything.
 const checkSpread = 0.5
 
-// Check asks for a check of the list. While none is due, or no watch stands, it does nothing.
-func (c *Client) Check() {
+// RequestCheck asks for a check of the list. While none is due, or no watch stands, it does nothing.
+func (c *Client) RequestCheck() {
 	select {
 	case c.doubted <- struct{}{}:
 	default:
@@ -29,7 +29,7 @@
 
 // runChecks makes the checks that are asked for until ctx is over.
 func (c *Client) runChecks(ctx context.Context) {
-	if c.CheckEvery <= 0 {
+	if c.MinCheckInterval <= 0 {
 		return
 	}
 	for {
@@ -38,7 +38,7 @@
 			return
 		case <-c.doubted:
 		}
-		spread := time.Duration(rand.Float64() * checkSpread * float64(c.CheckEvery))
+		spread := time.Duration(rand.Float64() * checkSpread * float64(c.MinCheckInterval))
 		if !sleep(ctx, spread) {
 			return
 		}
@@ -47,7 +47,7 @@
 			rev, err := c.check(ctx, at)
 			log.Printf("event=list_checked rev=%d waited_ms=%d err=%q", rev, time.Since(began).Milliseconds(), fmt.Sprint(err))
 		}
-		if !sleep(ctx, c.CheckEvery-spread) {
+		if !sleep(ctx, c.MinCheckInterval-spread) {
 			return
 		}
 	}
@@ -81,7 +81,7 @@
 			return err
 		}
 		rev = l.Rev
-		use, err := c.apply(at, l, false, (*freshness).checked)
+		use, err := c.apply(at, l, false, (*freshnessTracker).checked)
 		if err == nil && !use {
 			err = errors.New("not used")
 		}
--- a/internal/discovery/check_test.go
+++ b/internal/discovery/check_test.go
@@ -22,13 +22,13 @@
 	mu    sync.Mutex
 	calls int
 	revs  []int64
-	fresh discovery.Fresh
+	fresh discovery.Freshness
 	ends  int
 }
 
 func newCheckedClient() *checkedClient {
 	c := &checkedClient{Client: discovery.New("127.0.0.1:80", 3, byHand{}), source: &source{}}
-	c.CheckEvery = 10 * sec
+	c.MinCheckInterval = 10 * sec
 	c.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c.mu.Lock()
 		c.calls++
@@ -36,13 +36,13 @@
 		return c.source.dial(ctx, network, addr)
 	}
 	c.OnList = func(l *discovery.List) { c.mu.Lock(); c.revs = append(c.revs, l.Rev); c.mu.Unlock() }
-	c.OnFresh = func(f discovery.Fresh) { c.mu.Lock(); c.fresh = f; c.mu.Unlock() }
-	c.OnEnd = func(discovery.End) { c.mu.Lock(); c.ends++; c.mu.Unlock() }
+	c.OnFreshness = func(f discovery.Freshness) { c.mu.Lock(); c.fresh = f; c.mu.Unlock() }
+	c.OnEnd = func(discovery.CallEnd) { c.mu.Lock(); c.ends++; c.mu.Unlock() }
 	return c
 }
 
 // seen is what has come of it so far.
-func (c *checkedClient) seen() (calls, lists, ends int, fresh discovery.Fresh) {
+func (c *checkedClient) seen() (calls, lists, ends int, fresh discovery.Freshness) {
 	synctest.Wait()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -69,31 +69,31 @@
 		done := make(chan bool)
 		go func() { defer close(done); c.Run(ctx) }()
 		defer func() { stop(); <-done }()
-		c.Check()
+		c.RequestCheck()
 		time.Sleep(6 * sec)
 		if calls, _, _, _ := c.seen(); calls != 0 {
 			t.Errorf("%d calls, checks without a watch", calls)
 		}
 		time.Sleep(6 * sec)
 
-		c.Ask()
+		c.CallNow()
 		synctest.Wait()
 		watch := c.source.last
 		c.source.set(lists(6))
 		_, _, _, before := c.seen()
-		c.Check()
-		c.Check()
+		c.RequestCheck()
+		c.RequestCheck()
 		c.live(watch, 6*sec)
 		calls, got, ends, fresh := c.seen()
 		if calls != 2 || got != 2 || ends != 0 {
 			t.Errorf("%d calls, %d lists, %d ends; want the watch, one check, and no end", calls, got, ends)
 		}
-		if !fresh.Told.After(before.Told) {
+		if !fresh.ReceivedAt.After(before.ReceivedAt) {
 			t.Error("the check's list is not told")
 		}
 
 		c.source.set(busy)
-		c.Check()
+		c.RequestCheck()
 		c.live(watch, 2*sec)
 		if calls, _, _, _ := c.seen(); calls != 2 {
 			t.Errorf("%d calls, a check right behind another", calls)
@@ -103,8 +103,8 @@
 		if calls != 3 || got != 2 || ends != 0 {
 			t.Errorf("%d calls, %d lists, %d ends; want a check that is turned away, and the watch as it was", calls, got, ends)
 		}
-		if after.Told != fresh.Told || !after.Until.After(time.Now().Add(4*sec)) {
-			t.Errorf("told at %v before, %v after; fresh for %v", fresh.Told, after.Told, time.Until(after.Until))
+		if after.ReceivedAt != fresh.ReceivedAt || !after.Until.After(time.Now().Add(4*sec)) {
+			t.Errorf("told at %v before, %v after; fresh for %v", fresh.ReceivedAt, after.ReceivedAt, time.Until(after.Until))
 		}
 	})
 }
@@ -123,7 +123,7 @@
 		done := make(chan bool)
 		go func() { defer close(done); c.Run(ctx) }()
 		defer func() { stop(); <-done }()
-		c.Ask()
+		c.CallNow()
 		synctest.Wait()
 		watch := c.source.last
 		answer := make(chan bool)
@@ -131,7 +131,7 @@
 			<-answer
 			lists(6)(conn)
 		})
-		c.Check()
+		c.RequestCheck()
 		for calls, _, _, _ := c.seen(); calls < 2; calls, _, _, _ = c.seen() {
 			c.live(watch, sec)
 		}
@@ -146,7 +146,7 @@
 			t.Errorf("fresh for %v after the close, for %v after the check's list", time.Until(ended.Until), time.Until(after.Until))
 		}
 		c.source.set(lists(7))
-		c.Ask()
+		c.CallNow()
 		if _, _, _, fresh := c.seen(); time.Until(fresh.Until) < 5*sec {
 			t.Errorf("fresh for %v after a list of a new watch", time.Until(fresh.Until))
 		}
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -34,23 +34,23 @@
 	mostBehind = 3
 )
 
-// End is how a call or a watch came to its end.
-type End struct {
-	Why    Failure
-	Rev    int64 // of the newest list by then
-	Err    error
-	Waited time.Duration // since the call began
-	Fresh  Fresh         // for how long the list may be used from then on
+// CallEnd is how a call or a watch came to its end.
+type CallEnd struct {
+	Reason    Failure
+	Rev       int64 // of the newest list by then
+	Err       error
+	Waited    time.Duration // since the call began
+	Freshness Freshness     // for how long the list may be used from then on
 }
 
 // Pacer says how long to wait before a call. It is called by Run alone.
 type Pacer interface {
-	// First is the wait before the first call.
-	First() time.Duration
-	// Told takes that a call has brought a list.
-	Told()
-	// Moved takes that the list comes from another source, which is called at once.
-	Moved()
+	// FirstWait is the wait before the first call.
+	FirstWait() time.Duration
+	// Succeeded takes that a call has brought a list.
+	Succeeded()
+	// SourceChanged takes that the list comes from another source, which is called at once.
+	SourceChanged()
 	// Failed takes that a call failed after it waited for so long, or with 0 that a watch
 	// which had told a list has ended, and returns the wait before the next call.
 	Failed(waited time.Duration, silent bool) time.Duration
@@ -62,15 +62,15 @@
 type Client struct {
 	OnList func(*List)
 	// OnEnd is told that a call failed or a watch ended.
-	OnEnd func(End)
-	// OnFresh is told for how long the list may be used: at the start, and whenever that
+	OnEnd func(CallEnd)
+	// OnFreshness is told for how long the list may be used: at the start, and whenever that
 	// changes. It must not call the client, but for Ask.
-	OnFresh func(Fresh)
+	OnFreshness func(Freshness)
 	// Dial, if set, is used in place of the net package's. It is set before Run.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 
-	// CheckEvery is the least time between two checks; 0: there are none. It is set before Run.
-	CheckEvery time.Duration
+	// MinCheckInterval is the least time between two checks; 0: there are none. It is set before Run.
+	MinCheckInterval time.Duration
 
 	ask      chan struct{}
 	doubted  chan struct{} // a check is wanted
@@ -80,7 +80,7 @@
 	mu     sync.Mutex
 	from   source
 	behind int // watches in a row that began with an older whole list
-	fresh  freshness
+	fresh  freshnessTracker
 }
 
 // source is where lists come from. Each Move makes another one, also back to an address
@@ -101,21 +101,21 @@
 		ask:     make(chan struct{}, 1),
 		doubted: make(chan struct{}, 1),
 		from:    source{addr: addr, rev: rev, moved: make(chan struct{})},
-		fresh:   freshness{unfollowed: TellWithin, serving: TellWithin},
+		fresh:   freshnessTracker{unfollowed: MaxAnnounceDelay, serving: MaxAnnounceDelay},
 	}
 }
 
-// Pushed tells, before Run, that lists are pushed: what there is counts as told at once,
+// SetPushed tells, before Run, that lists are pushed: what there is counts as told at once,
 // also while no watch is open and from the start, so that the list is fresh for no more
 // than slack without one. What has served a call that was sent within grace can still be used
 // while the agent cannot be reached.
-func (c *Client) Pushed(slack, grace time.Duration) {
+func (c *Client) SetPushed(slack, grace time.Duration) {
 	c.fresh.pushed, c.fresh.unfollowed, c.fresh.serving = true, slack, grace
 }
 
-// Ask makes the call that is due next now; while one is under way, or a watch stands, it
+// CallNow makes the call that is due next now; while one is under way, or a watch stands, it
 // does nothing.
-func (c *Client) Ask() {
+func (c *Client) CallNow() {
 	select {
 	case c.ask <- struct{}{}:
 	default:
@@ -131,10 +131,10 @@
 	return now.Sub(c.fresh.word), !now.Before(c.fresh.now().Until)
 }
 
-// Move makes addr the source, if it is not yet: the watch of the old one ends, and
+// SetSource makes addr the source, if it is not yet: the watch of the old one ends, and
 // the new one is asked at once, for all that it has, since its revisions need not
 // follow on the old one's. It tells whether the source is another.
-func (c *Client) Move(addr string) bool {
+func (c *Client) SetSource(addr string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if addr == c.from.addr {
@@ -143,14 +143,14 @@
 	close(c.from.moved)
 	c.from, c.behind = source{addr: addr, moved: make(chan struct{})}, 0
 	c.fresh.moved(time.Now())
-	c.OnFresh(c.fresh.now())
+	c.OnFreshness(c.fresh.now())
 	return true
 }
 
 // note keeps the clock of the list by what has happened at a source, and tells of it if
 // that moved it. What an old source did says nothing of the new one's list. The lock is
 // held meanwhile, so that what is told last is what holds.
-func (c *Client) note(at source, happened func(f *freshness, now time.Time)) {
+func (c *Client) note(at source, happened func(f *freshnessTracker, now time.Time)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !at.same(c.from) {
@@ -159,32 +159,32 @@
 	before := c.fresh.now()
 	happened(&c.fresh, time.Now())
 	if fresh := c.fresh.now(); fresh != before {
-		c.OnFresh(fresh)
+		c.OnFreshness(fresh)
 	}
 }
 
 // freshNow is for how long the list may be used.
-func (c *Client) freshNow() Fresh {
+func (c *Client) freshNow() Freshness {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.fresh.now()
 }
 
 // lost notes how a call or a watch of a source came to its end.
-func (c *Client) lost(at source, end End) {
-	if end.Why == Silent || end.Why == Local { // discovery may have told others of changes
-		c.note(at, (*freshness).silent)
+func (c *Client) lost(at source, end CallEnd) {
+	if end.Reason == Unresponsive || end.Reason == LocalFailure { // discovery may have told others of changes
+		c.note(at, (*freshnessTracker).silent)
 		return
 	}
-	broken := neterror.Of(neterror.Read, end.Err).Broken()
-	if end.Why == Ended && !broken && !errors.Is(end.Err, errBehind) {
-		c.note(at, (*freshness).watchEnded)
+	broken := neterror.Classify(neterror.Read, end.Err).Broken()
+	if end.Reason == WatchEnded && !broken && !errors.Is(end.Err, errBehind) {
+		c.note(at, (*freshnessTracker).watchEnded)
 	}
-	if neterror.Of(neterror.Dial, end.Err) == neterror.Refused {
-		c.note(at, (*freshness).refused)
+	if neterror.Classify(neterror.Dial, end.Err) == neterror.Refused {
+		c.note(at, (*freshnessTracker).refused)
 		return
 	}
-	c.note(at, (*freshness).callFailed)
+	c.note(at, (*freshnessTracker).callFailed)
 }
 
 // current is the source of lists now.
@@ -209,7 +209,7 @@
 	case !at.same(c.from):
 		return false, errMoved
 	case l.Rev >= c.from.rev:
-	case !first || !l.All:
+	case !first || !l.Complete:
 		log.Printf("event=list_old rev=%d have=%d", l.Rev, c.from.rev)
 		return false, nil
 	default:
@@ -218,14 +218,14 @@
 		}
 	}
 	c.from.rev, c.behind = l.Rev, 0
-	l.Before = c.fresh.heard
+	l.PreviousConfirmedAt = c.fresh.heard
 	return true, nil
 }
 
 // apply takes a list from a source and hands it on, if it is to be used; told says what that
 // means for the clock of the list. Lists of a watch and of a check are handed on in the order
 // in which they are taken.
-func (c *Client) apply(at source, l *List, first bool, told func(*freshness, time.Time)) (use bool, err error) {
+func (c *Client) apply(at source, l *List, first bool, told func(*freshnessTracker, time.Time)) (use bool, err error) {
 	c.applying.Lock()
 	defer c.applying.Unlock()
 	if use, err = c.take(at, l, first); use {
@@ -242,12 +242,12 @@
 	defer checks.Wait()
 	checks.Go(func() { c.runChecks(ctx) })
 	at := c.current()
-	c.note(at, (*freshness).started)
-	wait := c.pacer.First()
+	c.note(at, (*freshnessTracker).started)
+	wait := c.pacer.FirstWait()
 	for c.due(ctx, wait, at) {
 		before := at
 		if at = c.current(); !at.same(before) {
-			c.pacer.Moved()
+			c.pacer.SourceChanged()
 		}
 		wait = c.call(ctx, at)
 	}
@@ -288,14 +288,14 @@
 	default:
 	}
 	waited := time.Since(began)
-	end := End{Why: why, Rev: c.current().rev, Err: err, Waited: waited}
+	end := CallEnd{Reason: why, Rev: c.current().rev, Err: err, Waited: waited}
 	c.lost(at, end)
-	end.Fresh = c.freshNow()
+	end.Freshness = c.freshNow()
 	c.OnEnd(end)
 	if told {
 		waited = 0
 	}
-	return c.pacer.Failed(waited, why == Silent || why == Local)
+	return c.pacer.Failed(waited, why == Unresponsive || why == LocalFailure)
 }
 
 // watch makes a single watch and reads it to its end. It returns whether it has told a list
@@ -336,17 +336,17 @@
 	alive()
 	_, err = fmt.Fprintf(nc, "GET /v1/servers?stream=1&index=%d HTTP/1.1\r\nHost: %s\r\n\r\n", at.rev, at.addr)
 	if err != nil {
-		return failure(err, Unreached), fmt.Errorf("ask: %w", err)
+		return failure(err, Unreachable), fmt.Errorf("ask: %w", err)
 	}
 	resp, err := http.ReadResponse(bufio.NewReader(nc), nil)
 	if err != nil {
-		return failure(err, Unreached), fmt.Errorf("answer: %w", err)
+		return failure(err, Unreachable), fmt.Errorf("answer: %w", err)
 	}
 	if resp.StatusCode != http.StatusOK {
-		return TurnedAway, fmt.Errorf("answer: %s", resp.Status)
+		return Rejected, fmt.Errorf("answer: %s", resp.Status)
 	}
 	err = read(resp.Body, alive)
-	return failure(err, Ended), err
+	return failure(err, WatchEnded), err
 }
 
 // follow reads the lists of a watch of a source, however they are laid out; alive is called
@@ -356,7 +356,7 @@
 	last, signsOfLife := time.Now(), 0 // since the last list, or the answer's head
 	confirm := func() {
 		if told {
-			c.note(at, (*freshness).told)
+			c.note(at, (*freshnessTracker).told)
 		}
 	}
 	body := &stream{r: r, alive: alive, idle: func() { signsOfLife++; confirm() }}
@@ -368,14 +368,14 @@
 		if err != nil {
 			return told, err
 		}
-		use, err := c.apply(at, l, first, (*freshness).list)
+		use, err := c.apply(at, l, first, (*freshnessTracker).list)
 		if err != nil {
 			return told, err
 		}
 		if use { // one that is older says nothing, and takes nothing back
 			told = true
-			c.pacer.Told()
-			log.Printf("event=list rev=%d all=%t entries=%d since_ms=%d signs_of_life=%d", l.Rev, l.All, len(l.Targets),
+			c.pacer.Succeeded()
+			log.Printf("event=list rev=%d all=%t entries=%d since_ms=%d signs_of_life=%d", l.Rev, l.Complete, len(l.Targets),
 				time.Since(last).Milliseconds(), signsOfLife)
 			last, signsOfLife = time.Now(), 0
 		}
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -38,7 +38,7 @@
 		{"bad endpoint", standin.List(1, true, standin.Target("s-1", "nowhere")), "target 0: endpoint"},
 		{"unknown state", standin.List(1, true, standin.TargetIn("odd", "s-1", "127.0.0.1:80")), `unknown state "odd"`},
 	} {
-		_, err := discovery.Parse([]byte(c.line))
+		_, err := discovery.ParseList([]byte(c.line))
 		switch {
 		case c.want == "" && err != nil:
 			t.Errorf("%s: %v", c.name, err)
@@ -51,9 +51,9 @@
 // byHand never makes a call: tests ask for each.
 type byHand struct{}
 
-func (byHand) First() time.Duration                     { return time.Hour }
-func (byHand) Told()                                    {}
-func (byHand) Moved()                                   {}
+func (byHand) FirstWait() time.Duration                 { return time.Hour }
+func (byHand) Succeeded()                               {}
+func (byHand) SourceChanged()                           {}
 func (byHand) Failed(time.Duration, bool) time.Duration { return time.Hour }
 
 // watcher runs a client and hands on what it tells.
@@ -61,10 +61,10 @@
 	c = discovery.New(addr, rev, byHand{})
 	lists, failed = make(chan *discovery.List, 100), make(chan discovery.Failure, 100)
 	c.OnList = func(l *discovery.List) { lists <- l }
-	c.OnEnd = func(end discovery.End) { failed <- end.Why }
-	c.OnFresh = func(f discovery.Fresh) {
-		if f.UntilServing.Before(f.Until) || f.UntilServing.After(time.Now().Add(discovery.TellWithin)) {
-			t.Errorf("fresh until %v, %v ahead, and %v for what serves", f.Until, time.Until(f.Until), f.UntilServing)
+	c.OnEnd = func(end discovery.CallEnd) { failed <- end.Reason }
+	c.OnFreshness = func(f discovery.Freshness) {
+		if f.UntilIfServing.Before(f.Until) || f.UntilIfServing.After(time.Now().Add(discovery.MaxAnnounceDelay)) {
+			t.Errorf("fresh until %v, %v ahead, and %v for what serves", f.Until, time.Until(f.Until), f.UntilIfServing)
 		}
 	}
 	ctx, stop := context.WithCancel(context.Background())
@@ -89,20 +89,20 @@
 	t.Run("", func(t *testing.T) {
 		d := standin.NewDiscovery(t, standin.List(7, true, standin.Target("s-1", "127.0.0.1:80")))
 		c, lists, failed := watcher(t, d.Addr(), 5)
-		c.Ask()
-		if l := within(t, "the first list", lists); l.Rev != 7 || !l.All || l.Targets[0].UID != "s-1" {
+		c.CallNow()
+		if l := within(t, "the first list", lists); l.Rev != 7 || !l.Complete || l.Targets[0].UID != "s-1" {
 			t.Errorf("got %+v", l)
 		}
-		d.Push("") // a sign of life is no list
-		c.Ask()    // there is a watch: nothing comes of this
+		d.Push("")  // a sign of life is no list
+		c.CallNow() // there is a watch: nothing comes of this
 		d.Push(standin.List(9, false, standin.TargetIn("terminating", "s-1", "127.0.0.1:80")))
-		if l := within(t, "a change", lists); l.Rev != 9 || l.All || l.Targets[0].State != discovery.Terminating {
+		if l := within(t, "a change", lists); l.Rev != 9 || l.Complete || l.Targets[0].State != discovery.Terminating {
 			t.Errorf("got %+v", l)
 		}
 		d.Break()
 		within(t, "the end of the watch", failed)
 		d.Begin(standin.List(9, false))
-		c.Ask()
+		c.CallNow()
 		within(t, "the list of the second watch", lists)
 		want := []string{"/v1/servers?stream=1&index=5", "/v1/servers?stream=1&index=9"}
 		if got := d.Asked(); !slices.Equal(got, want) {
@@ -115,23 +115,23 @@
 	d := standin.NewDiscovery(t, standin.List(1, true))
 	d.Down(true)
 	c, lists, failed := watcher(t, d.Addr(), 1)
-	c.Ask()
-	if why := within(t, "the failure of a call", failed); why != discovery.TurnedAway {
+	c.CallNow()
+	if why := within(t, "the failure of a call", failed); why != discovery.Rejected {
 		t.Errorf("a call that is turned away: %v", why)
 	}
 	d.Down(false)
-	c.Ask()
+	c.CallNow()
 	within(t, "the list", lists)
 
 	// What can't be read ends the watch; it is resumed after the last good list.
 	d.Push(standin.List(2, false))
 	within(t, "a change", lists)
 	d.Push(`{"rev":3,"all":false,"targets":[{"uid":"s-9","state":"odd"}]}`)
-	if why := within(t, "the end of the watch", failed); why != discovery.Ended {
+	if why := within(t, "the end of the watch", failed); why != discovery.WatchEnded {
 		t.Errorf("a list that can't be read: %v", why)
 	}
 	d.Begin(standin.List(2, true))
-	c.Ask()
+	c.CallNow()
 	within(t, "the list again", lists)
 	if got := d.Asked(); got[len(got)-1] != "/v1/servers?stream=1&index=2" {
 		t.Errorf("asked %q", got)
@@ -142,8 +142,8 @@
 	b := standin.NewBackend(t, standin.Echo)
 	b.Stop()
 	c, _, failed := watcher(t, b.Addr(), 0)
-	c.Ask()
-	if why := within(t, "the failure of a call", failed); why != discovery.Unreached {
+	c.CallNow()
+	if why := within(t, "the failure of a call", failed); why != discovery.Unreachable {
 		t.Errorf("nobody there: %v", why)
 	}
 }
@@ -170,7 +170,7 @@
 	} {
 		d := standin.NewDiscovery(t, standin.List(1, true))
 		client, lists, failed := watcher(t, d.Addr(), 0)
-		client.Ask()
+		client.CallNow()
 		within(t, "the first list", lists)
 		d.Push(c.text)
 		for _, rev := range c.revs {
@@ -192,7 +192,7 @@
 	down := standin.TargetIn("terminating", "s-1", "127.0.0.1:80")
 	d := standin.NewDiscovery(t, standin.List(5, true, down))
 	c, lists, failed := watcher(t, d.Addr(), 0)
-	c.Ask()
+	c.CallNow()
 	within(t, "the first list", lists)
 	d.Push(standin.List(4, true, up))
 	d.Push(standin.List(4, false, up))
@@ -204,13 +204,13 @@
 	d.Break()
 	within(t, "the end of the watch", failed)
 	for range 2 {
-		c.Ask()
+		c.CallNow()
 		within(t, "the end of a watch that begins behind", failed)
 	}
 	if len(lists) > 0 {
 		t.Errorf("took %+v", <-lists)
 	}
-	c.Ask()
+	c.CallNow()
 	if l := within(t, "the list of one that counts anew", lists); l.Rev != 4 {
 		t.Errorf("took %+v", l)
 	}
@@ -227,11 +227,11 @@
 			return client, nil
 		}
 		began := time.Now()
-		c.Ask()
-		if why := within(t, "the failure of a call", failed); why != discovery.Silent {
+		c.CallNow()
+		if why := within(t, "the failure of a call", failed); why != discovery.Unresponsive {
 			t.Errorf("no answer: %v", why)
 		}
-		if took := time.Since(began); took > discovery.TellWithin/2 {
+		if took := time.Since(began); took > discovery.MaxAnnounceDelay/2 {
 			t.Errorf("known to be lost after %v", took)
 		}
 	})
@@ -245,7 +245,7 @@
 	}
 	d := standin.NewDiscovery(t, standin.List(1, true))
 	c, lists, failed := watcher(t, d.Addr(), 0)
-	c.Ask()
+	c.CallNow()
 	within(t, "the first list", lists)
 	// Empty lines are signs of life: with them a watch outlives the silence
 	// that ends it without them.
@@ -256,7 +256,7 @@
 	if d.Watches() != 1 || len(failed) != 0 {
 		t.Error("the watch ended in spite of signs of life")
 	}
-	if why := within(t, "the end of a silent watch", failed); why != discovery.Silent {
+	if why := within(t, "the end of a silent watch", failed); why != discovery.Unresponsive {
 		t.Errorf("a silent watch: %v", why)
 	}
 }
@@ -265,11 +265,11 @@
 func TestPushedAsksAgain(t *testing.T) {
 	d := standin.NewDiscovery(t, standin.List(1, true))
 	d.Down(true)
-	c := discovery.New(d.Addr(), 0, pacing.Pushed(rand.New(rand.NewPCG(1, 1))))
+	c := discovery.New(d.Addr(), 0, pacing.NewForAgent(rand.New(rand.NewPCG(1, 1))))
 	lists := make(chan *discovery.List, 10)
-	c.OnList, c.OnEnd = func(l *discovery.List) { lists <- l }, func(discovery.End) {}
-	c.OnFresh = func(discovery.Fresh) {}
-	c.Pushed(time.Second, time.Second)
+	c.OnList, c.OnEnd = func(l *discovery.List) { lists <- l }, func(discovery.CallEnd) {}
+	c.OnFreshness = func(discovery.Freshness) {}
+	c.SetPushed(time.Second, time.Second)
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan bool)
 	go func() { defer close(done); c.Run(ctx) }()
@@ -289,7 +289,7 @@
 	f.Add([]byte(`{"rev":-1,"targets":[{}]}`))
 	f.Add([]byte(`{"rev":1e99}`))
 	f.Fuzz(func(t *testing.T, line []byte) {
-		l, err := discovery.Parse(line)
+		l, err := discovery.ParseList(line)
 		if err != nil {
 			return
 		}
--- a/internal/discovery/failure.go
+++ b/internal/discovery/failure.go
@@ -9,11 +9,11 @@
 // by the protocol one that waits too long ends with an answer or a reset, so that one with
 // neither has met a machine or a network that is silent.
 const (
-	TurnedAway Failure = iota // answered, but with no list
-	Unreached                 // no connection, or it ended before an answer
-	Silent                    // no answer, or no sign of life on a watch, in time
-	Ended                     // a watch that stood ended, or brought what can't be used
-	Local                     // this machine could not make the call, which says nothing of discovery
+	Rejected     Failure = iota // answered, but with no list
+	Unreachable                 // no connection, or it ended before an answer
+	Unresponsive                // no answer, or no sign of life on a watch, in time
+	WatchEnded                  // a watch that stood ended, or brought what can't be used
+	LocalFailure                // this machine could not make the call, which says nothing of discovery
 )
 
 // String is the failure's word in the log.
@@ -23,17 +23,17 @@
 
 // dialFailure is how a call failed that got no connection.
 func dialFailure(err error) Failure {
-	if neterror.Of(neterror.Dial, err) == neterror.Local {
-		return Local
+	if neterror.Classify(neterror.Dial, err) == neterror.LocalFailure {
+		return LocalFailure
 	}
-	return Unreached
+	return Unreachable
 }
 
 // failure is Silent for what ran out of time here or in the network, and else other.
 func failure(err error, other Failure) Failure {
-	switch neterror.Of(neterror.Read, err) {
-	case neterror.Deadline, neterror.Lost:
-		return Silent
+	switch neterror.Classify(neterror.Read, err) {
+	case neterror.Deadline, neterror.NetworkFailure:
+		return Unresponsive
 	}
 	return other
 }
--- a/internal/discovery/fleet_test.go
+++ b/internal/discovery/fleet_test.go
@@ -110,8 +110,8 @@
 		m.client = discovery.New(m.name, int64(first), m.pacer(uint64(id+1)))
 		m.client.Dial = f.reg.Dial
 		m.client.OnList = m.list
-		m.client.OnEnd = func(discovery.End) {}
-		m.client.OnFresh = m.fresh
+		m.client.OnEnd = func(discovery.CallEnd) {}
+		m.client.OnFreshness = m.fresh
 		m.do(func(now logic.Time) {
 			m.balancer = logic.New(now, logic.Settings{
 				Seed: uint64(id + 1), Zone: "z1", Zones: []string{"z1"}, Balancers: f.size, Me: id % f.size,
@@ -171,7 +171,7 @@
 func (m *member) list(l *discovery.List) {
 	var changed []logic.Backend
 	for _, t := range l.Targets {
-		b := logic.Backend{ID: t.UID, Zone: t.Zone, Cell: t.Cell, Size: t.Size, State: logic.Up}
+		b := logic.Backend{ID: t.UID, Zone: t.Zone, Cell: t.Cell, Size: t.CapacityHint, State: logic.Up}
 		if t.State != discovery.InService {
 			b.State = logic.Draining
 		}
@@ -179,16 +179,16 @@
 	}
 	m.do(func(now logic.Time) {
 		m.heard = append(m.heard, news{time.Now(), int(l.Rev)})
-		m.balancer.List(now, l.All, changed)
+		m.balancer.List(now, l.Complete, changed)
 	})
 }
 
-func (m *member) fresh(f discovery.Fresh) {
+func (m *member) fresh(f discovery.Freshness) {
 	if !m.deaf {
-		fresh := logic.ListFresh{Until: at(f.Until), UntilServing: at(f.UntilServing), Serving: f.Serving,
-			TellsLate: f.TellsLate, Gap: discovery.Gap}
-		if !f.Told.IsZero() {
-			fresh.Known, fresh.Told = at(f.Known), at(f.Told)
+		fresh := logic.ListFresh{Until: at(f.Until), UntilServing: at(f.UntilIfServing), Serving: f.ServingWindow,
+			TellsLate: f.MayAnnounceLate, Gap: discovery.MaxUnobservedGap}
+		if !f.ReceivedAt.IsZero() {
+			fresh.Known, fresh.Told = at(f.ConfirmedAt), at(f.ReceivedAt)
 		}
 		m.do(func(logic.Time) { m.balancer.ListFresh(fresh) })
 	}
@@ -196,7 +196,7 @@
 
 // pacer paces the member's calls. Of the deaf ones it makes the first alone.
 func (m *member) pacer(seed uint64) discovery.Pacer {
-	p := pacing.Asked(askWithin, rand.New(rand.NewPCG(seed, 1)))
+	p := pacing.NewForService(askWithin, rand.New(rand.NewPCG(seed, 1)))
 	if m.deaf {
 		return firstOnly{p}
 	}
--- a/internal/discovery/fresh_test.go
+++ b/internal/discovery/fresh_test.go
@@ -149,7 +149,7 @@
 	}
 	const same, none = -1, -2 // none: it is not fresh at all
 	ask := func(answer func(net.Conn)) func(*source, *discovery.Client) {
-		return func(s *source, c *discovery.Client) { s.set(answer); c.Ask() }
+		return func(s *source, c *discovery.Client) { s.set(answer); c.CallNow() }
 	}
 	say := func(text string) func(*source, *discovery.Client) {
 		return func(s *source, _ *discovery.Client) { s.say(text) }
@@ -159,7 +159,7 @@
 	nothing := func(*source, *discovery.Client) {}
 	wait := func(*source, *discovery.Client) { time.Sleep(3 * sec) }
 	move := func(addr string, answer func(net.Conn)) func(*source, *discovery.Client) {
-		return func(s *source, c *discovery.Client) { s.set(answer); c.Move(addr) }
+		return func(s *source, c *discovery.Client) { s.set(answer); c.SetSource(addr) }
 	}
 	const second = "127.0.0.1:81"
 	list := step{"a list", ask(lists(5)), 6 * sec}
@@ -225,19 +225,19 @@
 				s := &source{}
 				var pacer discovery.Pacer = byHand{}
 				if c.pushed {
-					pacer = pacing.Pushed(rand.New(rand.NewPCG(1, 1)))
+					pacer = pacing.NewForAgent(rand.New(rand.NewPCG(1, 1)))
 				}
 				client := discovery.New("127.0.0.1:80", 3, pacer)
 				client.Dial = s.dial
-				client.OnList, client.OnEnd = func(*discovery.List) {}, func(discovery.End) {}
-				client.OnFresh = func(f discovery.Fresh) { mu.Lock(); until = f.Until; mu.Unlock() }
+				client.OnList, client.OnEnd = func(*discovery.List) {}, func(discovery.CallEnd) {}
+				client.OnFreshness = func(f discovery.Freshness) { mu.Lock(); until = f.Until; mu.Unlock() }
 				s.set(silent)
 				if c.pushed {
 					s.set(lists(5))
 					if c.steps[0].name == "start" {
 						s.set(silent)
 					}
-					client.Pushed(slack, 2*slack)
+					client.SetPushed(slack, 2*slack)
 				}
 				ctx, stop := context.WithCancel(context.Background())
 				done := make(chan bool)
@@ -294,10 +294,10 @@
 		serving time.Duration // from then on
 	}
 	ask := func(answer func(net.Conn)) func(*source, *discovery.Client) {
-		return func(s *source, c *discovery.Client) { s.set(answer); c.Ask() }
+		return func(s *source, c *discovery.Client) { s.set(answer); c.CallNow() }
 	}
 	wait := func(*source, *discovery.Client) { time.Sleep(3 * sec) }
-	move := func(_ *source, c *discovery.Client) { c.Move("127.0.0.1:81") }
+	move := func(_ *source, c *discovery.Client) { c.SetSource("127.0.0.1:81") }
 	list := step{"a list", ask(lists(5)), none}
 	broken := step{"reset", func(s *source, _ *discovery.Client) { s.set(silent); s.reset() }, 6 * sec}
 	closed := step{"closed", func(s *source, _ *discovery.Client) { s.set(silent); s.cut() }, none}
@@ -317,12 +317,12 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				var mu sync.Mutex
-				var fresh discovery.Fresh
+				var fresh discovery.Freshness
 				s := &source{}
 				client := discovery.New("127.0.0.1:80", 3, byHand{})
 				client.Dial = s.dial
-				client.OnList, client.OnEnd = func(*discovery.List) {}, func(discovery.End) {}
-				client.OnFresh = func(f discovery.Fresh) { mu.Lock(); fresh = f; mu.Unlock() }
+				client.OnList, client.OnEnd = func(*discovery.List) {}, func(discovery.CallEnd) {}
+				client.OnFreshness = func(f discovery.Freshness) { mu.Lock(); fresh = f; mu.Unlock() }
 				ctx, stop := context.WithCancel(context.Background())
 				done := make(chan bool)
 				go func() { defer close(done); client.Run(ctx) }()
@@ -337,12 +337,12 @@
 					if step.serving == none {
 						want = got.Until
 					}
-					if !got.UntilServing.Equal(want) {
+					if !got.UntilIfServing.Equal(want) {
 						t.Errorf("%s: what serves is used for %v from then on, want %v", step.name,
-							got.UntilServing.Sub(began), want.Sub(began))
+							got.UntilIfServing.Sub(began), want.Sub(began))
 					}
-					if got.Serving != 6*sec {
-						t.Errorf("%s: what has served in %v is used, want 6 s", step.name, got.Serving)
+					if got.ServingWindow != 6*sec {
+						t.Errorf("%s: what has served in %v is used, want 6 s", step.name, got.ServingWindow)
 					}
 				}
 				stop()
@@ -381,9 +381,9 @@
 				c.source.reset()
 				synctest.Wait()
 			}
-			c.Ask()
-			if _, _, _, fresh := c.seen(); fresh.TellsLate != step.late {
-				t.Errorf("%s: tells late %t, want %t", step.name, fresh.TellsLate, step.late)
+			c.CallNow()
+			if _, _, _, fresh := c.seen(); fresh.MayAnnounceLate != step.late {
+				t.Errorf("%s: tells late %t, want %t", step.name, fresh.MayAnnounceLate, step.late)
 			}
 		}
 		stop()
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -10,23 +10,23 @@
 
 // List is a whole list, or the entries that changed.
 type List struct {
-	Rev     int64
-	All     bool
-	Targets []Target
-	// Before is when discovery last told, by a list or a sign of life, that the list before
+	Rev      int64
+	Complete bool
+	Targets  []Target
+	// PreviousConfirmedAt is when discovery last told, by a list or a sign of life, that the list before
 	// this one was whole; zero: it has told nothing yet.
-	Before time.Time
+	PreviousConfirmedAt time.Time
 }
 
 // Target is one entry of a list.
 type Target struct {
-	UID      string  `json:"uid"`
-	Endpoint string  `json:"endpoint"`
-	Zone     string  `json:"az"`
-	Cell     int     `json:"pod_group"`
-	State    string  `json:"state"`
-	Size     float64 `json:"capacity_hint"`
-	Boot     int64   `json:"boot_ms"` // Unix time in milliseconds; 0: long ago
+	UID          string  `json:"uid"`
+	Endpoint     string  `json:"endpoint"`
+	Zone         string  `json:"az"`
+	Cell         int     `json:"pod_group"`
+	State        string  `json:"state"`
+	CapacityHint float64 `json:"capacity_hint"`
+	BootMs       int64   `json:"boot_ms"` // Unix time in milliseconds; 0: long ago
 }
 
 // The states of a target.
@@ -42,15 +42,15 @@
 	if err := lists.Decode(&text); err != nil {
 		return nil, fmt.Errorf("list: %w", err)
 	}
-	l, err := Parse(text)
+	l, err := ParseList(text)
 	if err != nil {
 		return nil, fmt.Errorf("list: %w", err)
 	}
 	return l, nil
 }
 
-// Parse reads one list and makes sure that it can be used as a whole.
-func Parse(line []byte) (*List, error) {
+// ParseList reads one list and makes sure that it can be used as a whole.
+func ParseList(line []byte) (*List, error) {
 	var l struct {
 		Rev     *int64    `json:"rev"`
 		All     bool      `json:"all"`
@@ -67,7 +67,7 @@
 			return nil, fmt.Errorf("target %d: %w", i, err)
 		}
 	}
-	return &List{Rev: *l.Rev, All: l.All, Targets: *l.Targets}, nil
+	return &List{Rev: *l.Rev, Complete: l.All, Targets: *l.Targets}, nil
 }
 
 func (t *Target) check() error {
--- a/internal/discovery/local_test.go
+++ b/internal/discovery/local_test.go
@@ -35,7 +35,7 @@
 		t.Run(c.errno.Error(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				var mu sync.Mutex
-				var fresh discovery.Fresh
+				var fresh discovery.Freshness
 				s := &source{}
 				s.set(lists(5))
 				failing := false
@@ -49,12 +49,12 @@
 					}
 					return s.dial(ctx, network, addr)
 				}
-				client.OnList, client.OnEnd = func(*discovery.List) {}, func(discovery.End) {}
-				client.OnFresh = func(f discovery.Fresh) { mu.Lock(); fresh = f; mu.Unlock() }
+				client.OnList, client.OnEnd = func(*discovery.List) {}, func(discovery.CallEnd) {}
+				client.OnFreshness = func(f discovery.Freshness) { mu.Lock(); fresh = f; mu.Unlock() }
 				ctx, stop := context.WithCancel(context.Background())
 				done := make(chan bool)
 				go func() { defer close(done); client.Run(ctx) }()
-				client.Ask()
+				client.CallNow()
 				synctest.Wait()
 
 				// The watch breaks, and from then on each call fails.
@@ -68,16 +68,16 @@
 				mu.Unlock()
 				for range 3 {
 					time.Sleep(time.Second)
-					client.Ask()
+					client.CallNow()
 					synctest.Wait()
 				}
 				mu.Lock()
 				after := fresh
 				mu.Unlock()
-				longer := after.Until.After(before.Until) || after.UntilServing.After(before.UntilServing)
+				longer := after.Until.After(before.Until) || after.UntilIfServing.After(before.UntilIfServing)
 				if longer != c.outage {
 					t.Errorf("fresh until %v and %v before, %v and %v after: used for longer %t, want %t",
-						before.Until, before.UntilServing, after.Until, after.UntilServing, longer, c.outage)
+						before.Until, before.UntilIfServing, after.Until, after.UntilIfServing, longer, c.outage)
 				}
 				stop()
 				<-done
@@ -97,19 +97,19 @@
 			synctest.Test(t, func(t *testing.T) {
 				s := &source{}
 				s.set(lists(5))
-				ends := make(chan discovery.End, 10)
+				ends := make(chan discovery.CallEnd, 10)
 				client := discovery.New("127.0.0.1:80", 3, byHand{})
 				client.Dial = s.dial
-				client.OnList, client.OnEnd = func(*discovery.List) {}, func(end discovery.End) { ends <- end }
-				client.OnFresh = func(discovery.Fresh) {}
+				client.OnList, client.OnEnd = func(*discovery.List) {}, func(end discovery.CallEnd) { ends <- end }
+				client.OnFreshness = func(discovery.Freshness) {}
 				ctx, stop := context.WithCancel(context.Background())
 				done := make(chan bool)
 				go func() { defer close(done); client.Run(ctx) }()
-				client.Ask()
+				client.CallNow()
 				synctest.Wait()
 				s.loses(errno)
-				if end := <-ends; end.Why != discovery.Silent {
-					t.Errorf("the watch counts as %v: %v", end.Why, end.Err)
+				if end := <-ends; end.Reason != discovery.Unresponsive {
+					t.Errorf("the watch counts as %v: %v", end.Reason, end.Err)
 				}
 				stop()
 				<-done
--- a/internal/discovery/move_test.go
+++ b/internal/discovery/move_test.go
@@ -118,19 +118,19 @@
 				client := discovery.New(first, 5, byHand{})
 				client.Dial = s.dial
 				client.OnList = func(l *discovery.List) { mu.Lock(); used = append(used, l.Rev); mu.Unlock() }
-				client.OnEnd = func(end discovery.End) { t.Errorf("taken for a failure: %v", end.Err) }
-				client.OnFresh = func(discovery.Fresh) {}
+				client.OnEnd = func(end discovery.CallEnd) { t.Errorf("taken for a failure: %v", end.Err) }
+				client.OnFreshness = func(discovery.Freshness) {}
 				ctx, stop := context.WithCancel(context.Background())
 				done := make(chan bool)
 				go func() { defer close(done); client.Run(ctx) }()
-				client.Ask()
+				client.CallNow()
 				synctest.Wait()
 				old := s.call(0)
 				c.old(old)
 				synctest.Wait()
 				began := time.Now()
 				for _, addr := range c.moves {
-					client.Move(addr)
+					client.SetSource(addr)
 				}
 				if old.far != nil || len(old.accept) == 0 {
 					c.late(old)
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -58,15 +58,15 @@
 		})}, nil
 	}
 	w.client.OnList = func(*discovery.List) {}
-	w.client.OnEnd = func(discovery.End) {
+	w.client.OnEnd = func(discovery.CallEnd) {
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		w.ended = append(w.ended, time.Now())
 	}
-	w.client.OnFresh = func(f discovery.Fresh) {
+	w.client.OnFreshness = func(f discovery.Freshness) {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		w.fresh = f.UntilServing
+		w.fresh = f.UntilIfServing
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan bool)
@@ -111,7 +111,7 @@
 func TestWaitEndsWithAMove(t *testing.T) {
 	for seed := range uint64(20) {
 		synctest.Test(t, func(t *testing.T) {
-			w, stop := follow(t, pacing.Asked(10*sec, rand.New(rand.NewPCG(seed, 1))))
+			w, stop := follow(t, pacing.NewForService(10*sec, rand.New(rand.NewPCG(seed, 1))))
 			defer stop()
 			w.set(func(c net.Conn) { time.Sleep(2 * sec); busy(c) })
 			for w.calls() == 0 {
@@ -122,7 +122,7 @@
 				t.Fatalf("%d calls, want one", n)
 			}
 			w.set(lists(5))
-			w.client.Move("127.0.0.1:81")
+			w.client.SetSource("127.0.0.1:81")
 			synctest.Wait()
 			if n := w.calls(); n != 2 {
 				t.Fatalf("%d calls, want one of the new source at once", n)
@@ -149,12 +149,12 @@
 // Where lists are pushed, the wait after a failure ends with a move, too.
 func TestPushedWaitEndsWithAMove(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w, stop := follow(t, pacing.Pushed(rand.New(rand.NewPCG(1, 1))))
+		w, stop := follow(t, pacing.NewForAgent(rand.New(rand.NewPCG(1, 1))))
 		defer stop()
 		w.set(busy)
 		time.Sleep(3 * sec) // waits of a second by now
 		w.set(lists(5))
-		w.client.Move("127.0.0.1:81")
+		w.client.SetSource("127.0.0.1:81")
 		synctest.Wait()
 		calls := w.calls()
 		for range 3 {
@@ -197,7 +197,7 @@
 
 // playWatch plays events, each after a wait in milliseconds, and says what broke.
 func playWatch(t fataler, seed uint64, askWithin time.Duration, events, waits []int) string {
-	w, stop := follow(t, pacing.Asked(askWithin, rand.New(rand.NewPCG(seed, 1))))
+	w, stop := follow(t, pacing.NewForService(askWithin, rand.New(rand.NewPCG(seed, 1))))
 	defer stop()
 	w.set(silent)
 	begun, addr, idle := time.Now(), 80, time.Now()
@@ -218,7 +218,7 @@
 				return fmt.Sprintf("event %d: two calls at a time", i)
 			case open == 0 && time.Since(idle) > askWithin+100*ms:
 				return fmt.Sprintf("event %d: no call for %v after %d", i, time.Since(idle), calls)
-			case fresh.After(time.Now().Add(discovery.TellWithin)):
+			case fresh.After(time.Now().Add(discovery.MaxAnnounceDelay)):
 				return fmt.Sprintf("event %d: fresh for %v", i, time.Until(fresh))
 			case calls > 4+int(time.Since(begun)/(250*ms)): // no wait is shorter
 				return fmt.Sprintf("event %d: %d calls in %v", i, calls, time.Since(begun))
@@ -253,7 +253,7 @@
 			}
 		case 9:
 			addr = 161 - addr // there and back again
-			w.client.Move(fmt.Sprintf("127.0.0.1:%d", addr))
+			w.client.SetSource(fmt.Sprintf("127.0.0.1:%d", addr))
 			synctest.Wait()
 			before++ // the new source is called at once
 		}
--- a/internal/faults/off.go
+++ b/internal/faults/off.go
@@ -7,9 +7,9 @@
 
 import "time"
 
-// WallOffset is how far the wall clock has been stepped, for a process that starts now.
-func WallOffset() time.Duration { return 0 }
+// WallClockOffset is how far the wall clock has been stepped, for a process that starts now.
+func WallClockOffset() time.Duration { return 0 }
 
-// Fail is the error that the next call of a kind ("accept", "dial", "write") ends with; nil:
+// Inject is the error that the next call of a kind ("accept", "dial", "write") ends with; nil:
 // it is made.
-func Fail(string) error { return nil }
+func Inject(string) error { return nil }
--- a/internal/faults/on.go
+++ b/internal/faults/on.go
@@ -35,15 +35,15 @@
 	rng    *rand.Rand
 }
 
-// WallOffset is how far the wall clock has been stepped, for a process that starts now.
-func WallOffset() time.Duration {
+// WallClockOffset is how far the wall clock has been stepped, for a process that starts now.
+func WallClockOffset() time.Duration {
 	offset, _ := time.ParseDuration(os.Getenv(wallVariable))
 	return offset
 }
 
-// Fail is the error that the next call of a kind ("accept", "dial", "write") ends with; nil:
+// Inject is the error that the next call of a kind ("accept", "dial", "write") ends with; nil:
 // it is made.
-func Fail(kind string) error {
+func Inject(kind string) error {
 	plan.Lock()
 	defer plan.Unlock()
 	if !plan.read {
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -124,7 +124,7 @@
 	in.balancer = logic.New(now, set, in)
 	if within, asked := e.Setup.ListAsked(); asked {
 		in.lists = newListCalls(within, set.Seed)
-		in.callForList(in.lists.pacer.First())
+		in.callForList(in.lists.pacer.FirstWait())
 	}
 	return nil
 }
--- a/internal/host/lists.go
+++ b/internal/host/lists.go
@@ -25,7 +25,7 @@
 func newListCalls(within time.Duration, seed uint64) *listCalls {
 	const stream = 1 // of random numbers, beside the module's
 	return &listCalls{
-		pacer: pacing.Asked(within, rand.New(rand.NewPCG(seed, stream))),
+		pacer: pacing.NewForService(within, rand.New(rand.NewPCG(seed, stream))),
 		due:   listNonces,
 		told:  true, // none is under way
 	}
@@ -51,7 +51,7 @@
 func (in *instance) listTold() {
 	if in.lists != nil {
 		in.lists.told = true
-		in.lists.pacer.Told()
+		in.lists.pacer.Succeeded()
 	}
 }
 
--- a/internal/logging/limit.go
+++ b/internal/logging/limit.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// Limit lets lines through at one for each span of Every, and counts the others: a flood of
+// RateLimiter lets lines through at one for each span of Every, and counts the others: a flood of
 // events must not cost a line each. Up to Burst lines that were not used earlier may come at
 // once; zero stands for one.
-type Limit struct {
-	Every time.Duration
-	Burst int
+type RateLimiter struct {
+	Interval time.Duration
+	Burst    int
 
 	mu      sync.Mutex
 	last    time.Time // from when on lines have been earned; zero: no line yet
@@ -19,19 +19,19 @@
 }
 
 // Allow tells whether a line may be written now, and how many were left out before it.
-func (l *Limit) Allow() (leftOut int64, ok bool) {
+func (l *RateLimiter) Allow() (leftOut int64, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
-	saved := time.Duration(max(1, l.Burst)) * l.Every
+	saved := time.Duration(max(1, l.Burst)) * l.Interval
 	if oldest := now.Add(-saved); l.last.Before(oldest) {
 		l.last = oldest
 	}
-	if now.Sub(l.last) < l.Every {
+	if now.Sub(l.last) < l.Interval {
 		l.leftOut++
 		return 0, false
 	}
 	leftOut, l.leftOut = l.leftOut, 0
-	l.last = l.last.Add(l.Every)
+	l.last = l.last.Add(l.Interval)
 	return leftOut, true
 }
--- a/internal/logging/limit_test.go
+++ b/internal/logging/limit_test.go
@@ -8,7 +8,7 @@
 
 // allowed is how many of n lines that come at once are let through, and how many the first
 // of them tells to have been left out.
-func allowed(l *Limit, n int) (lines int, leftOut int64) {
+func allowed(l *RateLimiter, n int) (lines int, leftOut int64) {
 	for range n {
 		if left, ok := l.Allow(); ok {
 			if lines++; lines == 1 {
@@ -22,7 +22,7 @@
 func TestLimit(t *testing.T) {
 	for _, c := range []struct{ burst, first int }{{0, 1}, {1, 1}, {5, 5}} {
 		synctest.Test(t, func(t *testing.T) {
-			l := Limit{Every: time.Second, Burst: c.burst}
+			l := RateLimiter{Interval: time.Second, Burst: c.burst}
 			if lines, left := allowed(&l, 20); lines != c.first || left != 0 {
 				t.Errorf("burst %d: %d lines at first, %d told as left out; want %d", c.burst, lines, left, c.first)
 			}
--- a/internal/neterror/neterror.go
+++ b/internal/neterror/neterror.go
@@ -24,20 +24,20 @@
 	Write
 )
 
-// Meaning is what an error says.
-type Meaning int
+// Kind is what an error says.
+type Kind int
 
 // The meanings.
 const (
-	None        Meaning = iota // no error
+	None           Kind = iota // no error
 	Deadline                   // a deadline that this process has set is over
 	Canceled                   // this process has given the call up
 	Closed                     // this process has closed the socket
-	Ended                      // the peer has ended its side in order
+	PeerClosed                 // the peer has ended its side in order
 	Refused                    // nobody listens at the address
 	Reset                      // the connection was ended by the peer, out of order
-	Lost                       // the network gave the connection, or the way to the peer, up
-	Local                      // this machine or process lacks something: it says nothing of the peer
+	NetworkFailure             // the network gave the connection, or the way to the peer, up
+	LocalFailure               // this machine or process lacks something: it says nothing of the peer
 	Interrupted                // nothing has happened: the call can be made again
 	Unknown                    // anything else
 )
@@ -47,14 +47,14 @@
 }
 
 // String is the meaning's word in the log.
-func (m Meaning) String() string { return meanings[m] }
+func (m Kind) String() string { return meanings[m] }
 
 // Broken tells whether a connection is of no further use, and did not end in order.
-func (m Meaning) Broken() bool { return m == Reset || m == Lost }
+func (m Kind) Broken() bool { return m == Reset || m == NetworkFailure }
 
 // byCall has the errnos of each call. Those of accept(2) for a connection that has just come
 // are that connection's alone: the listener goes on.
-var byCall = [...]map[syscall.Errno]Meaning{
+var byCall = [...]map[syscall.Errno]Kind{
 	Accept: {
 		syscall.ECONNABORTED: Reset,
 		syscall.ECONNRESET:   Reset,
@@ -62,16 +62,16 @@
 		syscall.EPERM:        Reset, // a firewall's word on one connection
 		syscall.EOPNOTSUPP:   Reset,
 		syscall.ENOPROTOOPT:  Reset,
-		syscall.ETIMEDOUT:    Lost,
-		syscall.EHOSTUNREACH: Lost,
-		syscall.EHOSTDOWN:    Lost,
-		syscall.ENETUNREACH:  Lost,
-		syscall.ENETDOWN:     Lost,
-		syscall.ENONET:       Lost,
-		syscall.EMFILE:       Local,
-		syscall.ENFILE:       Local,
-		syscall.ENOBUFS:      Local,
-		syscall.ENOMEM:       Local,
+		syscall.ETIMEDOUT:    NetworkFailure,
+		syscall.EHOSTUNREACH: NetworkFailure,
+		syscall.EHOSTDOWN:    NetworkFailure,
+		syscall.ENETUNREACH:  NetworkFailure,
+		syscall.ENETDOWN:     NetworkFailure,
+		syscall.ENONET:       NetworkFailure,
+		syscall.EMFILE:       LocalFailure,
+		syscall.ENFILE:       LocalFailure,
+		syscall.ENOBUFS:      LocalFailure,
+		syscall.ENOMEM:       LocalFailure,
 		syscall.EAGAIN:       Interrupted,
 		syscall.EINTR:        Interrupted,
 	},
@@ -79,20 +79,20 @@
 		syscall.ECONNREFUSED:  Refused,
 		syscall.ECONNRESET:    Reset,
 		syscall.ECONNABORTED:  Reset,
-		syscall.ETIMEDOUT:     Lost,
-		syscall.EHOSTUNREACH:  Lost,
-		syscall.EHOSTDOWN:     Lost,
-		syscall.ENETUNREACH:   Local, // no route from here
-		syscall.ENETDOWN:      Local,
-		syscall.EADDRNOTAVAIL: Local, // no free local port
-		syscall.EADDRINUSE:    Local,
-		syscall.EAGAIN:        Local, // connect(2): no free local port, or no room for routes
-		syscall.EMFILE:        Local,
-		syscall.ENFILE:        Local,
-		syscall.ENOBUFS:       Local,
-		syscall.ENOMEM:        Local,
-		syscall.EACCES:        Local, // a rule of this machine
-		syscall.EPERM:         Local,
+		syscall.ETIMEDOUT:     NetworkFailure,
+		syscall.EHOSTUNREACH:  NetworkFailure,
+		syscall.EHOSTDOWN:     NetworkFailure,
+		syscall.ENETUNREACH:   LocalFailure, // no route from here
+		syscall.ENETDOWN:      LocalFailure,
+		syscall.EADDRNOTAVAIL: LocalFailure, // no free local port
+		syscall.EADDRINUSE:    LocalFailure,
+		syscall.EAGAIN:        LocalFailure, // connect(2): no free local port, or no room for routes
+		syscall.EMFILE:        LocalFailure,
+		syscall.ENFILE:        LocalFailure,
+		syscall.ENOBUFS:       LocalFailure,
+		syscall.ENOMEM:        LocalFailure,
+		syscall.EACCES:        LocalFailure, // a rule of this machine
+		syscall.EPERM:         LocalFailure,
 		syscall.EINTR:         Interrupted,
 	},
 	Read:  established,
@@ -101,26 +101,26 @@
 
 // established has the errnos of a connection that stands. The runtime's poller waits out
 // EAGAIN and EINTR: one that comes through all the same leaves nothing to go on with.
-var established = map[syscall.Errno]Meaning{
+var established = map[syscall.Errno]Kind{
 	syscall.ECONNRESET:   Reset,
 	syscall.ECONNABORTED: Reset,
 	syscall.ECONNREFUSED: Reset,
 	syscall.EPIPE:        Reset,
 	syscall.ENOTCONN:     Reset,
-	syscall.ETIMEDOUT:    Lost,
-	syscall.EHOSTUNREACH: Lost,
-	syscall.EHOSTDOWN:    Lost,
-	syscall.ENETUNREACH:  Lost,
-	syscall.ENETDOWN:     Lost,
-	syscall.ENETRESET:    Lost,
-	syscall.ENOBUFS:      Lost,
-	syscall.ENOMEM:       Lost,
-	syscall.EAGAIN:       Lost,
-	syscall.EINTR:        Lost,
+	syscall.ETIMEDOUT:    NetworkFailure,
+	syscall.EHOSTUNREACH: NetworkFailure,
+	syscall.EHOSTDOWN:    NetworkFailure,
+	syscall.ENETUNREACH:  NetworkFailure,
+	syscall.ENETDOWN:     NetworkFailure,
+	syscall.ENETRESET:    NetworkFailure,
+	syscall.ENOBUFS:      NetworkFailure,
+	syscall.ENOMEM:       NetworkFailure,
+	syscall.EAGAIN:       NetworkFailure,
+	syscall.EINTR:        NetworkFailure,
 }
 
-// Of says what an error of a call means.
-func Of(call Call, err error) Meaning {
+// Classify says what an error of a call means.
+func Classify(call Call, err error) Kind {
 	var errno syscall.Errno
 	switch {
 	case err == nil:
@@ -137,7 +137,7 @@
 	case errors.Is(err, net.ErrClosed):
 		return Closed
 	case errors.Is(err, io.EOF):
-		return Ended
+		return PeerClosed
 	}
 	return Unknown
 }
--- a/internal/neterror/neterror_test.go
+++ b/internal/neterror/neterror_test.go
@@ -22,32 +22,32 @@
 	for _, row := range []struct {
 		call   Call
 		errnos []syscall.Errno
-		want   Meaning
+		want   Kind
 	}{
 		{Accept, []syscall.Errno{syscall.ECONNABORTED, syscall.ECONNRESET, syscall.EPROTO, syscall.EPERM,
 			syscall.EOPNOTSUPP, syscall.ENOPROTOOPT}, Reset},
 		{Accept, []syscall.Errno{syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.EHOSTDOWN, syscall.ENETUNREACH,
-			syscall.ENETDOWN, syscall.ENONET}, Lost},
-		{Accept, []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM}, Local},
+			syscall.ENETDOWN, syscall.ENONET}, NetworkFailure},
+		{Accept, []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM}, LocalFailure},
 		{Accept, []syscall.Errno{syscall.EAGAIN, syscall.EINTR}, Interrupted},
 		{Accept, []syscall.Errno{syscall.EINVAL, syscall.EBADF}, Unknown},
 		{Dial, []syscall.Errno{syscall.ECONNREFUSED}, Refused},
 		{Dial, []syscall.Errno{syscall.ECONNRESET, syscall.ECONNABORTED}, Reset},
-		{Dial, []syscall.Errno{syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.EHOSTDOWN}, Lost},
+		{Dial, []syscall.Errno{syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.EHOSTDOWN}, NetworkFailure},
 		{Dial, []syscall.Errno{syscall.ENETUNREACH, syscall.ENETDOWN, syscall.EADDRNOTAVAIL, syscall.EADDRINUSE,
 			syscall.EAGAIN, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EACCES,
-			syscall.EPERM}, Local},
+			syscall.EPERM}, LocalFailure},
 		{Dial, []syscall.Errno{syscall.EINTR}, Interrupted},
 		{Read, []syscall.Errno{syscall.ECONNRESET, syscall.ECONNABORTED, syscall.EPIPE, syscall.ENOTCONN,
 			syscall.ECONNREFUSED}, Reset},
 		{Read, []syscall.Errno{syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.EHOSTDOWN, syscall.ENETUNREACH,
-			syscall.ENETDOWN, syscall.ENETRESET, syscall.ENOBUFS, syscall.ENOMEM, syscall.EAGAIN, syscall.EINTR}, Lost},
+			syscall.ENETDOWN, syscall.ENETRESET, syscall.ENOBUFS, syscall.ENOMEM, syscall.EAGAIN, syscall.EINTR}, NetworkFailure},
 		{Write, []syscall.Errno{syscall.EPIPE, syscall.ECONNRESET}, Reset},
-		{Write, []syscall.Errno{syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ENOBUFS}, Lost},
+		{Write, []syscall.Errno{syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ENOBUFS}, NetworkFailure},
 	} {
 		for _, errno := range row.errnos {
 			err := wrapped("op", "call", errno)
-			if got := Of(row.call, err); got != row.want {
+			if got := Classify(row.call, err); got != row.want {
 				t.Errorf("call %d, %v: %v, want %v", row.call, errno, got, row.want)
 			}
 			if IsDeadline(err) {
@@ -61,14 +61,14 @@
 func TestNoErrno(t *testing.T) {
 	for _, row := range []struct {
 		err  error
-		want Meaning
+		want Kind
 	}{
 		{nil, None},
 		{os.ErrDeadlineExceeded, Deadline},
 		{context.DeadlineExceeded, Deadline},
 		{context.Canceled, Canceled},
 		{net.ErrClosed, Closed},
-		{io.EOF, Ended},
+		{io.EOF, PeerClosed},
 		{errors.New("else"), Unknown},
 	} {
 		err := row.err
@@ -76,7 +76,7 @@
 			err = &net.OpError{Op: "op", Net: "tcp", Err: row.err}
 		}
 		for call := Accept; call <= Write; call++ {
-			if got := Of(call, err); got != row.want {
+			if got := Classify(call, err); got != row.want {
 				t.Errorf("call %d, %v: %v, want %v", call, err, got, row.want)
 			}
 		}
@@ -90,24 +90,24 @@
 		t.Fatal(err)
 	}
 	ln.(*net.TCPListener).SetDeadline(time.Now().Add(-time.Second))
-	if _, err := ln.Accept(); Of(Accept, err) != Deadline {
+	if _, err := ln.Accept(); Classify(Accept, err) != Deadline {
 		t.Errorf("an accept past its deadline: %v", err)
 	}
 	addr := ln.Addr().String()
 	ln.Close()
-	if _, err := ln.Accept(); Of(Accept, err) != Closed {
+	if _, err := ln.Accept(); Classify(Accept, err) != Closed {
 		t.Errorf("an accept at a closed listener: %v", err)
 	}
-	if _, err := net.Dial("tcp", addr); Of(Dial, err) != Refused {
+	if _, err := net.Dial("tcp", addr); Classify(Dial, err) != Refused {
 		t.Errorf("a dial where nobody listens: %v", err)
 	}
 	dialer := net.Dialer{Deadline: time.Now().Add(-time.Second)}
-	if _, err := dialer.Dial("tcp", addr); Of(Dial, err) != Deadline {
+	if _, err := dialer.Dial("tcp", addr); Classify(Dial, err) != Deadline {
 		t.Errorf("a dial past its deadline: %v", err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	if _, err := (&net.Dialer{}).DialContext(ctx, "tcp", addr); Of(Dial, err) != Canceled {
+	if _, err := (&net.Dialer{}).DialContext(ctx, "tcp", addr); Classify(Dial, err) != Canceled {
 		t.Errorf("a dial that was given up: %v", err)
 	}
 }
--- a/internal/pacing/pacing.go
+++ b/internal/pacing/pacing.go
@@ -40,33 +40,33 @@
 	silent  bool          // the last call or watch ended in silence
 }
 
-// Asked returns a pacer for a caller that asks a shared service for the list, and has to
+// NewForService returns a pacer for a caller that asks a shared service for the list, and has to
 // ask again within the given time.
-func Asked(within time.Duration, rng *rand.Rand) *Pacer {
+func NewForService(within time.Duration, rng *rand.Rand) *Pacer {
 	first := time.Duration(firstShare * float64(within))
 	return &Pacer{rng: rng, within: within, first: first, backoff: first}
 }
 
-// Pushed returns a pacer for a caller to whom lists are pushed by an agent of its own.
-func Pushed(rng *rand.Rand) *Pacer {
+// NewForAgent returns a pacer for a caller to whom lists are pushed by an agent of its own.
+func NewForAgent(rng *rand.Rand) *Pacer {
 	return &Pacer{rng: rng, first: pushedFirst, backoff: pushedFirst}
 }
 
-// First is the wait before the first call. All callers may start together, and must not
+// FirstWait is the wait before the first call. All callers may start together, and must not
 // ask together; an agent of one's own is asked at once.
-func (p *Pacer) First() time.Duration {
+func (p *Pacer) FirstWait() time.Duration {
 	if p.within == 0 {
 		return 0
 	}
 	return p.jitter(p.first)
 }
 
-// Told takes that a call has brought a list: the waits are short again.
-func (p *Pacer) Told() { p.backoff, p.silent = p.first, false }
+// Succeeded takes that a call has brought a list: the waits are short again.
+func (p *Pacer) Succeeded() { p.backoff, p.silent = p.first, false }
 
-// Moved takes that the list comes from another source: how the old one failed says
+// SourceChanged takes that the list comes from another source: how the old one failed says
 // nothing of it.
-func (p *Pacer) Moved() { p.Told() }
+func (p *Pacer) SourceChanged() { p.Succeeded() }
 
 // Failed takes that a call has failed after it waited for so long, or that a watch which
 // told a list has ended, for which waited is 0. silent says that it ended with no word. It
--- a/internal/pacing/pacing_test.go
+++ b/internal/pacing/pacing_test.go
@@ -13,13 +13,13 @@
 	within = 10000 * ms
 )
 
-func asked(seed uint64) *Pacer { return Asked(within, rand.New(rand.NewPCG(seed, 1))) }
+func asked(seed uint64) *Pacer { return NewForService(within, rand.New(rand.NewPCG(seed, 1))) }
 
 // All callers start together, and the first call is soon; after failures there is always a
 // next one.
 func TestFirstAndNext(t *testing.T) {
 	p := asked(1)
-	if w := p.First(); w <= 0 || w > within/10 {
+	if w := p.FirstWait(); w <= 0 || w > within/10 {
 		t.Errorf("first asks after %v", w)
 	}
 	for range 10 {
@@ -42,7 +42,7 @@
 			t.Errorf("waited %v in vain, asks again after %v", c.waited, w)
 		}
 		// A watch that breaks after long has had its answer: its time says nothing.
-		p.Told()
+		p.Succeeded()
 		if w := p.Failed(0, false); w > 750*ms {
 			t.Errorf("a watch broke, asks again after %v", w)
 		}
@@ -78,7 +78,7 @@
 			p, wait := asked(seed), time.Duration(0)
 			for _, f := range c.failures {
 				if f.moved {
-					p.Moved()
+					p.SourceChanged()
 				} else {
 					wait = p.Failed(f.waited, f.silent)
 				}
@@ -116,8 +116,8 @@
 // An agent that pushes lists is asked at once, and again soon whatever has failed.
 func TestPushed(t *testing.T) {
 	for seed := range uint64(20) {
-		p := Pushed(rand.New(rand.NewPCG(seed, 1)))
-		if w := p.First(); w != 0 {
+		p := NewForAgent(rand.New(rand.NewPCG(seed, 1)))
+		if w := p.FirstWait(); w != 0 {
 			t.Errorf("first asks after %v", w)
 		}
 		for i, mean := range []time.Duration{250 * ms, 500 * ms, 1000 * ms, 1000 * ms} {
@@ -125,7 +125,7 @@
 				t.Errorf("after %d failures asks again after %v, want %v in the mean", i+1, w, mean)
 			}
 		}
-		p.Told()
+		p.Succeeded()
 		if w := p.Failed(0, false); w > 375*ms {
 			t.Errorf("a watch broke, asks again after %v", w)
 		}
@@ -137,16 +137,16 @@
 func TestWaitsAreBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		bound := time.Duration(rapid.Int64Range(1, int64(time.Minute)).Draw(t, "within"))
-		p := Asked(bound, rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)))
-		if w := p.First(); w <= 0 || w > max(1, bound/10) {
+		p := NewForService(bound, rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)))
+		if w := p.FirstWait(); w <= 0 || w > max(1, bound/10) {
 			t.Fatalf("the first wait is %v of %v", w, bound)
 		}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			switch rapid.IntRange(0, 3).Draw(t, "event") {
 			case 0:
-				p.Moved()
+				p.SourceChanged()
 			case 1:
-				p.Told()
+				p.Succeeded()
 				if w := p.Failed(0, false); w <= 0 || w > max(1, bound/10) {
 					t.Fatalf("the wait after a watch is %v of %v", w, bound)
 				}
@@ -184,7 +184,7 @@
 		for range n {
 			seed++
 			p := asked(seed)
-			all = append(all, &caller{Pacer: p, dueAt: now + p.First()})
+			all = append(all, &caller{Pacer: p, dueAt: now + p.FirstWait()})
 		}
 	}
 	free := time.Duration(0) // when discovery can take the next
@@ -211,7 +211,7 @@
 			free = max(free, now-step) + work
 			if c.dueAt < 0 && c.number == c.calls {
 				c.listed = true
-				c.Told()
+				c.Succeeded()
 			}
 		}
 		for _, c := range all[:min(len(all), callers)] {
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -53,7 +53,7 @@
 // is over: with that one the connection is given up.
 func (b *Backend) open(ctx context.Context, deadline time.Time, timeout time.Duration) (*http1.Conn, error) {
 	if b.crowded() {
-		b.opt.Slots.Give()
+		b.opt.Descriptors.Release()
 		return nil, errLate
 	}
 	dialing, cancel := context.WithTimeout(b.life, b.opt.DialTimeout)
@@ -92,15 +92,15 @@
 	if dial == nil {
 		dial = (&net.Dialer{KeepAlive: -1}).DialContext
 	}
-	err := faults.Fail("dial")
+	err := faults.Inject("dial")
 	var conn net.Conn
 	if err == nil {
 		conn, err = dial(ctx, "tcp", b.Addr)
 	}
 	if err != nil {
-		b.opt.Slots.Give()
+		b.opt.Descriptors.Release()
 	} else {
-		b.opt.Opened.Add(1)
+		b.opt.ConnsOpened.Add(1)
 		b.opt.connectTook(time.Since(began))
 	}
 	d.mu.Lock()
@@ -117,8 +117,8 @@
 	switch {
 	case err == nil:
 		b.keep(http1.NewConn(conn))
-	case b.life.Err() == nil && b.opt.Unreached != nil:
-		b.opt.Unreached(b, err)
+	case b.life.Err() == nil && b.opt.OnLateDialFailure != nil:
+		b.opt.OnLateDialFailure(b, err)
 	}
 }
 
--- a/internal/upstream/dial_test.go
+++ b/internal/upstream/dial_test.go
@@ -50,14 +50,14 @@
 func TestLate(t *testing.T) {
 	b, held, _, behind := lateBackend(t)
 	defer b.Close()
-	request := &Request{Text: get, Timeout: 200 * time.Millisecond}
+	request := &Request{Render: get, Timeout: 200 * time.Millisecond}
 	for range mostLate {
-		if a := b.Exchange(context.Background(), request); a.Stage != Late {
+		if a := b.Exchange(context.Background(), request); a.Stage != ConnectTimedOut {
 			t.Fatalf("ended in stage %d: %v", a.Stage, a.Err)
 		}
 	}
 	for range 5 {
-		if a := b.Exchange(context.Background(), request); a.Stage != Late {
+		if a := b.Exchange(context.Background(), request); a.Stage != ConnectTimedOut {
 			t.Fatalf("ended in stage %d: %v", a.Stage, a.Err)
 		}
 	}
@@ -67,7 +67,7 @@
 	for range mostLate {
 		held.up <- nil
 	}
-	eventuallyIs(t, "both up", func() bool { return b.Idle() == mostLate })
+	eventuallyIs(t, "both up", func() bool { return b.IdleCount() == mostLate })
 	request.Timeout = 10 * time.Second
 	if a := b.Exchange(context.Background(), request); a.Stage != Answered || a.Err != nil {
 		t.Fatalf("ended in stage %d: %v", a.Stage, a.Err)
@@ -83,8 +83,8 @@
 	for _, gone := range []bool{false, true} {
 		b, held, taken, _ := lateBackend(t)
 		told := make(chan error, 10)
-		b.opt.Unreached = func(_ *Backend, err error) { told <- err }
-		if a := b.Exchange(context.Background(), &Request{Text: get, Timeout: 100 * time.Millisecond}); a.Stage != Late {
+		b.opt.OnLateDialFailure = func(_ *Backend, err error) { told <- err }
+		if a := b.Exchange(context.Background(), &Request{Render: get, Timeout: 100 * time.Millisecond}); a.Stage != ConnectTimedOut {
 			t.Fatalf("ended in stage %d: %v", a.Stage, a.Err)
 		}
 		wrong := errors.New("no way")
@@ -146,7 +146,7 @@
 		return get(left)
 	}
 	held := 600 * time.Millisecond
-	a := up.Exchange(context.Background(), &Request{Text: text, Timeout: time.Second, Decided: time.Now().Add(-held)})
+	a := up.Exchange(context.Background(), &Request{Render: text, Timeout: time.Second, DecidedAt: time.Now().Add(-held)})
 	if a.Err != nil || told > time.Second-held {
 		t.Errorf("told %v of 1 s, %v after the decision: %v", told, held, a.Err)
 	}
--- a/internal/upstream/ends_test.go
+++ b/internal/upstream/ends_test.go
@@ -57,24 +57,24 @@
 	}
 	t.Cleanup(rest.Drop)
 	return u, &Request{
-		Text: func(time.Duration) []byte {
+		Render: func(time.Duration) []byte {
 			return append([]byte("POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: 30000000\r\n\r\n"), first...)
 		},
-		Rest: rest, Transfers: http1.NewTransfers(1), Timeout: time.Minute,
+		BodyRest: rest, Transfers: http1.NewTransfers(1), Timeout: time.Minute,
 	}
 }
 
 // got is what an exchange comes to; it fails the test where that takes for ever.
-func got(t *testing.T, b *Backend, ctx context.Context, req *Request) Answer {
+func got(t *testing.T, b *Backend, ctx context.Context, req *Request) ExchangeResult {
 	t.Helper()
-	done := make(chan Answer, 1)
+	done := make(chan ExchangeResult, 1)
 	go func() { done <- b.Exchange(ctx, req) }()
 	select {
 	case a := <-done:
 		return a
 	case <-time.After(20 * time.Second):
 		t.Fatal("goes on")
-		return Answer{}
+		return ExchangeResult{}
 	}
 }
 
@@ -104,7 +104,7 @@
 		{"refused", "HTTP/1.1 413 Large\r\n\r\nno", 413},
 	} {
 		opt, s := options(5)
-		var a Answer
+		var a ExchangeResult
 		for { // until the answer has found a write that stands still
 			u, req := uploading(t, true)
 			var far sync.WaitGroup
@@ -128,9 +128,9 @@
 		}
 		want := Answered
 		if c.status == 0 {
-			want = Unopened
+			want = SendFailed
 		}
-		if a.Stage != want || a.Status != c.status || a.Source != nil || s.free.Load() != 5 {
+		if a.Stage != want || a.Status != c.status || a.BodyReadErr != nil || s.free.Load() != 5 {
 			t.Errorf("%s: got %+v %q, %d descriptors", c.name, a, a.Body, s.free.Load())
 		}
 	}
@@ -172,7 +172,7 @@
 			b.idle[0].since = time.Now().Add(-time.Hour)
 		}
 		a := got(t, b, soon(t), req)
-		if n := opt.Opened.Load(); n != 1 {
+		if n := opt.ConnsOpened.Load(); n != 1 {
 			t.Errorf("%d connections", n)
 		}
 		if reused && (a.Stage != Answered || a.Err == nil || a.Status != 0) || !reused && (a.Status != 200 || a.Err != nil) {
@@ -216,11 +216,11 @@
 		opt, s := options(5)
 		a := got(t, New(ln.Addr().String(), opt), ctx, req)
 		close(over)
-		if !errors.Is(a.Err, context.Canceled) || a.Stage != Unopened || a.Source != nil || s.free.Load() != 5 {
+		if !errors.Is(a.Err, context.Canceled) || a.Stage != SendFailed || a.BodyReadErr != nil || s.free.Load() != 5 {
 			t.Errorf("endless %t: got %+v, %d descriptors", endless, a, s.free.Load())
 		}
 		far.Wait()
-		if n, err := req.Rest.Read(make([]byte, 1)); errors.Is(err, http1.ErrInterrupted) {
+		if n, err := req.BodyRest.Read(make([]byte, 1)); errors.Is(err, http1.ErrInterrupted) {
 			t.Errorf("the rest is left interrupted: %d, %v", n, err)
 		}
 	}
@@ -239,12 +239,12 @@
 	} {
 		opt, s := options(5)
 		b := New(standin.NewBackend(t, func(c *standin.Call) { c.Raw(text); c.Reset() }).Addr(), opt)
-		a := got(t, b, soon(t), &Request{Text: get, Timeout: time.Minute})
+		a := got(t, b, soon(t), &Request{Render: get, Timeout: time.Minute})
 		if a.Err == nil || a.Stage < Written || a.Status != 0 {
 			t.Errorf("%q: got %+v", text, a)
 		}
-		if b.Idle() != 0 || s.free.Load() != 5 {
-			t.Errorf("%q: %d idle, %d descriptors", text, b.Idle(), s.free.Load())
+		if b.IdleCount() != 0 || s.free.Load() != 5 {
+			t.Errorf("%q: %d idle, %d descriptors", text, b.IdleCount(), s.free.Load())
 		}
 	}
 }
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -22,34 +22,34 @@
 
 // The stages of an exchange.
 const (
-	Unsent   Stage = iota // no connection to be had here, or it was not wanted any more: nothing is written
-	Late                  // no connection in the time for it, which may come up yet: nothing is written
-	Unopened              // not connected, or not wholly written
-	Written               // wholly written; it may have run
-	Answered              // an answer came, perhaps a malformed one
+	Unsent          Stage = iota // no connection to be had here, or it was not wanted any more: nothing is written
+	ConnectTimedOut              // no connection in the time for it, which may come up yet: nothing is written
+	SendFailed                   // not connected, or not wholly written
+	Written                      // wholly written; it may have run
+	Answered                     // an answer came, perhaps a malformed one
 )
 
-// Slots is the budget of descriptors that connections come from.
-type Slots interface {
-	Take() bool // without waiting
-	Give()
-	Full() bool // what becomes idle should be given back
+// DescriptorBudget is the budget of descriptors that connections come from.
+type DescriptorBudget interface {
+	TryAcquire() bool // without waiting
+	Release()
+	Exhausted() bool // what becomes idle should be given back
 }
 
 // Options are what the connections to all backends have in common.
 type Options struct {
 	DialTimeout time.Duration
-	IdleLimit   time.Duration // idle connections are closed by then
-	Slots       Slots
+	IdleTimeout time.Duration // idle connections are closed by then
+	Descriptors DescriptorBudget
 	// Dial, if set, is used in place of the net package's. It is set before the first exchange.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 
-	// Unreached, if set, is told that a connection which no attempt waited for any longer
+	// OnLateDialFailure, if set, is told that a connection which no attempt waited for any longer
 	// has not come up at all.
-	Unreached func(b *Backend, err error)
+	OnLateDialFailure func(b *Backend, err error)
 
-	Opened  atomic.Int64 // connections, to all backends
-	Relayed atomic.Int64 // requests written whole
+	ConnsOpened     atomic.Int64 // connections, to all backends
+	RequestsWritten atomic.Int64 // requests written whole
 
 	connectMu     sync.Mutex
 	connectMedian time.Duration // of the times that connections took to come up
@@ -82,31 +82,31 @@
 
 // Request is what an exchange sends.
 type Request struct {
-	Text      func(left time.Duration) []byte // head and body, or its first part, with the time left
-	Rest      *http1.Rest                     // of a long body; nil: none
-	Transfers *http1.Transfers                // for it
-	Connected func() bool                     // asked before the first byte whether it is still to be sent; nil: it is
-	Written   func()                          // called once all of it is written; may be nil
-	Timeout   time.Duration                   // from then on, or from Decided where there is no rest
-	Decided   time.Time                       // when the attempt was decided on; zero: now
+	Render     func(left time.Duration) []byte // head and body, or its first part, with the time left
+	BodyRest   *http1.Rest                     // of a long body; nil: none
+	Transfers  *http1.Transfers                // for it
+	ShouldSend func() bool                     // asked before the first byte whether it is still to be sent; nil: it is
+	OnWritten  func()                          // called once all of it is written; may be nil
+	Timeout    time.Duration                   // from then on, or from Decided where there is no rest
+	DecidedAt  time.Time                       // when the attempt was decided on; zero: now
 }
 
-// Answer is what came back.
-type Answer struct {
-	Stage  Stage
-	Status int
-	Header http.Header
-	Body   []byte      // or its first part
-	Rest   *http1.Rest // of a long body; nil: none
-	Err    error       // nil for an answer that came whole, or its first part
-	Source error       // the request's rest could not be read: its sender's fault
+// ExchangeResult is what came back.
+type ExchangeResult struct {
+	Stage       Stage
+	Status      int
+	Header      http.Header
+	Body        []byte      // or its first part
+	BodyRest    *http1.Rest // of a long body; nil: none
+	Err         error       // nil for an answer that came whole, or its first part
+	BodyReadErr error       // the request's rest could not be read: its sender's fault
 
 	release func(whole bool)
 }
 
 // Release lets go of the connection of an answer with a rest: whole, if that has been
 // read to its end.
-func (a *Answer) Release(whole bool) {
+func (a *ExchangeResult) Release(whole bool) {
 	if a.release != nil {
 		a.release(whole)
 		a.release = nil
@@ -121,24 +121,24 @@
 // connection has broken.
 const early = 50 * time.Millisecond
 
-// Progress returns what says how long each step of a transfer may take, by what has
+// ProgressDeadlines returns what says how long each step of a transfer may take, by what has
 // passed since now.
-func Progress(set func(time.Time) error) func(passed int64) {
+func ProgressDeadlines(set func(time.Time) error) func(passed int64) {
 	start := time.Now()
 	return func(passed int64) { set(slowest.Until(start, passed)) }
 }
 
 var errEarly = errors.New("answered before the request's end")
 
-// Timeout tells whether the exchange ended because its time was up.
-func (a *Answer) Timeout() bool { return neterror.IsDeadline(a.Err) }
+// TimedOut tells whether the exchange ended because its time was up.
+func (a *ExchangeResult) TimedOut() bool { return neterror.IsDeadline(a.Err) }
 
 // Exchange sends one request and reads the answer, or the first part of a long one,
 // all within the request's time-out or until ctx is over. It tries once: what fails is
 // never sent again by it. On return the connection is idle or closed, unless the answer
 // has a rest.
-func (b *Backend) Exchange(ctx context.Context, req *Request) Answer {
-	decided := req.Decided
+func (b *Backend) Exchange(ctx context.Context, req *Request) ExchangeResult {
+	decided := req.DecidedAt
 	if decided.IsZero() {
 		decided = time.Now()
 	}
@@ -152,15 +152,15 @@
 	defer unwatch()
 	if _, err := c.Write(text); err != nil {
 		b.discard(c)
-		return Answer{Stage: Unopened, Err: err}
+		return ExchangeResult{Stage: SendFailed, Err: err}
 	}
-	if req.Rest != nil {
+	if req.BodyRest != nil {
 		carried := c.Carried()
 		err := passRest(ctx, c, req)
 		switch {
 		case err != nil && ctx.Err() != nil:
 			b.discard(c)
-			return Answer{Stage: Unopened, Err: ctx.Err()}
+			return ExchangeResult{Stage: SendFailed, Err: ctx.Err()}
 		case errors.Is(err, errEarly), errors.Is(err, http1.ErrPassed):
 			// It said no before the end, or broke: what it said counts.
 			if errors.Is(err, http1.ErrPassed) {
@@ -171,33 +171,33 @@
 			resp, body, rest, readErr := c.ReadResponse(ctx, deadline)
 			b.discard(c)
 			if readErr != nil || rest != nil {
-				return Answer{Stage: Unopened, Err: err}
+				return ExchangeResult{Stage: SendFailed, Err: err}
 			}
 			// Guards against what is late of an older answer: a backend begins at the
 			// request's last byte, and may have begun nothing.
 			if resp.StatusCode == http.StatusOK && carried {
-				return Answer{Stage: Answered, Err: errEarly}
+				return ExchangeResult{Stage: Answered, Err: errEarly}
 			}
 			// A reset is told once, and the write has heard it: what ends with its
 			// connection now looks whole, wherever it was cut off.
 			if resp.StatusCode == http.StatusOK && http1.Unbounded(resp) && errors.Is(err, http1.ErrPassed) {
-				return Answer{Stage: Unopened, Err: err}
+				return ExchangeResult{Stage: SendFailed, Err: err}
 			}
-			return Answer{Stage: Answered, Status: resp.StatusCode, Header: resp.Header, Body: body}
+			return ExchangeResult{Stage: Answered, Status: resp.StatusCode, Header: resp.Header, Body: body}
 		case err != nil:
 			b.discard(c)
-			return Answer{Stage: Unopened, Err: err, Source: err}
+			return ExchangeResult{Stage: SendFailed, Err: err, BodyReadErr: err}
 		}
 		deadline = time.Now().Add(req.Timeout) // the backend begins at the last byte
 		c.SetDeadline(deadline)
 		if ctx.Err() != nil {
 			b.discard(c)
-			return Answer{Stage: Written, Err: ctx.Err()}
+			return ExchangeResult{Stage: Written, Err: ctx.Err()}
 		}
 	}
-	b.opt.Relayed.Add(1)
-	if req.Written != nil {
-		req.Written()
+	b.opt.RequestsWritten.Add(1)
+	if req.OnWritten != nil {
+		req.OnWritten()
 	}
 	resp, body, rest, err := c.ReadResponse(ctx, deadline)
 	if err != nil {
@@ -207,11 +207,11 @@
 			errors.Is(err, http1.ErrBodyTooLarge) {
 			stage = Answered
 		}
-		return Answer{Stage: stage, Err: err}
+		return ExchangeResult{Stage: stage, Err: err}
 	}
 	// One that ctx may have touched meanwhile carries no other exchange.
 	fit := unwatch() && !resp.Close
-	answer := Answer{Stage: Answered, Status: resp.StatusCode, Header: resp.Header, Body: body, Rest: rest}
+	answer := ExchangeResult{Stage: Answered, Status: resp.StatusCode, Header: resp.Header, Body: body, BodyRest: rest}
 	answer.release = func(whole bool) {
 		c.Pace = nil
 		if !whole || !fit || c.Buffered() > 0 {
@@ -226,7 +226,7 @@
 	}
 	if rest != nil {
 		c.SetDeadline(time.Time{})
-		c.Pace = Progress(c.SetReadDeadline)
+		c.Pace = ProgressDeadlines(c.SetReadDeadline)
 	} else {
 		answer.Release(true)
 	}
@@ -235,21 +235,21 @@
 
 // prepare has a connection and the text for it, just before the first byte, or how the
 // exchange ends without one.
-func (b *Backend) prepare(ctx context.Context, req *Request, deadline time.Time) (*http1.Conn, []byte, *Answer) {
+func (b *Backend) prepare(ctx context.Context, req *Request, deadline time.Time) (*http1.Conn, []byte, *ExchangeResult) {
 	for {
 		c, err := b.connect(ctx, deadline, req.Timeout)
 		switch {
 		case errors.Is(err, errLate):
-			return nil, nil, &Answer{Stage: Late, Err: err}
-		case errors.Is(err, errNoSlot), neterror.Of(neterror.Dial, err) == neterror.Local:
-			return nil, nil, &Answer{Stage: Unsent, Err: err} // it says nothing of the backend
+			return nil, nil, &ExchangeResult{Stage: ConnectTimedOut, Err: err}
+		case errors.Is(err, errNoSlot), neterror.Classify(neterror.Dial, err) == neterror.LocalFailure:
+			return nil, nil, &ExchangeResult{Stage: Unsent, Err: err} // it says nothing of the backend
 		case err != nil:
-			return nil, nil, &Answer{Stage: Unopened, Err: err}
-		case req.Connected != nil && !req.Connected():
+			return nil, nil, &ExchangeResult{Stage: SendFailed, Err: err}
+		case req.ShouldSend != nil && !req.ShouldSend():
 			b.keep(c) // nothing has been written on it
-			return nil, nil, &Answer{Stage: Unsent, Err: errUnwanted}
+			return nil, nil, &ExchangeResult{Stage: Unsent, Err: errUnwanted}
 		}
-		text := req.Text(time.Until(deadline))
+		text := req.Render(time.Until(deadline))
 		if !c.Carried() || c.Quiet() {
 			return c, text, nil
 		}
@@ -265,16 +265,16 @@
 	var answered atomic.Bool
 	said := func() {
 		answered.Store(true)
-		req.Rest.Interrupt() // the sender may be slow, or wait for the answer
+		req.BodyRest.Interrupt() // the sender may be slow, or wait for the answer
 	}
 	c.Watch(said, said)
 	interrupted := make(chan struct{})
 	stop := context.AfterFunc(ctx, func() {
-		req.Rest.Interrupt()
+		req.BodyRest.Interrupt()
 		close(interrupted)
 	})
-	within := Progress(c.SetWriteDeadline)
-	err := req.Transfers.Pass(c, req.Rest, false, func(passed int64) error {
+	within := ProgressDeadlines(c.SetWriteDeadline)
+	err := req.Transfers.Pass(c, req.BodyRest, false, func(passed int64) error {
 		if answered.Load() {
 			return errEarly
 		}
@@ -287,7 +287,7 @@
 		<-interrupted
 	}
 	if givenUp || answered.Load() {
-		req.Rest.Resume()
+		req.BodyRest.Resume()
 	}
 	if answered.Load() && errors.Is(err, http1.ErrInterrupted) {
 		err = errEarly
@@ -311,7 +311,7 @@
 		return c, nil
 	}
 	spare := b.reuse(0)
-	if !b.opt.Slots.Take() {
+	if !b.opt.Descriptors.TryAcquire() {
 		if spare != nil {
 			return spare, nil
 		}
@@ -354,7 +354,7 @@
 }
 
 func (b *Backend) keep(c *http1.Conn) {
-	full := b.opt.Slots.Full()
+	full := b.opt.Descriptors.Exhausted()
 	b.mu.Lock()
 	drop := full || b.closed
 	if !drop {
@@ -368,32 +368,32 @@
 
 func (b *Backend) discard(c *http1.Conn) {
 	c.Close()
-	b.opt.Slots.Give()
+	b.opt.Descriptors.Release()
 }
 
-// Reap closes the connections that have stood idle for most of the limit, so
+// CloseExpired closes the connections that have stood idle for most of the limit, so
 // that none is used which the backend is about to close.
-func (b *Backend) Reap(now time.Time) {
+func (b *Backend) CloseExpired(now time.Time) {
 	const most = 0.7
-	b.closeAll(b.take(func(i idle) bool { return float64(now.Sub(i.since)) > most*float64(b.opt.IdleLimit) }))
+	b.closeAll(b.take(func(i idle) bool { return float64(now.Sub(i.since)) > most*float64(b.opt.IdleTimeout) }))
 }
 
-// Detach takes all idle connections out of use, without waiting for anything.
+// RemoveIdle takes all idle connections out of use, without waiting for anything.
 // The function that it returns closes them.
-func (b *Backend) Detach() (closeThem func()) {
+func (b *Backend) RemoveIdle() (closeThem func()) {
 	out := b.take(func(idle) bool { return true })
 	return func() { b.closeAll(out) }
 }
 
-// Idle is how many connections are idle.
-func (b *Backend) Idle() int {
+// IdleCount is how many connections are idle.
+func (b *Backend) IdleCount() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.idle)
 }
 
-// Oldest is when the oldest idle connection became idle.
-func (b *Backend) Oldest() (since time.Time, ok bool) {
+// OldestIdleSince is when the oldest idle connection became idle.
+func (b *Backend) OldestIdleSince() (since time.Time, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if len(b.idle) == 0 {
@@ -402,8 +402,8 @@
 	return b.idle[0].since, true
 }
 
-// CloseOldest closes the oldest idle connection, if there is one.
-func (b *Backend) CloseOldest() bool {
+// CloseOldestIdle closes the oldest idle connection, if there is one.
+func (b *Backend) CloseOldestIdle() bool {
 	first := true
 	out := b.take(func(idle) bool { was := first; first = false; return was })
 	b.closeAll(out)
@@ -417,7 +417,7 @@
 	b.mu.Lock()
 	b.closed = true
 	b.mu.Unlock()
-	b.Detach()()
+	b.RemoveIdle()()
 }
 
 // take takes those idle connections out of use that which says.
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -22,20 +22,20 @@
 // slots is a budget that counts; none is left once out of them.
 type slots struct{ free atomic.Int64 }
 
-func (s *slots) Take() bool {
+func (s *slots) TryAcquire() bool {
 	if s.free.Add(-1) < 0 {
 		s.free.Add(1)
 		return false
 	}
 	return true
 }
-func (s *slots) Give()      { s.free.Add(1) }
-func (s *slots) Full() bool { return s.free.Load() == 0 }
+func (s *slots) Release()        { s.free.Add(1) }
+func (s *slots) Exhausted() bool { return s.free.Load() == 0 }
 
 func options(n int64) (*Options, *slots) {
 	s := &slots{}
 	s.free.Store(n)
-	return &Options{DialTimeout: time.Second, IdleLimit: 10 * time.Second, Slots: s}, s
+	return &Options{DialTimeout: time.Second, IdleTimeout: 10 * time.Second, Descriptors: s}, s
 }
 
 func get(time.Duration) []byte { return []byte("GET /x HTTP/1.1\r\nHost: h\r\n\r\n") }
@@ -53,7 +53,7 @@
 	if end, ok := ctx.Deadline(); ok {
 		timeout = time.Until(end)
 	}
-	return ctx, &Request{Text: text, Timeout: timeout}
+	return ctx, &Request{Render: text, Timeout: timeout}
 }
 
 func soon(t *testing.T) context.Context { return until(t, 10*time.Second) }
@@ -88,8 +88,8 @@
 			opt, s := options(5)
 			b := New(standin.NewBackend(t, c.handle).Addr(), opt)
 			a := b.Exchange(timed(until(t, c.within), get))
-			if a.Stage != c.stage || a.Status != c.status || a.Timeout() != c.timeout {
-				t.Errorf("got %+v, timeout %t", a, a.Timeout())
+			if a.Stage != c.stage || a.Status != c.status || a.TimedOut() != c.timeout {
+				t.Errorf("got %+v, timeout %t", a, a.TimedOut())
 			}
 			if (a.Status == 0) == (a.Err == nil) || c.err != nil && !errors.Is(a.Err, c.err) {
 				t.Errorf("error %v", a.Err)
@@ -106,7 +106,7 @@
 	opt, s := options(5)
 	stopped := standin.NewBackend(t, standin.Echo)
 	stopped.Stop()
-	if a := New(stopped.Addr(), opt).Exchange(timed(soon(t), get)); a.Stage != Unopened || s.free.Load() != 5 {
+	if a := New(stopped.Addr(), opt).Exchange(timed(soon(t), get)); a.Stage != SendFailed || s.free.Load() != 5 {
 		t.Errorf("got %+v, %d descriptors", a, s.free.Load())
 	}
 }
@@ -146,7 +146,7 @@
 			a := New(ln.Addr().String(), opt).Exchange(timed(until(t, c.within), huge))
 			close(over)
 			far.Wait()
-			if a.Stage != Unopened || a.Err == nil {
+			if a.Stage != SendFailed || a.Err == nil {
 				t.Errorf("got stage %v, %v", a.Stage, a.Err)
 			}
 		})
@@ -163,19 +163,19 @@
 		}
 		time.Sleep(restLeast)
 	}
-	if opened, _ := backend.Conns(); opened != 1 || opt.Opened.Load() != 1 {
-		t.Errorf("%d connections opened, %d counted", opened, opt.Opened.Load())
+	if opened, _ := backend.Conns(); opened != 1 || opt.ConnsOpened.Load() != 1 {
+		t.Errorf("%d connections opened, %d counted", opened, opt.ConnsOpened.Load())
 	}
-	b.Reap(time.Now().Add(6 * time.Second))
+	b.CloseExpired(time.Now().Add(6 * time.Second))
 	if s.free.Load() != 4 {
 		t.Error("an idle connection was closed long before its limit")
 	}
-	b.Reap(time.Now().Add(8 * time.Second))
+	b.CloseExpired(time.Now().Add(8 * time.Second))
 	if s.free.Load() != 5 {
 		t.Error("an idle connection is kept until close to its limit")
 	}
 	b.Exchange(timed(soon(t), get))
-	b.Detach()()
+	b.RemoveIdle()()
 	if s.free.Load() != 5 {
 		t.Error("a detached connection is still open")
 	}
@@ -207,7 +207,7 @@
 					t.Errorf("%s after %v: got %q, %v", name, after, a.Body, a.Err)
 				}
 			}
-			if n := opt.Opened.Load(); n != 5 {
+			if n := opt.ConnsOpened.Load(); n != 5 {
 				t.Errorf("%s after %v: %d connections for 5 calls", name, after, n)
 			}
 			b.Close()
@@ -242,8 +242,8 @@
 	up.idle[0].since = time.Now().Add(-time.Hour) // it has rested
 	up.mu.Unlock()
 	asked := 0
-	req.Connected = func() bool { asked++; return true }
-	req.Text = func(left time.Duration) []byte {
+	req.ShouldSend = func() bool { asked++; return true }
+	req.Render = func(left time.Duration) []byte {
 		if asked == 1 {
 			again <- true
 			<-again
@@ -284,7 +284,7 @@
 	if a := b.Exchange(timed(soon(t), get)); a.Status != 200 || s.free.Load() != 1 {
 		t.Errorf("got %+v, %d descriptors", a, s.free.Load())
 	}
-	s.Take()
+	s.TryAcquire()
 	if a := b.Exchange(timed(soon(t), get)); a.Stage != Unsent || backend.Calls() != 1 {
 		t.Errorf("got %+v after %d calls", a, backend.Calls())
 	}
@@ -295,7 +295,7 @@
 	hold := make(chan bool)
 	backend := standin.NewBackend(t, func(c *standin.Call) { <-hold; standin.Echo(c) })
 	b := New(backend.Addr(), opt)
-	if _, ok := b.Oldest(); ok || b.CloseOldest() {
+	if _, ok := b.OldestIdleSince(); ok || b.CloseOldestIdle() {
 		t.Error("an idle connection before the first call")
 	}
 	done := make(chan bool)
@@ -306,7 +306,7 @@
 	hold <- true
 	<-done
 	<-done
-	if _, ok := b.Oldest(); !ok || !b.CloseOldest() || s.free.Load() != 4 {
+	if _, ok := b.OldestIdleSince(); !ok || !b.CloseOldestIdle() || s.free.Load() != 4 {
 		t.Errorf("%d descriptors after one of two was closed", s.free.Load())
 	}
 	b.Close()
@@ -320,7 +320,7 @@
 	b := New(backend.Addr(), opt)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
-	done := make(chan Answer)
+	done := make(chan ExchangeResult)
 	go func() { done <- b.Exchange(timed(ctx, get)) }()
 	for deadline := time.Now().Add(20 * time.Second); backend.Calls() == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
@@ -330,13 +330,13 @@
 	cancel()
 	select {
 	case a := <-done:
-		if a.Err == nil || a.Stage != Written || b.Idle() != 0 || s.free.Load() != 1 {
-			t.Errorf("got %+v, %d idle, %d descriptors", a, b.Idle(), s.free.Load())
+		if a.Err == nil || a.Stage != Written || b.IdleCount() != 0 || s.free.Load() != 1 {
+			t.Errorf("got %+v, %d idle, %d descriptors", a, b.IdleCount(), s.free.Load())
 		}
 	case <-time.After(20 * time.Second):
 		t.Fatal("goes on after it was given up")
 	}
-	if a := b.Exchange(timed(ctx, get)); a.Stage != Unopened {
+	if a := b.Exchange(timed(ctx, get)); a.Stage != SendFailed {
 		t.Errorf("begun after it was given up: %+v", a)
 	}
 }
--- a/proxy/accept.go
+++ b/proxy/accept.go
@@ -88,7 +88,7 @@
 func (p *Proxy) acceptNow() error {
 	p.neverBlocks()
 	var nc net.Conn
-	err := faults.Fail("accept")
+	err := faults.Inject("accept")
 	if err == nil {
 		nc, err = p.listener.Accept()
 	}
@@ -127,7 +127,7 @@
 // closed or that nobody came in time. Others are those of one connection, or of the
 // moment: they are logged, and waited out where the next accept would meet them, too.
 func (p *Proxy) acceptOver(err error) bool {
-	meaning := neterror.Of(neterror.Accept, err)
+	meaning := neterror.Classify(neterror.Accept, err)
 	switch meaning {
 	case neterror.None, neterror.Interrupted:
 		return false
--- a/proxy/actions.go
+++ b/proxy/actions.go
@@ -73,6 +73,6 @@
 func (d *driver) CloseIdle(backend string) {
 	// Out of use at once, since the module may send to it next; closed later.
 	if b, ok := d.backends[backend]; ok {
-		d.later = append(d.later, b.Detach())
+		d.later = append(d.later, b.RemoveIdle())
 	}
 }
--- a/proxy/attemptlog.go
+++ b/proxy/attemptlog.go
@@ -14,10 +14,10 @@
 // staleAttemptLog writes a line for each attempt that was sent past the time until which the
 // list holds all that counts as told, up to a bound, and how many were left out: such an
 // attempt rests on what the backend itself has shown, and its outcome tells whether that held.
-type staleAttemptLog struct{ limit logging.Limit }
+type staleAttemptLog struct{ limit logging.RateLimiter }
 
 func newStaleAttemptLog() *staleAttemptLog {
-	return &staleAttemptLog{logging.Limit{Every: time.Second / staleAttemptsPerSecond, Burst: staleAttemptsPerSecond}}
+	return &staleAttemptLog{logging.RateLimiter{Interval: time.Second / staleAttemptsPerSecond, Burst: staleAttemptsPerSecond}}
 }
 
 // write logs how an attempt of r ended that was sent past the list's time by so much.
--- a/proxy/attemptlog_test.go
+++ b/proxy/attemptlog_test.go
@@ -29,7 +29,7 @@
 		p.driver.forget(r)
 	}
 	now := time.Now()
-	fresh := discovery.Fresh{Until: now.Add(time.Hour), UntilServing: now.Add(time.Hour), Serving: time.Hour, Known: now, Told: now}
+	fresh := discovery.Freshness{Until: now.Add(time.Hour), UntilIfServing: now.Add(time.Hour), ServingWindow: time.Hour, ConfirmedAt: now, ReceivedAt: now}
 	p.driver.listFresh(fresh)
 	attempt("in-time", logic.OK)
 	fresh.Until = time.Now()
--- a/proxy/boot_test.go
+++ b/proxy/boot_test.go
@@ -94,11 +94,11 @@
 				if start.uid != "s-1" {
 					lines = append(lines, `{"uid":"s-1","endpoint":"","az":"z1","state":"terminated"}`)
 				}
-				l, err := discovery.Parse([]byte(standin.List(2, false, lines...)))
+				l, err := discovery.ParseList([]byte(standin.List(2, false, lines...)))
 				if err != nil {
 					t.Fatal(err)
 				}
-				l.Before = time.Now()
+				l.PreviousConfirmedAt = time.Now()
 				p.driver.list(l)
 				if served := askAll(t, p, n); served > n/3 {
 					t.Errorf("%s: a cold backend got %d of %d requests", start.name, served, n)
--- a/proxy/clock.go
+++ b/proxy/clock.go
@@ -19,7 +19,7 @@
 
 func newClock() clock {
 	now := time.Now()
-	return clock{start: now, unix: logic.Time(now.UnixNano()) + faults.WallOffset()}
+	return clock{start: now, unix: logic.Time(now.UnixNano()) + faults.WallClockOffset()}
 }
 
 func (c clock) now() logic.Time { return c.at(time.Now()) }
@@ -46,7 +46,7 @@
 	}
 	earliest := logic.Time(0)
 	if !before.IsZero() {
-		earliest = c.at(before) - discovery.TellWithin
+		earliest = c.at(before) - discovery.MaxAnnounceDelay
 	}
 	// Compared in milliseconds: a stamp may be too large for the module's time.
 	if stampMs > now.Milliseconds() || stampMs < earliest.Milliseconds() {
--- a/proxy/config.go
+++ b/proxy/config.go
@@ -195,11 +195,11 @@
 	}
 	c.askWithin, c.listAsked = c.Settings.ListAsked()
 	if c.askWithin == 0 { // guards against calls with no pause between them while discovery is down
-		c.askWithin = discovery.TellWithin
+		c.askWithin = discovery.MaxAnnounceDelay
 	}
 	// Guards against waits between calls for the list that don't fit into the time after
 	// which what it misses counts as told: the pacer takes its waits from this one.
-	c.askWithin = min(c.askWithin, 2*discovery.TellWithin)
+	c.askWithin = min(c.askWithin, 2*discovery.MaxAnnounceDelay)
 	c.known = known // last: what has it has been checked
 	return nil
 }
@@ -207,11 +207,11 @@
 // parseKnown reads the list known at the start. A proxy that has had none yet knows no
 // backend, in whatever form it is told that.
 func (c *Config) parseKnown() (*discovery.List, error) {
-	none := &discovery.List{All: true}
+	none := &discovery.List{Complete: true}
 	if c.Known == nil {
 		return none, nil
 	}
-	l, err := discovery.Parse(*c.Known)
+	l, err := discovery.ParseList(*c.Known)
 	if err != nil {
 		var in struct {
 			Targets []json.RawMessage `json:"targets"`
@@ -221,7 +221,7 @@
 		}
 		return none, nil
 	}
-	l.All = true
+	l.Complete = true
 	return l, nil
 }
 
@@ -230,9 +230,9 @@
 	const stream = 1 // of random numbers, beside the module's
 	rng := rand.New(rand.NewPCG(c.logic.Seed, stream))
 	if !c.listAsked {
-		return pacing.Pushed(rng)
+		return pacing.NewForAgent(rng)
 	}
-	return pacing.Asked(c.askWithin, rng)
+	return pacing.NewForService(c.askWithin, rng)
 }
 
 // heapShare is the heap's part of the memory; the rest is stacks, sockets and files.
--- a/proxy/config_test.go
+++ b/proxy/config_test.go
@@ -56,7 +56,7 @@
 			}
 		case err != nil:
 			t.Errorf("%s: %v", c.with, err)
-		case !cfg.known.All || cfg.known.Rev != c.rev || len(cfg.known.Targets) != c.targets:
+		case !cfg.known.Complete || cfg.known.Rev != c.rev || len(cfg.known.Targets) != c.targets:
 			t.Errorf("%s: read as %+v", c.with, cfg.known)
 		}
 	}
@@ -66,8 +66,8 @@
 func TestAskWithin(t *testing.T) {
 	for with, want := range map[string]time.Duration{
 		`"ask-within-ms":4000`: 4 * time.Second,
-		`"ask-within-ms":0`:    discovery.TellWithin,
-		`"else":0`:             discovery.TellWithin,
+		`"ask-within-ms":0`:    discovery.MaxAnnounceDelay,
+		`"else":0`:             discovery.MaxAnnounceDelay,
 	} {
 		if cfg, err := load(t, `"ask-within-ms":4000`, with); err != nil || cfg.askWithin != want {
 			t.Errorf("%s: %v, want %v", with, err, want)
--- a/proxy/connect_test.go
+++ b/proxy/connect_test.go
@@ -49,7 +49,7 @@
 
 func (p *Proxy) change(t *testing.T, list string) {
 	t.Helper()
-	l, err := discovery.Parse([]byte(list))
+	l, err := discovery.ParseList([]byte(list))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -82,7 +82,7 @@
 			p.change(t, standin.List(2, false, again, standin.Target("s-2", other)))
 		}, true},
 		{"detached", func(t *testing.T, p *Proxy, _, _ string) { p.driver.byHand("s-1", true) }, false},
-		{"the list is stale", func(t *testing.T, p *Proxy, _, _ string) { p.driver.listFresh(discovery.Fresh{Until: time.Now()}) }, false},
+		{"the list is stale", func(t *testing.T, p *Proxy, _, _ string) { p.driver.listFresh(discovery.Freshness{Until: time.Now()}) }, false},
 	} {
 		for _, class := range []string{"get", "pay"} {
 			t.Run(c.name+" "+class, func(t *testing.T) {
--- a/proxy/driver.go
+++ b/proxy/driver.go
@@ -36,7 +36,7 @@
 	current  *call // whose outcome the module is handling
 
 	violations  *violations
-	standingLog logging.Limit // of backends whose standing changes
+	standingLog logging.RateLimiter // of backends whose standing changes
 	staleLog    *staleAttemptLog
 	listUntil   logic.Time      // the list holds all that counts as told until then; 0: nothing is known of it
 	byHandOut   map[string]bool // detached by operators
@@ -103,11 +103,11 @@
 		backends: map[string]place{},
 
 		violations:  newViolations(),
-		standingLog: logging.Limit{Every: standingEvery, Burst: 20},
+		standingLog: logging.RateLimiter{Interval: standingEvery, Burst: 20},
 		staleLog:    newStaleAttemptLog(),
 		byHandOut:   map[string]bool{},
 	}
-	opt.Unreached = d.unreached
+	opt.OnLateDialFailure = d.unreached
 	d.do(func(now logic.Time) { d.balancer = logic.New(now, cfg.logic, d) })
 	return d
 }
@@ -201,7 +201,7 @@
 // unreached reports that a connection to a backend has not come up at all, which no attempt
 // waited for any longer.
 func (d *driver) unreached(b *upstream.Backend, err error) {
-	if neterror.Of(neterror.Dial, err) == neterror.Local {
+	if neterror.Classify(neterror.Dial, err) == neterror.LocalFailure {
 		return
 	}
 	d.do(func(now logic.Time) {
@@ -304,19 +304,19 @@
 			if t.State == discovery.Terminated {
 				d.drop(t.UID)
 			} else {
-				d.place(now, t, l.Before)
+				d.place(now, t, l.PreviousConfirmedAt)
 			}
-			line := logic.Backend{ID: t.UID, Zone: t.Zone, Cell: t.Cell, Size: t.Size, State: states[t.State]}
+			line := logic.Backend{ID: t.UID, Zone: t.Zone, Cell: t.Cell, Size: t.CapacityHint, State: states[t.State]}
 			line.Started = d.backends[t.UID].started
 			lines = append(lines, line)
 			named[t.UID] = true
 		}
 		for uid := range d.backends {
-			if l.All && !named[uid] {
+			if l.Complete && !named[uid] {
 				d.drop(uid)
 			}
 		}
-		d.balancer.List(now, l.All, lines)
+		d.balancer.List(now, l.Complete, lines)
 	})
 }
 
@@ -325,7 +325,7 @@
 // broken on those that a machine left open when it vanished.
 func (d *driver) place(now logic.Time, t discovery.Target, before time.Time) {
 	b, ok := d.backends[t.UID]
-	same := ok && b.boot == t.Boot
+	same := ok && b.boot == t.BootMs
 	state, leaving := states[t.State], b.leaving
 	if state != b.state {
 		leaving = now
@@ -337,10 +337,10 @@
 	}
 	started := b.started
 	if !same {
-		started = d.clock.booted(now, t.Boot, before)
+		started = d.clock.booted(now, t.BootMs, before)
 	}
 	d.drop(t.UID)
-	d.backends[t.UID] = place{upstream.New(t.Endpoint, d.opt), t.Boot, started, state, leaving}
+	d.backends[t.UID] = place{upstream.New(t.Endpoint, d.opt), t.BootMs, started, state, leaving}
 }
 
 // drop lets go of a backend, if it is known, and of the connections to it.
@@ -352,15 +352,15 @@
 }
 
 // listFresh reports for how long the list may be used.
-func (d *driver) listFresh(f discovery.Fresh) {
+func (d *driver) listFresh(f discovery.Freshness) {
 	fresh := logic.ListFresh{
 		Until:        d.clock.at(f.Until),
-		UntilServing: d.clock.at(f.UntilServing),
-		Serving:      f.Serving,
-		Known:        d.clock.ifEver(f.Known),
-		Told:         d.clock.ifEver(f.Told),
-		TellsLate:    f.TellsLate,
-		Gap:          discovery.Gap,
+		UntilServing: d.clock.at(f.UntilIfServing),
+		Serving:      f.ServingWindow,
+		Known:        d.clock.ifEver(f.ConfirmedAt),
+		Told:         d.clock.ifEver(f.ReceivedAt),
+		TellsLate:    f.MayAnnounceLate,
+		Gap:          discovery.MaxUnobservedGap,
 	}
 	d.do(func(logic.Time) {
 		d.listUntil = fresh.Until
--- a/proxy/endlog.go
+++ b/proxy/endlog.go
@@ -40,10 +40,10 @@
 
 // endLog writes a line for each request that did not end with a plain answer, up to a
 // bound, and how many were left out.
-type endLog struct{ limit logging.Limit }
+type endLog struct{ limit logging.RateLimiter }
 
 func newEndLog() *endLog {
-	return &endLog{logging.Limit{Every: time.Second / endsPerSecond, Burst: endsPerSecond}}
+	return &endLog{logging.RateLimiter{Interval: time.Second / endsPerSecond, Burst: endsPerSecond}}
 }
 
 // write logs the end of a request that began at start. cause is empty where the end says
--- a/proxy/guard.go
+++ b/proxy/guard.go
@@ -40,11 +40,11 @@
 // violations counts steps that a guard has stopped, or, where there is nothing to stop, seen.
 type violations struct {
 	counts [guards]atomic.Int64
-	limit  logging.Limit
+	limit  logging.RateLimiter
 }
 
 func newViolations() *violations {
-	return &violations{limit: logging.Limit{Every: violationEvery, Burst: 20}}
+	return &violations{limit: logging.RateLimiter{Interval: violationEvery, Burst: 20}}
 }
 
 // count notes a violation.
--- a/proxy/late_test.go
+++ b/proxy/late_test.go
@@ -68,7 +68,7 @@
 			eventually(t, "the late connections up", func() bool {
 				p.driver.mu.Lock()
 				defer p.driver.mu.Unlock()
-				return p.driver.backends["s-1"].Idle() == made
+				return p.driver.backends["s-1"].IdleCount() == made
 			})
 			eventually(t, "the late connections used", func() bool {
 				ask(t, dial(t, p), class, 2000)
--- a/proxy/operate.go
+++ b/proxy/operate.go
@@ -37,7 +37,7 @@
 	}
 	listed, avoided := o.p.driver.listed()
 	fmt.Fprintf(&b, "balancer_relayed %d\nbalancer_open_requests %d\nbalancer_registry_entries %d\n"+
-		"balancer_out_of_rotation %d\n", o.p.driver.opt.Relayed.Load(), s.open.Load(), listed, avoided)
+		"balancer_out_of_rotation %d\n", o.p.driver.opt.RequestsWritten.Load(), s.open.Load(), listed, avoided)
 	b.WriteString(o.p.driver.violations.figures())
 	return b.String()
 }
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -75,9 +75,9 @@
 	readiness readiness
 	stats     *stats
 	listener  listener
-	acceptLog logging.Limit // of accepts that failed
+	acceptLog logging.RateLimiter // of accepts that failed
 	endLog    *endLog
-	door      *admin.Door // nil: none
+	door      *admin.Server // nil: none
 	tasks     sync.WaitGroup
 
 	hands sync.Mutex // held while a ban is changed, in state and module
@@ -104,7 +104,7 @@
 		limits:  cfg.Limits,
 		slack:   finishSlack,
 
-		acceptLog: logging.Limit{Every: acceptLogEvery},
+		acceptLog: logging.RateLimiter{Interval: acceptLogEvery},
 		endLog:    newEndLog(),
 	}
 	p.sockets = newSockets(cfg.Limits.Sockets - p.doorSockets())
@@ -119,25 +119,25 @@
 	p.transfers = http1.NewTransfers(int64(transferShare * heapShare * cfg.Limits.MemoryMB * (1 << 20)))
 	opt := &upstream.Options{
 		DialTimeout: settings.Duration(cfg.Settings.Limits.DialTimeout),
-		IdleLimit:   settings.Duration(cfg.Settings.Limits.ConnIdle),
-		Slots:       p.sockets,
+		IdleTimeout: settings.Duration(cfg.Settings.Limits.ConnIdle),
+		Descriptors: p.sockets,
 	}
 	if opt.DialTimeout == 0 {
 		opt.DialTimeout = defaultDial
 	}
-	if opt.IdleLimit == 0 {
-		opt.IdleLimit = defaultIdle
+	if opt.IdleTimeout == 0 {
+		opt.IdleTimeout = defaultIdle
 	}
 	p.list = discovery.New(cfg.Discovery, cfg.known.Rev, cfg.pacer())
 	if cfg.listAsked {
-		p.list.CheckEvery = cfg.askWithin
+		p.list.MinCheckInterval = cfg.askWithin
 	} else {
-		p.list.Pushed(cfg.logic.Grace/2, cfg.logic.Grace) // the other half is for the send itself
+		p.list.SetPushed(cfg.logic.Grace/2, cfg.logic.Grace) // the other half is for the send itself
 	}
 	p.driver = newDriver(cfg, opt, p.stats)
-	p.driver.askList = p.list.Check
+	p.driver.askList = p.list.RequestCheck
 	p.list.OnEnd = logWatchEnd
-	p.list.OnFresh = func(f discovery.Fresh) {
+	p.list.OnFreshness = func(f discovery.Freshness) {
 		p.driver.listFresh(f)
 		p.readiness.note(f)
 	}
@@ -149,10 +149,10 @@
 
 // logWatchEnd logs how a call for the list or a watch ended, and for how long the list may
 // still be used: by what it holds, and by what backends have served.
-func logWatchEnd(end discovery.End) {
-	log.Printf("event=watch_ended why=%s rev=%d waited_ms=%d fresh_ms=%d serving_ms=%d err=%q", end.Why, end.Rev,
-		end.Waited.Milliseconds(), time.Until(end.Fresh.Until).Milliseconds(),
-		time.Until(end.Fresh.UntilServing).Milliseconds(), end.Err)
+func logWatchEnd(end discovery.CallEnd) {
+	log.Printf("event=watch_ended why=%s rev=%d waited_ms=%d fresh_ms=%d serving_ms=%d err=%q", end.Reason, end.Rev,
+		end.Waited.Milliseconds(), time.Until(end.Freshness.Until).Milliseconds(),
+		time.Until(end.Freshness.UntilIfServing).Milliseconds(), end.Err)
 }
 
 // Reload takes from cfg what a running proxy can: where discovery is, and how many
@@ -166,7 +166,7 @@
 	defer p.reloads.Unlock()
 	p.limits = cfg.Limits
 	p.applyLimits()
-	moved := p.list.Move(cfg.Discovery)
+	moved := p.list.SetSource(cfg.Discovery)
 	log.Printf("event=reload discovery=%s moved=%t sockets=%d not_taken=%q",
 		cfg.Discovery, moved, cfg.Limits.Sockets, strings.Join(p.cfg.fixed(cfg), ","))
 	return nil
@@ -194,7 +194,7 @@
 	if p.cfg.Admin == "" {
 		return 0
 	}
-	return admin.Descriptors
+	return admin.MaxDescriptors
 }
 
 // Listen takes the proxy's place: the addresses, and what it shares with a process that
@@ -217,7 +217,7 @@
 	p.share(p.state.processes())
 	p.followBans()
 	if p.cfg.Admin != "" { // before serving, so that it can say no
-		if p.door, err = admin.Open(p.cfg.Admin, operated{p}); err != nil {
+		if p.door, err = admin.Listen(p.cfg.Admin, operated{p}); err != nil {
 			p.listener.Close()
 			p.state.close()
 			return err
@@ -382,12 +382,12 @@
 	var oldest *upstream.Backend
 	var since time.Time
 	for _, b := range p.driver.all() {
-		if t, ok := b.Oldest(); ok && (oldest == nil || t.Before(since)) {
+		if t, ok := b.OldestIdleSince(); ok && (oldest == nil || t.Before(since)) {
 			oldest, since = b, t
 		}
 	}
 	if oldest != nil {
-		oldest.CloseOldest()
+		oldest.CloseOldestIdle()
 	}
 	p.clients.nudgeOldest(excess)
 }
@@ -405,7 +405,7 @@
 			return
 		case now := <-reap.C:
 			for _, b := range p.driver.all() {
-				b.Reap(now)
+				b.CloseExpired(now)
 			}
 			age, stale := p.list.Age()
 			if stale && !wasStale {
--- a/proxy/proxy_test.go
+++ b/proxy/proxy_test.go
@@ -230,25 +230,25 @@
 	notProcessed := http.Header{"X-Not-Processed": {"1"}}
 	for _, c := range []struct {
 		name string
-		a    upstream.Answer
+		a    upstream.ExchangeResult
 		want logic.Result
 	}{
-		{"served", upstream.Answer{Stage: upstream.Answered, Status: 200}, logic.OK},
-		{"error", upstream.Answer{Stage: upstream.Answered, Status: 500}, logic.Error},
-		{"another status", upstream.Answer{Stage: upstream.Answered, Status: 302}, logic.Error},
+		{"served", upstream.ExchangeResult{Stage: upstream.Answered, Status: 200}, logic.OK},
+		{"error", upstream.ExchangeResult{Stage: upstream.Answered, Status: 500}, logic.Error},
+		{"another status", upstream.ExchangeResult{Stage: upstream.Answered, Status: 302}, logic.Error},
 		// Guards against healthy backends left out for what their callers send.
-		{"the request's fault", upstream.Answer{Stage: upstream.Answered, Status: 400}, logic.Cancelled},
-		{"too many", upstream.Answer{Stage: upstream.Answered, Status: 429}, logic.Error},
-		{"turned away", upstream.Answer{Stage: upstream.Answered, Status: 503, Header: notProcessed}, logic.Full},
-		{"over already", upstream.Answer{Stage: upstream.Answered, Status: 504, Header: notProcessed}, logic.Full},
-		{"503 alone", upstream.Answer{Stage: upstream.Answered, Status: 503}, logic.Error},
-		{"500 that says it never ran", upstream.Answer{Stage: upstream.Answered, Status: 500, Header: notProcessed}, logic.Error},
-		{"malformed", upstream.Answer{Stage: upstream.Answered, Err: http1.ErrMalformed}, logic.Error},
-		{"not connected", upstream.Answer{Stage: upstream.Unopened, Err: io.EOF}, logic.NoConnect},
-		{"no time to connect", upstream.Answer{Stage: upstream.Unopened, Err: os.ErrDeadlineExceeded}, logic.NoConnect},
-		{"broken", upstream.Answer{Stage: upstream.Written, Err: io.ErrUnexpectedEOF}, logic.Broken},
-		{"timed out", upstream.Answer{Stage: upstream.Written, Err: os.ErrDeadlineExceeded}, logic.TimedOut},
-		{"no descriptor", upstream.Answer{Stage: upstream.Unsent, Err: io.EOF}, logic.NeverSent},
+		{"the request's fault", upstream.ExchangeResult{Stage: upstream.Answered, Status: 400}, logic.Cancelled},
+		{"too many", upstream.ExchangeResult{Stage: upstream.Answered, Status: 429}, logic.Error},
+		{"turned away", upstream.ExchangeResult{Stage: upstream.Answered, Status: 503, Header: notProcessed}, logic.Full},
+		{"over already", upstream.ExchangeResult{Stage: upstream.Answered, Status: 504, Header: notProcessed}, logic.Full},
+		{"503 alone", upstream.ExchangeResult{Stage: upstream.Answered, Status: 503}, logic.Error},
+		{"500 that says it never ran", upstream.ExchangeResult{Stage: upstream.Answered, Status: 500, Header: notProcessed}, logic.Error},
+		{"malformed", upstream.ExchangeResult{Stage: upstream.Answered, Err: http1.ErrMalformed}, logic.Error},
+		{"not connected", upstream.ExchangeResult{Stage: upstream.SendFailed, Err: io.EOF}, logic.NoConnect},
+		{"no time to connect", upstream.ExchangeResult{Stage: upstream.SendFailed, Err: os.ErrDeadlineExceeded}, logic.NoConnect},
+		{"broken", upstream.ExchangeResult{Stage: upstream.Written, Err: io.ErrUnexpectedEOF}, logic.Broken},
+		{"timed out", upstream.ExchangeResult{Stage: upstream.Written, Err: os.ErrDeadlineExceeded}, logic.TimedOut},
+		{"no descriptor", upstream.ExchangeResult{Stage: upstream.Unsent, Err: io.EOF}, logic.NeverSent},
 	} {
 		got, final := outcome(&c.a)
 		if got != c.want || final != (got == logic.OK || got == logic.Cancelled) {
@@ -262,7 +262,7 @@
 	relieved := 0
 	s.relieve = func(int) { relieved++ }
 	taken := 0
-	for s.Take() {
+	for s.TryAcquire() {
 		taken++
 	}
 	if taken != 14 {
@@ -273,7 +273,7 @@
 	}
 	s.wait()
 	s.wait()
-	if !s.Full() {
+	if !s.Exhausted() {
 		t.Error("not full")
 	}
 	got := make(chan bool)
@@ -388,12 +388,12 @@
 		t.Fatalf("got %d", status)
 	}
 	to := p.driver.all()[0]
-	if _, idle := to.Oldest(); !idle {
+	if _, idle := to.OldestIdleSince(); !idle {
 		t.Fatal("no idle connection")
 	}
 	p.driver.do(func(logic.Time) {
 		p.driver.CloseIdle("s-1")
-		if _, idle := to.Oldest(); idle {
+		if _, idle := to.OldestIdleSince(); idle {
 			t.Error("still in use")
 		}
 	})
@@ -457,7 +457,7 @@
 			used, _ := p.sockets.inUse()
 			idle := 0
 			for _, b := range p.driver.all() {
-				idle += b.Idle()
+				idle += b.IdleCount()
 			}
 			return used == idle+1 // one is taken for the next client
 		})
@@ -486,7 +486,7 @@
 				kept = append(kept, c)
 			}
 			gone := fmt.Sprintf(`{"uid":"s-%d","state":"terminated"}`, uids-3)
-			l, err := discovery.Parse([]byte(standin.List(2, false, gone, line())))
+			l, err := discovery.ParseList([]byte(standin.List(2, false, gone, line())))
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/proxy/race_test.go
+++ b/proxy/race_test.go
@@ -27,7 +27,7 @@
 		state := []string{"in_service", "in_service", "in_service", "terminating", "terminated"}[r.IntN(5)]
 		lines = append(lines, standin.TargetIn(state, fmt.Sprintf("s-%d", r.IntN(8)), fmt.Sprintf("127.0.0.1:%d", 1+r.IntN(3))))
 	}
-	l, err := discovery.Parse([]byte(standin.List(rev, r.IntN(3) == 0, lines...)))
+	l, err := discovery.ParseList([]byte(standin.List(rev, r.IntN(3) == 0, lines...)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -104,16 +104,16 @@
 			d.list(randomList(t, r, rev))
 			switch r.IntN(12) {
 			case 0:
-				d.listFresh(discovery.Fresh{Until: time.Now().Add(time.Minute)})
+				d.listFresh(discovery.Freshness{Until: time.Now().Add(time.Minute)})
 			case 1:
-				d.listFresh(discovery.Fresh{Until: time.Now().Add(time.Second)})
+				d.listFresh(discovery.Freshness{Until: time.Now().Add(time.Second)})
 			case 2:
 				d.byHand(fmt.Sprintf("s-%d", r.IntN(8)), r.IntN(2) == 0)
 			case 3:
 				d.end()
 			case 4:
 				for _, b := range d.all() {
-					b.Reap(time.Now())
+					b.CloseExpired(time.Now())
 				}
 			}
 			d.listed()
@@ -217,7 +217,7 @@
 			case 3:
 				fleet[r.IntN(len(fleet))].Cut()
 			default:
-				l, err := discovery.Parse([]byte(standin.List(rev, r.IntN(4) == 0, target(r), target(r), target(r))))
+				l, err := discovery.ParseList([]byte(standin.List(rev, r.IntN(4) == 0, target(r), target(r), target(r))))
 				if err != nil {
 					t.Error(err)
 					return
--- a/proxy/ready.go
+++ b/proxy/ready.go
@@ -22,7 +22,7 @@
 }
 
 // note takes for how long the list may be used.
-func (r *readiness) note(f discovery.Fresh) {
+func (r *readiness) note(f discovery.Freshness) {
 	if !time.Now().Before(f.Until) || r.had.Swap(true) {
 		return
 	}
--- a/proxy/request.go
+++ b/proxy/request.go
@@ -95,18 +95,18 @@
 		}
 		switch step.kind {
 		case stepSend:
-			sending := &upstream.Request{Timeout: step.timeout, Decided: step.sent, Rest: rest, Transfers: p.transfers}
-			sending.Connected = func() bool {
+			sending := &upstream.Request{Timeout: step.timeout, DecidedAt: step.sent, BodyRest: rest, Transfers: p.transfers}
+			sending.ShouldSend = func() bool {
 				if c.conn.PeerClosed() { // also behind a body that nobody has read to its end
 					p.driver.gone(call)
 				}
 				return p.driver.connected(call, step)
 			}
-			sending.Text = func(left time.Duration) []byte { return forward(req, step.to.Addr, body, rest, left) }
+			sending.Render = func(left time.Duration) []byte { return forward(req, step.to.Addr, body, rest, left) }
 			if rest == nil {
 				watch()
 			} else {
-				sending.Written = func() {
+				sending.OnWritten = func() {
 					step.sent = time.Now()
 					p.driver.written(call)
 					if c.conn.More() { // it is here already: no need to wait for a watch to see it
@@ -132,15 +132,15 @@
 				p.driver.forget(call)
 			}
 			switch {
-			case errors.Is(got.Source, http1.ErrBusy):
+			case errors.Is(got.BodyReadErr, http1.ErrBusy):
 				ends[throttled].Add(1)
 				ended(endBusy, "")
 				req.Close = true // most of it has not been read
 				p.answer(c, req, http.StatusServiceUnavailable, comeBack(p.cfg.logic.MaxComeBack), "busy")
 				return false
-			case got.Source != nil:
+			case got.BodyReadErr != nil:
 				ended(endUnreadable, "")
-				p.turnAway(c, unreadable(got.Source), got.Source)
+				p.turnAway(c, unreadable(got.BodyReadErr), got.BodyReadErr)
 				return false
 			case call.ahead.Load():
 				got.Release(false)
@@ -191,19 +191,19 @@
 
 // outcome names what an exchange came to in the module's terms, and tells whether
 // the request is over with it.
-func outcome(a *upstream.Answer) (r logic.Result, final bool) {
-	if a.Source != nil { // never whole at the backend, and no fault of its own
+func outcome(a *upstream.ExchangeResult) (r logic.Result, final bool) {
+	if a.BodyReadErr != nil { // never whole at the backend, and no fault of its own
 		return logic.NeverSent, true
 	}
 	switch a.Stage {
 	case upstream.Unsent:
 		return logic.NeverSent, false
-	case upstream.Late:
+	case upstream.ConnectTimedOut:
 		return logic.Late, false
-	case upstream.Unopened:
+	case upstream.SendFailed:
 		return logic.NoConnect, false
 	case upstream.Written:
-		if a.Timeout() {
+		if a.TimedOut() {
 			return logic.TimedOut, false
 		}
 		return logic.Broken, false
@@ -300,14 +300,14 @@
 
 // pass hands on a backend's answer, and counts how the request ended: with one that is
 // here whole at once, so that who has read it finds it counted; else with its last byte.
-func (p *Proxy) pass(c *client, req *http.Request, got *upstream.Answer, ends *[endings]atomic.Int64) bool {
+func (p *Proxy) pass(c *client, req *http.Request, got *upstream.ExchangeResult, ends *[endings]atomic.Int64) bool {
 	var header []string
 	for _, name := range []string{"Content-Type", "Content-Encoding"} {
 		if v := got.Header.Get(name); v != "" {
 			header = append(header, name, v)
 		}
 	}
-	if got.Rest == nil {
+	if got.BodyRest == nil {
 		ends[fulfilled].Add(1)
 		return p.write(c, got.Status, header, got.Body, req.Close)
 	}
@@ -332,16 +332,16 @@
 
 // passLong writes an answer with a rest, as it comes. A client that reads HTTP/1.0 gets
 // one of unknown size until the connection's end.
-func (p *Proxy) passLong(c *client, req *http.Request, got *upstream.Answer, header []string, last bool) (err error) {
+func (p *Proxy) passLong(c *client, req *http.Request, got *upstream.ExchangeResult, header []string, last bool) (err error) {
 	old, first := !req.ProtoAtLeast(1, 1), got.Body
 	switch {
-	case got.Rest.Size >= 0:
-		header = append(header, "Content-Length", strconv.FormatInt(got.Rest.Size, 10))
+	case got.BodyRest.Size >= 0:
+		header = append(header, "Content-Length", strconv.FormatInt(got.BodyRest.Size, 10))
 	case !old:
 		header = append(header, "Transfer-Encoding", "chunked")
 		first = http1.Chunk(first)
 	}
-	if old && got.Rest.Size < 0 {
+	if old && got.BodyRest.Size < 0 {
 		// The connection's end is the answer's: until that is here, any other end is a
 		// reset, also the one that the kernel makes of ours.
 		if t, ok := c.conn.Conn.(interface{ SetLinger(int) error }); ok {
@@ -353,21 +353,21 @@
 			}()
 		}
 	}
-	within := upstream.Progress(c.conn.SetWriteDeadline)
+	within := upstream.ProgressDeadlines(c.conn.SetWriteDeadline)
 	within(0)
 	_, err = c.conn.Write(answerText(got.Status, header, first, last))
 	c.answering = true
 	if err != nil {
 		return fmt.Errorf("%w: %w", http1.ErrPassed, err)
 	}
-	return p.transfers.Pass(c.conn, got.Rest, old, func(passed int64) error {
+	return p.transfers.Pass(c.conn, got.BodyRest, old, func(passed int64) error {
 		within(passed)
 		return nil
 	})
 }
 
 // stays tells whether connections of clients are kept after an answer.
-func (p *Proxy) stays() bool { return p.Phase() <= Draining && !p.sockets.Full() }
+func (p *Proxy) stays() bool { return p.Phase() <= Draining && !p.sockets.Exhausted() }
 
 // answer answers a request ourselves.
 func (p *Proxy) answer(c *client, req *http.Request, status int, header []string, text string) bool {
--- a/proxy/sockets.go
+++ b/proxy/sockets.go
@@ -58,8 +58,8 @@
 	s.freed.Broadcast()
 }
 
-// Take takes a descriptor for a connection to a backend, if there is one.
-func (s *sockets) Take() bool {
+// TryAcquire takes a descriptor for a connection to a backend, if there is one.
+func (s *sockets) TryAcquire() bool {
 	s.relieveIfNear()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -128,8 +128,8 @@
 	s.most = max(s.most, s.used)
 }
 
-// Give gives one of a backend's back.
-func (s *sockets) Give() {
+// Release gives one of a backend's back.
+func (s *sockets) Release() {
 	s.mu.Lock()
 	s.backends--
 	s.used--
@@ -145,8 +145,8 @@
 	s.freed.Signal()
 }
 
-// Full tells whether none is left: connections that become idle are closed then.
-func (s *sockets) Full() bool {
+// Exhausted tells whether none is left: connections that become idle are closed then.
+func (s *sockets) Exhausted() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.used >= s.limit
--- a/proxy/sockets_test.go
+++ b/proxy/sockets_test.go
@@ -21,7 +21,7 @@
 		for s.wait() {
 			clients++
 		}
-		for s.Take() {
+		for s.TryAcquire() {
 			backends++
 		}
 		if clients != c.budget-c.part || backends != c.part {
@@ -31,7 +31,7 @@
 		s.relieve = func(int) {}
 		s.waitUntil(time.Now())
 		clients, backends = 0, 0
-		for s.Take() {
+		for s.TryAcquire() {
 			backends++
 		}
 		for s.wait() {
@@ -88,7 +88,7 @@
 		d.Push(standin.List(2, true, standin.Target("s-1", b.Addr()), standin.Target("s-2", moved.Addr())))
 		return p.driver.known() == 2
 	})
-	if took := time.Since(back); took > discovery.TellWithin {
+	if took := time.Since(back); took > discovery.MaxAnnounceDelay {
 		t.Errorf("the list is followed %v after discovery's return", took)
 	}
 }
--- a/proxy/state.go
+++ b/proxy/state.go
@@ -271,7 +271,7 @@
 	if err != nil {
 		return err
 	}
-	if err = faults.Fail("write"); err == nil {
+	if err = faults.Inject("write"); err == nil {
 		_, err = f.Write(text)
 	}
 	if err == nil {
--- a/proxy/stats.go
+++ b/proxy/stats.go
@@ -21,7 +21,7 @@
 	open atomic.Int64            // requests taken and not ended
 	ends [][endings]atomic.Int64 // of requests, by class
 
-	badLog logging.Limit // of bad requests
+	badLog logging.RateLimiter // of bad requests
 
 	mu       sync.Mutex
 	latency  *hdrhistogram.Histogram // of answers, in microseconds
@@ -41,7 +41,7 @@
 	const longest = int64(time.Minute / time.Microsecond)
 	return &stats{
 		ends:     make([][endings]atomic.Int64, classes),
-		badLog:   logging.Limit{Every: badEvery},
+		badLog:   logging.RateLimiter{Interval: badEvery},
 		latency:  hdrhistogram.New(1, longest, 2),
 		lateness: hdrhistogram.New(1, longest, 2),
 	}
@@ -98,5 +98,5 @@
 		r[logic.OK], s.ended(throttled), s.ended(faulted), s.gone.Load(), s.bad.Load(), s.unwritten.Load(), s.cutShort.Load(), s.recovered.Load(),
 		s.latency.ValueAtQuantile(50), s.latency.ValueAtQuantile(99),
 		r[logic.Error], r[logic.Cancelled], r[logic.Full], r[logic.TimedOut], r[logic.NoConnect], r[logic.Broken], r[logic.NeverSent], r[logic.Late],
-		p.driver.opt.Opened.Load(), used, most, s.lateness.ValueAtQuantile(99), s.lateness.Max(), age.Seconds())
+		p.driver.opt.ConnsOpened.Load(), used, most, s.lateness.ValueAtQuantile(99), s.lateness.Max(), age.Seconds())
 }
