--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -18,7 +18,7 @@
 // Host holds the instances of one process.
 type Host struct {
 	instances map[int]*instance
-	pools     map[int][]wire.Element
+	pools     map[int][]wire.PoolEntry
 	actions   []wire.Action
 }
 
@@ -33,7 +33,7 @@
 
 // New returns a host without instances.
 func New() *Host {
-	return &Host{instances: map[int]*instance{}, pools: map[int][]wire.Element{}}
+	return &Host{instances: map[int]*instance{}, pools: map[int][]wire.PoolEntry{}}
 }
 
 // Run answers batches from r on w until r ends.
@@ -47,7 +47,7 @@
 		if err != nil {
 			return fmt.Errorf("read: %w", err)
 		}
-		actions, err := h.Batch(batch)
+		actions, err := h.HandleBatch(batch)
 		if err != nil {
 			return fmt.Errorf("batch %d: %w", batch.Serial, err)
 		}
@@ -57,11 +57,11 @@
 	}
 }
 
-// Batch handles the events of b in order and returns the actions they led to,
+// HandleBatch handles the events of b in order and returns the actions they led to,
 // good until the next call.
-func (h *Host) Batch(b *wire.Batch) ([]wire.Action, error) {
+func (h *Host) HandleBatch(b *wire.Batch) ([]wire.Action, error) {
 	h.actions = h.actions[:0]
-	now := settings.Duration(b.Time)
+	now := settings.Duration(b.TimeMs)
 	for i := range b.Events {
 		if err := h.event(now, &b.Events[i]); err != nil {
 			return nil, fmt.Errorf("%s: %w", b.Events[i].Type, err)
@@ -73,7 +73,7 @@
 func (h *Host) event(now logic.Time, e *wire.Event) error {
 	switch e.Type {
 	case "pool":
-		h.pools[*e.Ref] = e.Elements
+		h.pools[*e.PoolID] = e.Entries
 		return nil
 	case "enlist":
 		return h.enlist(now, e)
@@ -92,17 +92,17 @@
 		if !ok {
 			return fmt.Errorf("unknown class %q", *e.Kind)
 		}
-		in.balancer.Arrive(now, logic.Request{ID: *e.Txn, Class: class, Budget: settings.Duration(*e.Budget),
-			Retry: e.Bits&wire.BitRetry != 0})
+		in.balancer.Arrive(now, logic.Request{ID: *e.RequestID, Class: class, Budget: settings.Duration(*e.BudgetMs),
+			Retry: e.StateBits&wire.RetryBit != 0})
 	case "resolved":
 		return in.resolved(now, e)
 	case "lapsed":
-		in.balancer.Gone(now, *e.Txn)
+		in.balancer.Gone(now, *e.RequestID)
 	case "elapsed":
-		if *e.Nonce >= listNonces {
-			in.listDue(now, *e.Nonce)
+		if *e.TimerToken >= listNonces {
+			in.listDue(now, *e.TimerToken)
 		} else {
-			in.balancer.Wake(now, *e.Nonce)
+			in.balancer.Wake(now, *e.TimerToken)
 		}
 	case "status-back", "neighbour-says", "first":
 		// The module probes nobody, talks to no peer, and waits for an answer's
@@ -112,7 +112,7 @@
 }
 
 func (h *Host) enlist(now logic.Time, e *wire.Event) error {
-	set, err := e.Setup.Logic(*e.Seed)
+	set, err := e.Settings.LogicSettings(*e.Seed)
 	if err != nil {
 		return err
 	}
@@ -122,7 +122,7 @@
 	}
 	h.instances[in.number] = in
 	in.balancer = logic.New(now, set, in)
-	if within, asked := e.Setup.ListAsked(); asked {
+	if within, asked := e.Settings.ListsOnRequest(); asked {
 		in.lists = newListCalls(within, set.Seed)
 		in.callForList(in.lists.pacer.First())
 	}
@@ -137,12 +137,12 @@
 	if !slices.Contains([]string{"SAVED", "FULL", "INCREMENTAL"}, *e.Kind) {
 		return fmt.Errorf("unknown kind %q", *e.Kind)
 	}
-	if e.Ref == nil {
+	if e.PoolID == nil {
 		return errors.New("no ref")
 	}
-	elements, ok := in.host.pools[*e.Ref]
+	elements, ok := in.host.pools[*e.PoolID]
 	if !ok {
-		return fmt.Errorf("unknown pool %d", *e.Ref)
+		return fmt.Errorf("unknown pool %d", *e.PoolID)
 	}
 	states := map[string]logic.State{"up": logic.Up, "draining": logic.Draining, "removed": logic.Removed}
 	lines := make([]logic.Backend, 0, len(elements))
@@ -151,9 +151,9 @@
 		if !ok {
 			return fmt.Errorf("backend %s: unknown health %q", l.Backend, l.Health)
 		}
-		line := logic.Backend{ID: l.Backend, Zone: l.Zone, Cell: l.Cell, State: state, Started: settings.Duration(l.ReadyAt)}
-		if l.Units != nil {
-			line.Size = *l.Units
+		line := logic.Backend{ID: l.Backend, Zone: l.Zone, Cell: l.Cell, State: state, Started: settings.Duration(l.ReadyAtMs)}
+		if l.CapacityUnits != nil {
+			line.Size = *l.CapacityUnits
 		}
 		lines = append(lines, line)
 	}
@@ -169,10 +169,10 @@
 		return fmt.Errorf("unknown code %d", *e.Code)
 	}
 	in.balancer.Done(now, logic.Outcome{
-		Request: *e.Txn,
-		Attempt: e.Shot,
+		Request: *e.RequestID,
+		Attempt: e.Attempt,
 		Result:  results[*e.Code],
-		Latency: settings.Duration(e.Latency),
+		Latency: settings.Duration(e.LatencyMs),
 		Final:   e.Terminal,
 	})
 	return nil
@@ -185,27 +185,27 @@
 
 // Send implements logic.Actions.
 func (in *instance) Send(request, backend string, timeout time.Duration) {
-	in.act(wire.Action{Type: "pass-on", Txn: request, Backend: backend, AllowFor: settings.Milliseconds(timeout)})
+	in.act(wire.Action{Type: "pass-on", RequestID: request, Backend: backend, TimeoutMs: settings.Milliseconds(timeout)})
 }
 
 // Refuse implements logic.Actions.
 func (in *instance) Refuse(request string, comeBack time.Duration, _ logic.Cause) {
-	in.act(wire.Action{Type: "reject", Txn: request, ComeBack: settings.Milliseconds(comeBack)})
+	in.act(wire.Action{Type: "reject", RequestID: request, RetryAfterMs: settings.Milliseconds(comeBack)})
 }
 
 // Fail implements logic.Actions.
 func (in *instance) Fail(request string, _ logic.Cause) {
-	in.act(wire.Action{Type: "fail", Txn: request})
+	in.act(wire.Action{Type: "fail", RequestID: request})
 }
 
 // Cancel implements logic.Actions.
 func (in *instance) Cancel(request string, attempt int) {
-	in.act(wire.Action{Type: "stop-attempt", Txn: request, Shot: &attempt})
+	in.act(wire.Action{Type: "stop-attempt", RequestID: request, Attempt: &attempt})
 }
 
 // Wake implements logic.Actions.
 func (in *instance) Wake(token uint64, after time.Duration) {
-	in.act(wire.Action{Type: "schedule", Nonce: &token, Wait: settings.Milliseconds(after)})
+	in.act(wire.Action{Type: "schedule", TimerToken: &token, WaitMs: settings.Milliseconds(after)})
 }
 
 // CloseIdle implements logic.Actions.
--- a/internal/host/lists.go
+++ b/internal/host/lists.go
@@ -35,7 +35,7 @@
 func (in *instance) callForList(wait time.Duration) {
 	in.lists.due++
 	nonce := in.lists.due
-	in.act(wire.Action{Type: "schedule", Nonce: &nonce, Wait: settings.Milliseconds(wait)})
+	in.act(wire.Action{Type: "schedule", TimerToken: &nonce, WaitMs: settings.Milliseconds(wait)})
 }
 
 // listDue takes the end of a wait; one that another has replaced means nothing.
--- a/internal/host/lists_test.go
+++ b/internal/host/lists_test.go
@@ -20,7 +20,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		actions, err := h.Batch(b)
+		actions, err := h.HandleBatch(b)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -32,7 +32,7 @@
 		if len(actions) != 1 || actions[0].Type != "schedule" {
 			t.Fatalf("got %+v, want one wait", actions)
 		}
-		return *actions[0].Nonce, actions[0].Wait
+		return *actions[0].TimerToken, actions[0].WaitMs
 	}
 	elapsed := func(nonce uint64) string { return fmt.Sprintf(`{"type":"elapsed","i":1,"nonce":%d}`, nonce) }
 	failed := `{"type":"backends-changed","i":1,"kind":"FAILED","seq-no":1}`
--- a/internal/http1/conn.go
+++ b/internal/http1/conn.go
@@ -25,26 +25,26 @@
 
 // Sizes of a message. What is larger ends as ErrHeadTooLarge or ErrBodyTooLarge.
 const (
-	MaxHead   = 16 << 10
-	MaxBody   = 64 << 10 // that is read whole
-	MaxStream = 32 << 20 // that passes through
+	MaxHeaderBytes       = 16 << 10
+	MaxBufferedBodyBytes = 64 << 10 // that is read whole
+	MaxStreamedBodyBytes = 32 << 20 // that passes through
 
 	// maxMessage leaves a chunked body room for its framing, and bounds what a
 	// crowd of large messages, each nearly whole, can hold in buffers.
-	maxMessage = MaxHead + MaxBody + 16<<10
+	maxMessage = MaxHeaderBytes + MaxBufferedBodyBytes + 16<<10
 	firstBuf   = 2 << 10
 	keptBuf    = 16 << 10 // a larger buffer is dropped when its messages are done
 )
 
-// LongAgo is a deadline that is over, whatever the clock says: it ends a wait at once.
-var LongAgo = time.Unix(1, 0)
+// ExpiredDeadline is a deadline that is over, whatever the clock says: it ends a wait at once.
+var ExpiredDeadline = time.Unix(1, 0)
 
 // Errors of a message; what else a read returns is the connection's own error.
 var (
-	ErrMalformed    = errors.New("malformed message")
-	ErrHeadTooLarge = errors.New("head too large")
-	ErrBodyTooLarge = errors.New("body too large")
-	ErrInterrupted  = errors.New("interrupted")
+	ErrMalformed      = errors.New("malformed message")
+	ErrHeaderTooLarge = errors.New("head too large")
+	ErrBodyTooLarge   = errors.New("body too large")
+	ErrInterrupted    = errors.New("interrupted")
 )
 
 // Conn is a connection with its buffer. Its methods are for one goroutine,
@@ -63,10 +63,10 @@
 	err     error
 	watch   chan struct{} // closed when the watch is over
 
-	// Pace, if set, is called before each read of a body with what has come of it, to
+	// BeforeBodyRead, if set, is called before each read of a body with what has come of it, to
 	// set the time that the read may take.
-	Pace func(body int64)
-	body int64 // below zero: none is under way
+	BeforeBodyRead func(body int64)
+	body           int64 // below zero: none is under way
 
 	interrupted atomic.Bool
 }
@@ -80,15 +80,15 @@
 	return c
 }
 
-// Carried tells whether a message has been read from the connection.
-func (c *Conn) Carried() bool { return c.carried }
+// HasReadMessage tells whether a message has been read from the connection.
+func (c *Conn) HasReadMessage() bool { return c.carried }
 
 // Buffered is the number of bytes that have come and are not used up.
 func (c *Conn) Buffered() int { return c.end - c.start }
 
-// Await waits until a part of a message is in the buffer. The empty lines that
+// AwaitMessage waits until a part of a message is in the buffer. The empty lines that
 // some senders put between messages are passed over.
-func (c *Conn) Await() error {
+func (c *Conn) AwaitMessage() error {
 	for {
 		c.skipEmpty()
 		if c.start < c.end {
@@ -122,8 +122,8 @@
 			c.buf = grown
 		}
 	}
-	if c.Pace != nil && c.body >= 0 {
-		c.Pace(c.body)
+	if c.BeforeBodyRead != nil && c.body >= 0 {
+		c.BeforeBodyRead(c.body)
 	}
 	if c.interrupted.Load() { // after Pace, which may have set another time
 		return ErrInterrupted
@@ -142,7 +142,7 @@
 
 // head waits until the whole head of a message is in the buffer, and judges it.
 func (c *Conn) head(request bool) error {
-	if err := c.Await(); err != nil {
+	if err := c.AwaitMessage(); err != nil {
 		return err
 	}
 	for h := (headCheck{request: request}); ; {
@@ -194,7 +194,7 @@
 
 // parse runs read over the message at the start of the buffer, then uses it up. Where
 // more is to come, the rest goes on from there.
-func (c *Conn) parse(request bool, read func(*bufio.Reader) (part, error)) ([]byte, *Rest, error) {
+func (c *Conn) parse(request bool, read func(*bufio.Reader) (part, error)) ([]byte, *RemainingBody, error) {
 	if err := c.head(request); err != nil {
 		return nil, nil, err
 	}
@@ -205,7 +205,7 @@
 	c.carried = c.carried || err == nil
 	if err == nil && !p.whole {
 		c.body = int64(len(p.body))
-		return p.body, &Rest{c: c, br: br, from: p.from, Size: p.size, came: c.body, over: p.over}, nil
+		return p.body, &RemainingBody{c: c, br: br, from: p.from, TotalSize: p.size, came: c.body, over: p.over}, nil
 	}
 	return p.body, nil, c.used(br, err)
 }
@@ -231,9 +231,9 @@
 	return err
 }
 
-// Rest is what is still to come of a message whose first part has been read.
-type Rest struct {
-	Size int64 // of the whole body; below zero where nobody says
+// RemainingBody is what is still to come of a message whose first part has been read.
+type RemainingBody struct {
+	TotalSize int64 // of the whole body; below zero where nobody says
 
 	c     *Conn
 	br    *bufio.Reader // nil once the message is over
@@ -244,12 +244,12 @@
 	err   error
 }
 
-// Begun tells whether anything has been read of the rest.
-func (r *Rest) Begun() bool { return r.begun }
+// ReadStarted tells whether anything has been read of the rest.
+func (r *RemainingBody) ReadStarted() bool { return r.begun }
 
 // Read reads what comes next, without waiting for more than something. Its error is
 // io.EOF at the message's end, after which the connection can carry another.
-func (r *Rest) Read(p []byte) (int, error) {
+func (r *RemainingBody) Read(p []byte) (int, error) {
 	if r.err != nil {
 		return 0, r.err
 	}
@@ -269,7 +269,7 @@
 	n, err := r.from.Read(p)
 	r.came += int64(n)
 	r.c.body = r.came
-	if r.came > MaxStream && err == nil {
+	if r.came > MaxStreamedBodyBytes && err == nil {
 		err = ErrBodyTooLarge
 	}
 	if err == nil {
@@ -287,26 +287,26 @@
 
 // Interrupt ends the wait of a Read, now or the next one's, with ErrInterrupted, until
 // Resume. It may come from any goroutine.
-func (r *Rest) Interrupt() {
+func (r *RemainingBody) Interrupt() {
 	r.c.interrupted.Store(true)
-	r.c.SetReadDeadline(LongAgo)
+	r.c.SetReadDeadline(ExpiredDeadline)
 }
 
 // Resume lets Read wait again.
-func (r *Rest) Resume() {
+func (r *RemainingBody) Resume() {
 	r.c.interrupted.Store(false)
 	r.c.SetReadDeadline(time.Time{})
 }
 
 // ReadRequest reads a request and its body, the first part of a long one. The error is
 // io.EOF where the connection ended between messages.
-func (c *Conn) ReadRequest() (req *http.Request, body []byte, rest *Rest, err error) {
+func (c *Conn) ReadRequest() (req *http.Request, body []byte, rest *RemainingBody, err error) {
 	body, rest, err = c.parse(true, func(br *bufio.Reader) (part, error) {
 		if req, err = http.ReadRequest(br); err != nil {
 			return part{}, err
 		}
 		waits := req.Header.Get("Expect") == "100-continue" && c.pos == c.end && br.Buffered() == 0
-		if waits && req.ContentLength <= MaxStream {
+		if waits && req.ContentLength <= MaxStreamedBodyBytes {
 			if _, c.err = io.WriteString(c.Conn, "HTTP/1.1 100 Continue\r\n\r\n"); c.err != nil {
 				return part{}, c.err
 			}
@@ -330,7 +330,7 @@
 //
 // What is to end it early closes ctx first, then sets the connection a deadline that has
 // passed: that one may be overwritten here or just before, ctx can't.
-func (c *Conn) ReadResponse(ctx context.Context, deadline time.Time) (resp *http.Response, body []byte, rest *Rest, err error) {
+func (c *Conn) ReadResponse(ctx context.Context, deadline time.Time) (resp *http.Response, body []byte, rest *RemainingBody, err error) {
 	if err := ctx.Err(); err != nil {
 		return nil, nil, nil, err
 	}
@@ -349,7 +349,7 @@
 				deadline = time.Time{}
 			}
 			p, err := c.readBody(ctx, br, resp.Body, resp.ContentLength, deadline)
-			if err == nil && len(p.body) == 0 && Unbounded(resp) {
+			if err == nil && len(p.body) == 0 && IsCloseDelimited(resp) {
 				return part{}, errors.New("neither length nor body")
 			}
 			return p, err
@@ -361,8 +361,8 @@
 	return nil, nil, nil, malformed("no final answer")
 }
 
-// Unbounded tells whether an answer says no length, and ends with its connection.
-func Unbounded(resp *http.Response) bool {
+// IsCloseDelimited tells whether an answer says no length, and ends with its connection.
+func IsCloseDelimited(resp *http.Response) bool {
 	return resp.ContentLength < 0 && len(resp.TransferEncoding) == 0
 }
 
@@ -372,9 +372,9 @@
 // where a deadline is given and it takes long; the deadline is in force on return.
 func (c *Conn) readBody(ctx context.Context, br *bufio.Reader, r io.Reader, length int64, deadline time.Time) (part, error) {
 	switch {
-	case length > MaxStream:
+	case length > MaxStreamedBodyBytes:
 		return part{}, ErrBodyTooLarge
-	case length > MaxBody:
+	case length > MaxBufferedBodyBytes:
 		body := make([]byte, min(length, int64(br.Buffered()+c.end-c.pos)))
 		_, err := io.ReadFull(r, body)
 		return part{body: body, from: r, size: length}, err
@@ -391,7 +391,7 @@
 		return part{body: body, whole: true}, err
 	}
 	body, until := make([]byte, 0, 512), time.Now().Add(partWait)
-	for len(body) <= MaxBody {
+	for len(body) <= MaxBufferedBodyBytes {
 		if !deadline.IsZero() && br.Buffered() == 0 && c.pos == c.end && until.Before(deadline) {
 			c.start = c.pos
 			c.SetReadDeadline(until)
@@ -422,7 +422,7 @@
 		body = body[:len(body)+n]
 		c.body = int64(len(body))
 		switch {
-		case errors.Is(err, io.EOF) && len(body) <= MaxBody:
+		case errors.Is(err, io.EOF) && len(body) <= MaxBufferedBodyBytes:
 			return part{body: body, whole: true}, nil
 		case errors.Is(err, io.EOF):
 			return part{body: body, from: r, size: -1, over: true}, nil
@@ -433,9 +433,9 @@
 	return part{body: body, from: r, size: -1}, nil
 }
 
-// Quiet tells whether an idle connection is still open with nothing to read, as
+// IsIdle tells whether an idle connection is still open with nothing to read, as
 // far as can be seen without waiting.
-func (c *Conn) Quiet() bool {
+func (c *Conn) IsIdle() bool {
 	if c.Buffered() > 0 {
 		return false
 	}
@@ -443,9 +443,9 @@
 	return n == 0 && (err == nil || errors.Is(err, syscall.EAGAIN))
 }
 
-// More tells whether something has come behind the message that was read, but for
+// HasPipelinedData tells whether something has come behind the message that was read, but for
 // the empty lines that some senders put there, in the buffer or not read yet.
-func (c *Conn) More() bool {
+func (c *Conn) HasPipelinedData() bool {
 	for {
 		c.skipEmpty()
 		if c.Buffered() > 0 {
@@ -517,10 +517,10 @@
 	return failed == nil && closed
 }
 
-// Watch calls gone from a goroutine of its own if the peer ends the connection
+// WatchPeer calls gone from a goroutine of its own if the peer ends the connection
 // before Unwatch, or ahead if it sends on. What comes stays in the buffer, and
 // nothing is noticed after it. Where a watch stands, it goes on.
-func (c *Conn) Watch(gone, ahead func()) {
+func (c *Conn) WatchPeer(gone, ahead func()) {
 	if c.watch != nil || c.Buffered() > maxMessage { // no room to read into
 		return
 	}
@@ -541,12 +541,12 @@
 	}()
 }
 
-// Unwatch ends a watch, if there is one. gone is not called after it.
-func (c *Conn) Unwatch() {
+// UnwatchPeer ends a watch, if there is one. gone is not called after it.
+func (c *Conn) UnwatchPeer() {
 	if c.watch == nil {
 		return
 	}
-	c.SetReadDeadline(LongAgo)
+	c.SetReadDeadline(ExpiredDeadline)
 	<-c.watch
 	c.watch = nil
 	c.SetReadDeadline(time.Time{})
--- a/internal/http1/conn_test.go
+++ b/internal/http1/conn_test.go
@@ -104,8 +104,8 @@
 		{"bad length", post("Content-Length: five", ""), ErrMalformed},
 		{"two lengths", post("Content-Length: 1\r\nContent-Length: 2", "ab"), ErrMalformed},
 		{"bad chunk", post("Transfer-Encoding: chunked", "zz\r\nabc\r\n"), ErrMalformed},
-		{"large head", post("X: "+strings.Repeat("x", MaxHead), ""), ErrHeadTooLarge},
-		{"endless head", "GET / HTTP/1.1\r\n" + strings.Repeat("X: y\r\n", MaxHead), ErrHeadTooLarge},
+		{"large head", post("X: "+strings.Repeat("x", MaxHeaderBytes), ""), ErrHeaderTooLarge},
+		{"endless head", "GET / HTTP/1.1\r\n" + strings.Repeat("X: y\r\n", MaxHeaderBytes), ErrHeaderTooLarge},
 		{"large body told", post("Content-Length: 33554433", ""), ErrBodyTooLarge},
 		{"more framing than body", post("Transfer-Encoding: chunked",
 			strings.Repeat("1;"+strings.Repeat("e", 200)+"\r\nx\r\n", 2000)), ErrMalformed},
@@ -121,7 +121,7 @@
 }
 
 func TestLargestBody(t *testing.T) {
-	body := strings.Repeat("x", MaxBody)
+	body := strings.Repeat("x", MaxBufferedBodyBytes)
 	c := NewConn(split("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 65536\r\n\r\n"+body, 100, 9000))
 	_, got, _, err := c.ReadRequest()
 	if err != nil || string(got) != body {
@@ -137,10 +137,10 @@
 // would not fit into the memory.
 func TestBufferIsBounded(t *testing.T) {
 	c := NewConn(split("POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n" + strings.Repeat("1\r\nx\r\n", 70000)))
-	if _, body, rest, err := c.ReadRequest(); err != nil || len(body) <= MaxBody || rest == nil {
+	if _, body, rest, err := c.ReadRequest(); err != nil || len(body) <= MaxBufferedBodyBytes || rest == nil {
 		t.Fatal(err)
 	}
-	if len(c.buf) > MaxHead+MaxBody+20<<10 {
+	if len(c.buf) > MaxHeaderBytes+MaxBufferedBodyBytes+20<<10 {
 		t.Errorf("a buffer of %d bytes", len(c.buf))
 	}
 }
@@ -215,21 +215,21 @@
 
 func TestQuiet(t *testing.T) {
 	c, far := tcp(t)
-	if !c.Quiet() {
+	if !c.IsIdle() {
 		t.Error("an open, silent connection is not quiet")
 	}
 	far.Close()
-	eventually(t, "a closed connection is not quiet", func() bool { return !c.Quiet() })
+	eventually(t, "a closed connection is not quiet", func() bool { return !c.IsIdle() })
 	c, far = tcp(t)
 	io.WriteString(far, "x")
-	eventually(t, "a connection with something to read is not quiet", func() bool { return !c.Quiet() })
+	eventually(t, "a connection with something to read is not quiet", func() bool { return !c.IsIdle() })
 }
 
 // An end is seen at once, also behind bytes that nobody has read, in the buffer or in the
 // kernel; an open connection is open, and what can't be seen counts as that.
 func TestPeerClosed(t *testing.T) {
 	read := func(c *Conn) { // into the buffer
-		if err := c.Await(); err != nil {
+		if err := c.AwaitMessage(); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -286,15 +286,15 @@
 func TestWatch(t *testing.T) {
 	c, far := tcp(t)
 	gone, ahead := make(chan bool, 1), make(chan bool, 1)
-	watch := func() { c.Watch(func() { gone <- true }, func() { ahead <- true }) }
+	watch := func() { c.WatchPeer(func() { gone <- true }, func() { ahead <- true }) }
 	watch()
-	c.Unwatch()
+	c.UnwatchPeer()
 	// What comes during a watch is told, and can be read after it.
 	watch()
 	io.WriteString(far, "\r\n")
 	io.WriteString(far, "GET /next HTTP/1.1\r\nHost: h\r\n\r\n")
 	<-ahead
-	c.Unwatch()
+	c.UnwatchPeer()
 	req, _, _, err := c.ReadRequest()
 	if err != nil || req.RequestURI != "/next" {
 		t.Fatalf("got %v, %v", req, err)
@@ -311,7 +311,7 @@
 	case <-time.After(10 * time.Second):
 		t.Fatal("the end was not noticed")
 	}
-	c.Unwatch()
+	c.UnwatchPeer()
 }
 
 // FuzzRequests checks that no input makes reading panic, loop or depend on how
@@ -335,7 +335,7 @@
 			if err1 != nil {
 				return
 			}
-			if r1.RequestURI != r2.RequestURI || len(b1) > MaxBody {
+			if r1.RequestURI != r2.RequestURI || len(b1) > MaxBufferedBodyBytes {
 				t.Fatalf("whole: %s, cut: %s, body of %d", r1.RequestURI, r2.RequestURI, len(b1))
 			}
 		}
@@ -401,14 +401,14 @@
 		for _, at := range [][]int{{}, {60}, {100, 101, 102, 70_000}, {len(c.text) - 1}, {len(c.text) + 3}} {
 			conn := NewConn(split(c.text+next, at...))
 			req, first, rest, err := conn.ReadRequest()
-			if err != nil || rest == nil || rest.Size != c.size || req.RequestURI != "/long" {
+			if err != nil || rest == nil || rest.TotalSize != c.size || req.RequestURI != "/long" {
 				t.Fatalf("%s, cut at %v: rest %v, %v", c.name, at, rest, err)
 			}
-			if rest.Begun() {
+			if rest.ReadStarted() {
 				t.Errorf("%s: begun before it is read", c.name)
 			}
 			sink := &pieces{}
-			err = NewTransfers(1).Pass(NewConn(sink), rest, true, func(int64) error { return nil })
+			err = NewStreamPool(1).Forward(NewConn(sink), rest, true, func(int64) error { return nil })
 			if got := append(first, sink.out.Bytes()...); err != nil || !bytes.Equal(got, body) {
 				t.Fatalf("%s, cut at %v: %d bytes of %d, %v", c.name, at, len(got), len(body), err)
 			}
@@ -435,17 +435,17 @@
 		{"ended inside a chunk", head + "Transfer-Encoding: chunked\r\n\r\n20000\r\n" + long, io.ErrUnexpectedEOF},
 		{"spoilt chunk", head + "Transfer-Encoding: chunked\r\n\r\n186a0\r\n" + long + "\r\nzz\r\n", ErrMalformed},
 		{"too long in chunks", head + "Transfer-Encoding: chunked\r\n\r\n" +
-			strings.Repeat("186a0\r\n"+long+"\r\n", MaxStream/100_000+1), ErrBodyTooLarge},
+			strings.Repeat("186a0\r\n"+long+"\r\n", MaxStreamedBodyBytes/100_000+1), ErrBodyTooLarge},
 	} {
 		conn := NewConn(split(c.text, 50))
 		_, _, rest, err := conn.ReadRequest()
 		if err != nil || rest == nil {
 			t.Fatalf("%s: %v, %v", c.name, rest, err)
 		}
-		if err := rest.Discard(NewTransfers(1)); !errors.Is(err, c.want) {
+		if err := rest.Discard(NewStreamPool(1)); !errors.Is(err, c.want) {
 			t.Errorf("%s: got %v, want %v", c.name, err, c.want)
 		}
-		rest.Drop()
+		rest.Abandon()
 	}
 
 	body := patterned(200_000)
@@ -456,8 +456,8 @@
 	}
 	sink := &pieces{}
 	sink.out.WriteString("POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n")
-	sink.Write(Chunk(first))
-	err = NewTransfers(1).Pass(NewConn(sink), rest, false, func(int64) error { return nil })
+	sink.Write(EncodeChunk(first))
+	err = NewStreamPool(1).Forward(NewConn(sink), rest, false, func(int64) error { return nil })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -472,13 +472,13 @@
 
 // No more transfers than the memory holds run at a time; one too many is told.
 func TestTransfersAreBounded(t *testing.T) {
-	tr := NewTransfers(3 * passHeld)
+	tr := NewStreamPool(3 * passHeld)
 	for range 3 {
 		if _, err := tr.take(time.Minute); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if _, err := tr.take(time.Millisecond); err != ErrBusy {
+	if _, err := tr.take(time.Millisecond); err != ErrStreamPoolExhausted {
 		t.Errorf("a fourth: %v", err)
 	}
 }
--- a/internal/http1/ends_test.go
+++ b/internal/http1/ends_test.go
@@ -76,7 +76,7 @@
 
 func cutAnswers() []cutAnswer {
 	const body = "a body of some bytes"
-	long := string(patterned(MaxBody + 40_000))
+	long := string(patterned(MaxBufferedBodyBytes + 40_000))
 	chunked := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	return []cutAnswer{
 		{"no length, 1.0", "HTTP/1.0 200 OK\r\n\r\n" + body, false},
@@ -139,7 +139,7 @@
 // comes only once all ahead of it has been read.
 func TestResetIsNoEnd(t *testing.T) {
 	const head = "HTTP/1.0 200 OK\r\n\r\n"
-	long := string(patterned(MaxBody + 10_000))
+	long := string(patterned(MaxBufferedBodyBytes + 10_000))
 	for _, order := range []string{"with the head", "behind the head", "with the body", "behind the body", "behind the first part", "behind a long first part"} {
 		for _, by := range []string{"end", "reset"} {
 			for _, deadline := range []time.Time{{}, time.Now().Add(time.Minute)} {
@@ -325,9 +325,9 @@
 	}{
 		{"1xx without end", "", "HTTP/1.1 102 Processing\r\n\r\n", ErrMalformed},
 		{"1xx with large heads", "", "HTTP/1.1 103 Early\r\nX: " + strings.Repeat("y", 8000) + "\r\n\r\n", ErrMalformed},
-		{"a head without end", "HTTP/1.1 200 OK\r\n", "X: y\r\n", ErrHeadTooLarge},
-		{"a line without end", "HTTP/1.1 200 OK\r\nX: ", "yyyyyyyyyy", ErrHeadTooLarge},
-		{"a status line without end", "HTTP/1.1 200 ", "OK", ErrHeadTooLarge},
+		{"a head without end", "HTTP/1.1 200 OK\r\n", "X: y\r\n", ErrHeaderTooLarge},
+		{"a line without end", "HTTP/1.1 200 OK\r\nX: ", "yyyyyyyyyy", ErrHeaderTooLarge},
+		{"a status line without end", "HTTP/1.1 200 ", "OK", ErrHeaderTooLarge},
 		{"empty lines without end", "", "\r\n", ErrMalformed},
 		{"a size line without end", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2;", "extension", ErrMalformed},
 		{"a trailer without end", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n", "X: y\r\n", ErrMalformed},
--- a/internal/http1/errno_test.go
+++ b/internal/http1/errno_test.go
@@ -58,7 +58,7 @@
 
 			gone := make(chan bool, 2)
 			client := NewConn(&brokenConn{TCPConn: socket, errno: errno})
-			client.Watch(func() { gone <- true }, func() { gone <- false })
+			client.WatchPeer(func() { gone <- true }, func() { gone <- false })
 			<-client.watch
 			select {
 			case left := <-gone:
--- a/internal/http1/floods_test.go
+++ b/internal/http1/floods_test.go
@@ -48,7 +48,7 @@
 			if _, body, _, err := c.ReadRequest(); err != nil || string(body) != "0123456789" {
 				t.Fatalf("%d: %q, %v", size, body, err)
 			}
-			if c.More() != b.more {
+			if c.HasPipelinedData() != b.more {
 				t.Errorf("%.20q behind %d bytes: more is %t", b.behind, size, !b.more)
 			}
 		}
@@ -88,16 +88,16 @@
 			}
 			sender.Go(func() { io.WriteString(far, flood) })
 			if watched {
-				c.Watch(func() { t.Errorf("%s: gone", name) }, func() { ahead <- true })
+				c.WatchPeer(func() { t.Errorf("%s: gone", name) }, func() { ahead <- true })
 				<-ahead
-				c.Unwatch()
+				c.UnwatchPeer()
 			} else {
-				eventually(t, name+": noticed", c.More)
+				eventually(t, name+": noticed", c.HasPipelinedData)
 			}
 			if nc.room > 4*firstBuf || len(c.buf) > firstBuf {
 				t.Errorf("%s, watched %t: room for %d bytes in %d reads, a buffer of %d", name, watched, nc.room, nc.reads, len(c.buf))
 			}
-			if !c.More() {
+			if !c.HasPipelinedData() {
 				t.Errorf("%s: more is forgotten", name)
 			}
 			c.Close()
@@ -110,7 +110,7 @@
 // leaves many bytes behind, and by a reset.
 func TestRequestsThatEndBadly(t *testing.T) {
 	post := "POST / HTTP/1.1\r\nHost: h\r\n"
-	long := strings.Repeat("x", MaxBody+20_000)
+	long := strings.Repeat("x", MaxBufferedBodyBytes+20_000)
 	for _, r := range []struct {
 		name, text string
 		malformed  error // nil: it is only cut off
@@ -130,7 +130,7 @@
 		{"noise", "\x16\x03\x01", ErrMalformed},
 		{"bad size line", post + "Transfer-Encoding: chunked\r\n\r\nzz\r\n", ErrMalformed},
 		{"no line end behind a chunk", post + "Transfer-Encoding: chunked\r\n\r\n3\r\nabcdef", ErrMalformed},
-		{"a long head", post + "X: " + long, ErrHeadTooLarge},
+		{"a long head", post + "X: " + long, ErrHeaderTooLarge},
 		{"a long body told", post + "Content-Length: 99999999\r\n\r\n" + long, ErrBodyTooLarge},
 	} {
 		for _, by := range []string{"end", "reset"} {
@@ -145,7 +145,7 @@
 			}()
 			_, _, rest, err := c.ReadRequest()
 			if err == nil && rest != nil {
-				err = rest.Discard(NewTransfers(1))
+				err = rest.Discard(NewStreamPool(1))
 			}
 			want := r.malformed
 			switch {
@@ -187,7 +187,7 @@
 	})
 	for i := range n {
 		var stopped atomic.Bool
-		c.Watch(func() { t.Error("gone") }, func() {
+		c.WatchPeer(func() { t.Error("gone") }, func() {
 			if stopped.Load() {
 				t.Error("told of after it was stopped")
 			}
@@ -196,7 +196,7 @@
 		if c.PeerClosed() {
 			t.Fatal("closed")
 		}
-		c.Unwatch()
+		c.UnwatchPeer()
 		stopped.Store(true)
 		if at := last.Load().(time.Time); !at.IsZero() {
 			t.Fatalf("a deadline is left: %v", at)
@@ -212,7 +212,7 @@
 	for i := range 200 { // an end in that moment is told of before Unwatch returns, or not at all
 		c, far := tcp(t)
 		var stopped atomic.Bool
-		c.Watch(func() {
+		c.WatchPeer(func() {
 			if stopped.Load() {
 				t.Error("gone after it was stopped")
 			}
@@ -224,7 +224,7 @@
 				reset(far.(*net.TCPConn))
 			}
 		})
-		c.Unwatch()
+		c.UnwatchPeer()
 		stopped.Store(true)
 		sender.Wait()
 		if _, _, _, err := c.ReadRequest(); err == nil || neterror.IsDeadline(err) {
--- a/internal/http1/head.go
+++ b/internal/http1/head.go
@@ -32,8 +32,8 @@
 		line := text[h.done : h.seen+i]
 		h.done = h.seen + i + 1
 		h.seen = h.done
-		if h.done > MaxHead {
-			return false, ErrHeadTooLarge
+		if h.done > MaxHeaderBytes {
+			return false, ErrHeaderTooLarge
 		}
 		end := len(line) - 1
 		if end < 0 || line[end] != '\r' {
@@ -53,8 +53,8 @@
 		}
 		h.lines++
 	}
-	if len(text) > MaxHead {
-		return false, ErrHeadTooLarge
+	if len(text) > MaxHeaderBytes {
+		return false, ErrHeaderTooLarge
 	}
 	if h.lines == 0 {
 		return false, h.beginning(text)
@@ -139,7 +139,7 @@
 		if !is(value, "chunked") {
 			return malformed("unknown transfer encoding")
 		}
-	case LooksLike(string(name), "content-length"), LooksLike(string(name), "transfer-encoding"):
+	case IsUnderscoreVariant(string(name), "content-length"), IsUnderscoreVariant(string(name), "transfer-encoding"):
 		return malformed("a header that could be read as one of framing")
 	}
 	return nil
@@ -157,9 +157,9 @@
 	return nil
 }
 
-// LooksLike tells whether a reader that takes _ for - could take name for the
+// IsUnderscoreVariant tells whether a reader that takes _ for - could take name for the
 // header like, which it is not.
-func LooksLike(name, like string) bool {
+func IsUnderscoreVariant(name, like string) bool {
 	return len(name) == len(like) && bytes.IndexByte([]byte(name), '_') >= 0 &&
 		is(bytes.ReplaceAll([]byte(name), []byte("_"), []byte("-")), like)
 }
--- a/internal/http1/pass.go
+++ b/internal/http1/pass.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// Transfers is the bound on messages that pass through at a time, over all connections
+// StreamPool is the bound on messages that pass through at a time, over all connections
 // of a process, and the buffers that carry them.
-type Transfers struct {
+type StreamPool struct {
 	free chan []byte
 }
 
@@ -24,37 +24,37 @@
 	chunkRoom = 16
 )
 
-// Slowest is how slowly a message may pass.
-type Slowest struct {
-	Start time.Duration // ahead of the rate
-	Rate  int64         // bytes a second, on the whole
-	Stall time.Duration // without any, however much passed before
+// MinTransferRate is how slowly a message may pass.
+type MinTransferRate struct {
+	InitialAllowance time.Duration // ahead of the rate
+	BytesPerSecond   int64         // bytes a second, on the whole
+	StallTimeout     time.Duration // without any, however much passed before
 }
 
-// Until is when the next part must have passed, of a message that began at start and of
+// Deadline is when the next part must have passed, of a message that began at start and of
 // which so much has passed.
-func (s Slowest) Until(start time.Time, passed int64) time.Time {
-	end := start.Add(s.Start + time.Duration(passed)*time.Second/time.Duration(s.Rate))
-	if stall := time.Now().Add(s.Stall); stall.Before(end) {
+func (s MinTransferRate) Deadline(start time.Time, passed int64) time.Time {
+	end := start.Add(s.InitialAllowance + time.Duration(passed)*time.Second/time.Duration(s.BytesPerSecond))
+	if stall := time.Now().Add(s.StallTimeout); stall.Before(end) {
 		return stall
 	}
 	return end
 }
 
-// NewTransfers returns transfers that hold no more than so much memory, one at least.
-func NewTransfers(memory int64) *Transfers {
-	t := &Transfers{free: make(chan []byte, max(1, memory/passHeld))}
+// NewStreamPool returns transfers that hold no more than so much memory, one at least.
+func NewStreamPool(memory int64) *StreamPool {
+	t := &StreamPool{free: make(chan []byte, max(1, memory/passHeld))}
 	for range cap(t.free) {
 		t.free <- nil // made when first used
 	}
 	return t
 }
 
-// ErrBusy is that no transfer could be had in time.
-var ErrBusy = errors.New("too many long messages under way")
+// ErrStreamPoolExhausted is that no transfer could be had in time.
+var ErrStreamPoolExhausted = errors.New("too many long messages under way")
 
 // take waits for a buffer.
-func (t *Transfers) take(wait time.Duration) ([]byte, error) {
+func (t *StreamPool) take(wait time.Duration) ([]byte, error) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	select {
@@ -64,34 +64,34 @@
 		}
 		return b, nil
 	case <-timer.C:
-		return nil, ErrBusy
+		return nil, ErrStreamPoolExhausted
 	}
 }
 
 // takeLimit is how long a transfer waits for its buffer.
 const takeLimit = time.Second
 
-// ErrPassed marks the errors of the side that a message is passed on to.
-var ErrPassed = errors.New("not passed on")
+// ErrDestination marks the errors of the side that a message is passed on to.
+var ErrDestination = errors.New("not passed on")
 
-// Pass writes the rest of a message to another connection as it comes, in chunks where
+// Forward writes the rest of a message to another connection as it comes, in chunks where
 // its size is not known, or as it is with bare, where the connection's end is the
 // message's. before is called ahead of each write, to say how long it may take, and may
 // end the transfer. An error of the writing side is marked with ErrPassed.
-func (t *Transfers) Pass(to *Conn, r *Rest, bare bool, before func(passed int64) error) error {
+func (t *StreamPool) Forward(to *Conn, r *RemainingBody, bare bool, before func(passed int64) error) error {
 	buf, err := t.take(takeLimit)
 	if err != nil {
 		return err
 	}
 	defer func() { t.free <- buf }()
-	chunked := r.Size < 0 && !bare
+	chunked := r.TotalSize < 0 && !bare
 	passed := int64(0)
 	write := func(b []byte) error {
 		if err := before(passed); err != nil {
 			return err
 		}
 		if _, err := to.Write(b); err != nil {
-			return fmt.Errorf("%w: %w", ErrPassed, err)
+			return fmt.Errorf("%w: %w", ErrDestination, err)
 		}
 		passed += int64(len(b))
 		return nil
@@ -120,7 +120,7 @@
 }
 
 // Discard reads the rest of a message to its end.
-func (r *Rest) Discard(t *Transfers) error {
+func (r *RemainingBody) Discard(t *StreamPool) error {
 	buf, err := t.take(takeLimit)
 	if err != nil {
 		return err
@@ -135,17 +135,17 @@
 	}
 }
 
-// Drop lets go of a rest that nobody reads to its end; its connection is of no further
+// Abandon lets go of a rest that nobody reads to its end; its connection is of no further
 // use.
-func (r *Rest) Drop() {
+func (r *RemainingBody) Abandon() {
 	if r.br != nil {
 		r.c.used(r.br, ErrBodyTooLarge)
 		r.br, r.err = nil, io.ErrUnexpectedEOF
 	}
 }
 
-// Chunk is b as one chunk; nothing for none, which would be the end.
-func Chunk(b []byte) []byte {
+// EncodeChunk is b as one chunk; nothing for none, which would be the end.
+func EncodeChunk(b []byte) []byte {
 	if len(b) == 0 {
 		return nil
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -11,60 +11,60 @@
 	"oxbowloft/logic"
 )
 
-// Object is the part of the settings object that the project uses. Times are
+// Config is the part of the settings object that the project uses. Times are
 // in milliseconds; fields that it does not know are skipped.
-type Object struct {
+type Config struct {
 	Zone    string   `json:"az"`
 	Zones   []string `json:"zones"`
 	Classes []struct {
-		Name        string  `json:"name"`
-		Aim         float64 `json:"aim-ms"`
-		GiveUp      float64 `json:"give-up-ms"`
-		Group       string  `json:"group"`
-		Idempotency string  `json:"idempotency"`
-		Memory      float64 `json:"memory-span-ms"`
-		Worth       float64 `json:"worth"`
+		Name            string  `json:"name"`
+		TargetLatencyMs float64 `json:"aim-ms"`
+		ClientTimeoutMs float64 `json:"give-up-ms"`
+		DedupScope      string  `json:"group"`
+		Idempotency     string  `json:"idempotency"`
+		DedupWindowMs   float64 `json:"memory-span-ms"`
+		Value           float64 `json:"worth"`
 	} `json:"classes"`
 	Clients struct {
 		MarksRetry bool `json:"marks-retry"`
 	} `json:"clients"`
 	Discovery string `json:"discovery"`
 	Goal      struct {
-		Whole      float64 `json:"whole"`
+		Overall    float64 `json:"whole"`
 		WorstClass float64 `json:"worst-class"`
 	} `json:"goal"`
 	Limits struct {
-		ConnIdle      float64 `json:"conn-idle-ms"`
-		DialTimeout   float64 `json:"dial-timeout-ms"`
-		MayTell       bool    `json:"may-tell"`
-		Probing       bool    `json:"probing"`
-		Streams       int     `json:"streams-per-conn"`
-		Cancel        bool    `json:"cancel"`
-		MaxAttempts   int     `json:"max-attempts"`
-		MaxRetryAfter float64 `json:"max-retry-after-ms"`
-		RetryAfter    bool    `json:"retry-after"`
+		ConnIdleMs      float64 `json:"conn-idle-ms"`
+		DialTimeoutMs   float64 `json:"dial-timeout-ms"`
+		MayAnnounce     bool    `json:"may-tell"`
+		Probing         bool    `json:"probing"`
+		StreamsPerConn  int     `json:"streams-per-conn"`
+		Cancel          bool    `json:"cancel"`
+		MaxAttempts     int     `json:"max-attempts"`
+		MaxRetryAfterMs float64 `json:"max-retry-after-ms"`
+		RetryAfter      bool    `json:"retry-after"`
 	} `json:"limits"`
 	Report struct {
-		How string `json:"how"`
+		Mode string `json:"how"`
 	} `json:"report"`
 	Rules struct {
-		AskWithin  float64 `json:"ask-within-ms"`
-		Grace      float64 `json:"stop-sending-within-ms"`
-		ColdFrom   float64 `json:"cold-from"`
-		WarmWithin float64 `json:"warm-within-ms"`
+		ListRequestWithinMs   float64 `json:"ask-within-ms"`
+		DrainGraceMs          float64 `json:"stop-sending-within-ms"`
+		SlowStartInitialShare float64 `json:"cold-from"`
+		WarmUpMs              float64 `json:"warm-within-ms"`
 	} `json:"rules"`
-	Kind      string   `json:"kind-of-service"`
-	Stage     int      `json:"stage"`
-	Tiers     []string `json:"tiers"`
-	Balancers int      `json:"balancers"`
-	Me        int      `json:"me"`
+	Topology      string   `json:"kind-of-service"`
+	Tier          int      `json:"stage"`
+	Tiers         []string `json:"tiers"`
+	Balancers     int      `json:"balancers"`
+	BalancerIndex int      `json:"me"`
 }
 
 // The shapes of a deployment, as kind-of-service names them.
 const (
-	KindChain = "chain" // tiers, each behind a few proxies with like traffic; also where nothing is said
-	KindProxy = "proxy" // one such tier
-	KindMesh  = "mesh"  // each client process has a proxy of its own, with unlike traffic
+	TopologyChain = "chain" // tiers, each behind a few proxies with like traffic; also where nothing is said
+	TopologyProxy = "proxy" // one such tier
+	TopologyMesh  = "mesh"  // each client process has a proxy of its own, with unlike traffic
 )
 
 // The ways of discovery.
@@ -73,40 +73,40 @@
 	discoveryPushed = "pushed" // also where nothing is said
 )
 
-// Check tells which key can't be served safely. What a deployment permits and the
+// Validate tells which key can't be served safely. What a deployment permits and the
 // program does not use is no reason to refuse, nor is a limit that it stays under:
 // guards against an operator whose settings are right and whose proxy does not start.
-func (o *Object) Check() error {
-	mesh := o.Kind == KindMesh
+func (o *Config) Validate() error {
+	mesh := o.Topology == TopologyMesh
 	for _, c := range []struct {
 		key   string
 		wrong bool
 		why   string
 	}{
 		// Another shape's numbers would be the wrong ones.
-		{"kind-of-service", !mesh && o.Kind != KindChain && o.Kind != KindProxy && o.Kind != "", "none of chain, proxy, mesh"},
+		{"kind-of-service", !mesh && o.Topology != TopologyChain && o.Topology != TopologyProxy && o.Topology != "", "none of chain, proxy, mesh"},
 		{"discovery", o.Discovery != discoveryAsked && o.Discovery != discoveryPushed && o.Discovery != "",
 			"neither on_request nor pushed"},
-		{"limits: streams-per-conn", o.Limits.Streams < 0, "below zero"},
+		{"limits: streams-per-conn", o.Limits.StreamsPerConn < 0, "below zero"},
 		{"limits: max-attempts", o.Limits.MaxAttempts < 1, "below 1"},
-		{"limits: conn-idle-ms", !amount(o.Limits.ConnIdle), badAmount},
-		{"limits: dial-timeout-ms", !amount(o.Limits.DialTimeout), badAmount},
-		{"limits: max-retry-after-ms", !amount(o.Limits.MaxRetryAfter), badAmount},
-		{"rules: ask-within-ms", !amount(o.Rules.AskWithin), badAmount},
-		{"rules: stop-sending-within-ms", !amount(o.Rules.Grace), badAmount},
-		{"rules: warm-within-ms", !amount(o.Rules.WarmWithin), badAmount},
-		{"rules: cold-from", !amount(o.Rules.ColdFrom) || o.Rules.ColdFrom > 1, "no share from 0 to 1"},
-		{"goal: whole", !amount(o.Goal.Whole), badAmount},
+		{"limits: conn-idle-ms", !amount(o.Limits.ConnIdleMs), badAmount},
+		{"limits: dial-timeout-ms", !amount(o.Limits.DialTimeoutMs), badAmount},
+		{"limits: max-retry-after-ms", !amount(o.Limits.MaxRetryAfterMs), badAmount},
+		{"rules: ask-within-ms", !amount(o.Rules.ListRequestWithinMs), badAmount},
+		{"rules: stop-sending-within-ms", !amount(o.Rules.DrainGraceMs), badAmount},
+		{"rules: warm-within-ms", !amount(o.Rules.WarmUpMs), badAmount},
+		{"rules: cold-from", !amount(o.Rules.SlowStartInitialShare) || o.Rules.SlowStartInitialShare > 1, "no share from 0 to 1"},
+		{"goal: whole", !amount(o.Goal.Overall), badAmount},
 		{"goal: worst-class", !amount(o.Goal.WorstClass), badAmount},
-		{"stage", o.Stage < 0, "below zero"},
+		{"stage", o.Tier < 0, "below zero"},
 		// A client process calls one tier, the first.
-		{"stage", mesh && o.Stage > 0, "over 0 where kind-of-service is mesh"},
+		{"stage", mesh && o.Tier > 0, "over 0 where kind-of-service is mesh"},
 		{"tiers", mesh && len(o.Tiers) > 1, "more than one where kind-of-service is mesh"},
 		{"balancers", o.Balancers < 0, "below zero"},
 		// Each takes its part by these: without them all would meet at the same cold backends.
 		{"balancers", mesh && o.Balancers == 0, "missing, and needed where kind-of-service is mesh"},
-		{"me", o.Me < 0, "below zero"},
-		{"me", mesh && o.Me >= max(1, o.Balancers), "not below balancers"},
+		{"me", o.BalancerIndex < 0, "below zero"},
+		{"me", mesh && o.BalancerIndex >= max(1, o.Balancers), "not below balancers"},
 		{"classes", len(o.Classes) == 0, "none"},
 	} {
 		if c.wrong {
@@ -118,7 +118,7 @@
 
 // checkClasses tells which class can't be served safely. Idempotency and group are
 // Logic's to read.
-func (o *Object) checkClasses() error {
+func (o *Config) checkClasses() error {
 	seen := map[string]bool{}
 	for i, c := range o.Classes {
 		if c.Name == "" { // guards against requests that name no class, and would be of this one
@@ -133,11 +133,11 @@
 			wrong bool
 			why   string
 		}{
-			{"aim-ms", !amount(c.Aim), badAmount},
-			{"give-up-ms", !amount(c.GiveUp), badAmount},
-			{"give-up-ms", c.GiveUp == 0, "missing or 0"}, // nothing could be served in it
-			{"memory-span-ms", !amount(c.Memory), badAmount},
-			{"worth", !amount(c.Worth), badAmount},
+			{"aim-ms", !amount(c.TargetLatencyMs), badAmount},
+			{"give-up-ms", !amount(c.ClientTimeoutMs), badAmount},
+			{"give-up-ms", c.ClientTimeoutMs == 0, "missing or 0"}, // nothing could be served in it
+			{"memory-span-ms", !amount(c.DedupWindowMs), badAmount},
+			{"worth", !amount(c.Value), badAmount},
 		} {
 			if n.wrong {
 				return fmt.Errorf("classes: %q: %s: %s", c.Name, n.key, n.why)
@@ -152,33 +152,33 @@
 // amount tells whether v is a number that a time, a weight or a worth can be.
 func amount(v float64) bool { return v >= 0 && v <= math.MaxFloat64 }
 
-// ListAsked tells whether lists come only once asked for, and within what time to ask again
+// ListsOnRequest tells whether lists come only once asked for, and within what time to ask again
 // then; 0: the settings do not say. Where they are pushed it returns false.
-func (o *Object) ListAsked() (within time.Duration, asked bool) {
-	return span(o.Rules.AskWithin), o.Discovery == discoveryAsked
+func (o *Config) ListsOnRequest() (within time.Duration, asked bool) {
+	return span(o.Rules.ListRequestWithinMs), o.Discovery == discoveryAsked
 }
 
-// Logic returns the module's settings. The seed comes beside the object, since
+// LogicSettings returns the module's settings. The seed comes beside the object, since
 // it is new with each start.
-func (o *Object) Logic(seed uint64) (logic.Settings, error) {
+func (o *Config) LogicSettings(seed uint64) (logic.Settings, error) {
 	set := logic.Settings{
 		Seed:      seed,
 		Zone:      o.Zone,
 		Zones:     o.Zones,
-		Tier:      o.Stage,
+		Tier:      o.Tier,
 		Balancers: o.Balancers,
-		Me:        o.Me,
-		Uneven:    o.Kind == KindMesh,
-		Cancel:    o.Limits.Cancel && o.Kind == KindMesh,
+		Me:        o.BalancerIndex,
+		Uneven:    o.Topology == TopologyMesh,
+		Cancel:    o.Limits.Cancel && o.Topology == TopologyMesh,
 		// By worth, the worst-served class is always the same one; where it weighs this much, it must not be.
-		EvenClasses: o.Goal.WorstClass > 0 && o.Goal.WorstClass >= o.Goal.Whole/2,
+		EvenClasses: o.Goal.WorstClass > 0 && o.Goal.WorstClass >= o.Goal.Overall/2,
 		MaxAttempts: o.Limits.MaxAttempts,
-		Grace:       span(o.Rules.Grace),
-		ColdShare:   o.Rules.ColdFrom,
-		WarmWithin:  span(o.Rules.WarmWithin),
+		Grace:       span(o.Rules.DrainGraceMs),
+		ColdShare:   o.Rules.SlowStartInitialShare,
+		WarmWithin:  span(o.Rules.WarmUpMs),
 	}
 	if o.Limits.RetryAfter {
-		set.MaxComeBack = span(o.Limits.MaxRetryAfter)
+		set.MaxComeBack = span(o.Limits.MaxRetryAfterMs)
 	}
 	repeats := map[string]logic.Repeat{"free": logic.Safe, "guarded": logic.Keyed, "single_shot": logic.Unsafe}
 	scopes := map[string]logic.Scope{"all": logic.ScopeAll, "zone": logic.ScopeZone, "cell": logic.ScopeCell}
@@ -187,18 +187,18 @@
 		if !ok {
 			return set, fmt.Errorf("classes: %q: idempotency: unknown %q", c.Name, c.Idempotency)
 		}
-		scope, ok := scopes[c.Group]
+		scope, ok := scopes[c.DedupScope]
 		if !ok && repeat == logic.Keyed {
-			return set, fmt.Errorf("classes: %q: group: unknown %q", c.Name, c.Group)
+			return set, fmt.Errorf("classes: %q: group: unknown %q", c.Name, c.DedupScope)
 		}
 		set.Classes = append(set.Classes, logic.Class{
 			Name:     c.Name,
-			Aim:      span(cmp.Or(c.Aim, c.GiveUp)), // without an aim any answer in time will do
-			Deadline: span(c.GiveUp),
-			Worth:    c.Worth,
+			Aim:      span(cmp.Or(c.TargetLatencyMs, c.ClientTimeoutMs)), // without an aim any answer in time will do
+			Deadline: span(c.ClientTimeoutMs),
+			Worth:    c.Value,
 			Repeat:   repeat,
 			Scope:    scope,
-			Memory:   span(c.Memory),
+			Memory:   span(c.DedupWindowMs),
 		})
 	}
 	return set, nil
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -25,23 +25,23 @@
 			"goal":{"whole":0.45,"worst-class":0.3}`, true, true},
 	} {
 		o := parse(t, c.text)
-		if err := o.Check(); err != nil {
+		if err := o.Validate(); err != nil {
 			t.Errorf("%s: %v", c.name, err)
 		}
-		if set, err := o.Logic(1); err != nil || set.Uneven != c.uneven || set.EvenClasses != c.even {
+		if set, err := o.LogicSettings(1); err != nil || set.Uneven != c.uneven || set.EvenClasses != c.even {
 			t.Errorf("%s: uneven %t, even classes %t, %v", c.name, set.Uneven, set.EvenClasses, err)
 		}
 	}
 }
 
 // parse reads an object whose classes and attempts are sound unless text has its own.
-func parse(t *testing.T, text string) *Object {
+func parse(t *testing.T, text string) *Config {
 	t.Helper()
 	sound := `"limits":{"max-attempts":2}`
 	if !strings.Contains(text, `"classes"`) {
 		sound += `,"classes":[{"name":"get","idempotency":"free","give-up-ms":1000}]`
 	}
-	o := &Object{}
+	o := &Config{}
 	for _, part := range []string{sound, text} {
 		if err := json.Unmarshal([]byte("{"+part+"}"), o); err != nil {
 			t.Fatal(err)
@@ -84,10 +84,10 @@
 		mesh + `,"clients":{"marks-retry":false}`,
 	} {
 		o := parse(t, text)
-		if err := o.Check(); err != nil {
+		if err := o.Validate(); err != nil {
 			t.Errorf("%s: %v", text, err)
 		}
-		if _, err := o.Logic(1); err != nil {
+		if _, err := o.LogicSettings(1); err != nil {
 			t.Errorf("%s: %v", text, err)
 		}
 	}
@@ -140,9 +140,9 @@
 		{put(`"idempotency":"guarded","give-up-ms":1,"group":"some"`), `classes: "put": group`},
 	} {
 		o := parse(t, c.text)
-		err := o.Check()
+		err := o.Validate()
 		if err == nil {
-			_, err = o.Logic(1)
+			_, err = o.LogicSettings(1)
 		}
 		if err == nil || !strings.HasPrefix(err.Error(), c.key+":") || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v, want %s named", c.text, err, c.key)
@@ -153,24 +153,24 @@
 // JSON has no such numbers, but who embeds the proxy fills in the object otherwise.
 func TestNotFinite(t *testing.T) {
 	for _, bad := range []float64{math.NaN(), math.Inf(1), math.Inf(-1)} {
-		for key, field := range map[string]func(*Object) *float64{
-			"limits: conn-idle-ms":           func(o *Object) *float64 { return &o.Limits.ConnIdle },
-			"limits: dial-timeout-ms":        func(o *Object) *float64 { return &o.Limits.DialTimeout },
-			"limits: max-retry-after-ms":     func(o *Object) *float64 { return &o.Limits.MaxRetryAfter },
-			"rules: ask-within-ms":           func(o *Object) *float64 { return &o.Rules.AskWithin },
-			"rules: stop-sending-within-ms":  func(o *Object) *float64 { return &o.Rules.Grace },
-			"rules: warm-within-ms":          func(o *Object) *float64 { return &o.Rules.WarmWithin },
-			"rules: cold-from":               func(o *Object) *float64 { return &o.Rules.ColdFrom },
-			"goal: whole":                    func(o *Object) *float64 { return &o.Goal.Whole },
-			"goal: worst-class":              func(o *Object) *float64 { return &o.Goal.WorstClass },
-			`classes: "get": aim-ms`:         func(o *Object) *float64 { return &o.Classes[0].Aim },
-			`classes: "get": give-up-ms`:     func(o *Object) *float64 { return &o.Classes[0].GiveUp },
-			`classes: "get": memory-span-ms`: func(o *Object) *float64 { return &o.Classes[0].Memory },
-			`classes: "get": worth`:          func(o *Object) *float64 { return &o.Classes[0].Worth },
+		for key, field := range map[string]func(*Config) *float64{
+			"limits: conn-idle-ms":           func(o *Config) *float64 { return &o.Limits.ConnIdleMs },
+			"limits: dial-timeout-ms":        func(o *Config) *float64 { return &o.Limits.DialTimeoutMs },
+			"limits: max-retry-after-ms":     func(o *Config) *float64 { return &o.Limits.MaxRetryAfterMs },
+			"rules: ask-within-ms":           func(o *Config) *float64 { return &o.Rules.ListRequestWithinMs },
+			"rules: stop-sending-within-ms":  func(o *Config) *float64 { return &o.Rules.DrainGraceMs },
+			"rules: warm-within-ms":          func(o *Config) *float64 { return &o.Rules.WarmUpMs },
+			"rules: cold-from":               func(o *Config) *float64 { return &o.Rules.SlowStartInitialShare },
+			"goal: whole":                    func(o *Config) *float64 { return &o.Goal.Overall },
+			"goal: worst-class":              func(o *Config) *float64 { return &o.Goal.WorstClass },
+			`classes: "get": aim-ms`:         func(o *Config) *float64 { return &o.Classes[0].TargetLatencyMs },
+			`classes: "get": give-up-ms`:     func(o *Config) *float64 { return &o.Classes[0].ClientTimeoutMs },
+			`classes: "get": memory-span-ms`: func(o *Config) *float64 { return &o.Classes[0].DedupWindowMs },
+			`classes: "get": worth`:          func(o *Config) *float64 { return &o.Classes[0].Value },
 		} {
 			o := parse(t, ``)
 			*field(o) = bad
-			if err := o.Check(); err == nil || !strings.HasPrefix(err.Error(), key+":") {
+			if err := o.Validate(); err == nil || !strings.HasPrefix(err.Error(), key+":") {
 				t.Errorf("%s is %v: %v", key, bad, err)
 			}
 		}
@@ -183,18 +183,18 @@
 	o := parse(t, `"classes":[{"name":"put","idempotency":"guarded","group":"all","give-up-ms":1e300,"memory-span-ms":1e15}],
 		"rules":{"ask-within-ms":1e18,"stop-sending-within-ms":1e18,"warm-within-ms":1e18},
 		"limits":{"retry-after":true,"max-retry-after-ms":1e18}`)
-	set, err := o.Logic(1)
+	set, err := o.LogicSettings(1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	c := set.Classes[0]
-	askWithin, _ := o.ListAsked()
+	askWithin, _ := o.ListsOnRequest()
 	for i, d := range []time.Duration{c.Aim, c.Deadline, c.Memory, askWithin, set.Grace, set.WarmWithin, set.MaxComeBack} {
 		if d != longest {
 			t.Errorf("time %d is %v", i, d)
 		}
 	}
-	if set, err := parse(t, ``).Logic(1); err != nil || set.Classes[0].Aim != time.Second {
+	if set, err := parse(t, ``).LogicSettings(1); err != nil || set.Classes[0].Aim != time.Second {
 		t.Errorf("without an aim it is %v, %v", set.Classes[0].Aim, err)
 	}
 	for _, ms := range []float64{1e300, math.Inf(1)} {
--- a/internal/upstream/ends_test.go
+++ b/internal/upstream/ends_test.go
@@ -55,12 +55,12 @@
 	if err != nil || rest == nil {
 		t.Fatal(rest, err)
 	}
-	t.Cleanup(rest.Drop)
+	t.Cleanup(rest.Abandon)
 	return u, &Request{
 		Text: func(time.Duration) []byte {
 			return append([]byte("POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: 30000000\r\n\r\n"), first...)
 		},
-		Rest: rest, Transfers: http1.NewTransfers(1), Timeout: time.Minute,
+		Rest: rest, Transfers: http1.NewStreamPool(1), Timeout: time.Minute,
 	}
 }
 
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -83,8 +83,8 @@
 // Request is what an exchange sends.
 type Request struct {
 	Text      func(left time.Duration) []byte // head and body, or its first part, with the time left
-	Rest      *http1.Rest                     // of a long body; nil: none
-	Transfers *http1.Transfers                // for it
+	Rest      *http1.RemainingBody            // of a long body; nil: none
+	Transfers *http1.StreamPool               // for it
 	Connected func() bool                     // asked before the first byte whether it is still to be sent; nil: it is
 	Written   func()                          // called once all of it is written; may be nil
 	Timeout   time.Duration                   // from then on, or from Decided where there is no rest
@@ -96,10 +96,10 @@
 	Stage  Stage
 	Status int
 	Header http.Header
-	Body   []byte      // or its first part
-	Rest   *http1.Rest // of a long body; nil: none
-	Err    error       // nil for an answer that came whole, or its first part
-	Source error       // the request's rest could not be read: its sender's fault
+	Body   []byte               // or its first part
+	Rest   *http1.RemainingBody // of a long body; nil: none
+	Err    error                // nil for an answer that came whole, or its first part
+	Source error                // the request's rest could not be read: its sender's fault
 
 	release func(whole bool)
 }
@@ -115,7 +115,7 @@
 
 // slowest bounds a transfer to or from a backend. Peers may take seconds over a part;
 // one that takes for ever holds a connection and a buffer.
-var slowest = http1.Slowest{Start: 5 * time.Second, Rate: 16 << 10, Stall: 5 * time.Second}
+var slowest = http1.MinTransferRate{InitialAllowance: 5 * time.Second, BytesPerSecond: 16 << 10, StallTimeout: 5 * time.Second}
 
 // early is how long an answer to a half-sent request may take to be read once its
 // connection has broken.
@@ -125,7 +125,7 @@
 // passed since now.
 func Progress(set func(time.Time) error) func(passed int64) {
 	start := time.Now()
-	return func(passed int64) { set(slowest.Until(start, passed)) }
+	return func(passed int64) { set(slowest.Deadline(start, passed)) }
 }
 
 var errEarly = errors.New("answered before the request's end")
@@ -148,22 +148,22 @@
 		return *failed
 	}
 	c.SetDeadline(deadline)
-	unwatch := context.AfterFunc(ctx, func() { c.SetDeadline(http1.LongAgo) })
+	unwatch := context.AfterFunc(ctx, func() { c.SetDeadline(http1.ExpiredDeadline) })
 	defer unwatch()
 	if _, err := c.Write(text); err != nil {
 		b.discard(c)
 		return Answer{Stage: Unopened, Err: err}
 	}
 	if req.Rest != nil {
-		carried := c.Carried()
+		carried := c.HasReadMessage()
 		err := passRest(ctx, c, req)
 		switch {
 		case err != nil && ctx.Err() != nil:
 			b.discard(c)
 			return Answer{Stage: Unopened, Err: ctx.Err()}
-		case errors.Is(err, errEarly), errors.Is(err, http1.ErrPassed):
+		case errors.Is(err, errEarly), errors.Is(err, http1.ErrDestination):
 			// It said no before the end, or broke: what it said counts.
-			if errors.Is(err, http1.ErrPassed) {
+			if errors.Is(err, http1.ErrDestination) {
 				req.Timeout = early
 			}
 			deadline = time.Now().Add(req.Timeout)
@@ -180,7 +180,7 @@
 			}
 			// A reset is told once, and the write has heard it: what ends with its
 			// connection now looks whole, wherever it was cut off.
-			if resp.StatusCode == http.StatusOK && http1.Unbounded(resp) && errors.Is(err, http1.ErrPassed) {
+			if resp.StatusCode == http.StatusOK && http1.IsCloseDelimited(resp) && errors.Is(err, http1.ErrDestination) {
 				return Answer{Stage: Unopened, Err: err}
 			}
 			return Answer{Stage: Answered, Status: resp.StatusCode, Header: resp.Header, Body: body}
@@ -203,7 +203,7 @@
 	if err != nil {
 		b.discard(c)
 		stage := Written
-		if errors.Is(err, http1.ErrMalformed) || errors.Is(err, http1.ErrHeadTooLarge) ||
+		if errors.Is(err, http1.ErrMalformed) || errors.Is(err, http1.ErrHeaderTooLarge) ||
 			errors.Is(err, http1.ErrBodyTooLarge) {
 			stage = Answered
 		}
@@ -213,10 +213,10 @@
 	fit := unwatch() && !resp.Close
 	answer := Answer{Stage: Answered, Status: resp.StatusCode, Header: resp.Header, Body: body, Rest: rest}
 	answer.release = func(whole bool) {
-		c.Pace = nil
+		c.BeforeBodyRead = nil
 		if !whole || !fit || c.Buffered() > 0 {
 			if rest != nil {
-				rest.Drop()
+				rest.Abandon()
 			}
 			b.discard(c)
 		} else {
@@ -226,7 +226,7 @@
 	}
 	if rest != nil {
 		c.SetDeadline(time.Time{})
-		c.Pace = Progress(c.SetReadDeadline)
+		c.BeforeBodyRead = Progress(c.SetReadDeadline)
 	} else {
 		answer.Release(true)
 	}
@@ -250,7 +250,7 @@
 			return nil, nil, &Answer{Stage: Unsent, Err: errUnwanted}
 		}
 		text := req.Text(time.Until(deadline))
-		if !c.Carried() || c.Quiet() {
+		if !c.HasReadMessage() || c.IsIdle() {
 			return c, text, nil
 		}
 		b.discard(c) // what has come since it was taken is not ours
@@ -267,21 +267,21 @@
 		answered.Store(true)
 		req.Rest.Interrupt() // the sender may be slow, or wait for the answer
 	}
-	c.Watch(said, said)
+	c.WatchPeer(said, said)
 	interrupted := make(chan struct{})
 	stop := context.AfterFunc(ctx, func() {
 		req.Rest.Interrupt()
 		close(interrupted)
 	})
 	within := Progress(c.SetWriteDeadline)
-	err := req.Transfers.Pass(c, req.Rest, false, func(passed int64) error {
+	err := req.Transfers.Forward(c, req.Rest, false, func(passed int64) error {
 		if answered.Load() {
 			return errEarly
 		}
 		within(passed)
 		return ctx.Err() // looked at last: the deadline that ends it may just have been overwritten
 	})
-	c.Unwatch()
+	c.UnwatchPeer()
 	givenUp := !stop()
 	if givenUp {
 		<-interrupted
@@ -333,7 +333,7 @@
 func (b *Backend) reuse(rest time.Duration) *http1.Conn {
 	for {
 		c := b.newest(time.Now().Add(-rest))
-		if c == nil || c.Quiet() {
+		if c == nil || c.IsIdle() {
 			return c
 		}
 		b.discard(c)
@@ -345,7 +345,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for n := len(b.idle) - 1; n >= 0; n-- {
-		if c := b.idle[n]; !c.since.After(at) || !c.conn.Carried() {
+		if c := b.idle[n]; !c.since.After(at) || !c.conn.HasReadMessage() {
 			b.idle = slices.Delete(b.idle, n, n+1)
 			return c.conn
 		}
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -81,7 +81,7 @@
 		{"silent", (*standin.Call).Hang, short, Written, 0, true, nil},
 		{"dribbling", (*standin.Call).Dribble, short, Written, 0, true, nil},
 		{"garbage", func(c *standin.Call) { c.Raw("hello\r\n\r\n") }, time.Minute, Answered, 0, false, http1.ErrMalformed},
-		{"too large", func(c *standin.Call) { c.Reply(200, strings.Repeat("x", http1.MaxStream+1)) },
+		{"too large", func(c *standin.Call) { c.Reply(200, strings.Repeat("x", http1.MaxStreamedBodyBytes+1)) },
 			time.Minute, Answered, 0, false, http1.ErrBodyTooLarge},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -247,7 +247,7 @@
 		if asked == 1 {
 			again <- true
 			<-again
-			for taken.Quiet() { // until it is here
+			for taken.IsIdle() { // until it is here
 				time.Sleep(time.Millisecond)
 			}
 		}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -16,57 +16,57 @@
 // An Event is one line of a batch. Which fields are set depends on Type; Read
 // makes sure that those its type needs are there. Unknown fields are skipped.
 type Event struct {
-	Type     string   `json:"type"`
-	Instance *int     `json:"i"`
-	Txn      *string  `json:"txn"`
-	Kind     *string  `json:"kind"`
-	Backend  *string  `json:"backend"`
-	Shot     int      `json:"shot"`
-	Code     *int     `json:"code"`
-	Latency  float64  `json:"latency-ms"`
-	Terminal bool     `json:"terminal"`
-	Budget   *float64 `json:"budget-ms"`
-	Bits     int      `json:"state-bits"`
-
-	Nonce    *uint64          `json:"nonce"`
-	Ref      *int             `json:"ref"`
-	Elements []Element        `json:"elements"`
-	Seed     *uint64          `json:"init-seed"`
-	Setup    *settings.Object `json:"setup"`
-	Time     *float64         `json:"time-ms"`
-	Serial   *int64           `json:"serial"`
+	Type      string   `json:"type"`
+	Instance  *int     `json:"i"`
+	RequestID *string  `json:"txn"`
+	Kind      *string  `json:"kind"`
+	Backend   *string  `json:"backend"`
+	Attempt   int      `json:"shot"`
+	Code      *int     `json:"code"`
+	LatencyMs float64  `json:"latency-ms"`
+	Terminal  bool     `json:"terminal"`
+	BudgetMs  *float64 `json:"budget-ms"`
+	StateBits int      `json:"state-bits"`
+
+	TimerToken *uint64          `json:"nonce"`
+	PoolID     *int             `json:"ref"`
+	Entries    []PoolEntry      `json:"elements"`
+	Seed       *uint64          `json:"init-seed"`
+	Settings   *settings.Config `json:"setup"`
+	TimeMs     *float64         `json:"time-ms"`
+	Serial     *int64           `json:"serial"`
 }
 
-// BitRetry marks a client's retry in an event's Bits.
-const BitRetry = 2
-
-// Element is one line of a list of backends.
-type Element struct {
-	Backend string   `json:"backend"`
-	Zone    string   `json:"dc"`
-	Cell    int      `json:"stripe"`
-	Health  string   `json:"health"`
-	Units   *float64 `json:"units"`
-	ReadyAt float64  `json:"ready-at-ms"`
+// RetryBit marks a client's retry in an event's Bits.
+const RetryBit = 2
+
+// PoolEntry is one line of a list of backends.
+type PoolEntry struct {
+	Backend       string   `json:"backend"`
+	Zone          string   `json:"dc"`
+	Cell          int      `json:"stripe"`
+	Health        string   `json:"health"`
+	CapacityUnits *float64 `json:"units"`
+	ReadyAtMs     float64  `json:"ready-at-ms"`
 }
 
 // An Action is one line of a reply.
 type Action struct {
-	Type     string  `json:"type"`
-	Instance int     `json:"i"`
-	Txn      string  `json:"txn,omitempty"`
-	Backend  string  `json:"backend,omitempty"`
-	AllowFor float64 `json:"allow-for-ms,omitempty"`
-	ComeBack float64 `json:"come-back-ms,omitempty"`
-	Nonce    *uint64 `json:"nonce,omitempty"`
-	Shot     *int    `json:"shot,omitempty"`
-	Wait     float64 `json:"wait-ms,omitempty"`
-	Enable   bool    `json:"enable,omitempty"`
+	Type         string  `json:"type"`
+	Instance     int     `json:"i"`
+	RequestID    string  `json:"txn,omitempty"`
+	Backend      string  `json:"backend,omitempty"`
+	TimeoutMs    float64 `json:"allow-for-ms,omitempty"`
+	RetryAfterMs float64 `json:"come-back-ms,omitempty"`
+	TimerToken   *uint64 `json:"nonce,omitempty"`
+	Attempt      *int    `json:"shot,omitempty"`
+	WaitMs       float64 `json:"wait-ms,omitempty"`
+	Enable       bool    `json:"enable,omitempty"`
 }
 
 // A Batch is what happened at one time.
 type Batch struct {
-	Time   float64 // milliseconds
+	TimeMs float64 // milliseconds
 	Serial int64
 	Events []Event
 }
@@ -92,7 +92,7 @@
 	if head.Type != "batch" {
 		return nil, fmt.Errorf("line %d: %q outside a batch", r.line, head.Type)
 	}
-	b := &Batch{Time: *head.Time, Serial: *head.Serial}
+	b := &Batch{TimeMs: *head.TimeMs, Serial: *head.Serial}
 	for {
 		e, err := r.event()
 		switch {
@@ -152,28 +152,28 @@
 		here bool
 	}
 	i := need{"i", e.Instance != nil}
-	txn := need{"txn", e.Txn != nil}
+	txn := need{"txn", e.RequestID != nil}
 	kind := need{"kind", e.Kind != nil}
 	code := need{"code", e.Code != nil}
 	var needs []need
 	switch e.Type {
 	case "batch":
-		needs = []need{{"time-ms", e.Time != nil}, {"serial", e.Serial != nil}}
+		needs = []need{{"time-ms", e.TimeMs != nil}, {"serial", e.Serial != nil}}
 	case "flush":
 	case "enlist":
-		needs = []need{i, {"init-seed", e.Seed != nil}, {"setup", e.Setup != nil}}
+		needs = []need{i, {"init-seed", e.Seed != nil}, {"setup", e.Settings != nil}}
 	case "pool":
-		needs = []need{{"ref", e.Ref != nil}}
+		needs = []need{{"ref", e.PoolID != nil}}
 	case "backends-changed":
 		needs = []need{i, kind}
 	case "job-in":
-		needs = []need{i, txn, kind, {"budget-ms", e.Budget != nil}}
+		needs = []need{i, txn, kind, {"budget-ms", e.BudgetMs != nil}}
 	case "resolved":
 		needs = []need{i, txn, code}
 	case "lapsed", "first":
 		needs = []need{i, txn}
 	case "elapsed":
-		needs = []need{i, {"nonce", e.Nonce != nil}}
+		needs = []need{i, {"nonce", e.TimerToken != nil}}
 	case "status-back", "retire", "neighbour-says":
 		needs = []need{i}
 	case "":
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -22,13 +22,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if b.Time != 10.5 || b.Serial != 3 || len(b.Events) != 2 {
+	if b.TimeMs != 10.5 || b.Serial != 3 || len(b.Events) != 2 {
 		t.Fatalf("got %+v", b)
 	}
-	if e := b.Events[0]; *e.Txn != "a" || *e.Kind != "k" || *e.Budget != 240 || *e.Instance != 0 {
+	if e := b.Events[0]; *e.RequestID != "a" || *e.Kind != "k" || *e.BudgetMs != 240 || *e.Instance != 0 {
 		t.Errorf("job-in read as %+v", e)
 	}
-	if e := b.Events[1]; e.Shot != 1 || *e.Code != 4 || e.Latency != 1.5 || e.Terminal {
+	if e := b.Events[1]; e.Attempt != 1 || *e.Code != 4 || e.LatencyMs != 1.5 || e.Terminal {
 		t.Errorf("resolved read as %+v", e)
 	}
 	if b, err := r.Read(); err != nil || len(b.Events) != 0 {
@@ -43,7 +43,7 @@
 	id := strings.Repeat("x", 1<<18)
 	r := NewReader(strings.NewReader(head + `{"type":"lapsed","i":1,"txn":"` + id + `"}` + "\n" + tail))
 	b, err := r.Read()
-	if err != nil || *b.Events[0].Txn != id {
+	if err != nil || *b.Events[0].RequestID != id {
 		t.Fatalf("a line longer than the buffer: %v", err)
 	}
 }
@@ -79,8 +79,8 @@
 	var out bytes.Buffer
 	token := uint64(0)
 	err := NewWriter(&out).Write(9, []Action{
-		{Type: "pass-on", Instance: 0, Txn: "a", Backend: "h:1", AllowFor: 80},
-		{Type: "schedule", Instance: 2, Nonce: &token, Wait: 0.5},
+		{Type: "pass-on", Instance: 0, RequestID: "a", Backend: "h:1", TimeoutMs: 80},
+		{Type: "schedule", Instance: 2, TimerToken: &token, WaitMs: 0.5},
 	})
 	want := `{"type":"pass-on","i":0,"txn":"a","backend":"h:1","allow-for-ms":80}` + "\n" +
 		`{"type":"schedule","i":2,"nonce":0,"wait-ms":0.5}` + "\n" +
--- a/proxy/answers_test.go
+++ b/proxy/answers_test.go
@@ -119,8 +119,8 @@
 		spoilt{"bad size line", chunkedHead + "zz\r\nhalf", nil},
 		spoilt{"3 GB", lengthHead(3<<30) + "half", nil},
 		spoilt{"1xx without end", strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", 100), nil},
-		spoilt{"a head without end", "HTTP/1.1 200 OK\r\n" + strings.Repeat("X: y\r\n", http1.MaxHead), nil},
-		spoilt{"a trailer without end", chunkedHead + "4\r\nhalf\r\n0\r\n" + strings.Repeat("X: y\r\n", http1.MaxHead), nil},
+		spoilt{"a head without end", "HTTP/1.1 200 OK\r\n" + strings.Repeat("X: y\r\n", http1.MaxHeaderBytes), nil},
+		spoilt{"a trailer without end", chunkedHead + "4\r\nhalf\r\n0\r\n" + strings.Repeat("X: y\r\n", http1.MaxHeaderBytes), nil},
 		spoilt{"another protocol", "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n", nil},
 	)
 	for _, s := range all {
@@ -162,7 +162,7 @@
 // is seen as a broken answer, whichever way the client is told where it ends, and nothing
 // of it is sent for again.
 func TestCutOnTheWay(t *testing.T) {
-	long := strings.Repeat("x", http1.MaxBody+50_000)
+	long := strings.Repeat("x", http1.MaxBufferedBodyBytes+50_000)
 	chunk := func(b string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(b), b) }
 	reset, end := (*standin.Call).Reset, (*standin.Call).Close
 	for _, s := range []struct {
@@ -232,7 +232,7 @@
 		p, stop := before(t, b)
 		c := dial(t, p)
 		io.WriteString(c, request("1.1", "get"))
-		if a := answered(c, func() {}); a.err == nil || len(a.body) > http1.MaxStream+1<<20 {
+		if a := answered(c, func() {}); a.err == nil || len(a.body) > http1.MaxStreamedBodyBytes+1<<20 {
 			t.Errorf("%s: got %d, %d bytes, %v", name, a.status, len(a.body), a.err)
 		}
 		c.Close()
--- a/proxy/clients.go
+++ b/proxy/clients.go
@@ -71,7 +71,7 @@
 )
 
 // bodySlowest bounds bodies: they may come at 64 kB a second, and have room to come late.
-var bodySlowest = http1.Slowest{Start: 1500 * time.Millisecond, Rate: 48 << 10, Stall: 2 * time.Second}
+var bodySlowest = http1.MinTransferRate{InitialAllowance: 1500 * time.Millisecond, BytesPerSecond: 48 << 10, StallTimeout: 2 * time.Second}
 
 func newClients() *clients {
 	return &clients{
@@ -128,18 +128,18 @@
 // next waits for the next request on c and reads it. An error before its first
 // byte is io.EOF: the connection has ended, or was asked to while idle, or has said
 // nothing for too long.
-func (s *clients) next(c *client) (*http.Request, []byte, *http1.Rest, error) {
+func (s *clients) next(c *client) (*http.Request, []byte, *http1.RemainingBody, error) {
 	s.wait(c)
 	defer s.done(c)
-	if err := c.conn.Await(); err != nil {
+	if err := c.conn.AwaitMessage(); err != nil {
 		// A request that crossed the limit or the nudge is still served.
-		if !neterror.IsDeadline(err) || c.conn.Quiet() {
+		if !neterror.IsDeadline(err) || c.conn.IsIdle() {
 			return nil, nil, nil, io.EOF
 		}
 	}
 	s.begin(c)
 	req, body, rest, err := c.conn.ReadRequest()
-	if err == nil && rest == nil && c.conn.More() {
+	if err == nil && rest == nil && c.conn.HasPipelinedData() {
 		// Callers wait for an answer before they send on. What follows on a request
 		// is a length that was wrong, or a flood.
 		err = errAhead
@@ -180,7 +180,7 @@
 		limit = end
 	}
 	c.conn.SetReadDeadline(limit)
-	c.conn.Pace = func(body int64) { s.pace(c, body) }
+	c.conn.BeforeBodyRead = func(body int64) { s.pace(c, body) }
 }
 
 // pace sets the time for the next read of a body, by what has come of it. A client
@@ -194,7 +194,7 @@
 	if c.bodyFrom.IsZero() {
 		c.bodyFrom = time.Now()
 	}
-	c.conn.SetReadDeadline(bodySlowest.Until(c.bodyFrom, body))
+	c.conn.SetReadDeadline(bodySlowest.Deadline(c.bodyFrom, body))
 }
 
 func (s *clients) done(c *client) {
@@ -215,7 +215,7 @@
 	case !c.asked: // its first request is most likely on the way
 		c.conn.SetReadDeadline(c.since.Add(s.freshLeast))
 	default:
-		c.conn.SetReadDeadline(http1.LongAgo)
+		c.conn.SetReadDeadline(http1.ExpiredDeadline)
 	}
 }
 
--- a/proxy/config.go
+++ b/proxy/config.go
@@ -29,7 +29,7 @@
 	Seed      string           `json:"seed"`  // hex; empty: a random one
 	Limits    Limits           `json:"limits"`
 	Known     *json.RawMessage `json:"known"`
-	Settings  *settings.Object `json:"settings"`
+	Settings  *settings.Config `json:"settings"`
 
 	// Grace is how long a drain goes on accepting; 0: DefaultGrace.
 	Grace time.Duration `json:"-"`
@@ -187,13 +187,13 @@
 	if err != nil {
 		return fmt.Errorf("known: %w", err)
 	}
-	if err := c.Settings.Check(); err != nil {
+	if err := c.Settings.Validate(); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
-	if c.logic, err = c.Settings.Logic(seed); err != nil {
+	if c.logic, err = c.Settings.LogicSettings(seed); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
-	c.askWithin, c.listAsked = c.Settings.ListAsked()
+	c.askWithin, c.listAsked = c.Settings.ListsOnRequest()
 	if c.askWithin == 0 { // guards against calls with no pause between them while discovery is down
 		c.askWithin = discovery.TellWithin
 	}
--- a/proxy/connect_test.go
+++ b/proxy/connect_test.go
@@ -176,7 +176,7 @@
 // The end of a client that has sent a long body is hidden behind what is unread of it, and
 // is seen all the same before the first byte goes to a backend.
 func TestClientGoneBehindABody(t *testing.T) {
-	const size = http1.MaxBody + 1 // more than is read whole, less than the kernel keeps for us
+	const size = http1.MaxBufferedBodyBytes + 1 // more than is read whole, less than the kernel keeps for us
 	b := standin.NewBackend(t, standin.Echo)
 	p := listening(t, standin.List(1, true, standin.Target("s-1", b.Addr())), "127.0.0.1:1")
 	p.cfg.Grace = time.Millisecond
--- a/proxy/drain_test.go
+++ b/proxy/drain_test.go
@@ -152,7 +152,7 @@
 // A request whose body is still coming when the process is told to end is served, if it comes
 // in time, both one that is read whole and one that passes through.
 func TestDrainInBody(t *testing.T) {
-	for _, size := range []int{1000, 2 * http1.MaxBody} {
+	for _, size := range []int{1000, 2 * http1.MaxBufferedBodyBytes} {
 		b := standin.NewBackend(t, func(c *standin.Call) { c.Reply(200, fmt.Sprint(len(c.Text))) })
 		p := listening(t, standin.List(1, true, standin.Target("s-1", b.Addr())), "127.0.0.1:1")
 		p.cfg.Grace, p.longest, p.slack = time.Millisecond, time.Minute, 20*time.Second // ample on any machine
--- a/proxy/linger.go
+++ b/proxy/linger.go
@@ -66,7 +66,7 @@
 	defer s.mu.Unlock()
 	s.cut = true
 	for e := s.lingering.Front(); e != nil; e = e.Next() {
-		e.Value.(*client).conn.SetReadDeadline(http1.LongAgo)
+		e.Value.(*client).conn.SetReadDeadline(http1.ExpiredDeadline)
 	}
 	return s.open - s.lingering.Len()
 }
--- a/proxy/parse.go
+++ b/proxy/parse.go
@@ -46,7 +46,7 @@
 			return in, code, errors.New("more than one " + header)
 		}
 		for name := range req.Header {
-			if http1.LooksLike(name, header) {
+			if http1.IsUnderscoreVariant(name, header) {
 				return in, code, fmt.Errorf("%s could be read as %s", name, header)
 			}
 		}
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -69,7 +69,7 @@
 	end       atomic.Pointer[time.Time] // of a drain; nil: none. No answer comes after it
 	sockets   *sockets
 	clients   *clients
-	transfers *http1.Transfers
+	transfers *http1.StreamPool
 	driver    *driver
 	list      *discovery.Client
 	readiness readiness
@@ -116,10 +116,10 @@
 		}
 	}
 	p.clients = newClients()
-	p.transfers = http1.NewTransfers(int64(transferShare * heapShare * cfg.Limits.MemoryMB * (1 << 20)))
+	p.transfers = http1.NewStreamPool(int64(transferShare * heapShare * cfg.Limits.MemoryMB * (1 << 20)))
 	opt := &upstream.Options{
-		DialTimeout: settings.Duration(cfg.Settings.Limits.DialTimeout),
-		IdleLimit:   settings.Duration(cfg.Settings.Limits.ConnIdle),
+		DialTimeout: settings.Duration(cfg.Settings.Limits.DialTimeoutMs),
+		IdleLimit:   settings.Duration(cfg.Settings.Limits.ConnIdleMs),
 		Slots:       p.sockets,
 	}
 	if opt.DialTimeout == 0 {
@@ -301,7 +301,7 @@
 	p.endBy(end)
 	p.enter(Draining)
 	if p.cfg.ListenFD != 0 { // another process accepts, and what waits in the kernel is its
-		p.listener.SetDeadline(http1.LongAgo)
+		p.listener.SetDeadline(http1.ExpiredDeadline)
 		p.sockets.waitUntil(time.Now())
 		select {
 		case <-accepted:
--- a/proxy/proxy_test.go
+++ b/proxy/proxy_test.go
@@ -568,7 +568,7 @@
 	const size = 200_000
 	b := standin.NewBackend(t, func(c *standin.Call) { c.Reply(200, fmt.Sprint(len(c.Text))) })
 	p := listening(t, standin.List(1, true, standin.Target("s", b.Addr())), "127.0.0.1:1")
-	p.transfers = http1.NewTransfers(1) // one
+	p.transfers = http1.NewStreamPool(1) // one
 	defer running(t, p)()
 	head := func(id int) string {
 		return fmt.Sprintf("POST /api HTTP/1.1\r\nHost: h\r\nX-Request-ID: %d\r\nX-Priority-Class: pay\r\n"+
--- a/proxy/request.go
+++ b/proxy/request.go
@@ -44,7 +44,7 @@
 		return false
 	}
 	if rest != nil {
-		defer rest.Drop()
+		defer rest.Abandon()
 	}
 	if req.Method == http.MethodGet && req.URL.Path == pathReady && rest == nil {
 		return p.ready(c, req)
@@ -76,10 +76,10 @@
 			out.cancel()
 		}
 	}()
-	defer c.conn.Unwatch()
+	defer c.conn.UnwatchPeer()
 	ends := &p.stats.ends[in.class]
 	watch := func() {
-		c.conn.Watch(func() { p.driver.gone(call) }, func() { p.driver.ahead(call) })
+		c.conn.WatchPeer(func() { p.driver.gone(call) }, func() { p.driver.ahead(call) })
 	}
 	var attempts []attemptTrace
 	ended := func(end requestEnd, cause string) { p.endLog.write(&in, end, cause, start, attempts) }
@@ -109,7 +109,7 @@
 				sending.Written = func() {
 					step.sent = time.Now()
 					p.driver.written(call)
-					if c.conn.More() { // it is here already: no need to wait for a watch to see it
+					if c.conn.HasPipelinedData() { // it is here already: no need to wait for a watch to see it
 						p.driver.ahead(call)
 						return
 					}
@@ -125,14 +125,14 @@
 			}
 			step.cancel()
 			out = nil
-			p.driver.done(call, step, result, final, rest != nil && rest.Begun())
+			p.driver.done(call, step, result, final, rest != nil && rest.ReadStarted())
 			p.stats.attempt(result)
 			attempts = append(attempts, attemptTrace{step.uid, result, time.Since(step.sent)})
 			if final {
 				p.driver.forget(call)
 			}
 			switch {
-			case errors.Is(got.Source, http1.ErrBusy):
+			case errors.Is(got.Source, http1.ErrStreamPoolExhausted):
 				ends[throttled].Add(1)
 				ended(endBusy, "")
 				req.Close = true // most of it has not been read
@@ -234,7 +234,7 @@
 
 // forward is the text of req for a backend that has left to answer it: with all of its
 // body, or the first part of it where there is a rest.
-func forward(req *http.Request, host string, body []byte, rest *http1.Rest, left time.Duration) []byte {
+func forward(req *http.Request, host string, body []byte, rest *http1.RemainingBody, left time.Duration) []byte {
 	b := make([]byte, 0, 512+len(body))
 	b = append(b, req.Method...)
 	b = append(b, ' ')
@@ -263,12 +263,12 @@
 	b = strconv.AppendInt(b, max(1, left.Milliseconds()), 10)
 	size := int64(len(body))
 	if rest != nil {
-		size = rest.Size
+		size = rest.TotalSize
 	}
 	switch {
 	case size < 0:
 		b = append(b, "\r\nTransfer-Encoding: chunked"...)
-		body = http1.Chunk(body)
+		body = http1.EncodeChunk(body)
 	case size > 0 || req.Method != http.MethodGet:
 		b = append(b, "\r\nContent-Length: "...)
 		b = strconv.AppendInt(b, size, 10)
@@ -314,7 +314,7 @@
 	last := !req.ProtoAtLeast(1, 1) || req.Close || !p.stays() // said once, and kept to
 	err := p.passLong(c, req, got, header, last)
 	got.Release(err == nil)
-	if err == nil || errors.Is(err, http1.ErrPassed) {
+	if err == nil || errors.Is(err, http1.ErrDestination) {
 		ends[fulfilled].Add(1)
 	} else {
 		ends[faulted].Add(1)
@@ -335,13 +335,13 @@
 func (p *Proxy) passLong(c *client, req *http.Request, got *upstream.Answer, header []string, last bool) (err error) {
 	old, first := !req.ProtoAtLeast(1, 1), got.Body
 	switch {
-	case got.Rest.Size >= 0:
-		header = append(header, "Content-Length", strconv.FormatInt(got.Rest.Size, 10))
+	case got.Rest.TotalSize >= 0:
+		header = append(header, "Content-Length", strconv.FormatInt(got.Rest.TotalSize, 10))
 	case !old:
 		header = append(header, "Transfer-Encoding", "chunked")
-		first = http1.Chunk(first)
+		first = http1.EncodeChunk(first)
 	}
-	if old && got.Rest.Size < 0 {
+	if old && got.Rest.TotalSize < 0 {
 		// The connection's end is the answer's: until that is here, any other end is a
 		// reset, also the one that the kernel makes of ours.
 		if t, ok := c.conn.Conn.(interface{ SetLinger(int) error }); ok {
@@ -358,9 +358,9 @@
 	_, err = c.conn.Write(answerText(got.Status, header, first, last))
 	c.answering = true
 	if err != nil {
-		return fmt.Errorf("%w: %w", http1.ErrPassed, err)
+		return fmt.Errorf("%w: %w", http1.ErrDestination, err)
 	}
-	return p.transfers.Pass(c.conn, got.Rest, old, func(passed int64) error {
+	return p.transfers.Forward(c.conn, got.Rest, old, func(passed int64) error {
 		within(passed)
 		return nil
 	})
@@ -424,7 +424,7 @@
 	switch {
 	case errors.Is(err, http1.ErrMalformed), errors.Is(err, errAhead):
 		return http.StatusBadRequest
-	case errors.Is(err, http1.ErrHeadTooLarge):
+	case errors.Is(err, http1.ErrHeaderTooLarge):
 		return http.StatusRequestHeaderFieldsTooLarge
 	case errors.Is(err, http1.ErrBodyTooLarge):
 		return http.StatusRequestEntityTooLarge
