--- a/internal/http1/conn.go
+++ b/internal/http1/conn.go
@@ -1,7 +1,8 @@
-// Package http1 reads HTTP/1.1 messages from a connection, for both sides of a
-// proxy: whole up to MaxBody, longer ones as a first part and a Rest that is still to
-// come. A Conn has one buffer, which grows as a message needs and is compacted in
-// place; http.ReadRequest and http.ReadResponse parse from it.
+// Package http1 reads HTTP/1.1 messages from a connection, for both the client and the
+// backend side of a proxy. Bodies of up to MaxBufferedBodyBytes are read whole; of longer
+// ones the first part is read and the caller streams the RemainingBody. A Conn has one
+// buffer, which grows as a message needs and is compacted in place; http.ReadRequest and
+// http.ReadResponse parse from it.
 package http1
 
 import (
@@ -23,75 +24,77 @@
 	"oxbowloft/internal/neterror"
 )
 
-// Sizes of a message. What is larger ends as ErrHeadTooLarge or ErrBodyTooLarge.
+// Size limits of a message, in bytes. Reading a larger one fails with ErrHeaderTooLarge or
+// ErrBodyTooLarge.
 const (
 	MaxHeaderBytes       = 16 << 10
-	MaxBufferedBodyBytes = 64 << 10 // that is read whole
-	MaxStreamedBodyBytes = 32 << 20 // that passes through
-
-	// maxMessage leaves a chunked body room for its framing, and bounds what a
-	// crowd of large messages, each nearly whole, can hold in buffers.
-	maxMessage = MaxHeaderBytes + MaxBufferedBodyBytes + 16<<10
-	firstBuf   = 2 << 10
-	keptBuf    = 16 << 10 // a larger buffer is dropped when its messages are done
+	MaxBufferedBodyBytes = 64 << 10 // bodies up to this size are read whole
+	MaxStreamedBodyBytes = 32 << 20 // bodies up to this size are streamed
+
+	// maxBufferBytes leaves room for the framing of a chunked body. It bounds the memory
+	// held by many large messages that are all nearly complete.
+	maxBufferBytes     = MaxHeaderBytes + MaxBufferedBodyBytes + 16<<10
+	initialBufferBytes = 2 << 10
+	maxIdleBufferBytes = 16 << 10 // a larger buffer is released once its messages are consumed
 )
 
-// ExpiredDeadline is a deadline that is over, whatever the clock says: it ends a wait at once.
+// ExpiredDeadline is a deadline in the past, whatever the clock says. Setting it ends a
+// blocked read or write at once.
 var ExpiredDeadline = time.Unix(1, 0)
 
-// Errors of a message; what else a read returns is the connection's own error.
+// Errors of a message. Any other error of a read is the connection's own.
 var (
 	ErrMalformed      = errors.New("malformed message")
-	ErrHeaderTooLarge = errors.New("head too large")
-	ErrBodyTooLarge   = errors.New("body too large")
-	ErrInterrupted    = errors.New("interrupted")
+	ErrHeaderTooLarge = errors.New("message header too large")
+	ErrBodyTooLarge   = errors.New("message body too large")
+	ErrInterrupted    = errors.New("body read interrupted")
 )
 
-// Conn is a connection with its buffer. Its methods are for one goroutine,
-// but for those of net.Conn.
+// Conn is a connection with a read buffer. Unless stated otherwise, its methods must be
+// called from one goroutine; those of net.Conn may be called from any.
 type Conn struct {
 	net.Conn
-	raw   syscall.RawConn
-	buf   []byte
-	start int   // of what is not used up
-	pos   int   // how far the parser has read
-	end   int   // of what has come
-	late  error // came with bytes, and is told behind them
-	empty int   // bytes of empty lines since the last message
-
-	carried bool
-	err     error
-	watch   chan struct{} // closed when the watch is over
-
-	// BeforeBodyRead, if set, is called before each read of a body with what has come of it, to
-	// set the time that the read may take.
-	BeforeBodyRead func(body int64)
-	body           int64 // below zero: none is under way
+	rawConn        syscall.RawConn
+	buf            []byte
+	bufStart       int   // start of the unconsumed bytes in buf
+	parsePos       int   // end of the bytes that the parser has read
+	bufEnd         int   // end of the received bytes
+	deferredErr    error // returned by a read together with bytes; reported after them
+	emptyLineBytes int   // bytes of empty lines since the last message
+
+	hasReadMessage bool
+	readErr        error
+	watchDone      chan struct{} // closed when the goroutine of WatchPeer has ended
+
+	// BeforeBodyRead, if set, is called before each read from the connection inside a
+	// body, with the number of body bytes received so far. It sets the read deadline.
+	BeforeBodyRead func(bodyBytes int64)
+	bodyBytes      int64 // received of the current body; negative: no body is being read
 
 	interrupted atomic.Bool
 }
 
 // NewConn returns a Conn on nc.
 func NewConn(nc net.Conn) *Conn {
-	c := &Conn{Conn: nc, body: -1}
+	c := &Conn{Conn: nc, bodyBytes: -1}
 	if sc, ok := nc.(syscall.Conn); ok {
-		c.raw, _ = sc.SyscallConn()
+		c.rawConn, _ = sc.SyscallConn()
 	}
 	return c
 }
 
-// HasReadMessage tells whether a message has been read from the connection.
-func (c *Conn) HasReadMessage() bool { return c.carried }
+// HasReadMessage reports whether any message has been read from the connection.
+func (c *Conn) HasReadMessage() bool { return c.hasReadMessage }
 
-// Buffered is the number of bytes that have come and are not used up.
-func (c *Conn) Buffered() int { return c.end - c.start }
+// Buffered returns the number of received bytes that are not consumed yet.
+func (c *Conn) Buffered() int { return c.bufEnd - c.bufStart }
 
-// AwaitMessage waits until a part of a message is in the buffer. The empty lines that
-// some senders put between messages are passed over.
+// AwaitMessage waits until the buffer holds the first bytes of a message. It skips the
+// empty lines that some senders put between messages.
 func (c *Conn) AwaitMessage() error {
 	for {
-		c.skipEmpty()
-		if c.start < c.end {
+		c.skipEmptyLines()
+		if c.bufStart < c.bufEnd {
 			return nil
 		}
 		if err := c.fill(); err != nil {
@@ -100,176 +103,183 @@
 	}
 }
 
-// fill reads once from the connection into the buffer, which holds no more than
-// the largest message.
+// fill reads once from the connection into the buffer, which grows no further than the
+// largest message needs.
 func (c *Conn) fill() error {
-	if err := cmp.Or(c.err, c.late); err != nil {
+	if err := cmp.Or(c.readErr, c.deferredErr); err != nil {
 		return err
 	}
-	if c.start == c.end {
-		c.start, c.pos, c.end = 0, 0, 0
+	if c.bufStart == c.bufEnd {
+		c.bufStart, c.parsePos, c.bufEnd = 0, 0, 0
 	}
-	if c.end == len(c.buf) {
-		if c.start > 0 {
-			copy(c.buf, c.buf[c.start:c.end])
-			c.pos, c.end, c.start = c.pos-c.start, c.end-c.start, 0
+	if c.bufEnd == len(c.buf) {
+		if c.bufStart > 0 {
+			copy(c.buf, c.buf[c.bufStart:c.bufEnd])
+			c.parsePos, c.bufEnd, c.bufStart = c.parsePos-c.bufStart, c.bufEnd-c.bufStart, 0
 		} else {
-			if len(c.buf) > maxMessage {
+			if len(c.buf) > maxBufferBytes {
 				return ErrBodyTooLarge
 			}
-			grown := make([]byte, min(max(firstBuf, 2*len(c.buf)), maxMessage+1))
-			copy(grown, c.buf[:c.end])
+			grown := make([]byte, min(max(initialBufferBytes, 2*len(c.buf)), maxBufferBytes+1))
+			copy(grown, c.buf[:c.bufEnd])
 			c.buf = grown
 		}
 	}
-	if c.BeforeBodyRead != nil && c.body >= 0 {
-		c.BeforeBodyRead(c.body)
+	if c.BeforeBodyRead != nil && c.bodyBytes >= 0 {
+		c.BeforeBodyRead(c.bodyBytes)
 	}
-	if c.interrupted.Load() { // after Pace, which may have set another time
+	if c.interrupted.Load() { // after BeforeBodyRead, which may have replaced the deadline set by Interrupt
 		return ErrInterrupted
 	}
-	n, err := c.Conn.Read(c.buf[c.end:])
-	c.end += n
+	n, err := c.Conn.Read(c.buf[c.bufEnd:])
+	c.bufEnd += n
 	if n > 0 {
-		// A reset may come with the last bytes and be told this once.
+		// A reset may be returned together with the last bytes, and only this once.
 		if err != nil && !neterror.IsDeadline(err) {
-			c.late = err
+			c.deferredErr = err
 		}
 		return nil
 	}
 	return err
 }
 
-// head waits until the whole head of a message is in the buffer, and judges it.
-func (c *Conn) head(request bool) error {
+// readHeader waits until the start line and all header fields of a message are in the
+// buffer, and validates them.
+func (c *Conn) readHeader(isRequest bool) error {
 	if err := c.AwaitMessage(); err != nil {
 		return err
 	}
-	for h := (headCheck{request: request}); ; {
-		if whole, err := h.take(c.buf[c.start:c.end]); whole || err != nil {
+	for validator := (headerValidator{isRequest: isRequest}); ; {
+		if complete, err := validator.validate(c.buf[c.bufStart:c.bufEnd]); complete || err != nil {
 			return err
 		}
 		if err := c.fill(); err != nil {
-			return inside(err)
+			return asUnexpectedEOF(err)
 		}
 	}
 }
 
-// inside is the error of a read inside a message, where an end is no clean end.
-func inside(err error) error {
+// asUnexpectedEOF converts the error of a read inside a message, where io.EOF means that
+// the message is truncated.
+func asUnexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
 	return err
 }
 
-// source feeds the parser from the buffer, and the buffer from the connection. What
-// the parser has read makes room: a body in many small chunks is far longer than what
-// it carries.
-type source struct{ c *Conn }
-
-func (s source) Read(p []byte) (int, error) {
-	c := s.c
-	if c.pos == c.end {
-		c.start = c.pos
-		if c.err = c.fill(); c.err != nil {
-			return 0, c.err
+// bufferReader feeds the parser from the buffer, and fills the buffer from the connection.
+// Bytes that the parser has read are released at once: a body in many small chunks takes
+// far more bytes on the connection than it has content.
+type bufferReader struct{ conn *Conn }
+
+func (r bufferReader) Read(p []byte) (int, error) {
+	conn := r.conn
+	if conn.parsePos == conn.bufEnd {
+		conn.bufStart = conn.parsePos
+		if conn.readErr = conn.fill(); conn.readErr != nil {
+			return 0, conn.readErr
 		}
 	}
-	n := copy(p, c.buf[c.pos:c.end])
-	c.pos += n
+	n := copy(p, conn.buf[conn.parsePos:conn.bufEnd])
+	conn.parsePos += n
 	return n, nil
 }
 
-var readers = sync.Pool{New: func() any { return bufio.NewReader(nil) }}
+var bufioReaders = sync.Pool{New: func() any { return bufio.NewReader(nil) }}
 
-// part is what parse has read of a message: its body so far, and whether that is all.
-type part struct {
-	body  []byte
-	whole bool
-	from  io.Reader // the body
-	size  int64     // of the body; below zero where nobody says
-	over  bool      // all of it is in body, which is too long to be kept whole
+// parsedBody is the body of a message as far as it has been read.
+type parsedBody struct {
+	data      []byte
+	complete  bool
+	reader    io.Reader // of the remaining body, if not complete
+	totalSize int64     // of the body, in bytes; negative if unknown
+	ended     bool      // nothing remains, but data is longer than MaxBufferedBodyBytes
 }
 
-// parse runs read over the message at the start of the buffer, then uses it up. Where
-// more is to come, the rest goes on from there.
-func (c *Conn) parse(request bool, read func(*bufio.Reader) (part, error)) ([]byte, *RemainingBody, error) {
-	if err := c.head(request); err != nil {
+// parseMessage runs read on the message at the start of the buffer and consumes it. If the
+// body is not complete, the returned RemainingBody continues where read stopped.
+func (c *Conn) parseMessage(isRequest bool, read func(*bufio.Reader) (parsedBody, error)) ([]byte, *RemainingBody, error) {
+	if err := c.readHeader(isRequest); err != nil {
 		return nil, nil, err
 	}
-	c.pos, c.body, c.empty = c.start, 0, 0
-	br := readers.Get().(*bufio.Reader)
-	br.Reset(source{c})
-	p, err := read(br)
-	c.carried = c.carried || err == nil
-	if err == nil && !p.whole {
-		c.body = int64(len(p.body))
-		return p.body, &RemainingBody{c: c, br: br, from: p.from, TotalSize: p.size, came: c.body, over: p.over}, nil
-	}
-	return p.body, nil, c.used(br, err)
+	c.parsePos, c.bodyBytes, c.emptyLineBytes = c.bufStart, 0, 0
+	br := bufioReaders.Get().(*bufio.Reader)
+	br.Reset(bufferReader{c})
+	parsed, err := read(br)
+	c.hasReadMessage = c.hasReadMessage || err == nil
+	if err == nil && !parsed.complete {
+		c.bodyBytes = int64(len(parsed.data))
+		return parsed.data, &RemainingBody{conn: c, br: br, body: parsed.reader, TotalSize: parsed.totalSize,
+			bytesRead: c.bodyBytes, ended: parsed.ended}, nil
+	}
+	return parsed.data, nil, c.finishMessage(br, err)
 }
 
-// used lets go of a message that has been read to its end, or as far as it can be.
-func (c *Conn) used(br *bufio.Reader, err error) error {
+// finishMessage consumes a message that has been read to its end or failed with err, and
+// returns the error to report.
+func (c *Conn) finishMessage(br *bufio.Reader, err error) error {
 	switch {
 	case err == nil:
-		// What the parser has read ahead is given back. All of it came with the last
-		// read: had the message's end come before, there would have been no other.
-		c.start = c.pos - br.Buffered()
-	case c.err != nil:
-		err = inside(c.err)
+		// Returns the bytes that the parser has read ahead to the buffer. They are still
+		// there, since they all came with the last read: if the message had ended in an
+		// earlier one, there would have been no further read.
+		c.bufStart = c.parsePos - br.Buffered()
+	case c.readErr != nil:
+		err = asUnexpectedEOF(c.readErr)
 	case !errors.Is(err, ErrBodyTooLarge):
 		err = fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
 	br.Reset(nil)
-	readers.Put(br)
-	c.body = -1
-	if c.start == c.end && len(c.buf) > keptBuf {
-		c.buf, c.start, c.pos, c.end = nil, 0, 0, 0
+	bufioReaders.Put(br)
+	c.bodyBytes = -1
+	if c.bufStart == c.bufEnd && len(c.buf) > maxIdleBufferBytes {
+		c.buf, c.bufStart, c.parsePos, c.bufEnd = nil, 0, 0, 0
 	}
 	return err
 }
 
-// RemainingBody is what is still to come of a message whose first part has been read.
+// RemainingBody is the part of a body that follows the first part, still to be read from
+// the connection.
 type RemainingBody struct {
-	TotalSize int64 // of the whole body; below zero where nobody says
-
-	c     *Conn
-	br    *bufio.Reader // nil once the message is over
-	from  io.Reader
-	came  int64
-	begun bool
-	over  bool // nothing more comes
-	err   error
+	TotalSize int64 // of the whole body, in bytes; negative if unknown
+
+	conn        *Conn
+	br          *bufio.Reader // nil once the message is consumed
+	body        io.Reader
+	bytesRead   int64
+	readStarted bool
+	ended       bool // all bytes have been received
+	err         error
 }
 
-// ReadStarted tells whether anything has been read of the rest.
-func (r *RemainingBody) ReadStarted() bool { return r.begun }
+// ReadStarted reports whether Read has consumed anything of the remaining body.
+func (r *RemainingBody) ReadStarted() bool { return r.readStarted }
 
-// Read reads what comes next, without waiting for more than something. Its error is
-// io.EOF at the message's end, after which the connection can carry another.
+// Read returns the next bytes of the body as soon as there are any. It returns io.EOF at
+// the end of the message, after which the connection can carry another one.
 func (r *RemainingBody) Read(p []byte) (int, error) {
 	if r.err != nil {
 		return 0, r.err
 	}
-	// The wait is outside of the parser, which could not go on after an interruption.
-	if c := r.c; !r.over && r.br.Buffered() == 0 && c.pos == c.end {
-		c.start = c.pos
+	// Waits for bytes here and not in the parser, which could not continue after an
+	// interrupted read.
+	if c := r.conn; !r.ended && r.br.Buffered() == 0 && c.parsePos == c.bufEnd {
+		c.bufStart = c.parsePos
 		switch err := c.fill(); {
 		case c.interrupted.Load() && (err == ErrInterrupted || neterror.IsDeadline(err)):
 			return 0, ErrInterrupted
 		case err != nil && !errors.Is(err, io.EOF):
-			c.err = err
-			r.err, r.br = c.used(r.br, err), nil
+			c.readErr = err
+			r.err, r.br = c.finishMessage(r.br, err), nil
 			return 0, r.err
 		}
 	}
-	r.begun = true
-	n, err := r.from.Read(p)
-	r.came += int64(n)
-	r.c.body = r.came
-	if r.came > MaxStreamedBodyBytes && err == nil {
+	r.readStarted = true
+	n, err := r.body.Read(p)
+	r.bytesRead += int64(n)
+	r.conn.bodyBytes = r.bytesRead
+	if r.bytesRead > MaxStreamedBodyBytes && err == nil {
 		err = ErrBodyTooLarge
 	}
 	if err == nil {
@@ -277,38 +287,38 @@
 	}
 	r.err = io.EOF
 	if !errors.Is(err, io.EOF) {
-		r.err = r.c.used(r.br, err)
+		r.err = r.conn.finishMessage(r.br, err)
 	} else {
-		r.c.used(r.br, nil)
+		r.conn.finishMessage(r.br, nil)
 	}
 	r.br = nil
 	return n, r.err
 }
 
-// Interrupt ends the wait of a Read, now or the next one's, with ErrInterrupted, until
-// Resume. It may come from any goroutine.
+// Interrupt makes the current Read, or the next one that would wait, return ErrInterrupted,
+// until Resume is called. It may be called from any goroutine.
 func (r *RemainingBody) Interrupt() {
-	r.c.interrupted.Store(true)
-	r.c.SetReadDeadline(ExpiredDeadline)
+	r.conn.interrupted.Store(true)
+	r.conn.SetReadDeadline(ExpiredDeadline)
 }
 
-// Resume lets Read wait again.
+// Resume lets Read wait for bytes again and clears the read deadline.
 func (r *RemainingBody) Resume() {
-	r.c.interrupted.Store(false)
-	r.c.SetReadDeadline(time.Time{})
+	r.conn.interrupted.Store(false)
+	r.conn.SetReadDeadline(time.Time{})
 }
 
-// ReadRequest reads a request and its body, the first part of a long one. The error is
-// io.EOF where the connection ended between messages.
+// ReadRequest reads a request with its body, or with the first part of a long body, whose
+// remainder it returns. The error is io.EOF if the connection ended between messages.
 func (c *Conn) ReadRequest() (req *http.Request, body []byte, rest *RemainingBody, err error) {
-	body, rest, err = c.parse(true, func(br *bufio.Reader) (part, error) {
+	body, rest, err = c.parseMessage(true, func(br *bufio.Reader) (parsedBody, error) {
 		if req, err = http.ReadRequest(br); err != nil {
-			return part{}, err
+			return parsedBody{}, err
 		}
-		waits := req.Header.Get("Expect") == "100-continue" && c.pos == c.end && br.Buffered() == 0
-		if waits && req.ContentLength <= MaxStreamedBodyBytes {
-			if _, c.err = io.WriteString(c.Conn, "HTTP/1.1 100 Continue\r\n\r\n"); c.err != nil {
-				return part{}, c.err
+		waitsForContinue := req.Header.Get("Expect") == "100-continue" && c.parsePos == c.bufEnd && br.Buffered() == 0
+		if waitsForContinue && req.ContentLength <= MaxStreamedBodyBytes {
+			if _, c.readErr = io.WriteString(c.Conn, "HTTP/1.1 100 Continue\r\n\r\n"); c.readErr != nil {
+				return parsedBody{}, c.readErr
 			}
 		}
 		return c.readBody(context.Background(), br, req.Body, req.ContentLength, time.Time{})
@@ -316,103 +326,106 @@
 	return req, body, rest, err
 }
 
-// mostInterim is how many 1xx answers may come ahead of the final one.
-const mostInterim = 16
+// maxInterimResponses is how many 1xx responses may precede the final one.
+const maxInterimResponses = 16
 
-// partWait is how long a body without a length may take until it is whole. One that
-// takes longer is passed on as it comes: guards against an answer that is held back
-// while its backend gives it bit by bit.
-const partWait = 100 * time.Millisecond
+// firstPartTimeout is how long ReadResponse waits for the end of a body of unknown length.
+// A body that takes longer is streamed, so that a response which its backend generates
+// incrementally is not held back.
+const firstPartTimeout = 100 * time.Millisecond
 
-// ReadResponse reads the final answer to a request and its body, the first part of a
-// long one, before deadline. One that says no length lasts as long as its connection: a
-// clean end is its end, a reset is not; with nothing in it, it was cut off.
+// ReadResponse reads the final response to a request before deadline, with its body or with
+// the first part of a long body, whose remainder it returns. A body with neither a length
+// nor chunked encoding is delimited by the close of the connection: an orderly close
+// completes it, a reset does not, and an empty one counts as truncated.
 //
-// What is to end it early closes ctx first, then sets the connection a deadline that has
-// passed: that one may be overwritten here or just before, ctx can't.
+// To abort the call, cancel ctx first and then set an expired deadline on the connection:
+// ReadResponse or its caller may overwrite the deadline, but not the cancellation.
 func (c *Conn) ReadResponse(ctx context.Context, deadline time.Time) (resp *http.Response, body []byte, rest *RemainingBody, err error) {
 	if err := ctx.Err(); err != nil {
 		return nil, nil, nil, err
 	}
-	for range mostInterim {
-		body, rest, err = c.parse(false, func(br *bufio.Reader) (part, error) {
+	for range maxInterimResponses {
+		body, rest, err = c.parseMessage(false, func(br *bufio.Reader) (parsedBody, error) {
 			if resp, err = http.ReadResponse(br, nil); err != nil {
-				return part{}, err
+				return parsedBody{}, err
 			}
 			switch code := resp.StatusCode; {
 			case code == http.StatusSwitchingProtocols:
-				return part{}, errors.New("switches to another protocol")
+				return parsedBody{}, errors.New("response switches protocols")
 			case code < 200 || code == http.StatusNoContent || code == http.StatusNotModified:
-				return part{whole: true}, nil
+				return parsedBody{complete: true}, nil
 			}
-			if resp.StatusCode != http.StatusOK { // not worth passing on in parts
+			if resp.StatusCode != http.StatusOK { // an error response is not streamed before its end
 				deadline = time.Time{}
 			}
-			p, err := c.readBody(ctx, br, resp.Body, resp.ContentLength, deadline)
-			if err == nil && len(p.body) == 0 && IsCloseDelimited(resp) {
-				return part{}, errors.New("neither length nor body")
+			parsed, err := c.readBody(ctx, br, resp.Body, resp.ContentLength, deadline)
+			if err == nil && len(parsed.data) == 0 && IsCloseDelimited(resp) {
+				return parsedBody{}, errors.New("response has neither a length nor a body")
 			}
-			return p, err
+			return parsed, err
 		})
 		if err != nil || resp.StatusCode >= 200 {
 			return resp, body, rest, err
 		}
 	}
-	return nil, nil, nil, malformed("no final answer")
+	return nil, nil, nil, malformed("too many interim responses")
 }
 
-// IsCloseDelimited tells whether an answer says no length, and ends with its connection.
+// IsCloseDelimited reports whether the response has neither a length nor chunked encoding,
+// so that its body ends with the connection.
 func IsCloseDelimited(resp *http.Response) bool {
 	return resp.ContentLength < 0 && len(resp.TransferEncoding) == 0
 }
 
-// readBody reads the body that r parses from br: whole up to MaxBody, else its first
-// part. One of known length gets its memory once all of it is in the buffer: a crowd
-// may tell a length and send little. One without a length ends its first part early
-// where a deadline is given and it takes long; the deadline is in force on return.
-func (c *Conn) readBody(ctx context.Context, br *bufio.Reader, r io.Reader, length int64, deadline time.Time) (part, error) {
+// readBody reads the body that r parses from br: whole up to MaxBufferedBodyBytes, else its
+// first part. Memory for a body of known length is allocated only once all of it is in the
+// buffer, since many senders may announce a length and send little. If a deadline is given,
+// a body of unknown length whose end does not arrive within firstPartTimeout yields its
+// first part early; the read deadline is back at deadline on return.
+func (c *Conn) readBody(ctx context.Context, br *bufio.Reader, r io.Reader, length int64, deadline time.Time) (parsedBody, error) {
 	switch {
 	case length > MaxStreamedBodyBytes:
-		return part{}, ErrBodyTooLarge
+		return parsedBody{}, ErrBodyTooLarge
 	case length > MaxBufferedBodyBytes:
-		body := make([]byte, min(length, int64(br.Buffered()+c.end-c.pos)))
+		body := make([]byte, min(length, int64(br.Buffered()+c.bufEnd-c.parsePos)))
 		_, err := io.ReadFull(r, body)
-		return part{body: body, from: r, size: length}, err
+		return parsedBody{data: body, reader: r, totalSize: length}, err
 	case length >= 0:
-		message := c.pos - br.Buffered() - c.start + int(length)
-		for c.end-c.start < message {
-			c.body = length - int64(message-(c.end-c.start))
-			if c.err = c.fill(); c.err != nil {
-				return part{}, c.err
+		message := c.parsePos - br.Buffered() - c.bufStart + int(length)
+		for c.bufEnd-c.bufStart < message {
+			c.bodyBytes = length - int64(message-(c.bufEnd-c.bufStart))
+			if c.readErr = c.fill(); c.readErr != nil {
+				return parsedBody{}, c.readErr
 			}
 		}
 		body := make([]byte, length)
 		_, err := io.ReadFull(r, body)
-		return part{body: body, whole: true}, err
+		return parsedBody{data: body, complete: true}, err
 	}
-	body, until := make([]byte, 0, 512), time.Now().Add(partWait)
+	body, partDeadline := make([]byte, 0, 512), time.Now().Add(firstPartTimeout)
 	for len(body) <= MaxBufferedBodyBytes {
-		if !deadline.IsZero() && br.Buffered() == 0 && c.pos == c.end && until.Before(deadline) {
-			c.start = c.pos
-			c.SetReadDeadline(until)
+		if !deadline.IsZero() && br.Buffered() == 0 && c.parsePos == c.bufEnd && partDeadline.Before(deadline) {
+			c.bufStart = c.parsePos
+			c.SetReadDeadline(partDeadline)
 			var err error
 			if ctx.Err() == nil {
 				err = c.fill()
 			}
 			c.SetReadDeadline(deadline)
 			if ctx.Err() != nil {
-				c.err = ctx.Err()
-				return part{}, c.err
+				c.readErr = ctx.Err()
+				return parsedBody{}, c.readErr
 			}
-			// Where its end is here already, it is no first part: a reset must not be
-			// found out only once a part has been passed on.
-			if neterror.IsDeadline(err) && !time.Now().Before(until) && len(body) > 0 && !c.PeerClosed() {
-				return part{body: body, from: r, size: -1}, nil
+			// If the peer has closed already, there is no first part: a reset has to be
+			// found before any of the body is forwarded.
+			if neterror.IsDeadline(err) && !time.Now().Before(partDeadline) && len(body) > 0 && !c.PeerClosed() {
+				return parsedBody{data: body, reader: r, totalSize: -1}, nil
 			}
-			// A reset is told once, and then looks like an end.
+			// The kernel reports a reset once; the next read would return io.EOF.
 			if err != nil && !neterror.IsDeadline(err) && !errors.Is(err, io.EOF) {
-				c.err = err
-				return part{}, err
+				c.readErr = err
+				return parsedBody{}, err
 			}
 		}
 		if len(body) == cap(body) {
@@ -420,21 +433,21 @@
 		}
 		n, err := r.Read(body[len(body):cap(body)])
 		body = body[:len(body)+n]
-		c.body = int64(len(body))
+		c.bodyBytes = int64(len(body))
 		switch {
 		case errors.Is(err, io.EOF) && len(body) <= MaxBufferedBodyBytes:
-			return part{body: body, whole: true}, nil
+			return parsedBody{data: body, complete: true}, nil
 		case errors.Is(err, io.EOF):
-			return part{body: body, from: r, size: -1, over: true}, nil
+			return parsedBody{data: body, reader: r, totalSize: -1, ended: true}, nil
 		case err != nil:
-			return part{}, err
+			return parsedBody{}, err
 		}
 	}
-	return part{body: body, from: r, size: -1}, nil
+	return parsedBody{data: body, reader: r, totalSize: -1}, nil
 }
 
-// IsIdle tells whether an idle connection is still open with nothing to read, as
-// far as can be seen without waiting.
+// IsIdle reports whether the connection is open and has no unread bytes, as far as can be
+// determined without waiting.
 func (c *Conn) IsIdle() bool {
 	if c.Buffered() > 0 {
 		return false
@@ -443,52 +456,53 @@
 	return n == 0 && (err == nil || errors.Is(err, syscall.EAGAIN))
 }
 
-// HasPipelinedData tells whether something has come behind the message that was read, but for
-// the empty lines that some senders put there, in the buffer or not read yet.
+// HasPipelinedData reports whether bytes have arrived after the message that was read, in
+// the buffer or in the kernel. Empty lines, which some senders add, do not count.
 func (c *Conn) HasPipelinedData() bool {
 	for {
-		c.skipEmpty()
+		c.skipEmptyLines()
 		if c.Buffered() > 0 {
 			return true
 		}
 		if n, err := c.peek(); n == 0 || err != nil {
 			return false
 		}
-		if c.fill() != nil { // what is there can't be read any more
+		if c.fill() != nil { // there are bytes, but they can't be read
 			return true
 		}
 	}
 }
 
-// mostEmpty is how many bytes of empty lines may come between messages. What comes
-// beyond counts as a message, and is malformed: guards against reading them without end.
-const mostEmpty = 1 << 10
+// maxEmptyLineBytes is how many bytes of empty lines may come between messages. Any beyond
+// are parsed as a message and so rejected as malformed, which prevents reading empty lines
+// without end.
+const maxEmptyLineBytes = 1 << 10
 
-// skipEmpty passes over what has come of empty lines.
-func (c *Conn) skipEmpty() {
-	for c.start < c.end && c.empty < mostEmpty && (c.buf[c.start] == '\r' || c.buf[c.start] == '\n') {
-		c.start++
-		c.empty++
+// skipEmptyLines consumes the empty lines at the start of the buffered bytes.
+func (c *Conn) skipEmptyLines() {
+	for c.bufStart < c.bufEnd && c.emptyLineBytes < maxEmptyLineBytes && (c.buf[c.bufStart] == '\r' || c.buf[c.bufStart] == '\n') {
+		c.bufStart++
+		c.emptyLineBytes++
 	}
 }
 
-// peek looks for a byte to read without waiting or taking it. At the peer's end it
-// returns io.EOF.
+// peek reports whether a byte can be read, without waiting and without consuming it. It
+// returns io.EOF if the peer has closed the connection.
 func (c *Conn) peek() (n int, err error) {
-	if c.raw == nil {
+	if c.rawConn == nil {
 		return 0, nil
 	}
-	failed := c.raw.Control(func(fd uintptr) {
-		var one [1]byte
+	controlErr := c.rawConn.Control(func(fd uintptr) {
+		var peeked [1]byte
 		for {
-			n, _, err = syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+			n, _, err = syscall.Recvfrom(int(fd), peeked[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 			if err != syscall.EINTR {
 				return
 			}
 		}
 	})
-	if failed != nil {
-		return 0, failed
+	if controlErr != nil {
+		return 0, controlErr
 	}
 	if n == 0 && err == nil {
 		err = io.EOF
@@ -496,58 +510,59 @@
 	return max(0, n), err
 }
 
-// PeerClosed tells whether the peer has ended or reset the connection, as far as can be
-// seen without waiting, also behind bytes that have not been read: a read tells of an end
-// only once all ahead of it is gone. What can't be seen counts as open. It may be called
-// from any goroutine, and takes nothing.
+// PeerClosed reports whether the peer has closed, half-closed or reset the connection, as
+// far as can be determined without waiting. Unlike a read, it detects this also while there
+// are unread bytes. If the state can't be determined, the connection counts as open.
+// PeerClosed consumes no bytes and may be called from any goroutine.
 func (c *Conn) PeerClosed() bool {
-	if c.raw == nil {
+	if c.rawConn == nil {
 		return false
 	}
 	closed := false
-	failed := c.raw.Control(func(fd uintptr) {
-		p := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
-		n, err := unix.Poll(p, 0)
+	controlErr := c.rawConn.Control(func(fd uintptr) {
+		pollFds := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
+		n, err := unix.Poll(pollFds, 0)
 		for err == unix.EINTR {
-			n, err = unix.Poll(p, 0)
+			n, err = unix.Poll(pollFds, 0)
 		}
-		closed = err == nil && n > 0 && p[0].Revents&unix.POLLNVAL == 0 &&
-			p[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
+		closed = err == nil && n > 0 && pollFds[0].Revents&unix.POLLNVAL == 0 &&
+			pollFds[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 	})
-	return failed == nil && closed
+	return controlErr == nil && closed
 }
 
-// WatchPeer calls gone from a goroutine of its own if the peer ends the connection
-// before Unwatch, or ahead if it sends on. What comes stays in the buffer, and
-// nothing is noticed after it. Where a watch stands, it goes on.
-func (c *Conn) WatchPeer(gone, ahead func()) {
-	if c.watch != nil || c.Buffered() > maxMessage { // no room to read into
+// WatchPeer starts a goroutine that calls onClose if the connection ends or breaks before
+// UnwatchPeer, or onData if the peer sends more bytes. The bytes stay in the buffer, and the
+// watch ends with them: a later close is not reported. If a watch is active already, it
+// continues and the call has no effect.
+func (c *Conn) WatchPeer(onClose, onData func()) {
+	if c.watchDone != nil || c.Buffered() > maxBufferBytes { // active already, or no room to read into
 		return
 	}
-	c.watch = make(chan struct{})
+	c.watchDone = make(chan struct{})
 	go func() {
-		defer close(c.watch)
+		defer close(c.watchDone)
 		for c.Buffered() == 0 {
 			if err := c.fill(); err != nil {
 				if !neterror.IsDeadline(err) {
-					c.err = err
-					gone()
+					c.readErr = err
+					onClose()
 				}
 				return
 			}
-			c.skipEmpty()
+			c.skipEmptyLines()
 		}
-		ahead()
+		onData()
 	}()
 }
 
-// UnwatchPeer ends a watch, if there is one. gone is not called after it.
+// UnwatchPeer ends the watch, if one is active. Neither callback is called after it returns.
 func (c *Conn) UnwatchPeer() {
-	if c.watch == nil {
+	if c.watchDone == nil {
 		return
 	}
 	c.SetReadDeadline(ExpiredDeadline)
-	<-c.watch
-	c.watch = nil
+	<-c.watchDone
+	c.watchDone = nil
 	c.SetReadDeadline(time.Time{})
 }
--- a/internal/http1/conn_test.go
+++ b/internal/http1/conn_test.go
@@ -264,7 +264,7 @@
 			eventually(t, name+", "+ahead.name+": seen", c.PeerClosed)
 			// It takes nothing: what was sent is still there, and the end is seen on.
 			got, _ := io.ReadAll(c)
-			if all := string(c.buf[c.start:c.end]) + string(got); all != ahead.bytes {
+			if all := string(c.buf[c.bufStart:c.bufEnd]) + string(got); all != ahead.bytes {
 				t.Errorf("%s, %s: then read %q, want %q", name, ahead.name, all, ahead.bytes)
 			}
 			if !c.PeerClosed() {
@@ -412,7 +412,7 @@
 			if got := append(first, sink.out.Bytes()...); err != nil || !bytes.Equal(got, body) {
 				t.Fatalf("%s, cut at %v: %d bytes of %d, %v", c.name, at, len(got), len(body), err)
 			}
-			if len(conn.buf) > maxMessage+1 {
+			if len(conn.buf) > maxBufferBytes+1 {
 				t.Errorf("%s: a buffer of %d bytes", c.name, len(conn.buf))
 			}
 			if req, _, _, err := conn.ReadRequest(); err != nil || req.RequestURI != "/next" {
@@ -472,13 +472,13 @@
 
 // No more transfers than the memory holds run at a time; one too many is told.
 func TestTransfersAreBounded(t *testing.T) {
-	tr := NewStreamPool(3 * passHeld)
+	tr := NewStreamPool(3 * streamMemoryBytes)
 	for range 3 {
-		if _, err := tr.take(time.Minute); err != nil {
+		if _, err := tr.acquireBuffer(time.Minute); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if _, err := tr.take(time.Millisecond); err != ErrStreamPoolExhausted {
+	if _, err := tr.acquireBuffer(time.Millisecond); err != ErrStreamPoolExhausted {
 		t.Errorf("a fourth: %v", err)
 	}
 }
--- a/internal/http1/ends_test.go
+++ b/internal/http1/ends_test.go
@@ -350,7 +350,7 @@
 		if !errors.Is(err, a.want) {
 			t.Errorf("%s: got %v, want %v", a.name, err, a.want)
 		}
-		if len(c.buf) > maxMessage+1 {
+		if len(c.buf) > maxBufferBytes+1 {
 			t.Errorf("%s: a buffer of %d bytes", a.name, len(c.buf))
 		}
 		c.Close()
--- a/internal/http1/errno_test.go
+++ b/internal/http1/errno_test.go
@@ -59,7 +59,7 @@
 			gone := make(chan bool, 2)
 			client := NewConn(&brokenConn{TCPConn: socket, errno: errno})
 			client.WatchPeer(func() { gone <- true }, func() { gone <- false })
-			<-client.watch
+			<-client.watchDone
 			select {
 			case left := <-gone:
 				if !left {
--- a/internal/http1/floods_test.go
+++ b/internal/http1/floods_test.go
@@ -26,7 +26,7 @@
 	t.Helper()
 	eventually(t, "arrived", func() bool {
 		got := 0
-		c.raw.Control(func(fd uintptr) {
+		c.rawConn.Control(func(fd uintptr) {
 			got, _, _ = syscall.Recvfrom(int(fd), make([]byte, n), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		})
 		return got == n
@@ -36,11 +36,11 @@
 // An empty line behind a request is none of it, wherever the buffer ends: guards against
 // a verdict that goes by how the bytes were cut.
 func TestMoreBehindAFullBuffer(t *testing.T) {
-	for _, size := range []int{firstBuf - 2, firstBuf - 1, firstBuf, 2 * firstBuf, 8 * firstBuf} {
+	for _, size := range []int{initialBufferBytes - 2, initialBufferBytes - 1, initialBufferBytes, 2 * initialBufferBytes, 8 * initialBufferBytes} {
 		for _, b := range []struct {
 			behind string
 			more   bool
-		}{{"", false}, {"\r\n", false}, {"\r\n\r\n\n", false}, {"\r\nG", true}, {"G", true}, {strings.Repeat("\r\n", mostEmpty), true}} {
+		}{{"", false}, {"\r\n", false}, {"\r\n\r\n\n", false}, {"\r\nG", true}, {"G", true}, {strings.Repeat("\r\n", maxEmptyLineBytes), true}} {
 			c, far := tcp(t)
 			text := padded(size) + b.behind
 			io.WriteString(far, text)
@@ -81,8 +81,8 @@
 			c := NewConn(nc)
 			var sender sync.WaitGroup
 			ahead := make(chan bool, 1)
-			io.WriteString(far, padded(firstBuf))
-			pending(t, c, firstBuf)
+			io.WriteString(far, padded(initialBufferBytes))
+			pending(t, c, initialBufferBytes)
 			if _, _, _, err := c.ReadRequest(); err != nil {
 				t.Fatal(err)
 			}
@@ -94,7 +94,7 @@
 			} else {
 				eventually(t, name+": noticed", c.HasPipelinedData)
 			}
-			if nc.room > 4*firstBuf || len(c.buf) > firstBuf {
+			if nc.room > 4*initialBufferBytes || len(c.buf) > initialBufferBytes {
 				t.Errorf("%s, watched %t: room for %d bytes in %d reads, a buffer of %d", name, watched, nc.room, nc.reads, len(c.buf))
 			}
 			if !c.HasPipelinedData() {
