--- a/cmd/oxbowloft/admin_test.go
+++ b/cmd/oxbowloft/admin_test.go
@@ -63,8 +63,8 @@
 			t.Errorf("%s: %d, the client saw %d", name, metrics[name], n)
 		}
 	}
-	if metrics["relayed"] != b.Calls() || metrics["registry_entries"] != 1 {
-		t.Errorf("%d calls at the backend; %v", b.Calls(), metrics)
+	if metrics["relayed"] != b.RequestCount() || metrics["registry_entries"] != 1 {
+		t.Errorf("%d calls at the backend; %v", b.RequestCount(), metrics)
 	}
 	if len(got) < 6 {
 		t.Errorf("too little was seen: %v", got)
@@ -83,10 +83,10 @@
 	if got := r.adminCommand("DETACH s-1") + r.adminCommand("DETACH s-1"); got != "OK\nOK\n" {
 		t.Errorf("twice: %q", got)
 	}
-	calls := b.Calls()
+	calls := b.RequestCount()
 	waiting := r.dial()
 	waiting.send(getRequest(2000))
-	r.eventually("a call", func() bool { return slow.Calls() > 0 })
+	r.eventually("a call", func() bool { return slow.RequestCount() > 0 })
 	if f := r.metrics(); f["open_requests"] != 1 || f["out_of_rotation"] != 1 || f["registry_entries"] != 2 {
 		t.Errorf("figures %v", f)
 	}
@@ -98,13 +98,13 @@
 	for range 50 {
 		c.roundTrip(getRequest(2000))
 	}
-	if n := b.Calls(); n != calls {
+	if n := b.RequestCount(); n != calls {
 		t.Errorf("%d calls at a backend that is out", n-calls)
 	}
 	if got := r.adminCommand("ATTACH s-1") + r.adminCommand("ATTACH s-1"); got != "OK\nOK\n" {
 		t.Errorf("back: %q", got)
 	}
-	r.eventually("a call to the one that is back", func() bool { c.roundTrip(getRequest(2000)); return b.Calls() > calls })
+	r.eventually("a call to the one that is back", func() bool { c.roundTrip(getRequest(2000)); return b.RequestCount() > calls })
 }
 
 // The admin port answers while the proxy is short of descriptors and has more callers of
--- a/cmd/oxbowloft/client_end_test.go
+++ b/cmd/oxbowloft/client_end_test.go
@@ -19,7 +19,7 @@
 	r := startWithBackends(t, b)
 	c := r.dial()
 	c.send(postRequest("pay", "x", 1500))
-	r.eventually("the attempt", func() bool { return b.Calls() == 1 })
+	r.eventually("the attempt", func() bool { return b.RequestCount() == 1 })
 	c.Close()
 	before := r.openSockets()
 	r.eventually("the client's descriptor given back", func() bool { return r.openSockets() < before })
--- a/cmd/oxbowloft/discovery_test.go
+++ b/cmd/oxbowloft/discovery_test.go
@@ -16,93 +16,93 @@
 func TestDiscovery(t *testing.T) {
 	name := func(n string) func(*standin.Call) { return func(c *standin.Call) { c.Reply(200, n) } }
 	a, b := standin.NewBackend(t, name("a")), standin.NewBackend(t, name("b"))
-	d := standin.NewDiscovery(t, standin.List(3, false))
+	d := standin.NewDiscovery(t, standin.ListJSON(3, false))
 	// Backends can do all that they can from their start: what is looked at is the list.
 	noSlowStart := func(listen, discovery string, sockets int, known string) string {
 		return strings.Replace(standin.Config(listen, discovery, sockets, known), `"cold-from":0.2`, `"cold-from":1`, 1)
 	}
-	r := startWithConfig(t, noSlowStart, d.Addr(), 256, standin.List(3, true, standin.Target("s-1", a.Addr())))
+	r := startWithConfig(t, noSlowStart, d.Addr(), 256, standin.ListJSON(3, true, standin.TargetJSON("s-1", a.Addr())))
 	c := r.dial()
 	served := func(by string) func() bool { return func() bool { return c.roundTrip(getRequest(2000)).body == by } }
 	if !served("a")() {
 		t.Error("the known list does not serve")
 	}
-	r.eventually("a watch", func() bool { return d.Watches() == 1 })
-	if got := d.Asked()[0]; got != "/v1/servers?stream=1&index=3" {
+	r.eventually("a watch", func() bool { return d.WatchCount() == 1 })
+	if got := d.RequestURIs()[0]; got != "/v1/servers?stream=1&index=3" {
 		t.Errorf("asked %q", got)
 	}
 
 	// Another endpoint for the same backend: the old one's connections end.
-	d.Push(standin.List(4, false, standin.Target("s-1", b.Addr())))
+	d.PushLine(standin.ListJSON(4, false, standin.TargetJSON("s-1", b.Addr())))
 	r.eventually("the new endpoint", served("b"))
-	r.eventually("old idle connections closed", func() bool { _, open := a.Conns(); return open == 0 })
+	r.eventually("old idle connections closed", func() bool { _, open := a.ConnCounts(); return open == 0 })
 
 	// It has started again: connections from before are not used.
-	opened, _ := b.Conns()
-	d.Push(standin.List(4, false, strings.Replace(standin.Target("s-1", b.Addr()), `"boot_ms":0`,
+	opened, _ := b.ConnCounts()
+	d.PushLine(standin.ListJSON(4, false, strings.Replace(standin.TargetJSON("s-1", b.Addr()), `"boot_ms":0`,
 		fmt.Sprintf(`"boot_ms":%d`, time.Now().UnixMilli()), 1)))
-	r.eventually("connections from before closed", func() bool { _, open := b.Conns(); return open == 0 })
+	r.eventually("connections from before closed", func() bool { _, open := b.ConnCounts(); return open == 0 })
 	if !served("b")() {
 		t.Error("not served after it started again")
 	}
-	if again, _ := b.Conns(); again != opened+1 {
+	if again, _ := b.ConnCounts(); again != opened+1 {
 		t.Errorf("%d connections opened, then %d", opened, again)
 	}
 
 	// It drains: nothing new goes to it.
-	d.Push(standin.List(5, false, standin.TargetIn("terminating", "s-1", b.Addr()), standin.Target("s-2", a.Addr())))
+	d.PushLine(standin.ListJSON(5, false, standin.TargetJSONInState("terminating", "s-1", b.Addr()), standin.TargetJSON("s-2", a.Addr())))
 	r.eventually("the other backend", served("a"))
-	calls := b.Calls()
+	calls := b.RequestCount()
 	for range 20 {
 		if !served("a")() {
 			t.Error("served by one that drains")
 		}
 	}
-	if b.Calls() != calls {
+	if b.RequestCount() != calls {
 		t.Error("called one that drains")
 	}
 
 	// It is gone: idle connections to it end.
-	d.Push(standin.List(6, false, standin.TargetIn("terminated", "s-1", "")))
-	r.eventually("idle connections closed", func() bool { _, open := b.Conns(); return open == 0 })
+	d.PushLine(standin.ListJSON(6, false, standin.TargetJSONInState("terminated", "s-1", "")))
+	r.eventually("idle connections closed", func() bool { _, open := b.ConnCounts(); return open == 0 })
 
 	// What can't be read is logged; the last list serves on, and the watch is
 	// taken up after it.
-	d.Begin(standin.List(6, false))
-	d.Push(`{"rev":7,"all":true,"targets":"none"}`)
+	d.SetFirstLine(standin.ListJSON(6, false))
+	d.PushLine(`{"rev":7,"all":true,"targets":"none"}`)
 	r.eventually("a line in the log", func() bool { return strings.Contains(r.logText(), "event=watch_ended why=ended rev=6") })
 	if !served("a")() {
 		t.Error("the last list does not serve on")
 	}
-	r.eventually("another watch", func() bool { return d.Watches() == 1 })
-	if asked := d.Asked(); asked[len(asked)-1] != "/v1/servers?stream=1&index=6" {
+	r.eventually("another watch", func() bool { return d.WatchCount() == 1 })
+	if asked := d.RequestURIs(); asked[len(asked)-1] != "/v1/servers?stream=1&index=6" {
 		t.Errorf("asked %q", asked)
 	}
 
 	// An outage: served on, asked with waits between.
-	d.Down(true)
-	d.Break()
-	before := len(d.Asked())
+	d.SetDown(true)
+	d.AbortWatches()
+	before := len(d.RequestURIs())
 	time.Sleep(time.Second)
 	if !served("a")() {
 		t.Error("the last list does not serve on")
 	}
 	// The first waits are 0.1 s at the least; no flood.
-	if n := len(d.Asked()) - before; n > 10 {
+	if n := len(d.RequestURIs()) - before; n > 10 {
 		t.Errorf("asked %d times in a second", n)
 	}
-	d.Down(false)
-	r.eventually("a watch again", func() bool { return d.Watches() == 1 })
+	d.SetDown(false)
+	r.eventually("a watch again", func() bool { return d.WatchCount() == 1 })
 
 	// A whole list without a backend takes it away.
-	d.Push(standin.List(9, true, standin.Target("s-3", b.Addr())))
+	d.PushLine(standin.ListJSON(9, true, standin.TargetJSON("s-3", b.Addr())))
 	r.eventually("the whole list", served("b"))
 }
 
 // The known list serves where discovery never answers.
 func TestOutageFromTheStart(t *testing.T) {
 	b := standin.NewBackend(t, standin.Echo)
-	r := start(t, freeAddr(t), 256, standin.List(1, true, standin.Target("s-1", b.Addr())))
+	r := start(t, freeAddr(t), 256, standin.ListJSON(1, true, standin.TargetJSON("s-1", b.Addr())))
 	if got := r.dial().roundTrip(getRequest(2000)); got.status != 200 {
 		t.Errorf("got %+v", got)
 	}
@@ -111,7 +111,7 @@
 // Without a backend the program is up but not ready; the first one makes it ready.
 func TestNoBackendKnown(t *testing.T) {
 	b := standin.NewBackend(t, standin.Echo)
-	d := standin.NewDiscovery(t, standin.List(1, true))
+	d := standin.NewDiscovery(t, standin.ListJSON(1, true))
 	r := start(t, d.Addr(), 256, "null")
 	health := func() int { return r.dial().roundTrip("GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n").status }
 	if got := health(); got != 503 {
@@ -120,8 +120,8 @@
 	if got := r.dial().roundTrip(getRequest(1000)); got.status != 503 {
 		t.Errorf("got %+v", got)
 	}
-	r.eventually("a watch", func() bool { return d.Watches() == 1 })
-	d.Push(standin.List(2, false, standin.Target("s-1", b.Addr())))
+	r.eventually("a watch", func() bool { return d.WatchCount() == 1 })
+	d.PushLine(standin.ListJSON(2, false, standin.TargetJSON("s-1", b.Addr())))
 	r.eventually("ready", func() bool { return health() == 200 })
 }
 
@@ -133,14 +133,14 @@
 	for range 8 {
 		fleet = append(fleet, standin.NewBackend(t, standin.Echo))
 	}
-	d := standin.NewDiscovery(t, standin.List(1, false))
-	r := start(t, d.Addr(), sockets, standin.List(1, true, standin.Target("s-0", fleet[0].Addr())))
-	r.eventually("a watch", func() bool { return d.Watches() == 1 })
+	d := standin.NewDiscovery(t, standin.ListJSON(1, false))
+	r := start(t, d.Addr(), sockets, standin.ListJSON(1, true, standin.TargetJSON("s-0", fleet[0].Addr())))
+	r.eventually("a watch", func() bool { return d.WatchCount() == 1 })
 	c := r.dial()
 	for rev := 2; rev < 300; rev++ {
 		// Each time another replaces the one before, under a name of its own.
-		d.Push(standin.List(rev, false, standin.TargetIn("terminated", fmt.Sprintf("s-%d", rev-2), ""),
-			standin.Target(fmt.Sprintf("s-%d", rev-1), fleet[rev%len(fleet)].Addr())))
+		d.PushLine(standin.ListJSON(rev, false, standin.TargetJSONInState("terminated", fmt.Sprintf("s-%d", rev-2), ""),
+			standin.TargetJSON(fmt.Sprintf("s-%d", rev-1), fleet[rev%len(fleet)].Addr())))
 		if got := c.roundTrip(getRequest(2000)); got.status != 200 {
 			t.Fatalf("list %d: got %+v", rev, got)
 		}
@@ -148,7 +148,7 @@
 	r.eventually("one idle connection, to the last", func() bool {
 		open := 0
 		for _, b := range fleet {
-			_, n := b.Conns()
+			_, n := b.ConnCounts()
 			open += n
 		}
 		return open <= 1
--- a/cmd/oxbowloft/drain_test.go
+++ b/cmd/oxbowloft/drain_test.go
@@ -27,14 +27,14 @@
 		}
 		standin.Echo(c)
 	})
-	list := standin.List(1, true, standin.Target("s-0", b.Addr()))
+	list := standin.ListJSON(1, true, standin.TargetJSON("s-0", b.Addr()))
 	r := start(t, standin.NewDiscovery(t, list).Addr(), 256, list, "--grace", "4s")
 	idle, busy := r.dial(), r.dial()
 	if got := idle.roundTrip(getRequest(2000)); got.status != 200 {
 		t.Fatalf("got %+v", got)
 	}
 	busy.send(postRequest("pay", "x", 8000))
-	r.eventually("the attempt", func() bool { return b.Calls() == 2 })
+	r.eventually("the attempt", func() bool { return b.RequestCount() == 2 })
 	r.signal(syscall.SIGTERM)
 	r.eventually("draining", func() bool { return strings.Contains(r.logText(), "phase=draining") })
 	// It still takes what comes, by old connections and new ones.
@@ -73,7 +73,7 @@
 // refused at once.
 func TestDrainServesOpenConnections(t *testing.T) {
 	b := standin.NewBackend(t, standin.Echo)
-	list := standin.List(1, true, standin.Target("s-0", b.Addr()))
+	list := standin.ListJSON(1, true, standin.TargetJSON("s-0", b.Addr()))
 	addr := freeAddr(t)
 	text := strings.Replace(standin.Config(addr, standin.NewDiscovery(t, list).Addr(), 256, list),
 		`"give-up-ms":2000`, `"give-up-ms":400`, 1)
@@ -112,7 +112,7 @@
 // only what may run again is told that trying again is harmless.
 func TestDrainAnswersBeforeLongDeadlines(t *testing.T) {
 	b := standin.NewBackend(t, (*standin.Call).Hang)
-	list := standin.List(1, true, standin.Target("s-0", b.Addr()))
+	list := standin.ListJSON(1, true, standin.TargetJSON("s-0", b.Addr()))
 	addr := freeAddr(t)
 	text := strings.ReplaceAll(standin.Config(addr, standin.NewDiscovery(t, list).Addr(), 256, list),
 		`"give-up-ms":2000`, `"give-up-ms":60000`)
@@ -120,7 +120,7 @@
 	safe, unsafe, late := r.dial(), r.dial(), r.dial()
 	safe.send(getRequest(60000))
 	unsafe.send(postRequest("pay", "x", 60000))
-	r.eventually("two attempts", func() bool { return b.Calls() == 2 })
+	r.eventually("two attempts", func() bool { return b.RequestCount() == 2 })
 	r.signal(syscall.SIGTERM)
 	r.eventually("draining", func() bool { return strings.Contains(r.logText(), "phase=draining") })
 	late.send(getRequest(60000))
@@ -148,7 +148,7 @@
 		time.Sleep(5 * time.Millisecond)
 		standin.Echo(c)
 	})
-	list := standin.List(1, true, standin.Target("s-0", b.Addr()))
+	list := standin.ListJSON(1, true, standin.TargetJSON("s-0", b.Addr()))
 	r := start(t, standin.NewDiscovery(t, list).Addr(), 256, list, "--grace", "3s")
 	var callers sync.WaitGroup
 	var sent, answered counter
@@ -188,11 +188,11 @@
 			}
 		})
 	}
-	r.eventually("some load", func() bool { return b.Calls() > 50 })
+	r.eventually("some load", func() bool { return b.RequestCount() > 50 })
 	r.signal(syscall.SIGTERM)
 	r.eventually("draining", func() bool { return strings.Contains(r.logText(), "phase=draining") })
-	calls := b.Calls()
-	r.eventually("load while it drains", func() bool { return b.Calls() > calls+50 })
+	calls := b.RequestCount()
+	r.eventually("load while it drains", func() bool { return b.RequestCount() > calls+50 })
 	close(end)
 	callers.Wait()
 	if s, a := sent.swap(0), answered.swap(0); s != a {
@@ -208,7 +208,7 @@
 	b := standin.NewBackend(t, (*standin.Call).Hang)
 	r := startWithBackends(t, b)
 	r.dial().send(postRequest("pay", "x", 10000))
-	r.eventually("the attempt", func() bool { return b.Calls() == 1 })
+	r.eventually("the attempt", func() bool { return b.RequestCount() == 1 })
 	r.signal(syscall.SIGTERM)
 	r.eventually("draining", func() bool { return strings.Contains(r.logText(), "phase=draining") })
 	// The log may come before the handler of the first signal is gone: a signal in between
--- a/cmd/oxbowloft/end_test.go
+++ b/cmd/oxbowloft/end_test.go
@@ -20,7 +20,7 @@
 // other, or is taken as any other: the platform may tell it to end in its first moment.
 // The configuration is a pipe, so that the moment lasts for as long as the test wants.
 func TestSignalBeforeServing(t *testing.T) {
-	list := standin.List(1, true)
+	list := standin.ListJSON(1, true)
 	for _, signals := range [][]os.Signal{
 		{syscall.SIGTERM},
 		{syscall.SIGHUP, syscall.SIGTERM},
@@ -58,7 +58,7 @@
 func TestKilledInOpenEndedAnswer(t *testing.T) {
 	long := strings.Repeat("x", 200_000)
 	b := standin.NewBackend(t, func(c *standin.Call) {
-		c.Raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n30d40\r\n" + long + "\r\n")
+		c.WriteRaw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n30d40\r\n" + long + "\r\n")
 		c.Hang()
 	})
 	r := startWithBackends(t, b)
--- a/cmd/oxbowloft/harness_test.go
+++ b/cmd/oxbowloft/harness_test.go
@@ -184,9 +184,9 @@
 	t.Helper()
 	var targets []string
 	for i, b := range backends {
-		targets = append(targets, standin.Target(fmt.Sprintf("s-%d", i), b.Addr()))
+		targets = append(targets, standin.TargetJSON(fmt.Sprintf("s-%d", i), b.Addr()))
 	}
-	list := standin.List(1, true, targets...)
+	list := standin.ListJSON(1, true, targets...)
 	d := standin.NewDiscovery(t, list)
 	return startWithConfig(t, shape, d.Addr(), 256, list), d
 }
@@ -247,7 +247,7 @@
 func discoveryList(backends ...*standin.Backend) string {
 	var lines []string
 	for i, b := range backends {
-		lines = append(lines, standin.Target(fmt.Sprintf("s-%d", i), b.Addr()))
+		lines = append(lines, standin.TargetJSON(fmt.Sprintf("s-%d", i), b.Addr()))
 	}
-	return standin.List(1, true, lines...)
+	return standin.ListJSON(1, true, lines...)
 }
--- a/cmd/oxbowloft/large_test.go
+++ b/cmd/oxbowloft/large_test.go
@@ -90,7 +90,7 @@
 	for _, c := range []struct {
 		name, balancers string
 		shape           configFunc
-	}{{"chain", "1", standin.Config}, {"mesh", "100", standin.Mesh}} {
+	}{{"chain", "1", standin.Config}, {"mesh", "100", standin.MeshConfig}} {
 		t.Run(c.name, func(t *testing.T) {
 			var backends []*standin.Backend
 			for range 16 { // each stands for many
@@ -99,9 +99,9 @@
 			var targets []string
 			for number := range largeList {
 				address := backends[number%len(backends)].Addr()
-				targets = append(targets, standin.Target(fmt.Sprintf("backend-%04d", number), address))
+				targets = append(targets, standin.TargetJSON(fmt.Sprintf("backend-%04d", number), address))
 			}
-			known := standin.List(1, true, targets[:largeKnown]...)
+			known := standin.ListJSON(1, true, targets[:largeKnown]...)
 			discovery := standin.NewDiscovery(t, known)
 			address, door := freeAddr(t), freeAddr(t)
 			text := largeShape(c.shape, c.balancers, door)(address, discovery.Addr(), 1024, known)
@@ -113,14 +113,14 @@
 			r := &process{startCommand(t, cmd, address), door}
 
 			r.eventually("ready", func() bool { return r.adminCommand("PING") == "OK\n" })
-			r.eventually("a watch", func() bool { return discovery.Watches() == 1 })
+			r.eventually("a watch", func() bool { return discovery.WatchCount() == 1 })
 			r.servesThrough("before the list")
 			if got := r.metrics()["registry_entries"]; got != largeKnown {
 				t.Errorf("%d backends known at the start, want %d", got, largeKnown)
 			}
 			r.holdsBounds("before the list")
 
-			discovery.Push(standin.List(2, true, targets...))
+			discovery.PushLine(standin.ListJSON(2, true, targets...))
 			r.eventually("the list", func() bool {
 				return strings.Contains(r.logText(), fmt.Sprintf("event=list rev=2 all=true entries=%d", largeList))
 			})
--- a/cmd/oxbowloft/limits_test.go
+++ b/cmd/oxbowloft/limits_test.go
@@ -66,7 +66,7 @@
 func TestCrowd(t *testing.T) {
 	const sockets = 64
 	b := standin.NewBackend(t, standin.Echo)
-	list := standin.List(1, true, standin.Target("s-1", b.Addr()))
+	list := standin.ListJSON(1, true, standin.TargetJSON("s-1", b.Addr()))
 	r := start(t, standin.NewDiscovery(t, list).Addr(), sockets, list)
 	for range 3 * sockets {
 		if got := r.dial().roundTrip(getRequest(2000)); got.status != 200 {
@@ -93,7 +93,7 @@
 func TestSilentBackends(t *testing.T) {
 	const sockets = 64
 	b := standin.NewBackend(t, (*standin.Call).Hang)
-	list := standin.List(1, true, standin.Target("s-1", b.Addr()))
+	list := standin.ListJSON(1, true, standin.TargetJSON("s-1", b.Addr()))
 	r := start(t, standin.NewDiscovery(t, list).Addr(), sockets, list)
 	var conns []*clientConn
 	for range 2 * sockets {
--- a/cmd/oxbowloft/main_test.go
+++ b/cmd/oxbowloft/main_test.go
@@ -14,8 +14,8 @@
 
 // A configuration that can't be used ends both commands with one line that names the fault.
 func TestBadConfig(t *testing.T) {
-	good := standin.Config("127.0.0.1:0", "127.0.0.1:1", 256, standin.List(1, true))
-	goodMesh := standin.Mesh("127.0.0.1:0", "127.0.0.1:1", 256, standin.List(1, true))
+	good := standin.Config("127.0.0.1:0", "127.0.0.1:1", 256, standin.ListJSON(1, true))
+	goodMesh := standin.MeshConfig("127.0.0.1:0", "127.0.0.1:1", 256, standin.ListJSON(1, true))
 	in := func(good, old, with string) string {
 		if !strings.Contains(good, old) {
 			t.Fatalf("no %s in the configuration", old)
--- a/cmd/oxbowloft/mesh_test.go
+++ b/cmd/oxbowloft/mesh_test.go
@@ -15,7 +15,7 @@
 // start.
 func startMesh(t *testing.T, backends ...*standin.Backend) *runningProgram {
 	t.Helper()
-	r, _ := startWithDiscovery(t, standin.Mesh, backends...)
+	r, _ := startWithDiscovery(t, standin.MeshConfig, backends...)
 	return r
 }
 
@@ -106,7 +106,7 @@
 		r := begin(t, b)
 		c := r.dial()
 		c.send(postRequest("pay", "x", 2000))
-		r.eventually("the attempt", func() bool { return b.Calls() == 1 })
+		r.eventually("the attempt", func() bool { return b.RequestCount() == 1 })
 		c.Close()
 		// A call that may not be repeated has all of its 2 s for its one attempt.
 		if took := <-ended; (took < 1200*time.Millisecond) != mesh {
--- a/cmd/oxbowloft/outcome_test.go
+++ b/cmd/oxbowloft/outcome_test.go
@@ -30,43 +30,45 @@
 		{"503 that says no more", func(c *standin.Call) { c.Reply(503, "") }, 502, 1},
 		{"closed", (*standin.Call).Close, 502, 1},
 		{"reset", (*standin.Call).Reset, 502, 1},
-		{"broken body", func(c *standin.Call) { c.Raw(half); c.Close() }, 502, 1},
-		{"garbage", func(c *standin.Call) { c.Raw("\x00\x01\r\n\r\n") }, 502, 1},
-		{"noise that goes on", func(c *standin.Call) { c.Raw("\x00\x01"); c.Hang() }, 502, 1},
-		{"another protocol", func(c *standin.Call) { c.Raw("ICY 200 OK\r\nContent-Length: 2\r\n\r\nok") }, 502, 1},
-		{"words in disorder", func(c *standin.Call) { c.Raw("HTTP/1.1 OK 200\r\nContent-Length: 2\r\n\r\nok") }, 502, 1},
-		{"status no number", func(c *standin.Call) { c.Raw("HTTP/1.1 2x0 OK\r\nContent-Length: 2\r\n\r\nok") }, 502, 1},
-		{"line without a colon", func(c *standin.Call) { c.Raw("HTTP/1.1 200 OK\r\nno colon\r\nContent-Length: 2\r\n\r\nok") }, 502, 1},
+		{"broken body", func(c *standin.Call) { c.WriteRaw(half); c.Close() }, 502, 1},
+		{"garbage", func(c *standin.Call) { c.WriteRaw("\x00\x01\r\n\r\n") }, 502, 1},
+		{"noise that goes on", func(c *standin.Call) { c.WriteRaw("\x00\x01"); c.Hang() }, 502, 1},
+		{"another protocol", func(c *standin.Call) { c.WriteRaw("ICY 200 OK\r\nContent-Length: 2\r\n\r\nok") }, 502, 1},
+		{"words in disorder", func(c *standin.Call) { c.WriteRaw("HTTP/1.1 OK 200\r\nContent-Length: 2\r\n\r\nok") }, 502, 1},
+		{"status no number", func(c *standin.Call) { c.WriteRaw("HTTP/1.1 2x0 OK\r\nContent-Length: 2\r\n\r\nok") }, 502, 1},
+		{"line without a colon", func(c *standin.Call) { c.WriteRaw("HTTP/1.1 200 OK\r\nno colon\r\nContent-Length: 2\r\n\r\nok") }, 502, 1},
 		{"head without end", func(c *standin.Call) {
-			c.Raw("HTTP/1.1 200 OK\r\n" + strings.Repeat("X-Pad: p\r\n", 3000))
+			c.WriteRaw("HTTP/1.1 200 OK\r\n" + strings.Repeat("X-Pad: p\r\n", 3000))
 			c.Hang()
 		}, 502, 1},
-		{"two lengths", func(c *standin.Call) { c.Raw("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nok") }, 502, 1},
+		{"two lengths", func(c *standin.Call) {
+			c.WriteRaw("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nok")
+		}, 502, 1},
 		{"length and coding", func(c *standin.Call) {
-			c.Raw("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n")
+			c.WriteRaw("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n")
 		}, 502, 1},
-		{"length below zero", func(c *standin.Call) { c.Raw("HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\nok") }, 502, 1},
-		{"bad chunk", func(c *standin.Call) { c.Raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nok") }, 502, 1},
+		{"length below zero", func(c *standin.Call) { c.WriteRaw("HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\nok") }, 502, 1},
+		{"bad chunk", func(c *standin.Call) { c.WriteRaw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nok") }, 502, 1},
 		{"until its end, cut off by a reset", func(c *standin.Call) {
-			c.Raw("HTTP/1.1 200 OK\r\n\r\nok")
+			c.WriteRaw("HTTP/1.1 200 OK\r\n\r\nok")
 			time.Sleep(20 * time.Millisecond)
 			c.Reset()
 		}, 502, 1},
-		{"neither length nor body", func(c *standin.Call) { c.Raw("HTTP/1.1 200 OK\r\n\r\n"); c.Close() }, 502, 1},
+		{"neither length nor body", func(c *standin.Call) { c.WriteRaw("HTTP/1.1 200 OK\r\n\r\n"); c.Close() }, 502, 1},
 		{"3 GB", func(c *standin.Call) {
-			c.Raw("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n")
+			c.WriteRaw("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n")
 			for line := strings.Repeat("x", 1<<16); ; {
 				if _, err := io.WriteString(c.Conn, line); err != nil {
 					return
 				}
 			}
 		}, 502, 1},
-		{"1xx without end", func(c *standin.Call) { c.Raw(strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", 1000)) }, 502, 1},
-		{"another protocol from here", func(c *standin.Call) { c.Raw("HTTP/1.1 101 Switching Protocols\r\n\r\n") }, 502, 1},
-		{"answer too large", func(c *standin.Call) { c.Raw("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nx") }, 502, 1},
+		{"1xx without end", func(c *standin.Call) { c.WriteRaw(strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", 1000)) }, 502, 1},
+		{"another protocol from here", func(c *standin.Call) { c.WriteRaw("HTTP/1.1 101 Switching Protocols\r\n\r\n") }, 502, 1},
+		{"answer too large", func(c *standin.Call) { c.WriteRaw("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nx") }, 502, 1},
 		{"silent", (*standin.Call).Hang, 502, 1},
-		{"hangs in the body", func(c *standin.Call) { c.Raw(half); c.Hang() }, 502, 1},
-		{"dribbles", (*standin.Call).Dribble, 502, 1},
+		{"hangs in the body", func(c *standin.Call) { c.WriteRaw(half); c.Hang() }, 502, 1},
+		{"dribbles", (*standin.Call).TrickleBody, 502, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -114,17 +116,19 @@
 // does no harm to the next.
 func TestMoreThanBelongs(t *testing.T) {
 	for name, answer := range map[string]func(*standin.Call){
-		"a second copy": func(c *standin.Call) { c.Raw(strings.Repeat("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst", 2)) },
-		"noise behind":  func(c *standin.Call) { c.Raw("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst\x00\xff") },
-		"load report":   func(c *standin.Call) { c.Reply(200, "first", `X-Server-Load: {"=,%%%`) },
+		"a second copy": func(c *standin.Call) {
+			c.WriteRaw(strings.Repeat("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst", 2))
+		},
+		"noise behind": func(c *standin.Call) { c.WriteRaw("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst\x00\xff") },
+		"load report":  func(c *standin.Call) { c.Reply(200, "first", `X-Server-Load: {"=,%%%`) },
 		"1xx ahead": func(c *standin.Call) {
-			c.Raw("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" +
+			c.WriteRaw("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" +
 				"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst")
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := standin.NewBackend(t, func(c *standin.Call) {
-				if c.N%2 == 1 {
+				if c.Number%2 == 1 {
 					answer(c)
 					return
 				}
@@ -139,8 +143,8 @@
 					}
 				}
 			}
-			if b.Calls() != 10 {
-				t.Errorf("%d calls", b.Calls())
+			if b.RequestCount() != 10 {
+				t.Errorf("%d calls", b.RequestCount())
 			}
 		})
 	}
@@ -190,8 +194,8 @@
 			nc.Close()
 		}
 	}()
-	b := standin.NewBackend(t, func(c *standin.Call) { c.Reply(200, strconv.Itoa(len(c.Text))) })
-	list := standin.List(1, true, standin.Target("s-0", ln.Addr().String()), standin.Target("s-1", b.Addr()))
+	b := standin.NewBackend(t, func(c *standin.Call) { c.Reply(200, strconv.Itoa(len(c.BodyText))) })
+	list := standin.ListJSON(1, true, standin.TargetJSON("s-0", ln.Addr().String()), standin.TargetJSON("s-1", b.Addr()))
 	r := start(t, standin.NewDiscovery(t, list).Addr(), 256, list)
 	for range 4 { // the two take turns
 		if got := r.dial().roundTrip(postRequest("pay", strings.Repeat("x", 64<<10), 2000)); got.status != 200 || got.body != "65536" {
@@ -213,8 +217,8 @@
 		if got := c.roundTrip(postRequest("pay", "x", 2000)); got.status != 200 {
 			t.Fatalf("got %+v", got)
 		}
-		b.Cut()
-		r.eventually("cut", func() bool { _, open := b.Conns(); return open == 0 })
+		b.CloseConns()
+		r.eventually("cut", func() bool { _, open := b.ConnCounts(); return open == 0 })
 	}
 }
 
--- a/cmd/oxbowloft/ready_test.go
+++ b/cmd/oxbowloft/ready_test.go
@@ -29,12 +29,12 @@
 	defer silent.Close()
 	nobody := standin.NewBackend(t, standin.Echo)
 	nobody.Stop()
-	down := standin.NewDiscovery(t, standin.List(1, true))
-	down.Down(true)
+	down := standin.NewDiscovery(t, standin.ListJSON(1, true))
+	down.SetDown(true)
 	b := standin.NewBackend(t, standin.Echo)
-	targets := []string{standin.Target("s-0", b.Addr())}
+	targets := []string{standin.TargetJSON("s-0", b.Addr())}
 	for i := range 2000 {
-		targets = append(targets, standin.TargetIn("terminating", fmt.Sprintf("t-%d", i), "127.0.0.1:1"))
+		targets = append(targets, standin.TargetJSONInState("terminating", fmt.Sprintf("t-%d", i), "127.0.0.1:1"))
 	}
 	for _, c := range []struct{ name, discovery string }{
 		{"discovery is silent", silent.Addr().String()},
@@ -48,7 +48,7 @@
 					return strings.Replace(text, `"discovery":"on_request"`, fmt.Sprintf(`"discovery":%q`, mode), 1)
 				}
 				began := time.Now()
-				r := startWithConfig(t, shape, c.discovery, 256, standin.List(1, true, targets...))
+				r := startWithConfig(t, shape, c.discovery, 256, standin.ListJSON(1, true, targets...))
 				r.ready(began)
 				var held []*clientConn
 				for range 20 {
--- a/cmd/oxbowloft/reload_test.go
+++ b/cmd/oxbowloft/reload_test.go
@@ -39,11 +39,11 @@
 		return standin.NewBackend(t, func(c *standin.Call) { c.Reply(200, n) })
 	}
 	a, b := named("a"), named("b")
-	listA := standin.List(7, true, standin.Target("s-a", a.Addr()))
+	listA := standin.ListJSON(7, true, standin.TargetJSON("s-a", a.Addr()))
 	oldSource := standin.NewDiscovery(t, listA)
-	newSource := standin.NewDiscovery(t, standin.List(2, true, standin.Target("s-b", b.Addr())))
+	newSource := standin.NewDiscovery(t, standin.ListJSON(2, true, standin.TargetJSON("s-b", b.Addr())))
 	r := start(t, oldSource.Addr(), 256, listA)
-	r.eventually("a watch", func() bool { return oldSource.Watches() == 1 })
+	r.eventually("a watch", func() bool { return oldSource.WatchCount() == 1 })
 
 	var stop atomic.Bool
 	var tasks sync.WaitGroup
@@ -62,12 +62,12 @@
 	r.signal(syscall.SIGHUP) // twice at once is no more than once
 	c := r.dial()
 	r.eventually("the new source's list", func() bool { return c.roundTrip(getRequest(2000)).body == "b" })
-	r.eventually("the old watch ended", func() bool { return oldSource.Watches() == 0 })
-	newSource.Push(standin.List(3, false, standin.Target("s-a", a.Addr())))
+	r.eventually("the old watch ended", func() bool { return oldSource.WatchCount() == 0 })
+	newSource.PushLine(standin.ListJSON(3, false, standin.TargetJSON("s-a", a.Addr())))
 	r.eventually("both", func() bool { return c.roundTrip(getRequest(2000)).body == "a" })
 	stop.Store(true)
 	tasks.Wait()
-	if asked := newSource.Asked(); len(asked) != 1 || !strings.HasSuffix(asked[0], "index=0") {
+	if asked := newSource.RequestURIs(); len(asked) != 1 || !strings.HasSuffix(asked[0], "index=0") {
 		t.Errorf("asked the new source for %q", asked)
 	}
 	if !strings.Contains(r.logText(), "sockets=128 not_taken=\"\"") {
@@ -79,7 +79,7 @@
 // taken.
 func TestReloadOfBadConfig(t *testing.T) {
 	r, d := startWithDiscovery(t, standin.Config, standin.NewBackend(t, standin.Echo))
-	r.eventually("a watch", func() bool { return d.Watches() == 1 && r.countEvents("list") == 1 })
+	r.eventually("a watch", func() bool { return d.WatchCount() == 1 && r.countEvents("list") == 1 })
 	good, err := os.ReadFile(r.configPath)
 	if err != nil {
 		t.Fatal(err)
@@ -112,8 +112,8 @@
 		t.Fatal(err)
 	}
 	try("missing")
-	if d.Watches() != 1 || len(d.Asked()) != 1 {
-		t.Errorf("the watch did not go on: %q", d.Asked())
+	if d.WatchCount() != 1 || len(d.RequestURIs()) != 1 {
+		t.Errorf("the watch did not go on: %q", d.RequestURIs())
 	}
 	r.replaceConfig(strings.Replace(string(good), `"zones":["z1","z2"]`, `"zones":["z1"]`, 1))
 	r.signal(syscall.SIGHUP)
--- a/cmd/oxbowloft/request_test.go
+++ b/cmd/oxbowloft/request_test.go
@@ -158,7 +158,7 @@
 			}
 		})
 	}
-	if calls := b.Calls(); calls != len(cases) { // the ordinary ones
+	if calls := b.RequestCount(); calls != len(cases) { // the ordinary ones
 		t.Errorf("%d calls for %d good requests", calls, len(cases))
 	}
 	r.signal(syscall.SIGTERM)
@@ -177,7 +177,7 @@
 	r := startWithBackends(t, b)
 	c, text := r.dial(), getRequest(2000)
 	c.send(text)
-	r.eventually("the attempt", func() bool { return b.Calls() == 1 })
+	r.eventually("the attempt", func() bool { return b.RequestCount() == 1 })
 	if got := r.dial().roundTrip(strings.Replace(text, "/api", "/api?x", 1)); got.status != 409 || !got.close {
 		t.Errorf("the same id: got %+v", got)
 	}
@@ -185,8 +185,8 @@
 	if got := c.read(); got.status != 200 || got.body != "GET /api " {
 		t.Errorf("got %+v", got)
 	}
-	if b.Calls() != 1 {
-		t.Errorf("%d calls", b.Calls())
+	if b.RequestCount() != 1 {
+		t.Errorf("%d calls", b.RequestCount())
 	}
 }
 
@@ -196,14 +196,14 @@
 	r := startWithBackends(t, b)
 	c := r.dial()
 	c.send(getRequest(2000))
-	r.eventually("the attempt", func() bool { return b.Calls() == 1 })
+	r.eventually("the attempt", func() bool { return b.RequestCount() == 1 })
 	c.send(getRequest(2000))
 	time.Sleep(20 * time.Millisecond) // most likely noticed
 	release <- true
 	if got := c.read(); got.status != 400 || !got.close || !c.closedByProxy() {
 		t.Errorf("got %+v and no end", got)
 	}
-	if b.Calls() != 1 {
-		t.Errorf("%d calls", b.Calls())
+	if b.RequestCount() != 1 {
+		t.Errorf("%d calls", b.RequestCount())
 	}
 }
--- a/cmd/oxbowloft/restart_test.go
+++ b/cmd/oxbowloft/restart_test.go
@@ -20,7 +20,7 @@
 // A killed proxy starts again under its address, and serves.
 func TestKillAndRestart(t *testing.T) {
 	b := standin.NewBackend(t, standin.Echo)
-	list := standin.List(1, true, standin.Target("s-1", b.Addr()))
+	list := standin.ListJSON(1, true, standin.TargetJSON("s-1", b.Addr()))
 	d := standin.NewDiscovery(t, list)
 	r := start(t, d.Addr(), 256, list)
 	c := r.dial()
@@ -45,7 +45,7 @@
 		if _, again := ran.LoadOrStore(c.Header.Get("X-Request-ID"), true); again {
 			twice.increment()
 		}
-		if c.Text == "slow" {
+		if c.BodyText == "slow" {
 			time.Sleep(time.Second)
 		}
 		standin.Echo(c)
@@ -56,7 +56,7 @@
 	if got := old.adminCommand("DETACH s-0"); got != "OK\n" {
 		t.Fatalf("got %q", got)
 	}
-	calls := out.Calls()
+	calls := out.RequestCount()
 	end := make(chan bool)
 	answered, wait := startLoad(t, old.addr, 4, end)
 	for range 2 {
@@ -97,7 +97,7 @@
 	}
 	close(end)
 	wait()
-	if n := out.Calls(); n != calls {
+	if n := out.RequestCount(); n != calls {
 		t.Errorf("%d calls at a backend that is out", n-calls)
 	}
 	if n := twice.swap(0); n > 0 {
@@ -183,7 +183,7 @@
 		c.send(postRequest("pay", "x", 1000))
 		open = append(open, c)
 	}
-	r.eventually("in flight", func() bool { return b.Calls() == 5 })
+	r.eventually("in flight", func() bool { return b.RequestCount() == 5 })
 	half := r.dial()
 	text := getRequest(2000)
 	half.send(text[:len(text)/2])
--- a/cmd/oxbowloft/shapes_test.go
+++ b/cmd/oxbowloft/shapes_test.go
@@ -138,7 +138,7 @@
 // each class.
 func serveShape(t *testing.T, text string, s *shape) {
 	b, gone := standin.NewBackend(t, standin.Echo), standin.NewBackend(t, standin.Echo)
-	d := standin.NewDiscovery(t, standin.List(100, true, standin.Target("b-9", b.Addr())))
+	d := standin.NewDiscovery(t, standin.ListJSON(100, true, standin.TargetJSON("b-9", b.Addr())))
 	addr := freeAddr(t)
 	text = strings.NewReplacer("LISTEN", addr, "DISCOVERY", d.Addr(), "BACKEND", b.Addr(), "GONE", gone.Addr()).Replace(text)
 	config := writeConfig(t, text)
@@ -163,10 +163,10 @@
 			t.Errorf("%s: got %+v", class.Name, got)
 		}
 	}
-	if want := len(s.Settings.Classes); b.Calls() != want || gone.Calls() != 0 {
-		t.Errorf("%d calls in service, want %d; %d to what had left or was leaving", b.Calls(), want, gone.Calls())
+	if want := len(s.Settings.Classes); b.RequestCount() != want || gone.RequestCount() != 0 {
+		t.Errorf("%d calls in service, want %d; %d to what had left or was leaving", b.RequestCount(), want, gone.RequestCount())
 	}
-	if slices.ContainsFunc(s.covers(), func(c string) bool { return c == "no known" || c == "empty known" }) && len(d.Asked()) == 0 {
+	if slices.ContainsFunc(s.covers(), func(c string) bool { return c == "no known" || c == "empty known" }) && len(d.RequestURIs()) == 0 {
 		t.Error("discovery was not asked")
 	}
 }
--- a/cmd/oxbowloft/size_test.go
+++ b/cmd/oxbowloft/size_test.go
@@ -34,15 +34,15 @@
 	}
 	targets := make([]string, known)
 	for i := range targets {
-		targets[i] = standin.Target(fmt.Sprintf("s-%04d", i), behind[i%listeners].Addr())
+		targets[i] = standin.TargetJSON(fmt.Sprintf("s-%04d", i), behind[i%listeners].Addr())
 	}
 	many := func(listen, discovery string, sockets int, known string) string {
 		text := standin.Config(listen, discovery, sockets, known)
 		return strings.Replace(text, `"balancers":1`, fmt.Sprintf(`"balancers":%d`, balancers), 1)
 	}
-	d := standin.NewDiscovery(t, standin.List(1, false))
+	d := standin.NewDiscovery(t, standin.ListJSON(1, false))
 	addr := freeAddr(t)
-	config := writeConfig(t, many(addr, d.Addr(), 512, standin.List(1, true, targets...)))
+	config := writeConfig(t, many(addr, d.Addr(), 512, standin.ListJSON(1, true, targets...)))
 	r := startCommand(t, exec.Command(program, "serve", "--grace", "20ms", config), addr)
 	c := r.dial()
 	for i := range calls {
@@ -57,7 +57,7 @@
 	}
 	n.sockets, n.memoryMB = len(entries), peakMemoryMB(t, r.cmd.Process.Pid)
 	for _, b := range behind {
-		opened, _ := b.Conns()
+		opened, _ := b.ConnCounts()
 		n.opened += opened
 	}
 	r.signal(syscall.SIGTERM)
--- a/cmd/oxbowloft/stale_list_test.go
+++ b/cmd/oxbowloft/stale_list_test.go
@@ -85,12 +85,12 @@
 	s := &staleListRun{t: t}
 	s.leaving = standin.NewBackend(t, s.toLeaving.reply("leaving"))
 	s.staying = standin.NewBackend(t, func(c *standin.Call) { c.Reply(200, "staying") })
-	s.targets = []string{standin.Target("s-0", s.leaving.Addr()), standin.Target("s-1", s.staying.Addr())}
-	s.known = standin.List(1, true, s.targets...)
+	s.targets = []string{standin.TargetJSON("s-0", s.leaving.Addr()), standin.TargetJSON("s-1", s.staying.Addr())}
+	s.known = standin.ListJSON(1, true, s.targets...)
 	s.discovery = standin.NewDiscovery(t, s.known)
-	s.discovery.ShowLife()
+	s.discovery.SendHeartbeats()
 	s.process = start(t, s.discovery.Addr(), 256, s.known)
-	s.process.eventually("a watch", func() bool { return s.discovery.Watches() == 1 })
+	s.process.eventually("a watch", func() bool { return s.discovery.WatchCount() == 1 })
 	s.process.eventually("a request served", s.ask)
 	s.askUntil(time.Now().Add(300 * time.Millisecond))
 	if s.toLeaving.between(time.Time{}, time.Now()) == 0 {
@@ -136,15 +136,15 @@
 		serves  bool                  // the backend that stayed goes on being used meanwhile
 	}{
 		{"a process starts again with the list that it had", func(s *staleListRun) {
-			s.discovery.Crowd(500 * time.Millisecond)
-			s.discovery.Reset()
+			s.discovery.SetOverloaded(500 * time.Millisecond)
+			s.discovery.ResetWatches()
 		}, (*staleListRun).restart, false},
 		{"calls for the list are turned away", func(s *staleListRun) {
-			s.discovery.Crowd(500 * time.Millisecond)
-			s.discovery.Reset()
+			s.discovery.SetOverloaded(500 * time.Millisecond)
+			s.discovery.ResetWatches()
 		}, func(*staleListRun) {}, true},
 		{"the watch stands, and shows signs of life", func(s *staleListRun) {
-			s.discovery.Crowd(500 * time.Millisecond)
+			s.discovery.SetOverloaded(500 * time.Millisecond)
 		}, func(*staleListRun) {}, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -169,8 +169,8 @@
 
 			// A list says that it is in service, and it is used again. No watch tells it: it comes
 			// with a call.
-			s.discovery.Begin(standin.List(3, true, s.targets...))
-			s.discovery.Down(false)
+			s.discovery.SetFirstLine(standin.ListJSON(3, true, s.targets...))
+			s.discovery.SetDown(false)
 			s.process.eventually("use of the backend again", func() bool {
 				s.ask()
 				return s.toLeaving.between(end, time.Now()) > 0
@@ -188,8 +188,8 @@
 func TestDrainedBackendTurnsCallsAway(t *testing.T) {
 	t.Parallel()
 	s := startStaleListRun(t)
-	s.discovery.Crowd(500 * time.Millisecond)
-	s.discovery.Reset()
+	s.discovery.SetOverloaded(500 * time.Millisecond)
+	s.discovery.ResetWatches()
 	drains := time.Now()
 	s.toLeaving.turnAway(drains.Add(answersOn))
 	told := drains.Add(toldWithin + drainGrace)
@@ -210,7 +210,7 @@
 func TestDrainedBackendOnALateWatch(t *testing.T) {
 	t.Parallel()
 	s := startStaleListRun(t)
-	s.discovery.Crowd(500 * time.Millisecond)
+	s.discovery.SetOverloaded(500 * time.Millisecond)
 	drains := time.Now()
 	s.toLeaving.turnAway(drains.Add(answersOn))
 	told := drains.Add(toldWithin + drainGrace)
@@ -230,8 +230,8 @@
 func TestQuietDrainedBackend(t *testing.T) {
 	t.Parallel()
 	s := startStaleListRun(t)
-	s.discovery.Crowd(500 * time.Millisecond)
-	s.discovery.Reset()
+	s.discovery.SetOverloaded(500 * time.Millisecond)
+	s.discovery.ResetWatches()
 	drains := time.Now()
 	s.askUntil(drains.Add(answersOn))
 	told := drains.Add(toldWithin + drainGrace)
@@ -254,9 +254,9 @@
 		trouble func(s *staleListRun)
 		told    func(s *staleListRun) // once its going counts
 	}{
-		{"calls for the list are turned away", func(s *staleListRun) { s.discovery.Reset() }, func(*staleListRun) {}},
+		{"calls for the list are turned away", func(s *staleListRun) { s.discovery.ResetWatches() }, func(*staleListRun) {}},
 		{"the watch stands, and shows signs of life", func(*staleListRun) {}, func(*staleListRun) {}},
-		{"discovery goes down, and a process starts again", func(s *staleListRun) { s.discovery.Reset() }, func(s *staleListRun) {
+		{"discovery goes down, and a process starts again", func(s *staleListRun) { s.discovery.ResetWatches() }, func(s *staleListRun) {
 			s.discovery.Stop()
 			s.restart()
 		}},
@@ -264,7 +264,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			s := startStaleListRun(t)
-			s.discovery.Crowd(500 * time.Millisecond)
+			s.discovery.SetOverloaded(500 * time.Millisecond)
 			c.trouble(s)
 			told := time.Now().Add(toldWithin)
 			s.askUntil(told.Add(drainGrace))
--- a/cmd/oxbowloft/streaming_test.go
+++ b/cmd/oxbowloft/streaming_test.go
@@ -27,16 +27,16 @@
 	b := standin.NewBackend(t, func(c *standin.Call) {
 		switch {
 		case c.RequestURI == "/api/chunks":
-			c.Raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+			c.WriteRaw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 			for i := 0; i < size; i += 100_000 {
 				part := answer[i:min(size, i+100_000)]
-				c.Raw(fmt.Sprintf("%x\r\n%s\r\n", len(part), part))
+				c.WriteRaw(fmt.Sprintf("%x\r\n%s\r\n", len(part), part))
 			}
-			c.Raw("0\r\n\r\n")
+			c.WriteRaw("0\r\n\r\n")
 		case c.Method == "GET":
 			c.Reply(200, string(answer))
 		default:
-			c.Reply(200, strconv.Itoa(len(c.Text)))
+			c.Reply(200, strconv.Itoa(len(c.BodyText)))
 		}
 	})
 	r := newPlatform(t, 256, discoveryList(b)).start()
@@ -97,16 +97,16 @@
 	more := make(chan bool)
 	b := standin.NewBackend(t, func(c *standin.Call) {
 		if c.RequestURI == "/api/chunks" {
-			c.Raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhead\r\n")
+			c.WriteRaw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhead\r\n")
 		} else {
-			c.Raw("HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\nhead")
+			c.WriteRaw("HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\nhead")
 		}
 		<-more
 		if c.RequestURI != "/api/whole" {
 			c.Close()
 			return
 		}
-		c.Raw(strings.Repeat("x", 100000-4))
+		c.WriteRaw(strings.Repeat("x", 100000-4))
 	})
 	r := newPlatform(t, 256, discoveryList(b)).start()
 	for _, uri := range []string{"/api/chunks", "/api/short", "/api/whole"} {
@@ -162,7 +162,7 @@
 			})
 		}
 	})
-	r := newPlatform(t, 256, standin.List(1, true, standin.Target("s-0", ln.Addr().String()))).start()
+	r := newPlatform(t, 256, standin.ListJSON(1, true, standin.TargetJSON("s-0", ln.Addr().String()))).start()
 	c := r.dial()
 	body := strings.Repeat("x", 1<<20)
 	// It sends no more until it has the answer: guards against one that is seen only with
@@ -189,16 +189,16 @@
 	b := standin.NewBackend(t, func(c *standin.Call) {
 		switch c.RequestURI {
 		case "/api/end": // no length, ends with the connection
-			c.Raw("HTTP/1.1 200 OK\r\n\r\n" + long)
+			c.WriteRaw("HTTP/1.1 200 OK\r\n\r\n" + long)
 			c.Close()
 		case "/api/end/short":
-			c.Raw("HTTP/1.0 200 OK\r\n\r\nshort")
+			c.WriteRaw("HTTP/1.0 200 OK\r\n\r\nshort")
 			c.Close()
 		case "/api/chunks":
-			c.Raw(fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x;x=y\r\n%s\r\n0\r\nX-T: 1\r\n\r\n",
+			c.WriteRaw(fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x;x=y\r\n%s\r\n0\r\nX-T: 1\r\n\r\n",
 				len(long), long))
 		default:
-			c.Reply(200, strconv.Itoa(len(c.Text)))
+			c.Reply(200, strconv.Itoa(len(c.BodyText)))
 		}
 	})
 	r := newPlatform(t, 256, discoveryList(b)).start()
@@ -238,7 +238,7 @@
 func TestLongBodyBrokenOff(t *testing.T) {
 	b := standin.NewBackend(t, standin.Echo)
 	r := newPlatform(t, 256, discoveryList(b)).start()
-	calls := b.Calls()
+	calls := b.RequestCount()
 	gone := r.dial()
 	gone.send(requestHead("POST", "/api", "pay", 2000, "Content-Length: 1000000") + strings.Repeat("x", 300_000))
 	gone.Close()
@@ -256,7 +256,7 @@
 	if got := r.dial().roundTrip(getRequest(2000)); got.status != 200 {
 		t.Errorf("then %+v", got)
 	}
-	if n := b.Calls() - calls; n > 2 { // the one that was whole, and the last
+	if n := b.RequestCount() - calls; n > 2 { // the one that was whole, and the last
 		t.Errorf("%d calls", n)
 	}
 	r.eventually("nothing open", func() bool { return r.metrics()["open_requests"] == 0 })
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -23,20 +23,20 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 func TestParse(t *testing.T) {
-	good := standin.Target("s-1", "127.0.0.1:80")
+	good := standin.TargetJSON("s-1", "127.0.0.1:80")
 	for _, c := range []struct{ name, line, want string }{
-		{"whole list", standin.List(1, true, good), ""},
-		{"nothing changed", standin.List(1, false), ""},
+		{"whole list", standin.ListJSON(1, true, good), ""},
+		{"nothing changed", standin.ListJSON(1, false), ""},
 		{"unknown field", `{"rev":1,"all":true,"targets":[],"more":{"x":1}}`, ""},
-		{"gone, without an endpoint", standin.List(1, false, standin.TargetIn("terminated", "s-1", "")), ""},
+		{"gone, without an endpoint", standin.ListJSON(1, false, standin.TargetJSONInState("terminated", "s-1", "")), ""},
 		{"no JSON", `<html>`, "invalid character"},
 		{"cut off", `{"rev":1,"all":true`, "unexpected end"},
 		{"another type", `[1,2]`, "cannot unmarshal"},
 		{"no rev", `{"all":true,"targets":[]}`, "no rev"},
 		{"no targets", `{"rev":1,"all":true}`, "no targets"},
-		{"no uid", standin.List(1, true, good, standin.Target("", "127.0.0.1:80")), "target 1: no uid"},
-		{"bad endpoint", standin.List(1, true, standin.Target("s-1", "nowhere")), "target 0: endpoint"},
-		{"unknown state", standin.List(1, true, standin.TargetIn("odd", "s-1", "127.0.0.1:80")), `unknown state "odd"`},
+		{"no uid", standin.ListJSON(1, true, good, standin.TargetJSON("", "127.0.0.1:80")), "target 1: no uid"},
+		{"bad endpoint", standin.ListJSON(1, true, standin.TargetJSON("s-1", "nowhere")), "target 0: endpoint"},
+		{"unknown state", standin.ListJSON(1, true, standin.TargetJSONInState("odd", "s-1", "127.0.0.1:80")), `unknown state "odd"`},
 	} {
 		_, err := discovery.Parse([]byte(c.line))
 		switch {
@@ -87,53 +87,53 @@
 func TestWatchAndResume(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	t.Run("", func(t *testing.T) {
-		d := standin.NewDiscovery(t, standin.List(7, true, standin.Target("s-1", "127.0.0.1:80")))
+		d := standin.NewDiscovery(t, standin.ListJSON(7, true, standin.TargetJSON("s-1", "127.0.0.1:80")))
 		c, lists, failed := watcher(t, d.Addr(), 5)
 		c.Ask()
 		if l := within(t, "the first list", lists); l.Rev != 7 || !l.All || l.Targets[0].UID != "s-1" {
 			t.Errorf("got %+v", l)
 		}
-		d.Push("") // a sign of life is no list
-		c.Ask()    // there is a watch: nothing comes of this
-		d.Push(standin.List(9, false, standin.TargetIn("terminating", "s-1", "127.0.0.1:80")))
+		d.PushLine("") // a sign of life is no list
+		c.Ask()        // there is a watch: nothing comes of this
+		d.PushLine(standin.ListJSON(9, false, standin.TargetJSONInState("terminating", "s-1", "127.0.0.1:80")))
 		if l := within(t, "a change", lists); l.Rev != 9 || l.All || l.Targets[0].State != discovery.Terminating {
 			t.Errorf("got %+v", l)
 		}
-		d.Break()
+		d.AbortWatches()
 		within(t, "the end of the watch", failed)
-		d.Begin(standin.List(9, false))
+		d.SetFirstLine(standin.ListJSON(9, false))
 		c.Ask()
 		within(t, "the list of the second watch", lists)
 		want := []string{"/v1/servers?stream=1&index=5", "/v1/servers?stream=1&index=9"}
-		if got := d.Asked(); !slices.Equal(got, want) {
+		if got := d.RequestURIs(); !slices.Equal(got, want) {
 			t.Errorf("asked %q, want %q", got, want)
 		}
 	})
 }
 
 func TestFailures(t *testing.T) {
-	d := standin.NewDiscovery(t, standin.List(1, true))
-	d.Down(true)
+	d := standin.NewDiscovery(t, standin.ListJSON(1, true))
+	d.SetDown(true)
 	c, lists, failed := watcher(t, d.Addr(), 1)
 	c.Ask()
 	if why := within(t, "the failure of a call", failed); why != discovery.TurnedAway {
 		t.Errorf("a call that is turned away: %v", why)
 	}
-	d.Down(false)
+	d.SetDown(false)
 	c.Ask()
 	within(t, "the list", lists)
 
 	// What can't be read ends the watch; it is resumed after the last good list.
-	d.Push(standin.List(2, false))
+	d.PushLine(standin.ListJSON(2, false))
 	within(t, "a change", lists)
-	d.Push(`{"rev":3,"all":false,"targets":[{"uid":"s-9","state":"odd"}]}`)
+	d.PushLine(`{"rev":3,"all":false,"targets":[{"uid":"s-9","state":"odd"}]}`)
 	if why := within(t, "the end of the watch", failed); why != discovery.Ended {
 		t.Errorf("a list that can't be read: %v", why)
 	}
-	d.Begin(standin.List(2, true))
+	d.SetFirstLine(standin.ListJSON(2, true))
 	c.Ask()
 	within(t, "the list again", lists)
-	if got := d.Asked(); got[len(got)-1] != "/v1/servers?stream=1&index=2" {
+	if got := d.RequestURIs(); got[len(got)-1] != "/v1/servers?stream=1&index=2" {
 		t.Errorf("asked %q", got)
 	}
 }
@@ -151,12 +151,12 @@
 // A list may come in any layout that JSON has. Guards against a watch that ends at each
 // list that is not on a line of its own.
 func TestLayouts(t *testing.T) {
-	one := standin.List(2, false, standin.TargetIn("terminating", "s-1", "127.0.0.1:80"))
+	one := standin.ListJSON(2, false, standin.TargetJSONInState("terminating", "s-1", "127.0.0.1:80"))
 	var laid bytes.Buffer
 	if err := json.Indent(&laid, []byte(one), "", "  "); err != nil {
 		t.Fatal(err)
 	}
-	two := standin.List(3, false)
+	two := standin.ListJSON(3, false)
 	for _, c := range []struct {
 		name, text string
 		revs       []int64
@@ -168,11 +168,11 @@
 		{"two indented, with empty lines between", "\n\n" + laid.String() + "\n\n\n" + two, []int64{2, 3}},
 		{"one twice", one + "\n" + one, []int64{2, 2}},
 	} {
-		d := standin.NewDiscovery(t, standin.List(1, true))
+		d := standin.NewDiscovery(t, standin.ListJSON(1, true))
 		client, lists, failed := watcher(t, d.Addr(), 0)
 		client.Ask()
 		within(t, "the first list", lists)
-		d.Push(c.text)
+		d.PushLine(c.text)
 		for _, rev := range c.revs {
 			if l := within(t, c.name, lists); l.Rev != rev || rev == 2 && l.Targets[0].State != discovery.Terminating {
 				t.Errorf("%s: got %+v, want rev %d", c.name, l, rev)
@@ -188,20 +188,20 @@
 // and not as the first one of a new watch, from a copy of discovery that lags. One that
 // stays behind counts anew, and is taken.
 func TestOlderLists(t *testing.T) {
-	up := standin.Target("s-1", "127.0.0.1:80")
-	down := standin.TargetIn("terminating", "s-1", "127.0.0.1:80")
-	d := standin.NewDiscovery(t, standin.List(5, true, down))
+	up := standin.TargetJSON("s-1", "127.0.0.1:80")
+	down := standin.TargetJSONInState("terminating", "s-1", "127.0.0.1:80")
+	d := standin.NewDiscovery(t, standin.ListJSON(5, true, down))
 	c, lists, failed := watcher(t, d.Addr(), 0)
 	c.Ask()
 	within(t, "the first list", lists)
-	d.Push(standin.List(4, true, up))
-	d.Push(standin.List(4, false, up))
-	d.Push(standin.List(6, false))
+	d.PushLine(standin.ListJSON(4, true, up))
+	d.PushLine(standin.ListJSON(4, false, up))
+	d.PushLine(standin.ListJSON(6, false))
 	if l := within(t, "the next list", lists); l.Rev != 6 {
 		t.Errorf("took %+v", l)
 	}
-	d.Begin(standin.List(4, true, up))
-	d.Break()
+	d.SetFirstLine(standin.ListJSON(4, true, up))
+	d.AbortWatches()
 	within(t, "the end of the watch", failed)
 	for range 2 {
 		c.Ask()
@@ -243,7 +243,7 @@
 	if testing.Short() {
 		t.Skip("takes seconds")
 	}
-	d := standin.NewDiscovery(t, standin.List(1, true))
+	d := standin.NewDiscovery(t, standin.ListJSON(1, true))
 	c, lists, failed := watcher(t, d.Addr(), 0)
 	c.Ask()
 	within(t, "the first list", lists)
@@ -251,9 +251,9 @@
 	// that ends it without them.
 	for range 8 {
 		time.Sleep(time.Second)
-		d.Push("")
+		d.PushLine("")
 	}
-	if d.Watches() != 1 || len(failed) != 0 {
+	if d.WatchCount() != 1 || len(failed) != 0 {
 		t.Error("the watch ended in spite of signs of life")
 	}
 	if why := within(t, "the end of a silent watch", failed); why != discovery.Silent {
@@ -263,8 +263,8 @@
 
 // Where lists are pushed, the agent is asked at once and, while it has none, again and again.
 func TestPushedAsksAgain(t *testing.T) {
-	d := standin.NewDiscovery(t, standin.List(1, true))
-	d.Down(true)
+	d := standin.NewDiscovery(t, standin.ListJSON(1, true))
+	d.SetDown(true)
 	c := discovery.New(d.Addr(), 0, pacing.Pushed(rand.New(rand.NewPCG(1, 1))))
 	lists := make(chan *discovery.List, 10)
 	c.OnList, c.OnEnd = func(l *discovery.List) { lists <- l }, func(discovery.End) {}
@@ -274,18 +274,18 @@
 	done := make(chan bool)
 	go func() { defer close(done); c.Run(ctx) }()
 	defer func() { stop(); <-done }()
-	standin.Eventually(t, 20*time.Second, "two calls", func() bool { return len(d.Asked()) >= 2 })
+	standin.Eventually(t, 20*time.Second, "two calls", func() bool { return len(d.RequestURIs()) >= 2 })
 	// Waits of 0.25 s and more, half to one and a half times: not a flood.
-	if n := len(d.Asked()); n > 3 {
+	if n := len(d.RequestURIs()); n > 3 {
 		t.Errorf("asked %d times", n)
 	}
-	d.Down(false)
+	d.SetDown(false)
 	within(t, "the list", lists)
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(standin.List(1, true, standin.Target("s-1", "127.0.0.1:80"))))
-	f.Add([]byte(standin.List(2, false, standin.TargetIn("terminated", "s-1", ""))))
+	f.Add([]byte(standin.ListJSON(1, true, standin.TargetJSON("s-1", "127.0.0.1:80"))))
+	f.Add([]byte(standin.ListJSON(2, false, standin.TargetJSONInState("terminated", "s-1", ""))))
 	f.Add([]byte(`{"rev":-1,"targets":[{}]}`))
 	f.Add([]byte(`{"rev":1e99}`))
 	f.Fuzz(func(t *testing.T, line []byte) {
--- a/internal/discovery/fleet_test.go
+++ b/internal/discovery/fleet_test.go
@@ -78,7 +78,7 @@
 // lines are targets from first up to, not including, end.
 func lines(state string, first, end int) (out []string) {
 	for i := first; i < end; i++ {
-		out = append(out, standin.TargetIn(state, backendName(i), "127.0.0.1:80"))
+		out = append(out, standin.TargetJSONInState(state, backendName(i), "127.0.0.1:80"))
 	}
 	return out
 }
@@ -87,7 +87,7 @@
 func (f *fleet) change(state string, first, end int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	rev := f.reg.Change(lines(state, first, end)...)
+	rev := f.reg.Publish(lines(state, first, end)...)
 	f.changes = append(f.changes, news{time.Now(), rev})
 	for i := first; i < end; i++ {
 		f.drained[backendName(i)] = rev
@@ -215,7 +215,7 @@
 	result, rev := logic.OK, m.drained[backend]
 	if rev > 0 {
 		result = logic.Full
-		told, ok := m.reg.Told(m.name, rev, tellWithin)
+		told, ok := m.reg.AnnouncedAt(m.name, rev, tellWithin)
 		if over := time.Since(told); ok && over > grace+slack {
 			m.late++
 			m.lateness = fmt.Sprintf("%s to %s %v after told, at %v", m.name, backend, over, time.Since(m.began))
@@ -261,7 +261,7 @@
 	return func(f *fleet) { f.change(discovery.Terminating, first, end) }
 }
 
-func silence(f *fleet) { f.reg.Silence() }
+func silence(f *fleet) { f.reg.SilenceWatches() }
 
 // run runs a fleet through steps in virtual time, the last of which ends it. Sends to
 // drained backends must be found if the fleet is deaf, and else there must be none.
@@ -274,7 +274,7 @@
 		made := []int{} // calls before each step
 		for _, s := range steps {
 			f.serve(f.began.Add(s.at))
-			made = append(made, f.reg.Calls())
+			made = append(made, f.reg.CallCount())
 			if s.do != nil {
 				s.do(f)
 			}
@@ -297,7 +297,7 @@
 				for next < len(steps)-1 && steps[next].calls == 0 {
 					next++
 				}
-				f.check(t, s, opt.LateBy, made[next]-made[i])
+				f.check(t, s, opt.NotifyDelay, made[next]-made[i])
 			}
 		}
 	})
@@ -356,7 +356,7 @@
 // quarter of the time to ask within and half as much again, while the queue may run dry.
 const halfBy, allBy = 6 * sec, 12 * sec
 
-var crowded = standin.RegistryOptions{Work: 8 * sec / 300, Queue: sec}
+var crowded = standin.RegistryOptions{ServiceTime: 8 * sec / 300, MaxQueueDelay: sec}
 
 // The waits of one turned away again and again are 0.5 s, 1 s, 2 s and then 2.5 s in the
 // mean: five calls take 6 s, and one more is for the silent one. So many are made only by
@@ -403,15 +403,15 @@
 			{at: 21200 * ms, do: drain(6, 7)},
 			{at: 28 * sec}}},
 		{"down", crowded, outage(13*sec,
-			func(f *fleet) { f.reg.Down(true) },
-			func(f *fleet) { f.reg.Down(false) })},
+			func(f *fleet) { f.reg.SetDown(true) },
+			func(f *fleet) { f.reg.SetDown(false) })},
 		{"cut off", crowded, outage(13*sec,
-			func(f *fleet) { f.reg.Silence(); f.reg.Cut(true) },
-			func(f *fleet) { f.reg.Cut(false) })},
+			func(f *fleet) { f.reg.SilenceWatches(); f.reg.SetDialsHang(true) },
+			func(f *fleet) { f.reg.SetDialsHang(false) })},
 		// It answers 120 in the first 3 s, and by then nobody else waits for it any more. The
 		// other 180 ask twice in vain, since those calls keep it busy for 12 s, and by the time
 		// that they waited once more, over 3 s to 9 s: 4.5 s of work.
-		{"no call is turned away", standin.RegistryOptions{Work: 25 * ms}, []step{
+		{"no call is turned away", standin.RegistryOptions{ServiceTime: 25 * ms}, []step{
 			{0, func(f *fleet) { f.start(300) }, 15 * sec, 25 * sec, 4},
 			{at: 26 * sec}}},
 	} {
@@ -430,15 +430,15 @@
 		opt  standin.RegistryOptions
 	}{
 		{"plain", standin.RegistryOptions{}},
-		{"indented", standin.RegistryOptions{Form: standin.Indented}},
-		{"in pieces", standin.RegistryOptions{Form: standin.Pieces}},
-		{"doubled", standin.RegistryOptions{Form: standin.Doubled}},
-		{"an older line behind", standin.RegistryOptions{Form: standin.OlderLine}},
-		{"an older list behind", standin.RegistryOptions{Form: standin.OlderList}},
-		{"late", standin.RegistryOptions{LateBy: 2 * sec}},
+		{"indented", standin.RegistryOptions{ListFormat: standin.FormatIndented}},
+		{"in pieces", standin.RegistryOptions{ListFormat: standin.FormatFragmented}},
+		{"doubled", standin.RegistryOptions{ListFormat: standin.FormatDuplicated}},
+		{"an older line behind", standin.RegistryOptions{ListFormat: standin.FormatStaleChange}},
+		{"an older list behind", standin.RegistryOptions{ListFormat: standin.FormatStaleList}},
+		{"late", standin.RegistryOptions{NotifyDelay: 2 * sec}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			c.opt.Work = ms
+			c.opt.ServiceTime = ms
 			run(t, &fleet{}, c.opt, []step{
 				{0, func(f *fleet) { f.start(20) }, sec, sec, 1},
 				{at: 2 * sec, do: drain(0, 4)},
@@ -454,7 +454,7 @@
 
 // The check of sends can fail: it finds members that never ask again.
 func TestFleetOfTheDeaf(t *testing.T) {
-	run(t, &fleet{deaf: true}, standin.RegistryOptions{Work: ms}, []step{
+	run(t, &fleet{deaf: true}, standin.RegistryOptions{ServiceTime: ms}, []step{
 		{at: 0, do: func(f *fleet) { f.start(20) }},
 		{at: 5 * sec, do: silence},
 		{at: 8 * sec, do: drain(0, 4)},
--- a/internal/discovery/fresh_test.go
+++ b/internal/discovery/fresh_test.go
@@ -108,7 +108,7 @@
 
 func lists(rev int) func(net.Conn) {
 	return func(c net.Conn) {
-		line := standin.List(rev, true) + "\n"
+		line := standin.ListJSON(rev, true) + "\n"
 		fmt.Fprintf(c, "%s%x\r\n%s\r\n", watched, len(line), line)
 	}
 }
@@ -176,7 +176,7 @@
 			{"refused", ask(nil), same}, list}},
 		{"at the start, nobody there", false, []step{{"start", nothing, none}, {"refused", ask(nil), 6 * sec},
 			{"again", ask(nil), 6 * sec}, {"503", ask(busy), same}}},
-		{"a list and life", false, []step{list, life, life, {"a change", say(standin.List(6, false) + "\n"), 6 * sec}, life}},
+		{"a list and life", false, []step{list, life, life, {"a change", say(standin.ListJSON(6, false) + "\n"), 6 * sec}, life}},
 		{"closed", false, []step{list, life, ended, list, life}},
 		{"closed, then turned away", false, []step{list, life, ended, {"503", ask(busy), same}, {"again", ask(busy), same}, list}},
 		{"closed, then reset", false, []step{list, ended, {"reset", ask(reset), same}, {"503", ask(busy), same}, list}},
@@ -195,7 +195,7 @@
 		{"silence, nobody there", false, []step{list, {"silence", wait, same}, {"refused", ask(nil), 6 * sec}, list}},
 		{"a watch falls silent", false, []step{list, {"silence", wait, same}, {"silence, then 503", ask(busy), same}, list}},
 		{"an older list begins a watch", false, []step{list, {"reset", broken, same}, {"older", ask(lists(4)), same}, {"older", ask(lists(4)), same}}},
-		{"an older list on a standing watch", false, []step{list, {"older", say(standin.List(4, true) + "\n"), same}, life}},
+		{"an older list on a standing watch", false, []step{list, {"older", say(standin.ListJSON(4, true) + "\n"), same}, life}},
 		{"half a list", false, []step{list, {"half", say(`{"rev":6,`), same}, {"line ends in it", say("\n\n"), same},
 			{"the rest", say(`"all":false,"targets":[]}` + "\n"), 6 * sec}}},
 		{"half a list, then closed", false, []step{list, {"half", say(`{"rev":6,`), same}, ended}},
--- a/internal/discovery/move_test.go
+++ b/internal/discovery/move_test.go
@@ -89,7 +89,7 @@
 	log.SetOutput(io.Discard)
 	defer log.SetOutput(os.Stderr)
 	const first, second = "127.0.0.1:80", "127.0.0.1:81"
-	line := func(rev int) string { return standin.List(rev, true) + "\n" }
+	line := func(rev int) string { return standin.ListJSON(rev, true) + "\n" }
 	half := line(8)[:20]
 	for _, c := range []struct {
 		name  string
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -239,7 +239,7 @@
 			w.set(reset)
 		case 5, 6:
 			if standing {
-				w.say(standin.List(i+1, event == 5) + "\n")
+				w.say(standin.ListJSON(i+1, event == 5) + "\n")
 			}
 		case 7:
 			if standing {
--- a/internal/standin/backend.go
+++ b/internal/standin/backend.go
@@ -30,9 +30,9 @@
 // Call is one request that has come whole to a backend.
 type Call struct {
 	*http.Request
-	Text string // of the body
-	Conn net.Conn
-	N    int // counts the backend's calls from 1
+	BodyText string // of the body
+	Conn     net.Conn
+	Number   int // counts the backend's calls from 1
 }
 
 // NewBackend starts a backend that does with each call as handle says. It ends
@@ -50,12 +50,12 @@
 }
 
 // Echo answers a call with its method, target and body.
-func Echo(c *Call) { c.Reply(200, c.Method+" "+c.RequestURI+" "+c.Text) }
+func Echo(c *Call) { c.Reply(200, c.Method+" "+c.RequestURI+" "+c.BodyText) }
 
 // Stop ends the backend and all its connections.
 func (b *Backend) Stop() {
 	b.ln.Close()
-	b.Cut()
+	b.CloseConns()
 	b.tasks.Wait()
 }
 
@@ -71,8 +71,8 @@
 	b.tasks.Go(b.accept)
 }
 
-// Cut closes all connections, and goes on accepting new ones.
-func (b *Backend) Cut() {
+// CloseConns closes all connections, and goes on accepting new ones.
+func (b *Backend) CloseConns() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for c := range b.conns {
@@ -83,15 +83,15 @@
 // Addr is where the backend listens.
 func (b *Backend) Addr() string { return b.ln.Addr().String() }
 
-// Calls is how many requests have come whole.
-func (b *Backend) Calls() int {
+// RequestCount is how many requests have come whole.
+func (b *Backend) RequestCount() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.calls
 }
 
-// Conns is how many connections were ever opened, and how many are open.
-func (b *Backend) Conns() (opened, open int) {
+// ConnCounts is how many connections were ever opened, and how many are open.
+func (b *Backend) ConnCounts() (opened, open int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.opened, len(b.conns)
@@ -133,18 +133,18 @@
 		b.calls++
 		n := b.calls
 		b.mu.Unlock()
-		b.handle(&Call{Request: req, Text: string(body), Conn: c, N: n})
+		b.handle(&Call{Request: req, BodyText: string(body), Conn: c, Number: n})
 	}
 }
 
 // Reply answers with a body and headers, given as "Name: value".
 func (c *Call) Reply(status int, body string, headers ...string) {
-	c.Raw(fmt.Sprintf("HTTP/1.1 %d Some Words\r\nContent-Length: %d\r\n%s\r\n%s",
+	c.WriteRaw(fmt.Sprintf("HTTP/1.1 %d Some Words\r\nContent-Length: %d\r\n%s\r\n%s",
 		status, len(body), strings.Join(append(headers, ""), "\r\n"), body))
 }
 
-// Raw writes text as it is.
-func (c *Call) Raw(text string) { io.WriteString(c.Conn, text) }
+// WriteRaw writes text as it is.
+func (c *Call) WriteRaw(text string) { io.WriteString(c.Conn, text) }
 
 // Close closes the connection.
 func (c *Call) Close() { c.Conn.Close() }
@@ -158,9 +158,9 @@
 // Hang says nothing until the proxy ends the connection.
 func (c *Call) Hang() { io.Copy(io.Discard, c.Conn) }
 
-// Dribble begins an answer and sends its body a byte at a time, without end.
-func (c *Call) Dribble() {
-	c.Raw("HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n")
+// TrickleBody begins an answer and sends its body a byte at a time, without end.
+func (c *Call) TrickleBody() {
+	c.WriteRaw("HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n")
 	for {
 		if _, err := io.WriteString(c.Conn, "x"); err != nil {
 			return
--- a/internal/standin/config.go
+++ b/internal/standin/config.go
@@ -5,23 +5,23 @@
 	"strings"
 )
 
-// Target is a line of a list: a backend in service, long since started.
-func Target(uid, endpoint string) string { return TargetIn("in_service", uid, endpoint) }
+// TargetJSON is a line of a list: a backend in service, long since started.
+func TargetJSON(uid, endpoint string) string { return TargetJSONInState("in_service", uid, endpoint) }
 
-// TargetIn is a line of a list with its state.
-func TargetIn(state, uid, endpoint string) string {
+// TargetJSONInState is a line of a list with its state.
+func TargetJSONInState(state, uid, endpoint string) string {
 	return fmt.Sprintf(`{"uid":%q,"endpoint":%q,"az":"z1","model":"m","pod_group":1,"state":%q,`+
 		`"capacity_hint":1.0,"boot_ms":0}`, uid, endpoint, state)
 }
 
-// List is a whole list, or changed lines.
-func List(rev int, all bool, targets ...string) string {
+// ListJSON is a whole list, or changed lines.
+func ListJSON(rev int, all bool, targets ...string) string {
 	return fmt.Sprintf(`{"rev":%d,"all":%t,"targets":[%s]}`, rev, all, strings.Join(targets, ","))
 }
 
-// Mesh is a configuration for a proxy of one client process among many, whose clients
+// MeshConfig is a configuration for a proxy of one client process among many, whose clients
 // mark retries; else as Config.
-func Mesh(listen, discovery string, sockets int, known string) string {
+func MeshConfig(listen, discovery string, sockets int, known string) string {
 	text := Config(listen, discovery, sockets, known)
 	for _, r := range [][2]string{
 		{`"zones":["z1","z2"],"balancers":1`, `"zones":["z1"],"kind-of-service":"mesh","balancers":100`},
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -42,7 +42,7 @@
 	}
 	d.server.Start()
 	t.Cleanup(func() {
-		d.Break()
+		d.AbortWatches()
 		d.server.Close()
 	})
 	return d
@@ -50,7 +50,7 @@
 
 // Stop ends the service: its address refuses connections from now on.
 func (d *Discovery) Stop() {
-	d.Reset()
+	d.ResetWatches()
 	d.server.CloseClientConnections()
 	d.server.Close()
 }
@@ -104,8 +104,8 @@
 	}
 }
 
-// ShowLife makes all watches show signs of life from now on, whatever there is to tell.
-func (d *Discovery) ShowLife() {
+// SendHeartbeats makes all watches show signs of life from now on, whatever there is to tell.
+func (d *Discovery) SendHeartbeats() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.life = true
@@ -117,8 +117,8 @@
 	return d.life
 }
 
-// Push writes a line to every watch.
-func (d *Discovery) Push(line string) {
+// PushLine writes a line to every watch.
+func (d *Discovery) PushLine(line string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for w := range d.watches {
@@ -126,8 +126,8 @@
 	}
 }
 
-// Break ends every watch.
-func (d *Discovery) Break() {
+// AbortWatches ends every watch.
+func (d *Discovery) AbortWatches() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for w := range d.watches {
@@ -136,8 +136,8 @@
 	}
 }
 
-// Reset resets the connection of every watch, as a service that dies does.
-func (d *Discovery) Reset() {
+// ResetWatches resets the connection of every watch, as a service that dies does.
+func (d *Discovery) ResetWatches() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for w, c := range d.watches {
@@ -147,37 +147,37 @@
 	}
 }
 
-// Crowd makes each call wait for so long and then fail, as a service does that has too
+// SetOverloaded makes each call wait for so long and then fail, as a service does that has too
 // much to do, until Down says otherwise.
-func (d *Discovery) Crowd(waiting time.Duration) {
+func (d *Discovery) SetOverloaded(waiting time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.down, d.waiting = true, waiting
 }
 
-// Down makes each call fail, or no longer.
-func (d *Discovery) Down(down bool) {
+// SetDown makes each call fail, or no longer.
+func (d *Discovery) SetDown(down bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.down, d.waiting = down, 0
 }
 
-// Begin sets the line that new watches begin with.
-func (d *Discovery) Begin(first string) {
+// SetFirstLine sets the line that new watches begin with.
+func (d *Discovery) SetFirstLine(first string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.first = first
 }
 
-// Watches is how many watches stand.
-func (d *Discovery) Watches() int {
+// WatchCount is how many watches stand.
+func (d *Discovery) WatchCount() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(d.watches)
 }
 
-// Asked is what was asked for, call by call.
-func (d *Discovery) Asked() []string {
+// RequestURIs is what was asked for, call by call.
+func (d *Discovery) RequestURIs() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return append([]string(nil), d.asked...)
--- a/internal/standin/registry.go
+++ b/internal/standin/registry.go
@@ -16,26 +16,26 @@
 	"time"
 )
 
-// Form is how a Registry writes its lists. All forms mean the same.
-type Form int
+// ListFormat is how a Registry writes its lists. All forms mean the same.
+type ListFormat int
 
 // The forms of a list.
 const (
-	Plain     Form = iota // on one line
-	Indented              // over several lines
-	Pieces                // a few bytes at a time
-	Doubled               // each list twice
-	OlderLine             // the change before it is written again right behind each list
-	OlderList             // the whole list as it was before it is written right behind each
+	FormatPlain       ListFormat = iota // on one line
+	FormatIndented                      // over several lines
+	FormatFragmented                    // a few bytes at a time
+	FormatDuplicated                    // each list twice
+	FormatStaleChange                   // the change before it is written again right behind each list
+	FormatStaleList                     // the whole list as it was before it is written right behind each
 )
 
 // RegistryOptions says how a Registry serves.
 type RegistryOptions struct {
-	Work   time.Duration // processor time of each call; calls are answered in turn
-	Queue  time.Duration // a call that would wait longer is turned away at once; 0: none ever is
-	LateBy time.Duration // standing watches hear of a change that long after it is made
-	Life   time.Duration // between the empty lines of a watch; 0: 2 s
-	Form   Form
+	ServiceTime       time.Duration // processor time of each call; calls are answered in turn
+	MaxQueueDelay     time.Duration // a call that would wait longer is turned away at once; 0: none ever is
+	NotifyDelay       time.Duration // standing watches hear of a change that long after it is made
+	HeartbeatInterval time.Duration // between the empty lines of a watch; 0: 2 s
+	ListFormat        ListFormat
 }
 
 // Registry is a stand-in for the discovery service with its queue, for hundreds of
@@ -92,8 +92,8 @@
 
 // NewRegistry starts a registry with an empty list, of revision 0. It must be closed.
 func NewRegistry(t testing.TB, opt RegistryOptions) *Registry {
-	if opt.Life == 0 {
-		opt.Life = 2 * time.Second
+	if opt.HeartbeatInterval == 0 {
+		opt.HeartbeatInterval = 2 * time.Second
 	}
 	r := &Registry{t: t, opt: opt, since: time.Now(), changed: make(chan struct{}),
 		open: map[*watch]bool{}, told: map[string][]news{}}
@@ -110,9 +110,9 @@
 	r.tasks.Wait()
 }
 
-// Change makes a new revision of lines as Target and TargetIn give them, and returns
+// Publish makes a new revision of lines as Target and TargetIn give them, and returns
 // its number.
-func (r *Registry) Change(lines ...string) int {
+func (r *Registry) Publish(lines ...string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.changes = append(r.changes, change{time.Now(), lines})
@@ -121,9 +121,9 @@
 	return len(r.changes)
 }
 
-// Silence makes all watches that stand and all calls not yet answered say nothing from
+// SilenceWatches makes all watches that stand and all calls not yet answered say nothing from
 // now on, though their connections stay open. Later calls are served as usual.
-func (r *Registry) Silence() {
+func (r *Registry) SilenceWatches() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for w := range r.open {
@@ -133,8 +133,8 @@
 	clear(r.open)
 }
 
-// Cut makes each dial hang, or no longer. What stands goes on.
-func (r *Registry) Cut(cut bool) {
+// SetDialsHang makes each dial hang, or no longer. What stands goes on.
+func (r *Registry) SetDialsHang(cut bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch {
@@ -146,8 +146,8 @@
 	}
 }
 
-// Down ends all calls and watches and refuses new ones, or no longer.
-func (r *Registry) Down(down bool) {
+// SetDown ends all calls and watches and refuses new ones, or no longer.
+func (r *Registry) SetDown(down bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.shut(); !down && !r.over {
@@ -157,14 +157,14 @@
 	r.free = time.Time{}
 }
 
-// Calls is how many calls were made, whatever became of them.
-func (r *Registry) Calls() int { return r.count(&r.calls) }
+// CallCount is how many calls were made, whatever became of them.
+func (r *Registry) CallCount() int { return r.count(&r.calls) }
 
-// TurnedAway is how many calls were answered with 503.
-func (r *Registry) TurnedAway() int { return r.count(&r.away) }
+// RejectedCount is how many calls were answered with 503.
+func (r *Registry) RejectedCount() int { return r.count(&r.away) }
 
-// Answered is how many calls were answered with a list.
-func (r *Registry) Answered() int { return r.count(&r.answered) }
+// AnsweredCount is how many calls were answered with a list.
+func (r *Registry) AnsweredCount() int { return r.count(&r.answered) }
 
 func (r *Registry) count(n *int) int {
 	r.mu.Lock()
@@ -172,15 +172,15 @@
 	return *n
 }
 
-// Told is since when who counts as told of a revision, if it does by now: once it has
+// AnnouncedAt is since when who counts as told of a revision, if it does by now: once it has
 // been written whole to it, or, as the caller of a silent watch or call, once that has
 // been silent for the time within, and no list has come to it on a later call; whatever
 // became of its calls, once the service has had the revision, and could be reached, for
 // the time within.
-func (r *Registry) Told(who string, rev int, within time.Duration) (at time.Time, ok bool) {
+func (r *Registry) AnnouncedAt(who string, rev int, within time.Duration) (at time.Time, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	written := r.changes[rev-1].made.Add(r.opt.LateBy)
+	written := r.changes[rev-1].made.Add(r.opt.NotifyDelay)
 	last := written // by the time alone
 	if last.Before(r.since) {
 		last = r.since
@@ -277,8 +277,8 @@
 	if ready = w.free; ready.Before(now) {
 		ready = now
 	}
-	ready = ready.Add(w.opt.Work)
-	if w.opt.Queue > 0 && ready.Sub(now) > w.opt.Queue {
+	ready = ready.Add(w.opt.ServiceTime)
+	if w.opt.MaxQueueDelay > 0 && ready.Sub(now) > w.opt.MaxQueueDelay {
 		w.away++
 		return ready, false
 	}
@@ -302,13 +302,13 @@
 	if !w.tell(rev, last, all) {
 		return
 	}
-	life := time.Now().Add(w.opt.Life)
+	life := time.Now().Add(w.opt.HeartbeatInterval)
 	for {
 		w.mu.Lock()
 		changed, next := w.changed, life
 		if last < len(w.changes) {
 			changed = nil
-			if at := w.changes[last].made.Add(w.opt.LateBy); at.Before(next) {
+			if at := w.changes[last].made.Add(w.opt.NotifyDelay); at.Before(next) {
 				next = at
 			}
 		}
@@ -322,7 +322,7 @@
 			if !w.chunk("\n") {
 				return
 			}
-			life = life.Add(w.opt.Life)
+			life = life.Add(w.opt.HeartbeatInterval)
 		default:
 			if !w.tell(last, last+1, false) {
 				return
@@ -344,11 +344,11 @@
 	}
 	w.mu.Unlock()
 	switch {
-	case w.opt.Form == Doubled:
+	case w.opt.ListFormat == FormatDuplicated:
 		return w.chunk(line)
-	case w.opt.Form == OlderLine && rev > 1:
+	case w.opt.ListFormat == FormatStaleChange && rev > 1:
 		return w.chunk(w.line(rev-2, rev-1, false))
-	case w.opt.Form == OlderList && rev > 1:
+	case w.opt.ListFormat == FormatStaleList && rev > 1:
 		return w.chunk(w.line(0, rev-1, true))
 	}
 	return true
@@ -372,8 +372,8 @@
 			seen[target.UID] = true
 		}
 	}
-	line := List(rev, all, lines...)
-	if w.opt.Form == Indented {
+	line := ListJSON(rev, all, lines...)
+	if w.opt.ListFormat == FormatIndented {
 		var out bytes.Buffer
 		json.Indent(&out, []byte(line), "", "  ")
 		line = out.String()
@@ -385,7 +385,7 @@
 func (w *watch) chunk(text string) bool {
 	const few = 7 // bytes: cuts through names, and through what says how long a chunk is
 	text = fmt.Sprintf("%x\r\n%s\r\n", len(text), text)
-	for w.opt.Form == Pieces && len(text) > few {
+	for w.opt.ListFormat == FormatFragmented && len(text) > few {
 		if !w.write(text[:few]) || !w.wait(time.Millisecond, nil) {
 			return false
 		}
--- a/internal/upstream/dial_test.go
+++ b/internal/upstream/dial_test.go
@@ -72,7 +72,7 @@
 	if a := b.Exchange(context.Background(), request); a.Stage != Answered || a.Err != nil {
 		t.Fatalf("ended in stage %d: %v", a.Stage, a.Err)
 	}
-	if opened, _ := behind.Conns(); opened != mostLate || held.begun.Load() != mostLate {
+	if opened, _ := behind.ConnCounts(); opened != mostLate || held.begun.Load() != mostLate {
 		t.Errorf("%d connections opened and %d begun, want %d", opened, held.begun.Load(), mostLate)
 	}
 }
--- a/internal/upstream/ends_test.go
+++ b/internal/upstream/ends_test.go
@@ -238,7 +238,7 @@
 		"HTTP/1.1 100 Continue\r\n\r\n", "noise", "HTTP/1.1 200 OK\nContent-Length: 1\n\n1",
 	} {
 		opt, s := options(5)
-		b := New(standin.NewBackend(t, func(c *standin.Call) { c.Raw(text); c.Reset() }).Addr(), opt)
+		b := New(standin.NewBackend(t, func(c *standin.Call) { c.WriteRaw(text); c.Reset() }).Addr(), opt)
 		a := got(t, b, soon(t), &Request{Text: get, Timeout: time.Minute})
 		if a.Err == nil || a.Stage < Written || a.Status != 0 {
 			t.Errorf("%q: got %+v", text, a)
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -73,14 +73,14 @@
 		{"error", func(c *standin.Call) { c.Reply(500, "") }, time.Minute, Answered, 500, false, nil},
 		{"closed unanswered", (*standin.Call).Close, time.Minute, Written, 0, false, nil},
 		{"reset unanswered", (*standin.Call).Reset, time.Minute, Written, 0, false, nil},
-		{"broken in the head", func(c *standin.Call) { c.Raw("HTTP/1.1 200"); c.Close() }, time.Minute, Written, 0, false, nil},
+		{"broken in the head", func(c *standin.Call) { c.WriteRaw("HTTP/1.1 200"); c.Close() }, time.Minute, Written, 0, false, nil},
 		{"broken in the body", func(c *standin.Call) {
-			c.Raw("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf")
+			c.WriteRaw("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf")
 			c.Close()
 		}, time.Minute, Written, 0, false, nil},
 		{"silent", (*standin.Call).Hang, short, Written, 0, true, nil},
-		{"dribbling", (*standin.Call).Dribble, short, Written, 0, true, nil},
-		{"garbage", func(c *standin.Call) { c.Raw("hello\r\n\r\n") }, time.Minute, Answered, 0, false, http1.ErrMalformed},
+		{"dribbling", (*standin.Call).TrickleBody, short, Written, 0, true, nil},
+		{"garbage", func(c *standin.Call) { c.WriteRaw("hello\r\n\r\n") }, time.Minute, Answered, 0, false, http1.ErrMalformed},
 		{"too large", func(c *standin.Call) { c.Reply(200, strings.Repeat("x", http1.MaxStream+1)) },
 			time.Minute, Answered, 0, false, http1.ErrBodyTooLarge},
 	} {
@@ -163,7 +163,7 @@
 		}
 		time.Sleep(restLeast)
 	}
-	if opened, _ := backend.Conns(); opened != 1 || opt.Opened.Load() != 1 {
+	if opened, _ := backend.ConnCounts(); opened != 1 || opt.Opened.Load() != 1 {
 		t.Errorf("%d connections opened, %d counted", opened, opt.Opened.Load())
 	}
 	b.Reap(time.Now().Add(6 * time.Second))
@@ -195,12 +195,12 @@
 			opt, s := options(5)
 			b := New(standin.NewBackend(t, func(c *standin.Call) {
 				if after == 0 {
-					c.Raw(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n%d", c.N) + behind)
+					c.WriteRaw(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n%d", c.Number) + behind)
 					return
 				}
-				c.Reply(200, fmt.Sprint(c.N))
+				c.Reply(200, fmt.Sprint(c.Number))
 				time.Sleep(after)
-				c.Raw(behind)
+				c.WriteRaw(behind)
 			}).Addr(), opt)
 			for n := range 5 {
 				if a := b.Exchange(timed(soon(t), get)); a.Err != nil || string(a.Body) != fmt.Sprint(n+1) {
@@ -223,8 +223,8 @@
 func TestLateAnswerBeforeTheFirstByte(t *testing.T) {
 	again := make(chan bool)
 	b := standin.NewBackend(t, func(c *standin.Call) {
-		c.Reply(200, fmt.Sprint(c.N))
-		if c.N == 1 {
+		c.Reply(200, fmt.Sprint(c.Number))
+		if c.Number == 1 {
 			<-again
 			c.Reply(200, "late")
 			again <- true
@@ -256,7 +256,7 @@
 	if a := up.Exchange(ctx, req); a.Err != nil || string(a.Body) != "2" {
 		t.Errorf("got %q, %v, want the second answer", a.Body, a.Err)
 	}
-	if opened, _ := b.Conns(); opened != 2 || asked != 2 {
+	if opened, _ := b.ConnCounts(); opened != 2 || asked != 2 {
 		t.Errorf("%d connections, asked %d times, want 2 of both", opened, asked)
 	}
 }
@@ -265,12 +265,12 @@
 // its peer had closed while idle.
 func TestClosedWhileIdle(t *testing.T) {
 	opt, _ := options(5)
-	backend := standin.NewBackend(t, func(c *standin.Call) { c.Reply(200, fmt.Sprint(c.N)) })
+	backend := standin.NewBackend(t, func(c *standin.Call) { c.Reply(200, fmt.Sprint(c.Number)) })
 	b := New(backend.Addr(), opt)
 	defer b.Close()
 	b.Exchange(timed(soon(t), get))
-	backend.Cut()
-	standin.Eventually(t, 10*time.Second, "cut", func() bool { _, open := backend.Conns(); return open == 0 })
+	backend.CloseConns()
+	standin.Eventually(t, 10*time.Second, "cut", func() bool { _, open := backend.ConnCounts(); return open == 0 })
 	if a := b.Exchange(timed(soon(t), get)); a.Status != 200 || string(a.Body) != "2" {
 		t.Errorf("got %+v", a)
 	}
@@ -285,8 +285,8 @@
 		t.Errorf("got %+v, %d descriptors", a, s.free.Load())
 	}
 	s.Take()
-	if a := b.Exchange(timed(soon(t), get)); a.Stage != Unsent || backend.Calls() != 1 {
-		t.Errorf("got %+v after %d calls", a, backend.Calls())
+	if a := b.Exchange(timed(soon(t), get)); a.Stage != Unsent || backend.RequestCount() != 1 {
+		t.Errorf("got %+v after %d calls", a, backend.RequestCount())
 	}
 }
 
@@ -322,7 +322,7 @@
 	defer cancel()
 	done := make(chan Answer)
 	go func() { done <- b.Exchange(timed(ctx, get)) }()
-	for deadline := time.Now().Add(20 * time.Second); backend.Calls() == 0; time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(20 * time.Second); backend.RequestCount() == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
 			t.Fatal("no call came")
 		}
--- a/proxy/accept_test.go
+++ b/proxy/accept_test.go
@@ -35,7 +35,7 @@
 		syscall.EPERM,
 	}
 	b := standin.NewBackend(t, standin.Echo)
-	p := listening(t, standin.List(1, true, standin.Target("s-1", b.Addr())), standin.FreeAddr(t))
+	p := listening(t, standin.ListJSON(1, true, standin.TargetJSON("s-1", b.Addr())), standin.FreeAddr(t))
 	failing := &failingListener{listener: p.listener, errnos: make(chan syscall.Errno, len(errnos))}
 	p.listener = failing
 	for _, errno := range errnos {
--- a/proxy/answers_test.go
+++ b/proxy/answers_test.go
@@ -27,7 +27,7 @@
 // before is a proxy before one backend, whose drain takes no longer than it must.
 func before(t *testing.T, b *standin.Backend) (p *Proxy, stop func()) {
 	t.Helper()
-	p = listening(t, standin.List(1, true, standin.Target("s", b.Addr())), "127.0.0.1:1")
+	p = listening(t, standin.ListJSON(1, true, standin.TargetJSON("s", b.Addr())), "127.0.0.1:1")
 	p.cfg.Grace = time.Millisecond
 	return p, running(t, p)
 }
@@ -136,7 +136,7 @@
 					}
 					conns[c.Conn] = true
 					mu.Unlock()
-					c.Raw(s.text)
+					c.WriteRaw(s.text)
 					if s.end != nil {
 						s.end(c)
 					}
@@ -149,7 +149,7 @@
 				if a.err != nil || a.status != http.StatusBadGateway && a.status != http.StatusServiceUnavailable {
 					t.Errorf("got %+v", a)
 				}
-				if n := b.Calls(); class == "pay" && n > 1 || n == 0 {
+				if n := b.RequestCount(); class == "pay" && n > 1 || n == 0 {
 					t.Errorf("it ran %d times", n)
 				}
 				c.Close()
@@ -191,7 +191,7 @@
 				begun := make(chan bool)
 				begin := sync.OnceFunc(func() { close(begun) })
 				b := standin.NewBackend(t, func(c *standin.Call) {
-					c.Raw(s.text)
+					c.WriteRaw(s.text)
 					<-begun // a part is at the client
 					s.end(c)
 				})
@@ -205,7 +205,7 @@
 				if s.whole && (a.err != nil || a.body != want) || !s.whole && a.err == nil {
 					t.Errorf("got %d, %d bytes, %v", a.status, len(a.body), a.err)
 				}
-				if n := b.Calls(); n != 1 {
+				if n := b.RequestCount(); n != 1 {
 					t.Errorf("it ran %d times", n)
 				}
 				c.Close()
@@ -218,7 +218,7 @@
 func TestAnswerWithoutEnd(t *testing.T) {
 	for name, head := range map[string]string{"no length": plainHead, "chunks": chunkedHead} {
 		b := standin.NewBackend(t, func(c *standin.Call) {
-			c.Raw(head)
+			c.WriteRaw(head)
 			piece := strings.Repeat("x", 16<<10)
 			if head == chunkedHead {
 				piece = fmt.Sprintf("%x\r\n%s\r\n", len(piece), piece)
@@ -237,7 +237,7 @@
 		}
 		c.Close()
 		stop()
-		if n := b.Calls(); n != 1 {
+		if n := b.RequestCount(); n != 1 {
 			t.Errorf("%s: it ran %d times", name, n)
 		}
 	}
@@ -260,7 +260,7 @@
 				t.Parallel()
 				calls := make(chan *standin.Call, 10)
 				b := standin.NewBackend(t, func(c *standin.Call) {
-					c.Reply(200, fmt.Sprint(c.N))
+					c.Reply(200, fmt.Sprint(c.Number))
 					calls <- c
 				})
 				p, stop := before(t, b)
@@ -276,7 +276,7 @@
 					late(call.Conn)
 					arrived(t, call.Conn)
 				}
-				if opened, _ := b.Conns(); opened != 3 {
+				if opened, _ := b.ConnCounts(); opened != 3 {
 					t.Errorf("%d connections for 3 requests", opened)
 				}
 				c.Close()
@@ -295,7 +295,7 @@
 	} {
 		b := standin.NewBackend(t, func(c *standin.Call) {
 			for i := range text {
-				c.Raw(text[i : i+1])
+				c.WriteRaw(text[i : i+1])
 				arrived(t, c.Conn)
 			}
 			if strings.HasPrefix(text, "HTTP/1.0") {
--- a/proxy/attemptlog_test.go
+++ b/proxy/attemptlog_test.go
@@ -17,7 +17,7 @@
 	var text logged
 	log.SetOutput(&text)
 	defer log.SetOutput(io.Discard)
-	p := listening(t, standin.List(1, true, standin.Target("s-1", "127.0.0.1:1")), "127.0.0.1:1")
+	p := listening(t, standin.ListJSON(1, true, standin.TargetJSON("s-1", "127.0.0.1:1")), "127.0.0.1:1")
 	defer p.listener.Close()
 	attempt := func(id string, result logic.Result) {
 		r := p.driver.arrive(id, 0, time.Second, false, false)
--- a/proxy/boot_test.go
+++ b/proxy/boot_test.go
@@ -15,7 +15,7 @@
 
 // booted is a target that started at a time, by the stamp that discovery gives.
 func booted(uid, addr string, at time.Time) string {
-	return strings.Replace(standin.Target(uid, addr), `"boot_ms":0`, fmt.Sprintf(`"boot_ms":%d`, at.UnixMilli()), 1)
+	return strings.Replace(standin.TargetJSON(uid, addr), `"boot_ms":0`, fmt.Sprintf(`"boot_ms":%d`, at.UnixMilli()), 1)
 }
 
 // warming runs a proxy whose backends are warm so long after their start.
@@ -60,9 +60,9 @@
 	const within = 300 * time.Millisecond
 	b := standin.NewBackend(t, standin.Echo)
 	ahead := booted("s-1", b.Addr(), time.Now().Add(time.Hour))
-	p := warming(t, standin.List(1, true, ahead), within)
+	p := warming(t, standin.ListJSON(1, true, ahead), within)
 	time.Sleep(within)
-	p.change(t, standin.List(2, true, ahead)) // told again, it is no other start
+	p.change(t, standin.ListJSON(2, true, ahead)) // told again, it is no other start
 	const n = 30
 	if served := askAll(t, p, n); served < n {
 		t.Errorf("%d of %d requests were served by a backend that is warm", served, n)
@@ -85,7 +85,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			b := standin.NewBackend(t, standin.Echo)
 			old := time.Now().Add(-24 * time.Hour)
-			p := warming(t, standin.List(1, true, booted("s-1", b.Addr(), old)), 20*time.Second)
+			p := warming(t, standin.ListJSON(1, true, booted("s-1", b.Addr(), old)), 20*time.Second)
 			if served := askAll(t, p, n); served < n {
 				t.Fatalf("%d of %d served by a warm backend", served, n)
 			}
@@ -94,7 +94,7 @@
 				if start.uid != "s-1" {
 					lines = append(lines, `{"uid":"s-1","endpoint":"","az":"z1","state":"terminated"}`)
 				}
-				l, err := discovery.Parse([]byte(standin.List(2, false, lines...)))
+				l, err := discovery.Parse([]byte(standin.ListJSON(2, false, lines...)))
 				if err != nil {
 					t.Fatal(err)
 				}
--- a/proxy/config_test.go
+++ b/proxy/config_test.go
@@ -14,7 +14,7 @@
 // load reads a configuration in which old is replaced.
 func load(t *testing.T, old, with string) (*Config, error) {
 	t.Helper()
-	text := standin.Config("127.0.0.1:0", "127.0.0.1:1", 256, standin.List(7, true))
+	text := standin.Config("127.0.0.1:0", "127.0.0.1:1", 256, standin.ListJSON(7, true))
 	if !strings.Contains(text, old) {
 		t.Fatalf("no %s in the configuration", old)
 	}
@@ -40,9 +40,9 @@
 		{`"known":{}`, 0, 0},
 		{`"known":{"targets":[]}`, 0, 0},
 		{`"known":{"rev":7,"all":false,"targets":null}`, 0, 0},
-		{`"known":` + standin.List(7, false, standin.Target("a", "127.0.0.1:2"),
+		{`"known":` + standin.ListJSON(7, false, standin.TargetJSON("a", "127.0.0.1:2"),
 			`{"uid":"b","state":"terminated"}`), 7, 2},
-		{`"known":{"targets":[` + standin.Target("a", "127.0.0.1:2") + `]}`, 0, -1},
+		{`"known":{"targets":[` + standin.TargetJSON("a", "127.0.0.1:2") + `]}`, 0, -1},
 		{`"known":{"rev":7,"targets":[null]}`, 0, -1},
 		{`"known":{"rev":7,"targets":[{"uid":"a","state":"in_service"}]}`, 0, -1},
 		{`"known":[]`, 0, -1},
--- a/proxy/connect_test.go
+++ b/proxy/connect_test.go
@@ -66,20 +66,20 @@
 		served bool // by the other backend
 	}{
 		{"drained", func(t *testing.T, p *Proxy, old, _ string) {
-			p.change(t, standin.List(2, false, standin.TargetIn("terminating", "s-1", old)))
+			p.change(t, standin.ListJSON(2, false, standin.TargetJSONInState("terminating", "s-1", old)))
 		}, false},
 		{"gone", func(t *testing.T, p *Proxy, _, _ string) {
-			p.change(t, standin.List(2, false, standin.TargetIn("terminated", "s-1", "")))
+			p.change(t, standin.ListJSON(2, false, standin.TargetJSONInState("terminated", "s-1", "")))
 		}, false},
 		{"not in a whole list, another is", func(t *testing.T, p *Proxy, _, other string) {
-			p.change(t, standin.List(2, true, standin.Target("s-2", other)))
+			p.change(t, standin.ListJSON(2, true, standin.TargetJSON("s-2", other)))
 		}, true},
 		{"moved", func(t *testing.T, p *Proxy, _, other string) {
-			p.change(t, standin.List(2, false, standin.Target("s-1", other)))
+			p.change(t, standin.ListJSON(2, false, standin.TargetJSON("s-1", other)))
 		}, true},
 		{"started again", func(t *testing.T, p *Proxy, old, other string) {
-			again := strings.Replace(standin.Target("s-1", old), `"boot_ms":0`, fmt.Sprintf(`"boot_ms":%d`, time.Now().UnixMilli()), 1)
-			p.change(t, standin.List(2, false, again, standin.Target("s-2", other)))
+			again := strings.Replace(standin.TargetJSON("s-1", old), `"boot_ms":0`, fmt.Sprintf(`"boot_ms":%d`, time.Now().UnixMilli()), 1)
+			p.change(t, standin.ListJSON(2, false, again, standin.TargetJSON("s-2", other)))
 		}, true},
 		{"detached", func(t *testing.T, p *Proxy, _, _ string) { p.driver.byHand("s-1", true) }, false},
 		{"the list is stale", func(t *testing.T, p *Proxy, _, _ string) { p.driver.listFresh(discovery.Fresh{Until: time.Now()}) }, false},
@@ -87,7 +87,7 @@
 		for _, class := range []string{"get", "pay"} {
 			t.Run(c.name+" "+class, func(t *testing.T) {
 				old, other := standin.NewBackend(t, standin.Echo), standin.NewBackend(t, standin.Echo)
-				p := listening(t, standin.List(1, true, standin.Target("s-1", old.Addr())), "127.0.0.1:1")
+				p := listening(t, standin.ListJSON(1, true, standin.TargetJSON("s-1", old.Addr())), "127.0.0.1:1")
 				p.cfg.Grace = time.Millisecond // so that the end takes no time
 				d := hold(p)
 				defer running(t, p)()
@@ -101,12 +101,12 @@
 				close(d.go_)
 				resp, body := read(t, cl)
 				switch {
-				case c.served && (resp.StatusCode != http.StatusOK || other.Calls() != 1):
-					t.Errorf("got %d %q, and the other backend %d calls", resp.StatusCode, body, other.Calls())
+				case c.served && (resp.StatusCode != http.StatusOK || other.RequestCount() != 1):
+					t.Errorf("got %d %q, and the other backend %d calls", resp.StatusCode, body, other.RequestCount())
 				case !c.served && (resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") == ""):
 					t.Errorf("got %d %v, want to be told to come back", resp.StatusCode, resp.Header)
 				}
-				if n := old.Calls(); n > 0 {
+				if n := old.RequestCount(); n > 0 {
 					t.Errorf("the backend got %d calls after that", n)
 				}
 			})
@@ -128,7 +128,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b := standin.NewBackend(t, standin.Echo)
-			p := listening(t, standin.List(1, true, standin.Target("s-1", b.Addr())), "127.0.0.1:1")
+			p := listening(t, standin.ListJSON(1, true, standin.TargetJSON("s-1", b.Addr())), "127.0.0.1:1")
 			p.cfg.Grace = time.Millisecond // so that the end takes no time
 			d := hold(p)
 			defer running(t, p)()
@@ -144,8 +144,8 @@
 				return len(p.driver.calls) == 0
 			})
 			close(d.go_)
-			if opened, _ := b.Conns(); opened > 0 || b.Calls() > 0 {
-				t.Errorf("%d connections and %d calls after the client left", opened, b.Calls())
+			if opened, _ := b.ConnCounts(); opened > 0 || b.RequestCount() > 0 {
+				t.Errorf("%d connections and %d calls after the client left", opened, b.RequestCount())
 			}
 		})
 	}
@@ -155,7 +155,7 @@
 // on. Who has only ended its own side is told.
 func TestClientGoneBefore(t *testing.T) {
 	b := standin.NewBackend(t, standin.Echo)
-	p := listening(t, standin.List(1, true, standin.Target("s-1", b.Addr())), "127.0.0.1:1")
+	p := listening(t, standin.ListJSON(1, true, standin.TargetJSON("s-1", b.Addr())), "127.0.0.1:1")
 	p.cfg.Grace = time.Millisecond
 	closed, half := dial(t, p), dial(t, p)
 	for _, c := range []net.Conn{closed, half} { // nobody accepts them yet
@@ -168,7 +168,7 @@
 		t.Errorf("got %d", resp.StatusCode)
 	}
 	eventually(t, "both have ended", func() bool { return p.stats.gone.Load() == 2 })
-	if n := b.Calls(); n > 0 {
+	if n := b.RequestCount(); n > 0 {
 		t.Errorf("%d calls for clients that had left", n)
 	}
 }
@@ -178,7 +178,7 @@
 func TestClientGoneBehindABody(t *testing.T) {
 	const size = http1.MaxBody + 1 // more than is read whole, less than the kernel keeps for us
 	b := standin.NewBackend(t, standin.Echo)
-	p := listening(t, standin.List(1, true, standin.Target("s-1", b.Addr())), "127.0.0.1:1")
+	p := listening(t, standin.ListJSON(1, true, standin.TargetJSON("s-1", b.Addr())), "127.0.0.1:1")
 	p.cfg.Grace = time.Millisecond
 	d := hold(p)
 	defer running(t, p)()
@@ -189,7 +189,7 @@
 	cl.Close()
 	close(d.go_)
 	eventually(t, "the request has ended", func() bool { return p.stats.gone.Load() == 1 })
-	if n := b.Calls(); n > 0 {
+	if n := b.RequestCount(); n > 0 {
 		t.Errorf("%d calls after the client left", n)
 	}
 }
@@ -208,7 +208,7 @@
 // Whoever has read an answer may use its id again at once: guards against a 409 for it.
 func TestIDIsFreeWithTheAnswer(t *testing.T) {
 	b := standin.NewBackend(t, standin.Echo)
-	p := listening(t, standin.List(1, true, standin.Target("s-1", b.Addr())), "127.0.0.1:1")
+	p := listening(t, standin.ListJSON(1, true, standin.TargetJSON("s-1", b.Addr())), "127.0.0.1:1")
 	p.cfg.Grace = time.Millisecond
 	defer running(t, p)()
 	for _, detached := range []bool{false, true} {
--- a/proxy/drain_test.go
+++ b/proxy/drain_test.go
@@ -39,7 +39,7 @@
 	defer goleak.VerifyNone(t)
 	t.Run("drain", func(t *testing.T) {
 		b := standin.NewBackend(t, (*standin.Call).Hang)
-		p := listening(t, standin.List(1, true, standin.Target("s-1", b.Addr())), "127.0.0.1:1")
+		p := listening(t, standin.ListJSON(1, true, standin.TargetJSON("s-1", b.Addr())), "127.0.0.1:1")
 		p.cfg.Grace, p.longest, p.shortest = time.Millisecond, time.Minute, 300*time.Millisecond
 		p.slack = 20 * time.Second // the verdict is not the machine's
 		ctx, cancel := context.WithCancel(context.Background())
@@ -53,7 +53,7 @@
 			return c
 		}
 		asked := []net.Conn{send(1, "get"), send(2, "pay")}
-		eventually(t, "two attempts", func() bool { return b.Calls() == 2 })
+		eventually(t, "two attempts", func() bool { return b.RequestCount() == 2 })
 		p.sockets.mu.Lock()
 		p.sockets.limit = 4 // both, and their backend's two
 		p.sockets.mu.Unlock()
@@ -84,7 +84,7 @@
 
 // A proxy that is told to end before it listens does not begin.
 func TestEndBeforeStart(t *testing.T) {
-	p := listening(t, standin.List(1, true), "127.0.0.1:1")
+	p := listening(t, standin.ListJSON(1, true), "127.0.0.1:1")
 	p.listener.Close()
 	p.state.close()
 	p.listener = nil
@@ -129,7 +129,7 @@
 // A request that waits for its backoff when the process ends gets its answer at once, and no
 // attempt follows.
 func TestEndInBackoff(t *testing.T) {
-	list := standin.List(1, true, standin.Target("s-1", "127.0.0.1:1"), standin.Target("s-2", "127.0.0.1:2"))
+	list := standin.ListJSON(1, true, standin.TargetJSON("s-1", "127.0.0.1:1"), standin.TargetJSON("s-2", "127.0.0.1:2"))
 	p := listening(t, list, "127.0.0.1:1")
 	defer p.listener.Close()
 	r := p.driver.arrive("1", 0, time.Hour, false, false)
@@ -153,8 +153,8 @@
 // in time, both one that is read whole and one that passes through.
 func TestDrainInBody(t *testing.T) {
 	for _, size := range []int{1000, 2 * http1.MaxBody} {
-		b := standin.NewBackend(t, func(c *standin.Call) { c.Reply(200, fmt.Sprint(len(c.Text))) })
-		p := listening(t, standin.List(1, true, standin.Target("s-1", b.Addr())), "127.0.0.1:1")
+		b := standin.NewBackend(t, func(c *standin.Call) { c.Reply(200, fmt.Sprint(len(c.BodyText))) })
+		p := listening(t, standin.ListJSON(1, true, standin.TargetJSON("s-1", b.Addr())), "127.0.0.1:1")
 		p.cfg.Grace, p.longest, p.slack = time.Millisecond, time.Minute, 20*time.Second // ample on any machine
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan error, 1)
--- a/proxy/end_test.go
+++ b/proxy/end_test.go
@@ -48,7 +48,7 @@
 		"lists": func(_ *testing.T, p *Proxy, _ *Config, _ string) {
 			id := <-ids
 			gone := fmt.Sprintf(`{"uid":"s-%d","state":"terminated"}`, id-1)
-			l, err := discovery.Parse([]byte(standin.List(2, false, gone, standin.Target(fmt.Sprint("s-", id), "127.0.0.1:1"))))
+			l, err := discovery.Parse([]byte(standin.ListJSON(2, false, gone, standin.TargetJSON(fmt.Sprint("s-", id), "127.0.0.1:1"))))
 			if err != nil {
 				t.Error(err)
 				return
@@ -78,13 +78,13 @@
 			defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 			t.Run("life", func(t *testing.T) {
 				b := standin.NewBackend(t, func(c *standin.Call) {
-					if c.N%3 == 0 {
+					if c.Number%3 == 0 {
 						c.Hang()
 					} else {
 						standin.Echo(c)
 					}
 				})
-				list := standin.List(1, true, standin.Target("s-0", b.Addr()))
+				list := standin.ListJSON(1, true, standin.TargetJSON("s-0", b.Addr()))
 				p := listening(t, list, "127.0.0.1:1")
 				p.sockets.resize(ownSockets + 16)
 				p.cfg.Grace, p.longest, p.shortest = 50*time.Millisecond, 300*time.Millisecond, 300*time.Millisecond
--- a/proxy/guard_test.go
+++ b/proxy/guard_test.go
@@ -30,13 +30,13 @@
 		{"none", guards, func(*driver) {}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			p := listening(t, standin.List(1, true, standin.Target("s-1", b.Addr())), "127.0.0.1:1")
+			p := listening(t, standin.ListJSON(1, true, standin.TargetJSON("s-1", b.Addr())), "127.0.0.1:1")
 			p.cfg.Grace = time.Millisecond
 			defer running(t, p)()
 			p.driver.mu.Lock()
 			c.plant(p.driver)
 			p.driver.mu.Unlock()
-			before := b.Calls()
+			before := b.RequestCount()
 			code, _ := ask(t, dial(t, p), "get", 2000)
 			for g := range guards {
 				if n := p.driver.violations.counts[g].Load(); (n > 0) != (g == c.guard) {
@@ -44,7 +44,7 @@
 				}
 			}
 			stopped := c.guard < guards
-			if sent := b.Calls() > before; sent == stopped || (code == http.StatusOK) == stopped {
+			if sent := b.RequestCount() > before; sent == stopped || (code == http.StatusOK) == stopped {
 				t.Errorf("answered %d, sent %t", code, sent)
 			}
 			if info := (operated{p}).Info(); !strings.Contains(info, `balancer_invariant_violations{guard="send"}`) {
@@ -56,7 +56,7 @@
 
 // The other guards, each asked about a step that must not be taken and one that may.
 func TestGuardsOfACall(t *testing.T) {
-	p := listening(t, standin.List(1, true), "127.0.0.1:1")
+	p := listening(t, standin.ListJSON(1, true), "127.0.0.1:1")
 	defer p.listener.Close()
 	defer p.state.close()
 	d := p.driver
--- a/proxy/late_test.go
+++ b/proxy/late_test.go
@@ -18,7 +18,7 @@
 	for _, class := range []string{"get", "put", "pay"} {
 		t.Run(class, func(t *testing.T) {
 			late, other := standin.NewBackend(t, standin.Echo), standin.NewBackend(t, standin.Echo)
-			p := listening(t, standin.List(1, true, standin.Target("s-1", late.Addr()), standin.Target("s-2", other.Addr())),
+			p := listening(t, standin.ListJSON(1, true, standin.TargetJSON("s-1", late.Addr()), standin.TargetJSON("s-2", other.Addr())),
 				"127.0.0.1:1")
 			p.cfg.Grace = time.Millisecond // so that the end takes no time
 			up := make(chan struct{})
@@ -72,9 +72,9 @@
 			})
 			eventually(t, "the late connections used", func() bool {
 				ask(t, dial(t, p), class, 2000)
-				return late.Calls() > 0
+				return late.RequestCount() > 0
 			})
-			if opened, _ := late.Conns(); opened > made {
+			if opened, _ := late.ConnCounts(); opened > made {
 				t.Errorf("%d connections to the late backend, where %d were on their way", opened, made)
 			}
 		})
--- a/proxy/linger_test.go
+++ b/proxy/linger_test.go
@@ -132,7 +132,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b := standin.NewBackend(t, standin.Echo)
-			list := standin.List(1, true, standin.Target("s-1", b.Addr()))
+			list := standin.ListJSON(1, true, standin.TargetJSON("s-1", b.Addr()))
 			p := listening(t, list, "127.0.0.1:1")
 			defer p.listener.Close()
 			c.before(p)
@@ -163,7 +163,7 @@
 			}
 			nc.Close()
 			<-ended
-			if n := b.Calls(); n != calls {
+			if n := b.RequestCount(); n != calls {
 				t.Errorf("%d calls at the backend, want %d", n, calls)
 			}
 			for _, b := range p.driver.all() {
@@ -178,7 +178,7 @@
 func TestCloseBehindLongAnswer(t *testing.T) {
 	body := strings.Repeat("x", 60<<10)
 	b := standin.NewBackend(t, func(c *standin.Call) { c.Reply(200, body) })
-	p := listening(t, standin.List(1, true, standin.Target("s-1", b.Addr())), "127.0.0.1:1")
+	p := listening(t, standin.ListJSON(1, true, standin.TargetJSON("s-1", b.Addr())), "127.0.0.1:1")
 	defer p.listener.Close()
 	p.clients.lingerLimit = time.Hour
 	nc, _, ended := crossing(t, p, "\r\n")
@@ -203,10 +203,10 @@
 // clean end would be the end of an answer to HTTP/1.0.
 func TestCutShortIsReset(t *testing.T) {
 	b := standin.NewBackend(t, func(c *standin.Call) {
-		c.Raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n20000\r\n" + strings.Repeat("x", 0x20000) + "\r\n")
+		c.WriteRaw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n20000\r\n" + strings.Repeat("x", 0x20000) + "\r\n")
 		c.Reset()
 	})
-	p := listening(t, standin.List(1, true, standin.Target("s-1", b.Addr())), "127.0.0.1:1")
+	p := listening(t, standin.ListJSON(1, true, standin.TargetJSON("s-1", b.Addr())), "127.0.0.1:1")
 	defer p.listener.Close()
 	nc, at, ended := crossing(t, p, "")
 	io.WriteString(nc, strings.Replace(text("get", 2000), "HTTP/1.1", "HTTP/1.0", 1))
@@ -228,11 +228,11 @@
 	first, rest := make(chan bool), make(chan bool)
 	b := standin.NewBackend(t, func(c *standin.Call) {
 		<-first
-		c.Raw("HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + strings.Repeat("x", 100_000))
+		c.WriteRaw("HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + strings.Repeat("x", 100_000))
 		<-rest
-		c.Raw(strings.Repeat("x", 100_000))
+		c.WriteRaw(strings.Repeat("x", 100_000))
 	})
-	p := listening(t, standin.List(1, true, standin.Target("s-1", b.Addr())), "127.0.0.1:1")
+	p := listening(t, standin.ListJSON(1, true, standin.TargetJSON("s-1", b.Addr())), "127.0.0.1:1")
 	defer p.listener.Close()
 	nc, _, ended := crossing(t, p, text("get", 2000))
 	set := func(by int) {
@@ -240,7 +240,7 @@
 		p.sockets.used += by
 		p.sockets.mu.Unlock()
 	}
-	calls := func() bool { return b.Calls() == 1 }
+	calls := func() bool { return b.RequestCount() == 1 }
 	io.WriteString(nc, text("get", 2000))
 	eventually(t, "the attempt", calls)
 	set(1000)
@@ -276,7 +276,7 @@
 		{"flood", time.Hour, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			p := listening(t, standin.List(1, true), "127.0.0.1:1")
+			p := listening(t, standin.ListJSON(1, true), "127.0.0.1:1")
 			defer p.listener.Close()
 			p.clients.lingerLimit = c.limit
 			nc, _, ended := crossing(t, p, "")
@@ -306,7 +306,7 @@
 // Where descriptors run short, a connection that lingers gives its own up: clients that do
 // not close keep nobody out.
 func TestLingeringGivesWay(t *testing.T) {
-	p := listening(t, standin.List(1, true, standin.Target("s-1", "127.0.0.1:1")), "127.0.0.1:1")
+	p := listening(t, standin.ListJSON(1, true, standin.TargetJSON("s-1", "127.0.0.1:1")), "127.0.0.1:1")
 	p.sockets.resize(ownSockets + 8)
 	p.clients.newLimit, p.clients.lingerLimit = 10*time.Millisecond, time.Hour
 	defer running(t, p)()
@@ -326,7 +326,7 @@
 		"the drain ends":           func(p *Proxy) { p.clients.close() },
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := listening(t, standin.List(1, true), "127.0.0.1:1")
+			p := listening(t, standin.ListJSON(1, true), "127.0.0.1:1")
 			defer p.listener.Close()
 			p.clients.freshLeast = time.Hour
 			nc, at, ended := crossing(t, p, "")
@@ -357,7 +357,7 @@
 	defer log.SetOutput(io.Discard)
 	t.Run("drain", func(t *testing.T) {
 		b := standin.NewBackend(t, standin.Echo)
-		list := standin.List(1, true, standin.Target("s-1", b.Addr()))
+		list := standin.ListJSON(1, true, standin.TargetJSON("s-1", b.Addr()))
 		p := listening(t, list, "127.0.0.1:1")
 		p.clients.lingerLimit = time.Hour
 		p.cfg.Grace, p.longest, p.shortest = time.Millisecond, 300*time.Millisecond, 300*time.Millisecond
--- a/proxy/local_dial_test.go
+++ b/proxy/local_dial_test.go
@@ -32,7 +32,7 @@
 	} {
 		t.Run(c.errno.Error(), func(t *testing.T) {
 			first, second := standin.NewBackend(t, standin.Echo), standin.NewBackend(t, standin.Echo)
-			p := listening(t, standin.List(1, true, standin.Target("s-1", first.Addr()), standin.Target("s-2", second.Addr())),
+			p := listening(t, standin.ListJSON(1, true, standin.TargetJSON("s-1", first.Addr()), standin.TargetJSON("s-2", second.Addr())),
 				"127.0.0.1:1")
 			p.cfg.Grace = 1 // so that the end takes no time
 			var failures atomic.Int64
--- a/proxy/proxy_test.go
+++ b/proxy/proxy_test.go
@@ -149,7 +149,7 @@
 				c.Hang()
 			}
 		})
-		list := standin.List(1, true, standin.Target("s-1", b.Addr()))
+		list := standin.ListJSON(1, true, standin.TargetJSON("s-1", b.Addr()))
 		p, stop := run(t, list, standin.NewDiscovery(t, list).Addr())
 		c := dial(t, p)
 		if status, _ := ask(t, c, "get", 2000); status != 200 {
@@ -164,10 +164,10 @@
 		if status, _ := ask(t, c, "none", 300); status != 400 {
 			t.Errorf("got %d for an unknown class", status)
 		}
-		calls := b.Calls()
+		calls := b.RequestCount()
 		left := dial(t, p)
 		io.WriteString(left, text("pay", 400))
-		eventually(t, "an attempt", func() bool { return b.Calls() > calls })
+		eventually(t, "an attempt", func() bool { return b.RequestCount() > calls })
 		left.Close()
 		dial(t, p) // says nothing
 		half := dial(t, p)
@@ -191,9 +191,9 @@
 	cold, warm := standin.NewBackend(t, standin.Echo), standin.NewBackend(t, standin.Echo)
 	now := fmt.Sprintf(`"boot_ms":%d`, time.Now().UnixMilli())
 	long := fmt.Sprintf(`"boot_ms":%d`, time.Now().Add(-time.Hour).UnixMilli())
-	list := standin.List(1, true,
-		strings.Replace(standin.Target("s-1", cold.Addr()), `"boot_ms":0`, now, 1),
-		strings.Replace(standin.Target("s-2", warm.Addr()), `"boot_ms":0`, long, 1))
+	list := standin.ListJSON(1, true,
+		strings.Replace(standin.TargetJSON("s-1", cold.Addr()), `"boot_ms":0`, now, 1),
+		strings.Replace(standin.TargetJSON("s-2", warm.Addr()), `"boot_ms":0`, long, 1))
 	p, stop := run(t, list, standin.NewDiscovery(t, list).Addr())
 	defer stop()
 	c := dial(t, p)
@@ -202,10 +202,10 @@
 			t.Fatalf("got %d", status)
 		}
 	}
-	if n := cold.Calls(); n >= 100 {
+	if n := cold.RequestCount(); n >= 100 {
 		t.Errorf("the cold backend got %d of 200 calls", n)
 	}
-	if n := warm.Calls(); n < 100 {
+	if n := warm.RequestCount(); n < 100 {
 		t.Errorf("the warm backend got %d of 200 calls", n)
 	}
 }
@@ -307,7 +307,7 @@
 // drain's grace was over: the requests on them would be lost.
 func TestAcceptedAtTheEnd(t *testing.T) {
 	b := standin.NewBackend(t, standin.Echo)
-	list := standin.List(1, true, standin.Target("s-1", b.Addr()))
+	list := standin.ListJSON(1, true, standin.TargetJSON("s-1", b.Addr()))
 	p := listening(t, list, standin.NewDiscovery(t, list).Addr())
 	var conns []net.Conn
 	for range 20 {
@@ -338,7 +338,7 @@
 // next request is not sent on one that is about to close.
 func TestFullSaysClose(t *testing.T) {
 	b := standin.NewBackend(t, standin.Echo)
-	list := standin.List(1, true, standin.Target("s-1", b.Addr()))
+	list := standin.ListJSON(1, true, standin.TargetJSON("s-1", b.Addr()))
 	p, stop := run(t, list, standin.NewDiscovery(t, list).Addr())
 	defer stop()
 	c := dial(t, p)
@@ -362,7 +362,7 @@
 
 // A request that ends in the middle of a backoff takes its timer with it.
 func TestBackoffTimerEnds(t *testing.T) {
-	list := standin.List(1, true, standin.Target("s-1", "127.0.0.1:1"), standin.Target("s-2", "127.0.0.1:2"))
+	list := standin.ListJSON(1, true, standin.TargetJSON("s-1", "127.0.0.1:1"), standin.TargetJSON("s-2", "127.0.0.1:2"))
 	p := listening(t, list, "127.0.0.1:1")
 	defer p.listener.Close()
 	r := p.driver.arrive("1", 0, time.Hour, false, false)
@@ -381,7 +381,7 @@
 // closed: it is out of use before the module says another word.
 func TestCloseIdleAtOnce(t *testing.T) {
 	b := standin.NewBackend(t, standin.Echo)
-	list := standin.List(1, true, standin.Target("s-1", b.Addr()))
+	list := standin.ListJSON(1, true, standin.TargetJSON("s-1", b.Addr()))
 	p, stop := run(t, list, standin.NewDiscovery(t, list).Addr())
 	defer stop()
 	if status, _ := ask(t, dial(t, p), "get", 2000); status != 200 {
@@ -397,14 +397,14 @@
 			t.Error("still in use")
 		}
 	})
-	eventually(t, "closed", func() bool { _, open := b.Conns(); return open == 0 })
+	eventually(t, "closed", func() bool { _, open := b.ConnCounts(); return open == 0 })
 }
 
 // Guards against a crowd that sends a part of a request each and no more: it
 // would hold all descriptors for as long as a request may take to come.
 func TestCrowdOfParts(t *testing.T) {
 	b := standin.NewBackend(t, standin.Echo)
-	list := standin.List(1, true, standin.Target("s-1", b.Addr()))
+	list := standin.ListJSON(1, true, standin.TargetJSON("s-1", b.Addr()))
 	p := listening(t, list, standin.NewDiscovery(t, list).Addr())
 	p.clients.partLimit, p.clients.newLimit = time.Hour, time.Hour
 	stop := running(t, p)
@@ -429,11 +429,11 @@
 	fleet := []*standin.Backend{}
 	for range 4 {
 		fleet = append(fleet, standin.NewBackend(t, func(c *standin.Call) {
-			switch c.N % 20 {
+			switch c.Number % 20 {
 			case 3:
 				c.Reset()
 			case 7:
-				c.Raw("noise")
+				c.WriteRaw("noise")
 			case 11:
 				c.Reply(503, "", "X-Not-Processed: 1")
 			default:
@@ -444,10 +444,10 @@
 	uids := 0
 	line := func() string { // a backend under a new id, at the address of one that has gone
 		uids++
-		return standin.Target(fmt.Sprintf("s-%d", uids), fleet[uids%len(fleet)].Addr())
+		return standin.TargetJSON(fmt.Sprintf("s-%d", uids), fleet[uids%len(fleet)].Addr())
 	}
-	known := standin.List(1, true, line(), line(), line(), line())
-	p := listening(t, known, standin.NewDiscovery(t, standin.List(1, false)).Addr())
+	known := standin.ListJSON(1, true, line(), line(), line(), line())
+	p := listening(t, known, standin.NewDiscovery(t, standin.ListJSON(1, false)).Addr())
 	p.clients.idleLimit = 50 * time.Millisecond
 	defer running(t, p)()
 
@@ -486,7 +486,7 @@
 				kept = append(kept, c)
 			}
 			gone := fmt.Sprintf(`{"uid":"s-%d","state":"terminated"}`, uids-3)
-			l, err := discovery.Parse([]byte(standin.List(2, false, gone, line())))
+			l, err := discovery.Parse([]byte(standin.ListJSON(2, false, gone, line())))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -528,11 +528,11 @@
 		status      int
 	}{
 		{"nobody known", "get", nil, 503},
-		{"nobody there", "pay", []string{standin.Target("s-1", gone.Addr())}, 503},
-		{"may have run", "pay", []string{standin.Target("s-1", reset.Addr())}, 502},
+		{"nobody there", "pay", []string{standin.TargetJSON("s-1", gone.Addr())}, 503},
+		{"may have run", "pay", []string{standin.TargetJSON("s-1", reset.Addr())}, 502},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			list := standin.List(1, true, c.targets...)
+			list := standin.ListJSON(1, true, c.targets...)
 			p := listening(t, list, standin.NewDiscovery(t, list).Addr())
 			ctx, cancel := context.WithCancel(context.Background())
 			done := make(chan error)
@@ -566,8 +566,8 @@
 // holds the transfer, and what comes after it, is served.
 func TestNoTransferToSpare(t *testing.T) {
 	const size = 200_000
-	b := standin.NewBackend(t, func(c *standin.Call) { c.Reply(200, fmt.Sprint(len(c.Text))) })
-	p := listening(t, standin.List(1, true, standin.Target("s", b.Addr())), "127.0.0.1:1")
+	b := standin.NewBackend(t, func(c *standin.Call) { c.Reply(200, fmt.Sprint(len(c.BodyText))) })
+	p := listening(t, standin.ListJSON(1, true, standin.TargetJSON("s", b.Addr())), "127.0.0.1:1")
 	p.transfers = http1.NewTransfers(1) // one
 	defer running(t, p)()
 	head := func(id int) string {
@@ -581,7 +581,7 @@
 
 	first := dial(t, p)
 	send(first, head(1)+body[:size/2])
-	eventually(t, "under way", func() bool { opened, _ := b.Conns(); return opened == 1 })
+	eventually(t, "under way", func() bool { opened, _ := b.ConnCounts(); return opened == 1 })
 	served := 0
 	for id := 2; ; id++ { // the first may not have its transfer yet
 		c := dial(t, p)
@@ -596,7 +596,7 @@
 		}
 		break
 	}
-	if n := b.Calls(); n != served {
+	if n := b.RequestCount(); n != served {
 		t.Errorf("%d requests have run, %d were served", n, served)
 	}
 	send(first, body[size/2:])
--- a/proxy/race_test.go
+++ b/proxy/race_test.go
@@ -25,9 +25,9 @@
 	var lines []string
 	for range 1 + r.IntN(10) {
 		state := []string{"in_service", "in_service", "in_service", "terminating", "terminated"}[r.IntN(5)]
-		lines = append(lines, standin.TargetIn(state, fmt.Sprintf("s-%d", r.IntN(8)), fmt.Sprintf("127.0.0.1:%d", 1+r.IntN(3))))
+		lines = append(lines, standin.TargetJSONInState(state, fmt.Sprintf("s-%d", r.IntN(8)), fmt.Sprintf("127.0.0.1:%d", 1+r.IntN(3))))
 	}
-	l, err := discovery.Parse([]byte(standin.List(rev, r.IntN(3) == 0, lines...)))
+	l, err := discovery.Parse([]byte(standin.ListJSON(rev, r.IntN(3) == 0, lines...)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,7 +38,7 @@
 // a backend, each request gets to an end, none waits for a step that never comes, and what
 // is told of one request at a time never holds up the rest.
 func TestDriverUnderChange(t *testing.T) {
-	p := listening(t, standin.List(1, true, standin.Target("s-1", "127.0.0.1:1")), "127.0.0.1:1")
+	p := listening(t, standin.ListJSON(1, true, standin.TargetJSON("s-1", "127.0.0.1:1")), "127.0.0.1:1")
 	defer p.listener.Close()
 	d := p.driver
 	var callers, news sync.WaitGroup
@@ -137,7 +137,7 @@
 		"gone, end":  {(*driver).gone, func(d *driver, _ *call) { d.end() }},
 		"end, ahead": {func(d *driver, _ *call) { d.end() }, (*driver).ahead},
 	} {
-		p := listening(t, standin.List(1, true, standin.Target("s-1", "127.0.0.1:1")), "127.0.0.1:1")
+		p := listening(t, standin.ListJSON(1, true, standin.TargetJSON("s-1", "127.0.0.1:1")), "127.0.0.1:1")
 		d := p.driver
 		c := d.arrive("1", 0, time.Hour, false, false)
 		s := <-c.steps // the attempt is out: the caller is watched from here on
@@ -169,7 +169,7 @@
 // that of its request, and nothing is left.
 func TestChangesUntilTheEnd(t *testing.T) {
 	reply := func(c *standin.Call) {
-		if c.N%7 == 0 {
+		if c.Number%7 == 0 {
 			c.Reset()
 			return
 		}
@@ -181,9 +181,9 @@
 	}
 	target := func(r *rand.Rand) string {
 		state := []string{"in_service", "in_service", "terminating", "terminated"}[r.IntN(4)]
-		return standin.TargetIn(state, fmt.Sprintf("s-%d", r.IntN(6)), fleet[r.IntN(len(fleet))].Addr())
+		return standin.TargetJSONInState(state, fmt.Sprintf("s-%d", r.IntN(6)), fleet[r.IntN(len(fleet))].Addr())
 	}
-	known := standin.List(1, true, standin.Target("s-0", fleet[0].Addr()), standin.Target("s-1", fleet[1].Addr()))
+	known := standin.ListJSON(1, true, standin.TargetJSON("s-0", fleet[0].Addr()), standin.TargetJSON("s-1", fleet[1].Addr()))
 	places := []*standin.Discovery{standin.NewDiscovery(t, known), standin.NewDiscovery(t, known)}
 	p := listening(t, known, places[0].Addr())
 	ctx, cancel := context.WithCancel(context.Background())
@@ -211,13 +211,13 @@
 					t.Error(err)
 				}
 			case 1:
-				at.Break()
+				at.AbortWatches()
 			case 2:
 				p.driver.byHand("s-0", r.IntN(2) == 0)
 			case 3:
-				fleet[r.IntN(len(fleet))].Cut()
+				fleet[r.IntN(len(fleet))].CloseConns()
 			default:
-				l, err := discovery.Parse([]byte(standin.List(rev, r.IntN(4) == 0, target(r), target(r), target(r))))
+				l, err := discovery.Parse([]byte(standin.ListJSON(rev, r.IntN(4) == 0, target(r), target(r), target(r))))
 				if err != nil {
 					t.Error(err)
 					return
--- a/proxy/ready_test.go
+++ b/proxy/ready_test.go
@@ -12,15 +12,15 @@
 // while another could serve them, and against a start that waits for good.
 func TestReadyWithAList(t *testing.T) {
 	b := standin.NewBackend(t, standin.Echo)
-	known := standin.List(1, true, standin.Target("s-1", b.Addr()))
+	known := standin.ListJSON(1, true, standin.TargetJSON("s-1", b.Addr()))
 	d := standin.NewDiscovery(t, known)
-	d.Down(true)
+	d.SetDown(true)
 	p := listening(t, known, d.Addr())
 	defer running(t, p)()
 	if took := time.Since(p.readiness.began); took < readyAnyway {
 		t.Errorf("ready after %v without a list, want %v", took, readyAnyway)
 	}
-	d.Down(false)
+	d.SetDown(false)
 	q := listening(t, known, d.Addr())
 	defer running(t, q)()
 	if took := time.Since(q.readiness.began); took >= readyAnyway {
--- a/proxy/sockets_test.go
+++ b/proxy/sockets_test.go
@@ -52,15 +52,15 @@
 // nothing. (The admin endpoint has descriptors of its own: TestDoorWhileSaturated.)
 func TestCrowdLeavesRoom(t *testing.T) {
 	b, moved := standin.NewBackend(t, standin.Echo), standin.NewBackend(t, standin.Echo)
-	known := standin.List(1, true, standin.Target("s-1", b.Addr()))
+	known := standin.ListJSON(1, true, standin.TargetJSON("s-1", b.Addr()))
 	d := standin.NewDiscovery(t, known)
 	p := listening(t, known, d.Addr())
 	p.sockets.resize(ownSockets + 8)
 	// None of the crowd makes room.
 	p.clients.freshLeast, p.clients.newLimit, p.clients.idleLimit = time.Hour, time.Hour, time.Hour
 	defer running(t, p)()
-	d.Down(true) // once there has been a list: that of the start alone may not be used
-	d.Reset()
+	d.SetDown(true) // once there has been a list: that of the start alone may not be used
+	d.ResetWatches()
 	var crowd []net.Conn
 	for range 12 {
 		crowd = append(crowd, dial(t, p))
@@ -83,9 +83,9 @@
 	}
 	crowd[1].Close()
 	back := time.Now()
-	d.Down(false)
+	d.SetDown(false)
 	eventually(t, "a new list", func() bool {
-		d.Push(standin.List(2, true, standin.Target("s-1", b.Addr()), standin.Target("s-2", moved.Addr())))
+		d.PushLine(standin.ListJSON(2, true, standin.TargetJSON("s-1", b.Addr()), standin.TargetJSON("s-2", moved.Addr())))
 		return p.driver.known() == 2
 	})
 	if took := time.Since(back); took > discovery.TellWithin {
@@ -97,7 +97,7 @@
 // where its answer still said that the connection stays.
 func TestIdleMakesRoom(t *testing.T) {
 	b := standin.NewBackend(t, standin.Echo)
-	p := listening(t, standin.List(1, true, standin.Target("s-1", b.Addr())), "127.0.0.1:1")
+	p := listening(t, standin.ListJSON(1, true, standin.TargetJSON("s-1", b.Addr())), "127.0.0.1:1")
 	defer p.listener.Close()
 	p.clients.idleLimit = time.Hour
 	nc, _, ended := crossing(t, p, "")
--- a/proxy/trouble_test.go
+++ b/proxy/trouble_test.go
@@ -45,7 +45,7 @@
 // leaves nothing behind; all others are served on.
 func TestPanicInRequest(t *testing.T) {
 	b := standin.NewBackend(t, standin.Echo)
-	p := listening(t, standin.List(1, true, standin.Target("s-1", b.Addr())), "127.0.0.1:1")
+	p := listening(t, standin.ListJSON(1, true, standin.TargetJSON("s-1", b.Addr())), "127.0.0.1:1")
 	p.cfg.Grace = time.Millisecond
 	p.listener = &panickingListener{listener: p.listener}
 	defer running(t, p)()
@@ -138,7 +138,7 @@
 		t.Fatal(err)
 	}
 	defer syscall.Setrlimit(syscall.RLIMIT_NOFILE, &was)
-	p := listening(t, standin.List(1, true), "127.0.0.1:1") // its configuration says 256
+	p := listening(t, standin.ListJSON(1, true), "127.0.0.1:1") // its configuration says 256
 	defer p.listener.Close()
 	defer p.state.close()
 	if most := p.sockets.limit; most > allowed-ownSockets {
--- a/proxy/unanswered_test.go
+++ b/proxy/unanswered_test.go
@@ -101,26 +101,26 @@
 var badBackends = []badBackend{
 	{"hangs", (*standin.Call).Hang},
 	{"hangs in the head", func(c *standin.Call) {
-		c.Raw("HTTP/1.1 200 OK\r\nContent-Le")
+		c.WriteRaw("HTTP/1.1 200 OK\r\nContent-Le")
 		c.Hang()
 	}},
 	{"hangs in the body", func(c *standin.Call) {
-		c.Raw(lengthHead(9) + "half")
+		c.WriteRaw(lengthHead(9) + "half")
 		c.Hang()
 	}},
-	{"dribbles", (*standin.Call).Dribble},
+	{"dribbles", (*standin.Call).TrickleBody},
 	{"resets", (*standin.Call).Reset},
 	{"resets in the body", func(c *standin.Call) {
-		c.Raw(lengthHead(9) + "half")
+		c.WriteRaw(lengthHead(9) + "half")
 		c.Reset()
 	}},
 	{"closes", (*standin.Call).Close},
 	{"answers late", func(c *standin.Call) {
-		time.Sleep(time.Duration(c.N%5) * 300 * time.Millisecond)
+		time.Sleep(time.Duration(c.Number%5) * 300 * time.Millisecond)
 		standin.Echo(c)
 	}},
 	{"answers an error late", func(c *standin.Call) {
-		time.Sleep(time.Duration(c.N%5) * 300 * time.Millisecond)
+		time.Sleep(time.Duration(c.Number%5) * 300 * time.Millisecond)
 		c.Reply(500, "late")
 	}},
 }
@@ -186,9 +186,9 @@
 			var targets []string
 			for number, handle := range handles {
 				b := standin.NewBackend(t, handle)
-				targets = append(targets, standin.Target(fmt.Sprintf("s-%d", number), b.Addr()))
+				targets = append(targets, standin.TargetJSON(fmt.Sprintf("s-%d", number), b.Addr()))
 			}
-			p := listening(t, standin.List(1, true, targets...), "127.0.0.1:1")
+			p := listening(t, standin.ListJSON(1, true, targets...), "127.0.0.1:1")
 			p.cfg.Grace = time.Millisecond
 			p.grant(burstSockets)
 			defer running(t, p)()
