--- a/internal/standin/backend.go
+++ b/internal/standin/backend.go
@@ -1,6 +1,5 @@
-// Package standin has small stand-ins for what a proxy speaks to: backends that
-// do as a test says, discovery, and a configuration that names them. It is for
-// tests alone.
+// Package standin provides test doubles for a proxy's peers: scriptable backends, the
+// discovery service, and configurations that refer to them. It is for tests only.
 package standin
 
 import (
@@ -15,63 +14,63 @@
 	"time"
 )
 
-// Backend is a stand-in backend.
+// Backend is a backend whose responses a test scripts.
 type Backend struct {
-	ln     net.Listener
-	handle func(*Call)
-	tasks  sync.WaitGroup
-
-	mu     sync.Mutex
-	calls  int
-	opened int
-	conns  map[net.Conn]bool
+	listener net.Listener
+	handle   func(*Call)
+	tasks    sync.WaitGroup
+
+	mu           sync.Mutex
+	requestCount int
+	openedConns  int
+	conns        map[net.Conn]bool
 }
 
-// Call is one request that has come whole to a backend.
+// Call is one request that a backend has read completely, body included.
 type Call struct {
 	*http.Request
-	BodyText string // of the body
+	BodyText string
 	Conn     net.Conn
-	Number   int // counts the backend's calls from 1
+	Number   int // of the request at this backend, from 1
 }
 
-// NewBackend starts a backend that does with each call as handle says. It ends
-// with the test.
+// NewBackend starts a backend that passes each request to handle. It is stopped at the end
+// of the test.
 func NewBackend(t testing.TB, handle func(*Call)) *Backend {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &Backend{ln: ln, handle: handle, conns: map[net.Conn]bool{}}
+	b := &Backend{listener: ln, handle: handle, conns: map[net.Conn]bool{}}
 	b.tasks.Go(b.accept)
 	t.Cleanup(b.Stop)
 	return b
 }
 
-// Echo answers a call with its method, target and body.
+// Echo answers a request with its method, target and body.
 func Echo(c *Call) { c.Reply(200, c.Method+" "+c.RequestURI+" "+c.BodyText) }
 
-// Stop ends the backend and all its connections.
+// Stop closes the listener and all connections, and waits for the handlers to return.
 func (b *Backend) Stop() {
-	b.ln.Close()
+	b.listener.Close()
 	b.CloseConns()
 	b.tasks.Wait()
 }
 
-// Restart starts a backend that was stopped again, at the address that it had. The port is
-// free: nothing else listens at it between the two.
+// Restart starts a stopped backend again at the same address. The port is still free, since
+// nothing else listens on it in between.
 func (b *Backend) Restart(t testing.TB) {
 	t.Helper()
-	ln, err := net.Listen("tcp", b.ln.Addr().String())
+	ln, err := net.Listen("tcp", b.listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.ln = ln
+	b.listener = ln
 	b.tasks.Go(b.accept)
 }
 
-// CloseConns closes all connections, and goes on accepting new ones.
+// CloseConns closes all open connections. The backend still accepts new ones.
 func (b *Backend) CloseConns() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -80,32 +79,33 @@
 	}
 }
 
-// Addr is where the backend listens.
-func (b *Backend) Addr() string { return b.ln.Addr().String() }
+// Addr returns the address that the backend listens on.
+func (b *Backend) Addr() string { return b.listener.Addr().String() }
 
-// RequestCount is how many requests have come whole.
+// RequestCount returns the number of requests read completely so far.
 func (b *Backend) RequestCount() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.calls
+	return b.requestCount
 }
 
-// ConnCounts is how many connections were ever opened, and how many are open.
+// ConnCounts returns how many connections have been accepted so far, and how many of them
+// are open.
 func (b *Backend) ConnCounts() (opened, open int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.opened, len(b.conns)
+	return b.openedConns, len(b.conns)
 }
 
 func (b *Backend) accept() {
-	ln := b.ln
+	ln := b.listener
 	for {
 		c, err := ln.Accept()
 		if err != nil {
 			return
 		}
 		b.mu.Lock()
-		b.opened++
+		b.openedConns++
 		b.conns[c] = true
 		b.mu.Unlock()
 		b.tasks.Go(func() { b.serve(c) })
@@ -130,35 +130,37 @@
 			return
 		}
 		b.mu.Lock()
-		b.calls++
-		n := b.calls
+		b.requestCount++
+		number := b.requestCount
 		b.mu.Unlock()
-		b.handle(&Call{Request: req, BodyText: string(body), Conn: c, Number: n})
+		b.handle(&Call{Request: req, BodyText: string(body), Conn: c, Number: number})
 	}
 }
 
-// Reply answers with a body and headers, given as "Name: value".
+// Reply sends a response with the status, the body and header lines of the form
+// "Name: value".
 func (c *Call) Reply(status int, body string, headers ...string) {
 	c.WriteRaw(fmt.Sprintf("HTTP/1.1 %d Some Words\r\nContent-Length: %d\r\n%s\r\n%s",
 		status, len(body), strings.Join(append(headers, ""), "\r\n"), body))
 }
 
-// WriteRaw writes text as it is.
+// WriteRaw writes text to the connection unchanged.
 func (c *Call) WriteRaw(text string) { io.WriteString(c.Conn, text) }
 
 // Close closes the connection.
 func (c *Call) Close() { c.Conn.Close() }
 
-// Reset breaks the connection.
+// Reset closes the connection with a TCP reset.
 func (c *Call) Reset() {
 	c.Conn.(*net.TCPConn).SetLinger(0)
 	c.Conn.Close()
 }
 
-// Hang says nothing until the proxy ends the connection.
+// Hang leaves the request unanswered until the peer closes the connection.
 func (c *Call) Hang() { io.Copy(io.Discard, c.Conn) }
 
-// TrickleBody begins an answer and sends its body a byte at a time, without end.
+// TrickleBody sends a response head, and then its body one byte every 10 ms until the peer
+// closes the connection.
 func (c *Call) TrickleBody() {
 	c.WriteRaw("HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n")
 	for {
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -12,30 +12,30 @@
 	"time"
 )
 
-// lifeEvery is how often a watch shows that it stands, once the test wants that.
-const lifeEvery = 2 * time.Second
+// heartbeatInterval is the time between heartbeats on a watch, once SendHeartbeats was called.
+const heartbeatInterval = 2 * time.Second
 
-// Discovery is a stand-in for discovery: what a test says is written to each
-// watch, and what each call asked for is kept.
+// Discovery is a discovery service whose messages a test scripts. It writes the test's lines to
+// every open watch, and records the URI of each request.
 type Discovery struct {
 	server *httptest.Server
 
-	mu      sync.Mutex
-	asked   []string
-	down    bool
-	waiting time.Duration // that a call waits before it is turned away
-	life    bool          // watches show signs of life
-	first   string        // line of a new watch
-	watches map[chan string]net.Conn
+	mu             sync.Mutex
+	requestURIs    []string
+	unavailable    bool          // requests are answered with 503
+	rejectionDelay time.Duration // before the 503
+	heartbeats     bool          // watches get heartbeats
+	firstLine      string        // of each new watch
+	watches        map[chan string]net.Conn
 }
 
-// connKey is the key of a call's connection in its context.
+// connKey is the context key of a request's connection.
 type connKey struct{}
 
-// NewDiscovery starts a discovery whose watches begin with the line first. It
-// ends with the test.
-func NewDiscovery(t testing.TB, first string) *Discovery {
-	d := &Discovery{first: first, watches: map[chan string]net.Conn{}}
+// NewDiscovery starts a discovery service that writes firstLine at the start of each watch. It
+// is stopped at the end of the test.
+func NewDiscovery(t testing.TB, firstLine string) *Discovery {
+	d := &Discovery{firstLine: firstLine, watches: map[chan string]net.Conn{}}
 	d.server = httptest.NewUnstartedServer(d)
 	d.server.Config.ConnContext = func(ctx context.Context, c net.Conn) context.Context {
 		return context.WithValue(ctx, connKey{}, c)
@@ -48,29 +48,29 @@
 	return d
 }
 
-// Stop ends the service: its address refuses connections from now on.
+// Stop resets all connections and closes the listener: later dials are refused.
 func (d *Discovery) Stop() {
 	d.ResetWatches()
 	d.server.CloseClientConnections()
 	d.server.Close()
 }
 
-// Addr is where it listens.
+// Addr returns the address that the service listens on.
 func (d *Discovery) Addr() string { return strings.TrimPrefix(d.server.URL, "http://") }
 
-// ServeHTTP is one watch.
+// ServeHTTP serves one watch, or answers 503 while the service is unavailable.
 func (d *Discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	lines := make(chan string, 100)
 	d.mu.Lock()
-	d.asked = append(d.asked, r.RequestURI)
-	down, waiting, first := d.down, d.waiting, d.first
-	if !down {
+	d.requestURIs = append(d.requestURIs, r.RequestURI)
+	unavailable, rejectionDelay, firstLine := d.unavailable, d.rejectionDelay, d.firstLine
+	if !unavailable {
 		d.watches[lines] = r.Context().Value(connKey{}).(net.Conn)
 	}
 	d.mu.Unlock()
-	if down {
+	if unavailable {
 		select {
-		case <-time.After(waiting):
+		case <-time.After(rejectionDelay):
 		case <-r.Context().Done():
 		}
 		http.Error(w, "down", http.StatusServiceUnavailable)
@@ -81,14 +81,14 @@
 		delete(d.watches, lines)
 		d.mu.Unlock()
 	}()
-	fmt.Fprintln(w, first)
+	fmt.Fprintln(w, firstLine)
 	w.(http.Flusher).Flush()
-	life := time.NewTicker(lifeEvery)
-	defer life.Stop()
+	heartbeat := time.NewTicker(heartbeatInterval)
+	defer heartbeat.Stop()
 	for {
 		select {
-		case <-life.C:
-			if d.showsLife() {
+		case <-heartbeat.C:
+			if d.sendsHeartbeats() {
 				fmt.Fprintln(w)
 				w.(http.Flusher).Flush()
 			}
@@ -104,20 +104,20 @@
 	}
 }
 
-// SendHeartbeats makes all watches show signs of life from now on, whatever there is to tell.
+// SendHeartbeats makes all watches get heartbeats from now on, also those that get no list.
 func (d *Discovery) SendHeartbeats() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.life = true
+	d.heartbeats = true
 }
 
-func (d *Discovery) showsLife() bool {
+func (d *Discovery) sendsHeartbeats() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.life
+	return d.heartbeats
 }
 
-// PushLine writes a line to every watch.
+// PushLine writes a line to every open watch.
 func (d *Discovery) PushLine(line string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -126,7 +126,7 @@
 	}
 }
 
-// AbortWatches ends every watch.
+// AbortWatches ends every watch in the middle of its response.
 func (d *Discovery) AbortWatches() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -136,7 +136,7 @@
 	}
 }
 
-// ResetWatches resets the connection of every watch, as a service that dies does.
+// ResetWatches resets the connection of every watch, as the death of the service would.
 func (d *Discovery) ResetWatches() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -147,38 +147,38 @@
 	}
 }
 
-// SetOverloaded makes each call wait for so long and then fail, as a service does that has too
-// much to do, until Down says otherwise.
-func (d *Discovery) SetOverloaded(waiting time.Duration) {
+// SetOverloaded makes each new request fail after a delay, as at an overloaded service, until
+// SetDown(false). Open watches stay open.
+func (d *Discovery) SetOverloaded(rejectionDelay time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.down, d.waiting = true, waiting
+	d.unavailable, d.rejectionDelay = true, rejectionDelay
 }
 
-// SetDown makes each call fail, or no longer.
+// SetDown makes each new request fail at once, or makes requests succeed again.
 func (d *Discovery) SetDown(down bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.down, d.waiting = down, 0
+	d.unavailable, d.rejectionDelay = down, 0
 }
 
-// SetFirstLine sets the line that new watches begin with.
-func (d *Discovery) SetFirstLine(first string) {
+// SetFirstLine sets the line that is written at the start of each new watch.
+func (d *Discovery) SetFirstLine(line string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.first = first
+	d.firstLine = line
 }
 
-// WatchCount is how many watches stand.
+// WatchCount returns the number of open watches.
 func (d *Discovery) WatchCount() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(d.watches)
 }
 
-// RequestURIs is what was asked for, call by call.
+// RequestURIs returns the URIs of all requests so far, in order.
 func (d *Discovery) RequestURIs() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return append([]string(nil), d.asked...)
+	return append([]string(nil), d.requestURIs...)
 }
--- a/internal/standin/registry.go
+++ b/internal/standin/registry.go
@@ -16,102 +16,104 @@
 	"time"
 )
 
-// ListFormat is how a Registry writes its lists. All forms mean the same.
+// ListFormat is the way in which a Registry writes its lists. A client must end up with the
+// same list in all formats.
 type ListFormat int
 
-// The forms of a list.
+// The list formats.
 const (
 	FormatPlain       ListFormat = iota // on one line
 	FormatIndented                      // over several lines
-	FormatFragmented                    // a few bytes at a time
+	FormatFragmented                    // a few bytes per write
 	FormatDuplicated                    // each list twice
-	FormatStaleChange                   // the change before it is written again right behind each list
-	FormatStaleList                     // the whole list as it was before it is written right behind each
+	FormatStaleChange                   // each list is followed by the change before it
+	FormatStaleList                     // each list is followed by the whole list of the revision before it
 )
 
-// RegistryOptions says how a Registry serves.
+// RegistryOptions configures a Registry.
 type RegistryOptions struct {
-	ServiceTime       time.Duration // processor time of each call; calls are answered in turn
-	MaxQueueDelay     time.Duration // a call that would wait longer is turned away at once; 0: none ever is
-	NotifyDelay       time.Duration // standing watches hear of a change that long after it is made
+	ServiceTime       time.Duration // processor time per request; requests are processed one at a time
+	MaxQueueDelay     time.Duration // a request that would wait longer is rejected at once; 0: none is
+	NotifyDelay       time.Duration // from a change until open watches are sent it
 	HeartbeatInterval time.Duration // between the empty lines of a watch; 0: 2 s
 	ListFormat        ListFormat
 }
 
-// Registry is a stand-in for the discovery service with its queue, for hundreds of
-// callers. It uses no sockets and blocks on nothing but channels and timers, so that it
-// runs in a synctest bubble. Callers are told apart by the address that they dial.
+// Registry simulates the discovery service and its request queue for hundreds of clients. It
+// uses no sockets and blocks only on channels and timers, so that it can run in a synctest
+// bubble. Clients are distinguished by the address that they dial.
 //
-// With no limit on the queue it works as a service that can't notice that a caller has
-// gone: the call costs its Work all the same.
+// Without a limit on the queue it behaves as a service that can't notice that a client has
+// disconnected: the request still costs its ServiceTime.
 type Registry struct {
-	t     testing.TB
-	opt   RegistryOptions
-	tasks sync.WaitGroup
+	t       testing.TB
+	options RegistryOptions
+	tasks   sync.WaitGroup
 
-	mu       sync.Mutex
-	over     bool
-	changes  []change          // revision n is the nth
-	changed  chan struct{}     // closed with the next change
-	free     time.Time         // when the work taken in is done
-	uncut    chan struct{}     // closed when dials go through again; nil: they do
-	since    time.Time         // callers can reach it
-	up       context.Context   // of all that is served until the service is next down
-	shut     func()            // ends up
-	open     map[*watch]bool   // calls taken in and watches, none of them silent
-	told     map[string][]news // what each caller was written, and its silences
-	calls    int
-	away     int
-	answered int
+	mu             sync.Mutex
+	closed         bool
+	changes        []change              // revision n is at index n-1
+	changed        chan struct{}         // closed at the next change
+	busyUntil      time.Time             // when all accepted requests will have been processed
+	dialsResume    chan struct{}         // closed when dials succeed again; nil: they do
+	reachableSince time.Time             // since when clients can reach the service
+	serving        context.Context       // of all requests, until the service is next down
+	stopServing    func()                // cancels serving
+	active         map[*watch]bool       // accepted requests and watches, without the silenced ones
+	deliveries     map[string][]delivery // by client: the lists written to it, and its silenced watches
+	calls          int
+	rejected       int
+	answered       int
 }
 
-// change is one revision.
+// change is one revision of the list.
 type change struct {
-	made  time.Time
+	at    time.Time
 	lines []string
 }
 
-// news is a list that has been written whole to a caller, or the moment from which
-// its watch or call said nothing more.
-type news struct {
+// delivery is a list that was written completely to a client, or the silencing of the client's
+// watch or pending request.
+type delivery struct {
 	at  time.Time
-	rev int // 0: silence
+	rev int // 0: silenced
 }
 
-// watch is one call and the watch that comes of it.
+// watch is one request and the watch that it opens.
 type watch struct {
 	*Registry
-	who    string
-	conn   net.Conn
-	ctx    context.Context // over once the service or the caller has ended it
-	silent chan struct{}   // closed by Silence
+	client   string
+	conn     net.Conn
+	ctx      context.Context // done once the service or the client has ended the watch
+	silenced chan struct{}   // closed by SilenceWatches
 }
 
-// kept is how many revisions back a caller is told only what changed.
-const kept = 16
+// changeHistory is the number of past revisions for which a client gets only the changes. A
+// client with an older revision gets the whole list.
+const changeHistory = 16
 
-// NewRegistry starts a registry with an empty list, of revision 0. It must be closed.
-func NewRegistry(t testing.TB, opt RegistryOptions) *Registry {
-	if opt.HeartbeatInterval == 0 {
-		opt.HeartbeatInterval = 2 * time.Second
+// NewRegistry starts a registry with an empty list of revision 0. The caller must close it.
+func NewRegistry(t testing.TB, options RegistryOptions) *Registry {
+	if options.HeartbeatInterval == 0 {
+		options.HeartbeatInterval = 2 * time.Second
 	}
-	r := &Registry{t: t, opt: opt, since: time.Now(), changed: make(chan struct{}),
-		open: map[*watch]bool{}, told: map[string][]news{}}
-	r.up, r.shut = context.WithCancel(context.Background())
+	r := &Registry{t: t, options: options, reachableSince: time.Now(), changed: make(chan struct{}),
+		active: map[*watch]bool{}, deliveries: map[string][]delivery{}}
+	r.serving, r.stopServing = context.WithCancel(context.Background())
 	return r
 }
 
-// Close ends all calls and watches, and returns when nothing of them is left.
+// Close ends all requests and watches, and waits for their goroutines.
 func (r *Registry) Close() {
 	r.mu.Lock()
-	r.over = true
-	r.shut()
+	r.closed = true
+	r.stopServing()
 	r.mu.Unlock()
 	r.tasks.Wait()
 }
 
-// Publish makes a new revision of lines as Target and TargetIn give them, and returns
-// its number.
+// Publish makes a new revision with the given entries, in the form of TargetJSON and
+// TargetJSONInState, and returns its number.
 func (r *Registry) Publish(lines ...string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -121,49 +123,51 @@
 	return len(r.changes)
 }
 
-// SilenceWatches makes all watches that stand and all calls not yet answered say nothing from
-// now on, though their connections stay open. Later calls are served as usual.
+// SilenceWatches stops all writes on open watches and on pending requests, but leaves their
+// connections open. Later requests are served as usual.
 func (r *Registry) SilenceWatches() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for w := range r.open {
-		close(w.silent)
-		r.told[w.who] = append(r.told[w.who], news{at: time.Now()})
+	for w := range r.active {
+		close(w.silenced)
+		r.deliveries[w.client] = append(r.deliveries[w.client], delivery{at: time.Now()})
 	}
-	clear(r.open)
+	clear(r.active)
 }
 
-// SetDialsHang makes each dial hang, or no longer. What stands goes on.
-func (r *Registry) SetDialsHang(cut bool) {
+// SetDialsHang makes each dial hang until its context is done, or makes dials succeed again.
+// Established connections are not affected.
+func (r *Registry) SetDialsHang(hang bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch {
-	case cut && r.uncut == nil:
-		r.uncut = make(chan struct{})
-	case !cut && r.uncut != nil:
-		close(r.uncut)
-		r.uncut, r.since = nil, time.Now()
+	case hang && r.dialsResume == nil:
+		r.dialsResume = make(chan struct{})
+	case !hang && r.dialsResume != nil:
+		close(r.dialsResume)
+		r.dialsResume, r.reachableSince = nil, time.Now()
 	}
 }
 
-// SetDown ends all calls and watches and refuses new ones, or no longer.
+// SetDown ends all requests and watches and refuses new connections, or makes the service
+// available again with an empty queue.
 func (r *Registry) SetDown(down bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.shut(); !down && !r.over {
-		r.up, r.shut = context.WithCancel(context.Background())
-		r.since = time.Now()
+	if r.stopServing(); !down && !r.closed {
+		r.serving, r.stopServing = context.WithCancel(context.Background())
+		r.reachableSince = time.Now()
 	}
-	r.free = time.Time{}
+	r.busyUntil = time.Time{}
 }
 
-// CallCount is how many calls were made, whatever became of them.
+// CallCount returns the number of dials, whatever their outcome.
 func (r *Registry) CallCount() int { return r.count(&r.calls) }
 
-// RejectedCount is how many calls were answered with 503.
-func (r *Registry) RejectedCount() int { return r.count(&r.away) }
+// RejectedCount returns the number of requests answered with 503.
+func (r *Registry) RejectedCount() int { return r.count(&r.rejected) }
 
-// AnsweredCount is how many calls were answered with a list.
+// AnsweredCount returns the number of requests answered with a list.
 func (r *Registry) AnsweredCount() int { return r.count(&r.answered) }
 
 func (r *Registry) count(n *int) int {
@@ -172,122 +176,128 @@
 	return *n
 }
 
-// AnnouncedAt is since when who counts as told of a revision, if it does by now: once it has
-// been written whole to it, or, as the caller of a silent watch or call, once that has
-// been silent for the time within, and no list has come to it on a later call; whatever
-// became of its calls, once the service has had the revision, and could be reached, for
-// the time within.
-func (r *Registry) AnnouncedAt(who string, rev int, within time.Duration) (at time.Time, ok bool) {
+// AnnouncedAt returns the time at which revision rev began to count as announced to the client,
+// and false if it doesn't count as that yet. It is the earliest of these times:
+//   - when the revision or a later one had been written completely to the client;
+//   - a period of length within after the client's watch or pending request was silenced, but
+//     not before open watches were due the revision; a list that the client gets from a later
+//     request before that time cancels this rule;
+//   - the same period after open watches were due the revision, and after the service last
+//     became reachable; this applies only while the service is reachable, but whatever became
+//     of the client's requests.
+func (r *Registry) AnnouncedAt(client string, rev int, within time.Duration) (at time.Time, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	written := r.changes[rev-1].made.Add(r.opt.NotifyDelay)
-	last := written // by the time alone
-	if last.Before(r.since) {
-		last = r.since
+	notifyTime := r.changes[rev-1].at.Add(r.options.NotifyDelay)
+	latest := notifyTime // the time by which the third rule applies
+	if latest.Before(r.reachableSince) {
+		latest = r.reachableSince
 	}
-	last = last.Add(within)
+	latest = latest.Add(within)
 	defer func() {
-		if r.up.Err() == nil && r.uncut == nil && !time.Now().Before(last) && (!ok || last.Before(at)) {
-			at, ok = last, true
+		if r.serving.Err() == nil && r.dialsResume == nil && !time.Now().Before(latest) && (!ok || latest.Before(at)) {
+			at, ok = latest, true
 		}
 	}()
-	var due time.Time // by the silence, if there is one
-	for _, n := range r.told[who] {
+	var silenceDue time.Time // the time by which the second rule applies; zero: no silenced watch
+	for _, d := range r.deliveries[client] {
 		switch {
-		case !due.IsZero() && !n.at.Before(due):
-			return due, true
-		case n.rev >= rev:
-			return n.at, true
-		case n.rev > 0:
-			due = time.Time{}
-		case due.IsZero():
-			due = n.at.Add(within)
-			if due.Before(written) {
-				due = written
+		case !silenceDue.IsZero() && !d.at.Before(silenceDue):
+			return silenceDue, true
+		case d.rev >= rev:
+			return d.at, true
+		case d.rev > 0:
+			silenceDue = time.Time{}
+		case silenceDue.IsZero():
+			silenceDue = d.at.Add(within)
+			if silenceDue.Before(notifyTime) {
+				silenceDue = notifyTime
 			}
 		}
 	}
-	return due, !due.IsZero() && !time.Now().Before(due)
+	return silenceDue, !silenceDue.IsZero() && !time.Now().Before(silenceDue)
 }
 
-// Dial begins a call. It has the form of net.Dialer's DialContext; addr is the caller's
-// name.
+// Dial opens a connection for one request. It has the signature of net.Dialer.DialContext; addr
+// is the name of the client.
 func (r *Registry) Dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	r.mu.Lock()
 	r.calls++
-	uncut := r.uncut
+	dialsResume := r.dialsResume
 	r.mu.Unlock()
-	if uncut != nil {
+	if dialsResume != nil {
 		select {
-		case <-uncut:
+		case <-dialsResume:
 		case <-ctx.Done():
 			return nil, &net.OpError{Op: "dial", Net: network, Err: ctx.Err()}
 		}
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.up.Err() != nil {
+	if r.serving.Err() != nil {
 		return nil, &net.OpError{Op: "dial", Net: network, Err: syscall.ECONNREFUSED}
 	}
-	near, far := net.Pipe()
-	callCtx, end := context.WithCancel(r.up)
-	w := &watch{r, addr, far, callCtx, make(chan struct{})}
-	r.tasks.Go(func() { w.serve(end) })
-	return near, nil
+	clientEnd, serverEnd := net.Pipe()
+	callCtx, cancel := context.WithCancel(r.serving)
+	w := &watch{r, addr, serverEnd, callCtx, make(chan struct{})}
+	r.tasks.Go(func() { w.serve(cancel) })
+	return clientEnd, nil
 }
 
-func (w *watch) serve(end func()) {
-	defer end()
+func (w *watch) serve(cancel func()) {
+	defer cancel()
 	defer context.AfterFunc(w.ctx, func() { w.conn.Close() })()
 	defer w.conn.Close()
 	defer func() {
 		w.mu.Lock()
-		delete(w.open, w)
+		delete(w.active, w)
 		w.mu.Unlock()
 	}()
 	in := bufio.NewReader(w.conn)
 	req, err := http.ReadRequest(in)
 	if err != nil {
-		return // its caller has gone
+		return // the client has disconnected
 	}
 	index, err := strconv.Atoi(req.FormValue("index"))
 	if err != nil || req.Method+req.URL.Path != "GET/v1/servers" || req.FormValue("stream") != "1" {
-		w.t.Errorf("asked %s %s", req.Method, req.RequestURI)
+		w.t.Errorf("unexpected request: %s %s", req.Method, req.RequestURI)
 		return
 	}
-	w.tasks.Go(func() { // callers send no more: a read ends when they have gone
+	w.tasks.Go(func() { // clients send nothing more, so the copy ends when the client disconnects
 		io.Copy(io.Discard, in)
-		end()
+		cancel()
 	})
-	ready, ok := w.take()
+	processedAt, ok := w.enqueue()
 	if !ok {
 		io.WriteString(w.conn, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
 		return
 	}
-	if w.wait(time.Until(ready), nil) {
-		w.follow(index)
+	if w.wait(time.Until(processedAt), nil) {
+		w.stream(index)
 	}
 }
 
-// take puts a call into the queue, or turns it away.
-func (w *watch) take() (ready time.Time, ok bool) {
+// enqueue adds the request to the queue and returns when it will have been processed, or
+// rejects it.
+func (w *watch) enqueue() (processedAt time.Time, ok bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := time.Now()
-	if ready = w.free; ready.Before(now) {
-		ready = now
+	if processedAt = w.busyUntil; processedAt.Before(now) {
+		processedAt = now
 	}
-	ready = ready.Add(w.opt.ServiceTime)
-	if w.opt.MaxQueueDelay > 0 && ready.Sub(now) > w.opt.MaxQueueDelay {
-		w.away++
-		return ready, false
+	processedAt = processedAt.Add(w.options.ServiceTime)
+	if w.options.MaxQueueDelay > 0 && processedAt.Sub(now) > w.options.MaxQueueDelay {
+		w.rejected++
+		return processedAt, false
 	}
-	w.free, w.open[w] = ready, true
-	return ready, true
+	w.busyUntil, w.active[w] = processedAt, true
+	return processedAt, true
 }
 
-// follow answers a caller that has revision rev, and goes on with what changes.
-func (w *watch) follow(rev int) {
+// stream answers a client that has revision rev, and then sends it the changes and heartbeats
+// until the watch ends.
+func (w *watch) stream(rev int) {
 	if !w.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n") {
 		return
 	}
@@ -295,20 +305,20 @@
 	last := len(w.changes)
 	w.answered++
 	w.mu.Unlock()
-	all := rev == 0 || rev > last || rev < last-kept
+	all := rev == 0 || rev > last || rev < last-changeHistory
 	if all {
 		rev = 0
 	}
-	if !w.tell(rev, last, all) {
+	if !w.sendList(rev, last, all) {
 		return
 	}
-	life := time.Now().Add(w.opt.HeartbeatInterval)
+	heartbeatAt := time.Now().Add(w.options.HeartbeatInterval)
 	for {
 		w.mu.Lock()
-		changed, next := w.changed, life
+		changed, next := w.changed, heartbeatAt
 		if last < len(w.changes) {
 			changed = nil
-			if at := w.changes[last].made.Add(w.opt.NotifyDelay); at.Before(next) {
+			if at := w.changes[last].at.Add(w.options.NotifyDelay); at.Before(next) {
 				next = at
 			}
 		}
@@ -318,13 +328,13 @@
 			if !w.wait(next.Sub(now), changed) {
 				return
 			}
-		case next.Equal(life):
-			if !w.chunk("\n") {
+		case next.Equal(heartbeatAt):
+			if !w.writeChunk("\n") {
 				return
 			}
-			life = life.Add(w.opt.HeartbeatInterval)
+			heartbeatAt = heartbeatAt.Add(w.options.HeartbeatInterval)
 		default:
-			if !w.tell(last, last+1, false) {
+			if !w.sendList(last, last+1, false) {
 				return
 			}
 			last++
@@ -332,72 +342,75 @@
 	}
 }
 
-// tell writes what changed after revision from, up to rev, or the whole list.
-func (w *watch) tell(from, rev int, all bool) bool {
-	line := w.line(from, rev, all)
-	if !w.chunk(line) {
+// sendList sends the changes after revision from, up to revision rev, or the whole list. It
+// returns false when the watch is over.
+func (w *watch) sendList(from, rev int, all bool) bool {
+	list := w.list(from, rev, all)
+	if !w.writeChunk(list) {
 		return false
 	}
 	w.mu.Lock()
-	if w.open[w] {
-		w.told[w.who] = append(w.told[w.who], news{time.Now(), rev})
+	if w.active[w] {
+		w.deliveries[w.client] = append(w.deliveries[w.client], delivery{time.Now(), rev})
 	}
 	w.mu.Unlock()
 	switch {
-	case w.opt.ListFormat == FormatDuplicated:
-		return w.chunk(line)
-	case w.opt.ListFormat == FormatStaleChange && rev > 1:
-		return w.chunk(w.line(rev-2, rev-1, false))
-	case w.opt.ListFormat == FormatStaleList && rev > 1:
-		return w.chunk(w.line(0, rev-1, true))
+	case w.options.ListFormat == FormatDuplicated:
+		return w.writeChunk(list)
+	case w.options.ListFormat == FormatStaleChange && rev > 1:
+		return w.writeChunk(w.list(rev-2, rev-1, false))
+	case w.options.ListFormat == FormatStaleList && rev > 1:
+		return w.writeChunk(w.list(0, rev-1, true))
 	}
 	return true
 }
 
-// line is a list: of each target that changed after revision from, its line at rev.
-func (w *watch) line(from, rev int, all bool) string {
+// list returns a list message: for each target that changed after revision from, its entry as
+// of revision rev.
+func (w *watch) list(from, rev int, all bool) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	var lines []string
+	var entries []string
 	seen := map[string]bool{}
 	for n := rev; n > from; n-- {
 		for _, line := range w.changes[n-1].lines {
 			var target struct{ UID, State string }
 			if err := json.Unmarshal([]byte(line), &target); err != nil {
-				w.t.Errorf("no target: %s", line)
+				w.t.Errorf("malformed list entry: %s", line)
 			}
 			if !seen[target.UID] && !(all && target.State == "terminated") {
-				lines = append(lines, line)
+				entries = append(entries, line)
 			}
 			seen[target.UID] = true
 		}
 	}
-	line := ListJSON(rev, all, lines...)
-	if w.opt.ListFormat == FormatIndented {
+	text := ListJSON(rev, all, entries...)
+	if w.options.ListFormat == FormatIndented {
 		var out bytes.Buffer
-		json.Indent(&out, []byte(line), "", "  ")
-		line = out.String()
+		json.Indent(&out, []byte(text), "", "  ")
+		text = out.String()
 	}
-	return line + "\n"
+	return text + "\n"
 }
 
-// chunk writes text as a chunk of the answer.
-func (w *watch) chunk(text string) bool {
-	const few = 7 // bytes: cuts through names, and through what says how long a chunk is
+// writeChunk writes text as one chunk of the response.
+func (w *watch) writeChunk(text string) bool {
+	const fragmentBytes = 7 // splits names, and the line with the size of the chunk
 	text = fmt.Sprintf("%x\r\n%s\r\n", len(text), text)
-	for w.opt.ListFormat == FormatFragmented && len(text) > few {
-		if !w.write(text[:few]) || !w.wait(time.Millisecond, nil) {
+	for w.options.ListFormat == FormatFragmented && len(text) > fragmentBytes {
+		if !w.write(text[:fragmentBytes]) || !w.wait(time.Millisecond, nil) {
 			return false
 		}
-		text = text[few:]
+		text = text[fragmentBytes:]
 	}
 	return w.write(text)
 }
 
-// write writes text, unless the watch is silent or over.
+// write writes text, and returns false when the watch is over. On a silenced watch it writes
+// nothing and blocks until the watch is over.
 func (w *watch) write(text string) bool {
 	select {
-	case <-w.silent:
+	case <-w.silenced:
 		<-w.ctx.Done()
 		return false
 	default:
@@ -406,8 +419,8 @@
 	return err == nil
 }
 
-// wait waits for d, or until there is a change. It returns false when the watch is
-// over; a silent one stays open until then.
+// wait waits for the duration d, or until there is a change. It returns false when the watch is
+// over. On a silenced watch it blocks until then.
 func (w *watch) wait(d time.Duration, changed <-chan struct{}) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -416,7 +429,7 @@
 		return true
 	case <-changed:
 		return true
-	case <-w.silent:
+	case <-w.silenced:
 		<-w.ctx.Done()
 	case <-w.ctx.Done():
 	}
--- a/internal/standin/wait.go
+++ b/internal/standin/wait.go
@@ -5,12 +5,13 @@
 	"time"
 )
 
-// Eventually waits until f holds, and ends the test if it does not in time.
-func Eventually(t testing.TB, within time.Duration, what string, f func() bool) {
+// Eventually polls until condition holds, and fails the test if it doesn't within the
+// timeout. The description names the condition in the failure message.
+func Eventually(t testing.TB, timeout time.Duration, description string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(within); !f(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(timeout); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("not in %v: %s", within, what)
+			t.Fatalf("condition not met within %v: %s", timeout, description)
 		}
 	}
 }
