--- a/cmd/oxbowloft/admin_test.go
+++ b/cmd/oxbowloft/admin_test.go
@@ -15,7 +15,7 @@
 
 // The figures are what a client and the backends counted: over answers, refusals,
 // failures, retries, 4xx and requests of all classes, each from 0 on.
-func TestFigures(t *testing.T) {
+func TestMetrics(t *testing.T) {
 	var mode atomic.Value
 	mode.Store("echo")
 	b := standin.NewBackend(t, func(c *standin.Call) {
@@ -74,7 +74,7 @@
 // A backend that is out by hand gets nothing, though the list is told again and the
 // configuration is read again, and open requests are counted.
 func TestDetach(t *testing.T) {
-	slow, release := newHeldBackend(t)
+	slow, release := newBlockingBackend(t)
 	b := standin.NewBackend(t, standin.Echo)
 	r := newPlatform(t, 256, discoveryList(slow, b)).start()
 	if got := r.adminCommand("DETACH s-9"); !strings.HasPrefix(got, "ERR ") {
@@ -109,8 +109,8 @@
 
 // The admin port answers while the proxy is short of descriptors and has more callers of
 // every kind than it can hold.
-func TestDoorWhileSaturated(t *testing.T) {
-	slow, release := newHeldBackend(t)
+func TestAdminWhileSaturated(t *testing.T) {
+	slow, release := newBlockingBackend(t)
 	r := newPlatform(t, 64, discoveryList(slow)).start()
 	defer close(release)
 	for range 100 {
--- a/cmd/oxbowloft/client_test.go
+++ b/cmd/oxbowloft/client_test.go
@@ -86,10 +86,10 @@
 var requestIDs counter
 
 // requestHead is the head of a request with an id of its own; more has headers to add.
-func requestHead(method, target, class string, ms int, more ...string) string {
+func requestHead(method, target, class string, ms int, extraHeaders ...string) string {
 	return fmt.Sprintf("%s %s HTTP/1.1\r\nHost: api.internal\r\nX-Request-ID: %016x\r\n"+
 		"X-Priority-Class: %s\r\nX-Timeout-Ms: %d\r\n%s\r\n", method, target, requestIDs.increment(), class, ms,
-		strings.Join(append(more, ""), "\r\n"))
+		strings.Join(append(extraHeaders, ""), "\r\n"))
 }
 
 // getRequest is a request of class "get", which may run any number of times.
@@ -123,8 +123,8 @@
 	return before
 }
 
-// warmUp makes good calls until the module lets one in ten be repeated.
-func (r *runningProgram) warmUp(c *clientConn) {
+// fillRetryBudget makes good calls until the module lets one in ten be repeated.
+func (r *runningProgram) fillRetryBudget(c *clientConn) {
 	r.t.Helper()
 	for range 15 {
 		for _, text := range []string{getRequest(2000), postRequest("pay", "x", 2000)} {
@@ -175,13 +175,13 @@
 		c.t.Errorf("send: %v", err)
 		return false
 	}
-	var one [4096]byte
-	n, err := c.Read(one[:])
-	if err != nil || !bytes.HasPrefix(one[:n], []byte("HTTP/1.1 ")) {
-		c.t.Errorf("answer: %q, %v", one[:n], err)
+	var buffer [4096]byte
+	n, err := c.Read(buffer[:])
+	if err != nil || !bytes.HasPrefix(buffer[:n], []byte("HTTP/1.1 ")) {
+		c.t.Errorf("answer: %q, %v", buffer[:n], err)
 		return false
 	}
-	return !bytes.Contains(one[:n], []byte("Connection: close"))
+	return !bytes.Contains(buffer[:n], []byte("Connection: close"))
 }
 
 // roundTripReconnecting does as roundTrip on c, or on a new connection where the proxy has
--- a/cmd/oxbowloft/discovery_test.go
+++ b/cmd/oxbowloft/discovery_test.go
@@ -100,9 +100,9 @@
 }
 
 // The known list serves where discovery never answers.
-func TestOutageFromTheStart(t *testing.T) {
+func TestDiscoveryOutageAtStart(t *testing.T) {
 	b := standin.NewBackend(t, standin.Echo)
-	r := start(t, freeAddr(t), 256, standin.ListJSON(1, true, standin.TargetJSON("s-1", b.Addr())))
+	r := startProgram(t, freeAddr(t), 256, standin.ListJSON(1, true, standin.TargetJSON("s-1", b.Addr())))
 	if got := r.dial().roundTrip(getRequest(2000)); got.status != 200 {
 		t.Errorf("got %+v", got)
 	}
@@ -112,7 +112,7 @@
 func TestNoBackendKnown(t *testing.T) {
 	b := standin.NewBackend(t, standin.Echo)
 	d := standin.NewDiscovery(t, standin.ListJSON(1, true))
-	r := start(t, d.Addr(), 256, "null")
+	r := startProgram(t, d.Addr(), 256, "null")
 	health := func() int { return r.dial().roundTrip("GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n").status }
 	if got := health(); got != 503 {
 		t.Errorf("ready without a backend: %d", got)
@@ -127,14 +127,14 @@
 
 // A fleet that comes and goes: requests are served throughout, and connections
 // to those that are gone do not pile up.
-func TestFleetComesAndGoes(t *testing.T) {
+func TestBackendChurn(t *testing.T) {
 	const sockets = 64
 	fleet := []*standin.Backend{}
 	for range 8 {
 		fleet = append(fleet, standin.NewBackend(t, standin.Echo))
 	}
 	d := standin.NewDiscovery(t, standin.ListJSON(1, false))
-	r := start(t, d.Addr(), sockets, standin.ListJSON(1, true, standin.TargetJSON("s-0", fleet[0].Addr())))
+	r := startProgram(t, d.Addr(), sockets, standin.ListJSON(1, true, standin.TargetJSON("s-0", fleet[0].Addr())))
 	r.eventually("a watch", func() bool { return d.WatchCount() == 1 })
 	c := r.dial()
 	for rev := 2; rev < 300; rev++ {
--- a/cmd/oxbowloft/drain_test.go
+++ b/cmd/oxbowloft/drain_test.go
@@ -28,7 +28,7 @@
 		standin.Echo(c)
 	})
 	list := standin.ListJSON(1, true, standin.TargetJSON("s-0", b.Addr()))
-	r := start(t, standin.NewDiscovery(t, list).Addr(), 256, list, "--grace", "4s")
+	r := startProgram(t, standin.NewDiscovery(t, list).Addr(), 256, list, "--grace", "4s")
 	idle, busy := r.dial(), r.dial()
 	if got := idle.roundTrip(getRequest(2000)); got.status != 200 {
 		t.Fatalf("got %+v", got)
@@ -149,7 +149,7 @@
 		standin.Echo(c)
 	})
 	list := standin.ListJSON(1, true, standin.TargetJSON("s-0", b.Addr()))
-	r := start(t, standin.NewDiscovery(t, list).Addr(), 256, list, "--grace", "3s")
+	r := startProgram(t, standin.NewDiscovery(t, list).Addr(), 256, list, "--grace", "3s")
 	var callers sync.WaitGroup
 	var sent, answered counter
 	end := make(chan bool)
--- a/cmd/oxbowloft/end_test.go
+++ b/cmd/oxbowloft/end_test.go
@@ -55,7 +55,7 @@
 
 // An answer whose end is that of its connection must not look whole when the process ends
 // in the middle of it: the client gets a reset.
-func TestKilledInOpenEndedAnswer(t *testing.T) {
+func TestKilledDuringCloseDelimitedResponse(t *testing.T) {
 	long := strings.Repeat("x", 200_000)
 	b := standin.NewBackend(t, func(c *standin.Call) {
 		c.WriteRaw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n30d40\r\n" + long + "\r\n")
--- a/cmd/oxbowloft/harness_test.go
+++ b/cmd/oxbowloft/harness_test.go
@@ -93,10 +93,10 @@
 	return path
 }
 
-// start starts the program with a list of backends known from the start, and waits until it
+// startProgram starts the program with a list of backends known from the startProgram, and waits until it
 // listens. At the end of the test it must still run, unless the test has ended it, and must
 // then exit on SIGTERM without an error.
-func start(t *testing.T, discovery string, sockets int, known string, args ...string) *runningProgram {
+func startProgram(t *testing.T, discovery string, sockets int, known string, args ...string) *runningProgram {
 	t.Helper()
 	return startWithConfig(t, standin.Config, discovery, sockets, known, args...)
 }
@@ -105,7 +105,7 @@
 type configFunc func(listen, discovery string, sockets int, known string) string
 
 // startWithConfig does as start, with a configuration of either shape.
-func startWithConfig(t *testing.T, shape configFunc, discovery string, sockets int, known string,
+func startWithConfig(t *testing.T, makeConfig configFunc, discovery string, sockets int, known string,
 	args ...string) *runningProgram {
 	t.Helper()
 	addr := freeAddr(t)
@@ -113,7 +113,7 @@
 		args = []string{"--grace", "20ms"}
 	}
 	cmd := exec.Command(program, append([]string{"serve"}, args...)...)
-	config := writeConfig(t, shape(addr, discovery, sockets, known))
+	config := writeConfig(t, makeConfig(addr, discovery, sockets, known))
 	cmd.Env = append(os.Environ(), "BALANCER_CONFIG="+config)
 	r := startCommand(t, cmd, addr)
 	r.configPath = config
@@ -179,7 +179,7 @@
 
 // startWithDiscovery starts the program with a configuration of either shape. Its backends
 // are known from the start, and the discovery returned has them too.
-func startWithDiscovery(t *testing.T, shape configFunc,
+func startWithDiscovery(t *testing.T, makeConfig configFunc,
 	backends ...*standin.Backend) (*runningProgram, *standin.Discovery) {
 	t.Helper()
 	var targets []string
@@ -188,7 +188,7 @@
 	}
 	list := standin.ListJSON(1, true, targets...)
 	d := standin.NewDiscovery(t, list)
-	return startWithConfig(t, shape, d.Addr(), 256, list), d
+	return startWithConfig(t, makeConfig, d.Addr(), 256, list), d
 }
 
 // signal sends the program a signal.
@@ -234,8 +234,8 @@
 	return n
 }
 
-// newHeldBackend starts a backend that answers each call when it is released.
-func newHeldBackend(t *testing.T) (b *standin.Backend, release chan bool) {
+// newBlockingBackend starts a backend that answers each call when it is released.
+func newBlockingBackend(t *testing.T) (b *standin.Backend, release chan bool) {
 	release = make(chan bool)
 	return standin.NewBackend(t, func(c *standin.Call) {
 		<-release
--- a/cmd/oxbowloft/limits_test.go
+++ b/cmd/oxbowloft/limits_test.go
@@ -17,7 +17,7 @@
 
 // Crowds that say nothing, or stop half way, are closed in time; with few
 // descriptors and little memory an ordinary client is served all the while.
-func TestSilentCrowd(t *testing.T) {
+func TestIdleConnectionFlood(t *testing.T) {
 	b := standin.NewBackend(t, standin.Echo)
 	r := startWithBackends(t, b)
 	ordinary := r.dial()
@@ -30,18 +30,18 @@
 	serve()
 	for _, part := range []string{"", "GET /a", requestHead("POST", "/api", "pay", 500, "Content-Length: 9") + "abc"} {
 		began := time.Now()
-		var crowd []*clientConn
+		var conns []*clientConn
 		for i := range 400 {
 			c := r.dial()
 			if part != "" {
 				c.send(part)
 			}
-			crowd = append(crowd, c)
+			conns = append(conns, c)
 			if i%20 == 0 {
 				serve()
 			}
 		}
-		for _, c := range crowd {
+		for _, c := range conns {
 			if got, err := io.ReadAll(c); err == nil && part != "" && !bytes.HasPrefix(got, []byte("HTTP/1.1 408 ")) {
 				t.Fatalf("%q: got %q", part, got)
 			}
@@ -63,11 +63,11 @@
 
 // Connections beyond the budget: idle ones are given up, requests are answered,
 // and the budget is kept.
-func TestCrowd(t *testing.T) {
+func TestMoreConnectionsThanSockets(t *testing.T) {
 	const sockets = 64
 	b := standin.NewBackend(t, standin.Echo)
 	list := standin.ListJSON(1, true, standin.TargetJSON("s-1", b.Addr()))
-	r := start(t, standin.NewDiscovery(t, list).Addr(), sockets, list)
+	r := startProgram(t, standin.NewDiscovery(t, list).Addr(), sockets, list)
 	for range 3 * sockets {
 		if got := r.dial().roundTrip(getRequest(2000)); got.status != 200 {
 			t.Fatalf("got %+v", got)
@@ -90,11 +90,11 @@
 
 // More requests at once than descriptors to pass them on, to backends that say
 // nothing: each is answered in its time.
-func TestSilentBackends(t *testing.T) {
+func TestUnresponsiveBackends(t *testing.T) {
 	const sockets = 64
 	b := standin.NewBackend(t, (*standin.Call).Hang)
 	list := standin.ListJSON(1, true, standin.TargetJSON("s-1", b.Addr()))
-	r := start(t, standin.NewDiscovery(t, list).Addr(), sockets, list)
+	r := startProgram(t, standin.NewDiscovery(t, list).Addr(), sockets, list)
 	var conns []*clientConn
 	for range 2 * sockets {
 		c := r.dial()
@@ -119,7 +119,7 @@
 // many callers come; alone again, the one that stays serves on.
 func TestSharedDescriptors(t *testing.T) {
 	const limit = 128
-	slow, release := newHeldBackend(t)
+	slow, release := newBlockingBackend(t)
 	p := newPlatform(t, limit, discoveryList(slow))
 	old := p.start()
 	for range 200 {
--- a/cmd/oxbowloft/main.go
+++ b/cmd/oxbowloft/main.go
@@ -27,7 +27,7 @@
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
-	root.AddCommand(serve(), check(), &cobra.Command{
+	root.AddCommand(serveCommand(), checkCommand(), &cobra.Command{
 		Use:   "version",
 		Short: "Print the version",
 		Args:  cobra.NoArgs,
@@ -39,9 +39,9 @@
 	}
 }
 
-// serve returns the command that runs the proxy. SIGTERM drains it, a second signal ends it
+// serveCommand returns the command that runs the proxy. SIGTERM drains it, a second signal ends it
 // at once, and SIGHUP makes it read its configuration again.
-func serve() *cobra.Command {
+func serveCommand() *cobra.Command {
 	var grace time.Duration
 	cmd := &cobra.Command{
 		Use:   "serve [config.json]",
@@ -52,9 +52,9 @@
 			// comes; SIGHUP does not in a drain neither.
 			ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 			context.AfterFunc(ctx, stop) // a second signal ends the process
-			again := make(chan os.Signal, 1)
-			signal.Notify(again, syscall.SIGHUP)
-			cfg, err := load(args)
+			hangups := make(chan os.Signal, 1)
+			signal.Notify(hangups, syscall.SIGHUP)
+			cfg, err := loadConfig(args)
 			if err != nil {
 				return err
 			}
@@ -65,8 +65,8 @@
 			}
 			p.OnLimits = proxy.Limits.Tune
 			go func() {
-				for range again {
-					reload(p, args)
+				for range hangups {
+					reloadConfig(p, args)
 				}
 			}()
 			return p.Run(ctx)
@@ -76,10 +76,10 @@
 	return cmd
 }
 
-// reload reads the configuration again. What can't be used is logged, and the
+// reloadConfig reads the configuration again. What can't be used is logged, and the
 // one before it serves on.
-func reload(p *proxy.Proxy, args []string) {
-	cfg, err := load(args)
+func reloadConfig(p *proxy.Proxy, args []string) {
+	cfg, err := loadConfig(args)
 	if err == nil {
 		err = p.Reload(cfg)
 	}
@@ -88,14 +88,14 @@
 	}
 }
 
-// check returns the command that reads the configuration and serves nothing.
-func check() *cobra.Command {
+// checkCommand returns the command that reads the configuration and serves nothing.
+func checkCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "check [config.json]",
 		Short: "Read the configuration and say what is wrong with it",
 		Args:  cobra.MaximumNArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
-			_, err := load(args)
+			_, err := loadConfig(args)
 			if err == nil {
 				fmt.Println("ok")
 			}
@@ -104,9 +104,9 @@
 	}
 }
 
-// load reads the configuration at the path given, or else at $BALANCER_CONFIG. The environment
+// loadConfig reads the configuration at the path given, or else at $BALANCER_CONFIG. The environment
 // serves where it lacks a value.
-func load(args []string) (*proxy.Config, error) {
+func loadConfig(args []string) (*proxy.Config, error) {
 	path := os.Getenv("BALANCER_CONFIG")
 	if len(args) > 0 {
 		path = args[0]
--- a/cmd/oxbowloft/main_test.go
+++ b/cmd/oxbowloft/main_test.go
@@ -16,14 +16,14 @@
 func TestBadConfig(t *testing.T) {
 	good := standin.Config("127.0.0.1:0", "127.0.0.1:1", 256, standin.ListJSON(1, true))
 	goodMesh := standin.MeshConfig("127.0.0.1:0", "127.0.0.1:1", 256, standin.ListJSON(1, true))
-	in := func(good, old, with string) string {
+	replaceIn := func(good, old, with string) string {
 		if !strings.Contains(good, old) {
 			t.Fatalf("no %s in the configuration", old)
 		}
 		return strings.Replace(good, old, with, 1)
 	}
-	swap := func(old, with string) string { return in(good, old, with) }
-	mesh := func(old, with string) string { return in(goodMesh, old, with) }
+	swap := func(old, with string) string { return replaceIn(good, old, with) }
+	mesh := func(old, with string) string { return replaceIn(goodMesh, old, with) }
 	for _, c := range []struct{ name, text, want string }{
 		{"no JSON", "listen = 3", "invalid character"},
 		{"empty", "", "unexpected end"},
@@ -86,7 +86,7 @@
 }
 
 // The variables serve where the configuration lacks a value.
-func TestVariables(t *testing.T) {
+func TestEnvironmentVariables(t *testing.T) {
 	text := strings.Replace(standin.Config("", "", 256, "null"), `"listen":"","discovery":"",`, "", 1)
 	cmd := exec.Command(program, "check", writeConfig(t, text))
 	cmd.Env = append(os.Environ(), "BALANCER_LISTEN=127.0.0.1:1", "BALANCER_DISCOVERY=127.0.0.1:2")
--- a/cmd/oxbowloft/outcome_test.go
+++ b/cmd/oxbowloft/outcome_test.go
@@ -16,13 +16,13 @@
 
 // Each way an attempt can end, for a class that may run again and one that must
 // not: how often backends are called, and the answer.
-func TestOutcomes(t *testing.T) {
-	half := "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"
+func TestAttemptOutcomes(t *testing.T) {
+	truncated := "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"
 	for _, c := range []struct {
 		name      string
 		first     func(*standin.Call)
-		pay       int // its answer to the class that must not run twice
-		payCalled int
+		payStatus       int // its answer to the class that must not run twice
+		payCalls int
 	}{
 		{"error", func(c *standin.Call) { c.Reply(500, "no") }, 502, 1},
 		{"turned away", func(c *standin.Call) { c.Reply(503, "", "X-Not-Processed: 1") }, 200, 2},
@@ -30,7 +30,7 @@
 		{"503 that says no more", func(c *standin.Call) { c.Reply(503, "") }, 502, 1},
 		{"closed", (*standin.Call).Close, 502, 1},
 		{"reset", (*standin.Call).Reset, 502, 1},
-		{"broken body", func(c *standin.Call) { c.WriteRaw(half); c.Close() }, 502, 1},
+		{"broken body", func(c *standin.Call) { c.WriteRaw(truncated); c.Close() }, 502, 1},
 		{"garbage", func(c *standin.Call) { c.WriteRaw("\x00\x01\r\n\r\n") }, 502, 1},
 		{"noise that goes on", func(c *standin.Call) { c.WriteRaw("\x00\x01"); c.Hang() }, 502, 1},
 		{"another protocol", func(c *standin.Call) { c.WriteRaw("ICY 200 OK\r\nContent-Length: 2\r\n\r\nok") }, 502, 1},
@@ -67,7 +67,7 @@
 		{"another protocol from here", func(c *standin.Call) { c.WriteRaw("HTTP/1.1 101 Switching Protocols\r\n\r\n") }, 502, 1},
 		{"answer too large", func(c *standin.Call) { c.WriteRaw("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nx") }, 502, 1},
 		{"silent", (*standin.Call).Hang, 502, 1},
-		{"hangs in the body", func(c *standin.Call) { c.WriteRaw(half); c.Hang() }, 502, 1},
+		{"hangs in the body", func(c *standin.Call) { c.WriteRaw(truncated); c.Hang() }, 502, 1},
 		{"dribbles", (*standin.Call).TrickleBody, 502, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -82,7 +82,7 @@
 			}
 			r := startWithBackends(t, standin.NewBackend(t, handle), standin.NewBackend(t, handle))
 			cl := r.dial()
-			r.warmUp(cl)
+			r.fillRetryBudget(cl)
 			calls.swap(0)
 			began := time.Now()
 			if got := cl.roundTrip(getRequest(2000)); got.status != 200 || got.body != "GET /api " {
@@ -95,10 +95,10 @@
 				t.Errorf("answered after %v, 2 s allowed", took)
 			}
 			began = time.Now()
-			if got := cl.roundTrip(postRequest("pay", "x", 1000)); got.status != c.pay {
+			if got := cl.roundTrip(postRequest("pay", "x", 1000)); got.status != c.payStatus {
 				t.Errorf("must not run twice: got %d %q", got.status, got.body)
 			}
-			if n := calls.swap(1); n != c.payCalled {
+			if n := calls.swap(1); n != c.payCalls {
 				t.Errorf("must not run twice: %d calls", n)
 			}
 			if took := time.Since(began); took > 1070*time.Millisecond+maxWait/10 {
@@ -114,7 +114,7 @@
 
 // Good answers that bring more than belongs to them are served, and what they bring
 // does no harm to the next.
-func TestMoreThanBelongs(t *testing.T) {
+func TestExcessResponseBytes(t *testing.T) {
 	for name, answer := range map[string]func(*standin.Call){
 		"a second copy": func(c *standin.Call) {
 			c.WriteRaw(strings.Repeat("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst", 2))
@@ -152,7 +152,7 @@
 
 // What never ran may go elsewhere, and is refused, not failed, where there is
 // nowhere: with a decimal time to come back.
-func TestNobodyThere(t *testing.T) {
+func TestNoBackendReachable(t *testing.T) {
 	gone := standin.NewBackend(t, standin.Echo)
 	gone.Stop()
 	r := startWithBackends(t, gone)
@@ -167,7 +167,7 @@
 
 // A request that must not run twice goes to another backend when the first
 // connection breaks before all of it was written, and only then.
-func TestNotWhollyWritten(t *testing.T) {
+func TestPartlyWrittenRequest(t *testing.T) {
 	// Small segments and a small window: the system takes only a part of the
 	// request from a sender whose peer does not read.
 	small := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
@@ -196,7 +196,7 @@
 	}()
 	b := standin.NewBackend(t, func(c *standin.Call) { c.Reply(200, strconv.Itoa(len(c.BodyText))) })
 	list := standin.ListJSON(1, true, standin.TargetJSON("s-0", ln.Addr().String()), standin.TargetJSON("s-1", b.Addr()))
-	r := start(t, standin.NewDiscovery(t, list).Addr(), 256, list)
+	r := startProgram(t, standin.NewDiscovery(t, list).Addr(), 256, list)
 	for range 4 { // the two take turns
 		if got := r.dial().roundTrip(postRequest("pay", strings.Repeat("x", 64<<10), 2000)); got.status != 200 || got.body != "65536" {
 			t.Errorf("got %+v", got)
@@ -224,7 +224,7 @@
 
 // A backend that has been given up sees its connection closed before the next
 // attempt goes out.
-func TestGivenUpIsClosed(t *testing.T) {
+func TestAbandonedAttemptIsClosed(t *testing.T) {
 	closed := make(chan bool, 1)
 	calls := counter{n: 2} // neither the first nor the second yet
 	handle := func(c *standin.Call) {
@@ -248,7 +248,7 @@
 	}
 	r := startWithBackends(t, standin.NewBackend(t, handle), standin.NewBackend(t, handle))
 	c := r.dial()
-	r.warmUp(c)
+	r.fillRetryBudget(c)
 	calls.swap(0)
 	if got := c.roundTrip(getRequest(2000)); got.status != 200 {
 		t.Errorf("got %+v", got)
@@ -260,7 +260,7 @@
 
 // What a backend says is the caller's fault is passed on as that, tried nowhere
 // else, and says nothing against the backend.
-func TestCallersFault(t *testing.T) {
+func TestBackendReportsClientError(t *testing.T) {
 	calls := counter{}
 	handle := func(c *standin.Call) {
 		calls.increment()
@@ -280,5 +280,5 @@
 	if n := calls.swap(0); n != 20 {
 		t.Errorf("%d calls for 20 requests", n)
 	}
-	r.warmUp(c)
+	r.fillRetryBudget(c)
 }
--- a/cmd/oxbowloft/platform_test.go
+++ b/cmd/oxbowloft/platform_test.go
@@ -22,7 +22,7 @@
 type platform struct {
 	t          *testing.T
 	ln         *net.TCPListener
-	tmp        string
+	sharedDir        string
 	configPath string
 }
 
@@ -57,7 +57,7 @@
 	cmd := exec.Command(program, "serve", "--grace", "20ms")
 	cmd.ExtraFiles = []*os.File{f}
 	cmd.Env = append(os.Environ(), "BALANCER_CONFIG="+p.configPath, "BALANCER_LISTEN_FD=3",
-		"BALANCER_ADMIN="+adminAddr, "TMPDIR="+p.tmp)
+		"BALANCER_ADMIN="+adminAddr, "TMPDIR="+p.sharedDir)
 	r := &process{startCommand(p.t, cmd, p.ln.Addr().String()), adminAddr}
 	r.eventually("yes to PING", func() bool { return r.adminCommand("PING") == "OK\n" })
 	return r
--- a/cmd/oxbowloft/reload_test.go
+++ b/cmd/oxbowloft/reload_test.go
@@ -42,7 +42,7 @@
 	listA := standin.ListJSON(7, true, standin.TargetJSON("s-a", a.Addr()))
 	oldSource := standin.NewDiscovery(t, listA)
 	newSource := standin.NewDiscovery(t, standin.ListJSON(2, true, standin.TargetJSON("s-b", b.Addr())))
-	r := start(t, oldSource.Addr(), 256, listA)
+	r := startProgram(t, oldSource.Addr(), 256, listA)
 	r.eventually("a watch", func() bool { return oldSource.WatchCount() == 1 })
 
 	var stop atomic.Bool
@@ -123,7 +123,7 @@
 // Guards against a signal in a drain, or just before the end, that ends the program
 // with requests in flight.
 func TestReloadInDrain(t *testing.T) {
-	b, release := newHeldBackend(t)
+	b, release := newBlockingBackend(t)
 	r := startWithBackends(t, b)
 	c := r.dial()
 	c.send(postRequest("pay", "x", 2000))
--- a/cmd/oxbowloft/request_test.go
+++ b/cmd/oxbowloft/request_test.go
@@ -53,10 +53,10 @@
 }
 
 // What of a request's head reaches the backend, and of the answer's the client.
-func TestForwarded(t *testing.T) {
-	var seen http.Header
+func TestForwardedHeaders(t *testing.T) {
+	var received http.Header
 	r := startWithBackends(t, standin.NewBackend(t, func(c *standin.Call) {
-		seen = c.Header
+		received = c.Header
 		c.Reply(200, "", "Content-Type: text/x")
 	}))
 	got := r.dial().roundTrip("GET /api HTTP/1.1\r\nHost: h\r\nX-Request-ID: 00ff\r\nX-Priority-Class: get\r\n" +
@@ -64,11 +64,11 @@
 	if got.status != 200 || got.header.Get("Content-Type") != "text/x" {
 		t.Errorf("got %+v", got)
 	}
-	if seen.Get("X-Request-ID") != "00ff" || seen.Get("X-Retried") != "1" || seen.Get("Keep-Alive") != "" {
-		t.Errorf("headers %v", seen)
+	if received.Get("X-Request-ID") != "00ff" || received.Get("X-Retried") != "1" || received.Get("Keep-Alive") != "" {
+		t.Errorf("headers %v", received)
 	}
-	if ms, err := strconv.Atoi(seen.Get("X-Timeout-Ms")); err != nil || ms < 1 || ms >= 2000 || len(seen["X-Timeout-Ms"]) != 1 {
-		t.Errorf("time-outs %q", seen["X-Timeout-Ms"])
+	if ms, err := strconv.Atoi(received.Get("X-Timeout-Ms")); err != nil || ms < 1 || ms >= 2000 || len(received["X-Timeout-Ms"]) != 1 {
+		t.Errorf("time-outs %q", received["X-Timeout-Ms"])
 	}
 }
 
@@ -78,12 +78,12 @@
 func TestBadRequests(t *testing.T) {
 	b := standin.NewBackend(t, standin.Echo)
 	r := startWithBackends(t, b)
-	with := func(headers ...string) string {
+	getWith := func(headers ...string) string {
 		return "GET /api HTTP/1.1\r\nHost: h\r\n" + strings.Join(append(headers, ""), "\r\n") + "\r\n"
 	}
-	sent := func(headers ...string) string { return requestHead("POST", "/api", "pay", 500, headers...) }
+	postHead := func(headers ...string) string { return requestHead("POST", "/api", "pay", 500, headers...) }
 	const id, class, ms = "X-Request-ID: 00ff", "X-Priority-Class: get", "X-Timeout-Ms: 500"
-	hidden := postRequest("pay", "x", 500)
+	smuggled := postRequest("pay", "x", 500)
 	cases := []struct {
 		name, text string
 		status     int
@@ -95,50 +95,50 @@
 		{"bad version", "GET /api HTTP/9.9\r\n\r\n", 400},
 		{"spaces in the request line", strings.Replace(getRequest(500), "GET /api", "GET  /api", 1), 400},
 		{"control character in the target", strings.Replace(getRequest(500), "/api", "/a\x01pi", 1), 400},
-		{"control character in a header", with(id, class, ms, "X-A: a\x01b"), 400},
-		{"carriage return in a header", with(id, class, ms, "X-A: a\rX-B: b"), 400},
+		{"control character in a header", getWith(id, class, ms, "X-A: a\x01b"), 400},
+		{"carriage return in a header", getWith(id, class, ms, "X-A: a\rX-B: b"), 400},
 		{"lines without carriage returns", strings.ReplaceAll(getRequest(500), "\r", ""), 400},
-		{"folded header", with(id, class, ms, "X-A: a\r\n b"), 400},
-		{"space before the colon", sent("Content-Length : 1") + "x", 400},
-		{"header without a name", with(id, class, ms, ": x"), 400},
+		{"folded header", getWith(id, class, ms, "X-A: a\r\n b"), 400},
+		{"space before the colon", postHead("Content-Length : 1") + "x", 400},
+		{"header without a name", getWith(id, class, ms, ": x"), 400},
 		{"no host", strings.Replace(getRequest(500), "Host: api.internal\r\n", "", 1), 400},
-		{"two hosts", with(id, class, ms, "Host: other"), 400},
-		{"length is no number", sent("Content-Length: x"), 400},
-		{"length below zero", sent("Content-Length: -4") + "abcd", 400},
-		{"length with a sign", sent("Content-Length: +4") + "abcd", 400},
-		{"list of lengths", sent("Content-Length: 4, 4") + "abcd", 400},
-		{"empty length", sent("Content-Length: "), 400},
-		{"length beyond any number", sent("Content-Length: 99999999999999999999"), 400},
-		{"two lengths", sent("Content-Length: 4", "Content-Length: 9") + "abcd", 400},
-		{"the same length twice", sent("Content-Length: 4", "Content-Length: 4") + "abcd", 400},
-		{"length and coding", sent("Content-Length: 5", "Transfer-Encoding: chunked") + "0\r\n\r\n" + hidden, 400},
-		{"coding and length", sent("Transfer-Encoding: chunked", "Content-Length: 5") + "0\r\n\r\n" + hidden, 400},
-		{"length under another name", sent("Content_Length: 5", "Transfer-Encoding: chunked") + "0\r\n\r\n", 400},
-		{"unknown coding", sent("Transfer-Encoding: gzip, chunked") + "0\r\n\r\n", 400},
-		{"odd coding", sent("Transfer-Encoding: xchunked") + "0\r\n\r\n", 400},
-		{"two codings", sent("Transfer-Encoding: chunked", "Transfer-Encoding: identity") + "0\r\n\r\n", 400},
-		{"bad chunk", sent("Transfer-Encoding: chunked") + "4\r\nabcd\r\nzz\r\nabcd\r\n0\r\n\r\n", 400},
-		{"body longer than told", sent("Content-Length: 1") + "xyz", 400},
-		{"a request behind it", hidden + hidden, 400},
+		{"two hosts", getWith(id, class, ms, "Host: other"), 400},
+		{"length is no number", postHead("Content-Length: x"), 400},
+		{"length below zero", postHead("Content-Length: -4") + "abcd", 400},
+		{"length with a sign", postHead("Content-Length: +4") + "abcd", 400},
+		{"list of lengths", postHead("Content-Length: 4, 4") + "abcd", 400},
+		{"empty length", postHead("Content-Length: "), 400},
+		{"length beyond any number", postHead("Content-Length: 99999999999999999999"), 400},
+		{"two lengths", postHead("Content-Length: 4", "Content-Length: 9") + "abcd", 400},
+		{"the same length twice", postHead("Content-Length: 4", "Content-Length: 4") + "abcd", 400},
+		{"length and coding", postHead("Content-Length: 5", "Transfer-Encoding: chunked") + "0\r\n\r\n" + smuggled, 400},
+		{"coding and length", postHead("Transfer-Encoding: chunked", "Content-Length: 5") + "0\r\n\r\n" + smuggled, 400},
+		{"length under another name", postHead("Content_Length: 5", "Transfer-Encoding: chunked") + "0\r\n\r\n", 400},
+		{"unknown coding", postHead("Transfer-Encoding: gzip, chunked") + "0\r\n\r\n", 400},
+		{"odd coding", postHead("Transfer-Encoding: xchunked") + "0\r\n\r\n", 400},
+		{"two codings", postHead("Transfer-Encoding: chunked", "Transfer-Encoding: identity") + "0\r\n\r\n", 400},
+		{"bad chunk", postHead("Transfer-Encoding: chunked") + "4\r\nabcd\r\nzz\r\nabcd\r\n0\r\n\r\n", 400},
+		{"body longer than told", postHead("Content-Length: 1") + "xyz", 400},
+		{"a request behind it", smuggled + smuggled, 400},
 		{"body of a get", requestHead("GET", "/api", "get", 500, "Content-Length: 4") + "abcd", 400},
 		{"head too large", "GET /" + strings.Repeat("x", 40<<10) + " HTTP/1.1\r\n\r\n", 431},
 		{"head without end", getRequest(500)[:20] + strings.Repeat("X-Pad: p\r\n", 20<<10), 431},
-		{"body too large", sent("Content-Length: 40000000") + strings.Repeat("x", 70000), 413},
-		{"body much too large", sent("Content-Length: 60000000") + strings.Repeat("x", 70000), 413},
-		{"unknown class", with(id, "X-Priority-Class: odd", ms), 400},
-		{"no class", with(id, ms), 400},
-		{"two classes", with(id, class, "X-Priority-Class: pay", ms), 400},
-		{"no time-out", with(id, class), 400},
-		{"two time-outs", with(id, class, ms, "X-Timeout-Ms: 400"), 400},
-		{"time-out is no number", with(id, class, "X-Timeout-Ms: soon"), 400},
-		{"time-out spent", with(id, class, "X-Timeout-Ms: 0"), 400},
-		{"time-out below zero", with(id, class, "X-Timeout-Ms: -5"), 400},
-		{"time-out beyond reason", with(id, class, "X-Timeout-Ms: 99999999999999999999"), 400},
-		{"no id", with(class, ms), 400},
-		{"two ids", with(id, "X-Request-ID: 00fe", class, ms), 400},
-		{"id without end", with("X-Request-ID: "+strings.Repeat("f", 10<<10), class, ms), 400},
-		{"id under two names", with(id, "X_Request_ID: 00fe", class, ms), 400},
-		{"connection takes a header away", with(id, class, ms, "Connection: X-Request-ID"), 400},
+		{"body too large", postHead("Content-Length: 40000000") + strings.Repeat("x", 70000), 413},
+		{"body much too large", postHead("Content-Length: 60000000") + strings.Repeat("x", 70000), 413},
+		{"unknown class", getWith(id, "X-Priority-Class: odd", ms), 400},
+		{"no class", getWith(id, ms), 400},
+		{"two classes", getWith(id, class, "X-Priority-Class: pay", ms), 400},
+		{"no time-out", getWith(id, class), 400},
+		{"two time-outs", getWith(id, class, ms, "X-Timeout-Ms: 400"), 400},
+		{"time-out is no number", getWith(id, class, "X-Timeout-Ms: soon"), 400},
+		{"time-out spent", getWith(id, class, "X-Timeout-Ms: 0"), 400},
+		{"time-out below zero", getWith(id, class, "X-Timeout-Ms: -5"), 400},
+		{"time-out beyond reason", getWith(id, class, "X-Timeout-Ms: 99999999999999999999"), 400},
+		{"no id", getWith(class, ms), 400},
+		{"two ids", getWith(id, "X-Request-ID: 00fe", class, ms), 400},
+		{"id without end", getWith("X-Request-ID: "+strings.Repeat("f", 10<<10), class, ms), 400},
+		{"id under two names", getWith(id, "X_Request_ID: 00fe", class, ms), 400},
+		{"connection takes a header away", getWith(id, class, ms, "Connection: X-Request-ID"), 400},
 		{"unknown method", requestHead("BREW", "/api", "get", 500), 405},
 		{"connect", requestHead("CONNECT", "h:1", "get", 500), 405},
 	}
@@ -172,8 +172,8 @@
 
 // The id of a request that is open here is turned away, and the open one is not
 // touched: guards against an answer made for another's request.
-func TestIDOfOpenRequest(t *testing.T) {
-	b, release := newHeldBackend(t)
+func TestDuplicateRequestID(t *testing.T) {
+	b, release := newBlockingBackend(t)
 	r := startWithBackends(t, b)
 	c, text := r.dial(), getRequest(2000)
 	c.send(text)
@@ -191,8 +191,8 @@
 }
 
 // A request sent before the last one's answer is never served, nor is that one.
-func TestAhead(t *testing.T) {
-	b, release := newHeldBackend(t)
+func TestPipelinedRequest(t *testing.T) {
+	b, release := newBlockingBackend(t)
 	r := startWithBackends(t, b)
 	c := r.dial()
 	c.send(getRequest(2000))
--- a/cmd/oxbowloft/restart_test.go
+++ b/cmd/oxbowloft/restart_test.go
@@ -22,7 +22,7 @@
 	b := standin.NewBackend(t, standin.Echo)
 	list := standin.ListJSON(1, true, standin.TargetJSON("s-1", b.Addr()))
 	d := standin.NewDiscovery(t, list)
-	r := start(t, d.Addr(), 256, list)
+	r := startProgram(t, d.Addr(), 256, list)
 	c := r.dial()
 	if got := c.roundTrip(getRequest(2000)); got.status != 200 {
 		t.Fatalf("got %+v", got)
@@ -38,25 +38,25 @@
 // Guards against requests that are lost, run twice or turned back while a process
 // replaces another, twice in a row: whole ones, half a one and one long in flight. Bans
 // made before and between hold in all.
-func TestReplaced(t *testing.T) {
+func TestProcessReplacement(t *testing.T) {
 	var ran sync.Map
-	var twice counter
+	var repeated counter
 	echo := func(c *standin.Call) {
 		if _, again := ran.LoadOrStore(c.Header.Get("X-Request-ID"), true); again {
-			twice.increment()
+			repeated.increment()
 		}
 		if c.BodyText == "slow" {
 			time.Sleep(time.Second)
 		}
 		standin.Echo(c)
 	}
-	out, b, b2 := standin.NewBackend(t, echo), standin.NewBackend(t, echo), standin.NewBackend(t, echo)
-	p := newPlatform(t, 256, discoveryList(out, b, b2))
+	detached, b, b2 := standin.NewBackend(t, echo), standin.NewBackend(t, echo), standin.NewBackend(t, echo)
+	p := newPlatform(t, 256, discoveryList(detached, b, b2))
 	old := p.start()
 	if got := old.adminCommand("DETACH s-0"); got != "OK\n" {
 		t.Fatalf("got %q", got)
 	}
-	calls := out.RequestCount()
+	calls := detached.RequestCount()
 	end := make(chan bool)
 	answered, wait := startLoad(t, old.addr, 4, end)
 	for range 2 {
@@ -97,10 +97,10 @@
 	}
 	close(end)
 	wait()
-	if n := out.RequestCount(); n != calls {
+	if n := detached.RequestCount(); n != calls {
 		t.Errorf("%d calls at a backend that is out", n-calls)
 	}
-	if n := twice.swap(0); n > 0 {
+	if n := repeated.swap(0); n > 0 {
 		t.Errorf("%d requests ran twice", n)
 	}
 }
@@ -136,7 +136,7 @@
 		cmd := exec.Command(program, "serve")
 		cmd.ExtraFiles = []*os.File{noListener, f}
 		cmd.Env = append(os.Environ(), "BALANCER_CONFIG="+p.configPath, "BALANCER_LISTEN_FD="+c.fd,
-			"BALANCER_ADMIN="+c.adminAddr, "TMPDIR="+p.tmp)
+			"BALANCER_ADMIN="+c.adminAddr, "TMPDIR="+p.sharedDir)
 		said, err := cmd.CombinedOutput()
 		if err == nil || !strings.Contains(string(said), c.want) {
 			t.Errorf("%s: %v, %q", c.name, err, said)
@@ -152,7 +152,7 @@
 	<-next.exited
 	old.eventually("alone again", func() bool { return strings.Contains(old.logText(), "event=processes count=1") })
 	for _, name := range []string{"127.0.0.1", "oxbowloft-spoilt.bans"} {
-		os.WriteFile(filepath.Join(p.tmp, name), []byte("\x00"), 0o600)
+		os.WriteFile(filepath.Join(p.sharedDir, name), []byte("\x00"), 0o600)
 	}
 	c := old.dial()
 	for range 20 {
@@ -168,7 +168,7 @@
 // A process that gets no processor time for a while answers all that it has taken all the
 // same, once each: what was in flight, what came whole while it stood still, and what came
 // half. Guards against timers that run late and deadlines that are past when they do.
-func TestProcessStandsStill(t *testing.T) {
+func TestSuspendedProcess(t *testing.T) {
 	b := standin.NewBackend(t, func(c *standin.Call) {
 		if c.Method == "GET" {
 			standin.Echo(c)
--- a/cmd/oxbowloft/shapes_test.go
+++ b/cmd/oxbowloft/shapes_test.go
@@ -15,9 +15,9 @@
 
 // Configurations of every shape that the operators' pages allow.
 
-// shape is what the test asks of a configuration: its class names, and the values by
+// configSummary is what the test asks of a configuration: its class names, and the values by
 // which it tells what the files cover.
-type shape struct {
+type configSummary struct {
 	Limits *struct{ Sockets int }
 	Known  *struct {
 		Targets []struct{ State string }
@@ -43,8 +43,8 @@
 	}
 }
 
-// covers names what of the shapes the configuration has.
-func (s *shape) covers() []string {
+// features names what of the shapes the configuration has.
+func (s *configSummary) features() []string {
 	o := s.Settings
 	count := func(what string, n int) string { return what + " " + strconv.Itoa(min(n, 2)) }
 	out := []string{
@@ -91,7 +91,7 @@
 // The program starts with a configuration of every shape that the operators' pages allow,
 // gets ready, and serves a request of each class. Guards against a check that refuses, and
 // against code that fails on, a deployment unlike those that we know.
-func TestShapes(t *testing.T) {
+func TestConfigVariants(t *testing.T) {
 	files, err := filepath.Glob("testdata/shapes/*.json")
 	if err != nil {
 		t.Fatal(err)
@@ -102,14 +102,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var s shape
+		var s configSummary
 		if err := json.Unmarshal(text, &s); err != nil {
 			t.Fatalf("%s: %v", file, err)
 		}
-		for _, c := range s.covers() {
+		for _, c := range s.features() {
 			covered[c] = true
 		}
-		t.Run(strings.TrimSuffix(filepath.Base(file), ".json"), func(t *testing.T) { serveShape(t, string(text), &s) })
+		t.Run(strings.TrimSuffix(filepath.Base(file), ".json"), func(t *testing.T) { serveConfig(t, string(text), &s) })
 	}
 	for _, want := range []string{
 		"kind chain", "kind mesh", "kind proxy", "kind ",
@@ -134,9 +134,9 @@
 	}
 }
 
-// serveShape starts the program as text says, with addresses filled in, and asks it for
+// serveConfig starts the program as text says, with addresses filled in, and asks it for
 // each class.
-func serveShape(t *testing.T, text string, s *shape) {
+func serveConfig(t *testing.T, text string, s *configSummary) {
 	b, gone := standin.NewBackend(t, standin.Echo), standin.NewBackend(t, standin.Echo)
 	d := standin.NewDiscovery(t, standin.ListJSON(100, true, standin.TargetJSON("b-9", b.Addr())))
 	addr := freeAddr(t)
@@ -166,7 +166,7 @@
 	if want := len(s.Settings.Classes); b.RequestCount() != want || gone.RequestCount() != 0 {
 		t.Errorf("%d calls in service, want %d; %d to what had left or was leaving", b.RequestCount(), want, gone.RequestCount())
 	}
-	if slices.ContainsFunc(s.covers(), func(c string) bool { return c == "no known" || c == "empty known" }) && len(d.RequestURIs()) == 0 {
+	if slices.ContainsFunc(s.features(), func(c string) bool { return c == "no known" || c == "empty known" }) && len(d.RequestURIs()) == 0 {
 		t.Error("discovery was not asked")
 	}
 }
--- a/cmd/oxbowloft/size_test.go
+++ b/cmd/oxbowloft/size_test.go
@@ -12,37 +12,37 @@
 	"oxbowloft/internal/standin"
 )
 
-// needs is what a process has used by its end.
-type needs struct {
+// resourceUsage is what a process has used by its end.
+type resourceUsage struct {
 	cpu      time.Duration
 	memoryMB float64
 	sockets  int // open at the end of the calls
 	opened   int // connections to backends
 }
 
-// needsFor runs a built program with so many known backends, one balancer among so many, and
+// measureUsage runs a built program with so many known backends, one balancer among so many, and
 // makes calls; it returns what the process needed.
-func needsFor(t *testing.T, program string, known, balancers, calls int) needs {
+func measureUsage(t *testing.T, program string, known, balancers, calls int) resourceUsage {
 	t.Helper()
 	const listeners = 8 // known backends share their addresses
-	var behind []*standin.Backend
+	var backends []*standin.Backend
 	for range listeners {
-		behind = append(behind, standin.NewBackend(t, func(c *standin.Call) {
+		backends = append(backends, standin.NewBackend(t, func(c *standin.Call) {
 			time.Sleep(5 * time.Millisecond) // so that no backend looks slow by chance
 			standin.Echo(c)
 		}))
 	}
 	targets := make([]string, known)
 	for i := range targets {
-		targets[i] = standin.TargetJSON(fmt.Sprintf("s-%04d", i), behind[i%listeners].Addr())
+		targets[i] = standin.TargetJSON(fmt.Sprintf("s-%04d", i), backends[i%listeners].Addr())
 	}
-	many := func(listen, discovery string, sockets int, known string) string {
+	makeConfig := func(listen, discovery string, sockets int, known string) string {
 		text := standin.Config(listen, discovery, sockets, known)
 		return strings.Replace(text, `"balancers":1`, fmt.Sprintf(`"balancers":%d`, balancers), 1)
 	}
 	d := standin.NewDiscovery(t, standin.ListJSON(1, false))
 	addr := freeAddr(t)
-	config := writeConfig(t, many(addr, d.Addr(), 512, standin.ListJSON(1, true, targets...)))
+	config := writeConfig(t, makeConfig(addr, d.Addr(), 512, standin.ListJSON(1, true, targets...)))
 	r := startCommand(t, exec.Command(program, "serve", "--grace", "20ms", config), addr)
 	c := r.dial()
 	for i := range calls {
@@ -50,13 +50,13 @@
 			t.Fatalf("call %d: %+v", i, got)
 		}
 	}
-	var n needs
+	var n resourceUsage
 	entries, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", r.cmd.Process.Pid))
 	if err != nil {
 		t.Fatal(err)
 	}
 	n.sockets, n.memoryMB = len(entries), peakMemoryMB(t, r.cmd.Process.Pid)
-	for _, b := range behind {
+	for _, b := range backends {
 		opened, _ := b.ConnCounts()
 		n.opened += opened
 	}
@@ -88,22 +88,22 @@
 
 // What a proxy needs at the operators' largest fleet, against the usual one: their table,
 // row by row, as far as one process shows it.
-func TestNeedsBySize(t *testing.T) {
+func TestResourceUsageByFleetSize(t *testing.T) {
 	const calls = 1000
-	program := buildPlain(t)
-	usual, large := needsFor(t, program, 200, 300, calls), needsFor(t, program, 3200, 900, calls)
+	program := buildWithoutRace(t)
+	usual, large := measureUsage(t, program, 200, 300, calls), measureUsage(t, program, 3200, 900, calls)
 	t.Logf("200 backends: %+v; 3,200: %+v", usual, large)
 	const thousands = 3.2
-	if most := 1.4*usual.cpu.Seconds() + 0.02 + 0.03*thousands; large.cpu.Seconds() > most {
-		t.Errorf("processor time %v, %.3f s at most", large.cpu, most)
+	if limit := 1.4*usual.cpu.Seconds() + 0.02 + 0.03*thousands; large.cpu.Seconds() > limit {
+		t.Errorf("processor time %v, %.3f s at most", large.cpu, limit)
 	}
-	if most := 1.5*usual.memoryMB + 8 + 4*thousands; large.memoryMB > most {
-		t.Errorf("memory %.1f MB, %.1f at most", large.memoryMB, most)
+	if limit := 1.5*usual.memoryMB + 8 + 4*thousands; large.memoryMB > limit {
+		t.Errorf("memory %.1f MB, %.1f at most", large.memoryMB, limit)
 	}
-	if most := 2*usual.sockets + 40; large.sockets > most {
-		t.Errorf("%d descriptors, %d at most", large.sockets, most)
+	if limit := 2*usual.sockets + 40; large.sockets > limit {
+		t.Errorf("%d descriptors, %d at most", large.sockets, limit)
 	}
-	if most := int(2.5*float64(usual.opened)) + 40; large.opened > most {
-		t.Errorf("%d connections to backends, %d at most", large.opened, most)
+	if limit := int(2.5*float64(usual.opened)) + 40; large.opened > limit {
+		t.Errorf("%d connections to backends, %d at most", large.opened, limit)
 	}
 }
--- a/cmd/oxbowloft/stale_list_test.go
+++ b/cmd/oxbowloft/stale_list_test.go
@@ -15,25 +15,25 @@
 // under its id and serves, until a list says so.
 
 const (
-	// toldWithin is how long after discovery has had a change it counts as told.
-	toldWithin = 6 * time.Second
-	// answersOn is for how long a backend that drains answers on before it turns calls away.
-	answersOn = 2500 * time.Millisecond
+	// announcedWithin is how long after discovery has had a change it counts as told.
+	announcedWithin = 6 * time.Second
+	// servesWhileDraining is for how long a backend that drains answers on before it turns calls away.
+	servesWhileDraining = 2500 * time.Millisecond
 	// drainGrace is that of standin.Config, which gives none, and the protocol's slack.
 	drainGrace = 50 * time.Millisecond
 )
 
-// sendTimes is when a backend got each of its calls.
-type sendTimes struct {
+// requestLog is when a backend got each of its calls.
+type requestLog struct {
 	mu          sync.Mutex
 	times       []time.Time
-	turnsAwayAt time.Time // from when on all calls are turned away; zero: none are
+	rejectsFrom time.Time // from when on all calls are turned away; zero: none are
 }
 
 // reply answers a call with the backend's name, or turns it away, and notes its time.
-func (s *sendTimes) reply(name string) func(*standin.Call) {
+func (s *requestLog) reply(name string) func(*standin.Call) {
 	return func(c *standin.Call) {
-		if s.note() {
+		if s.record() {
 			c.Reply(503, "full", "X-Not-Processed: 1")
 			return
 		}
@@ -41,24 +41,24 @@
 	}
 }
 
-// note notes a call, and tells whether it is to be turned away.
-func (s *sendTimes) note() (turnedAway bool) {
+// record notes a call, and tells whether it is to be turned away.
+func (s *requestLog) record() (rejected bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
 	s.times = append(s.times, now)
-	return !s.turnsAwayAt.IsZero() && now.After(s.turnsAwayAt)
+	return !s.rejectsFrom.IsZero() && now.After(s.rejectsFrom)
 }
 
-// turnAway makes all calls be turned away from a time on.
-func (s *sendTimes) turnAway(from time.Time) {
+// rejectFrom makes all calls be turned away from a time on.
+func (s *requestLog) rejectFrom(from time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.turnsAwayAt = from
+	s.rejectsFrom = from
 }
 
-// between is how many calls came from one time on and before another.
-func (s *sendTimes) between(from, to time.Time) (n int) {
+// countBetween is how many calls came from one time on and before another.
+func (s *requestLog) countBetween(from, to time.Time) (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, at := range s.times {
@@ -69,55 +69,55 @@
 	return n
 }
 
-// staleListRun is a process that is told nothing of a backend's going and return.
-type staleListRun struct {
+// staleListTest is a process that is told nothing of a backend's going and return.
+type staleListTest struct {
 	t                *testing.T
 	discovery        *standin.Discovery
 	targets          []string
 	known            string
 	leaving, staying *standin.Backend
-	toLeaving        sendTimes
+	leavingRequests        requestLog
 	process          *runningProgram
 }
 
-// startStaleListRun starts a process with two backends, and sees that both are used.
-func startStaleListRun(t *testing.T) *staleListRun {
-	s := &staleListRun{t: t}
-	s.leaving = standin.NewBackend(t, s.toLeaving.reply("leaving"))
+// startStaleListTest starts a process with two backends, and sees that both are used.
+func startStaleListTest(t *testing.T) *staleListTest {
+	s := &staleListTest{t: t}
+	s.leaving = standin.NewBackend(t, s.leavingRequests.reply("leaving"))
 	s.staying = standin.NewBackend(t, func(c *standin.Call) { c.Reply(200, "staying") })
 	s.targets = []string{standin.TargetJSON("s-0", s.leaving.Addr()), standin.TargetJSON("s-1", s.staying.Addr())}
 	s.known = standin.ListJSON(1, true, s.targets...)
 	s.discovery = standin.NewDiscovery(t, s.known)
 	s.discovery.SendHeartbeats()
-	s.process = start(t, s.discovery.Addr(), 256, s.known)
+	s.process = startProgram(t, s.discovery.Addr(), 256, s.known)
 	s.process.eventually("a watch", func() bool { return s.discovery.WatchCount() == 1 })
-	s.process.eventually("a request served", s.ask)
-	s.askUntil(time.Now().Add(300 * time.Millisecond))
-	if s.toLeaving.between(time.Time{}, time.Now()) == 0 {
+	s.process.eventually("a request served", s.sendRequest)
+	s.sendRequestsUntil(time.Now().Add(300 * time.Millisecond))
+	if s.leavingRequests.countBetween(time.Time{}, time.Now()) == 0 {
 		t.Fatal("nothing sent to the backend while it was in service")
 	}
 	return s
 }
 
 // restart kills the process and starts it again, with the list that it had.
-func (s *staleListRun) restart() {
+func (s *staleListTest) restart() {
 	s.process.signal(syscall.SIGKILL)
 	s.process.wait()
 	config := writeConfig(s.t, standin.Config(s.process.addr, s.discovery.Addr(), 256, s.known))
 	s.process = startCommand(s.t, exec.Command(program, "serve", "--grace", "20ms", config), s.process.addr)
 }
 
-// ask sends one request, and tells whether it was served.
-func (s *staleListRun) ask() bool {
+// sendRequest sends one request, and tells whether it was served.
+func (s *staleListTest) sendRequest() bool {
 	c := s.process.dial()
 	defer c.Close()
 	return c.roundTrip(getRequest(1000)).status == 200
 }
 
-// askUntil sends requests up to a time, and tells how many were served.
-func (s *staleListRun) askUntil(end time.Time) (served int) {
+// sendRequestsUntil sends requests up to a time, and tells how many were served.
+func (s *staleListTest) sendRequestsUntil(end time.Time) (served int) {
 	for ; time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		if s.ask() {
+		if s.sendRequest() {
 			served++
 		}
 	}
@@ -131,39 +131,39 @@
 func TestReturnedBackendCountsAsGone(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		trouble func(s *staleListRun) // before the backend goes
-		back    func(s *staleListRun) // behind its return
-		serves  bool                  // the backend that stayed goes on being used meanwhile
+		disrupt func(s *staleListTest) // before the backend goes
+		afterReturn    func(s *staleListTest) // behind its return
+		keepsServing  bool                  // the backend that stayed goes on being used meanwhile
 	}{
-		{"a process starts again with the list that it had", func(s *staleListRun) {
+		{"a process starts again with the list that it had", func(s *staleListTest) {
 			s.discovery.SetOverloaded(500 * time.Millisecond)
 			s.discovery.ResetWatches()
-		}, (*staleListRun).restart, false},
-		{"calls for the list are turned away", func(s *staleListRun) {
+		}, (*staleListTest).restart, false},
+		{"calls for the list are turned away", func(s *staleListTest) {
 			s.discovery.SetOverloaded(500 * time.Millisecond)
 			s.discovery.ResetWatches()
-		}, func(*staleListRun) {}, true},
-		{"the watch stands, and shows signs of life", func(s *staleListRun) {
+		}, func(*staleListTest) {}, true},
+		{"the watch stands, and shows signs of life", func(s *staleListTest) {
 			s.discovery.SetOverloaded(500 * time.Millisecond)
-		}, func(*staleListRun) {}, true},
+		}, func(*staleListTest) {}, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			s := startStaleListRun(t)
-			c.trouble(s)
+			s := startStaleListTest(t)
+			c.disrupt(s)
 			s.leaving.Stop()
 			gone := time.Now() // discovery has it, and tells nobody
-			s.askUntil(gone.Add(2 * time.Second))
+			s.sendRequestsUntil(gone.Add(2 * time.Second))
 			s.leaving.Restart(t)
-			c.back(s)
-			told := gone.Add(toldWithin)
-			s.askUntil(told.Add(drainGrace))
-			end := told.Add(2 * time.Second)
-			served := s.askUntil(end)
-			if n := s.toLeaving.between(told.Add(drainGrace), end); n > 0 {
+			c.afterReturn(s)
+			announcedAt := gone.Add(announcedWithin)
+			s.sendRequestsUntil(announcedAt.Add(drainGrace))
+			end := announcedAt.Add(2 * time.Second)
+			served := s.sendRequestsUntil(end)
+			if n := s.leavingRequests.countBetween(announcedAt.Add(drainGrace), end); n > 0 {
 				t.Errorf("%d requests to a backend whose going counts as told", n)
 			}
-			if c.serves && served == 0 {
+			if c.keepsServing && served == 0 {
 				t.Error("nothing is served by the backend that never went")
 			}
 
@@ -172,8 +172,8 @@
 			s.discovery.SetFirstLine(standin.ListJSON(3, true, s.targets...))
 			s.discovery.SetDown(false)
 			s.process.eventually("use of the backend again", func() bool {
-				s.ask()
-				return s.toLeaving.between(end, time.Now()) > 0
+				s.sendRequest()
+				return s.leavingRequests.countBetween(end, time.Now()) > 0
 			})
 		})
 	}
@@ -185,18 +185,18 @@
 // six seconds, whatever it did afterwards. On a herd day of 380 processes 379 of 387 attempts
 // that came right behind one which was turned away were turned away, too
 // ("event=stale_attempt ... result=full" again and again, up to 4 s past the list's time).
-func TestDrainedBackendTurnsCallsAway(t *testing.T) {
+func TestDrainedBackendRejectsRequests(t *testing.T) {
 	t.Parallel()
-	s := startStaleListRun(t)
+	s := startStaleListTest(t)
 	s.discovery.SetOverloaded(500 * time.Millisecond)
 	s.discovery.ResetWatches()
 	drains := time.Now()
-	s.toLeaving.turnAway(drains.Add(answersOn))
-	told := drains.Add(toldWithin + drainGrace)
-	s.askUntil(told)
-	end := told.Add(2 * time.Second)
-	s.askUntil(end)
-	if n := s.toLeaving.between(told, end); n > 0 {
+	s.leavingRequests.rejectFrom(drains.Add(servesWhileDraining))
+	announcedAt := drains.Add(announcedWithin + drainGrace)
+	s.sendRequestsUntil(announcedAt)
+	end := announcedAt.Add(2 * time.Second)
+	s.sendRequestsUntil(end)
+	if n := s.leavingRequests.countBetween(announcedAt, end); n > 0 {
 		t.Errorf("%d requests to a backend whose going counts as told", n)
 	}
 }
@@ -209,15 +209,15 @@
 // "event=list_stale" at 10.5 s), and the sends that broke the rule came from 8.3 s on.
 func TestDrainedBackendOnALateWatch(t *testing.T) {
 	t.Parallel()
-	s := startStaleListRun(t)
+	s := startStaleListTest(t)
 	s.discovery.SetOverloaded(500 * time.Millisecond)
 	drains := time.Now()
-	s.toLeaving.turnAway(drains.Add(answersOn))
-	told := drains.Add(toldWithin + drainGrace)
-	s.askUntil(told)
-	end := told.Add(2 * time.Second)
-	s.askUntil(end)
-	if n := s.toLeaving.between(told, end); n > 0 {
+	s.leavingRequests.rejectFrom(drains.Add(servesWhileDraining))
+	announcedAt := drains.Add(announcedWithin + drainGrace)
+	s.sendRequestsUntil(announcedAt)
+	end := announcedAt.Add(2 * time.Second)
+	s.sendRequestsUntil(end)
+	if n := s.leavingRequests.countBetween(announcedAt, end); n > 0 {
 		t.Errorf("%d requests to a backend whose going counts as told", n)
 	}
 }
@@ -227,18 +227,18 @@
 // counted for six seconds, though some of those were behind its drain. On a herd day seventeen
 // attempts went to backends that had turned to draining in a quiet time of over two seconds
 // ("event=stale_attempt uid=s-64a0abb7 ... result=ok" at 13.97 s, "result=full" at 17.20 s).
-func TestQuietDrainedBackend(t *testing.T) {
+func TestDrainedBackendWithoutTraffic(t *testing.T) {
 	t.Parallel()
-	s := startStaleListRun(t)
+	s := startStaleListTest(t)
 	s.discovery.SetOverloaded(500 * time.Millisecond)
 	s.discovery.ResetWatches()
 	drains := time.Now()
-	s.askUntil(drains.Add(answersOn))
-	told := drains.Add(toldWithin + drainGrace)
-	time.Sleep(time.Until(told))
-	end := told.Add(2 * time.Second)
-	s.askUntil(end)
-	if n := s.toLeaving.between(told, end); n > 0 {
+	s.sendRequestsUntil(drains.Add(servesWhileDraining))
+	announcedAt := drains.Add(announcedWithin + drainGrace)
+	time.Sleep(time.Until(announcedAt))
+	end := announcedAt.Add(2 * time.Second)
+	s.sendRequestsUntil(end)
+	if n := s.leavingRequests.countBetween(announcedAt, end); n > 0 {
 		t.Errorf("%d requests to a backend whose going counts as told", n)
 	}
 }
@@ -251,27 +251,27 @@
 func TestCrowdIsNoOutage(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		trouble func(s *staleListRun)
-		told    func(s *staleListRun) // once its going counts
+		disrupt func(s *staleListTest)
+		afterAnnounced    func(s *staleListTest) // once its going counts
 	}{
-		{"calls for the list are turned away", func(s *staleListRun) { s.discovery.ResetWatches() }, func(*staleListRun) {}},
-		{"the watch stands, and shows signs of life", func(*staleListRun) {}, func(*staleListRun) {}},
-		{"discovery goes down, and a process starts again", func(s *staleListRun) { s.discovery.ResetWatches() }, func(s *staleListRun) {
+		{"calls for the list are turned away", func(s *staleListTest) { s.discovery.ResetWatches() }, func(*staleListTest) {}},
+		{"the watch stands, and shows signs of life", func(*staleListTest) {}, func(*staleListTest) {}},
+		{"discovery goes down, and a process starts again", func(s *staleListTest) { s.discovery.ResetWatches() }, func(s *staleListTest) {
 			s.discovery.Stop()
 			s.restart()
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			s := startStaleListRun(t)
+			s := startStaleListTest(t)
 			s.discovery.SetOverloaded(500 * time.Millisecond)
-			c.trouble(s)
-			told := time.Now().Add(toldWithin)
-			s.askUntil(told.Add(drainGrace))
-			c.told(s)
-			end := told.Add(2 * time.Second)
-			s.askUntil(end)
-			if n := s.toLeaving.between(told.Add(drainGrace), end); n > 0 {
+			c.disrupt(s)
+			announcedAt := time.Now().Add(announcedWithin)
+			s.sendRequestsUntil(announcedAt.Add(drainGrace))
+			c.afterAnnounced(s)
+			end := announcedAt.Add(2 * time.Second)
+			s.sendRequestsUntil(end)
+			if n := s.leavingRequests.countBetween(announcedAt.Add(drainGrace), end); n > 0 {
 				t.Errorf("%d requests to a backend whose going counts as told", n)
 			}
 		})
--- a/cmd/oxbowloft/streaming_test.go
+++ b/cmd/oxbowloft/streaming_test.go
@@ -134,7 +134,7 @@
 
 // What a backend says before the end of a long body is the answer, an unsafe request is
 // not sent again once a part of it has gone, and the connection goes on.
-func TestLongBodyTurnedAway(t *testing.T) {
+func TestLongBodyRejected(t *testing.T) {
 	ln, err := net.Listen("tcp", freeAddr(t))
 	if err != nil {
 		t.Fatal(err)
@@ -184,7 +184,7 @@
 // All forms in which a message may come and an answer may end are served: to an
 // HTTP/1.0 client, to one that waits for leave to send, and from a backend whose answer
 // lasts as long as its connection.
-func TestForms(t *testing.T) {
+func TestMessageForms(t *testing.T) {
 	long := strings.Repeat("0123456789", 20_000)
 	b := standin.NewBackend(t, func(c *standin.Call) {
 		switch c.RequestURI {
@@ -235,22 +235,22 @@
 
 // A client that leaves or spoils its long body half way costs its backend nothing and
 // nobody else anything; the request never runs.
-func TestLongBodyBrokenOff(t *testing.T) {
+func TestLongBodyAborted(t *testing.T) {
 	b := standin.NewBackend(t, standin.Echo)
 	r := newPlatform(t, 256, discoveryList(b)).start()
 	calls := b.RequestCount()
 	gone := r.dial()
 	gone.send(requestHead("POST", "/api", "pay", 2000, "Content-Length: 1000000") + strings.Repeat("x", 300_000))
 	gone.Close()
-	spoilt := r.dial()
-	spoilt.send(requestHead("POST", "/api", "pay", 2000, "Transfer-Encoding: chunked") +
+	malformed := r.dial()
+	malformed.send(requestHead("POST", "/api", "pay", 2000, "Transfer-Encoding: chunked") +
 		"30000\r\n" + strings.Repeat("x", 0x30000) + "\r\nzz\r\n")
-	if got := spoilt.read(); got.status != 400 {
+	if got := malformed.read(); got.status != 400 {
 		t.Errorf("spoilt: %+v", got)
 	}
-	ahead := r.dial()
-	ahead.send(requestHead("POST", "/api", "pay", 2000, "Content-Length: 200000") + strings.Repeat("x", 200_000) + "noise")
-	if got := ahead.read(); got.status != 400 {
+	excess := r.dial()
+	excess.send(requestHead("POST", "/api", "pay", 2000, "Content-Length: 200000") + strings.Repeat("x", 200_000) + "noise")
+	if got := excess.read(); got.status != 400 {
 		t.Errorf("more than told: %+v", got)
 	}
 	if got := r.dial().roundTrip(getRequest(2000)); got.status != 200 {
