--- a/cmd/oxbowloft/admin_test.go
+++ b/cmd/oxbowloft/admin_test.go
@@ -11,10 +11,10 @@
 	"oxbowloft/internal/standin"
 )
 
-// The admin port: the figures, and backends taken out and back by hand.
+// This file tests the admin endpoint: metrics, and detaching and attaching backends.
 
-// The figures are what a client and the backends counted: over answers, refusals,
-// failures, retries, 4xx and requests of all classes, each from 0 on.
+// The metrics agree with what the client and the backends counted: for responses, refusals,
+// failures, retries, 4xx and requests of all classes, each starting at 0.
 func TestMetrics(t *testing.T) {
 	var mode atomic.Value
 	mode.Store("echo")
@@ -34,7 +34,7 @@
 	for _, name := range []string{"fulfilled", "throttled", "faulted"} {
 		for _, class := range []string{"get", "put", "pay"} {
 			if n, ok := r.metrics()[fmt.Sprintf("%s{priority=%q}", name, class)]; !ok || n != 0 {
-				t.Errorf("%s of %s: %d, %t", name, class, n, ok)
+				t.Errorf("%s of class %s: got %d, present %t, want 0", name, class, n, ok)
 			}
 		}
 	}
@@ -55,43 +55,43 @@
 			got[fmt.Sprintf("%s{priority=%q}", kind, class)]++
 		}
 	}
-	r.dial().roundTrip("GET /api HTTP/1.1\r\nHost: h\r\n\r\n") // counts for no class
-	r.eventually("nothing open", func() bool { return r.metrics()["open_requests"] == 0 })
+	r.dial().roundTrip("GET /api HTTP/1.1\r\nHost: h\r\n\r\n") // without a class it is in no class's count
+	r.eventually("no open requests", func() bool { return r.metrics()["open_requests"] == 0 })
 	metrics := r.metrics()
 	for name, n := range got {
 		if metrics[name] != n {
-			t.Errorf("%s: %d, the client saw %d", name, metrics[name], n)
+			t.Errorf("%s: got %d, the client counted %d", name, metrics[name], n)
 		}
 	}
 	if metrics["relayed"] != b.RequestCount() || metrics["registry_entries"] != 1 {
-		t.Errorf("%d calls at the backend; %v", b.RequestCount(), metrics)
+		t.Errorf("%d requests at the backend; metrics %v", b.RequestCount(), metrics)
 	}
 	if len(got) < 6 {
-		t.Errorf("too little was seen: %v", got)
+		t.Errorf("not all outcomes occurred: %v", got)
 	}
 }
 
-// A backend that is out by hand gets nothing, though the list is told again and the
-// configuration is read again, and open requests are counted.
+// A detached backend gets no requests, even after a reload of the configuration; open requests
+// are counted.
 func TestDetach(t *testing.T) {
 	slow, release := newBlockingBackend(t)
 	b := standin.NewBackend(t, standin.Echo)
 	r := newPlatform(t, 256, discoveryList(slow, b)).start()
 	if got := r.adminCommand("DETACH s-9"); !strings.HasPrefix(got, "ERR ") {
-		t.Errorf("an id that nobody has: %q", got)
+		t.Errorf("DETACH of an unknown ID: got %q", got)
 	}
 	if got := r.adminCommand("DETACH s-1") + r.adminCommand("DETACH s-1"); got != "OK\nOK\n" {
-		t.Errorf("twice: %q", got)
+		t.Errorf("DETACH twice: got %q", got)
 	}
 	calls := b.RequestCount()
 	waiting := r.dial()
 	waiting.send(getRequest(2000))
-	r.eventually("a call", func() bool { return slow.RequestCount() > 0 })
+	r.eventually("a request at the blocking backend", func() bool { return slow.RequestCount() > 0 })
 	if f := r.metrics(); f["open_requests"] != 1 || f["out_of_rotation"] != 1 || f["registry_entries"] != 2 {
-		t.Errorf("figures %v", f)
+		t.Errorf("metrics %v", f)
 	}
 	r.signal(syscall.SIGHUP)
-	r.eventually("read again", func() bool { return r.countEvents("reload") > 0 })
+	r.eventually("the reload", func() bool { return r.countEvents("reload") > 0 })
 	close(release)
 	waiting.read()
 	c := r.dial()
@@ -99,16 +99,16 @@
 		c.roundTrip(getRequest(2000))
 	}
 	if n := b.RequestCount(); n != calls {
-		t.Errorf("%d calls at a backend that is out", n-calls)
+		t.Errorf("%d requests at a detached backend", n-calls)
 	}
 	if got := r.adminCommand("ATTACH s-1") + r.adminCommand("ATTACH s-1"); got != "OK\nOK\n" {
-		t.Errorf("back: %q", got)
+		t.Errorf("ATTACH twice: got %q", got)
 	}
-	r.eventually("a call to the one that is back", func() bool { c.roundTrip(getRequest(2000)); return b.RequestCount() > calls })
+	r.eventually("a request at the attached backend", func() bool { c.roundTrip(getRequest(2000)); return b.RequestCount() > calls })
 }
 
-// The admin port answers while the proxy is short of descriptors and has more callers of
-// every kind than it can hold.
+// The admin endpoint answers while the proxy is short of descriptors and has more clients, on both
+// listeners, than it can hold.
 func TestAdminWhileSaturated(t *testing.T) {
 	slow, release := newBlockingBackend(t)
 	r := newPlatform(t, 64, discoveryList(slow)).start()
@@ -123,11 +123,11 @@
 	}
 	for range 10 {
 		if got := r.adminCommand("PING"); got != "OK\n" {
-			t.Errorf("got %q", got)
+			t.Errorf("PING: got %q", got)
 		}
 		r.metrics()
 	}
 	if n := r.openSockets(); n > 64 {
-		t.Errorf("%d descriptors", n)
+		t.Errorf("%d sockets open, limit 64", n)
 	}
 }
--- a/cmd/oxbowloft/client_end_test.go
+++ b/cmd/oxbowloft/client_end_test.go
@@ -11,9 +11,9 @@
 	"oxbowloft/internal/standin"
 )
 
-// Clients that leave, fall silent, or send and read slowly.
+// This file tests clients that disconnect, stall, or send and read slowly.
 
-// A client that leaves gives its descriptor back, and is counted as gone.
+// A client that disconnects has its socket closed, and its request is counted as gone.
 func TestClientGone(t *testing.T) {
 	b := standin.NewBackend(t, (*standin.Call).Hang)
 	r := startWithBackends(t, b)
@@ -22,19 +22,19 @@
 	r.eventually("the attempt", func() bool { return b.RequestCount() == 1 })
 	c.Close()
 	before := r.openSockets()
-	r.eventually("the client's descriptor given back", func() bool { return r.openSockets() < before })
+	r.eventually("the client's socket closed", func() bool { return r.openSockets() < before })
 	r.signal(syscall.SIGTERM)
 	if err := r.wait(); err != nil {
 		t.Errorf("exit: %v", err)
 	}
 	if !strings.Contains(r.logText(), " gone=1 ") {
-		t.Error("not counted as gone")
+		t.Error("the log does not count the request as gone")
 	}
 }
 
-// Guards against no answer at all to a client that ends its own side once it has asked,
-// and still reads: what has begun then is answered as it ends. (Nothing begins for it: proxy's
-// TestClientGoneInDial and TestClientGoneBefore.)
+// A client that shuts down its sending side after its request still gets the response to an
+// attempt that has begun. Guards against no response at all. (An attempt that has not begun is
+// not started: see TestClientGoneInDial and TestClientGoneBefore in package proxy.)
 func TestHalfClosed(t *testing.T) {
 	began, release := make(chan bool), make(chan bool)
 	b := standin.NewBackend(t, func(c *standin.Call) {
@@ -55,16 +55,16 @@
 		cl.send(c.text)
 		<-began
 		cl.Conn.(*net.TCPConn).CloseWrite()
-		time.Sleep(20 * time.Millisecond) // so that it is most likely noticed first
+		time.Sleep(20 * time.Millisecond) // long enough that the proxy has most likely seen the FIN
 		release <- true
 		if got := cl.read(); got.status != c.status || !cl.closedByProxy() {
-			t.Errorf("got %+v, want %d and the end", got, c.status)
+			t.Errorf("got %+v, want %d and a close", got, c.status)
 		}
 	}
 }
 
-// A connection on which nothing has been asked for a while is closed, so that
-// callers who keep theirs for good hold nothing here.
+// An idle connection is closed after a while, so that clients that never close theirs don't hold
+// sockets forever.
 func TestIdleClients(t *testing.T) {
 	r := startWithBackends(t, standin.NewBackend(t, standin.Echo))
 	c, d := r.dial(), r.dial()
@@ -73,16 +73,16 @@
 	}
 	began := time.Now()
 	if !c.closedByProxy() || !d.closedByProxy() {
-		t.Error("still open")
+		t.Error("the proxy did not close the connections")
 	}
 	if took := time.Since(began); took < 2*time.Second {
-		t.Errorf("closed after %v, 2 s are allowed", took)
+		t.Errorf("closed after %v, want at least 2 s", took)
 	}
-	r.eventually("descriptors given back", func() bool { return r.openSockets() <= 5 })
+	r.eventually("sockets closed", func() bool { return r.openSockets() <= 5 })
 }
 
-// A client that is slow, but within what the protocol allows, is served; one that
-// stalls in a body gets 408 soon, and the backend is not held for it.
+// A client that is slow, but within the timeouts, is served. One that stalls in a body soon gets
+// 408, and no backend is kept waiting for it.
 func TestSlowClients(t *testing.T) {
 	b := standin.NewBackend(t, standin.Echo)
 	r := newPlatform(t, 256, discoveryList(b)).start()
@@ -95,7 +95,7 @@
 			time.Sleep(450 * time.Millisecond)
 		}
 		if got := c.read(); got.status != 200 {
-			t.Errorf("a slow head: %+v", got)
+			t.Errorf("slow head: got %+v", got)
 		}
 	})
 	tasks.Go(func() {
@@ -108,7 +108,7 @@
 			time.Sleep(250 * time.Millisecond)
 		}
 		if got := c.read(); got.status != 200 {
-			t.Errorf("a slow body: %d %.30q", got.status, got.body)
+			t.Errorf("slow body: got %d %.30q", got.status, got.body)
 		}
 	})
 	for _, size := range []int{1000, 200_000} {
@@ -117,17 +117,17 @@
 			text := postRequest("pay", strings.Repeat("x", size), 2000)
 			c.send(text[:len(text)-500])
 			if got := c.read(); got.status != 408 {
-				t.Errorf("stalls in a body of %d: %d", size, got.status)
+				t.Errorf("stall in a body of %d bytes: got %d", size, got.status)
 			}
 		})
 	}
 	tasks.Wait()
 	if got := r.dial().roundTrip(getRequest(2000)); got.status != 200 {
-		t.Errorf("then %+v", got)
+		t.Errorf("afterwards: got %+v", got)
 	}
 }
 
-// A slow reader of a long answer holds back nobody else, however many there are.
+// Clients that read long responses slowly don't delay other clients, however many they are.
 func TestSlowReaders(t *testing.T) {
 	long := strings.Repeat("x", 8<<20)
 	b := standin.NewBackend(t, func(c *standin.Call) {
@@ -154,9 +154,9 @@
 			time.Sleep(10 * time.Millisecond)
 		}
 	}
-	for _, c := range readers { // none was cut off meanwhile
+	for _, c := range readers { // none was aborted meanwhile
 		if got := c.read(); got.status != 503 && got.body != long {
-			t.Errorf("%d with %d bytes", got.status, len(got.body))
+			t.Errorf("slow reader: got %d with %d bytes", got.status, len(got.body))
 		}
 	}
 }
--- a/cmd/oxbowloft/deploy_test.go
+++ b/cmd/oxbowloft/deploy_test.go
@@ -15,12 +15,12 @@
 	"oxbowloft/internal/standin"
 )
 
-// The build and the start as the operators do them, and the README's example.
+// This file tests the build and start commands of the deployment, and the README's example.
 
 // repositoryRoot is the path from this package to the root of the repository.
 const repositoryRoot = "../.."
 
-// deploySetting is the value of a key in deploy/balancer.toml, the operators' file.
+// deploySetting returns the value of a key in deploy/balancer.toml, the operators' file.
 func deploySetting(t *testing.T, key string) string {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join(repositoryRoot, "deploy/balancer.toml"))
@@ -34,7 +34,7 @@
 	return strings.Trim(string(m[1]), `"`)
 }
 
-// shellCommand is a command run as the operators do: by the shell, from the root.
+// shellCommand returns a command that a shell runs from the repository's root, as the operators do.
 func shellCommand(command string, env ...string) *exec.Cmd {
 	cmd := exec.Command("/bin/sh", "-c", command)
 	cmd.Dir = repositoryRoot
@@ -42,7 +42,7 @@
 	return cmd
 }
 
-// exampleConfig writes the example configuration on free addresses, with backends there.
+// exampleConfig writes the example configuration with free addresses, and starts its backends.
 func exampleConfig(t *testing.T) (path, addr string) {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join(repositoryRoot, "examples/config.json"))
@@ -56,7 +56,7 @@
 	return writeConfig(t, swap.Replace(string(text))), addr
 }
 
-// The program is built and started as the operators do, with the example.
+// The operators' build and run commands work with the example configuration.
 func TestDeploy(t *testing.T) {
 	if out, err := shellCommand(deploySetting(t, "build")).CombinedOutput(); err != nil {
 		t.Fatalf("build: %v\n%s", err, out)
@@ -77,16 +77,15 @@
 	}
 }
 
-// The program that run ends in is linked dynamically against the C library: guards
-// against a build without cgo or with internal linking, whose static program the
-// operators' bench for the full fleet can't lead.
+// The deployed program is linked dynamically against the C library. Guards against a build without
+// cgo or with internal linking: the operators' bench for the full fleet can't run a static program.
 func TestDeployDynamic(t *testing.T) {
 	if out, err := shellCommand(deploySetting(t, "build")).CombinedOutput(); err != nil {
 		t.Fatalf("build: %v\n%s", err, out)
 	}
 	m := regexp.MustCompile(`^exec (bin/\S+)( |$)`).FindStringSubmatch(deploySetting(t, "run"))
 	if m == nil {
-		t.Fatalf("run = %q is no exec of one of our programs", deploySetting(t, "run"))
+		t.Fatalf("run = %q does not exec a program in bin", deploySetting(t, "run"))
 	}
 	f, err := elf.Open(filepath.Join(repositoryRoot, m[1]))
 	if err != nil {
@@ -94,18 +93,18 @@
 	}
 	defer f.Close()
 	if f.Section(".interp") == nil {
-		t.Errorf("%s has no interpreter: it is static", m[1])
+		t.Errorf("%s has no interpreter section: it is linked statically", m[1])
 	}
 	libs, err := f.ImportedLibraries()
 	if err != nil {
 		t.Fatal(err)
 	}
 	if !slices.ContainsFunc(libs, func(l string) bool { return strings.HasPrefix(l, "libc.so") }) {
-		t.Errorf("%s needs %q, not the C library", m[1], libs)
+		t.Errorf("%s is linked against %q, not the C library", m[1], libs)
 	}
 }
 
-// What the operators' file names is there.
+// All files named in the operators' file exist.
 func TestDeployNames(t *testing.T) {
 	for _, key := range []string{"policy", "node"} {
 		var names []string
@@ -120,7 +119,7 @@
 	}
 }
 
-// The README's requests, against its example, bring what it says.
+// The README's example requests succeed with its example configuration.
 func TestReadme(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join(repositoryRoot, "README.md"))
 	if err != nil {
@@ -130,7 +129,7 @@
 	startCommand(t, exec.Command(program, "serve", path), addr)
 	lines := regexp.MustCompile(`(?m)^    curl -i 127\.0\.0\.1:3000(/\S*)(.*)$`).FindAllStringSubmatch(string(text), -1)
 	if len(lines) != 3 {
-		t.Fatalf("%d requests in the README", len(lines))
+		t.Fatalf("%d requests in the README, want 3", len(lines))
 	}
 	for _, line := range lines {
 		method, body := "GET", ""
--- a/cmd/oxbowloft/discovery_test.go
+++ b/cmd/oxbowloft/discovery_test.go
@@ -9,15 +9,15 @@
 	"oxbowloft/internal/standin"
 )
 
-// The list of backends that discovery gives, its changes and its outages.
+// This file tests the use of the list from discovery, its changes, and outages of discovery.
 
-// Each change of the list that discovery gives is followed, and the last list serves on
-// through what can't be read and through an outage.
+// Every change of the list is applied. The last list stays in use through malformed messages and
+// through an outage.
 func TestDiscovery(t *testing.T) {
 	name := func(n string) func(*standin.Call) { return func(c *standin.Call) { c.Reply(200, n) } }
 	a, b := standin.NewBackend(t, name("a")), standin.NewBackend(t, name("b"))
 	d := standin.NewDiscovery(t, standin.ListJSON(3, false))
-	// Backends can do all that they can from their start: what is looked at is the list.
+	// Without a slow start, so that the responses depend on the list alone.
 	noSlowStart := func(listen, discovery string, sockets int, known string) string {
 		return strings.Replace(standin.Config(listen, discovery, sockets, known), `"cold-from":0.2`, `"cold-from":1`, 1)
 	}
@@ -25,81 +25,81 @@
 	c := r.dial()
 	served := func(by string) func() bool { return func() bool { return c.roundTrip(getRequest(2000)).body == by } }
 	if !served("a")() {
-		t.Error("the known list does not serve")
+		t.Error("the configured list is not used")
 	}
 	r.eventually("a watch", func() bool { return d.WatchCount() == 1 })
 	if got := d.RequestURIs()[0]; got != "/v1/servers?stream=1&index=3" {
-		t.Errorf("asked %q", got)
+		t.Errorf("discovery request %q", got)
 	}
 
-	// Another endpoint for the same backend: the old one's connections end.
+	// The backend moves to another endpoint: idle connections to the old one are closed.
 	d.PushLine(standin.ListJSON(4, false, standin.TargetJSON("s-1", b.Addr())))
 	r.eventually("the new endpoint", served("b"))
-	r.eventually("old idle connections closed", func() bool { _, open := a.ConnCounts(); return open == 0 })
+	r.eventually("idle connections to the old endpoint closed", func() bool { _, open := a.ConnCounts(); return open == 0 })
 
-	// It has started again: connections from before are not used.
+	// The backend restarts: connections from before are not reused.
 	opened, _ := b.ConnCounts()
 	d.PushLine(standin.ListJSON(4, false, strings.Replace(standin.TargetJSON("s-1", b.Addr()), `"boot_ms":0`,
 		fmt.Sprintf(`"boot_ms":%d`, time.Now().UnixMilli()), 1)))
-	r.eventually("connections from before closed", func() bool { _, open := b.ConnCounts(); return open == 0 })
+	r.eventually("connections from before the restart closed", func() bool { _, open := b.ConnCounts(); return open == 0 })
 	if !served("b")() {
-		t.Error("not served after it started again")
+		t.Error("not served after the restart")
 	}
 	if again, _ := b.ConnCounts(); again != opened+1 {
-		t.Errorf("%d connections opened, then %d", opened, again)
+		t.Errorf("%d connections opened before the restart, %d after it, want one more", opened, again)
 	}
 
-	// It drains: nothing new goes to it.
+	// The backend drains: it gets no new requests.
 	d.PushLine(standin.ListJSON(5, false, standin.TargetJSONInState("terminating", "s-1", b.Addr()), standin.TargetJSON("s-2", a.Addr())))
 	r.eventually("the other backend", served("a"))
 	calls := b.RequestCount()
 	for range 20 {
 		if !served("a")() {
-			t.Error("served by one that drains")
+			t.Error("served by a draining backend")
 		}
 	}
 	if b.RequestCount() != calls {
-		t.Error("called one that drains")
+		t.Error("the draining backend got a request")
 	}
 
-	// It is gone: idle connections to it end.
+	// The backend is removed: idle connections to it are closed.
 	d.PushLine(standin.ListJSON(6, false, standin.TargetJSONInState("terminated", "s-1", "")))
 	r.eventually("idle connections closed", func() bool { _, open := b.ConnCounts(); return open == 0 })
 
-	// What can't be read is logged; the last list serves on, and the watch is
-	// taken up after it.
+	// A malformed message is logged. The last list stays in use, and the watch resumes
+	// from its revision.
 	d.SetFirstLine(standin.ListJSON(6, false))
 	d.PushLine(`{"rev":7,"all":true,"targets":"none"}`)
-	r.eventually("a line in the log", func() bool { return strings.Contains(r.logText(), "event=watch_ended why=ended rev=6") })
+	r.eventually("the malformed message in the log", func() bool { return strings.Contains(r.logText(), "event=watch_ended why=ended rev=6") })
 	if !served("a")() {
-		t.Error("the last list does not serve on")
+		t.Error("the last list is no longer used")
 	}
 	r.eventually("another watch", func() bool { return d.WatchCount() == 1 })
 	if asked := d.RequestURIs(); asked[len(asked)-1] != "/v1/servers?stream=1&index=6" {
-		t.Errorf("asked %q", asked)
+		t.Errorf("discovery requests %q", asked)
 	}
 
-	// An outage: served on, asked with waits between.
+	// An outage: requests are still served, and discovery is retried with backoff.
 	d.SetDown(true)
 	d.AbortWatches()
 	before := len(d.RequestURIs())
 	time.Sleep(time.Second)
 	if !served("a")() {
-		t.Error("the last list does not serve on")
+		t.Error("the last list is no longer used")
 	}
-	// The first waits are 0.1 s at the least; no flood.
+	// The backoff starts at 0.1 s at the least, so that there can't be more than 10 retries.
 	if n := len(d.RequestURIs()) - before; n > 10 {
-		t.Errorf("asked %d times in a second", n)
+		t.Errorf("%d discovery requests in a second", n)
 	}
 	d.SetDown(false)
-	r.eventually("a watch again", func() bool { return d.WatchCount() == 1 })
+	r.eventually("a watch after the outage", func() bool { return d.WatchCount() == 1 })
 
-	// A whole list without a backend takes it away.
+	// A whole list removes the backends that it doesn't have.
 	d.PushLine(standin.ListJSON(9, true, standin.TargetJSON("s-3", b.Addr())))
 	r.eventually("the whole list", served("b"))
 }
 
-// The known list serves where discovery never answers.
+// The configured list is used when discovery never responds.
 func TestDiscoveryOutageAtStart(t *testing.T) {
 	b := standin.NewBackend(t, standin.Echo)
 	r := startProgram(t, freeAddr(t), 256, standin.ListJSON(1, true, standin.TargetJSON("s-1", b.Addr())))
@@ -108,14 +108,14 @@
 	}
 }
 
-// Without a backend the program is up but not ready; the first one makes it ready.
+// Without a backend the program runs but isn't ready; the first backend makes it ready.
 func TestNoBackendKnown(t *testing.T) {
 	b := standin.NewBackend(t, standin.Echo)
 	d := standin.NewDiscovery(t, standin.ListJSON(1, true))
 	r := startProgram(t, d.Addr(), 256, "null")
 	health := func() int { return r.dial().roundTrip("GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n").status }
 	if got := health(); got != 503 {
-		t.Errorf("ready without a backend: %d", got)
+		t.Errorf("/healthz without a backend: got %d", got)
 	}
 	if got := r.dial().roundTrip(getRequest(1000)); got.status != 503 {
 		t.Errorf("got %+v", got)
@@ -125,8 +125,8 @@
 	r.eventually("ready", func() bool { return health() == 200 })
 }
 
-// A fleet that comes and goes: requests are served throughout, and connections
-// to those that are gone do not pile up.
+// While backends come and go, requests are served throughout, and connections to removed backends
+// don't accumulate.
 func TestBackendChurn(t *testing.T) {
 	const sockets = 64
 	fleet := []*standin.Backend{}
@@ -138,14 +138,14 @@
 	r.eventually("a watch", func() bool { return d.WatchCount() == 1 })
 	c := r.dial()
 	for rev := 2; rev < 300; rev++ {
-		// Each time another replaces the one before, under a name of its own.
+		// Each list replaces the backend by another one under a new ID.
 		d.PushLine(standin.ListJSON(rev, false, standin.TargetJSONInState("terminated", fmt.Sprintf("s-%d", rev-2), ""),
 			standin.TargetJSON(fmt.Sprintf("s-%d", rev-1), fleet[rev%len(fleet)].Addr())))
 		if got := c.roundTrip(getRequest(2000)); got.status != 200 {
 			t.Fatalf("list %d: got %+v", rev, got)
 		}
 	}
-	r.eventually("one idle connection, to the last", func() bool {
+	r.eventually("one idle connection, to the last backend", func() bool {
 		open := 0
 		for _, b := range fleet {
 			_, n := b.ConnCounts()
@@ -154,6 +154,6 @@
 		return open <= 1
 	})
 	if n := r.openSockets(); n > 8 {
-		t.Errorf("%d sockets", n)
+		t.Errorf("%d sockets open, want at most 8", n)
 	}
 }
--- a/cmd/oxbowloft/drain_test.go
+++ b/cmd/oxbowloft/drain_test.go
@@ -15,10 +15,10 @@
 	"oxbowloft/internal/standin"
 )
 
-// The end on SIGTERM: what is still served, and what each open request is told.
+// This file tests the drain on SIGTERM: what is still served, and how each open request is answered.
 
-// Within the grace after SIGTERM all is served, on old connections and new ones; then what
-// is in flight is finished, and the program exits without an error.
+// During the grace period after SIGTERM everything is served, on existing and new connections.
+// Then requests in flight are finished, and the program exits without an error.
 func TestDrain(t *testing.T) {
 	release := make(chan bool)
 	b := standin.NewBackend(t, func(c *standin.Call) {
@@ -37,10 +37,10 @@
 	r.eventually("the attempt", func() bool { return b.RequestCount() == 2 })
 	r.signal(syscall.SIGTERM)
 	r.eventually("draining", func() bool { return strings.Contains(r.logText(), "phase=draining") })
-	// It still takes what comes, by old connections and new ones.
+	// It still serves existing and new connections.
 	for range 2 {
 		if got := idle.roundTrip(getRequest(2000)); got.status != 200 || got.close {
-			t.Errorf("on an old connection: got %+v", got)
+			t.Errorf("on an existing connection: got %+v", got)
 		}
 	}
 	if got := r.dial().roundTrip(getRequest(2000)); got.status != 200 || got.close {
@@ -55,22 +55,21 @@
 		t.Errorf("in flight: got %+v", got)
 	}
 	if !unused.closedByProxy() {
-		t.Error("an idle connection goes on")
+		t.Error("the idle connection was not closed")
 	}
 	if err := r.wait(); err != nil {
 		t.Errorf("exit: %v", err)
 	}
 	for _, phase := range []string{"serving", "draining", "finishing", "stopped"} {
 		if !strings.Contains(r.logText(), "phase="+phase) {
-			t.Errorf("no phase %s in the log", phase)
+			t.Errorf("no phase=%s in the log", phase)
 		}
 	}
 }
 
-// Once no new connection is taken, those that are open are served on for as long as
-// the shortest deadline fits before the end: guards against callers with nobody to
-// ask while proxies start again one after the other. What does not fit any more is
-// refused at once.
+// Once new connections are no longer accepted, open ones are still served for as long as the
+// shortest deadline fits before the exit; later requests are refused at once. Guards against
+// clients that have no proxy to use while the proxies are restarted one after another.
 func TestDrainServesOpenConnections(t *testing.T) {
 	b := standin.NewBackend(t, standin.Echo)
 	list := standin.ListJSON(1, true, standin.TargetJSON("s-0", b.Addr()))
@@ -96,20 +95,20 @@
 	}
 	began := time.Now()
 	if !c.closedByProxy() {
-		t.Error("the connection goes on")
+		t.Error("the proxy did not close the connection")
 	}
 	if err := r.wait(); err != nil {
 		t.Errorf("exit: %v", err)
 	}
 	if took := time.Since(began); took > maxWait/2 {
-		t.Errorf("ended after %v", took)
+		t.Errorf("exited after %v", took)
 	}
 }
 
-// The platform ends a process 3.7 s after SIGTERM at the latest, however long deadlines
-// are: what was taken before the signal, and what came after it, has its answer by then.
-// Guards against requests that are lost with the process. Of those whose attempts are out
-// only what may run again is told that trying again is harmless.
+// The platform kills a process 3.7 s after SIGTERM at the latest, however long deadlines are.
+// Requests accepted before and after the signal are answered by then. Guards against requests that
+// are lost with the process. Of those with an attempt in flight only idempotent ones are refused
+// as safe to retry.
 func TestDrainAnswersBeforeLongDeadlines(t *testing.T) {
 	b := standin.NewBackend(t, (*standin.Call).Hang)
 	list := standin.ListJSON(1, true, standin.TargetJSON("s-0", b.Addr()))
@@ -131,18 +130,18 @@
 		t.Errorf("unsafe: got %+v", got)
 	}
 	if got := late.read(); got.status != 503 {
-		t.Errorf("taken in the drain: got %+v", got)
+		t.Errorf("accepted during the drain: got %+v", got)
 	}
 	if err := r.wait(); err != nil {
 		t.Errorf("exit: %v", err)
 	}
 	if strings.Contains(r.logText(), "cut_off") {
-		t.Error("cut off")
+		t.Error("cut_off in the log")
 	}
 }
 
-// Callers that go on asking through a drain, on the connections they have and on
-// new ones, lose nothing: every request sent is answered.
+// Clients that keep sending during a drain, on existing and new connections, lose nothing: every
+// request sent is answered.
 func TestDrainUnderLoad(t *testing.T) {
 	b := standin.NewBackend(t, func(c *standin.Call) {
 		time.Sleep(5 * time.Millisecond)
@@ -177,7 +176,7 @@
 					sent.increment()
 					resp, err := http.ReadResponse(in, nil)
 					if err != nil {
-						t.Errorf("answer: %v", err)
+						t.Errorf("read response: %v", err)
 						return
 					}
 					io.Copy(io.Discard, resp.Body)
@@ -192,7 +191,7 @@
 	r.signal(syscall.SIGTERM)
 	r.eventually("draining", func() bool { return strings.Contains(r.logText(), "phase=draining") })
 	calls := b.RequestCount()
-	r.eventually("load while it drains", func() bool { return b.RequestCount() > calls+50 })
+	r.eventually("load during the drain", func() bool { return b.RequestCount() > calls+50 })
 	close(end)
 	callers.Wait()
 	if s, a := sent.swap(0), answered.swap(0); s != a {
@@ -203,7 +202,7 @@
 	}
 }
 
-// A second signal ends the program at once, with an error while requests are open.
+// A second signal ends the program at once, with an error if requests are open.
 func TestSecondSignal(t *testing.T) {
 	b := standin.NewBackend(t, (*standin.Call).Hang)
 	r := startWithBackends(t, b)
@@ -211,13 +210,13 @@
 	r.eventually("the attempt", func() bool { return b.RequestCount() == 1 })
 	r.signal(syscall.SIGTERM)
 	r.eventually("draining", func() bool { return strings.Contains(r.logText(), "phase=draining") })
-	// The log may come before the handler of the first signal is gone: a signal in between
-	// is one more of the first kind.
+	// The program may log the phase before it has removed the handler of the first signal. A
+	// signal in between has no effect.
 	r.eventually("the end", func() bool {
 		r.cmd.Process.Signal(syscall.SIGTERM)
 		return len(r.exited) > 0
 	})
 	if err := r.wait(); err == nil {
-		t.Error("ended as if all were answered")
+		t.Error("exit without an error, though a request was open")
 	}
 }
--- a/cmd/oxbowloft/end_test.go
+++ b/cmd/oxbowloft/end_test.go
@@ -14,11 +14,11 @@
 	"oxbowloft/internal/standin"
 )
 
-// Signals before serving, and answers that the end of the process cuts off.
+// This file tests signals before the program serves, and responses that its death truncates.
 
-// A signal that comes while the configuration is still being read ends the program as any
-// other, or is taken as any other: the platform may tell it to end in its first moment.
-// The configuration is a pipe, so that the moment lasts for as long as the test wants.
+// A signal that arrives while the configuration is still being read has its usual effect: the
+// platform may stop a process right after its start. The configuration is a named pipe, so that
+// reading it takes as long as the test wants.
 func TestSignalBeforeServing(t *testing.T) {
 	list := standin.ListJSON(1, true)
 	for _, signals := range [][]os.Signal{
@@ -53,8 +53,8 @@
 	}
 }
 
-// An answer whose end is that of its connection must not look whole when the process ends
-// in the middle of it: the client gets a reset.
+// When the process dies in the middle of a response that is delimited by the close of the
+// connection, the client gets a reset, so that the response does not look complete.
 func TestKilledDuringCloseDelimitedResponse(t *testing.T) {
 	long := strings.Repeat("x", 200_000)
 	b := standin.NewBackend(t, func(c *standin.Call) {
@@ -70,6 +70,6 @@
 	r.signal(syscall.SIGKILL)
 	r.wait()
 	if _, err := io.ReadAll(c.r); !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("the answer ended with %v, want a reset", err)
+		t.Errorf("the response ended with %v, want a reset", err)
 	}
 }
--- a/cmd/oxbowloft/harness_test.go
+++ b/cmd/oxbowloft/harness_test.go
@@ -17,9 +17,9 @@
 	"oxbowloft/internal/standin"
 )
 
-// The harness of this package's tests: they start the built program, with the race
-// detector in it, and speak to it over sockets. Bounds on time are wide: they tell a hang
-// from an answer.
+// This file has the harness of the package's tests. They run the built program, compiled with the
+// race detector, and talk to it over sockets. Time limits are generous: they only have to tell a
+// hang from a response.
 
 // program is the path of the built program.
 var program string
@@ -35,23 +35,23 @@
 		fmt.Fprintf(os.Stderr, "build: %v\n%s", err, out)
 		os.Exit(1)
 	}
-	os.Setenv("GORACE", "atexit_sleep_ms=0") // the race detector would hold each exit for a second
+	os.Setenv("GORACE", "atexit_sleep_ms=0") // by default the race detector delays each exit by 1 s
 	code := m.Run()
 	os.RemoveAll(dir)
 	os.Exit(code)
 }
 
-// maxWait is the longest that a test waits for any one thing.
+// maxWait is how long a test waits for any single event.
 const maxWait = 20 * time.Second
 
-// runningProgram is a started program. It keeps what the program logs, as the writer of its
-// standard output and error.
+// runningProgram is a running instance of the program. As the writer of its standard output and
+// error it collects the log.
 type runningProgram struct {
 	t      *testing.T
 	cmd    *exec.Cmd
 	addr   string
 	exited chan error
-	waited bool // wait was called
+	waited bool // wait was called, or the process is expected to be gone
 
 	configPath string
 
@@ -59,22 +59,22 @@
 	log bytes.Buffer
 }
 
-// Write takes a part of the log.
+// Write appends to the collected log.
 func (r *runningProgram) Write(b []byte) (int, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.log.Write(b)
 }
 
-// logText returns all that the program has logged.
+// logText returns the log so far.
 func (r *runningProgram) logText() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.log.String()
 }
 
-// freeAddr is an address that nothing listens on: a loopback address of its own,
-// so that no other test gets the port between this and the program's start.
+// freeAddr returns an address that nothing listens on. The loopback address is random, so that no
+// other test takes the port before the program listens on it.
 func freeAddr(t *testing.T) string {
 	ln, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 1+rand.IntN(254), rand.IntN(256), 1+rand.IntN(254)))
 	if err != nil {
@@ -84,7 +84,8 @@
 	return ln.Addr().String()
 }
 
-// writeConfig writes a configuration to a file that ends with the test, and returns its path.
+// writeConfig writes a configuration to a file that is removed at the end of the test, and returns
+// its path.
 func writeConfig(t *testing.T, text string) string {
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -93,18 +94,18 @@
 	return path
 }
 
-// startProgram starts the program with a list of backends known from the startProgram, and waits until it
-// listens. At the end of the test it must still run, unless the test has ended it, and must
-// then exit on SIGTERM without an error.
+// startProgram starts the program with a list of backends in its configuration, and waits until it
+// listens. Unless the test stops it before, it must still run at the end of the test, and then
+// exit without an error on SIGTERM.
 func startProgram(t *testing.T, discovery string, sockets int, known string, args ...string) *runningProgram {
 	t.Helper()
 	return startWithConfig(t, standin.Config, discovery, sockets, known, args...)
 }
 
-// configFunc makes a configuration: standin.Config or standin.Mesh.
+// configFunc builds a configuration: standin.Config, standin.MeshConfig or a variant of them.
 type configFunc func(listen, discovery string, sockets int, known string) string
 
-// startWithConfig does as start, with a configuration of either shape.
+// startWithConfig is startProgram with a configuration from makeConfig.
 func startWithConfig(t *testing.T, makeConfig configFunc, discovery string, sockets int, known string,
 	args ...string) *runningProgram {
 	t.Helper()
@@ -120,13 +121,13 @@
 	return r
 }
 
-// listWait is how long a test waits for a started program's first list. Where discovery is
-// silent or down there is none, and the program says that it is ready before that.
+// listWait is how long a test waits for a started program to have its first list. While discovery
+// is down or doesn't respond there is none, and the program becomes ready without it.
 const listWait = 5 * time.Second
 
-// startCommand starts cmd and waits until it listens at addr and has a list that it may use,
-// or has waited for one for long enough. At the end of the test it ends
-// the program, unless the test has, and looks for data races and panics in its log.
+// startCommand starts cmd and waits until it listens on addr, and then for listWait at most until
+// it has a usable list. At the end of the test it stops the program, unless the test has, and
+// checks the log for data races and panics.
 func startCommand(t *testing.T, cmd *exec.Cmd, addr string) *runningProgram {
 	t.Helper()
 	r := &runningProgram{t: t, cmd: cmd, addr: addr, exited: make(chan error, 1)}
@@ -139,19 +140,19 @@
 		if !r.waited {
 			r.signal(syscall.SIGTERM)
 			if err := r.wait(); err != nil {
-				t.Errorf("exit: %v", err)
+				t.Errorf("exit after SIGTERM: %v", err)
 			}
 		}
 		for _, bad := range []string{"DATA RACE", "panic"} {
 			if strings.Contains(r.logText(), bad) {
-				t.Errorf("%s in the log", bad)
+				t.Errorf("%q in the log", bad)
 			}
 		}
 		if t.Failed() {
 			t.Logf("log:\n%s", r.logText())
 		}
 	})
-	// A connection alone is no proof: another process may listen on the port meanwhile.
+	// A successful dial alone is not enough, since another process may listen on the port.
 	r.eventually("listening", func() bool {
 		if !strings.Contains(r.logText(), "event=start ") {
 			return false
@@ -170,15 +171,15 @@
 	return r
 }
 
-// startWithBackends starts the program with backends that are known from the start.
+// startWithBackends starts the program with the backends in its configuration.
 func startWithBackends(t *testing.T, backends ...*standin.Backend) *runningProgram {
 	t.Helper()
 	r, _ := startWithDiscovery(t, standin.Config, backends...)
 	return r
 }
 
-// startWithDiscovery starts the program with a configuration of either shape. Its backends
-// are known from the start, and the discovery returned has them too.
+// startWithDiscovery starts the program with a configuration from makeConfig. Its list and that of
+// the returned discovery service both have the backends.
 func startWithDiscovery(t *testing.T, makeConfig configFunc,
 	backends ...*standin.Backend) (*runningProgram, *standin.Discovery) {
 	t.Helper()
@@ -191,14 +192,14 @@
 	return startWithConfig(t, makeConfig, d.Addr(), 256, list), d
 }
 
-// signal sends the program a signal.
+// signal sends a signal to the program.
 func (r *runningProgram) signal(s os.Signal) {
 	if err := r.cmd.Process.Signal(s); err != nil {
 		r.t.Fatal(err)
 	}
 }
 
-// wait waits for the end of the program, and returns why it exited.
+// wait waits until the program exits, and returns its exit error.
 func (r *runningProgram) wait() error {
 	r.t.Helper()
 	r.waited = true
@@ -207,18 +208,18 @@
 		return err
 	case <-time.After(maxWait):
 		r.cmd.Process.Kill()
-		r.t.Fatalf("still runs; log:\n%s", r.logText())
+		r.t.Fatalf("the program still runs; log:\n%s", r.logText())
 	}
 	return nil
 }
 
-// eventually waits until f holds; what names it where it never does.
-func (r *runningProgram) eventually(what string, f func() bool) {
+// eventually waits until condition holds; description names it if it never does.
+func (r *runningProgram) eventually(description string, condition func() bool) {
 	r.t.Helper()
-	standin.Eventually(r.t, maxWait, what, f)
+	standin.Eventually(r.t, maxWait, description, condition)
 }
 
-// openSockets is how many sockets the program holds.
+// openSockets returns the number of sockets that the program has open.
 func (r *runningProgram) openSockets() int {
 	dir := fmt.Sprintf("/proc/%d/fd", r.cmd.Process.Pid)
 	entries, err := os.ReadDir(dir)
@@ -234,7 +235,8 @@
 	return n
 }
 
-// newBlockingBackend starts a backend that answers each call when it is released.
+// newBlockingBackend starts a backend that answers one request per value sent to release, or all
+// once release is closed.
 func newBlockingBackend(t *testing.T) (b *standin.Backend, release chan bool) {
 	release = make(chan bool)
 	return standin.NewBackend(t, func(c *standin.Call) {
@@ -243,7 +245,7 @@
 	}), release
 }
 
-// discoveryList is the whole list of backends as discovery gives it, named s-0, s-1 and so on.
+// discoveryList returns a whole list with the backends, named s-0, s-1 and so on.
 func discoveryList(backends ...*standin.Backend) string {
 	var lines []string
 	for i, b := range backends {
--- a/cmd/oxbowloft/large_test.go
+++ b/cmd/oxbowloft/large_test.go
@@ -13,24 +13,25 @@
 	"oxbowloft/internal/standin"
 )
 
-// A large deployment: what the program knows at its start, what discovery then tells it in
-// one list, and how many processes balance beside it.
+// The size of a large deployment: the number of backends in the configuration, the number in the
+// list from discovery, and the number of balancers.
 const (
-	largeKnownBackends     = 1024
-	largeListBackends      = 1100
-	largeBalancers = 1100
+	largeKnownBackends = 1024
+	largeListBackends  = 1100
+	largeBalancers     = 1100
 )
 
-// What a process of a large deployment may take. Its configuration grants it 192 MB, which a
-// process and the one that replaces it share for a while; a third of that leaves each as much
-// again for requests. Threads come with processors and with blocking calls of the system, not
-// with backends: one for each would be over a thousand.
+// Resource bounds of a process in a large deployment. The configuration grants it 192 MB, which it
+// shares with its successor during a replacement; a third of that leaves each process as much
+// again for requests. Threads should scale with processors and blocking system calls, not with
+// backends: one thread per backend would be over a thousand.
 const (
-	maxLargeMemoryKB  = 64 << 10 // kB
-	maxLargeThreads = 64
+	maxLargeMemoryKB = 64 << 10
+	maxLargeThreads  = 64
 )
 
-// largeConfig makes a configuration one of many balancers, with an operators' address.
+// largeConfig returns a configFunc that changes makeConfig's configuration to that of one of many
+// balancers, with an admin endpoint.
 func largeConfig(makeConfig configFunc, balancers, adminAddr string) configFunc {
 	return func(listen, discovery string, sockets int, known string) string {
 		text := makeConfig(listen, discovery, sockets, known)
@@ -41,7 +42,7 @@
 	}
 }
 
-// buildWithoutRace builds the program as it ships: the race detector takes several times its memory.
+// buildWithoutRace builds the program as it is shipped: the race detector multiplies its memory.
 func buildWithoutRace(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "oxbowloft")
@@ -51,7 +52,7 @@
 	return path
 }
 
-// procStatus reads one number of a process's status.
+// procStatus reads a number from the process's /proc status file.
 func (r *runningProgram) procStatus(key string) int {
 	r.t.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", r.cmd.Process.Pid))
@@ -60,7 +61,7 @@
 	}
 	found := regexp.MustCompile(`(?m)^` + key + `:\s+(\d+)`).FindSubmatch(text)
 	if found == nil {
-		r.t.Fatalf("no %s in the status", key)
+		r.t.Fatalf("no %s in /proc status", key)
 	}
 	number, err := strconv.Atoi(string(found[1]))
 	if err != nil {
@@ -69,31 +70,32 @@
 	return number
 }
 
-// checkResourceBounds logs what the process takes, and holds it to the bounds.
+// checkResourceBounds logs the memory and threads of the process and checks them against the bounds.
 func (r *runningProgram) checkResourceBounds(when string) {
 	r.t.Helper()
 	memory, peak, threads := r.procStatus("VmRSS"), r.procStatus("VmHWM"), r.procStatus("Threads")
-	r.t.Logf("%s: %d kB of memory, %d kB at its peak, %d threads", when, memory, peak, threads)
+	r.t.Logf("%s: %d kB resident, %d kB at the peak, %d threads", when, memory, peak, threads)
 	if peak > maxLargeMemoryKB {
-		r.t.Errorf("%s: %d kB of memory at its peak, %d at most", when, peak, maxLargeMemoryKB)
+		r.t.Errorf("%s: peak of %d kB resident, limit %d", when, peak, maxLargeMemoryKB)
 	}
 	if threads > maxLargeThreads {
-		r.t.Errorf("%s: %d threads, %d at most", when, threads, maxLargeThreads)
+		r.t.Errorf("%s: %d threads, limit %d", when, threads, maxLargeThreads)
 	}
 }
 
-// A process with over a thousand backends, one of over a thousand, gets ready, serves, takes
-// a whole list with more of them, and counts them right; what it takes stays small. Guards
-// against bounds on lists, and against what is kept for each backend before a call goes there.
+// One of over a thousand processes with over a thousand backends gets ready, serves, takes a whole
+// list with more backends, and counts them correctly, with little memory and few threads. Guards
+// against limits on the size of lists, and against state that is kept for each backend before it
+// gets a request.
 func TestLargeDeployment(t *testing.T) {
 	plain := buildWithoutRace(t)
 	for _, c := range []struct {
 		name, balancers string
-		makeConfig           configFunc
+		makeConfig      configFunc
 	}{{"chain", "1", standin.Config}, {"mesh", "100", standin.MeshConfig}} {
 		t.Run(c.name, func(t *testing.T) {
 			var backends []*standin.Backend
-			for range 16 { // each stands for many
+			for range 16 { // each serves many list entries
 				backends = append(backends, standin.NewBackend(t, standin.Echo))
 			}
 			var targets []string
@@ -106,7 +108,7 @@
 			address, adminAddr := freeAddr(t), freeAddr(t)
 			text := largeConfig(c.makeConfig, c.balancers, adminAddr)(address, discovery.Addr(), 1024, known)
 			if !strings.Contains(text, fmt.Sprintf(`"balancers":%d,`, largeBalancers)) || !strings.Contains(text, adminAddr) {
-				t.Fatal("the configuration is not the large one")
+				t.Fatal("the configuration was not changed to the large one")
 			}
 			cmd := exec.Command(plain, "serve", "--grace", "20ms")
 			cmd.Env = append(os.Environ(), "BALANCER_CONFIG="+writeConfig(t, text))
@@ -131,7 +133,7 @@
 	}
 }
 
-// checkServing asks for some requests of each class, one after the other.
+// checkServing sends some requests of each class, one after another.
 func (r *runningProgram) checkServing(when string) {
 	r.t.Helper()
 	c := r.dial()
--- a/cmd/oxbowloft/limits_test.go
+++ b/cmd/oxbowloft/limits_test.go
@@ -13,10 +13,10 @@
 	"oxbowloft/internal/standin"
 )
 
-// More connections than the limit on descriptors allows.
+// This file tests more connections than the limit on descriptors allows.
 
-// Crowds that say nothing, or stop half way, are closed in time; with few
-// descriptors and little memory an ordinary client is served all the while.
+// Many connections that send nothing, or part of a request, are closed in time. With few
+// descriptors and little memory another client is served all the while.
 func TestIdleConnectionFlood(t *testing.T) {
 	b := standin.NewBackend(t, standin.Echo)
 	r := startWithBackends(t, b)
@@ -47,7 +47,7 @@
 			}
 		}
 		if took := time.Since(began); took > maxWait/2 {
-			t.Errorf("%q: open for %v", part, took)
+			t.Errorf("%q: all closed only after %v", part, took)
 		}
 		serve()
 	}
@@ -55,14 +55,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("%s", status[bytes.Index(status, []byte("VmHWM")):][:30]) // the race detector's share is most of it
+	t.Logf("%s", status[bytes.Index(status, []byte("VmHWM")):][:30]) // most of it is the race detector's
 	if n := r.openSockets(); n > 256 {
-		t.Errorf("%d descriptors", n)
+		t.Errorf("%d sockets open, limit 256", n)
 	}
 }
 
-// Connections beyond the budget: idle ones are given up, requests are answered,
-// and the budget is kept.
+// With more connections than the socket limit allows, idle ones are closed, requests are answered,
+// and the limit is kept.
 func TestMoreConnectionsThanSockets(t *testing.T) {
 	const sockets = 64
 	b := standin.NewBackend(t, standin.Echo)
@@ -76,20 +76,20 @@
 			t.Fatalf("%d sockets", n)
 		}
 	}
-	// Silent ones too.
+	// Also with connections that never send a request.
 	for range 3 * sockets {
 		r.dial()
 	}
 	if got := r.dial().roundTrip(getRequest(2000)); got.status != 200 {
-		t.Errorf("behind a silent crowd: got %+v", got)
+		t.Errorf("with many idle connections: got %+v", got)
 	}
 	if n := r.openSockets(); n > sockets {
 		t.Errorf("%d sockets", n)
 	}
 }
 
-// More requests at once than descriptors to pass them on, to backends that say
-// nothing: each is answered in its time.
+// With more requests than there are sockets for attempts, to backends that never respond, every
+// request is answered in time.
 func TestUnresponsiveBackends(t *testing.T) {
 	const sockets = 64
 	b := standin.NewBackend(t, (*standin.Call).Hang)
@@ -112,11 +112,11 @@
 	for _, c := range conns {
 		c.Close()
 	}
-	r.eventually("descriptors given back", func() bool { return r.openSockets() <= 8 })
+	r.eventually("sockets closed", func() bool { return r.openSockets() <= 8 })
 }
 
-// While two processes run, both together hold no more descriptors than one may, however
-// many callers come; alone again, the one that stays serves on.
+// While two processes run, they have no more sockets open together than one process may, however
+// many clients connect. When one exits, the other continues to serve.
 func TestSharedDescriptors(t *testing.T) {
 	const limit = 128
 	slow, release := newBlockingBackend(t)
@@ -129,7 +129,7 @@
 	for range 200 {
 		next.dial().send(getRequest(2000))
 	}
-	next.eventually("each knows of the other", func() bool {
+	next.eventually("each process knows of the other", func() bool {
 		return strings.Contains(old.logText(), "event=processes count=2") &&
 			strings.Contains(next.logText(), "event=processes count=2")
 	})
@@ -137,16 +137,16 @@
 	next.eventually("within the limit together", func() bool { return together() <= limit })
 	for range 20 {
 		if n := together(); n > limit {
-			t.Errorf("%d descriptors together", n)
+			t.Errorf("%d sockets open together", n)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 	close(release)
 	old.signal(syscall.SIGTERM)
 	if err := old.wait(); err != nil {
-		t.Errorf("the old one: %v", err)
+		t.Errorf("exit of the old process: %v", err)
 	}
-	next.eventually("alone again", func() bool { return strings.Contains(next.logText(), "event=processes count=1") })
+	next.eventually("the old process no longer counted", func() bool { return strings.Contains(next.logText(), "event=processes count=1") })
 	if got := next.adminCommand("PING"); got != "OK\n" {
 		t.Errorf("got %q", got)
 	}
--- a/cmd/oxbowloft/main.go
+++ b/cmd/oxbowloft/main.go
@@ -1,5 +1,5 @@
-// Command oxbowloft is the load balancer on sockets: "serve" balances until SIGTERM, "check"
-// reads a configuration and says what is wrong with it, "version" prints the version.
+// Command oxbowloft is the load balancer. "serve" runs the proxy until SIGTERM, "check" validates a
+// configuration, and "version" prints the version.
 package main
 
 import (
@@ -39,17 +39,17 @@
 	}
 }
 
-// serveCommand returns the command that runs the proxy. SIGTERM drains it, a second signal ends it
-// at once, and SIGHUP makes it read its configuration again.
+// serveCommand returns the command that runs the proxy. SIGTERM starts a drain, a second signal
+// ends the process at once, and SIGHUP reloads the configuration.
 func serveCommand() *cobra.Command {
 	var grace time.Duration
 	cmd := &cobra.Command{
 		Use:   "serve [config.json]",
-		Short: "Balance until SIGTERM, as the configuration ($BALANCER_CONFIG) says",
+		Short: "Run the proxy until SIGTERM, with the configuration at the path or in $BALANCER_CONFIG",
 		Args:  cobra.MaximumNArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
-			// From here on neither signal ends the process by itself, however early it
-			// comes; SIGHUP does not in a drain neither.
+			// From here on no signal ends the process by default, however early it comes. SIGHUP
+			// must not do so during a drain either.
 			ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 			context.AfterFunc(ctx, stop) // a second signal ends the process
 			hangups := make(chan os.Signal, 1)
@@ -72,12 +72,12 @@
 			return p.Run(ctx)
 		},
 	}
-	cmd.Flags().DurationVar(&grace, "grace", proxy.DefaultGrace, "how long a drain goes on accepting")
+	cmd.Flags().DurationVar(&grace, "grace", proxy.DefaultGrace, "how long new connections are accepted during a drain")
 	return cmd
 }
 
-// reloadConfig reads the configuration again. What can't be used is logged, and the
-// one before it serves on.
+// reloadConfig reads the configuration again. An invalid one is logged, and the proxy keeps the
+// one it has.
 func reloadConfig(p *proxy.Proxy, args []string) {
 	cfg, err := loadConfig(args)
 	if err == nil {
@@ -88,11 +88,11 @@
 	}
 }
 
-// checkCommand returns the command that reads the configuration and serves nothing.
+// checkCommand returns the command that validates the configuration without serving.
 func checkCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "check [config.json]",
-		Short: "Read the configuration and say what is wrong with it",
+		Short: "Validate the configuration and report what is wrong with it",
 		Args:  cobra.MaximumNArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			_, err := loadConfig(args)
@@ -104,8 +104,8 @@
 	}
 }
 
-// loadConfig reads the configuration at the path given, or else at $BALANCER_CONFIG. The environment
-// serves where it lacks a value.
+// loadConfig reads the configuration from the path in args, or else from $BALANCER_CONFIG.
+// Environment variables supply values that the configuration leaves out.
 func loadConfig(args []string) (*proxy.Config, error) {
 	path := os.Getenv("BALANCER_CONFIG")
 	if len(args) > 0 {
--- a/cmd/oxbowloft/main_test.go
+++ b/cmd/oxbowloft/main_test.go
@@ -10,9 +10,9 @@
 	"oxbowloft/internal/standin"
 )
 
-// The commands, and what they say of a configuration.
+// This file tests the commands and the validation of configurations.
 
-// A configuration that can't be used ends both commands with one line that names the fault.
+// An invalid configuration ends both commands with one line that names the error.
 func TestBadConfig(t *testing.T) {
 	good := standin.Config("127.0.0.1:0", "127.0.0.1:1", 256, standin.ListJSON(1, true))
 	goodMesh := standin.MeshConfig("127.0.0.1:0", "127.0.0.1:1", 256, standin.ListJSON(1, true))
@@ -25,7 +25,7 @@
 	swap := func(old, with string) string { return replaceIn(good, old, with) }
 	mesh := func(old, with string) string { return replaceIn(goodMesh, old, with) }
 	for _, c := range []struct{ name, text, want string }{
-		{"no JSON", "listen = 3", "invalid character"},
+		{"not JSON", "listen = 3", "invalid character"},
 		{"empty", "", "unexpected end"},
 		{"no listen", swap(`"listen":"127.0.0.1:0",`, ""), "listen"},
 		{"no discovery", swap(`"discovery":"127.0.0.1:1",`, ""), "discovery"},
@@ -36,9 +36,9 @@
 		{"no settings", `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1"}`, "no settings"},
 		{"bad class", swap(`"idempotency":"free"`, `"idempotency":"maybe"`), "idempotency"},
 		{"no attempts", swap(`"max-attempts":4`, `"max-attempts":0`), "max-attempts"},
-		{"unknown shape", swap(`"settings":{`, `"settings":{"kind-of-service":"ring",`), "kind-of-service"},
+		{"unknown kind of service", swap(`"settings":{`, `"settings":{"kind-of-service":"ring",`), "kind-of-service"},
 		{"a mesh without its number of proxies", mesh(`"balancers":100`, `"balancers":0`), "balancers"},
-		{"a number past the last proxy", mesh(`"me":0`, `"me":100`), "me"},
+		{"own number past the last proxy", mesh(`"me":0`, `"me":100`), "me"},
 		{"a lower tier in a mesh", mesh(`"stage":0`, `"stage":1`), "stage"},
 		{"tiers in a mesh", mesh(`"stage":0`, `"tiers":["a","b"]`), "tiers"},
 		{"unknown discovery", swap(`"discovery":"on_request"`, `"discovery":"by letter"`), "discovery"},
@@ -49,13 +49,13 @@
 		{"a class twice", swap(`"name":"put"`, `"name":"get"`), `classes: "get": name`},
 		{"no deadline", swap(`"give-up-ms":2000`, `"give-up-ms":0`), "give-up-ms"},
 		{"a time below zero", swap(`"conn-idle-ms":60000`, `"conn-idle-ms":-1`), "conn-idle-ms"},
-		{"a number too large for one", swap(`"conn-idle-ms":60000`, `"conn-idle-ms":1e999`), "conn-idle-ms"},
+		{"a number that overflows", swap(`"conn-idle-ms":60000`, `"conn-idle-ms":1e999`), "conn-idle-ms"},
 		{"text for a number", swap(`"cold-from":0.2`, `"cold-from":"much"`), "cold-from"},
-		{"more than all from the start", swap(`"cold-from":0.2`, `"cold-from":1.2`), "cold-from"},
+		{"warm-up fraction above 1", swap(`"cold-from":0.2`, `"cold-from":1.2`), "cold-from"},
 		{"sockets below zero", swap(`"sockets":256`, `"sockets":-1`), "sockets"},
 		{"memory below zero", swap(`"memory_mb":192`, `"memory_mb":-1`), "memory_mb"},
 		{"cores below zero", swap(`"cores":1.0`, `"cores":-1`), "cores"},
-		{"a known list of no form", swap(`"known":{`, `"known":[],"else":{`), "known"},
+		{"known list is an array", swap(`"known":{`, `"known":[],"else":{`), "known"},
 		{"bad known list", swap(`"targets":[]`, `"targets":[{}]`), "known"},
 	} {
 		for _, command := range []string{"serve", "check"} {
@@ -64,19 +64,19 @@
 				var out, errs bytes.Buffer
 				cmd.Stdout, cmd.Stderr = &out, &errs
 				if err := cmd.Run(); err == nil {
-					t.Error("exit 0")
+					t.Error("exit without an error")
 				}
 				if text := errs.String(); strings.Count(text, "\n") != 1 || !strings.Contains(text, c.want) {
-					t.Errorf("said %q", text)
+					t.Errorf("standard error: %q", text)
 				}
 			})
 		}
 	}
 	if out, err := exec.Command(program, "check", writeConfig(t, good)).Output(); err != nil || string(out) != "ok\n" {
-		t.Errorf("check of a good one: %q, %v", out, err)
+		t.Errorf("check of a valid configuration: %q, %v", out, err)
 	}
 	if out, err := exec.Command(program, "check", writeConfig(t, goodMesh)).Output(); err != nil || string(out) != "ok\n" {
-		t.Errorf("check of a good mesh: %q, %v", out, err)
+		t.Errorf("check of a valid mesh configuration: %q, %v", out, err)
 	}
 	cmd := exec.Command(program, "serve")
 	cmd.Env = []string{"PATH=" + os.Getenv("PATH")}
@@ -85,7 +85,7 @@
 	}
 }
 
-// The variables serve where the configuration lacks a value.
+// Environment variables supply values that the configuration leaves out.
 func TestEnvironmentVariables(t *testing.T) {
 	text := strings.Replace(standin.Config("", "", 256, "null"), `"listen":"","discovery":"",`, "", 1)
 	cmd := exec.Command(program, "check", writeConfig(t, text))
@@ -95,7 +95,7 @@
 	}
 }
 
-// The version command names the program.
+// The version command prints the program's name.
 func TestVersion(t *testing.T) {
 	if out, err := exec.Command(program, "version").Output(); err != nil || !strings.HasPrefix(string(out), "oxbowloft ") {
 		t.Errorf("%q, %v", out, err)
--- a/cmd/oxbowloft/mesh_test.go
+++ b/cmd/oxbowloft/mesh_test.go
@@ -9,18 +9,18 @@
 	"oxbowloft/internal/standin"
 )
 
-// The proxy of one client process among many, whose clients mark retries.
+// This file tests the mesh deployment: one sidecar proxy per client process, with clients that mark
+// retries.
 
-// startMesh starts the program as one client process's proxy, with backends known from the
-// start.
+// startMesh starts the program as a sidecar proxy, with the backends in its configuration.
 func startMesh(t *testing.T, backends ...*standin.Backend) *runningProgram {
 	t.Helper()
 	r, _ := startWithDiscovery(t, standin.MeshConfig, backends...)
 	return r
 }
 
-// The build that serves tiers serves a client process of its own too, by settings alone;
-// there, and only there, a mark on retries is read.
+// The same build serves as a sidecar proxy by its settings alone. The retry mark is read there, and
+// only there.
 func TestMeshServes(t *testing.T) {
 	b := standin.NewBackend(t, standin.Echo)
 	mesh, chain := startMesh(t, b), startWithBackends(t, b)
@@ -30,9 +30,9 @@
 		mesh, chain int
 	}{
 		{"no mark", nil, 200, 200},
-		{"a first try", []string{"X-Retried: 0"}, 200, 200},
+		{"a first attempt", []string{"X-Retried: 0"}, 200, 200},
 		{"a retry", []string{"X-Retried: 1"}, 200, 200},
-		{"no mark that is known", []string{"X-Retried: often"}, 400, 200},
+		{"an unknown mark", []string{"X-Retried: often"}, 400, 200},
 		{"two marks", []string{"X-Retried: 1", "X-Retried: 0"}, 400, 200},
 	} {
 		for _, r := range []struct {
@@ -46,8 +46,8 @@
 	}
 }
 
-// Under more than the limit lets in, retries are turned away and first tries served;
-// what is given up is answered at once, and where clients take no advice none is given.
+// Above the concurrency limit first attempts are preferred to retries. Refusals are sent at once,
+// and without Retry-After where clients don't heed it.
 func TestMeshRetriesLast(t *testing.T) {
 	const calls, latency = 12, 300 * time.Millisecond
 	b := standin.NewBackend(t, func(c *standin.Call) {
@@ -71,7 +71,7 @@
 				case got.status == 200:
 					served.Add(1)
 					continue
-				case time.Since(began) > time.Second: // held back: its deadline is 2 s
+				case time.Since(began) > time.Second: // queued: its deadline is 2 s
 					late.Add(1)
 				case got.header.Get("Retry-After") != "":
 					advised.Add(1)
@@ -82,15 +82,15 @@
 	}
 	tasks.Wait()
 	if first.Load() == 0 || retries.Load() >= first.Load() {
-		t.Errorf("%d first tries and %d retries served", first.Load(), retries.Load())
+		t.Errorf("%d first attempts and %d retries served", first.Load(), retries.Load())
 	}
 	if late.Load() > 0 || advised.Load() > 0 {
-		t.Errorf("%d refusals came late, %d with advice", late.Load(), advised.Load())
+		t.Errorf("%d refusals came late, %d had Retry-After", late.Load(), advised.Load())
 	}
 }
 
-// A client that leaves takes its attempt with it where cancelled work stops; before tiers the attempt
-// runs to its end, since the backend works on it all the same.
+// When the client disconnects, its attempt is cancelled where backends stop cancelled work. Between
+// tiers the attempt runs to its end, since the backend does the work anyway.
 func TestMeshClientGone(t *testing.T) {
 	for _, mesh := range []bool{true, false} {
 		ended := make(chan time.Duration, 1)
@@ -108,9 +108,9 @@
 		c.send(postRequest("pay", "x", 2000))
 		r.eventually("the attempt", func() bool { return b.RequestCount() == 1 })
 		c.Close()
-		// A call that may not be repeated has all of its 2 s for its one attempt.
+		// A request that must not be retried has all of its 2 s for its one attempt.
 		if took := <-ended; (took < 1200*time.Millisecond) != mesh {
-			t.Errorf("mesh %t: the attempt ended %v after it began", mesh, took)
+			t.Errorf("mesh %t: the attempt ended after %v", mesh, took)
 		}
 	}
 }
--- a/cmd/oxbowloft/platform_test.go
+++ b/cmd/oxbowloft/platform_test.go
@@ -14,19 +14,19 @@
 	"oxbowloft/internal/standin"
 )
 
-// The harness of the tests with an admin port: programs that take over one listener from
-// each other, as the operators' platform has them do.
+// This file has the harness of the tests with an admin endpoint: processes that replace each other
+// on one inherited listener, as the operators' platform runs them.
 
-// platform holds the clients' listener, which each process inherits, and the directory that
+// platform holds the client listener, which each process inherits, and the directory that the
 // processes share.
 type platform struct {
 	t          *testing.T
 	ln         *net.TCPListener
-	sharedDir        string
+	sharedDir  string
 	configPath string
 }
 
-// newPlatform opens the listener and starts a discovery that knows the list given.
+// newPlatform opens the listener and starts a discovery service with the given list.
 func newPlatform(t *testing.T, sockets int, known string) *platform {
 	t.Helper()
 	ln, err := net.Listen("tcp", freeAddr(t))
@@ -39,13 +39,13 @@
 		writeConfig(t, standin.Config(ln.Addr().String(), d.Addr(), sockets, known))}
 }
 
-// process is a program started on the platform, with its admin port.
+// process is a program started on the platform, with its admin endpoint.
 type process struct {
 	*runningProgram
 	adminAddr string
 }
 
-// start starts a process on the platform and waits until its admin port answers.
+// start starts a process on the platform and waits until its admin endpoint answers.
 func (p *platform) start() *process {
 	p.t.Helper()
 	f, err := p.ln.File()
@@ -59,12 +59,12 @@
 	cmd.Env = append(os.Environ(), "BALANCER_CONFIG="+p.configPath, "BALANCER_LISTEN_FD=3",
 		"BALANCER_ADMIN="+adminAddr, "TMPDIR="+p.sharedDir)
 	r := &process{startCommand(p.t, cmd, p.ln.Addr().String()), adminAddr}
-	r.eventually("yes to PING", func() bool { return r.adminCommand("PING") == "OK\n" })
+	r.eventually("the answer to PING", func() bool { return r.adminCommand("PING") == "OK\n" })
 	return r
 }
 
-// adminCommand sends one line to the admin port and returns the answer, or nothing where
-// the port does not accept.
+// adminCommand sends one line to the admin endpoint and returns the answer, or an empty string if
+// the endpoint does not accept connections.
 func (r *process) adminCommand(line string) string {
 	c, err := net.Dial("tcp", r.adminAddr)
 	if err != nil {
@@ -77,7 +77,7 @@
 	return string(got)
 }
 
-// metrics returns the values that the admin command INFO gives, by name.
+// metrics returns the values from the admin command INFO by name, without their common prefix.
 func (r *process) metrics() map[string]int {
 	r.t.Helper()
 	text := r.adminCommand("INFO")
--- a/cmd/oxbowloft/ready_test.go
+++ b/cmd/oxbowloft/ready_test.go
@@ -13,16 +13,17 @@
 	"oxbowloft/internal/standin"
 )
 
-// How soon a started or restarted process is ready.
+// This file tests how soon a started or restarted process is ready.
 
-// maxReadyTime is what the operators give nine in ten restarted processes; here each has it.
+// maxReadyTime is the time to readiness that the operators require of nine in ten restarted
+// processes. Here every process must meet it.
 const maxReadyTime = 10 * time.Second
 
-// A process is ready in time whatever discovery does, with a long list known from before,
-// and also in the place of one that was killed outright while callers held connections and
-// came again at once. Guards against a start that waits for anything outside the process.
+// A process with a long list in its configuration is ready in time whatever discovery does, also
+// when it replaces one that was killed with SIGKILL while clients held connections. Guards against
+// a start that waits for anything outside the process.
 func TestReadyInTime(t *testing.T) {
-	unresponsive, err := net.Listen("tcp", "127.0.0.1:0") // takes calls in, and answers none
+	unresponsive, err := net.Listen("tcp", "127.0.0.1:0") // accepts connections and never responds
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -37,8 +38,8 @@
 		targets = append(targets, standin.TargetJSONInState("terminating", fmt.Sprintf("t-%d", i), "127.0.0.1:1"))
 	}
 	for _, c := range []struct{ name, discovery string }{
-		{"discovery is silent", unresponsive.Addr().String()},
-		{"nobody is there", refusing.Addr()},
+		{"discovery does not respond", unresponsive.Addr().String()},
+		{"discovery refuses connections", refusing.Addr()},
 		{"discovery is down", down.Addr()},
 	} {
 		for _, mode := range []string{"on_request", "pushed"} {
@@ -69,14 +70,13 @@
 	}
 }
 
-// expectReady waits until the process says that it can serve, and asks that it took no longer
-// than it may.
+// expectReady waits until the process is ready, and checks that it took no longer than maxReadyTime.
 func (r *runningProgram) expectReady(began time.Time) {
 	r.t.Helper()
 	r.eventually("ready", func() bool {
 		return r.dial().roundTrip("GET /healthz HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n").status == 200
 	})
 	if took := time.Since(began); took > maxReadyTime {
-		r.t.Errorf("ready after %v, want %v", took, maxReadyTime)
+		r.t.Errorf("ready after %v, limit %v", took, maxReadyTime)
 	}
 }
--- a/cmd/oxbowloft/reload_test.go
+++ b/cmd/oxbowloft/reload_test.go
@@ -13,9 +13,9 @@
 	"oxbowloft/internal/standin"
 )
 
-// The configuration read again on SIGHUP.
+// This file tests the reload of the configuration on SIGHUP.
 
-// replaceConfig replaces the program's configuration file in one step.
+// replaceConfig replaces the program's configuration file atomically.
 func (r *runningProgram) replaceConfig(text string) {
 	r.t.Helper()
 	if err := os.WriteFile(r.configPath+".new", []byte(text), 0o600); err != nil {
@@ -26,14 +26,14 @@
 	}
 }
 
-// countEvents returns how often an event is in the log.
+// countEvents returns how often the event is in the log.
 func (r *runningProgram) countEvents(event string) int {
 	return strings.Count(r.logText(), "event="+event+" ")
 }
 
-// SIGHUP under load: no request is lost, and the list comes from the new address,
-// also one of an older revision. Guards against the signal's default, which ends the
-// program, and against a watch that stays with the old address.
+// On SIGHUP under load no request is lost, and the list comes from the new discovery address, even
+// with a lower revision. Guards against the signal's default action, which ends the program, and
+// against a watch that stays at the old address.
 func TestReload(t *testing.T) {
 	named := func(n string) *standin.Backend {
 		return standin.NewBackend(t, func(c *standin.Call) { c.Reply(200, n) })
@@ -59,24 +59,23 @@
 	}
 	r.replaceConfig(standin.Config(r.addr, newSource.Addr(), 128, listA))
 	r.signal(syscall.SIGHUP)
-	r.signal(syscall.SIGHUP) // twice at once is no more than once
+	r.signal(syscall.SIGHUP) // two signals at once have the effect of one
 	c := r.dial()
-	r.eventually("the new source's list", func() bool { return c.roundTrip(getRequest(2000)).body == "b" })
+	r.eventually("the list from the new address", func() bool { return c.roundTrip(getRequest(2000)).body == "b" })
 	r.eventually("the old watch ended", func() bool { return oldSource.WatchCount() == 0 })
 	newSource.PushLine(standin.ListJSON(3, false, standin.TargetJSON("s-a", a.Addr())))
-	r.eventually("both", func() bool { return c.roundTrip(getRequest(2000)).body == "a" })
+	r.eventually("the change from the new address", func() bool { return c.roundTrip(getRequest(2000)).body == "a" })
 	stop.Store(true)
 	tasks.Wait()
 	if asked := newSource.RequestURIs(); len(asked) != 1 || !strings.HasSuffix(asked[0], "index=0") {
-		t.Errorf("asked the new source for %q", asked)
+		t.Errorf("requests to the new address: %q", asked)
 	}
 	if !strings.Contains(r.logText(), "sockets=128 not_taken=\"\"") {
 		t.Error("the new limit is not in the log")
 	}
 }
 
-// A configuration that can't be used is told in one line, and nothing of it is
-// taken.
+// An invalid configuration is logged in one line, and nothing of it is applied.
 func TestReloadOfBadConfig(t *testing.T) {
 	r, d := startWithDiscovery(t, standin.Config, standin.NewBackend(t, standin.Echo))
 	r.eventually("a watch", func() bool { return d.WatchCount() == 1 && r.countEvents("list") == 1 })
@@ -86,53 +85,52 @@
 	}
 	c := r.dial()
 	failed := 0
-	lines := func() int { return strings.Count(r.logText(), "\n") - r.countEvents("stats") } // stats come by the clock
+	lines := func() int { return strings.Count(r.logText(), "\n") - r.countEvents("stats") } // stats are logged periodically
 	try := func(what string) {
 		t.Helper()
 		failed++
 		before := lines()
 		r.signal(syscall.SIGHUP)
-		r.eventually(what+": a line in the log", func() bool { return r.countEvents("reload_failed") == failed })
+		r.eventually(what+": logged as failed", func() bool { return r.countEvents("reload_failed") == failed })
 		if n := lines() - before; n != 1 {
-			t.Errorf("%s: %d lines in the log", what, n)
+			t.Errorf("%s: %d log lines, want 1", what, n)
 		}
 		if got := c.roundTrip(getRequest(2000)); got.status != 200 {
 			t.Errorf("%s: got %+v", what, got)
 		}
 	}
 	r.replaceConfig(string(good[:len(good)/2]))
-	try("cut off")
+	try("truncated file")
 	r.replaceConfig(strings.ReplaceAll(string(good), "single_shot", "twice"))
-	try("wrong")
+	try("unknown idempotency")
 	r.replaceConfig(string(bytes.Replace(good, []byte(d.Addr()), []byte("nowhere"), 1)))
-	try("no address")
+	try("invalid discovery address")
 	r.replaceConfig(strings.Replace(string(good), `"stage":0`, `"kind-of-service":"mesh","stage":1`, 1))
 	try("a lower tier in a mesh")
 	if err := os.Remove(r.configPath); err != nil {
 		t.Fatal(err)
 	}
-	try("missing")
+	try("missing file")
 	if d.WatchCount() != 1 || len(d.RequestURIs()) != 1 {
-		t.Errorf("the watch did not go on: %q", d.RequestURIs())
+		t.Errorf("the watch did not stay open: discovery requests %q", d.RequestURIs())
 	}
 	r.replaceConfig(strings.Replace(string(good), `"zones":["z1","z2"]`, `"zones":["z1"]`, 1))
 	r.signal(syscall.SIGHUP)
-	r.eventually("taken", func() bool { return strings.Contains(r.logText(), `not_taken="settings"`) })
+	r.eventually("the valid configuration", func() bool { return strings.Contains(r.logText(), `not_taken="settings"`) })
 }
 
-// Guards against a signal in a drain, or just before the end, that ends the program
-// with requests in flight.
+// SIGHUP during a drain, or just before it, does not end the program with requests in flight.
 func TestReloadInDrain(t *testing.T) {
 	b, release := newBlockingBackend(t)
 	r := startWithBackends(t, b)
 	c := r.dial()
 	c.send(postRequest("pay", "x", 2000))
-	time.Sleep(20 * time.Millisecond) // most likely in flight
+	time.Sleep(20 * time.Millisecond) // long enough that the request is most likely in flight
 	r.signal(syscall.SIGHUP)
 	r.signal(syscall.SIGTERM)
 	r.eventually("draining", func() bool { return strings.Contains(r.logText(), "phase=draining") })
 	r.signal(syscall.SIGHUP)
-	r.eventually("read again", func() bool { return r.countEvents("reload") > 0 })
+	r.eventually("the reload", func() bool { return r.countEvents("reload") > 0 })
 	release <- true
 	if got := c.read(); got.status != 200 {
 		t.Errorf("got %+v", got)
--- a/cmd/oxbowloft/request_test.go
+++ b/cmd/oxbowloft/request_test.go
@@ -13,9 +13,9 @@
 	"oxbowloft/internal/standin"
 )
 
-// What a client may ask, and what is refused before it reaches a backend.
+// This file tests which requests are accepted, and which are rejected before they reach a backend.
 
-// Requests of all ordinary forms are served, one after the other on a connection.
+// Requests of all ordinary forms are served, one after another on a connection.
 func TestRequests(t *testing.T) {
 	r := startWithBackends(t, standin.NewBackend(t, standin.Echo), standin.NewBackend(t, standin.Echo))
 	c := r.dial()
@@ -33,13 +33,13 @@
 		"POST /api hello")
 	want(c.roundTrip(postRequest("pay", large[:60<<10], 2000)), "POST /api "+large[:60<<10])
 
-	// One in many small pieces.
+	// A request sent byte by byte.
 	for _, b := range []byte(postRequest("pay", "slow", 2000)) {
 		c.send(string(b))
 	}
 	want(c.read(), "POST /api slow")
 
-	// An id may come again once its request has its answer.
+	// A request ID may be reused once its request has been answered.
 	text := getRequest(2000)
 	want(c.roundTrip(text), "GET /api ")
 	want(r.dial().roundTrip(text), "GET /api ")
@@ -52,7 +52,8 @@
 	}
 }
 
-// What of a request's head reaches the backend, and of the answer's the client.
+// The proxy forwards end-to-end headers in both directions, removes hop-by-hop ones, and lowers
+// X-Timeout-Ms.
 func TestForwardedHeaders(t *testing.T) {
 	var received http.Header
 	r := startWithBackends(t, standin.NewBackend(t, func(c *standin.Call) {
@@ -68,13 +69,12 @@
 		t.Errorf("headers %v", received)
 	}
 	if ms, err := strconv.Atoi(received.Get("X-Timeout-Ms")); err != nil || ms < 1 || ms >= 2000 || len(received["X-Timeout-Ms"]) != 1 {
-		t.Errorf("time-outs %q", received["X-Timeout-Ms"])
+		t.Errorf("X-Timeout-Ms %q", received["X-Timeout-Ms"])
 	}
 }
 
-// Everything that can't be read, could be read in two ways or means nothing is
-// answered with a 4xx and a close, and nothing of it reaches a backend; a client
-// beside it goes on being served.
+// Requests that are malformed, ambiguous or incomplete get a 4xx response and a close, and nothing
+// of them reaches a backend. Another client is served all the while.
 func TestBadRequests(t *testing.T) {
 	b := standin.NewBackend(t, standin.Echo)
 	r := startWithBackends(t, b)
@@ -89,8 +89,8 @@
 		status     int
 	}{
 		{"malformed head", "hello\r\n\r\n", 400},
-		{"noise", "\x16\x03\x01\x02\x00", 400},
-		{"noise with line ends", "\x16\x03\r\n\x01\x02\r\n\r\n", 400},
+		{"binary data", "\x16\x03\x01\x02\x00", 400},
+		{"binary data with line ends", "\x16\x03\r\n\x01\x02\r\n\r\n", 400},
 		{"bad header", "GET / HTTP/1.1\r\nno colon here\r\n\r\n", 400},
 		{"bad version", "GET /api HTTP/9.9\r\n\r\n", 400},
 		{"spaces in the request line", strings.Replace(getRequest(500), "GET /api", "GET  /api", 1), 400},
@@ -106,39 +106,39 @@
 		{"length is no number", postHead("Content-Length: x"), 400},
 		{"length below zero", postHead("Content-Length: -4") + "abcd", 400},
 		{"length with a sign", postHead("Content-Length: +4") + "abcd", 400},
-		{"list of lengths", postHead("Content-Length: 4, 4") + "abcd", 400},
+		{"comma-separated lengths", postHead("Content-Length: 4, 4") + "abcd", 400},
 		{"empty length", postHead("Content-Length: "), 400},
-		{"length beyond any number", postHead("Content-Length: 99999999999999999999"), 400},
+		{"length overflows", postHead("Content-Length: 99999999999999999999"), 400},
 		{"two lengths", postHead("Content-Length: 4", "Content-Length: 9") + "abcd", 400},
 		{"the same length twice", postHead("Content-Length: 4", "Content-Length: 4") + "abcd", 400},
-		{"length and coding", postHead("Content-Length: 5", "Transfer-Encoding: chunked") + "0\r\n\r\n" + smuggled, 400},
-		{"coding and length", postHead("Transfer-Encoding: chunked", "Content-Length: 5") + "0\r\n\r\n" + smuggled, 400},
-		{"length under another name", postHead("Content_Length: 5", "Transfer-Encoding: chunked") + "0\r\n\r\n", 400},
-		{"unknown coding", postHead("Transfer-Encoding: gzip, chunked") + "0\r\n\r\n", 400},
-		{"odd coding", postHead("Transfer-Encoding: xchunked") + "0\r\n\r\n", 400},
-		{"two codings", postHead("Transfer-Encoding: chunked", "Transfer-Encoding: identity") + "0\r\n\r\n", 400},
+		{"content length and transfer coding", postHead("Content-Length: 5", "Transfer-Encoding: chunked") + "0\r\n\r\n" + smuggled, 400},
+		{"transfer coding and content length", postHead("Transfer-Encoding: chunked", "Content-Length: 5") + "0\r\n\r\n" + smuggled, 400},
+		{"content length with an underscore", postHead("Content_Length: 5", "Transfer-Encoding: chunked") + "0\r\n\r\n", 400},
+		{"unknown transfer coding", postHead("Transfer-Encoding: gzip, chunked") + "0\r\n\r\n", 400},
+		{"misspelt transfer coding", postHead("Transfer-Encoding: xchunked") + "0\r\n\r\n", 400},
+		{"two transfer codings", postHead("Transfer-Encoding: chunked", "Transfer-Encoding: identity") + "0\r\n\r\n", 400},
 		{"bad chunk", postHead("Transfer-Encoding: chunked") + "4\r\nabcd\r\nzz\r\nabcd\r\n0\r\n\r\n", 400},
-		{"body longer than told", postHead("Content-Length: 1") + "xyz", 400},
-		{"a request behind it", smuggled + smuggled, 400},
+		{"body longer than its content length", postHead("Content-Length: 1") + "xyz", 400},
+		{"pipelined request", smuggled + smuggled, 400},
 		{"body of a get", requestHead("GET", "/api", "get", 500, "Content-Length: 4") + "abcd", 400},
 		{"head too large", "GET /" + strings.Repeat("x", 40<<10) + " HTTP/1.1\r\n\r\n", 431},
-		{"head without end", getRequest(500)[:20] + strings.Repeat("X-Pad: p\r\n", 20<<10), 431},
+		{"endless head", getRequest(500)[:20] + strings.Repeat("X-Pad: p\r\n", 20<<10), 431},
 		{"body too large", postHead("Content-Length: 40000000") + strings.Repeat("x", 70000), 413},
 		{"body much too large", postHead("Content-Length: 60000000") + strings.Repeat("x", 70000), 413},
 		{"unknown class", getWith(id, "X-Priority-Class: odd", ms), 400},
 		{"no class", getWith(id, ms), 400},
 		{"two classes", getWith(id, class, "X-Priority-Class: pay", ms), 400},
-		{"no time-out", getWith(id, class), 400},
-		{"two time-outs", getWith(id, class, ms, "X-Timeout-Ms: 400"), 400},
-		{"time-out is no number", getWith(id, class, "X-Timeout-Ms: soon"), 400},
-		{"time-out spent", getWith(id, class, "X-Timeout-Ms: 0"), 400},
-		{"time-out below zero", getWith(id, class, "X-Timeout-Ms: -5"), 400},
-		{"time-out beyond reason", getWith(id, class, "X-Timeout-Ms: 99999999999999999999"), 400},
+		{"no timeout", getWith(id, class), 400},
+		{"two timeouts", getWith(id, class, ms, "X-Timeout-Ms: 400"), 400},
+		{"timeout is no number", getWith(id, class, "X-Timeout-Ms: soon"), 400},
+		{"timeout of zero", getWith(id, class, "X-Timeout-Ms: 0"), 400},
+		{"timeout below zero", getWith(id, class, "X-Timeout-Ms: -5"), 400},
+		{"timeout overflows", getWith(id, class, "X-Timeout-Ms: 99999999999999999999"), 400},
 		{"no id", getWith(class, ms), 400},
 		{"two ids", getWith(id, "X-Request-ID: 00fe", class, ms), 400},
-		{"id without end", getWith("X-Request-ID: "+strings.Repeat("f", 10<<10), class, ms), 400},
+		{"id too long", getWith("X-Request-ID: "+strings.Repeat("f", 10<<10), class, ms), 400},
 		{"id under two names", getWith(id, "X_Request_ID: 00fe", class, ms), 400},
-		{"connection takes a header away", getWith(id, class, ms, "Connection: X-Request-ID"), 400},
+		{"Connection names a required header", getWith(id, class, ms, "Connection: X-Request-ID"), 400},
 		{"unknown method", requestHead("BREW", "/api", "get", 500), 405},
 		{"connect", requestHead("CONNECT", "h:1", "get", 500), 405},
 	}
@@ -146,32 +146,32 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			cl := r.dial()
-			io.WriteString(cl, c.text) // what is not read any more may break
+			io.WriteString(cl, c.text) // fails if the proxy has already closed the connection
 			if got := cl.read(); got.status != c.status || !got.close {
 				t.Errorf("got %+v", got)
 			}
 			if !cl.closedByProxy() {
-				t.Error("the connection goes on")
+				t.Error("the proxy did not close the connection")
 			}
 			if got := ordinary.roundTrip(getRequest(2000)); got.status != 200 {
-				t.Errorf("a client beside it: got %+v", got)
+				t.Errorf("another client: got %+v", got)
 			}
 		})
 	}
-	if calls := b.RequestCount(); calls != len(cases) { // the ordinary ones
-		t.Errorf("%d calls for %d good requests", calls, len(cases))
+	if calls := b.RequestCount(); calls != len(cases) { // those of the other client
+		t.Errorf("%d requests at the backend for %d good ones", calls, len(cases))
 	}
 	r.signal(syscall.SIGTERM)
 	if err := r.wait(); err != nil {
 		t.Errorf("exit: %v", err)
 	}
 	if !strings.Contains(r.logText(), fmt.Sprintf(" bad=%d ", len(cases))) {
-		t.Error("not counted as bad")
+		t.Error("the log does not count all requests as bad")
 	}
 }
 
-// The id of a request that is open here is turned away, and the open one is not
-// touched: guards against an answer made for another's request.
+// A request with the ID of an open one is rejected, and the open one is not affected. Guards
+// against a client that gets the response to another client's request.
 func TestDuplicateRequestID(t *testing.T) {
 	b, release := newBlockingBackend(t)
 	r := startWithBackends(t, b)
@@ -179,18 +179,19 @@
 	c.send(text)
 	r.eventually("the attempt", func() bool { return b.RequestCount() == 1 })
 	if got := r.dial().roundTrip(strings.Replace(text, "/api", "/api?x", 1)); got.status != 409 || !got.close {
-		t.Errorf("the same id: got %+v", got)
+		t.Errorf("duplicate ID: got %+v", got)
 	}
 	release <- true
 	if got := c.read(); got.status != 200 || got.body != "GET /api " {
 		t.Errorf("got %+v", got)
 	}
 	if b.RequestCount() != 1 {
-		t.Errorf("%d calls", b.RequestCount())
+		t.Errorf("%d requests at the backend, want 1", b.RequestCount())
 	}
 }
 
-// A request sent before the last one's answer is never served, nor is that one.
+// A pipelined request, sent before the response to the previous one, is never served, and the
+// previous one is answered 400.
 func TestPipelinedRequest(t *testing.T) {
 	b, release := newBlockingBackend(t)
 	r := startWithBackends(t, b)
@@ -198,12 +199,12 @@
 	c.send(getRequest(2000))
 	r.eventually("the attempt", func() bool { return b.RequestCount() == 1 })
 	c.send(getRequest(2000))
-	time.Sleep(20 * time.Millisecond) // most likely noticed
+	time.Sleep(20 * time.Millisecond) // long enough that the proxy has most likely read it
 	release <- true
 	if got := c.read(); got.status != 400 || !got.close || !c.closedByProxy() {
-		t.Errorf("got %+v and no end", got)
+		t.Errorf("got %+v, want 400 and a close", got)
 	}
 	if b.RequestCount() != 1 {
-		t.Errorf("%d calls", b.RequestCount())
+		t.Errorf("%d requests at the backend, want 1", b.RequestCount())
 	}
 }
--- a/cmd/oxbowloft/restart_test.go
+++ b/cmd/oxbowloft/restart_test.go
@@ -15,9 +15,9 @@
 	"oxbowloft/internal/standin"
 )
 
-// Processes that are killed, replaced or stopped for a while.
+// This file tests processes that are killed, replaced or suspended.
 
-// A killed proxy starts again under its address, and serves.
+// A killed proxy can be restarted at its address, and serves.
 func TestKillAndRestart(t *testing.T) {
 	b := standin.NewBackend(t, standin.Echo)
 	list := standin.ListJSON(1, true, standin.TargetJSON("s-1", b.Addr()))
@@ -35,9 +35,9 @@
 	}
 }
 
-// Guards against requests that are lost, run twice or turned back while a process
-// replaces another, twice in a row: whole ones, half a one and one long in flight. Bans
-// made before and between hold in all.
+// When a process replaces another, twice in a row, no request is lost, run twice or refused:
+// neither complete ones, nor one sent half before the replacement, nor a long one in flight.
+// Backends detached before and during the replacement stay detached in all processes.
 func TestProcessReplacement(t *testing.T) {
 	var ran sync.Map
 	var repeated counter
@@ -64,13 +64,13 @@
 		text := postRequest("pay", "half", 2000)
 		half.send(text[:20])
 		long.send(postRequest("pay", "slow", 2000))
-		time.Sleep(50 * time.Millisecond) // the old process has them
+		time.Sleep(50 * time.Millisecond) // long enough that the old process has read them
 		next := p.start()
 		if got := old.adminCommand("DETACH s-2"); got != "OK\n" {
-			t.Errorf("at the old one while two run: %q", got)
+			t.Errorf("DETACH at the old process while two run: %q", got)
 		}
-		next.eventually("the ban is known", func() bool { return next.metrics()["out_of_rotation"] >= 2 })
-		old.eventually("each knows of the other", func() bool {
+		next.eventually("the detached backend known to the new process", func() bool { return next.metrics()["out_of_rotation"] >= 2 })
+		old.eventually("each process knows of the other", func() bool {
 			return strings.Contains(old.logText(), "event=processes count=2") &&
 				strings.Contains(next.logText(), "event=processes count=2")
 		})
@@ -78,35 +78,35 @@
 		old.signal(syscall.SIGTERM)
 		half.send(text[20:])
 		if got := half.read(); got.status != 200 {
-			t.Errorf("half a request: %+v", got)
+			t.Errorf("request sent in two halves: %+v", got)
 		}
 		if got := long.read(); got.status != 200 {
-			t.Errorf("one in flight: %+v", got)
+			t.Errorf("long request in flight: %+v", got)
 		}
 		half.Close()
 		long.Close()
 		if err := old.wait(); err != nil {
-			t.Errorf("the old one: %v", err)
+			t.Errorf("exit of the old process: %v", err)
 		}
 		next.eventually("load after the replacement", func() bool { return answered.Load() > n+50 })
-		next.eventually("load at the new one", func() bool { return next.metrics()[`fulfilled{priority="pay"}`] > 50 })
+		next.eventually("load at the new process", func() bool { return next.metrics()[`fulfilled{priority="pay"}`] > 50 })
 		if got := next.adminCommand("ATTACH s-2"); got != "OK\n" {
-			t.Errorf("back: %q", got)
+			t.Errorf("ATTACH: got %q", got)
 		}
 		old = next
 	}
 	close(end)
 	wait()
 	if n := detached.RequestCount(); n != calls {
-		t.Errorf("%d calls at a backend that is out", n-calls)
+		t.Errorf("%d requests at a detached backend", n-calls)
 	}
 	if n := repeated.swap(0); n > 0 {
 		t.Errorf("%d requests ran twice", n)
 	}
 }
 
-// A process that can't take its place ends with one line, and leaves the one that
-// serves whole; so does one that is killed.
+// A process that can't take over exits, and the one that serves is not affected; nor is it by a
+// successor that is killed.
 func TestReplacementFails(t *testing.T) {
 	b := standin.NewBackend(t, standin.Echo)
 	p := newPlatform(t, 256, discoveryList(b))
@@ -127,11 +127,11 @@
 	}
 	defer f.Close()
 	for _, c := range []struct{ name, fd, adminAddr, want string }{
-		{"no number", "three", freeAddr(t), "BALANCER_LISTEN_FD"},
+		{"not a number", "three", freeAddr(t), "BALANCER_LISTEN_FD"},
 		{"standard output", "1", freeAddr(t), "BALANCER_LISTEN_FD"},
 		{"not open", "77", freeAddr(t), "BALANCER_LISTEN_FD"},
-		{"no listener", "3", freeAddr(t), "BALANCER_LISTEN_FD"},
-		{"the door is taken", "4", old.adminAddr, "admin"},
+		{"not a listener", "3", freeAddr(t), "BALANCER_LISTEN_FD"},
+		{"admin address in use", "4", old.adminAddr, "admin"},
 	} {
 		cmd := exec.Command(program, "serve")
 		cmd.ExtraFiles = []*os.File{noListener, f}
@@ -141,16 +141,16 @@
 		if err == nil || !strings.Contains(string(said), c.want) {
 			t.Errorf("%s: %v, %q", c.name, err, said)
 		}
-		if c.name != "the door is taken" && bytes.Count(said, []byte("\n")) != 1 {
-			t.Errorf("%s: not one line: %q", c.name, said)
+		if c.name != "admin address in use" && bytes.Count(said, []byte("\n")) != 1 {
+			t.Errorf("%s: want one line, got %q", c.name, said)
 		}
 	}
 	next := p.start()
-	old.eventually("not alone", func() bool { return strings.Contains(old.logText(), "event=processes count=2") })
+	old.eventually("the second process counted", func() bool { return strings.Contains(old.logText(), "event=processes count=2") })
 	next.cmd.Process.Kill()
 	next.waited = true
 	<-next.exited
-	old.eventually("alone again", func() bool { return strings.Contains(old.logText(), "event=processes count=1") })
+	old.eventually("the killed process no longer counted", func() bool { return strings.Contains(old.logText(), "event=processes count=1") })
 	for _, name := range []string{"127.0.0.1", "oxbowloft-spoilt.bans"} {
 		os.WriteFile(filepath.Join(p.sharedDir, name), []byte("\x00"), 0o600)
 	}
@@ -165,14 +165,14 @@
 	}
 }
 
-// A process that gets no processor time for a while answers all that it has taken all the
-// same, once each: what was in flight, what came whole while it stood still, and what came
-// half. Guards against timers that run late and deadlines that are past when they do.
+// A process that gets no processor time for a while still answers every request once: those in
+// flight, those that arrived completely while it was suspended, and one of which half had arrived.
+// Guards against timers that fire late, and deadlines that have passed when they do.
 func TestSuspendedProcess(t *testing.T) {
 	b := standin.NewBackend(t, func(c *standin.Call) {
 		if c.Method == "GET" {
 			standin.Echo(c)
-		} else { // each of the posts times out
+		} else { // every POST times out
 			c.Hang()
 		}
 	})
@@ -189,16 +189,17 @@
 	half.send(text[:len(text)/2])
 	r.signal(syscall.SIGSTOP)
 	for range 5 {
-		c := r.dial() // the kernel accepts
+		c := r.dial() // the kernel completes the connection
 		c.send(postRequest("pay", "y", 1000))
 		open = append(open, c)
 	}
 	half.send(text[len(text)/2:])
 	time.Sleep(700 * time.Millisecond)
 	r.signal(syscall.SIGCONT)
-	// All eleven are judged in one go, in no order: the limit may have room for it or not.
+	// All eleven requests are admitted or refused at once, in no particular order, so that the
+	// concurrency limit may have room for this one or not.
 	if got := half.read(); got.status != 200 && (got.status != 503 || got.header.Get("Retry-After") == "") {
-		t.Errorf("the one that came half: got %+v", got)
+		t.Errorf("the request sent in two halves: got %+v", got)
 	}
 	for i, c := range open {
 		if got := c.read(); got.status != 502 && got.status != 503 {
@@ -208,7 +209,7 @@
 	for i, c := range open {
 		c.SetReadDeadline(time.Now().Add(10 * time.Millisecond))
 		if n, _ := c.r.Read(make([]byte, 1)); n > 0 {
-			t.Errorf("request %d: more than one answer", i)
+			t.Errorf("request %d: more than one response", i)
 		}
 	}
 }
--- a/cmd/oxbowloft/size_test.go
+++ b/cmd/oxbowloft/size_test.go
@@ -12,23 +12,23 @@
 	"oxbowloft/internal/standin"
 )
 
-// resourceUsage is what a process has used by its end.
+// resourceUsage is what a process has used.
 type resourceUsage struct {
 	cpu      time.Duration
 	memoryMB float64
-	sockets  int // open at the end of the calls
+	sockets  int // descriptors open after the last request
 	opened   int // connections to backends
 }
 
-// measureUsage runs a built program with so many known backends, one balancer among so many, and
-// makes calls; it returns what the process needed.
+// measureUsage runs a built program, one of so many balancers, with so many configured backends,
+// sends it requests one after another, and returns what the process used.
 func measureUsage(t *testing.T, program string, known, balancers, calls int) resourceUsage {
 	t.Helper()
-	const listeners = 8 // known backends share their addresses
+	const listeners = 8 // the backends of the list share their addresses
 	var backends []*standin.Backend
 	for range listeners {
 		backends = append(backends, standin.NewBackend(t, func(c *standin.Call) {
-			time.Sleep(5 * time.Millisecond) // so that no backend looks slow by chance
+			time.Sleep(5 * time.Millisecond) // long enough that no backend is judged slow by chance
 			standin.Echo(c)
 		}))
 	}
@@ -47,7 +47,7 @@
 	c := r.dial()
 	for i := range calls {
 		if got := c.roundTrip(getRequest(2000)); got.status != 200 {
-			t.Fatalf("call %d: %+v", i, got)
+			t.Fatalf("request %d: got %+v", i, got)
 		}
 	}
 	var n resourceUsage
@@ -68,8 +68,8 @@
 	return n
 }
 
-// peakMemoryMB is the most memory that a process has had resident since it began to run its
-// program: what the kernel tells a parent counts the parent's own from before that.
+// peakMemoryMB returns the peak resident memory of a process since it executed its program. The
+// peak that wait4 reports to a parent also covers the time before, with the parent's own memory.
 func peakMemoryMB(t *testing.T, pid int) float64 {
 	t.Helper()
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
@@ -86,8 +86,8 @@
 	return 0
 }
 
-// What a proxy needs at the operators' largest fleet, against the usual one: their table,
-// row by row, as far as one process shows it.
+// The resources that a proxy uses in the largest fleet stay within the operators' bounds relative
+// to the usual fleet, as far as one process can show it.
 func TestResourceUsageByFleetSize(t *testing.T) {
 	const calls = 1000
 	program := buildWithoutRace(t)
@@ -95,15 +95,15 @@
 	t.Logf("200 backends: %+v; 3,200: %+v", usual, large)
 	const thousands = 3.2
 	if limit := 1.4*usual.cpu.Seconds() + 0.02 + 0.03*thousands; large.cpu.Seconds() > limit {
-		t.Errorf("processor time %v, %.3f s at most", large.cpu, limit)
+		t.Errorf("processor time %v, limit %.3f s", large.cpu, limit)
 	}
 	if limit := 1.5*usual.memoryMB + 8 + 4*thousands; large.memoryMB > limit {
-		t.Errorf("memory %.1f MB, %.1f at most", large.memoryMB, limit)
+		t.Errorf("memory %.1f MB, limit %.1f MB", large.memoryMB, limit)
 	}
 	if limit := 2*usual.sockets + 40; large.sockets > limit {
-		t.Errorf("%d descriptors, %d at most", large.sockets, limit)
+		t.Errorf("%d descriptors, limit %d", large.sockets, limit)
 	}
 	if limit := int(2.5*float64(usual.opened)) + 40; large.opened > limit {
-		t.Errorf("%d connections to backends, %d at most", large.opened, limit)
+		t.Errorf("%d connections to backends, limit %d", large.opened, limit)
 	}
 }
--- a/cmd/oxbowloft/stale_list_test.go
+++ b/cmd/oxbowloft/stale_list_test.go
@@ -76,7 +76,7 @@
 	targets          []string
 	known            string
 	leaving, staying *standin.Backend
-	leavingRequests        requestLog
+	leavingRequests  requestLog
 	process          *runningProgram
 }
 
@@ -130,10 +130,10 @@
 // or a start of our own. Incident: docs/incidents/stale-lists.md.
 func TestReturnedBackendCountsAsGone(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		disrupt func(s *staleListTest) // before the backend goes
-		afterReturn    func(s *staleListTest) // behind its return
-		keepsServing  bool                  // the backend that stayed goes on being used meanwhile
+		name         string
+		disrupt      func(s *staleListTest) // before the backend goes
+		afterReturn  func(s *staleListTest) // behind its return
+		keepsServing bool                   // the backend that stayed goes on being used meanwhile
 	}{
 		{"a process starts again with the list that it had", func(s *staleListTest) {
 			s.discovery.SetOverloaded(500 * time.Millisecond)
@@ -250,9 +250,9 @@
 // (docs/incidents/stale-lists.md).
 func TestCrowdIsNoOutage(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		disrupt func(s *staleListTest)
-		afterAnnounced    func(s *staleListTest) // once its going counts
+		name           string
+		disrupt        func(s *staleListTest)
+		afterAnnounced func(s *staleListTest) // once its going counts
 	}{
 		{"calls for the list are turned away", func(s *staleListTest) { s.discovery.ResetWatches() }, func(*staleListTest) {}},
 		{"the watch stands, and shows signs of life", func(*staleListTest) {}, func(*staleListTest) {}},
