--- a/fleet/model/backend.go
+++ b/fleet/model/backend.go
@@ -17,7 +17,7 @@
 	e.token = uint64(e.call.tries)
 	if b.busy >= m.cfg.Cores {
 		if len(b.queue) >= m.cfg.Queue {
-			m.after(link, &event{kind: answer, member: e.member, call: e.call, try: e.try, token: e.token, result: logic.Full})
+			m.after(link, &event{kind: answer, member: e.member, call: e.call, try: e.try, token: e.token, result: logic.Rejected})
 			return
 		}
 		b.queue = append(b.queue, e)
--- a/fleet/model/client.go
+++ b/fleet/model/client.go
@@ -38,7 +38,7 @@
 	c := &m.cfg.Classes[class]
 	q := &clientCall{key: m.rng.Uint64(), class: class, first: m.now, deadline: m.now + c.Deadline,
 		member: m.someMember(), second: int(m.now / time.Second)}
-	m.result.Offered[q.second] += c.Worth
+	m.result.Offered[q.second] += c.Value
 	m.result.First[q.second]++
 	m.nextTry(q)
 }
@@ -64,12 +64,12 @@
 		return
 	}
 	if p.numbers.Shed(q.class, q.key) {
-		base := m.cfg.Classes[q.class].Aim / 4
+		base := m.cfg.Classes[q.class].TargetLatency / 4
 		p.refused(q, p.numbers.ComeBack(q.key, base, 2*time.Second))
 		return
 	}
 	p.calls[q.id] = q
-	p.balancer.Arrive(m.now, logic.Request{ID: q.id, Class: q.class, Budget: q.deadline - m.now, Retry: q.tries > 1})
+	p.balancer.StartRequest(m.now, logic.Request{ID: q.id, Class: q.class, Budget: q.deadline - m.now, ClientRetry: q.tries > 1})
 }
 
 // refused is what a client does on a refusal: some wait as they are told, the others a moment.
@@ -92,6 +92,6 @@
 	}
 	q.answered = true
 	c, took := &m.cfg.Classes[q.class], m.now-q.first
-	late := float64(took-c.Aim) / float64(c.Deadline-c.Aim)
-	m.result.Worth[q.second] += c.Worth * max(0, min(1, 1-late))
+	late := float64(took-c.TargetLatency) / float64(c.Deadline-c.TargetLatency)
+	m.result.Worth[q.second] += c.Value * max(0, min(1, 1-late))
 }
--- a/fleet/model/member.go
+++ b/fleet/model/member.go
@@ -74,7 +74,7 @@
 
 func (p *member) CloseIdle(string) {}
 
-func (p *member) Wake(token uint64, after time.Duration) {
+func (p *member) StartTimer(token uint64, after time.Duration) {
 	p.model.after(after, &event{kind: wake, member: p.number, token: token})
 }
 
@@ -89,21 +89,21 @@
 		return
 	}
 	s := &q.sends[e.try]
-	s.done, s.mayRun = true, e.result != logic.Full
+	s.done, s.mayRun = true, e.result != logic.Rejected
 	latency := m.now - s.at
 	ok := e.result == logic.OK && !q.final
 	if e.result == logic.OK || e.result == logic.TimedOut {
 		// The target is that of the balancer's own limit.
 		const target = 0.25
 		p.counters.Answers++
-		p.counters.Strain += min(4, min(1, float64(latency)/float64(m.cfg.Classes[q.class].Aim))/target)
+		p.counters.Strain += min(4, min(1, float64(latency)/float64(m.cfg.Classes[q.class].TargetLatency))/target)
 	}
 	if ok {
 		p.counters.Served[q.class]++
 		m.success(q)
 		q.final = true
 	}
-	p.balancer.Done(m.now, logic.Outcome{Request: s.id, Attempt: e.try, Result: e.result, Latency: latency, Final: ok})
+	p.balancer.AttemptDone(m.now, logic.Outcome{Request: s.id, Attempt: e.try, Result: e.result, Latency: latency, Final: ok})
 	if q.final {
 		p.drop(q)
 	}
--- a/fleet/model/model.go
+++ b/fleet/model/model.go
@@ -96,12 +96,12 @@
 	}
 	list := make([]logic.Backend, cfg.Backends)
 	for i := range list {
-		list[i] = logic.Backend{ID: strconv.Itoa(i), Zone: zones[i%cfg.Zones], Size: 1}
+		list[i] = logic.Backend{ID: strconv.Itoa(i), Zone: zones[i%cfg.Zones], Capacity: 1}
 	}
 	classes := make([]logic.Class, len(cfg.Classes))
 	told := make([]overload.Class, len(cfg.Classes))
 	for i, c := range cfg.Classes {
-		classes[i], told[i] = c.Class, overload.Class{Worth: c.Worth, Cost: c.Service.Seconds()}
+		classes[i], told[i] = c.Class, overload.Class{Worth: c.Value, Cost: c.Service.Seconds()}
 	}
 	view := make([]overload.Member, cfg.Members)
 	for i := range view {
@@ -113,10 +113,10 @@
 			numbers: overload.Alone(), share: math.Exp(cfg.Sigma * m.rng.NormFloat64())}
 		p.balancer = logic.New(0, logic.Settings{
 			Seed: cfg.Seed*1000 + uint64(i), Zone: v.Zone, Zones: zones, Classes: classes,
-			Balancers: cfg.Members, Me: i, Uneven: cfg.Uneven, MaxAttempts: 3,
-			MaxComeBack: 2 * time.Second, Grace: time.Second,
+			BalancerCount: cfg.Members, BalancerIndex: i, UnevenTraffic: cfg.Uneven, MaxAttempts: 3,
+			MaxRetryAfter: 2 * time.Second, DrainGrace: time.Second,
 		}, p)
-		p.balancer.List(0, true, list)
+		p.balancer.UpdateList(0, true, list)
 		p.fleet, _ = overload.New(0, overload.Settings{Classes: told, Compact: cfg.Compact}, v)
 		p.fleet.View(0, cfg.Members, view)
 		p.resetCounters()
@@ -163,7 +163,7 @@
 	case answer, timeout:
 		m.members[e.member].attemptDone(e)
 	case wake:
-		m.members[e.member].balancer.Wake(m.now, e.token)
+		m.members[e.member].balancer.TimerFired(m.now, e.token)
 	case report:
 		m.members[e.member].report()
 	case gossip:
--- a/fleet/model/model_test.go
+++ b/fleet/model/model_test.go
@@ -18,7 +18,7 @@
 
 func classes() []Class {
 	class := func(name string, aim, deadline time.Duration, worth, mix float64, service time.Duration) Class {
-		return Class{logic.Class{Name: name, Aim: aim, Deadline: deadline, Worth: worth}, mix, service}
+		return Class{logic.Class{Name: name, TargetLatency: aim, Deadline: deadline, Value: worth}, mix, service}
 	}
 	return []Class{
 		class("order", 400*ms, 2000*ms, 5, 0.2, 15*ms),
--- a/fleet/model/oracle.go
+++ b/fleet/model/oracle.go
@@ -23,8 +23,8 @@
 	}
 	waits := max(0, load(best)+1-m.cfg.Cores)
 	p := m.members[q.member]
-	if place < m.planned[q.class] || time.Duration(waits)*30*time.Millisecond/time.Duration(m.cfg.Cores) > c.Aim/2 {
-		p.refused(q, c.Aim/4)
+	if place < m.planned[q.class] || time.Duration(waits)*30*time.Millisecond/time.Duration(m.cfg.Cores) > c.TargetLatency/2 {
+		p.refused(q, c.TargetLatency/4)
 		return
 	}
 	m.after(link, &event{kind: callArrives, member: q.member, call: q, to: best})
@@ -36,7 +36,7 @@
 	for i := range order {
 		order[i] = i
 	}
-	value := func(i int) float64 { return m.cfg.Classes[i].Worth / m.cfg.Classes[i].Service.Seconds() }
+	value := func(i int) float64 { return m.cfg.Classes[i].Value / m.cfg.Classes[i].Service.Seconds() }
 	slices.SortStableFunc(order, func(i, j int) int { return cmp.Compare(value(j), value(i)) })
 	room := m.cfg.Margin * float64(m.cfg.Backends*m.cfg.Cores)
 	for _, i := range order {
--- a/internal/discovery/fleet_test.go
+++ b/internal/discovery/fleet_test.go
@@ -114,15 +114,15 @@
 		m.client.OnFresh = m.fresh
 		m.do(func(now logic.Time) {
 			m.balancer = logic.New(now, logic.Settings{
-				Seed: uint64(id + 1), Zone: "z1", Zones: []string{"z1"}, Balancers: f.size, Me: id % f.size,
-				Classes:     []logic.Class{{Name: "get", Aim: 500 * ms, Deadline: 2 * sec, Worth: 1}},
-				MaxAttempts: 1, Grace: grace,
+				Seed: uint64(id + 1), Zone: "z1", Zones: []string{"z1"}, BalancerCount: f.size, BalancerIndex: id % f.size,
+				Classes:     []logic.Class{{Name: "get", TargetLatency: 500 * ms, Deadline: 2 * sec, Value: 1}},
+				MaxAttempts: 1, DrainGrace: grace,
 			}, m)
 			var known []logic.Backend
 			for i := range backends {
-				known = append(known, logic.Backend{ID: backendName(i), Zone: "z1", Cell: 1, Size: 1})
+				known = append(known, logic.Backend{ID: backendName(i), Zone: "z1", Cell: 1, Capacity: 1})
 			}
-			m.balancer.List(now, true, known)
+			m.balancer.UpdateList(now, true, known)
 		})
 		ctx, cancel := context.WithCancel(context.Background())
 		m.end = cancel
@@ -156,13 +156,13 @@
 	for ; time.Now().Before(until); time.Sleep(service) {
 		for i := f.turn % spacing; i < len(f.members); i += spacing {
 			m := f.members[i]
-			m.do(func(now logic.Time) { m.balancer.Done(now, m.out) })
+			m.do(func(now logic.Time) { m.balancer.AttemptDone(now, m.out) })
 		}
 		f.turn++
 		for i := f.turn % spacing; i < len(f.members); i += spacing {
 			m := f.members[i]
 			m.do(func(now logic.Time) {
-				m.balancer.Arrive(now, logic.Request{ID: strconv.Itoa(f.turn), Budget: 2 * sec})
+				m.balancer.StartRequest(now, logic.Request{ID: strconv.Itoa(f.turn), Budget: 2 * sec})
 			})
 		}
 	}
@@ -171,7 +171,7 @@
 func (m *member) list(l *discovery.List) {
 	var changed []logic.Backend
 	for _, t := range l.Targets {
-		b := logic.Backend{ID: t.UID, Zone: t.Zone, Cell: t.Cell, Size: t.Size, State: logic.Up}
+		b := logic.Backend{ID: t.UID, Zone: t.Zone, Cell: t.Cell, Capacity: t.Size, State: logic.Up}
 		if t.State != discovery.InService {
 			b.State = logic.Draining
 		}
@@ -179,18 +179,18 @@
 	}
 	m.do(func(now logic.Time) {
 		m.heard = append(m.heard, news{time.Now(), int(l.Rev)})
-		m.balancer.List(now, l.All, changed)
+		m.balancer.UpdateList(now, l.All, changed)
 	})
 }
 
 func (m *member) fresh(f discovery.Fresh) {
 	if !m.deaf {
-		fresh := logic.ListFresh{Until: at(f.Until), UntilServing: at(f.UntilServing), Serving: f.Serving,
-			TellsLate: f.TellsLate, Gap: discovery.Gap}
+		fresh := logic.ListFreshness{FreshUntil: at(f.Until), StaleUntil: at(f.UntilServing), EvidenceWindow: f.Serving,
+			ChangesMayLag: f.TellsLate, MaxUnobserved: discovery.Gap}
 		if !f.Told.IsZero() {
-			fresh.Known, fresh.Told = at(f.Known), at(f.Told)
+			fresh.ConfirmedAt, fresh.ReceivedAt = at(f.Known), at(f.Told)
 		}
-		m.do(func(logic.Time) { m.balancer.ListFresh(fresh) })
+		m.do(func(logic.Time) { m.balancer.SetListFreshness(fresh) })
 	}
 }
 
@@ -214,7 +214,7 @@
 	defer m.fleet.mu.Unlock()
 	result, rev := logic.OK, m.drained[backend]
 	if rev > 0 {
-		result = logic.Full
+		result = logic.Rejected
 		told, ok := m.reg.Told(m.name, rev, tellWithin)
 		if over := time.Since(told); ok && over > grace+slack {
 			m.late++
@@ -227,8 +227,8 @@
 }
 
 // Wake implements logic.Actions.
-func (m *member) Wake(token uint64, after time.Duration) {
-	time.AfterFunc(after, func() { m.do(func(now logic.Time) { m.balancer.Wake(now, token) }) })
+func (m *member) StartTimer(token uint64, after time.Duration) {
+	time.AfterFunc(after, func() { m.do(func(now logic.Time) { m.balancer.TimerFired(now, token) }) })
 }
 
 // The rest of logic.Actions.
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -92,17 +92,17 @@
 		if !ok {
 			return fmt.Errorf("unknown class %q", *e.Kind)
 		}
-		in.balancer.Arrive(now, logic.Request{ID: *e.Txn, Class: class, Budget: settings.Duration(*e.Budget),
-			Retry: e.Bits&wire.BitRetry != 0})
+		in.balancer.StartRequest(now, logic.Request{ID: *e.Txn, Class: class, Budget: settings.Duration(*e.Budget),
+			ClientRetry: e.Bits&wire.BitRetry != 0})
 	case "resolved":
 		return in.resolved(now, e)
 	case "lapsed":
-		in.balancer.Gone(now, *e.Txn)
+		in.balancer.ClientGone(now, *e.Txn)
 	case "elapsed":
 		if *e.Nonce >= listNonces {
 			in.listDue(now, *e.Nonce)
 		} else {
-			in.balancer.Wake(now, *e.Nonce)
+			in.balancer.TimerFired(now, *e.Nonce)
 		}
 	case "status-back", "neighbour-says", "first":
 		// The module probes nobody, talks to no peer, and waits for an answer's
@@ -151,24 +151,24 @@
 		if !ok {
 			return fmt.Errorf("backend %s: unknown health %q", l.Backend, l.Health)
 		}
-		line := logic.Backend{ID: l.Backend, Zone: l.Zone, Cell: l.Cell, State: state, Started: settings.Duration(l.ReadyAt)}
+		line := logic.Backend{ID: l.Backend, Zone: l.Zone, Cell: l.Cell, State: state, StartedAt: settings.Duration(l.ReadyAt)}
 		if l.Units != nil {
-			line.Size = *l.Units
+			line.Capacity = *l.Units
 		}
 		lines = append(lines, line)
 	}
 	in.listTold()
-	in.balancer.List(now, *e.Kind != "INCREMENTAL", lines)
+	in.balancer.UpdateList(now, *e.Kind != "INCREMENTAL", lines)
 	return nil
 }
 
 func (in *instance) resolved(now logic.Time, e *wire.Event) error {
-	results := [...]logic.Result{1: logic.OK, 2: logic.Error, 3: logic.Full, 4: logic.TimedOut,
-		5: logic.NoConnect, 6: logic.Broken, 7: logic.Cancelled, 8: logic.NeverSent}
+	results := [...]logic.Result{1: logic.OK, 2: logic.Error, 3: logic.Rejected, 4: logic.TimedOut,
+		5: logic.ConnectFailed, 6: logic.ConnectionLost, 7: logic.Cancelled, 8: logic.NotSent}
 	if *e.Code < 1 || *e.Code >= len(results) {
 		return fmt.Errorf("unknown code %d", *e.Code)
 	}
-	in.balancer.Done(now, logic.Outcome{
+	in.balancer.AttemptDone(now, logic.Outcome{
 		Request: *e.Txn,
 		Attempt: e.Shot,
 		Result:  results[*e.Code],
@@ -203,8 +203,8 @@
 	in.act(wire.Action{Type: "stop-attempt", Txn: request, Shot: &attempt})
 }
 
-// Wake implements logic.Actions.
-func (in *instance) Wake(token uint64, after time.Duration) {
+// StartTimer implements logic.Actions.
+func (in *instance) StartTimer(token uint64, after time.Duration) {
 	in.act(wire.Action{Type: "schedule", Nonce: &token, Wait: settings.Milliseconds(after)})
 }
 
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -162,43 +162,43 @@
 // it is new with each start.
 func (o *Object) Logic(seed uint64) (logic.Settings, error) {
 	set := logic.Settings{
-		Seed:      seed,
-		Zone:      o.Zone,
-		Zones:     o.Zones,
-		Tier:      o.Stage,
-		Balancers: o.Balancers,
-		Me:        o.Me,
-		Uneven:    o.Kind == KindMesh,
-		Cancel:    o.Limits.Cancel && o.Kind == KindMesh,
+		Seed:            seed,
+		Zone:            o.Zone,
+		Zones:           o.Zones,
+		Tier:            o.Stage,
+		BalancerCount:   o.Balancers,
+		BalancerIndex:   o.Me,
+		UnevenTraffic:   o.Kind == KindMesh,
+		CancelAbandoned: o.Limits.Cancel && o.Kind == KindMesh,
 		// By worth, the worst-served class is always the same one; where it weighs this much, it must not be.
-		EvenClasses: o.Goal.WorstClass > 0 && o.Goal.WorstClass >= o.Goal.Whole/2,
-		MaxAttempts: o.Limits.MaxAttempts,
-		Grace:       span(o.Rules.Grace),
-		ColdShare:   o.Rules.ColdFrom,
-		WarmWithin:  span(o.Rules.WarmWithin),
+		EqualClasses:          o.Goal.WorstClass > 0 && o.Goal.WorstClass >= o.Goal.Whole/2,
+		MaxAttempts:           o.Limits.MaxAttempts,
+		DrainGrace:            span(o.Rules.Grace),
+		InitialWarmUpFraction: o.Rules.ColdFrom,
+		WarmUpTime:            span(o.Rules.WarmWithin),
 	}
 	if o.Limits.RetryAfter {
-		set.MaxComeBack = span(o.Limits.MaxRetryAfter)
+		set.MaxRetryAfter = span(o.Limits.MaxRetryAfter)
 	}
-	repeats := map[string]logic.Repeat{"free": logic.Safe, "guarded": logic.Keyed, "single_shot": logic.Unsafe}
-	scopes := map[string]logic.Scope{"all": logic.ScopeAll, "zone": logic.ScopeZone, "cell": logic.ScopeCell}
+	repeats := map[string]logic.Idempotency{"free": logic.Idempotent, "guarded": logic.Deduplicated, "single_shot": logic.NonIdempotent}
+	scopes := map[string]logic.DedupScope{"all": logic.ScopeAll, "zone": logic.ScopeZone, "cell": logic.ScopeCell}
 	for _, c := range o.Classes {
 		repeat, ok := repeats[c.Idempotency]
 		if !ok {
 			return set, fmt.Errorf("classes: %q: idempotency: unknown %q", c.Name, c.Idempotency)
 		}
 		scope, ok := scopes[c.Group]
-		if !ok && repeat == logic.Keyed {
+		if !ok && repeat == logic.Deduplicated {
 			return set, fmt.Errorf("classes: %q: group: unknown %q", c.Name, c.Group)
 		}
 		set.Classes = append(set.Classes, logic.Class{
-			Name:     c.Name,
-			Aim:      span(cmp.Or(c.Aim, c.GiveUp)), // without an aim any answer in time will do
-			Deadline: span(c.GiveUp),
-			Worth:    c.Worth,
-			Repeat:   repeat,
-			Scope:    scope,
-			Memory:   span(c.Memory),
+			Name:          c.Name,
+			TargetLatency: span(cmp.Or(c.Aim, c.GiveUp)), // without an aim any answer in time will do
+			Deadline:      span(c.GiveUp),
+			Value:         c.Worth,
+			Idempotency:   repeat,
+			DedupScope:    scope,
+			DedupWindow:   span(c.Memory),
 		})
 	}
 	return set, nil
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -28,8 +28,8 @@
 		if err := o.Check(); err != nil {
 			t.Errorf("%s: %v", c.name, err)
 		}
-		if set, err := o.Logic(1); err != nil || set.Uneven != c.uneven || set.EvenClasses != c.even {
-			t.Errorf("%s: uneven %t, even classes %t, %v", c.name, set.Uneven, set.EvenClasses, err)
+		if set, err := o.Logic(1); err != nil || set.UnevenTraffic != c.uneven || set.EqualClasses != c.even {
+			t.Errorf("%s: uneven %t, even classes %t, %v", c.name, set.UnevenTraffic, set.EqualClasses, err)
 		}
 	}
 }
@@ -189,13 +189,13 @@
 	}
 	c := set.Classes[0]
 	askWithin, _ := o.ListAsked()
-	for i, d := range []time.Duration{c.Aim, c.Deadline, c.Memory, askWithin, set.Grace, set.WarmWithin, set.MaxComeBack} {
+	for i, d := range []time.Duration{c.TargetLatency, c.Deadline, c.DedupWindow, askWithin, set.DrainGrace, set.WarmUpTime, set.MaxRetryAfter} {
 		if d != longest {
 			t.Errorf("time %d is %v", i, d)
 		}
 	}
-	if set, err := parse(t, ``).Logic(1); err != nil || set.Classes[0].Aim != time.Second {
-		t.Errorf("without an aim it is %v, %v", set.Classes[0].Aim, err)
+	if set, err := parse(t, ``).Logic(1); err != nil || set.Classes[0].TargetLatency != time.Second {
+		t.Errorf("without an aim it is %v, %v", set.Classes[0].TargetLatency, err)
 	}
 	for _, ms := range []float64{1e300, math.Inf(1)} {
 		if up, down := Duration(ms), Duration(-ms); up < longest || time.Duration(time.Now().UnixNano())+up < up || down != -up {
--- a/logic/admission.go
+++ b/logic/admission.go
@@ -30,7 +30,7 @@
 // reckon keeps the limit's base, what own arrivals have in flight at the latency aimed at, and the arcs: a
 // departure for unlike traffic, as where each client process has its own, of which a like part starves some.
 func (b *Balancer) reckon(now Time, c *class) {
-	wanted, count, size := strainTarget*float64(c.Aim), float64(len(b.listed)), b.size
+	wanted, count, size := strainTarget*float64(c.TargetLatency), float64(len(b.listed)), b.size
 	if b.arrivals == 0 { // as if traffic were alike, until seen: guards against a flood at the start
 		b.need, b.between, b.arrivals = wanted, wanted/(b.base*max(size, 1)), arriveFirst
 	}
@@ -61,10 +61,10 @@
 		best = max(best, b.classes[i].value())
 	}
 	value := b.classes[q.Class].value() / best
-	if b.set.EvenClasses { // guards against the class of least worth that pays for all others
+	if b.set.EqualClasses { // guards against the class of least worth that pays for all others
 		value = evenValue
 	}
-	if q.Retry { // guards against a client's many tries that crowd out the first ones of others
+	if q.ClientRetry { // guards against a client's many tries that crowd out the first ones of others
 		value = -value
 	}
 	t := b.settle(now)
@@ -84,21 +84,21 @@
 
 // credit is how many calls may be saved up or owed.
 func (b *Balancer) credit(t tally) float64 {
-	if b.set.Uneven {
+	if b.set.UnevenTraffic {
 		return max(saveLeast, saveShare*b.limit()*t.warm)
 	}
 	return saveMost
 }
 
 // value is the worth for each unit of time; next to 0 until the class is seen.
-func (c *class) value() float64 { return c.Worth / cmp.Or(c.cost, math.MaxFloat64) }
+func (c *class) value() float64 { return c.Value / cmp.Or(c.cost, math.MaxFloat64) }
 
 // correctLimit moves the limit towards the target strain while it is in use: a quiet hour tells nothing.
 func (b *Balancer) correctLimit(now Time, c *class, strain float64) {
 	t := b.tally(now, &b.all)
 	// Guards against work turned away where latencies are long without any queue. One late call counts as 1.
-	target := max(strainTarget, min(strainCeiling, restFactor*c.rest/float64(max(c.Aim, 1))))
-	if b.set.Uneven { // a few calls tell of no latency at rest
+	target := max(strainTarget, min(strainCeiling, restFactor*c.rest/float64(max(c.TargetLatency, 1))))
+	if b.set.UnevenTraffic { // a few calls tell of no latency at rest
 		target = strainUneven
 	}
 	if t.calls+1 > limitInUse*b.limit()*t.warm {
--- a/logic/admission_test.go
+++ b/logic/admission_test.go
@@ -19,7 +19,7 @@
 			b.classes[i].meet(2000*ms, false)
 		}
 		for i := range 12 {
-			b.Arrive(0, Request{ID: fmt.Sprint("r", i), Class: class, Budget: 2000 * ms})
+			b.StartRequest(0, Request{ID: fmt.Sprint("r", i), Class: class, Budget: 2000 * ms})
 		}
 		for id := range f.answers {
 			if got := f.one(t, id); !got.refused || got.comeBack <= 0 {
@@ -69,11 +69,11 @@
 			b.requests[id] = &request{Request: Request{ID: id, Class: safe}, deadline: now + 2000*ms, out: 1,
 				attempts: []attempt{{to: b.listed[i%4], sent: now}}}
 			b.classes[safe].meet(2000*ms, false)
-			b.Done(now, Outcome{Request: id, Result: OK, Latency: latency(i), Final: true})
+			b.AttemptDone(now, Outcome{Request: id, Result: OK, Latency: latency(i), Final: true})
 		}
 		return b.limit() / b.base
 	}
-	aim := float64(testSettings().Classes[safe].Aim)
+	aim := float64(testSettings().Classes[safe].TargetLatency)
 	of := func(share float64) time.Duration { return time.Duration(share * aim) }
 	if got := play(func(i int) time.Duration { return of(0.2 + 0.15*float64(i%3)) }); got < 1 {
 		t.Errorf("at rest the limit falls to %.2f of the first", got)
@@ -89,7 +89,7 @@
 func TestFirstLimitIsShared(t *testing.T) {
 	total := func(balancers int) float64 {
 		set := testSettings()
-		set.Balancers = balancers
+		set.BalancerCount = balancers
 		b, _ := start(set, zoneLines("b", 40)...)
 		return b.limit() * float64(balancers)
 	}
@@ -106,12 +106,12 @@
 		b.setLimit(4)
 		change(b)
 		for i := range 60 {
-			b.Arrive(0, Request{ID: fmt.Sprint("r", i), Class: safe, Budget: 2000 * ms})
+			b.StartRequest(0, Request{ID: fmt.Sprint("r", i), Class: safe, Budget: 2000 * ms})
 		}
 		return len(f.sends)
 	}
 	all := admitted(func(*Balancer) {})
-	half := admitted(func(b *Balancer) { b.List(0, true, zoneLines("b", 4)) })
+	half := admitted(func(b *Balancer) { b.UpdateList(0, true, zoneLines("b", 4)) })
 	ejected := admitted(func(b *Balancer) {
 		for _, m := range b.listed[:4] {
 			m.ejected, m.inFlight, m.trialAt = 1, 4, 1000*ms // with calls that hang there
@@ -145,7 +145,7 @@
 	const seconds, hold = 60, 200 * ms
 	for n := range balancers {
 		set := testSettings()
-		set.Balancers, set.Seed = balancers, uint64(n)
+		set.BalancerCount, set.Seed = balancers, uint64(n)
 		b, f := start(set, zoneLines("b", backends)...)
 		b.classes[keyed].meet(2000*ms, false)
 		b.hold, b.classes[keyed].cost = float64(hold), float64(hold)
@@ -156,13 +156,13 @@
 			for len(out) > 0 && out[0] <= now {
 				id := fmt.Sprint("r", int64(out[0]))
 				// On the target: the limit stays where it is.
-				onTarget := time.Duration(strainCeiling * float64(set.Classes[keyed].Aim))
-				b.Done(out[0], Outcome{Request: id, Result: OK, Latency: onTarget, Final: true})
+				onTarget := time.Duration(strainCeiling * float64(set.Classes[keyed].TargetLatency))
+				b.AttemptDone(out[0], Outcome{Request: id, Result: OK, Latency: onTarget, Final: true})
 				b.hold, b.classes[keyed].cost = float64(hold), float64(hold)
 				out = out[1:]
 			}
 			sends := len(f.sends)
-			b.Arrive(now, Request{ID: fmt.Sprint("r", int64(now+hold)), Class: keyed, Budget: 2000 * ms})
+			b.StartRequest(now, Request{ID: fmt.Sprint("r", int64(now+hold)), Class: keyed, Budget: 2000 * ms})
 			if len(f.sends) > sends {
 				out = append(out, now+hold)
 				mean += float64(hold) / float64(seconds*1000*ms)
@@ -202,12 +202,12 @@
 		b.setLimit(5)
 		for i := range 40 {
 			id, now := fmt.Sprint("r", i), Time(i)*100*ms
-			b.Arrive(now, Request{ID: id, Class: unsafe, Budget: 2000 * ms})
+			b.StartRequest(now, Request{ID: id, Class: unsafe, Budget: 2000 * ms})
 			if i < 14 { // they keep the limit in use
 				continue
 			}
 			b.allow(unsafe, 700*ms)
-			b.Done(now+c.latency, Outcome{Request: id, Result: Error, Latency: c.latency, Final: true})
+			b.AttemptDone(now+c.latency, Outcome{Request: id, Result: Error, Latency: c.latency, Final: true})
 		}
 		if got := b.limit() * 4; (got < 18) != c.down {
 			t.Errorf("%s errors: the limit is %.1f after 20", c.name, got)
@@ -220,7 +220,7 @@
 func TestEvenClasses(t *testing.T) {
 	for _, even := range []bool{false, true} {
 		set := uneven()
-		set.Uneven, set.EvenClasses = false, even // the limit is set below, not by traffic
+		set.UnevenTraffic, set.EqualClasses = false, even // the limit is set below, not by traffic
 		b, f := start(set, zoneLines("b", 10)...)
 		b.allow(safe, 700*ms)
 		b.allow(keyed, 700*ms) // a tenth of the worth
@@ -231,11 +231,11 @@
 			class := i % 2
 			before := len(f.sends)
 			id := fmt.Sprint(even, i)
-			b.Arrive(now, Request{ID: id, Class: class, Budget: 2000 * ms})
+			b.StartRequest(now, Request{ID: id, Class: class, Budget: 2000 * ms})
 			sent[class] += len(f.sends) - before
 			if i >= 100 {
 				done := fmt.Sprint(even, i-100)
-				b.Done(now, Outcome{Request: done, Result: OK, Latency: 100 * ms, Final: true})
+				b.AttemptDone(now, Outcome{Request: done, Result: OK, Latency: 100 * ms, Final: true})
 			}
 		}
 		if alike := float64(sent[1]) > 0.8*float64(sent[0]); alike != even {
--- a/logic/allowance_test.go
+++ b/logic/allowance_test.go
@@ -50,8 +50,8 @@
 	}{{20 * ms, false}, {80 * ms, true}} {
 		b, _ := start(testSettings(), line("b", 1))
 		b.allow(safe, 100*ms)
-		b.Arrive(0, Request{ID: "r", Class: safe, Budget: 2000 * ms})
-		b.Done(c.latency, Outcome{Request: "r", Result: Error, Latency: c.latency})
+		b.StartRequest(0, Request{ID: "r", Class: safe, Budget: 2000 * ms})
+		b.AttemptDone(c.latency, Outcome{Request: "r", Result: Error, Latency: c.latency})
 		if raised := b.classes[safe].allowance > float64(100*ms); raised != c.raised {
 			t.Errorf("error after %v: raised = %v", c.latency, raised)
 		}
@@ -92,7 +92,7 @@
 	b, f := start(testSettings(), line("b", 1))
 	b.allow(safe, 1900*ms)
 	for i := range 2000 {
-		b.Arrive(0, Request{ID: fmt.Sprint("r", i), Class: safe, Budget: 500 * ms})
+		b.StartRequest(0, Request{ID: fmt.Sprint("r", i), Class: safe, Budget: 500 * ms})
 		if len(f.sends) > 0 {
 			return
 		}
@@ -117,13 +117,13 @@
 		}
 		now += 100 * ms
 		before := len(f.sends)
-		b.Arrive(now, Request{ID: id, Class: safe, Budget: budget})
+		b.StartRequest(now, Request{ID: id, Class: safe, Budget: budget})
 		if len(f.sends) > before { // all are late
-			b.Done(now, Outcome{Request: id, Result: TimedOut, Latency: budget, Final: true})
+			b.AttemptDone(now, Outcome{Request: id, Result: TimedOut, Latency: budget, Final: true})
 		}
 	}
 	before := len(f.sends)
-	b.Arrive(now, Request{ID: "after", Class: safe, Budget: most})
+	b.StartRequest(now, Request{ID: "after", Class: safe, Budget: most})
 	if len(f.sends) == before {
 		t.Errorf("turned away: an allowance of %v in %v", time.Duration(b.classes[safe].allowance), most)
 	}
@@ -137,12 +137,12 @@
 func TestFirstAllowance(t *testing.T) {
 	b, f := start(testSettings(), zoneLines("b", 4)...)
 	b.retryTokens = 1
-	b.Arrive(0, Request{ID: "r", Class: safe, Budget: 1000 * ms})
+	b.StartRequest(0, Request{ID: "r", Class: safe, Budget: 1000 * ms})
 	first := f.last(t).timeout
 	if first < 300*ms {
 		t.Errorf("the first attempt with 1 s left may take %v", first)
 	}
-	b.Done(first, Outcome{Request: "r", Result: TimedOut, Latency: first})
+	b.AttemptDone(first, Outcome{Request: "r", Result: TimedOut, Latency: first})
 	if _, wait := f.wait(t); first+wait > 600*ms {
 		t.Errorf("no time left for a second attempt after %v and a wait of %v", first, wait)
 	}
@@ -154,8 +154,8 @@
 	b, _ := start(testSettings(), zoneLines("b", 4)...)
 	for i := range 3 {
 		id := fmt.Sprint("r", i)
-		b.Arrive(Time(i)*1000*ms, Request{ID: id, Class: safe, Budget: 2000 * ms})
-		b.Done(Time(i)*1000*ms+40*ms, Outcome{Request: id, Result: OK, Latency: 40 * ms, Final: true})
+		b.StartRequest(Time(i)*1000*ms, Request{ID: id, Class: safe, Budget: 2000 * ms})
+		b.AttemptDone(Time(i)*1000*ms+40*ms, Outcome{Request: id, Result: OK, Latency: 40 * ms, Final: true})
 	}
 	if cost := time.Duration(b.classes[safe].cost); cost > 45*ms {
 		t.Errorf("after three answers in 40 ms the mean latency is %v", cost)
--- a/logic/balancer.go
+++ b/logic/balancer.go
@@ -16,8 +16,8 @@
 type Balancer struct {
 	set      Settings
 	act      Actions
-	observer Observer // nil: nobody observes
-	lister   Lister   // nil: lists come by themselves alone
+	observer Observer      // nil: nobody observes
+	lister   ListRequester // nil: lists come by themselves alone
 	rng      *rand.Rand
 	classes  []class
 	backends map[string]*backend
@@ -30,7 +30,7 @@
 	requests map[string]*request
 	wakes    map[uint64]*request
 	token    uint64
-	fresh    ListFresh
+	fresh    ListFreshness
 	doubts   bool          // a backend needs a list to be used
 	patience time.Duration // first ejection
 
@@ -124,7 +124,7 @@
 		lastCall: now, arrived: now,
 	}
 	b.observer, _ = act.(Observer)
-	b.lister, _ = act.(Lister)
+	b.lister, _ = act.(ListRequester)
 	for _, c := range set.Classes {
 		b.classes = append(b.classes, class{Class: c})
 		b.patience = max(b.patience, time.Duration(ejectPatience*float64(c.Deadline)))
@@ -133,15 +133,15 @@
 	return b
 }
 
-// Arrive takes a request; it will get exactly one final answer.
-func (b *Balancer) Arrive(now Time, r Request) {
+// StartRequest takes a request; it will get exactly one final answer.
+func (b *Balancer) StartRequest(now Time, r Request) {
 	q := &request{Request: r, deadline: now + r.Budget}
 	b.requests[r.ID] = q
 	c := &b.classes[r.Class]
-	if !r.Retry || c.budget == 0 { // a retry's budget is what its client has left, not the usual one
+	if !r.ClientRetry || c.budget == 0 { // a retry's budget is what its client has left, not the usual one
 		c.meet(r.Budget, b.set.Tier > 0)
 	}
-	if b.set.Uneven && !r.Retry && b.base > 0 { // guards against a limit that grows with every refusal
+	if b.set.UnevenTraffic && !r.ClientRetry && b.base > 0 { // guards against a limit that grows with every refusal
 		b.reckon(now, c)
 	}
 	b.hold = cmp.Or(b.hold, c.cost)
@@ -162,8 +162,8 @@
 	return slices.DeleteFunc(slices.Clone(all), func(x T) bool { return !keep(x) })
 }
 
-// Done takes the end of an attempt; each attempt has exactly one.
-func (b *Balancer) Done(now Time, o Outcome) {
+// AttemptDone takes the end of an attempt; each attempt has exactly one.
+func (b *Balancer) AttemptDone(now Time, o Outcome) {
 	q := b.requests[o.Request]
 	if q == nil || o.Attempt < 0 || o.Attempt >= len(q.attempts) || q.attempts[o.Attempt].ended {
 		return
@@ -172,13 +172,13 @@
 	if a.short && o.Result == TimedOut { // it tells of its client's patience alone
 		o.Result = Cancelled
 	}
-	a.ended, a.lost = true, o.Result == NoConnect
-	a.notRun = a.lost || o.Result == Full || o.Result == NeverSent || o.Result == Late
+	a.ended, a.lost = true, o.Result == ConnectFailed
+	a.notRun = a.lost || o.Result == Rejected || o.Result == NotSent || o.Result == ConnectPending
 	b.settle(now)
 	q.out--
 	b.addInFlight(a.to, -a.load)
 	b.learnFrom(now, q, a, o)
-	q.ended, q.spent = q.ended || o.Final, q.spent || o.Spent
+	q.ended, q.spent = q.ended || o.Final, q.spent || o.NotReplayable
 	if !q.ended && q.out == 0 {
 		b.again(now, q, a)
 	}
@@ -186,8 +186,8 @@
 	b.askList()
 }
 
-// Connected tells whether an attempt still holds once its connection stands: a dial may outlast a drain.
-func (b *Balancer) Connected(now Time, id string) bool {
+// MaySendOnConnect tells whether an attempt still holds once its connection stands: a dial may outlast a drain.
+func (b *Balancer) MaySendOnConnect(now Time, id string) bool {
 	q := b.requests[id]
 	if q == nil || q.ended || q.out == 0 {
 		return false
@@ -198,8 +198,8 @@
 	return !a.notRun
 }
 
-// Written takes that a request has wholly reached its backend, which begins now: told of long ones alone.
-func (b *Balancer) Written(now Time, id string) {
+// RequestWritten takes that a request has wholly reached its backend, which begins now: told of long ones alone.
+func (b *Balancer) RequestWritten(now Time, id string) {
 	if q := b.requests[id]; q != nil && q.out > 0 {
 		a := &q.attempts[len(q.attempts)-1]
 		b.settle(now)
@@ -208,8 +208,8 @@
 	}
 }
 
-// Wake takes the end of a wait that was asked for.
-func (b *Balancer) Wake(now Time, token uint64) {
+// TimerFired takes the end of a wait that was asked for.
+func (b *Balancer) TimerFired(now Time, token uint64) {
 	if q := b.wakes[token]; q != nil { // it has not ended: forget takes it out
 		delete(b.wakes, token)
 		q.token = 0
@@ -217,21 +217,21 @@
 	}
 }
 
-// Gone takes that a request has ended without us: its client left.
-func (b *Balancer) Gone(now Time, id string) {
+// ClientGone takes that a request has ended without us: its client left.
+func (b *Balancer) ClientGone(now Time, id string) {
 	if q := b.requests[id]; q != nil && !q.ended {
 		q.ended = true
-		if b.set.Cancel && q.out > 0 { // guards against work that nobody waits for
+		if b.set.CancelAbandoned && q.out > 0 { // guards against work that nobody waits for
 			b.act.Cancel(q.ID, len(q.attempts)-1)
 		}
 		b.forget(q)
 	}
 }
 
-// End gives up a request because this balancer ends.
-func (b *Balancer) End(id string) {
+// AbandonRequest gives up a request because this balancer ends.
+func (b *Balancer) AbandonRequest(id string) {
 	if q := b.requests[id]; q != nil && !q.ended {
-		b.giveUp(q, BalancerEnds)
+		b.giveUp(q, BalancerStopping)
 	}
 }
 
@@ -239,8 +239,8 @@
 func (b *Balancer) giveUp(q *request, why Cause) {
 	c := &b.classes[q.Class]
 	q.ended = true
-	if c.Repeat == Safe || q.mayHaveRun() == nil || c.Repeat == Keyed && c.Scope == ScopeAll {
-		b.act.Refuse(q.ID, min(b.set.MaxComeBack, c.Aim/comeBackPart), why)
+	if c.Idempotency == Idempotent || q.mayHaveRun() == nil || c.Idempotency == Deduplicated && c.DedupScope == ScopeAll {
+		b.act.Refuse(q.ID, min(b.set.MaxRetryAfter, c.TargetLatency/comeBackPart), why)
 	} else {
 		b.act.Fail(q.ID, why)
 	}
--- a/logic/balancer_test.go
+++ b/logic/balancer_test.go
@@ -12,14 +12,14 @@
 	b, f := start(testSettings(), line("b", 1))
 	b.allow(safe, 100*ms)
 	b.retryTokens = 5
-	b.Arrive(0, Request{ID: "r", Class: safe, Budget: 2000 * ms})
-	b.Done(10*ms, Outcome{Request: "r", Result: Error})
+	b.StartRequest(0, Request{ID: "r", Class: safe, Budget: 2000 * ms})
+	b.AttemptDone(10*ms, Outcome{Request: "r", Result: Error})
 	token, _ := f.wait(t)
-	b.Gone(15*ms, "r")
-	b.Wake(20*ms, token)
-	b.Done(30*ms, Outcome{Request: "r", Result: OK})
-	b.Gone(35*ms, "r")
-	b.Gone(35*ms, "never heard of")
+	b.ClientGone(15*ms, "r")
+	b.TimerFired(20*ms, token)
+	b.AttemptDone(30*ms, Outcome{Request: "r", Result: OK})
+	b.ClientGone(35*ms, "r")
+	b.ClientGone(35*ms, "never heard of")
 	if len(f.sends) != 1 || len(f.answers) != 0 {
 		t.Errorf("after the client left: %d sends, answers %v", len(f.sends), f.answers)
 	}
@@ -36,14 +36,14 @@
 		refused bool
 	}{{safe, true}, {keyed, true}, {keyedZone, false}, {unsafe, false}} {
 		b, f := start(testSettings(), line("b", 1))
-		b.Arrive(0, Request{ID: "r", Class: c.class, Budget: 2000 * ms})
-		b.End("r")
-		b.End("r")
-		b.End("never heard of")
+		b.StartRequest(0, Request{ID: "r", Class: c.class, Budget: 2000 * ms})
+		b.AbandonRequest("r")
+		b.AbandonRequest("r")
+		b.AbandonRequest("never heard of")
 		if got := f.answers["r"]; len(got) != 1 || got[0].refused != c.refused {
 			t.Errorf("class %d: answers %v", c.class, got)
 		}
-		b.Done(10*ms, Outcome{Request: "r", Result: Cancelled})
+		b.AttemptDone(10*ms, Outcome{Request: "r", Result: Cancelled})
 		if len(b.requests) != 0 || len(f.answers) != 1 || len(f.sends) != 1 {
 			t.Errorf("class %d: held %d, answers %v, sends %v", c.class, len(b.requests), f.answers, f.sends)
 		}
@@ -52,13 +52,13 @@
 
 func TestLateOutcomeOfEndedRequest(t *testing.T) {
 	b, f := start(testSettings(), line("b", 1))
-	b.Arrive(0, Request{ID: "r", Class: unsafe, Budget: 2000 * ms})
-	b.Gone(10*ms, "r")
+	b.StartRequest(0, Request{ID: "r", Class: unsafe, Budget: 2000 * ms})
+	b.ClientGone(10*ms, "r")
 	if m := b.backends["b1"]; m.inFlight != 1 {
 		t.Errorf("%d in flight, want 1: the attempt is still out", m.inFlight)
 	}
-	b.Done(20*ms, Outcome{Request: "r", Result: Cancelled})
-	b.Done(20*ms, Outcome{Request: "r", Result: Cancelled}) // repeated: ignored
+	b.AttemptDone(20*ms, Outcome{Request: "r", Result: Cancelled})
+	b.AttemptDone(20*ms, Outcome{Request: "r", Result: Cancelled}) // repeated: ignored
 	if n := b.backends["b1"].inFlight; n != 0 || len(b.requests) != 0 || len(f.answers) != 0 {
 		t.Errorf("in flight %d, held %d, answers %v", n, len(b.requests), f.answers)
 	}
@@ -78,12 +78,12 @@
 		want  bool
 	}{
 		{"nothing happened", unsafe, false, func(*Balancer) {}, true},
-		{"drained", safe, false, func(b *Balancer) { b.List(100*ms, false, []Backend{drained}) }, false},
-		{"gone", safe, false, func(b *Balancer) { b.List(100*ms, false, []Backend{removed}) }, false},
-		{"not in a whole list", safe, false, func(b *Balancer) { b.List(100*ms, true, nil) }, false},
+		{"drained", safe, false, func(b *Balancer) { b.UpdateList(100*ms, false, []Backend{drained}) }, false},
+		{"gone", safe, false, func(b *Balancer) { b.UpdateList(100*ms, false, []Backend{removed}) }, false},
+		{"not in a whole list", safe, false, func(b *Balancer) { b.UpdateList(100*ms, true, nil) }, false},
 		{"drained and back", safe, false, func(b *Balancer) {
-			b.List(100*ms, false, []Backend{drained})
-			b.List(110*ms, false, []Backend{line("b", 1)})
+			b.UpdateList(100*ms, false, []Backend{drained})
+			b.UpdateList(110*ms, false, []Backend{line("b", 1)})
 		}, true},
 		{"detached", safe, false, func(b *Balancer) { b.Detach("b1") }, false},
 		{"detached and attached, cold", safe, false, func(b *Balancer) {
@@ -91,36 +91,36 @@
 			b.Attach(110*ms, "b1")
 		}, false},
 		{"the list is stale", safe, false, func(b *Balancer) {
-			b.ListFresh(ListFresh{Until: 150 * ms})
+			b.SetListFreshness(ListFreshness{FreshUntil: 150 * ms})
 		}, false},
-		{"the client left", safe, false, func(b *Balancer) { b.Gone(100*ms, "r") }, false},
-		{"this balancer ends", safe, false, func(b *Balancer) { b.End("r") }, false},
+		{"the client left", safe, false, func(b *Balancer) { b.ClientGone(100*ms, "r") }, false},
+		{"this balancer ends", safe, false, func(b *Balancer) { b.AbandonRequest("r") }, false},
 		{"a repeat in time", keyed, true, func(*Balancer) {}, true},
 		{"a repeat after the memory for it", keyed, true,
-			func(b *Balancer) { b.classes[keyed].Memory = 200 * ms }, false},
+			func(b *Balancer) { b.classes[keyed].DedupWindow = 200 * ms }, false},
 		{"a safe repeat has no such end", safe, true,
-			func(b *Balancer) { b.classes[safe].Memory = 200 * ms }, true},
+			func(b *Balancer) { b.classes[safe].DedupWindow = 200 * ms }, true},
 	} {
 		b, f := start(testSettings(), line("b", 1))
 		b.allow(c.class, 100*ms)
 		b.retryTokens = 5
-		b.Arrive(0, Request{ID: "r", Class: c.class, Budget: 2000 * ms})
+		b.StartRequest(0, Request{ID: "r", Class: c.class, Budget: 2000 * ms})
 		attempt := 0
 		if c.ran {
-			b.Done(10*ms, Outcome{Request: "r", Result: Broken, Latency: 10 * ms})
+			b.AttemptDone(10*ms, Outcome{Request: "r", Result: ConnectionLost, Latency: 10 * ms})
 			token, wait := f.wait(t)
-			b.Wake(10*ms+wait, token)
+			b.TimerFired(10*ms+wait, token)
 			attempt = 1
 		}
 		failures := b.backends["b1"].failures
 		c.do(b)
-		if got := b.Connected(200*ms, "r"); got != c.want {
+		if got := b.MaySendOnConnect(200*ms, "r"); got != c.want {
 			t.Errorf("%s: still to be sent %t, want %t", c.name, got, c.want)
 		}
 		if c.want || len(f.answers["r"]) > 0 {
 			continue
 		}
-		b.Done(200*ms, Outcome{Request: "r", Attempt: attempt, Result: NeverSent, Latency: 200 * ms})
+		b.AttemptDone(200*ms, Outcome{Request: "r", Attempt: attempt, Result: NotSent, Latency: 200 * ms})
 		if m := b.backends["b1"]; m != nil && m.failures > failures {
 			t.Errorf("%s: it counts against the backend", c.name)
 		}
@@ -132,7 +132,7 @@
 		}
 		if len(f.answers["r"]) == 0 { // it waits for another choice
 			token, wait := f.wait(t)
-			b.Wake(200*ms+wait, token)
+			b.TimerFired(200*ms+wait, token)
 		}
 		if strings.HasSuffix(c.name, "cold") { // the one that is back may be the choice
 			if n := len(f.sends); n != 2 || f.sends[1].backend != "b1" {
@@ -144,7 +144,7 @@
 			t.Errorf("%s: failed, though nothing of it has run or it may run again", c.name)
 		}
 	}
-	if b, _ := start(testSettings(), line("b", 1)); b.Connected(0, "none") {
+	if b, _ := start(testSettings(), line("b", 1)); b.MaySendOnConnect(0, "none") {
 		t.Error("an unknown request is to be sent")
 	}
 }
@@ -154,8 +154,8 @@
 		b, f := start(testSettings(), append(zoneLines("a", 3), zoneLines("b", 3)...)...)
 		for i := range 200 {
 			id := fmt.Sprint("r", i)
-			b.Arrive(Time(i)*ms, Request{ID: id, Class: i % 5, Budget: 2000 * ms})
-			b.Done(Time(i)*ms, Outcome{Request: id, Result: Result(i % 4), Latency: ms, Final: i%4 == 0})
+			b.StartRequest(Time(i)*ms, Request{ID: id, Class: i % 5, Budget: 2000 * ms})
+			b.AttemptDone(Time(i)*ms, Outcome{Request: id, Result: Result(i % 4), Latency: ms, Final: i%4 == 0})
 		}
 		return fmt.Sprint(f.sends, f.answers, f.wakes)
 	}
@@ -169,23 +169,23 @@
 func TestCancelWhenClientLeaves(t *testing.T) {
 	for _, cancel := range []bool{true, false} {
 		set := uneven()
-		set.Cancel = cancel
+		set.CancelAbandoned = cancel
 		b, f := start(set, zoneLines("b", 3)...)
-		b.Arrive(0, Request{ID: "r", Class: safe, Budget: 2000 * ms})
-		b.Gone(ms, "r")
-		b.Gone(2*ms, "r")
+		b.StartRequest(0, Request{ID: "r", Class: safe, Budget: 2000 * ms})
+		b.ClientGone(ms, "r")
+		b.ClientGone(2*ms, "r")
 		if want := map[bool]string{true: "[r 0]", false: "[]"}[cancel]; fmt.Sprint(f.cancels) != want {
 			t.Errorf("cancel %t: cancelled %v, want %v", cancel, f.cancels, want)
 		}
 		m := b.backends[f.sends[0].backend]
-		b.Done(3*ms, Outcome{Request: "r", Result: Cancelled, Latency: 3 * ms, Final: true})
+		b.AttemptDone(3*ms, Outcome{Request: "r", Result: Cancelled, Latency: 3 * ms, Final: true})
 		if m.inFlight != 0 || m.failures != 0 || len(b.requests) != 0 || len(f.answers) != 0 {
 			t.Errorf("cancel %t: %d in flight, failures %v, %d requests, answers %v",
 				cancel, m.inFlight, m.failures, len(b.requests), f.answers)
 		}
-		b.Arrive(4*ms, Request{ID: "served", Class: safe, Budget: 2000 * ms})
-		b.Done(5*ms, Outcome{Request: "served", Result: OK, Latency: ms, Final: true})
-		b.Gone(6*ms, "served")
+		b.StartRequest(4*ms, Request{ID: "served", Class: safe, Budget: 2000 * ms})
+		b.AttemptDone(5*ms, Outcome{Request: "served", Result: OK, Latency: ms, Final: true})
+		b.ClientGone(6*ms, "served")
 		if len(f.cancels) > 1 {
 			t.Errorf("cancelled %v", f.cancels)
 		}
@@ -197,12 +197,12 @@
 	f := newFake()
 	b := New(0, uneven(), f)
 	for i := range 50 {
-		b.Arrive(Time(i)*10*ms, Request{ID: fmt.Sprint(i), Class: safe, Budget: 2000 * ms})
+		b.StartRequest(Time(i)*10*ms, Request{ID: fmt.Sprint(i), Class: safe, Budget: 2000 * ms})
 	}
 	if len(f.answers) != 50 {
 		t.Errorf("%d of 50 answered while nobody was known", len(f.answers))
 	}
-	b.List(500*ms, true, zoneLines("b", 10))
+	b.UpdateList(500*ms, true, zoneLines("b", 10))
 	if b.open < limitLeast || b.base <= 0 {
 		t.Errorf("limit at %v of a base of %v after the first list", b.open, b.base)
 	}
--- a/logic/ban_test.go
+++ b/logic/ban_test.go
@@ -15,7 +15,7 @@
 	for i := range n {
 		id := fmt.Sprint(at, " ", i)
 		from := len(f.sends)
-		b.Arrive(at, Request{ID: id, Class: class, Budget: 2000 * ms})
+		b.StartRequest(at, Request{ID: id, Class: class, Budget: 2000 * ms})
 		if len(f.sends) == from {
 			if len(f.answers[id]) != 1 {
 				t.Fatalf("%s has neither a send nor one answer", id)
@@ -27,7 +27,7 @@
 		if _, ok := first[to]; !ok {
 			first[to] = at
 		}
-		b.Done(at+50*ms, Outcome{Request: id, Result: OK, Latency: 50 * ms, Final: true})
+		b.AttemptDone(at+50*ms, Outcome{Request: id, Result: OK, Latency: 50 * ms, Final: true})
 		at += 100 * ms
 	}
 	return first, at
@@ -37,7 +37,7 @@
 // whatever the list says meanwhile.
 func TestDetached(t *testing.T) {
 	lines := append(zoneLines("b", 2), line("a", 0))
-	all := func(b *Balancer, now Time) { b.List(now, true, lines) }
+	all := func(b *Balancer, now Time) { b.UpdateList(now, true, lines) }
 	for _, c := range []struct {
 		name string
 		then func(b *Balancer, now Time)
@@ -45,19 +45,19 @@
 		{"nothing", func(*Balancer, Time) {}},
 		{"whole list", all},
 		{"removed and listed again", func(b *Balancer, now Time) {
-			b.List(now, false, []Backend{{ID: "b0", State: Removed}})
-			if !b.Knows("b0") {
+			b.UpdateList(now, false, []Backend{{ID: "b0", State: Removed}})
+			if !b.IsKnown("b0") {
 				t.Error("a backend that is out by hand is forgotten")
 			}
 			all(b, now+ms)
 		}},
 		{"restarted", func(b *Balancer, now Time) {
 			l := line("b", 0)
-			l.Started = now
-			b.List(now, false, []Backend{l})
+			l.StartedAt = now
+			b.UpdateList(now, false, []Backend{l})
 		}},
 		{"a list without it, then with it", func(b *Balancer, now Time) {
-			b.List(now, true, lines[1:])
+			b.UpdateList(now, true, lines[1:])
 			all(b, now+ms)
 		}},
 		{"ejected, its trial due", func(b *Balancer, now Time) { b.eject(now-time.Hour, b.backends["b0"]) }},
@@ -78,7 +78,7 @@
 			if got, _ := served(t, b, f, at+10*ms, class, 60); got["b0"] != 0 {
 				t.Errorf("%s, class %d: a send at %v", c.name, class, got["b0"])
 			}
-			if n := b.Avoided(at + 20*time.Second); n < 1 || n > len(lines) {
+			if n := b.OutOfRotation(at + 20*time.Second); n < 1 || n > len(lines) {
 				t.Errorf("%s: %d avoided", c.name, n)
 			}
 		}
@@ -90,11 +90,11 @@
 func TestDetachedInBackoff(t *testing.T) {
 	b, f := start(testSettings(), line("b", 0))
 	b.allow(safe, 100*ms)
-	b.Arrive(0, Request{ID: "r", Class: safe, Budget: 2000 * ms})
-	b.Done(10*ms, Outcome{Request: "r", Result: NoConnect, Latency: 10 * ms})
+	b.StartRequest(0, Request{ID: "r", Class: safe, Budget: 2000 * ms})
+	b.AttemptDone(10*ms, Outcome{Request: "r", Result: ConnectFailed, Latency: 10 * ms})
 	token, wait := f.wait(t)
 	b.Detach("b0")
-	b.Wake(10*ms+wait, token)
+	b.TimerFired(10*ms+wait, token)
 	if len(f.sends) != 1 || len(f.answers["r"]) != 1 || !f.answers["r"][0].refused {
 		t.Errorf("%d sends, answers %v", len(f.sends), f.answers["r"])
 	}
@@ -104,7 +104,7 @@
 func TestLastDetached(t *testing.T) {
 	b, f := start(testSettings(), line("b", 0))
 	b.Detach("b0")
-	b.Arrive(0, Request{ID: "r", Class: unsafe, Budget: 2000 * ms})
+	b.StartRequest(0, Request{ID: "r", Class: unsafe, Budget: 2000 * ms})
 	if len(f.sends) != 0 || len(f.answers["r"]) != 1 || !f.answers["r"][0].refused {
 		t.Errorf("%d sends, answers %v", len(f.sends), f.answers["r"])
 	}
@@ -129,7 +129,7 @@
 			b.Detach("b0")
 			_, at = served(t, b, f, at, safe, 50)
 			b.Attach(at, "b0")
-			if w := b.backends["b0"].warmth(at, &set); w > 2*set.ColdShare {
+			if w := b.backends["b0"].warmth(at, &set); w > 2*set.InitialWarmUpFraction {
 				t.Fatalf("back with a warmth of %.2f", w)
 			}
 			from := len(f.sends)
@@ -154,7 +154,7 @@
 // change nothing; a ban outlives the backend's place in the list.
 func TestByHandAgain(t *testing.T) {
 	b, f := start(testSettings(), zoneLines("b", 2)...)
-	if b.Knows("nobody") || !b.Knows("b0") {
+	if b.IsKnown("nobody") || !b.IsKnown("b0") {
 		t.Error("knows nobody, or not b0")
 	}
 	b.Attach(0, "b0")
@@ -164,13 +164,13 @@
 	b.Attach(0, "nobody")
 	b.Detach("b0")
 	b.Detach("b0")
-	b.List(ms, false, []Backend{{ID: "b0", State: Removed}})
+	b.UpdateList(ms, false, []Backend{{ID: "b0", State: Removed}})
 	b.Attach(2*ms, "b0")
-	b.List(3*ms, false, []Backend{line("b", 0)})
+	b.UpdateList(3*ms, false, []Backend{line("b", 0)})
 	if first, _ := served(t, b, f, 10*ms, safe, 10); first["b0"] == 0 {
 		t.Error("out after the call back")
 	}
-	if n := b.Avoided(time.Second); n != 0 {
+	if n := b.OutOfRotation(time.Second); n != 0 {
 		t.Errorf("%d avoided", n)
 	}
 }
@@ -183,8 +183,8 @@
 	b.Attach(1000*ms, "b0")
 	due := b.backends["b0"].trialAt
 	l := line("b", 0)
-	l.Started = 900 * ms
-	b.List(1100*ms, false, []Backend{l})
+	l.StartedAt = 900 * ms
+	b.UpdateList(1100*ms, false, []Backend{l})
 	if m := b.backends["b0"]; m.ejected != 1 || m.trialAt != due || m.spacing != 0 {
 		t.Errorf("the trial is gone: %+v", m)
 	}
@@ -199,11 +199,11 @@
 	}{{true, 1}, {false, 2}} {
 		b, f := start(testSettings(), zoneLines("b", 2)...)
 		b.allow(safe, 100*ms)
-		b.Arrive(0, Request{ID: "r", Class: safe, Budget: 2000 * ms})
-		b.Done(10*ms, Outcome{Request: "r", Result: NoConnect, Latency: 10 * ms, Spent: c.spent})
+		b.StartRequest(0, Request{ID: "r", Class: safe, Budget: 2000 * ms})
+		b.AttemptDone(10*ms, Outcome{Request: "r", Result: ConnectFailed, Latency: 10 * ms, NotReplayable: c.spent})
 		if !c.spent {
 			token, wait := f.wait(t)
-			b.Wake(10*ms+wait, token)
+			b.TimerFired(10*ms+wait, token)
 		}
 		if len(f.sends) != c.sends || c.spent && (len(f.answers["r"]) != 1 || !f.answers["r"][0].refused) {
 			t.Errorf("spent %t: %d sends, answers %v", c.spent, len(f.sends), f.answers["r"])
@@ -222,26 +222,26 @@
 		return n
 	}
 	for i := range 200 {
-		b.Arrive(0, Request{ID: fmt.Sprint("long ", i), Class: unsafe, Budget: 2000 * ms, Long: true})
+		b.StartRequest(0, Request{ID: fmt.Sprint("long ", i), Class: unsafe, Budget: 2000 * ms, Streamed: true})
 	}
 	if n := inFlight(); n != 0 {
 		t.Errorf("%d in flight", n)
 	}
-	b.Arrive(ms, Request{ID: "r", Class: unsafe, Budget: 2000 * ms})
+	b.StartRequest(ms, Request{ID: "r", Class: unsafe, Budget: 2000 * ms})
 	if n := inFlight(); n != 1 {
 		t.Errorf("an ordinary one beside them: %d in flight", n)
 	}
-	b.Written(time.Second, "long 0")
-	b.Written(time.Second, "long 0")
-	b.Written(time.Second, "nobody")
+	b.RequestWritten(time.Second, "long 0")
+	b.RequestWritten(time.Second, "long 0")
+	b.RequestWritten(time.Second, "nobody")
 	if n := inFlight(); n != 2 {
 		t.Errorf("one written whole: %d in flight", n)
 	}
 	for i := range 200 {
 		id := fmt.Sprint("long ", i)
-		b.Done(2*time.Second, Outcome{Request: id, Result: OK, Latency: 50 * ms, Final: true, Spent: true})
+		b.AttemptDone(2*time.Second, Outcome{Request: id, Result: OK, Latency: 50 * ms, Final: true, NotReplayable: true})
 	}
-	b.Done(2*time.Second, Outcome{Request: "r", Result: OK, Latency: 50 * ms, Final: true})
+	b.AttemptDone(2*time.Second, Outcome{Request: "r", Result: OK, Latency: 50 * ms, Final: true})
 	if n := inFlight(); n != 0 || len(b.requests) != 0 {
 		t.Errorf("after all: %d in flight, %d requests", n, len(b.requests))
 	}
--- a/logic/cost_test.go
+++ b/logic/cost_test.go
@@ -18,7 +18,7 @@
 }
 func (a *answering) Refuse(string, time.Duration, Cause) {}
 func (a *answering) Fail(string, Cause)                  {}
-func (a *answering) Wake(uint64, time.Duration)          {}
+func (a *answering) StartTimer(uint64, time.Duration)    {}
 func (a *answering) CloseIdle(string)                    {}
 func (a *answering) Cancel(string, int)                  {}
 
@@ -26,18 +26,18 @@
 // and is one of so many.
 func callBalancer(backends, balancers int) (*Balancer, *answering) {
 	act := &answering{}
-	set := Settings{Zone: "a", Zones: []string{"a", "b", "c"}, Balancers: balancers, Me: 3, MaxAttempts: 4,
-		Grace: 300 * ms, ColdShare: 0.2, WarmWithin: time.Hour, MaxComeBack: time.Second,
-		Classes: []Class{{Name: "read", Aim: 200 * ms, Deadline: time.Second, Worth: 1}}}
+	set := Settings{Zone: "a", Zones: []string{"a", "b", "c"}, BalancerCount: balancers, BalancerIndex: 3, MaxAttempts: 4,
+		DrainGrace: 300 * ms, InitialWarmUpFraction: 0.2, WarmUpTime: time.Hour, MaxRetryAfter: time.Second,
+		Classes: []Class{{Name: "read", TargetLatency: 200 * ms, Deadline: time.Second, Value: 1}}}
 	balancer := New(0, set, act)
 	lines := make([]Backend, backends)
 	for i := range lines {
-		lines[i] = Backend{ID: "s-" + strconv.Itoa(i), Zone: set.Zones[i%3], Size: 1}
+		lines[i] = Backend{ID: "s-" + strconv.Itoa(i), Zone: set.Zones[i%3], Capacity: 1}
 		if i%100 == 99 {
-			lines[i].Started = 1
+			lines[i].StartedAt = 1
 		}
 	}
-	balancer.List(0, true, lines)
+	balancer.UpdateList(0, true, lines)
 	return balancer, act
 }
 
@@ -45,9 +45,9 @@
 func call(balancer *Balancer, act *answering, i int) {
 	now, id := Time(i)*10*ms, strconv.Itoa(i)
 	act.sent = false
-	balancer.Arrive(now, Request{ID: id, Budget: time.Second})
+	balancer.StartRequest(now, Request{ID: id, Budget: time.Second})
 	if act.sent {
-		balancer.Done(now+5*ms, Outcome{Request: id, Result: OK, Latency: 5 * ms, Final: true})
+		balancer.AttemptDone(now+5*ms, Outcome{Request: id, Result: OK, Latency: 5 * ms, Final: true})
 	}
 }
 
--- a/logic/harness_test.go
+++ b/logic/harness_test.go
@@ -46,7 +46,7 @@
 	f.answers[request] = append(f.answers[request], answer{})
 }
 
-func (f *fake) Wake(token uint64, after time.Duration) { f.wakes[token] = after }
+func (f *fake) StartTimer(token uint64, after time.Duration) { f.wakes[token] = after }
 
 func (f *fake) CloseIdle(backend string) { f.closed++ }
 
@@ -75,19 +75,19 @@
 }
 
 func testSettings() Settings {
-	class := func(name string, r Repeat, s Scope, worth float64) Class {
-		return Class{Name: name, Aim: 500 * ms, Deadline: 2000 * ms, Worth: worth, Repeat: r, Scope: s,
-			Memory: 1000 * ms}
+	class := func(name string, r Idempotency, s DedupScope, worth float64) Class {
+		return Class{Name: name, TargetLatency: 500 * ms, Deadline: 2000 * ms, Value: worth, Idempotency: r, DedupScope: s,
+			DedupWindow: 1000 * ms}
 	}
 	return Settings{
 		Seed: 7, Zone: "b", Zones: []string{"a", "b", "c"},
 		Classes: []Class{
-			class("safe", Safe, ScopeAll, 10), class("keyed", Keyed, ScopeAll, 1),
-			class("keyed in zone", Keyed, ScopeZone, 1), class("keyed in cell", Keyed, ScopeCell, 1),
-			class("unsafe", Unsafe, ScopeAll, 1),
+			class("safe", Idempotent, ScopeAll, 10), class("keyed", Deduplicated, ScopeAll, 1),
+			class("keyed in zone", Deduplicated, ScopeZone, 1), class("keyed in cell", Deduplicated, ScopeCell, 1),
+			class("unsafe", NonIdempotent, ScopeAll, 1),
 		},
-		MaxAttempts: 3, MaxComeBack: 100 * ms,
-		ColdShare: 0.1, WarmWithin: 10000 * ms,
+		MaxAttempts: 3, MaxRetryAfter: 100 * ms,
+		InitialWarmUpFraction: 0.1, WarmUpTime: 10000 * ms,
 	}
 }
 
@@ -96,7 +96,7 @@
 // oneOfMany is the n-th of many balancers of a lower tier with one zone.
 func oneOfMany(n, balancers int) Settings {
 	set := testSettings()
-	set.Me, set.Seed, set.Tier, set.Balancers, set.Zones = n, uint64(n), 1, balancers, []string{"b"}
+	set.BalancerIndex, set.Seed, set.Tier, set.BalancerCount, set.Zones = n, uint64(n), 1, balancers, []string{"b"}
 	return set
 }
 
@@ -108,7 +108,7 @@
 
 // line is a backend in a zone; its cell is that of its number.
 func line(zone string, n int) Backend {
-	return Backend{ID: fmt.Sprintf("%s%d", zone, n), Zone: zone, Cell: n, Size: 1}
+	return Backend{ID: fmt.Sprintf("%s%d", zone, n), Zone: zone, Cell: n, Capacity: 1}
 }
 
 func zoneLines(zone string, n int) []Backend {
@@ -123,7 +123,7 @@
 func start(set Settings, lines ...Backend) (*Balancer, *fake) {
 	f := newFake()
 	b := New(0, set, f)
-	b.List(0, true, lines)
+	b.UpdateList(0, true, lines)
 	return b, f
 }
 
@@ -132,14 +132,14 @@
 func (b *Balancer) withOpen(t *testing.T, f *fake, n, open int) (to []string) {
 	t.Helper()
 	for i := range n {
-		b.Arrive(Time(i)*ms, Request{ID: fmt.Sprint(i), Class: unsafe, Budget: 2000 * ms})
+		b.StartRequest(Time(i)*ms, Request{ID: fmt.Sprint(i), Class: unsafe, Budget: 2000 * ms})
 		if len(f.answers) > 0 {
 			t.Fatal("refused")
 		}
 		to = append(to, f.last(t).backend)
 		if i >= open {
 			o := Outcome{Request: fmt.Sprint(i - open), Result: OK, Latency: Time(open) * ms, Final: true}
-			b.Done(Time(i)*ms, o)
+			b.AttemptDone(Time(i)*ms, o)
 		}
 	}
 	return to
--- a/logic/list.go
+++ b/logic/list.go
@@ -13,11 +13,11 @@
 	switch {
 	case !b.serving(m):
 		return false
-	case f.Until == 0:
+	case f.FreshUntil == 0:
 		return true
-	case now >= f.Until:
-		return now < f.UntilServing && m.presence.here(f, now)
-	case f.TellsLate && m.presence.doubtful(f, now):
+	case now >= f.FreshUntil:
+		return now < f.StaleUntil && m.presence.here(f, now)
+	case f.ChangesMayLag && m.presence.doubtful(f, now):
 		b.doubts = true
 		return false
 	}
@@ -27,13 +27,13 @@
 // askList asks for a list where a backend has been passed over for want of one, or would be before long.
 func (b *Balancer) askList() {
 	if b.doubts && b.lister != nil {
-		b.lister.AskList()
+		b.lister.RequestList()
 	}
 	b.doubts = false
 }
 
-// List takes news of the backends: the full list, or changed lines only.
-func (b *Balancer) List(now Time, full bool, lines []Backend) {
+// UpdateList takes news of the backends: the full list, or changed lines only.
+func (b *Balancer) UpdateList(now Time, full bool, lines []Backend) {
 	for _, m := range b.listed {
 		m.gone = full
 	}
@@ -42,18 +42,18 @@
 	}
 	b.regroup()
 	if t := b.tally(now, &b.all); b.base == 0 && t.size > 0 {
-		b.open, b.base = 1, limitPerBackend*t.count/t.size/float64(max(b.set.Balancers, 1))
+		b.open, b.base = 1, limitPerBackend*t.count/t.size/float64(max(b.set.BalancerCount, 1))
 	}
 }
 
 func (b *Balancer) update(now Time, l Backend) {
-	l.Size = cmp.Or(max(l.Size, 0), 1)
+	l.Capacity = cmp.Or(max(l.Capacity, 0), 1)
 	m := b.backends[l.ID]
 	if m == nil {
 		m = &backend{sent: now, spacing: b.rng.Float64(), slowness: 1}
 		b.backends[l.ID] = m
 		b.listed = append(b.listed, m)
-	} else if max(l.Started, m.back) != max(m.Started, m.back) { // restarted: nothing learned holds
+	} else if max(l.StartedAt, m.back) != max(m.StartedAt, m.back) { // restarted: nothing learned holds
 		m.failures, m.ejected, m.slowness, m.sent, m.spacing = 0, 0, 1, now, b.rng.Float64()
 	}
 	m.Backend, m.gone = l, l.State == Removed
@@ -71,21 +71,21 @@
 func (b *Balancer) Attach(now Time, id string) {
 	if m := b.backends[id]; m != nil && b.banned[id] {
 		m.back, m.sent, m.failures, m.slowness, m.paused = now, now, 0, 1, 0
-		m.spacing = b.rng.Float64() * one(b.rng.Float64()*float64(b.set.Balancers) >= 1)
+		m.spacing = b.rng.Float64() * one(b.rng.Float64()*float64(b.set.BalancerCount) >= 1)
 		m.ejected, m.trialAt = int(one(m.spacing == 0)), now+b.jitter(b.patience)-b.patience/2
 	}
 	delete(b.banned, id)
 	b.version++
 }
 
-// Knows tells whether a backend is listed or out by hand.
-func (b *Balancer) Knows(id string) bool { return b.backends[id] != nil || b.banned[id] }
+// IsKnown tells whether a backend is listed or out by hand.
+func (b *Balancer) IsKnown(id string) bool { return b.backends[id] != nil || b.banned[id] }
 
-// Avoided is how many listed backends get no calls now, by hand or by choice.
-func (b *Balancer) Avoided(now Time) int {
+// OutOfRotation is how many listed backends get no calls now, by hand or by choice.
+func (b *Balancer) OutOfRotation(now Time) int {
 	out := func(m *backend) bool { return b.banned[m.ID] || m.ejected > 0 || now < m.paused }
 	return len(filter(b.listed, out))
 }
 
-// ListFresh takes for how long the list may be used.
-func (b *Balancer) ListFresh(f ListFresh) { b.fresh = f }
+// SetListFreshness takes for how long the list may be used.
+func (b *Balancer) SetListFreshness(f ListFreshness) { b.fresh = f }
--- a/logic/list_test.go
+++ b/logic/list_test.go
@@ -10,8 +10,8 @@
 func TestDrain(t *testing.T) {
 	b, f := start(testSettings(), line("b", 1), line("b", 2))
 	b.allow(safe, 100*ms)
-	b.Arrive(0, Request{ID: "r", Class: safe, Budget: 2000 * ms})
-	b.Done(10*ms, Outcome{Request: "r", Result: Full})
+	b.StartRequest(0, Request{ID: "r", Class: safe, Budget: 2000 * ms})
+	b.AttemptDone(10*ms, Outcome{Request: "r", Result: Rejected})
 	token, wait := f.wait(t)
 	for _, id := range []string{"b1", "b2"} { // while the retry waits
 		l := line("b", int(id[1]-'0'))
@@ -19,17 +19,17 @@
 		if id == "b2" {
 			l.State = Removed
 		}
-		b.List(15*ms, false, []Backend{l})
+		b.UpdateList(15*ms, false, []Backend{l})
 	}
-	b.Wake(10*ms+wait, token)
-	b.Arrive(200*ms, Request{ID: "s", Class: safe, Budget: 2000 * ms})
+	b.TimerFired(10*ms+wait, token)
+	b.StartRequest(200*ms, Request{ID: "s", Class: safe, Budget: 2000 * ms})
 	if len(f.sends) != 1 {
 		t.Errorf("sent to %s, which drains or is gone", f.last(t).backend)
 	}
 	f.one(t, "r")
 	f.one(t, "s")
-	b.List(300*ms, true, []Backend{line("b", 3)}) // a full list without b1 and b2
-	b.Arrive(300*ms, Request{ID: "u", Class: safe, Budget: 2000 * ms})
+	b.UpdateList(300*ms, true, []Backend{line("b", 3)}) // a full list without b1 and b2
+	b.StartRequest(300*ms, Request{ID: "u", Class: safe, Budget: 2000 * ms})
 	if f.last(t).backend != "b3" {
 		t.Errorf("sent to %s, want b3", f.last(t).backend)
 	}
@@ -40,7 +40,7 @@
 
 func TestEmptyList(t *testing.T) {
 	b, f := start(testSettings())
-	b.Arrive(0, Request{ID: "r", Class: unsafe, Budget: 2000 * ms})
+	b.StartRequest(0, Request{ID: "r", Class: unsafe, Budget: 2000 * ms})
 	if !f.one(t, "r").refused {
 		t.Error("nothing was sent, yet the answer is not a refusal")
 	}
@@ -52,14 +52,14 @@
 // whatever source, does not move that moment. Incident: docs/incidents/silentwatch.md.
 func TestNothingStaleIsUsed(t *testing.T) {
 	set := testSettings()
-	set.Grace = 500 * ms
+	set.DrainGrace = 500 * ms
 	b, f := start(set, line("b", 0), line("b", 1))
 	b.setLimit(10)
 	serial := 0
 	ask := func(at Time) string { // the backend that gets it, or ""
 		serial++
 		id, sends := fmt.Sprint(serial), len(f.sends)
-		b.Arrive(at, Request{ID: id, Class: safe, Budget: 2000 * ms})
+		b.StartRequest(at, Request{ID: id, Class: safe, Budget: 2000 * ms})
 		if len(f.sends) == sends {
 			if a := f.one(t, id); !a.refused || a.comeBack == 0 {
 				t.Errorf("at %v: %+v, want a refusal that says when to come back", at, a)
@@ -69,7 +69,7 @@
 		return f.last(t).backend
 	}
 	served := func(at Time) {
-		b.Done(at, Outcome{Request: fmt.Sprint(serial), Result: OK, Latency: 100 * ms, Final: true})
+		b.AttemptDone(at, Outcome{Request: fmt.Sprint(serial), Result: OK, Latency: 100 * ms, Final: true})
 	}
 	none := func(why string, times ...Time) {
 		t.Helper()
@@ -79,15 +79,15 @@
 			}
 		}
 	}
-	b.ListFresh(ListFresh{Until: 16000 * ms, UntilServing: 16000 * ms, Serving: 6000 * ms})
+	b.SetListFreshness(ListFreshness{FreshUntil: 16000 * ms, StaleUntil: 16000 * ms, EvidenceWindow: 6000 * ms})
 	if ask(15900*ms) == "" {
 		t.Fatal("refused while the list may be held")
 	}
 	served(15990 * ms)
 	none("it may be drained, whatever it has answered", 16000*ms, 16100*ms, 16390*ms, 30000*ms)
-	b.List(30100*ms, true, []Backend{line("b", 0), line("b", 1)})
+	b.UpdateList(30100*ms, true, []Backend{line("b", 0), line("b", 1)})
 	none("the list is no word of now", 30150*ms)
-	b.ListFresh(ListFresh{Until: 36100 * ms, UntilServing: 36100 * ms, Serving: 6000 * ms})
+	b.SetListFreshness(ListFreshness{FreshUntil: 36100 * ms, StaleUntil: 36100 * ms, EvidenceWindow: 6000 * ms})
 	if ask(30200*ms) == "" {
 		t.Error("refused though the list is fresh")
 	}
@@ -98,10 +98,10 @@
 	}
 	// Discovery can't be reached: what has served a call is used, for as long as it goes on
 	// serving and no longer than the time that is given.
-	b.ListFresh(ListFresh{Until: 36100 * ms, UntilServing: 44000 * ms, Serving: 1000 * ms,
-		Known: 36000 * ms, Gap: 2000 * ms})
+	b.SetListFreshness(ListFreshness{FreshUntil: 36100 * ms, StaleUntil: 44000 * ms, EvidenceWindow: 1000 * ms,
+		ConfirmedAt: 36000 * ms, MaxUnobserved: 2000 * ms})
 	none("it has served nothing yet", 36150*ms)
-	b.Done(36200*ms, Outcome{Request: first, Result: OK, Latency: 100 * ms, Final: true})
+	b.AttemptDone(36200*ms, Outcome{Request: first, Result: OK, Latency: 100 * ms, Final: true})
 	for _, at := range []Time{36300 * ms, 36990 * ms} {
 		if to := ask(at); to != took {
 			t.Errorf("at %v to %q, want %q, which served a call sent at 36 s", at, to, took)
@@ -111,16 +111,16 @@
 	if to := ask(37980 * ms); to != took {
 		t.Errorf("to %q, want %q, which served a call sent at 36.99 s", to, took)
 	}
-	b.Done(37990*ms, Outcome{Request: fmt.Sprint(serial), Result: Full, Latency: 10 * ms, Final: true})
+	b.AttemptDone(37990*ms, Outcome{Request: fmt.Sprint(serial), Result: Rejected, Latency: 10 * ms, Final: true})
 	none("it turned the last call away", 38000*ms)
-	b.ListFresh(ListFresh{Until: 50000 * ms, UntilServing: 50000 * ms, Serving: 6000 * ms})
+	b.SetListFreshness(ListFreshness{FreshUntil: 50000 * ms, StaleUntil: 50000 * ms, EvidenceWindow: 6000 * ms})
 	if ask(49900*ms) == "" {
 		t.Fatal("refused though the list is fresh")
 	}
 	served(49950 * ms)
-	b.ListFresh(ListFresh{Until: 49000 * ms, UntilServing: 49500 * ms, Serving: 6000 * ms})
+	b.SetListFreshness(ListFreshness{FreshUntil: 49000 * ms, StaleUntil: 49500 * ms, EvidenceWindow: 6000 * ms})
 	none("the time that is given is over, whatever has served since", 49960*ms)
-	b.ListFresh(ListFresh{}) // no clock is kept, as in the simulator
+	b.SetListFreshness(ListFreshness{}) // no clock is kept, as in the simulator
 	if ask(60000*ms) == "" {
 		t.Error("refused though no clock is kept")
 	}
--- a/logic/outlier.go
+++ b/logic/outlier.go
@@ -20,7 +20,7 @@
 // can be tried again, and with another when overdue: else, where allowances are long, none would be.
 func (b *Balancer) dueTrial(now Time, q *request) *backend {
 	c, due := &b.classes[q.Class], now
-	if c.Repeat == Unsafe || 2*c.allowance > float64(q.available(now)) {
+	if c.Idempotency == NonIdempotent || 2*c.allowance > float64(q.available(now)) {
 		due -= b.patience
 	}
 	b.tally(now, &b.all) // so that the ejected ones are those of now
@@ -37,14 +37,14 @@
 func (b *Balancer) judge(now Time, a *attempt, c *class, r Result) {
 	m, failed := a.to, r != OK
 	m.trialOut = m.trialOut && !a.trial
-	if r == Full || r == Late && a.trial {
+	if r == Rejected || r == ConnectPending && a.trial {
 		m.paused = now + b.jitter(time.Duration(fullPause*c.cost)) // else it looks idle; it may drain
 	}
-	if r == Full || r == Cancelled || r == NeverSent || r == Late {
+	if r == Rejected || r == Cancelled || r == NotSent || r == ConnectPending {
 		return
 	}
 	m.failures += failureWeight * (one(failed) - m.failures)
-	b.failing += failingWeight * one(r != NoConnect) * (one(failed) - b.failing) // no chance makes that
+	b.failing += failingWeight * one(r != ConnectFailed) * (one(failed) - b.failing) // no chance makes that
 	switch {
 	case a.trial && !failed:
 		b.observe(m, InUse)
@@ -55,24 +55,24 @@
 	}
 }
 
-// Unreached takes that a connection to a backend which was late has not come up at all. A trial of an
+// ConnectAttemptFailed takes that a connection to a backend which was late has not come up at all. A trial of an
 // ejected one has failed with it.
-func (b *Balancer) Unreached(now Time, id string) {
+func (b *Balancer) ConnectAttemptFailed(now Time, id string) {
 	m := b.backends[id]
 	if m != nil {
-		m.presence.missed(now, NoConnect)
+		m.presence.missed(now, ConnectFailed)
 	}
 	if m != nil && m.ejected > 0 {
 		b.eject(now, m)
 	} else if m != nil {
-		b.judge(now, &attempt{to: m}, nil, NoConnect)
+		b.judge(now, &attempt{to: m}, nil, ConnectFailed)
 	}
 }
 
 // observe tells of a backend's standing, if it is another than it was.
-func (b *Balancer) observe(m *backend, s Standing) {
+func (b *Balancer) observe(m *backend, s BackendStatus) {
 	if b.observer != nil && (m.ejected > 0) != (s == Ejected) {
-		b.observer.Stands(m.ID, s, m.failures)
+		b.observer.BackendStatusChanged(m.ID, s, m.failures)
 	}
 }
 
--- a/logic/outlier_test.go
+++ b/logic/outlier_test.go
@@ -18,12 +18,12 @@
 		id := fmt.Sprint("r", n)
 		n++
 		b.retryTokens = 0
-		b.Arrive(now, Request{ID: id, Class: safe, Budget: 2000 * ms})
+		b.StartRequest(now, Request{ID: id, Class: safe, Budget: 2000 * ms})
 		to := f.last(t).backend
 		if bad && to == "b2" {
-			b.Done(now+ms, Outcome{Request: id, Result: Error, Latency: ms})
+			b.AttemptDone(now+ms, Outcome{Request: id, Result: Error, Latency: ms})
 		} else {
-			b.Done(now+ms, Outcome{Request: id, Result: OK, Latency: ms, Final: true})
+			b.AttemptDone(now+ms, Outcome{Request: id, Result: OK, Latency: ms, Final: true})
 		}
 		return to
 	}
@@ -57,8 +57,8 @@
 	b.set.Tier = 1
 	for i := range 100 {
 		id := fmt.Sprint("r", i)
-		b.Arrive(Time(i)*ms, Request{ID: id, Class: unsafe, Budget: 2000 * ms})
-		b.Done(Time(i)*ms, Outcome{Request: id, Result: Error})
+		b.StartRequest(Time(i)*ms, Request{ID: id, Class: unsafe, Budget: 2000 * ms})
+		b.AttemptDone(Time(i)*ms, Outcome{Request: id, Result: Error})
 	}
 	for id, m := range b.backends {
 		if m.ejected > 0 {
@@ -79,13 +79,13 @@
 	for i := range 300 {
 		id := fmt.Sprint("r", i)
 		now := Time(i) * ms
-		b.Arrive(now, Request{ID: id, Class: safe, Budget: 2000 * ms})
+		b.StartRequest(now, Request{ID: id, Class: safe, Budget: 2000 * ms})
 		if f.last(t).backend == "b1" {
 			full++
-			b.Done(now, Outcome{Request: id, Result: Full})
+			b.AttemptDone(now, Outcome{Request: id, Result: Rejected})
 			continue
 		}
-		b.Done(now+40*ms, Outcome{Request: id, Result: OK, Latency: 40 * ms, Final: true})
+		b.AttemptDone(now+40*ms, Outcome{Request: id, Result: OK, Latency: 40 * ms, Final: true})
 	}
 	if full == 0 || full > 15 { // a pause is about half the mean latency, 20 ms
 		t.Errorf("%d calls to the full backend, want a few of 300", full)
@@ -103,7 +103,7 @@
 	}
 	got := map[string]int{}
 	for i := range 9 {
-		b.Arrive(0, Request{ID: fmt.Sprint("r", i), Class: safe, Budget: 2000 * ms})
+		b.StartRequest(0, Request{ID: fmt.Sprint("r", i), Class: safe, Budget: 2000 * ms})
 		got[f.last(t).backend]++
 	}
 	if len(got) != 3 {
@@ -112,7 +112,7 @@
 	for _, m := range b.listed {
 		m.paused = 50 * ms
 	}
-	b.Arrive(ms, Request{ID: "full", Class: unsafe, Budget: 2000 * ms})
+	b.StartRequest(ms, Request{ID: "full", Class: unsafe, Budget: 2000 * ms})
 	if !f.one(t, "full").refused {
 		t.Error("not refused, though every backend was full just now")
 	}
@@ -128,12 +128,12 @@
 	for i := range calls {
 		id, now := fmt.Sprint("r", i), Time(i)*10*ms
 		b.retryTokens = 0
-		b.Arrive(now, Request{ID: id, Class: safe, Budget: 2000 * ms})
+		b.StartRequest(now, Request{ID: id, Class: safe, Budget: 2000 * ms})
 		f.last(t)
 		if rng.Float64() < 0.08 {
-			b.Done(now+5*ms, Outcome{Request: id, Result: Error, Latency: 5 * ms})
+			b.AttemptDone(now+5*ms, Outcome{Request: id, Result: Error, Latency: 5 * ms})
 		} else {
-			b.Done(now+5*ms, Outcome{Request: id, Result: OK, Latency: 5 * ms, Final: true})
+			b.AttemptDone(now+5*ms, Outcome{Request: id, Result: OK, Latency: 5 * ms, Final: true})
 		}
 		for _, m := range b.listed {
 			if m.ejected > 0 {
@@ -159,9 +159,9 @@
 		due := b.backends["b2"].trialAt
 		tried := func(now Time) bool {
 			id := fmt.Sprint("r", now)
-			b.Arrive(now, Request{ID: id, Class: class, Budget: 2000 * ms})
+			b.StartRequest(now, Request{ID: id, Class: class, Budget: 2000 * ms})
 			to := f.last(t).backend
-			b.Done(now, Outcome{Request: id, Result: OK, Latency: 100 * ms, Final: true})
+			b.AttemptDone(now, Outcome{Request: id, Result: OK, Latency: 100 * ms, Final: true})
 			return to == "b2"
 		}
 		if tried(due) || tried(due+b.patience-1) {
@@ -179,7 +179,7 @@
 	seen []string
 }
 
-func (o *observed) Stands(backend string, s Standing, _ float64) {
+func (o *observed) BackendStatusChanged(backend string, s BackendStatus, _ float64) {
 	o.seen = append(o.seen, backend+" "+s.String())
 }
 
@@ -187,7 +187,7 @@
 func TestStandingIsObserved(t *testing.T) {
 	o := &observed{fake: newFake()}
 	b := New(0, testSettings(), o)
-	b.List(0, true, zoneLines("b", 4))
+	b.UpdateList(0, true, zoneLines("b", 4))
 	m := b.backends["b0"]
 	b.eject(0, m)
 	b.eject(0, m) // a trial has failed
--- a/logic/owntraffic_test.go
+++ b/logic/owntraffic_test.go
@@ -12,7 +12,7 @@
 func uneven() Settings {
 	set := testSettings()
 	set.Zones, set.Zone = []string{"b"}, "b"
-	set.Balancers, set.Uneven = 100, true
+	set.BalancerCount, set.UnevenTraffic = 100, true
 	return set
 }
 
@@ -28,12 +28,12 @@
 	for i := range n {
 		now += gap
 		for len(open) > 0 && open[0].at <= now {
-			b.Done(open[0].at, Outcome{Request: open[0].id, Result: OK, Latency: latency, Final: true})
+			b.AttemptDone(open[0].at, Outcome{Request: open[0].id, Result: OK, Latency: latency, Final: true})
 			open = open[1:]
 		}
 		id := fmt.Sprint(now, i, retry)
 		before := len(f.sends)
-		b.Arrive(now, Request{ID: id, Class: safe, Budget: 2000 * ms, Retry: retry})
+		b.StartRequest(now, Request{ID: id, Class: safe, Budget: 2000 * ms, ClientRetry: retry})
 		if len(f.sends) > before {
 			open = append(open, out{id, now + latency})
 		} else if i >= n/2 {
@@ -41,7 +41,7 @@
 		}
 	}
 	for _, o := range open {
-		b.Done(max(now, o.at), Outcome{Request: o.id, Result: OK, Latency: latency, Final: true})
+		b.AttemptDone(max(now, o.at), Outcome{Request: o.id, Result: OK, Latency: latency, Final: true})
 	}
 	return refused, now
 }
@@ -56,7 +56,7 @@
 		refused     int
 	}{{"unlike", true, 11, 14, 0}, {"alike", false, 0.5, 0.5, 500}} {
 		set := uneven()
-		set.Uneven = c.uneven
+		set.UnevenTraffic = c.uneven
 		b, f := start(set, zoneLines("b", 10)...)
 		refused, _ := feed(b, f, 0, 1000, 10*ms, 100*ms, false)
 		if base := b.base * 10; base < c.least || base > c.most || refused > c.refused {
@@ -85,7 +85,7 @@
 func TestStartIsALikePart(t *testing.T) {
 	b, f := start(uneven(), zoneLines("b", 10)...)
 	for i := range 20 {
-		b.Arrive(ms, Request{ID: fmt.Sprint(i), Class: safe, Budget: 2000 * ms})
+		b.StartRequest(ms, Request{ID: fmt.Sprint(i), Class: safe, Budget: 2000 * ms})
 	}
 	if len(f.sends) > 2*saveMost+4 {
 		t.Errorf("%d of 20 sent at once", len(f.sends))
@@ -119,7 +119,7 @@
 	feed(b, f, 0, 100, 500*ms, 100*ms, false)
 	now, before := 60*time.Second, len(f.sends)
 	for i := range 10 {
-		b.Arrive(now, Request{ID: fmt.Sprint("burst", i), Class: safe, Budget: 2000 * ms})
+		b.StartRequest(now, Request{ID: fmt.Sprint("burst", i), Class: safe, Budget: 2000 * ms})
 	}
 	if n := len(f.sends) - before; n < 1 || n > 4 {
 		t.Errorf("%d of 10 at once were sent, want 1 to 4", n)
@@ -133,7 +133,7 @@
 	_, now := feed(b, f, 0, 200, 10*time.Second, 50*ms, false)
 	before := len(f.sends)
 	for i := range 300 { // none is answered yet
-		b.Arrive(now+Time(i)*ms, Request{ID: fmt.Sprint("burst", i), Class: safe, Budget: 2000 * ms})
+		b.StartRequest(now+Time(i)*ms, Request{ID: fmt.Sprint("burst", i), Class: safe, Budget: 2000 * ms})
 	}
 	if n := len(f.sends) - before; n > 100 {
 		t.Errorf("%d of 300 at once were sent", n)
--- a/logic/presence.go
+++ b/logic/presence.go
@@ -35,17 +35,17 @@
 // served takes that a call sent at some time has been served, and tells whether the backend was away
 // before. A backend that drains finishes what it has, so that an answer proves nothing of the time behind
 // its call's send, and takes back no failure of a call that ended since.
-func (p *presence) served(f *ListFresh, now, sent Time) (wasAway bool) {
+func (p *presence) served(f *ListFreshness, now, sent Time) (wasAway bool) {
 	if p.failed > 0 && sent <= p.failed {
 		p.lastServed = max(p.lastServed, sent)
 		return false
 	}
-	wasAway = p.away || p.broken && sent > p.lastServed+f.Gap
+	wasAway = p.away || p.broken && sent > p.lastServed+f.MaxUnobserved
 	if wasAway {
-		p.absence.widen(f.Told, p.lastServed, now)
+		p.absence.widen(f.ReceivedAt, p.lastServed, now)
 	}
-	if last := max(p.lastServed, f.Known); p.away || sent > last+f.Gap {
-		p.gap.widen(f.Known, last, now)
+	if last := max(p.lastServed, f.ConfirmedAt); p.away || sent > last+f.MaxUnobserved {
+		p.gap.widen(f.ConfirmedAt, last, now)
 	}
 	p.lastServed, p.failed = max(p.lastServed, sent), 0
 	p.broken, p.away, p.full = false, false, false
@@ -55,27 +55,27 @@
 // missed takes that a call was not served: no connection came up, one broke, or it was turned away.
 func (p *presence) missed(now Time, why Result) {
 	p.failed = now
-	p.away = p.away || why == NoConnect
-	p.broken = p.broken || why == Broken
-	p.full = p.full || why == Full
+	p.away = p.away || why == ConnectFailed
+	p.broken = p.broken || why == ConnectionLost
+	p.full = p.full || why == Rejected
 }
 
 // here tells whether the backend was there all the time since the list was known to be whole, up to now, or
 // was seen so lately that a change of it can't count yet. One that drains may answer on for some seconds and
 // then turn calls away. What it served proves nothing any more once it has turned one away, or was not seen
 // for a while in which it may have begun to.
-func (p *presence) here(f *ListFresh, now Time) bool {
-	if p.full || now >= p.lastServed+min(f.Gap, f.Serving) {
+func (p *presence) here(f *ListFreshness, now Time) bool {
+	if p.full || now >= p.lastServed+min(f.MaxUnobserved, f.EvidenceWindow) {
 		return false
 	}
-	return p.gap.at <= f.Known || now < p.gap.from+f.Serving
+	return p.gap.at <= f.ConfirmedAt || now < p.gap.from+f.EvidenceWindow
 }
 
 // doubtful tells whether a backend may have been listed as gone since the last list that was told, so long
 // ago that it counts: a watch that stands proves no more than that it stands.
-func (p *presence) doubtful(f *ListFresh, now Time) bool {
-	if p.failed > f.Told && now >= max(p.lastServed, f.Told)+f.Serving {
+func (p *presence) doubtful(f *ListFreshness, now Time) bool {
+	if p.failed > f.ReceivedAt && now >= max(p.lastServed, f.ReceivedAt)+f.EvidenceWindow {
 		return true
 	}
-	return p.absence.at > f.Told && now >= p.absence.from+f.Serving
+	return p.absence.at > f.ReceivedAt && now >= p.absence.from+f.EvidenceWindow
 }
--- a/logic/presence_test.go
+++ b/logic/presence_test.go
@@ -19,12 +19,12 @@
 	lists int
 }
 
-func (a *asker) AskList() { a.lists++ }
+func (a *asker) RequestList() { a.lists++ }
 
 func newPresenceRun(t *testing.T) (*presenceRun, *asker) {
 	a := &asker{fake: newFake()}
 	b := New(0, testSettings(), a)
-	b.List(0, true, []Backend{line("b", 0)})
+	b.UpdateList(0, true, []Backend{line("b", 0)})
 	b.setLimit(10)
 	return &presenceRun{t: t, b: b, f: a}, a
 }
@@ -47,13 +47,13 @@
 func (r *presenceRun) begin(at Time) (id string, sent bool) {
 	r.serial++
 	id, sends := fmt.Sprint(r.serial), len(r.f.sends)
-	r.b.Arrive(at, Request{ID: id, Class: unsafe, Budget: 2000 * ms})
+	r.b.StartRequest(at, Request{ID: id, Class: unsafe, Budget: 2000 * ms})
 	return id, len(r.f.sends) > sends
 }
 
 // end ends a call that was let out.
 func (r *presenceRun) end(id string, at, latency Time, result Result) {
-	r.b.Done(at, Outcome{Request: id, Result: result, Latency: latency, Final: true})
+	r.b.AttemptDone(at, Outcome{Request: id, Result: result, Latency: latency, Final: true})
 }
 
 // calls makes a call each half second from one time on and before another.
@@ -66,9 +66,9 @@
 	return sent
 }
 
-func freshAt(told, known, until, serving Time) ListFresh {
-	return ListFresh{Until: until, UntilServing: serving, Serving: 6000 * ms, Known: known, Told: told,
-		TellsLate: true, Gap: 2000 * ms}
+func freshAt(told, known, until, serving Time) ListFreshness {
+	return ListFreshness{FreshUntil: until, StaleUntil: serving, EvidenceWindow: 6000 * ms, ConfirmedAt: known, ReceivedAt: told,
+		ChangesMayLag: true, MaxUnobserved: 2000 * ms}
 }
 
 // Past the time until which the list holds all that counts, a backend is used that has been
@@ -83,41 +83,41 @@
 		{"seen all the time", func(r *presenceRun) { r.calls(9000*ms, 17000*ms, OK) }, true},
 		{"seen with short breaks", func(r *presenceRun) {
 			r.calls(9000*ms, 12000*ms, OK)
-			r.calls(12500*ms, 13500*ms, Broken)
+			r.calls(12500*ms, 13500*ms, ConnectionLost)
 			r.calls(13400*ms, 17000*ms, OK)
 		}, true},
 		{"not seen for a while, found away", func(r *presenceRun) {
 			r.calls(9000*ms, 10600*ms, OK)
-			r.calls(10700*ms, 13500*ms, NoConnect)
+			r.calls(10700*ms, 13500*ms, ConnectFailed)
 			r.calls(13500*ms, 17000*ms, OK)
 		}, false},
 		{"found away for a moment", func(r *presenceRun) {
 			r.calls(9000*ms, 11000*ms, OK)
-			r.call(11000*ms, NoConnect)
+			r.call(11000*ms, ConnectFailed)
 			r.calls(11100*ms, 17000*ms, OK)
 		}, false},
 		{"turned away by the newest call", func(r *presenceRun) {
 			r.calls(9000*ms, 15000*ms, OK)
-			r.call(15000*ms, Full)
+			r.call(15000*ms, Rejected)
 		}, false},
 		{"turned away past the list's time", func(r *presenceRun) {
 			r.calls(9000*ms, 16500*ms, OK)
-			r.call(16500*ms, Full)
+			r.call(16500*ms, Rejected)
 		}, false},
 		{"turned away, and served again", func(r *presenceRun) {
 			r.calls(9000*ms, 14000*ms, OK)
-			r.call(14000*ms, Full)
+			r.call(14000*ms, Rejected)
 			r.calls(14500*ms, 17000*ms, OK)
 		}, true},
 		{"turned away, and a call from before served", func(r *presenceRun) {
 			r.calls(9000*ms, 15000*ms, OK)
 			id, _ := r.begin(15000 * ms)
-			r.call(15200*ms, Full)
+			r.call(15200*ms, Rejected)
 			r.end(id, 16000*ms, 1000*ms, OK)
 		}, false},
 		{"a connection broke with the newest call", func(r *presenceRun) {
 			r.calls(9000*ms, 16500*ms, OK)
-			r.call(16500*ms, Broken)
+			r.call(16500*ms, ConnectionLost)
 		}, true},
 		{"not seen for a while, nothing sent", func(r *presenceRun) {
 			r.calls(9000*ms, 10600*ms, OK)
@@ -134,7 +134,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r, _ := newPresenceRun(t)
-			r.b.ListFresh(freshAt(10000*ms, 10000*ms, 16000*ms, 30000*ms))
+			r.b.SetListFreshness(freshAt(10000*ms, 10000*ms, 16000*ms, 30000*ms))
 			c.do(r)
 			if used := r.call(17000*ms, OK); used != c.used {
 				t.Errorf("used %t, want %t", used, c.used)
@@ -163,17 +163,17 @@
 		}, false, true},
 		{"a short break", func(r *presenceRun) {
 			r.calls(10000*ms, 11000*ms, OK)
-			r.call(11000*ms, Broken)
+			r.call(11000*ms, ConnectionLost)
 			r.calls(12000*ms, late, OK)
 		}, false, true},
 		{"away for a moment", func(r *presenceRun) {
 			r.calls(10000*ms, 11000*ms, OK)
-			r.call(11000*ms, NoConnect)
+			r.call(11000*ms, ConnectFailed)
 			r.calls(11100*ms, late, OK)
 		}, false, false},
 		{"away for a while", func(r *presenceRun) {
 			r.calls(10000*ms, 11000*ms, OK)
-			r.calls(11000*ms, 14000*ms, NoConnect)
+			r.calls(11000*ms, 14000*ms, ConnectFailed)
 			if r.calls(14000*ms, 16000*ms, OK) == 0 {
 				r.t.Error("not used though no change of it can count yet")
 			}
@@ -183,41 +183,41 @@
 		}, false, false},
 		{"away for a while, lists pushed", func(r *presenceRun) {
 			r.calls(10000*ms, 11000*ms, OK)
-			r.calls(11000*ms, 14000*ms, NoConnect)
+			r.calls(11000*ms, 14000*ms, ConnectFailed)
 			r.calls(14000*ms, 16000*ms, OK)
 		}, true, true},
 		{"turned away for a while", func(r *presenceRun) {
 			r.calls(10000*ms, 11000*ms, OK)
-			r.calls(11000*ms, 14000*ms, Full)
+			r.calls(11000*ms, 14000*ms, Rejected)
 		}, false, false},
 		{"turned away, and served again", func(r *presenceRun) {
 			r.calls(10000*ms, 11000*ms, OK)
-			r.calls(11000*ms, 14000*ms, Full)
+			r.calls(11000*ms, 14000*ms, Rejected)
 			r.calls(14500*ms, late, OK)
 		}, false, true},
 		{"turned away since a call that ended late", func(r *presenceRun) {
 			r.calls(10000*ms, 10500*ms, OK)
 			r.longCall(10500*ms, 1500*ms, OK)
-			r.calls(12000*ms, 14000*ms, Full)
+			r.calls(12000*ms, 14000*ms, Rejected)
 		}, false, false},
 		{"away since a call that ended late", func(r *presenceRun) {
 			r.calls(10000*ms, 10500*ms, OK)
 			r.longCall(10500*ms, 1500*ms, OK)
-			r.call(12500*ms, NoConnect)
+			r.call(12500*ms, ConnectFailed)
 			r.calls(12600*ms, late, OK)
 		}, false, false},
 		{"broken, with no call served for a while but one from before", func(r *presenceRun) {
 			r.calls(10000*ms, 10500*ms, OK)
 			r.longCall(10500*ms, 1500*ms, OK)
-			r.call(12500*ms, Broken)
+			r.call(12500*ms, ConnectionLost)
 			r.calls(13000*ms, late, OK)
 		}, false, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r, asked := newPresenceRun(t)
 			fresh := freshAt(1000*ms, 17000*ms, 23000*ms, 23000*ms)
-			fresh.TellsLate = !c.pushed
-			r.b.ListFresh(fresh)
+			fresh.ChangesMayLag = !c.pushed
+			r.b.SetListFreshness(fresh)
 			c.do(r)
 			asked.lists = 0
 			if used := r.call(late, OK); used != c.used {
@@ -227,9 +227,9 @@
 				t.Errorf("a list asked for %d times", asked.lists)
 			}
 			// A list tells that it is in service.
-			fresh.Told = late + 100*ms
-			r.b.List(late+100*ms, false, nil)
-			r.b.ListFresh(fresh)
+			fresh.ReceivedAt = late + 100*ms
+			r.b.UpdateList(late+100*ms, false, nil)
+			r.b.SetListFreshness(fresh)
 			if !r.call(late+1000*ms, OK) {
 				t.Error("not used though a list says that it is in service")
 			}
--- a/logic/ramp_test.go
+++ b/logic/ramp_test.go
@@ -209,17 +209,17 @@
 
 // starts takes that a server starts cold now; the ramp of an earlier start is kept for the check.
 func (w *fleetWorld) starts(s *server) {
-	if s.Started > 0 {
+	if s.StartedAt > 0 {
 		old := *s
 		w.ended = append(w.ended, &old)
 	}
-	s.Started, s.sent, s.fair = w.now, nil, 0
+	s.StartedAt, s.sent, s.fair = w.now, nil, 0
 	s.dead = false
 }
 
 func (w *fleetWorld) join(i *instance, me int) {
 	set := w.set
-	set.Me, set.Zone = me, set.Zones[me%len(set.Zones)]
+	set.BalancerIndex, set.Zone = me, set.Zones[me%len(set.Zones)]
 	set.Seed = w.rng.Uint64()
 	i.w, i.tries, i.told = w, map[string]int{}, map[string]Time{}
 	i.Balancer = New(w.now, set, i)
@@ -232,9 +232,9 @@
 	var list []Backend
 	for _, s := range lines {
 		list = append(list, s.Backend)
-		i.told[s.ID] = s.Started
+		i.told[s.ID] = s.StartedAt
 	}
-	i.List(i.w.now, full, list)
+	i.UpdateList(i.w.now, full, list)
 }
 
 // next lets the next call arrive: Poisson.
@@ -247,12 +247,12 @@
 		w.calls++
 		id := strconv.Itoa(w.calls)
 		for _, s := range w.servers { // what each would get of it with all of them warm
-			if s.Started > 0 && w.now < s.Started+w.rules.within {
-				s.fair += w.rules.warmth(w.now-s.Started) / float64(w.planned)
+			if s.StartedAt > 0 && w.now < s.StartedAt+w.rules.within {
+				s.fair += w.rules.warmth(w.now-s.StartedAt) / float64(w.planned)
 			}
 		}
 		c := w.set.Classes[w.calls%w.classes]
-		i.Arrive(w.now, Request{ID: id, Class: w.calls % w.classes, Budget: c.Deadline})
+		i.StartRequest(w.now, Request{ID: id, Class: w.calls % w.classes, Budget: c.Deadline})
 		i.next()
 	})
 }
@@ -261,19 +261,19 @@
 	w, s, n := i.w, i.w.server(backend), i.tries[request]
 	i.tries[request]++
 	start, over := w.now, false
-	if s.Started > 0 && i.told[backend] == s.Started && w.now < s.Started+w.rules.within {
-		s.sent = append(s.sent, w.now-s.Started)
+	if s.StartedAt > 0 && i.told[backend] == s.StartedAt && w.now < s.StartedAt+w.rules.within {
+		s.sent = append(s.sent, w.now-s.StartedAt)
 	}
 	done := func(r Result) {
 		if !over && !i.over {
 			over = true
 			o := Outcome{Request: request, Attempt: n, Result: r, Latency: w.now - start, Final: r == OK}
-			i.Done(w.now, o)
+			i.AttemptDone(w.now, o)
 		}
 	}
 	w.at(w.now+timeout, func() { done(TimedOut) })
 	if s.dead || s.State == Removed {
-		w.at(w.now+ms, func() { done(NoConnect) })
+		w.at(w.now+ms, func() { done(ConnectFailed) })
 		return
 	}
 	if w.rng.Float64() < s.fails {
@@ -281,7 +281,7 @@
 		return
 	}
 	if len(s.queue) >= 4*s.slots() {
-		w.at(w.now+ms, func() { done(Full) })
+		w.at(w.now+ms, func() { done(Rejected) })
 		return
 	}
 	s.queue = append(s.queue, func() { done(OK) })
@@ -297,8 +297,8 @@
 	s.queue = s.queue[1:]
 	s.inWork++
 	takes := float64(s.slots()) / s.capacity * (0.5 + w.rng.Float64())
-	if s.Started > 0 {
-		takes /= w.rules.warmth(w.now - s.Started)
+	if s.StartedAt > 0 {
+		takes /= w.rules.warmth(w.now - s.StartedAt)
 	}
 	w.at(w.now+Time(takes*float64(time.Second)), func() {
 		s.inWork--
@@ -311,11 +311,11 @@
 func (i *instance) Fail(string, Cause)                  {}
 func (i *instance) Cancel(string, int)                  {}
 func (i *instance) CloseIdle(string)                    {}
-func (i *instance) Wake(token uint64, after time.Duration) {
+func (i *instance) StartTimer(token uint64, after time.Duration) {
 	w := i.w
 	w.at(w.now+after, func() {
 		if !i.over {
-			i.Balancer.Wake(w.now, token)
+			i.Balancer.TimerFired(w.now, token)
 		}
 	})
 }
@@ -391,7 +391,7 @@
 	w.starts(s)
 	for _, i := range w.instances {
 		w.at(w.now+Time(w.rng.Float64()*float64(apart)), func() {
-			i.told[s.ID] = s.Started
+			i.told[s.ID] = s.StartedAt
 			i.Attach(w.now, s.ID)
 		})
 	}
@@ -542,10 +542,10 @@
 	w := &fleetWorld{rng: rand.New(rand.NewPCG(seed, 9)), rules: r, planned: 10, capacity: traffic.capacity}
 	w.set = testSettings()
 	w.set.Zones = []string{"b", "a"}[:max(1, c.zones)]
-	w.set.Balancers, w.set.Tier, w.set.Uneven = instances, tier, uneven
-	w.set.ColdShare, w.set.WarmWithin = r.share, r.within
+	w.set.BalancerCount, w.set.Tier, w.set.UnevenTraffic = instances, tier, uneven
+	w.set.InitialWarmUpFraction, w.set.WarmUpTime = r.share, r.within
 	for i := range w.set.Classes {
-		w.set.Classes[i].Deadline, w.set.Classes[i].Aim = traffic.deadline, traffic.deadline/4
+		w.set.Classes[i].Deadline, w.set.Classes[i].TargetLatency = traffic.deadline, traffic.deadline/4
 	}
 	w.classes = len(w.set.Classes)
 	for n := range w.planned {
@@ -571,7 +571,7 @@
 	w.at(traffic.settled, func() { c.do(w) })
 	w.run(traffic.settled + 5*time.Second + Time(traffic.span*float64(r.within)))
 	for _, s := range append(w.ended, w.servers...) {
-		if s.Started > 0 {
+		if s.StartedAt > 0 {
 			one := rampWorst{got: len(s.sent), fair: s.fair}
 			one.sum, one.bound = r.fullest(s.capacity, s.sent)
 			all.add(one)
--- a/logic/recovery_test.go
+++ b/logic/recovery_test.go
@@ -41,9 +41,9 @@
 	case failing:
 		return logic.Error, between(time.Millisecond, 10*time.Millisecond)
 	case turning:
-		return logic.Full, between(time.Millisecond, 10*time.Millisecond)
+		return logic.Rejected, between(time.Millisecond, 10*time.Millisecond)
 	case gone:
-		return logic.NoConnect, time.Millisecond
+		return logic.ConnectFailed, time.Millisecond
 	case hanging:
 		return logic.OK, time.Hour
 	case slow:
@@ -131,7 +131,7 @@
 	p.requests++
 	id := "request-" + strconv.Itoa(p.requests)
 	class := p.rng.IntN(len(classes))
-	p.balancer.Arrive(p.now, logic.Request{ID: id, Class: class, Budget: classes[class].Deadline})
+	p.balancer.StartRequest(p.now, logic.Request{ID: id, Class: class, Budget: classes[class].Deadline})
 	if p.attempts[id] == 0 {
 		p.since.requests++
 	}
@@ -162,7 +162,7 @@
 		if result == logic.OK {
 			p.served++
 		}
-		p.balancer.Done(p.now, logic.Outcome{
+		p.balancer.AttemptDone(p.now, logic.Outcome{
 			Request: request,
 			Attempt: number,
 			Result:  result,
@@ -182,8 +182,8 @@
 func (p *play) Cancel(string, int) {}
 
 // Wake implements logic.Actions.
-func (p *play) Wake(token uint64, wait time.Duration) {
-	p.after(wait, func() { p.balancer.Wake(p.now, token) })
+func (p *play) StartTimer(token uint64, wait time.Duration) {
+	p.after(wait, func() { p.balancer.TimerFired(p.now, token) })
 }
 
 // CloseIdle implements logic.Actions.
@@ -193,10 +193,10 @@
 func (p *play) WatchList() {}
 
 var classes = []logic.Class{
-	{Name: "get", Aim: 800 * time.Millisecond, Deadline: 2 * time.Second, Worth: 3, Repeat: logic.Safe},
-	{Name: "put", Aim: 800 * time.Millisecond, Deadline: 2 * time.Second, Worth: 2, Repeat: logic.Keyed,
-		Memory: 5 * time.Second},
-	{Name: "pay", Aim: 800 * time.Millisecond, Deadline: 2 * time.Second, Worth: 1, Repeat: logic.Unsafe},
+	{Name: "get", TargetLatency: 800 * time.Millisecond, Deadline: 2 * time.Second, Value: 3, Idempotency: logic.Idempotent},
+	{Name: "put", TargetLatency: 800 * time.Millisecond, Deadline: 2 * time.Second, Value: 2, Idempotency: logic.Deduplicated,
+		DedupWindow: 5 * time.Second},
+	{Name: "pay", TargetLatency: 800 * time.Millisecond, Deadline: 2 * time.Second, Value: 1, Idempotency: logic.NonIdempotent},
 }
 
 // shape is where the balancer stands.
@@ -211,25 +211,25 @@
 func newPlay(s shape, seed uint64) *play {
 	p := &play{rng: rand.New(rand.NewPCG(seed, 1)), attempts: map[string]int{}}
 	p.balancer = logic.New(0, logic.Settings{
-		Seed:        seed,
-		Zone:        "z1",
-		Zones:       []string{"z1", "z2"},
-		Classes:     classes,
-		Tier:        s.tier,
-		Balancers:   s.balancers,
-		Uneven:      s.uneven,
-		MaxAttempts: 4,
-		MaxComeBack: 1500 * time.Millisecond,
-		ColdShare:   0.2,
-		WarmWithin:  10 * time.Second,
+		Seed:                  seed,
+		Zone:                  "z1",
+		Zones:                 []string{"z1", "z2"},
+		Classes:               classes,
+		Tier:                  s.tier,
+		BalancerCount:         s.balancers,
+		UnevenTraffic:         s.uneven,
+		MaxAttempts:           4,
+		MaxRetryAfter:         1500 * time.Millisecond,
+		InitialWarmUpFraction: 0.2,
+		WarmUpTime:            10 * time.Second,
 	}, p)
 	var lines []logic.Backend
 	for number := range s.backends {
 		zone := fmt.Sprintf("z%d", 1+number%2)
 		id := fmt.Sprintf("backend-%d", number)
-		lines = append(lines, logic.Backend{ID: id, Zone: zone, Cell: 1, Size: 1})
+		lines = append(lines, logic.Backend{ID: id, Zone: zone, Cell: 1, Capacity: 1})
 	}
-	p.balancer.List(0, true, lines)
+	p.balancer.UpdateList(0, true, lines)
 	return p
 }
 
--- a/logic/retry.go
+++ b/logic/retry.go
@@ -44,7 +44,7 @@
 func (b *Balancer) try(now Time, q *request) {
 	c := &b.classes[q.Class]
 	need := c.allowance
-	if len(q.attempts) == 0 && !b.set.Uneven && (b.set.Tier > 0 || c.Repeat == Safe) {
+	if len(q.attempts) == 0 && !b.set.UnevenTraffic && (b.set.Tier > 0 || c.Idempotency == Idempotent) {
 		need = max(1, min(need, c.cost)) // guards against clients of little patience that get nothing
 	}
 	switch open := len(q.attempts) > 0 || b.admit(now, q); {
@@ -52,10 +52,10 @@
 		b.giveUp(q, OverLimit)
 		return
 	case len(q.attempts) >= b.set.MaxAttempts:
-		b.giveUp(q, NoAttempts)
+		b.giveUp(q, AttemptsExhausted)
 		return
 	case need > float64(q.available(now)):
-		b.giveUp(q, NoTime)
+		b.giveUp(q, NotEnoughTime)
 		return
 	}
 	if len(q.attempts) == 0 { // repeats come on top
@@ -73,12 +73,12 @@
 func (b *Balancer) send(now Time, q *request, to *backend) {
 	c, timeout := &b.classes[q.Class], q.available(now)
 	allowance := time.Duration(c.allowance)
-	if c.Repeat != Unsafe && len(q.attempts)+1 < b.set.MaxAttempts && 2*allowance <= timeout {
+	if c.Idempotency != NonIdempotent && len(q.attempts)+1 < b.set.MaxAttempts && 2*allowance <= timeout {
 		timeout = allowance
 	}
 	to.sent, to.spacing = now, 1
 	to.trialOut = to.trialOut || to.ejected > 0
-	rested := b.set.Uneven && to.inFlight == 0 && to.used > 0 &&
+	rested := b.set.UnevenTraffic && to.inFlight == 0 && to.used > 0 &&
 		float64(now-to.used) > restedShare*float64(b.patience)
 	old := b.broken > staleShare || rested && b.lost > lostShare
 	if old {
@@ -88,8 +88,8 @@
 	a.short = timeout < allowance
 	q.attempts = append(q.attempts, a)
 	q.out++
-	if !q.Long { // guards against slow uploads that fill the limit
-		b.Written(now, q.ID)
+	if !q.Streamed { // guards against slow uploads that fill the limit
+		b.RequestWritten(now, q.ID)
 	}
 	b.act.Send(q.ID, to.ID, timeout)
 }
@@ -103,22 +103,22 @@
 	price := one(!last.notRun)
 	switch {
 	case len(q.attempts) >= b.set.MaxAttempts:
-		b.giveUp(q, NoAttempts)
+		b.giveUp(q, AttemptsExhausted)
 		return
 	case !b.repeatable(now, q):
 		b.giveUp(q, MayHaveRun)
 		return
 	case wait+allowance > float64(q.available(now)):
-		b.giveUp(q, NoTime)
+		b.giveUp(q, NotEnoughTime)
 		return
 	case b.retryTokens < price:
-		b.giveUp(q, RetryBudget)
+		b.giveUp(q, RetryBudgetExhausted)
 		return
 	}
 	b.retryTokens -= price
 	b.token++
 	q.token, b.wakes[b.token] = b.token, q
-	b.act.Wake(q.token, time.Duration(wait))
+	b.act.StartTimer(q.token, time.Duration(wait))
 }
 
 // mayHaveRun is the first attempt not proven to have had no effect, or nil.
@@ -132,24 +132,24 @@
 // mayRepeat is the one place that lets an attempt of q go to m: no effect twice.
 func (b *Balancer) mayRepeat(now Time, q *request, m *backend) bool {
 	c, ran := &b.classes[q.Class], q.mayHaveRun()
-	within := c.Scope == ScopeAll || ran == nil ||
-		c.Scope == ScopeZone && m.Zone == ran.to.Zone || c.Scope == ScopeCell && m.Cell == ran.to.Cell
-	return b.repeatable(now, q) && (c.Repeat != Keyed || within)
+	within := c.DedupScope == ScopeAll || ran == nil ||
+		c.DedupScope == ScopeZone && m.Zone == ran.to.Zone || c.DedupScope == ScopeCell && m.Cell == ran.to.Cell
+	return b.repeatable(now, q) && (c.Idempotency != Deduplicated || within)
 }
 
 // repeatable tells whether any backend may get another attempt of q.
 func (b *Balancer) repeatable(now Time, q *request) bool {
 	const memoryShare = 0.9 // the send must reach the backend while it remembers
 	c, ran := &b.classes[q.Class], q.mayHaveRun()
-	return !q.spent && (ran == nil || c.Repeat == Safe ||
-		c.Repeat == Keyed && float64(now-ran.sent) < memoryShare*float64(c.Memory))
+	return !q.spent && (ran == nil || c.Idempotency == Idempotent ||
+		c.Idempotency == Deduplicated && float64(now-ran.sent) < memoryShare*float64(c.DedupWindow))
 }
 
 // learnFrom draws from an outcome: latency, the backend's health, the limit.
 func (b *Balancer) learnFrom(now Time, q *request, a *attempt, o Outcome) {
 	c, latency := &b.classes[q.Class], float64(o.Latency)
 	// Guards against idle connections that something drops: while many calls break, calls go on new ones.
-	b.broken += failingWeight * (one(o.Result == Broken) - b.broken)
+	b.broken += failingWeight * (one(o.Result == ConnectionLost) - b.broken)
 	// The same where nothing breaks: no answer comes on them. Only idle ones are closed, and the share fades.
 	if a.rested && (o.Result == OK || o.Result == TimedOut) {
 		b.lost += lostWeight * (one(o.Result == TimedOut) - b.lost)
@@ -159,14 +159,14 @@
 	switch o.Result {
 	case OK:
 		a.to.used = now
-		if a.to.presence.served(&b.fresh, now, a.sent) && b.fresh.TellsLate {
+		if a.to.presence.served(&b.fresh, now, a.sent) && b.fresh.ChangesMayLag {
 			b.doubts = true // to have a list by the time at which it would be passed over
 		}
 		c.learn(latency)
 		c.answers++ // the first ones count for more: what cost began with is no latency
 		c.cost += max(meanWeight, 1/c.answers) * (latency - c.cost)
 		c.rest = min(c.cost, (1-restRise)*cmp.Or(c.rest, c.cost)+restRise*c.cost)
-	case NoConnect, Broken, Full:
+	case ConnectFailed, ConnectionLost, Rejected:
 		a.to.presence.missed(now, o.Result)
 	case TimedOut, Error: // late errors, too: guards against an allowance that only ever sees the quick ones
 		if o.Result == TimedOut || latency > lateError*c.allowance {
@@ -177,17 +177,17 @@
 		}
 	}
 	if o.Result == OK || o.Result == TimedOut {
-		if o.Result == TimedOut && b.set.Uneven { // guards against healthy backends that lose some answers,
+		if o.Result == TimedOut && b.set.UnevenTraffic { // guards against healthy backends that lose some answers,
 			latency = min(latency, lostFactor*c.cost) // and of whom all would go to the few that lose none
 		}
 		b.hold += meanWeight * (latency - b.hold)
 		weight := failureWeight
-		if o.Result == TimedOut && !b.set.Uneven { // a choked one that is met seldom is not forgotten
+		if o.Result == TimedOut && !b.set.UnevenTraffic { // a choked one that is met seldom is not forgotten
 			weight = max(weight, 1-math.Exp(-float64(now-a.to.heard)/float64(b.patience)))
 		}
 		a.to.slowness += weight * (latency/c.cost - a.to.slowness)
 		a.to.heard = now
-		b.correctLimit(now, c, latency/float64(max(c.Aim, 1)))
+		b.correctLimit(now, c, latency/float64(max(c.TargetLatency, 1)))
 	}
 	b.judge(now, a, c, o.Result)
 }
--- a/logic/retry_test.go
+++ b/logic/retry_test.go
@@ -25,7 +25,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			b, f := start(testSettings(), line("b", 1))
 			b.allow(safe, 100*ms)
-			b.Arrive(0, Request{ID: "r", Class: safe, Budget: c.budget})
+			b.StartRequest(0, Request{ID: "r", Class: safe, Budget: c.budget})
 			if len(f.sends) != c.sends {
 				t.Fatalf("%d sends, want %d", len(f.sends), c.sends)
 			}
@@ -54,18 +54,18 @@
 		{"keyed after a time-out", keyed, TimedOut, 100 * ms, true, false},
 		{"keyed, forgotten by the backends", keyed, TimedOut, 950 * ms, false, true},
 		{"keyed in a zone, forgotten there", keyedZone, TimedOut, 950 * ms, false, false},
-		{"unsafe, proven not run", unsafe, Full, 10 * ms, true, false},
-		{"unsafe, no connection", unsafe, NoConnect, 10 * ms, true, false},
+		{"unsafe, proven not run", unsafe, Rejected, 10 * ms, true, false},
+		{"unsafe, no connection", unsafe, ConnectFailed, 10 * ms, true, false},
 		{"unsafe after an error", unsafe, Error, 10 * ms, false, false},
-		{"unsafe after a broken connection", unsafe, Broken, 10 * ms, false, false},
+		{"unsafe after a broken connection", unsafe, ConnectionLost, 10 * ms, false, false},
 		{"unsafe after a time-out", unsafe, TimedOut, 10 * ms, false, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b, f := start(testSettings(), line("b", 1), line("b", 2))
 			b.retryTokens = 5
 			b.allow(c.class, 100*ms)
-			b.Arrive(0, Request{ID: "r", Class: c.class, Budget: 2000 * ms})
-			b.Done(c.after, Outcome{Request: "r", Result: c.result, Latency: c.after})
+			b.StartRequest(0, Request{ID: "r", Class: c.class, Budget: 2000 * ms})
+			b.AttemptDone(c.after, Outcome{Request: "r", Result: c.result, Latency: c.after})
 			if !c.retried {
 				if got := f.one(t, "r"); got.refused != c.refused {
 					t.Errorf("refused = %v, want %v", got.refused, c.refused)
@@ -79,12 +79,12 @@
 			if wait <= 0 {
 				t.Error("no backoff")
 			}
-			b.Wake(c.after+wait, token)
+			b.TimerFired(c.after+wait, token)
 			if len(f.sends) != 2 {
 				t.Fatalf("%d sends, want 2", len(f.sends))
 			}
 			end := c.after + wait + 10*ms
-			b.Done(end, Outcome{Request: "r", Attempt: 1, Result: OK, Latency: 10 * ms, Final: true})
+			b.AttemptDone(end, Outcome{Request: "r", Attempt: 1, Result: OK, Latency: 10 * ms, Final: true})
 			if len(f.answers["r"]) != 0 || len(b.requests) != 0 {
 				t.Error("a served request was answered again or is still held")
 			}
@@ -97,10 +97,10 @@
 	b, f := start(testSettings(), line("b", 1))
 	b.retryTokens = 5
 	b.allow(safe, 100*ms)
-	b.Arrive(0, Request{ID: "r", Class: safe, Budget: 1000 * ms})
-	b.Done(100*ms, Outcome{Request: "r", Result: Error, Latency: 100 * ms})
+	b.StartRequest(0, Request{ID: "r", Class: safe, Budget: 1000 * ms})
+	b.AttemptDone(100*ms, Outcome{Request: "r", Result: Error, Latency: 100 * ms})
 	token, _ := f.wait(t)
-	b.Wake(900*ms, token)
+	b.TimerFired(900*ms, token)
 	if len(f.sends) != 1 || !f.one(t, "r").refused {
 		t.Error("sent though the allowance no longer fits")
 	}
@@ -121,7 +121,7 @@
 		b, f := start(testSettings(), line("b", 1))
 		b.set.MaxAttempts = c.attempts
 		b.allow(c.class, 100*ms)
-		b.Arrive(0, Request{ID: "r", Class: c.class, Budget: 1000 * ms})
+		b.StartRequest(0, Request{ID: "r", Class: c.class, Budget: 1000 * ms})
 		if got := f.last(t).timeout; got != c.want {
 			t.Errorf("%s: time-out %v, want %v", c.name, got, c.want)
 		}
@@ -133,14 +133,14 @@
 	b.set.MaxAttempts = 10
 	b.allow(safe, 100*ms)
 	now := Time(0)
-	b.Arrive(now, Request{ID: "r", Class: safe, Budget: 2000 * ms})
+	b.StartRequest(now, Request{ID: "r", Class: safe, Budget: 2000 * ms})
 	var waits []time.Duration
 	for i := range 4 {
-		b.Done(now, Outcome{Request: "r", Attempt: i, Result: NoConnect})
+		b.AttemptDone(now, Outcome{Request: "r", Attempt: i, Result: ConnectFailed})
 		token, wait := f.wait(t)
 		waits = append(waits, wait)
 		now += wait
-		b.Wake(now, token)
+		b.TimerFired(now, token)
 	}
 	for i, w := range waits {
 		mean := time.Duration(float64(100*ms)*backoffShare) << i
@@ -153,12 +153,12 @@
 func TestAttemptsAreACeiling(t *testing.T) {
 	b, f := start(testSettings(), line("b", 1))
 	b.allow(safe, 10*ms)
-	b.Arrive(0, Request{ID: "r", Class: safe, Budget: 2000 * ms})
+	b.StartRequest(0, Request{ID: "r", Class: safe, Budget: 2000 * ms})
 	for i := range 3 {
-		b.Done(Time(i)*20*ms, Outcome{Request: "r", Attempt: i, Result: NoConnect})
+		b.AttemptDone(Time(i)*20*ms, Outcome{Request: "r", Attempt: i, Result: ConnectFailed})
 		if i < 2 {
 			token, _ := f.wait(t)
-			b.Wake(Time(i)*20*ms+10*ms, token)
+			b.TimerFired(Time(i)*20*ms+10*ms, token)
 		}
 	}
 	if len(f.sends) != 3 || !f.one(t, "r").refused {
@@ -186,15 +186,15 @@
 			now := Time(i) * 1000 * ms
 			b.retryTokens = 5
 			b.allow(c.class, 100*ms)
-			b.Arrive(now, Request{ID: id, Class: c.class, Budget: 2000 * ms})
+			b.StartRequest(now, Request{ID: id, Class: c.class, Budget: 2000 * ms})
 			first := byID[f.last(t).backend]
-			b.Done(now+50*ms, Outcome{Request: id, Result: Broken, Latency: 50 * ms})
+			b.AttemptDone(now+50*ms, Outcome{Request: id, Result: ConnectionLost, Latency: 50 * ms})
 			if len(f.answers[id]) > 0 {
 				continue
 			}
 			token, wait := f.wait(t)
 			sends := len(f.sends)
-			b.Wake(now+50*ms+wait, token)
+			b.TimerFired(now+50*ms+wait, token)
 			if len(f.sends) == sends {
 				f.one(t, id)
 				continue
@@ -202,7 +202,7 @@
 			if second := byID[f.last(t).backend]; !c.same(first, second) {
 				t.Fatalf("class %d: %s, then %s", c.class, first.ID, second.ID)
 			}
-			b.Done(now+90*ms, Outcome{Request: id, Attempt: 1, Result: OK, Final: true})
+			b.AttemptDone(now+90*ms, Outcome{Request: id, Attempt: 1, Result: OK, Final: true})
 		}
 	}
 }
@@ -221,8 +221,8 @@
 		call := func(i int, r Result) {
 			now += gap
 			id := fmt.Sprint("r", i)
-			b.Arrive(now, Request{ID: id, Class: safe, Budget: 2000 * ms})
-			b.Done(now+gap/2, Outcome{Request: id, Result: r, Latency: gap / 2, Final: r == OK})
+			b.StartRequest(now, Request{ID: id, Class: safe, Budget: 2000 * ms})
+			b.AttemptDone(now+gap/2, Outcome{Request: id, Result: r, Latency: gap / 2, Final: r == OK})
 		}
 		for i := range 300 {
 			call(i, OK)
@@ -242,8 +242,8 @@
 	b.set.Tier = 1
 	for i := range 200 {
 		id := fmt.Sprint("r", i)
-		b.Arrive(0, Request{ID: id, Class: safe, Budget: 2000 * ms})
-		b.Done(0, Outcome{Request: id, Result: Error})
+		b.StartRequest(0, Request{ID: id, Class: safe, Budget: 2000 * ms})
+		b.AttemptDone(0, Outcome{Request: id, Result: Error})
 	}
 	if retries := len(f.wakes); retries > 21 || retries < 15 {
 		t.Errorf("%d retries of 200 failed calls, want about a tenth", retries)
@@ -257,17 +257,17 @@
 	closed, broken := 0, 0
 	for n := range 100 {
 		set := testSettings()
-		set.Seed, set.Tier, set.Balancers, set.Me = uint64(n), 1, 100, n
+		set.Seed, set.Tier, set.BalancerCount, set.BalancerIndex = uint64(n), 1, 100, n
 		b, f := start(set, zoneLines("b", 20)...)
 		rng := rand.New(rand.NewPCG(uint64(n), 4))
 		for i := range 400 {
 			now, id, r := Time(i)*50*ms, fmt.Sprint("r", i), OK
 			if rng.Float64() < 0.005 {
-				r = Broken
+				r = ConnectionLost
 				broken++
 			}
-			b.Arrive(now, Request{ID: id, Class: unsafe, Budget: 2000 * ms})
-			b.Done(now+ms, Outcome{Request: id, Result: r, Latency: ms, Final: r == OK})
+			b.StartRequest(now, Request{ID: id, Class: unsafe, Budget: 2000 * ms})
+			b.AttemptDone(now+ms, Outcome{Request: id, Result: r, Latency: ms, Final: r == OK})
 		}
 		closed += f.closed
 	}
@@ -285,15 +285,15 @@
 	call := func(r Result) {
 		id := fmt.Sprint("r", n)
 		n++
-		b.Arrive(Time(n)*ms, Request{ID: id, Class: unsafe, Budget: 2000 * ms})
-		b.Done(Time(n)*ms, Outcome{Request: id, Result: r, Latency: ms, Final: r == OK})
+		b.StartRequest(Time(n)*ms, Request{ID: id, Class: unsafe, Budget: 2000 * ms})
+		b.AttemptDone(Time(n)*ms, Outcome{Request: id, Result: r, Latency: ms, Final: r == OK})
 	}
 	call(OK)
 	if f.closed != 0 {
 		t.Error("connections closed though none broke")
 	}
 	for range 20 {
-		call(Broken)
+		call(ConnectionLost)
 	}
 	if f.closed < 15 {
 		t.Errorf("closed %d times in 20 breaks", f.closed)
@@ -331,16 +331,16 @@
 		{"unlike traffic", safe, 0, true, 250 * ms, false},
 	} {
 		set := testSettings()
-		set.Tier, set.Uneven = c.tier, c.unlike
+		set.Tier, set.UnevenTraffic = c.tier, c.unlike
 		b, f := start(set, zoneLines("b", 4)...)
 		for i := range 20 {
 			id := fmt.Sprint("before", i)
-			b.Arrive(0, Request{ID: id, Class: c.class, Budget: 2000 * ms})
-			b.Done(0, Outcome{Request: id, Result: OK, Latency: 100 * ms, Final: true})
+			b.StartRequest(0, Request{ID: id, Class: c.class, Budget: 2000 * ms})
+			b.AttemptDone(0, Outcome{Request: id, Result: OK, Latency: 100 * ms, Final: true})
 		}
 		b.allow(c.class, 600*ms)
 		before := len(f.sends)
-		b.Arrive(ms, Request{ID: "r", Class: c.class, Budget: c.patient})
+		b.StartRequest(ms, Request{ID: "r", Class: c.class, Budget: c.patient})
 		if got := len(f.sends) > before; got != c.sent {
 			t.Errorf("%s: sent %t", c.name, got)
 			continue
@@ -351,7 +351,7 @@
 		}
 		to := b.backends[f.last(t).backend]
 		allowance, slowness, failures := b.classes[c.class].allowance, to.slowness, to.failures
-		b.Done(c.patient, Outcome{Request: "r", Result: TimedOut, Latency: f.last(t).timeout})
+		b.AttemptDone(c.patient, Outcome{Request: "r", Result: TimedOut, Latency: f.last(t).timeout})
 		if f.one(t, "r").refused != (c.class == safe) {
 			t.Errorf("%s: refused only where another try is harmless", c.name)
 		}
@@ -370,7 +370,7 @@
 		slow   bool
 	}{{"unlike", true, false}, {"alike", false, true}} {
 		set := uneven()
-		set.Uneven = c.uneven
+		set.UnevenTraffic = c.uneven
 		b, _ := start(set, zoneLines("b", 10)...)
 		b.allow(safe, 700*ms)
 		b.classes[safe].cost, b.classes[safe].answers = float64(100*ms), 100
@@ -420,7 +420,7 @@
 // feedOne is one request whose attempts all end with r; it returns when the last one did.
 func feedOne(b *Balancer, f *fake, now Time, r Result) Time {
 	id := fmt.Sprint("one", now)
-	b.Arrive(now, Request{ID: id, Class: safe, Budget: 2000 * ms})
+	b.StartRequest(now, Request{ID: id, Class: safe, Budget: 2000 * ms})
 	for n := 0; len(f.sends) > 0 && f.sends[len(f.sends)-1].request == id; n++ {
 		took := 100 * ms
 		if r == TimedOut {
@@ -428,10 +428,10 @@
 		}
 		now += took
 		before := len(f.sends)
-		b.Done(now, Outcome{Request: id, Attempt: n, Result: r, Latency: took, Final: r == OK})
+		b.AttemptDone(now, Outcome{Request: id, Attempt: n, Result: r, Latency: took, Final: r == OK})
 		for token, wait := range f.wakes {
 			delete(f.wakes, token)
-			b.Wake(now+wait, token)
+			b.TimerFired(now+wait, token)
 		}
 		if len(f.sends) == before {
 			break
--- a/logic/rules_test.go
+++ b/logic/rules_test.go
@@ -74,14 +74,14 @@
 		if !t.mayRun {
 			continue
 		}
-		same := c.Scope == ScopeAll || c.Scope == ScopeZone && t.to.Zone == to.Zone ||
-			c.Scope == ScopeCell && t.to.Cell == to.Cell
+		same := c.DedupScope == ScopeAll || c.DedupScope == ScopeZone && t.to.Zone == to.Zone ||
+			c.DedupScope == ScopeCell && t.to.Cell == to.Cell
 		switch {
-		case c.Repeat == Unsafe:
+		case c.Idempotency == NonIdempotent:
 			w.failf("%s: unsafe, sent again after it may have run", request)
-		case c.Repeat == Keyed && !same:
+		case c.Idempotency == Deduplicated && !same:
 			w.failf("%s: keyed, sent from %s to %s outside its group", request, t.to.ID, to.ID)
-		case c.Repeat == Keyed && w.now-t.sent > c.Memory:
+		case c.Idempotency == Deduplicated && w.now-t.sent > c.DedupWindow:
 			w.failf("%s: keyed, sent again after it was forgotten", request)
 		}
 	}
@@ -95,11 +95,11 @@
 	}
 	c := w.set.Classes[q.class]
 	for _, t := range q.tries {
-		if t.mayRun && (c.Repeat == Unsafe || c.Repeat == Keyed && c.Scope != ScopeAll) {
+		if t.mayRun && (c.Idempotency == NonIdempotent || c.Idempotency == Deduplicated && c.DedupScope != ScopeAll) {
 			w.failf("%s: refused, though it may have run", request)
 		}
 	}
-	if comeBack < 0 || comeBack > w.set.MaxComeBack {
+	if comeBack < 0 || comeBack > w.set.MaxRetryAfter {
 		w.failf("%s: come back after %v", request, comeBack)
 	}
 }
@@ -116,7 +116,7 @@
 	return q
 }
 
-func (w *world) Wake(token uint64, after time.Duration) {
+func (w *world) StartTimer(token uint64, after time.Duration) {
 	w.wakes = append(w.wakes, pendingWake{token, w.now + after})
 }
 
@@ -124,7 +124,7 @@
 
 func (w *world) Cancel(request string, attempt int) {
 	q := w.open[request]
-	if !w.set.Cancel || q == nil || attempt < 0 || attempt >= len(q.tries) || q.tries[attempt].done {
+	if !w.set.CancelAbandoned || q == nil || attempt < 0 || attempt >= len(q.tries) || q.tries[attempt].done {
 		w.failf("%s: attempt %d cancelled, which is not out", request, attempt)
 	}
 }
@@ -156,8 +156,8 @@
 	class := w.rng.IntN(len(w.set.Classes))
 	w.open[id] = &openRequest{class: class, deadline: w.now + budget}
 	w.ids = append(w.ids, id)
-	retry := w.set.Uneven && w.rng.IntN(4) == 0
-	w.b.Arrive(w.now, Request{ID: id, Class: class, Budget: budget, Retry: retry})
+	retry := w.set.UnevenTraffic && w.rng.IntN(4) == 0
+	w.b.StartRequest(w.now, Request{ID: id, Class: class, Budget: budget, ClientRetry: retry})
 }
 
 // due fires wakes and time-outs whose time has come, in order.
@@ -166,7 +166,7 @@
 		if p := w.wakes[i]; p.at <= w.now {
 			w.wakes = append(w.wakes[:i], w.wakes[i+1:]...)
 			i--
-			w.b.Wake(w.now, p.token)
+			w.b.TimerFired(w.now, p.token)
 		}
 	}
 	for _, id := range append([]string(nil), w.ids...) {
@@ -185,7 +185,7 @@
 	id := w.ids[w.rng.IntN(len(w.ids))]
 	for n, t := range w.open[id].tries {
 		if !t.done {
-			w.finish(id, n, Result(w.rng.IntN(int(NeverSent)+1)))
+			w.finish(id, n, Result(w.rng.IntN(int(NotSent)+1)))
 			return
 		}
 	}
@@ -195,10 +195,10 @@
 	q := w.open[id]
 	t := q.tries[n]
 	t.done = true
-	t.mayRun = r != Full && r != NoConnect && r != NeverSent
+	t.mayRun = r != Rejected && r != ConnectFailed && r != NotSent
 	final := q.answered || r == OK
 	q.answered = final
-	w.b.Done(w.now, Outcome{Request: id, Attempt: n, Result: r, Latency: w.now - t.sent, Final: final})
+	w.b.AttemptDone(w.now, Outcome{Request: id, Attempt: n, Result: r, Latency: w.now - t.sent, Final: final})
 }
 
 func (w *world) clientLeaves() {
@@ -208,7 +208,7 @@
 	id := w.ids[w.rng.IntN(len(w.ids))]
 	if q := w.open[id]; !q.answered {
 		q.answered = true
-		w.b.Gone(w.now, id)
+		w.b.ClientGone(w.now, id)
 	}
 }
 
@@ -217,13 +217,13 @@
 	l, known := w.backends[id]
 	if !known || l.State == Removed {
 		n := w.rng.IntN(3)
-		l = Backend{ID: id, Zone: string(rune('a' + n)), Cell: w.rng.IntN(4), Size: 1, Started: w.now}
+		l = Backend{ID: id, Zone: string(rune('a' + n)), Cell: w.rng.IntN(4), Capacity: 1, StartedAt: w.now}
 	} else {
 		l.State = State(w.rng.IntN(3))
 	}
 	w.backends[id] = l
 	if w.rng.IntN(4) > 0 {
-		w.b.List(w.now, false, []Backend{l})
+		w.b.UpdateList(w.now, false, []Backend{l})
 		return
 	}
 	var lines []Backend
@@ -232,7 +232,7 @@
 			lines = append(lines, l)
 		}
 	}
-	w.b.List(w.now, true, lines)
+	w.b.UpdateList(w.now, true, lines)
 }
 
 // check looks at what must hold between events.
@@ -267,13 +267,13 @@
 // play runs a world; spoil may break the module, to show that checks catch it.
 func play(seed uint64, steps int, spoil func(*Balancer)) error {
 	set := testSettings()
-	set.Seed, set.Balancers = seed, []int{1, 3, 30, 400}[seed/2%4] // in either tier
-	set.Me = int(seed % uint64(set.Balancers))
+	set.Seed, set.BalancerCount = seed, []int{1, 3, 30, 400}[seed/2%4] // in either tier
+	set.BalancerIndex = int(seed % uint64(set.BalancerCount))
 	set.Tier = int(seed % 2)
 	for i := range set.Classes {
-		set.Classes[i].Memory = 200 * ms // short enough to run out between attempts
+		set.Classes[i].DedupWindow = 200 * ms // short enough to run out between attempts
 	}
-	set.Uneven, set.Cancel, set.EvenClasses = seed%4 > 1, seed%8 > 3, seed%5 > 2
+	set.UnevenTraffic, set.CancelAbandoned, set.EqualClasses = seed%4 > 1, seed%8 > 3, seed%5 > 2
 	w := &world{
 		rng: rand.New(rand.NewPCG(seed, 1)), set: set,
 		open: map[string]*openRequest{}, backends: map[string]Backend{},
@@ -313,11 +313,11 @@
 		name  string
 		spoil func(*Balancer)
 	}{
-		{"unsafe taken for safe", classes(func(c *Class) { c.Repeat = Safe })},
-		{"zones taken for all", classes(func(c *Class) { c.Scope = ScopeAll })},
-		{"memory taken for longer", classes(func(c *Class) { c.Memory = time.Hour })},
+		{"unsafe taken for safe", classes(func(c *Class) { c.Idempotency = Idempotent })},
+		{"zones taken for all", classes(func(c *Class) { c.DedupScope = ScopeAll })},
+		{"memory taken for longer", classes(func(c *Class) { c.DedupWindow = time.Hour })},
 		{"more attempts than allowed", func(b *Balancer) { b.set.MaxAttempts = 50 }},
-		{"come-back times too long", func(b *Balancer) { b.set.MaxComeBack = time.Hour }},
+		{"come-back times too long", func(b *Balancer) { b.set.MaxRetryAfter = time.Hour }},
 	} {
 		caught := false
 		for seed := uint64(0); seed < 200 && !caught; seed++ {
@@ -350,35 +350,35 @@
 	for i := range 20000 {
 		now += Time(rng.IntN(20)) * ms
 		id := fmt.Sprint("r", i)
-		b.Arrive(now, Request{ID: id, Class: rng.IntN(5), Budget: 2000 * ms})
+		b.StartRequest(now, Request{ID: id, Class: rng.IntN(5), Budget: 2000 * ms})
 		for n := 0; len(f.answers[id]) == 0; n++ {
-			result := Result(rng.IntN(int(NeverSent) + 1))
+			result := Result(rng.IntN(int(NotSent) + 1))
 			if rng.IntN(4) > 0 {
 				result = OK
 			}
 			if rng.IntN(10) == 0 {
-				b.Gone(now, id)
+				b.ClientGone(now, id)
 			}
 			final := result == OK || result == Cancelled
-			b.Done(now+50*ms, Outcome{Request: id, Attempt: n, Result: result, Latency: 50 * ms,
+			b.AttemptDone(now+50*ms, Outcome{Request: id, Attempt: n, Result: result, Latency: 50 * ms,
 				Final: final})
 			if b.requests[id] == nil || b.requests[id].ended {
 				break
 			}
 			if token := b.requests[id].token; token != 0 {
 				if rng.IntN(10) == 0 {
-					b.Gone(now, id)
+					b.ClientGone(now, id)
 					break
 				}
-				b.Wake(now+60*ms, token)
+				b.TimerFired(now+60*ms, token)
 			}
 		}
 		if i%5 == 0 { // another one in the place of the oldest
 			gone := line("b", 0)
 			gone.ID, gone.State = names[0], Removed
 			come := line("b", next)
-			come.Started = now
-			b.List(now, false, []Backend{gone, come})
+			come.StartedAt = now
+			b.UpdateList(now, false, []Backend{gone, come})
 			names = append(names[1:], come.ID)
 			next++
 		}
--- a/logic/selection.go
+++ b/logic/selection.go
@@ -133,7 +133,7 @@
 
 // busy tells whether m, with one more call, is well above the mean. A slow one's count for more, a departure.
 func (b *Balancer) busy(now Time, m *backend, t tally) bool {
-	size := m.Size
+	size := m.Capacity
 	if m.inFlight == 0 { // guards against small ones that a few calls never reach
 		size = max(size, t.size/t.count)
 	}
@@ -143,7 +143,7 @@
 
 // pace is what a turn costs m: the slower it was, the later the next one.
 func (m *backend) pace() float64 {
-	return max(paceLeast, m.slowness) / cmp.Or(m.part, m.Size)
+	return max(paceLeast, m.slowness) / cmp.Or(m.part, m.Capacity)
 }
 
 // regroup forgets the backends that are gone (attempts still out hold their own pointers) and orders the
@@ -170,17 +170,17 @@
 	}
 	b.groups, b.size = nil, 0
 	for i, m := range b.listed {
-		b.size += m.Size
+		b.size += m.Capacity
 		if i == 0 || m.Zone != b.listed[i-1].Zone {
 			b.groups = append(b.groups, &group{})
 		}
 		g := b.groups[len(b.groups)-1]
 		if m.turn == 0 { // from a random start
-			m.turn = g.turn + b.rng.Float64()/m.Size
+			m.turn = g.turn + b.rng.Float64()/m.Capacity
 		}
-		g.turn = max(g.turn, m.turn-1/m.Size)
+		g.turn = max(g.turn, m.turn-1/m.Capacity)
 		g.members, m.group = append(g.members, m), g
-		g.size += m.Size
+		g.size += m.Capacity
 	}
 	b.all.members = b.listed
 	for _, g := range b.groups {
@@ -194,18 +194,18 @@
 // of one length and start apart by number, so that together they cover all evenly.
 func (b *Balancer) reach() {
 	const golden = 0.6180339887 // spreads whole numbers most evenly over a ring
-	share := reachBalancers * float64(len(b.set.Zones)) / float64(max(1, b.set.Balancers))
+	share := reachBalancers * float64(len(b.set.Zones)) / float64(max(1, b.set.BalancerCount))
 	for _, g := range b.groups {
 		arc := max(b.arc, g.size*max(share, reachLeast/float64(len(g.members))))
-		at := -g.size * math.Mod(golden*float64(b.set.Me), 1)
+		at := -g.size * math.Mod(golden*float64(b.set.BalancerIndex), 1)
 		g.passAll()
 		g.near.members, g.reached = g.near.members[:0], g.reached[:0]
 		for _, m := range g.members {
-			lap := func(at float64) float64 { return max(0, min(arc, at+m.Size)-max(0, at)) }
-			m.part = min(m.Size, lap(at)+lap(at+g.size))
+			lap := func(at float64) float64 { return max(0, min(arc, at+m.Capacity)-max(0, at)) }
+			m.part = min(m.Capacity, lap(at)+lap(at+g.size))
 			m.past = one(m.part == 0) * max(1e-9, (at+g.size*one(at < 0)-arc)/g.size)
-			at += m.Size
-			if m.near = m.part > 0 || !b.set.Uneven; m.near {
+			at += m.Capacity
+			if m.near = m.part > 0 || !b.set.UnevenTraffic; m.near {
 				g.near.members = append(g.near.members, m)
 			}
 			if m.part > 0 {
--- a/logic/selection_test.go
+++ b/logic/selection_test.go
@@ -16,7 +16,7 @@
 	b.set.Tier = 1
 	zones := map[byte]int{}
 	for i := range 12 {
-		b.Arrive(0, Request{ID: fmt.Sprint("r", i), Class: safe, Budget: 2000 * ms})
+		b.StartRequest(0, Request{ID: fmt.Sprint("r", i), Class: safe, Budget: 2000 * ms})
 		zone := f.last(t).backend[0]
 		if i < 2 && zone != 'b' {
 			t.Errorf("call %d left the own zone while it was idle", i)
@@ -33,7 +33,7 @@
 	b.set.Tier = 1
 	seen := map[string]int{}
 	for i := range 8 {
-		b.Arrive(0, Request{ID: fmt.Sprint("r", i), Class: safe, Budget: 2000 * ms})
+		b.StartRequest(0, Request{ID: fmt.Sprint("r", i), Class: safe, Budget: 2000 * ms})
 		seen[f.last(t).backend]++
 	}
 	for id, n := range seen {
@@ -43,7 +43,7 @@
 	}
 	b.addInFlight(b.backends["b2"], 20)
 	for i := range 6 {
-		b.Arrive(0, Request{ID: fmt.Sprint("s", i), Class: safe, Budget: 2000 * ms})
+		b.StartRequest(0, Request{ID: fmt.Sprint("s", i), Class: safe, Budget: 2000 * ms})
 		if f.last(t).backend == "b2" {
 			t.Error("sent to the backend well above the mean")
 		}
@@ -70,11 +70,11 @@
 			if c.to == "b1" {
 				latency = 160 * ms
 			}
-			b.Done(now, Outcome{Request: c.id, Result: OK, Latency: latency, Final: true})
+			b.AttemptDone(now, Outcome{Request: c.id, Result: OK, Latency: latency, Final: true})
 			out = out[1:]
 		}
 		id := fmt.Sprint("r", i)
-		b.Arrive(now, Request{ID: id, Class: safe, Budget: 2000 * ms})
+		b.StartRequest(now, Request{ID: id, Class: safe, Budget: 2000 * ms})
 		counts[f.last(t).backend]++
 		out = append(out, call{id, f.last(t).backend, now + 40*ms})
 	}
@@ -87,20 +87,20 @@
 // one call there always looked well above the mean.
 func TestTurnsGoBySize(t *testing.T) {
 	lines := zoneLines("b", 4)
-	lines[0].Size, lines[1].Size = 0.5, 2.5
+	lines[0].Capacity, lines[1].Capacity = 0.5, 2.5
 	b, f := start(testSettings(), lines...)
 	b.set.Tier = 1
 	got := map[string]int{}
 	for i := range 650 {
 		id := fmt.Sprint("r", i)
 		now := Time(i) * 100 * ms
-		b.Arrive(now, Request{ID: id, Class: unsafe, Budget: 2000 * ms})
+		b.StartRequest(now, Request{ID: id, Class: unsafe, Budget: 2000 * ms})
 		got[f.last(t).backend]++
-		b.Done(now+10*ms, Outcome{Request: id, Result: OK, Latency: 10 * ms, Final: true})
+		b.AttemptDone(now+10*ms, Outcome{Request: id, Result: OK, Latency: 10 * ms, Final: true})
 	}
 	for i, want := range []int{65, 325, 130, 130} {
 		if id := lines[i].ID; got[id] < want*9/10 || got[id] > want*11/10 {
-			t.Errorf("%s of size %v got %d of 650 calls, want about %d", id, lines[i].Size, got[id], want)
+			t.Errorf("%s of size %v got %d of 650 calls, want about %d", id, lines[i].Capacity, got[id], want)
 		}
 	}
 }
@@ -113,17 +113,17 @@
 		reached := map[string]float64{}
 		for n := range balancers {
 			set := testSettings()
-			set.Me, set.Balancers = n, balancers
+			set.BalancerIndex, set.BalancerCount = n, balancers
 			lines := zoneLines("b", 30)
 			for i := range lines {
-				lines[i].Size = float64(1 + i%3)
+				lines[i].Capacity = float64(1 + i%3)
 			}
 			b, _ := start(set, lines...)
 			for _, m := range b.listed {
-				if balancers <= 4 && m.part < 0.999*m.Size {
-					t.Errorf("one of %d balancers reaches %v of %v", balancers, m.part, m.Size)
+				if balancers <= 4 && m.part < 0.999*m.Capacity {
+					t.Errorf("one of %d balancers reaches %v of %v", balancers, m.part, m.Capacity)
 				}
-				reached[m.ID] += m.part / m.Size
+				reached[m.ID] += m.part / m.Capacity
 			}
 		}
 		least, most := math.Inf(1), 0.0
@@ -148,7 +148,7 @@
 		for now := Time(0); now < 20*1000*ms; {
 			now += time.Duration(rng.ExpFloat64() / perSecond * float64(1000*ms))
 			id := fmt.Sprint("r", int64(now))
-			b.Arrive(now, Request{ID: id, Class: unsafe, Budget: 2000 * ms})
+			b.StartRequest(now, Request{ID: id, Class: unsafe, Budget: 2000 * ms})
 			to, latency := f.last(t).backend, 50*ms
 			if to == "b3" {
 				latency = 200 * ms
@@ -156,7 +156,7 @@
 			if now > 5*1000*ms {
 				got[to]++
 			}
-			b.Done(now+latency, Outcome{Request: id, Result: OK, Latency: latency, Final: true})
+			b.AttemptDone(now+latency, Outcome{Request: id, Result: OK, Latency: latency, Final: true})
 		}
 	}
 	if got["b3"] == 0 || got["b3"] > got["b10"]/2 {
@@ -218,15 +218,15 @@
 		for now, i := Time(0), 0; now < 30*1000*ms; i++ {
 			now += time.Duration(rng.ExpFloat64() / perSecond * float64(1000*ms))
 			id := fmt.Sprint("r", i)
-			b.Arrive(now, Request{ID: id, Class: safe, Budget: 2000 * ms})
+			b.StartRequest(now, Request{ID: id, Class: safe, Budget: 2000 * ms})
 			calls++
 			if silent[f.last(t).backend] {
 				lost++
 				now += f.last(t).timeout
-				b.Done(now, Outcome{Request: id, Result: TimedOut, Latency: f.last(t).timeout, Final: true})
+				b.AttemptDone(now, Outcome{Request: id, Result: TimedOut, Latency: f.last(t).timeout, Final: true})
 			} else {
 				now += 50 * ms
-				b.Done(now, Outcome{Request: id, Result: OK, Latency: 50 * ms, Final: true})
+				b.AttemptDone(now, Outcome{Request: id, Result: OK, Latency: 50 * ms, Final: true})
 			}
 		}
 	}
@@ -248,14 +248,14 @@
 	for i := range 200 {
 		now += 1000 * ms / perSecond
 		id := fmt.Sprint("r", i)
-		b.Arrive(now, Request{ID: id, Class: unsafe, Budget: 2000 * ms})
+		b.StartRequest(now, Request{ID: id, Class: unsafe, Budget: 2000 * ms})
 		r := OK
 		if f.last(t).backend[:1] == "b" {
-			r = NoConnect
+			r = ConnectFailed
 		} else if i >= 50 {
 			away++
 		}
-		b.Done(now+ms, Outcome{Request: id, Result: r, Latency: ms, Final: true})
+		b.AttemptDone(now+ms, Outcome{Request: id, Result: r, Latency: ms, Final: true})
 	}
 	if away < 130 { // the rest are trials
 		t.Errorf("%d of the last 150 calls left the zone", away)
@@ -271,13 +271,13 @@
 			lines = append(lines, zoneLines(string(z), 6)...)
 		}
 		b, f := start(testSettings(), lines...)
-		b.Arrive(0, Request{ID: "r", Class: unsafe, Budget: 2000 * ms})
+		b.StartRequest(0, Request{ID: "r", Class: unsafe, Budget: 2000 * ms})
 		if to := f.last(t).backend; to[:1] != "b" {
 			t.Fatalf("sent to %s first", to)
 		}
-		b.Done(ms, Outcome{Request: "r", Result: NoConnect, Latency: ms})
+		b.AttemptDone(ms, Outcome{Request: "r", Result: ConnectFailed, Latency: ms})
 		token, after := f.wait(t)
-		b.Wake(ms+after, token)
+		b.TimerFired(ms+after, token)
 		if len(f.sends) != 2 {
 			t.Fatalf("zones %s: %d attempts", zones, len(f.sends))
 		}
@@ -295,7 +295,7 @@
 	got := map[string]int{}
 	for n := range balancers {
 		set := testSettings()
-		set.Me, set.Seed, set.Balancers = n, uint64(n), 3*balancers
+		set.BalancerIndex, set.Seed, set.BalancerCount = n, uint64(n), 3*balancers
 		set.Zones = []string{"a", "b", "c", "d", "e"}
 		var left []Backend
 		for _, zone := range []string{"a", "c", "d", "e"} {
@@ -322,7 +322,7 @@
 	b.set.Tier = 1
 	zones := map[byte]int{}
 	for i := range 14 {
-		b.Arrive(0, Request{ID: fmt.Sprint("r", i), Class: safe, Budget: 2000 * ms})
+		b.StartRequest(0, Request{ID: fmt.Sprint("r", i), Class: safe, Budget: 2000 * ms})
 		zones[f.last(t).backend[0]]++
 	}
 	for _, z := range set.Zones {
--- a/logic/slowstart.go
+++ b/logic/slowstart.go
@@ -17,14 +17,14 @@
 		among = &b.all
 	}
 	t, part := b.tally(now, among), max(m.part, 1e-9)*warmth // out of reach: as good as never
-	return float64(now-m.sent) < m.spacing*b.gap*max(m.Size, t.parts, coldCaution*t.reach)/part
+	return float64(now-m.sent) < m.spacing*b.gap*max(m.Capacity, t.parts, coldCaution*t.reach)/part
 }
 
 // warmth is the share of its capacity that a backend surely has.
 func (m *backend) warmth(now Time, set *Settings) float64 {
-	started := max(m.Started, m.back)
-	if started == 0 || set.WarmWithin == 0 || now-started >= set.WarmWithin {
+	started := max(m.StartedAt, m.back)
+	if started == 0 || set.WarmUpTime == 0 || now-started >= set.WarmUpTime {
 		return 1
 	}
-	return max(0.01, set.ColdShare+(1-set.ColdShare)*max(0, float64(now-started)/float64(set.WarmWithin)))
+	return max(0.01, set.InitialWarmUpFraction+(1-set.InitialWarmUpFraction)*max(0, float64(now-started)/float64(set.WarmUpTime)))
 }
--- a/logic/slowstart_test.go
+++ b/logic/slowstart_test.go
@@ -15,7 +15,7 @@
 // it gets no more than its part, and that spread out.
 func TestColdBackendGetsItsPart(t *testing.T) {
 	cold := line("b", 9)
-	cold.Started = 1
+	cold.StartedAt = 1
 	b, f := start(testSettings(), append(zoneLines("b", 4), cold)...)
 	b.set.Tier = 1
 	counts := map[string]int{}
@@ -23,9 +23,9 @@
 	for i := range 400 {
 		run = Time(i) * 5 * ms
 		id := fmt.Sprint("r", i)
-		b.Arrive(run, Request{ID: id, Class: safe, Budget: 2000 * ms})
+		b.StartRequest(run, Request{ID: id, Class: safe, Budget: 2000 * ms})
 		counts[f.last(t).backend]++
-		b.Done(run+2*ms, Outcome{Request: id, Result: OK, Latency: 2 * ms, Final: true})
+		b.AttemptDone(run+2*ms, Outcome{Request: id, Result: OK, Latency: 2 * ms, Final: true})
 	}
 	warm := float64(counts["b0"]+counts["b1"]+counts["b2"]+counts["b3"]) / 4
 	if share := float64(counts["b9"]) / warm; share == 0 || share > 0.3 {
@@ -35,11 +35,11 @@
 
 func TestOnlyColdBackends(t *testing.T) {
 	cold := line("b", 1)
-	cold.Started = 1
+	cold.StartedAt = 1
 	b, f := start(testSettings(), cold)
 	b.set.Tier = 1
 	for i := range 10 {
-		b.Arrive(Time(i+1)*ms, Request{ID: fmt.Sprint("r", i), Class: safe, Budget: 2000 * ms})
+		b.StartRequest(Time(i+1)*ms, Request{ID: fmt.Sprint("r", i), Class: safe, Budget: 2000 * ms})
 	}
 	if len(f.sends) > 1 {
 		t.Errorf("a burst of %d calls at a cold backend, want 1 at most", len(f.sends))
@@ -47,8 +47,8 @@
 	for i := range 200 {
 		id := fmt.Sprint("s", i)
 		now := Time(i) * 20 * ms
-		b.Arrive(now, Request{ID: id, Class: safe, Budget: 2000 * ms})
-		b.Done(now+5*ms, Outcome{Request: id, Result: OK, Latency: 5 * ms, Final: true})
+		b.StartRequest(now, Request{ID: id, Class: safe, Budget: 2000 * ms})
+		b.AttemptDone(now+5*ms, Outcome{Request: id, Result: OK, Latency: 5 * ms, Final: true})
 	}
 	if len(f.sends) < 10 {
 		t.Errorf("%d calls in 4 s at the only backend, a cold one", len(f.sends))
@@ -63,23 +63,23 @@
 		var got []Time
 		for n := range balancers {
 			set := testSettings()
-			set.Seed, set.Tier, set.Balancers, set.Me = uint64(n), 1, balancers, n
+			set.Seed, set.Tier, set.BalancerCount, set.BalancerIndex = uint64(n), 1, balancers, n
 			b, f := start(set, zoneLines("b", 15)...)
 			rng := rand.New(rand.NewPCG(uint64(n), 2))
 			cold := line("b", 99)
 			heard := 10*1000*ms + time.Duration(rng.Float64()*float64(apart))
 			for now, i := Time(0), 0; now < 20*1000*ms; i++ {
 				now += time.Duration(rng.ExpFloat64() / perSecond * float64(1000*ms))
-				if cold.Started == 0 && now > heard {
-					cold.Started = 10 * 1000 * ms
-					b.List(heard, false, []Backend{cold})
+				if cold.StartedAt == 0 && now > heard {
+					cold.StartedAt = 10 * 1000 * ms
+					b.UpdateList(heard, false, []Backend{cold})
 				}
 				id := fmt.Sprint("r", i)
-				b.Arrive(now, Request{ID: id, Class: unsafe, Budget: 2000 * ms})
+				b.StartRequest(now, Request{ID: id, Class: unsafe, Budget: 2000 * ms})
 				if f.last(t).backend == cold.ID {
 					got = append(got, now)
 				}
-				b.Done(now, Outcome{Request: id, Result: OK, Latency: ms, Final: true})
+				b.AttemptDone(now, Outcome{Request: id, Result: OK, Latency: ms, Final: true})
 			}
 		}
 		slices.Sort(got)
@@ -116,7 +116,7 @@
 		total := 0.0
 		for n := range 60 {
 			set := testSettings()
-			set.Seed, set.Tier, set.Balancers, set.Me = uint64(n), 1, 60, n
+			set.Seed, set.Tier, set.BalancerCount, set.BalancerIndex = uint64(n), 1, 60, n
 			set.Zone = set.Zones[n%3]
 			lines := slices.Concat(zoneLines("a", each), zoneLines("b", each), zoneLines("c", each))
 			b, f := start(set, lines...)
@@ -129,7 +129,7 @@
 				if !strings.Contains(c.lost, lines[i].Zone) {
 					lines[i].State = Removed
 				} else {
-					lines[i].Started = back
+					lines[i].StartedAt = back
 				}
 			}
 			lines = slices.DeleteFunc(lines, func(l Backend) bool { return l.State == Removed })
@@ -143,16 +143,16 @@
 			for now, i := Time(0), 0; now < end; i++ {
 				now += time.Duration(rng.ExpFloat64() / rate * float64(1000*ms))
 				for len(out) > 0 && out[0].at <= now {
-					b.Done(out[0].at, Outcome{Request: out[0].id, Result: OK, Latency: serve, Final: true})
+					b.AttemptDone(out[0].at, Outcome{Request: out[0].id, Result: OK, Latency: serve, Final: true})
 					out = out[1:]
 				}
 				if !told && now >= back {
-					b.List(now, false, lines)
+					b.UpdateList(now, false, lines)
 					told = true
 				}
 				id := fmt.Sprint("r", i)
 				before := len(f.sends)
-				b.Arrive(now, Request{ID: id, Class: unsafe, Budget: 2000 * ms})
+				b.StartRequest(now, Request{ID: id, Class: unsafe, Budget: 2000 * ms})
 				if len(f.sends) > before {
 					out = append(out, done{now + serve, id})
 					if to := f.last(t).backend; told && strings.Contains(c.lost, to[:1]) {
@@ -191,7 +191,7 @@
 func TestManyColdBackends(t *testing.T) {
 	lines := zoneLines("b", 12)
 	for i := range lines[:10] {
-		lines[i].Started = 1
+		lines[i].StartedAt = 1
 	}
 	b, f := start(testSettings(), lines...)
 	b.set.Tier = 1
@@ -200,11 +200,11 @@
 	for i := range 2000 {
 		now := at + Time(i)*ms
 		id := fmt.Sprint("r", i)
-		b.Arrive(now, Request{ID: id, Class: unsafe, Budget: 2000 * ms})
+		b.StartRequest(now, Request{ID: id, Class: unsafe, Budget: 2000 * ms})
 		if to := f.last(t).backend; to != "b10" && to != "b11" {
 			cold++
 		}
-		b.Done(now, Outcome{Request: id, Result: OK, Latency: ms, Final: true})
+		b.AttemptDone(now, Outcome{Request: id, Result: OK, Latency: ms, Final: true})
 	}
 	if share := float64(cold) / 2000; share < 0.35 || share > 0.8 {
 		t.Errorf("the ten cold backends got %.2f of the calls, want about half", share)
--- a/logic/tally.go
+++ b/logic/tally.go
@@ -55,8 +55,8 @@
 		if b.inUse(m) {
 			t.count++
 			t.calls += float64(m.inFlight)
-			t.size += m.Size
-			t.warm += m.Size * one(!cold)
+			t.size += m.Capacity
+			t.warm += m.Capacity * one(!cold)
 		}
 	}
 }
@@ -70,7 +70,7 @@
 		warm = warm || warmth == 1
 		s.reach += m.part * one(m.State == Up) * warmth
 		if b.inUse(m) {
-			s.warm += m.Size * warmth
+			s.warm += m.Capacity * warmth
 		}
 	}
 	if warm {
--- a/logic/tally_test.go
+++ b/logic/tally_test.go
@@ -17,8 +17,8 @@
 		if m.ejected == 0 && b.serving(m) {
 			t.count++
 			t.calls += float64(m.inFlight)
-			t.size += m.Size
-			t.warm += m.Size * warmth
+			t.size += m.Capacity
+			t.warm += m.Capacity * warmth
 		}
 	}
 	return t
@@ -36,15 +36,15 @@
 	for seed := range uint64(40) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		set := testSettings()
-		set.Balancers, set.Uneven = 1+rng.IntN(60), seed%2 == 1
-		set.WarmWithin, set.ColdShare = 2*time.Second, 0.2
+		set.BalancerCount, set.UnevenTraffic = 1+rng.IntN(60), seed%2 == 1
+		set.WarmUpTime, set.InitialWarmUpFraction = 2*time.Second, 0.2
 		f := newFake()
 		b := New(0, set, f)
 		line := func(now Time) Backend {
-			l := Backend{ID: fmt.Sprint("s", rng.IntN(30)), Size: 0.5 + rng.Float64()}
+			l := Backend{ID: fmt.Sprint("s", rng.IntN(30)), Capacity: 0.5 + rng.Float64()}
 			l.Zone, l.State = set.Zones[rng.IntN(3)], State(rng.IntN(3)*rng.IntN(2))
 			if rng.IntN(3) == 0 {
-				l.Started = max(1, now)
+				l.StartedAt = max(1, now)
 			}
 			return l
 		}
@@ -57,20 +57,20 @@
 				for i := range lines {
 					lines[i] = line(now)
 				}
-				b.List(now, rng.IntN(5) == 0, lines)
+				b.UpdateList(now, rng.IntN(5) == 0, lines)
 			case 1:
 				b.Detach(fmt.Sprint("s", rng.IntN(30)))
 			case 2:
 				b.Attach(now, fmt.Sprint("s", rng.IntN(30)))
 			case 3, 4, 5, 6:
-				b.Arrive(now, Request{ID: fmt.Sprint("r", step), Class: safe, Budget: 2000 * ms})
+				b.StartRequest(now, Request{ID: fmt.Sprint("r", step), Class: safe, Budget: 2000 * ms})
 			default:
 				if answered < len(f.sends) {
 					s := f.sends[answered]
 					answered++
 					if q := b.requests[s.request]; q != nil {
-						result := Result(rng.IntN(int(Late) + 1))
-						b.Done(now, Outcome{Request: s.request, Attempt: len(q.attempts) - 1, Result: result,
+						result := Result(rng.IntN(int(ConnectPending) + 1))
+						b.AttemptDone(now, Outcome{Request: s.request, Attempt: len(q.attempts) - 1, Result: result,
 							Latency: 20 * ms, Final: result == OK})
 					}
 				}
--- a/proxy/actions.go
+++ b/proxy/actions.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// Wake implements logic.Actions.
-func (d *driver) Wake(token uint64, after time.Duration) {
+// StartTimer implements logic.Actions.
+func (d *driver) StartTimer(token uint64, after time.Duration) {
 	due := time.Now().Add(after)
 	timer := time.AfterFunc(after, func() {
 		d.stats.late(time.Since(due))
@@ -55,15 +55,15 @@
 	}
 }
 
-// Stands implements logic.Observer.
-func (d *driver) Stands(backend string, s logic.Standing, failures float64) {
+// BackendStatusChanged implements logic.Observer.
+func (d *driver) BackendStatusChanged(backend string, s logic.BackendStatus, failures float64) {
 	if leftOut, ok := d.standingLog.Allow(); ok {
 		log.Printf("event=backend uid=%s standing=%s failures=%.2f left_out=%d", backend, s, failures, leftOut)
 	}
 }
 
-// AskList implements logic.Lister.
-func (d *driver) AskList() {
+// RequestList implements logic.ListRequester.
+func (d *driver) RequestList() {
 	if d.askList != nil {
 		d.later = append(d.later, d.askList)
 	}
--- a/proxy/attemptlog_test.go
+++ b/proxy/attemptlog_test.go
@@ -34,7 +34,7 @@
 	attempt("in-time", logic.OK)
 	fresh.Until = time.Now()
 	p.driver.listFresh(fresh)
-	attempt("past", logic.Full)
+	attempt("past", logic.Rejected)
 	lines := string(text.bytes())
 	if strings.Contains(lines, `id="in-time"`) {
 		t.Error("an attempt within the list's time is logged")
--- a/proxy/drain_test.go
+++ b/proxy/drain_test.go
@@ -133,7 +133,7 @@
 	p := listening(t, list, "127.0.0.1:1")
 	defer p.listener.Close()
 	r := p.driver.arrive("1", 0, time.Hour, false, false)
-	p.driver.done(r, <-r.steps, logic.NoConnect, false, false)
+	p.driver.done(r, <-r.steps, logic.ConnectFailed, false, false)
 	if r.timer == nil || len(r.steps) > 0 {
 		t.Fatal("no backoff")
 	}
--- a/proxy/driver.go
+++ b/proxy/driver.go
@@ -54,9 +54,9 @@
 // call is one request in the module's hands.
 type call struct {
 	id     string
-	name   string       // its caller's id
-	repeat logic.Repeat // what a second run of it would do
-	ran    bool         // an attempt may have run
+	name   string            // its caller's id
+	repeat logic.Idempotency // what a second run of it would do
+	ran    bool              // an attempt may have run
 	sends  int
 	cancel func()      // gives up the attempt sent last
 	begun  bool        // that attempt is being written, or has been
@@ -148,9 +148,9 @@
 		// The module gets ids of our own: a caller's may come again.
 		d.serial++
 		r = &call{id: strconv.FormatUint(d.serial, 36), name: name, steps: make(chan step, 2)}
-		r.repeat = d.classes[class].Repeat
+		r.repeat = d.classes[class].Idempotency
 		d.calls[r.id] = r
-		d.balancer.Arrive(now, logic.Request{ID: r.id, Class: class, Budget: budget, Retry: retry, Long: long})
+		d.balancer.StartRequest(now, logic.Request{ID: r.id, Class: class, Budget: budget, ClientRetry: retry, Streamed: long})
 	})
 	return r
 }
@@ -160,7 +160,7 @@
 func (d *driver) connected(r *call, s step) (yes bool) {
 	d.do(func(now logic.Time) {
 		// A backend that has moved is another machine, whatever the module knows of it.
-		yes = d.backends[s.uid].Backend == s.to && d.balancer.Connected(now, r.id)
+		yes = d.backends[s.uid].Backend == s.to && d.balancer.MaySendOnConnect(now, r.id)
 		yes = yes && d.mayStart(r) && d.maySend(r, s) && !s.withheld
 		r.begun = yes
 		if yes && d.listUntil != 0 {
@@ -172,7 +172,7 @@
 
 // written reports that the attempt of a long request has been written whole.
 func (d *driver) written(r *call) {
-	d.do(func(now logic.Time) { d.balancer.Written(now, r.id) })
+	d.do(func(now logic.Time) { d.balancer.RequestWritten(now, r.id) })
 }
 
 // done reports the end of an attempt, and whether the request is spent. Unless it is
@@ -184,13 +184,13 @@
 		d.current = r
 		defer func() { d.current = nil }()
 		r.ran = r.ran || mayHaveRun(result)
-		d.balancer.Done(now, logic.Outcome{
-			Request: r.id,
-			Attempt: s.attempt,
-			Result:  result,
-			Latency: now - d.clock.at(s.sent),
-			Final:   final,
-			Spent:   spent,
+		d.balancer.AttemptDone(now, logic.Outcome{
+			Request:       r.id,
+			Attempt:       s.attempt,
+			Result:        result,
+			Latency:       now - d.clock.at(s.sent),
+			Final:         final,
+			NotReplayable: spent,
 		})
 	})
 	if past > 0 {
@@ -207,7 +207,7 @@
 	d.do(func(now logic.Time) {
 		for uid, p := range d.backends {
 			if p.Backend == b {
-				d.balancer.Unreached(now, uid)
+				d.balancer.ConnectAttemptFailed(now, uid)
 			}
 		}
 	})
@@ -216,7 +216,7 @@
 // mayHaveRun tells whether an attempt that ended so may have run.
 func mayHaveRun(result logic.Result) bool {
 	switch result {
-	case logic.Full, logic.NoConnect, logic.NeverSent, logic.Late:
+	case logic.Rejected, logic.ConnectFailed, logic.NotSent, logic.ConnectPending:
 		return false
 	}
 	return true
@@ -247,7 +247,7 @@
 			return
 		}
 		r.left = true
-		d.balancer.Gone(now, r.id)
+		d.balancer.ClientGone(now, r.id)
 		if r.cancel != nil && !r.begun {
 			r.cancel()
 		}
@@ -257,7 +257,7 @@
 
 // wake reports the end of a wait that the module asked for.
 func (d *driver) wake(token uint64) {
-	d.do(func(now logic.Time) { d.balancer.Wake(now, token) })
+	d.do(func(now logic.Time) { d.balancer.TimerFired(now, token) })
 }
 
 // end reports that the proxy ends, and with it each request that is still open: each
@@ -265,7 +265,7 @@
 func (d *driver) end() {
 	d.do(func(logic.Time) {
 		for id, r := range d.calls {
-			d.balancer.End(id)
+			d.balancer.AbandonRequest(id)
 			if r.cancel != nil {
 				r.cancel()
 			}
@@ -306,8 +306,8 @@
 			} else {
 				d.place(now, t, l.Before)
 			}
-			line := logic.Backend{ID: t.UID, Zone: t.Zone, Cell: t.Cell, Size: t.Size, State: states[t.State]}
-			line.Started = d.backends[t.UID].started
+			line := logic.Backend{ID: t.UID, Zone: t.Zone, Cell: t.Cell, Capacity: t.Size, State: states[t.State]}
+			line.StartedAt = d.backends[t.UID].started
 			lines = append(lines, line)
 			named[t.UID] = true
 		}
@@ -316,7 +316,7 @@
 				d.drop(uid)
 			}
 		}
-		d.balancer.List(now, l.All, lines)
+		d.balancer.UpdateList(now, l.All, lines)
 	})
 }
 
@@ -353,18 +353,18 @@
 
 // listFresh reports for how long the list may be used.
 func (d *driver) listFresh(f discovery.Fresh) {
-	fresh := logic.ListFresh{
-		Until:        d.clock.at(f.Until),
-		UntilServing: d.clock.at(f.UntilServing),
-		Serving:      f.Serving,
-		Known:        d.clock.ifEver(f.Known),
-		Told:         d.clock.ifEver(f.Told),
-		TellsLate:    f.TellsLate,
-		Gap:          discovery.Gap,
+	fresh := logic.ListFreshness{
+		FreshUntil:     d.clock.at(f.Until),
+		StaleUntil:     d.clock.at(f.UntilServing),
+		EvidenceWindow: f.Serving,
+		ConfirmedAt:    d.clock.ifEver(f.Known),
+		ReceivedAt:     d.clock.ifEver(f.Told),
+		ChangesMayLag:  f.TellsLate,
+		MaxUnobserved:  discovery.Gap,
 	}
 	d.do(func(logic.Time) {
-		d.listUntil = fresh.Until
-		d.balancer.ListFresh(fresh)
+		d.listUntil = fresh.FreshUntil
+		d.balancer.SetListFreshness(fresh)
 	})
 }
 
@@ -387,13 +387,13 @@
 
 // listed is how many backends the list has, and how many of them are avoided.
 func (d *driver) listed() (all, avoided int) {
-	d.do(func(now logic.Time) { all, avoided = len(d.backends), d.balancer.Avoided(now) })
+	d.do(func(now logic.Time) { all, avoided = len(d.backends), d.balancer.OutOfRotation(now) })
 	return all, avoided
 }
 
 // knows tells whether a backend is listed, or out by hand.
 func (d *driver) knows(id string) (yes bool) {
-	d.do(func(logic.Time) { yes = d.balancer.Knows(id) })
+	d.do(func(logic.Time) { yes = d.balancer.IsKnown(id) })
 	return yes
 }
 
--- a/proxy/guard.go
+++ b/proxy/guard.go
@@ -95,7 +95,7 @@
 
 // mayRepeat checks that another attempt may be made. The caller holds mu.
 func (d *driver) mayRepeat(r *call) bool {
-	if r.ran && r.repeat == logic.Unsafe {
+	if r.ran && r.repeat == logic.NonIdempotent {
 		d.violations.count(guardRepeat, r.name, fmt.Sprintf("attempt %d after one that may have run", r.sends))
 		return false
 	}
--- a/proxy/guard_test.go
+++ b/proxy/guard_test.go
@@ -70,10 +70,10 @@
 		t.Error("a call that was answered, or whose client left, may start")
 	}
 	for _, c := range []struct {
-		repeat logic.Repeat
+		repeat logic.Idempotency
 		ran    bool
 		may    bool
-	}{{logic.Unsafe, true, false}, {logic.Unsafe, false, true}, {logic.Safe, true, true}, {logic.Keyed, true, true}} {
+	}{{logic.NonIdempotent, true, false}, {logic.NonIdempotent, false, true}, {logic.Idempotent, true, true}, {logic.Deduplicated, true, true}} {
 		if d.mayRepeat(&call{repeat: c.repeat, ran: c.ran}) != c.may {
 			t.Errorf("repeat rule %v, ran %t: may be repeated %t", c.repeat, c.ran, !c.may)
 		}
--- a/proxy/local_dial_test.go
+++ b/proxy/local_dial_test.go
@@ -48,7 +48,7 @@
 				ask(t, dial(t, p), "get", 2000)
 			}
 			p.stats.mu.Lock()
-			blamed := p.stats.results[logic.NoConnect]
+			blamed := p.stats.results[logic.ConnectFailed]
 			p.stats.mu.Unlock()
 			if (blamed == 0) != c.local {
 				t.Errorf("%d attempts are counted against backends", blamed)
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -132,7 +132,7 @@
 	if cfg.listAsked {
 		p.list.CheckEvery = cfg.askWithin
 	} else {
-		p.list.Pushed(cfg.logic.Grace/2, cfg.logic.Grace) // the other half is for the send itself
+		p.list.Pushed(cfg.logic.DrainGrace/2, cfg.logic.DrainGrace) // the other half is for the send itself
 	}
 	p.driver = newDriver(cfg, opt, p.stats)
 	p.driver.askList = p.list.Check
--- a/proxy/proxy_test.go
+++ b/proxy/proxy_test.go
@@ -239,16 +239,16 @@
 		// Guards against healthy backends left out for what their callers send.
 		{"the request's fault", upstream.Answer{Stage: upstream.Answered, Status: 400}, logic.Cancelled},
 		{"too many", upstream.Answer{Stage: upstream.Answered, Status: 429}, logic.Error},
-		{"turned away", upstream.Answer{Stage: upstream.Answered, Status: 503, Header: notProcessed}, logic.Full},
-		{"over already", upstream.Answer{Stage: upstream.Answered, Status: 504, Header: notProcessed}, logic.Full},
+		{"turned away", upstream.Answer{Stage: upstream.Answered, Status: 503, Header: notProcessed}, logic.Rejected},
+		{"over already", upstream.Answer{Stage: upstream.Answered, Status: 504, Header: notProcessed}, logic.Rejected},
 		{"503 alone", upstream.Answer{Stage: upstream.Answered, Status: 503}, logic.Error},
 		{"500 that says it never ran", upstream.Answer{Stage: upstream.Answered, Status: 500, Header: notProcessed}, logic.Error},
 		{"malformed", upstream.Answer{Stage: upstream.Answered, Err: http1.ErrMalformed}, logic.Error},
-		{"not connected", upstream.Answer{Stage: upstream.Unopened, Err: io.EOF}, logic.NoConnect},
-		{"no time to connect", upstream.Answer{Stage: upstream.Unopened, Err: os.ErrDeadlineExceeded}, logic.NoConnect},
-		{"broken", upstream.Answer{Stage: upstream.Written, Err: io.ErrUnexpectedEOF}, logic.Broken},
+		{"not connected", upstream.Answer{Stage: upstream.Unopened, Err: io.EOF}, logic.ConnectFailed},
+		{"no time to connect", upstream.Answer{Stage: upstream.Unopened, Err: os.ErrDeadlineExceeded}, logic.ConnectFailed},
+		{"broken", upstream.Answer{Stage: upstream.Written, Err: io.ErrUnexpectedEOF}, logic.ConnectionLost},
 		{"timed out", upstream.Answer{Stage: upstream.Written, Err: os.ErrDeadlineExceeded}, logic.TimedOut},
-		{"no descriptor", upstream.Answer{Stage: upstream.Unsent, Err: io.EOF}, logic.NeverSent},
+		{"no descriptor", upstream.Answer{Stage: upstream.Unsent, Err: io.EOF}, logic.NotSent},
 	} {
 		got, final := outcome(&c.a)
 		if got != c.want || final != (got == logic.OK || got == logic.Cancelled) {
@@ -366,7 +366,7 @@
 	p := listening(t, list, "127.0.0.1:1")
 	defer p.listener.Close()
 	r := p.driver.arrive("1", 0, time.Hour, false, false)
-	p.driver.done(r, <-r.steps, logic.NoConnect, false, false)
+	p.driver.done(r, <-r.steps, logic.ConnectFailed, false, false)
 	if r.timer == nil {
 		t.Fatal("no backoff")
 	}
--- a/proxy/race_test.go
+++ b/proxy/race_test.go
@@ -76,8 +76,8 @@
 							}
 						})
 					}
-					results := []logic.Result{logic.OK, logic.OK, logic.OK, logic.Error, logic.Full, logic.NoConnect,
-						logic.Broken, logic.TimedOut, logic.NeverSent, logic.Cancelled}
+					results := []logic.Result{logic.OK, logic.OK, logic.OK, logic.Error, logic.Rejected, logic.ConnectFailed,
+						logic.ConnectionLost, logic.TimedOut, logic.NotSent, logic.Cancelled}
 					result := results[r.IntN(len(results))]
 					if s.ctx.Err() != nil {
 						result = logic.Cancelled
@@ -147,7 +147,7 @@
 			for _, f := range tell {
 				f(d, c)
 			}
-			d.done(c, s, logic.Broken, false, false)
+			d.done(c, s, logic.ConnectionLost, false, false)
 			d.end()
 		}()
 		select {
--- a/proxy/request.go
+++ b/proxy/request.go
@@ -136,7 +136,7 @@
 				ends[throttled].Add(1)
 				ended(endBusy, "")
 				req.Close = true // most of it has not been read
-				p.answer(c, req, http.StatusServiceUnavailable, comeBack(p.cfg.logic.MaxComeBack), "busy")
+				p.answer(c, req, http.StatusServiceUnavailable, comeBack(p.cfg.logic.MaxRetryAfter), "busy")
 				return false
 			case got.Source != nil:
 				ended(endUnreadable, "")
@@ -193,20 +193,20 @@
 // the request is over with it.
 func outcome(a *upstream.Answer) (r logic.Result, final bool) {
 	if a.Source != nil { // never whole at the backend, and no fault of its own
-		return logic.NeverSent, true
+		return logic.NotSent, true
 	}
 	switch a.Stage {
 	case upstream.Unsent:
-		return logic.NeverSent, false
+		return logic.NotSent, false
 	case upstream.Late:
-		return logic.Late, false
+		return logic.ConnectPending, false
 	case upstream.Unopened:
-		return logic.NoConnect, false
+		return logic.ConnectFailed, false
 	case upstream.Written:
 		if a.Timeout() {
 			return logic.TimedOut, false
 		}
-		return logic.Broken, false
+		return logic.ConnectionLost, false
 	}
 	turnedAway := a.Status == http.StatusServiceUnavailable || a.Status == http.StatusGatewayTimeout
 	switch {
@@ -215,7 +215,7 @@
 	case a.Status == http.StatusOK:
 		return logic.OK, true
 	case turnedAway && a.Header.Get(headerNotProcessed) == "1":
-		return logic.Full, false
+		return logic.Rejected, false
 	case callersFault(a.Status):
 		return logic.Cancelled, true
 	}
--- a/proxy/stats.go
+++ b/proxy/stats.go
@@ -26,7 +26,7 @@
 	mu       sync.Mutex
 	latency  *hdrhistogram.Histogram // of answers, in microseconds
 	lateness *hdrhistogram.Histogram // of timers, in microseconds
-	results  [logic.Late + 1]int64
+	results  [logic.ConnectPending + 1]int64
 }
 
 // How a request can end for its client.
@@ -97,6 +97,6 @@
 		"timer_p99_us=%d timer_max_us=%d list_age=%.1f",
 		r[logic.OK], s.ended(throttled), s.ended(faulted), s.gone.Load(), s.bad.Load(), s.unwritten.Load(), s.cutShort.Load(), s.recovered.Load(),
 		s.latency.ValueAtQuantile(50), s.latency.ValueAtQuantile(99),
-		r[logic.Error], r[logic.Cancelled], r[logic.Full], r[logic.TimedOut], r[logic.NoConnect], r[logic.Broken], r[logic.NeverSent], r[logic.Late],
+		r[logic.Error], r[logic.Cancelled], r[logic.Rejected], r[logic.TimedOut], r[logic.ConnectFailed], r[logic.ConnectionLost], r[logic.NotSent], r[logic.ConnectPending],
 		p.driver.opt.Opened.Load(), used, most, s.lateness.ValueAtQuantile(99), s.lateness.Max(), age.Seconds())
 }
