--- a/logic/admission.go
+++ b/logic/admission.go
@@ -8,104 +8,104 @@
 )
 
 const (
-	strainTarget    = 0.25   // of the aim, the mean latency to settle at: less refuses, more queues
-	strainUneven    = 0.33   // the target where a balancer sees few calls: twice the rest of a few is chance
-	restFactor      = 2.0    // the mean latency at rest is the target where that is more: no queue yet
-	restRise        = 0.0005 // how fast the latency at rest follows a mean above it: not with a queue
-	strainCeiling   = 0.4    // no target above this: answers would come late
-	limitStep       = 0.3    // speed of the limit's correction
-	limitInUse      = 0.5    // share of the limit in flight from which it is corrected
-	limitLeast      = 0.7    // share of the first limit that it keeps: no queue comes of that
-	limitPerBackend = 5.0    // at the start, over all balancers: busy without a queue
-	limitLowest     = 0.75   // the part of the limit for work worth next to nothing
-	openMost        = 4.0    // bases that the limit grows to: a quiet balancer's must not let any burst in
-	arriveWeight    = 0.02   // of one arrival in own traffic: bursts are not traffic
-	arriveFirst     = 5.0    // arrivals that the start counts for
-	evenValue       = 0.3    // what every class's is where none is to be worse off than others
-	saveMost        = 3.0    // calls that may be saved up or owed: covers chance, not a flood
-	saveLeast       = 1.0    // the same where traffic is unlike: many balancers' calls meet at a backend
-	saveShare       = 0.5    // and as a part of the limit: the more traffic, the larger its bursts
+	latencyRatioTarget       = 0.25   // of the aim, the mean latency to settle at: less refuses, more queues
+	latencyRatioTargetUneven = 0.33   // the target where a balancer sees few calls: twice the rest of a few is chance
+	unloadedLatencyFactor    = 2.0    // the mean latency at rest is the target where that is more: no queue yet
+	unloadedLatencyRise      = 0.0005 // how fast the latency at rest follows a mean above it: not with a queue
+	maxLatencyRatioTarget    = 0.4    // no target above this: answers would come late
+	limitStep                = 0.3    // speed of the limit's correction
+	minLimitUtilization      = 0.5    // share of the limit in flight from which it is corrected
+	minLimitMultiplier       = 0.7    // share of the first limit that it keeps: no queue comes of that
+	initialLimitPerBackend   = 5.0    // at the start, over all balancers: busy without a queue
+	lowestValueLimitShare    = 0.75   // the part of the limit for work worth next to nothing
+	maxLimitMultiplier       = 4.0    // bases that the limit grows to: a quiet balancer's must not let any burst in
+	arrivalWeight            = 0.02   // of one arrival in own traffic: bursts are not traffic
+	initialArrivalCount      = 5.0    // arrivals that the start counts for
+	equalClassValue          = 0.3    // what every class's is where none is to be worse off than others
+	maxLimitTokens           = 3.0    // calls that may be saved up or owed: covers chance, not a flood
+	minLimitTokensUneven     = 1.0    // the same where traffic is unlike: many balancers' calls meet at a backend
+	limitTokenShare          = 0.5    // and as a part of the limit: the more traffic, the larger its bursts
 )
 
 // reckon keeps the limit's base, what own arrivals have in flight at the latency aimed at, and the arcs: a
 // departure for unlike traffic, as where each client process has its own, of which a like part starves some.
-func (b *Balancer) reckon(now Time, c *class) {
-	wanted, count, size := strainTarget*float64(c.TargetLatency), float64(len(b.listed)), b.size
-	if b.arrivals == 0 { // as if traffic were alike, until seen: guards against a flood at the start
-		b.need, b.between, b.arrivals = wanted, wanted/(b.base*max(size, 1)), arriveFirst
+func (b *Balancer) updateBaseLimit(now Time, c *class) {
+	targetMeanLatency, backendCount, capacity := latencyRatioTarget*float64(c.TargetLatency), float64(len(b.listed)), b.capacity
+	if b.arrivalCount == 0 { // as if traffic were alike, until seen: guards against a flood at the start
+		b.allowedLatency, b.meanInterarrival, b.arrivalCount = targetMeanLatency, targetMeanLatency/(b.baseLimit*max(capacity, 1)), initialArrivalCount
 	}
-	b.arrivals++
-	weight := max(arriveWeight, 1/b.arrivals)
-	b.between += weight * (float64(now-b.arrived) - b.between)
-	b.arrived = now
-	b.need += weight * (wanted - b.need)
-	calls := b.need / max(b.between, 1)
-	b.base, b.open = calls/max(size, 1), min(b.open, openMost)
-	if arc := calls * size / max(count, 1); arc > reachMore*b.arc || arc < b.arc/reachLess {
-		b.arc = arc // seldom laid anew: each new backend in it costs a connection
-		b.reach()
+	b.arrivalCount++
+	weight := max(arrivalWeight, 1/b.arrivalCount)
+	b.meanInterarrival += weight * (float64(now-b.lastArrival) - b.meanInterarrival)
+	b.lastArrival = now
+	b.allowedLatency += weight * (targetMeanLatency - b.allowedLatency)
+	calls := b.allowedLatency / max(b.meanInterarrival, 1)
+	b.baseLimit, b.limitMultiplier = calls/max(capacity, 1), min(b.limitMultiplier, maxLimitMultiplier)
+	if subset := calls * capacity / max(backendCount, 1); subset > subsetGrowFactor*b.minSubsetCapacity || subset < b.minSubsetCapacity/subsetShrinkFactor {
+		b.minSubsetCapacity = subset // seldom laid anew: each new backend in it costs a connection
+		b.assignSubsets()
 	}
 }
 
 // limit is how many calls may be in flight for each unit of warm size in use.
-func (b *Balancer) limit() float64 { return b.open * b.base }
+func (b *Balancer) limit() float64 { return b.limitMultiplier * b.baseLimit }
 
 // admit is the concurrency limit, a departure, at the tier that faces clients: late answers are queues, and
 // more work makes more of them. What is worth least for its time goes first.
 func (b *Balancer) admit(now Time, q *request) bool {
-	if b.set.Tier > 0 {
+	if b.settings.Tier > 0 {
 		return true
 	}
 	best := 1e-9
 	for i := range b.classes {
-		best = max(best, b.classes[i].value())
+		best = max(best, b.classes[i].valuePerTime())
 	}
-	value := b.classes[q.Class].value() / best
-	if b.set.EqualClasses { // guards against the class of least worth that pays for all others
-		value = evenValue
+	value := b.classes[q.Class].valuePerTime() / best
+	if b.settings.EqualClasses { // guards against the class of least worth that pays for all others
+		value = equalClassValue
 	}
 	if q.ClientRetry { // guards against a client's many tries that crowd out the first ones of others
 		value = -value
 	}
-	t := b.settle(now)
-	return t.calls < (limitLowest+(1-limitLowest)*value)*b.limit()*t.warm+b.saved+b.credit(t)*value
+	t := b.updateLimitTokens(now)
+	return t.inFlight < (lowestValueLimitShare+(1-lowestValueLimitShare)*value)*b.limit()*t.effectiveCapacity+b.limitTokens+b.limitTokenBurst(t)*value
 }
 
 // settle keeps account of what the limit left unused, in calls of mean length. Guards against a limit of
 // about one call, as each of many balancers has, that refuses by chance what there is room for.
-func (b *Balancer) settle(now Time) tally {
-	t := b.tally(now, &b.all)
-	b.saved += (b.limit()*t.warm - t.calls) * float64(now-b.settled) / max(b.hold, 1)
-	most := b.credit(t)
-	b.saved = max(-most-1, min(most, b.saved))
-	b.settled = now
+func (b *Balancer) updateLimitTokens(now Time) totals {
+	t := b.totals(now, &b.listedSummary)
+	b.limitTokens += (b.limit()*t.effectiveCapacity - t.inFlight) * float64(now-b.tokensUpdatedAt) / max(b.meanLatency, 1)
+	maxTokens := b.limitTokenBurst(t)
+	b.limitTokens = max(-maxTokens-1, min(maxTokens, b.limitTokens))
+	b.tokensUpdatedAt = now
 	return t
 }
 
 // credit is how many calls may be saved up or owed.
-func (b *Balancer) credit(t tally) float64 {
-	if b.set.UnevenTraffic {
-		return max(saveLeast, saveShare*b.limit()*t.warm)
+func (b *Balancer) limitTokenBurst(t totals) float64 {
+	if b.settings.UnevenTraffic {
+		return max(minLimitTokensUneven, limitTokenShare*b.limit()*t.effectiveCapacity)
 	}
-	return saveMost
+	return maxLimitTokens
 }
 
 // value is the worth for each unit of time; next to 0 until the class is seen.
-func (c *class) value() float64 { return c.Value / cmp.Or(c.cost, math.MaxFloat64) }
+func (c *class) valuePerTime() float64 { return c.Value / cmp.Or(c.meanLatency, math.MaxFloat64) }
 
 // correctLimit moves the limit towards the target strain while it is in use: a quiet hour tells nothing.
-func (b *Balancer) correctLimit(now Time, c *class, strain float64) {
-	t := b.tally(now, &b.all)
+func (b *Balancer) adjustLimit(now Time, c *class, latencyRatio float64) {
+	t := b.totals(now, &b.listedSummary)
 	// Guards against work turned away where latencies are long without any queue. One late call counts as 1.
-	target := max(strainTarget, min(strainCeiling, restFactor*c.rest/float64(max(c.TargetLatency, 1))))
-	if b.set.UnevenTraffic { // a few calls tell of no latency at rest
-		target = strainUneven
+	target := max(latencyRatioTarget, min(maxLatencyRatioTarget, unloadedLatencyFactor*c.unloadedLatency/float64(max(c.TargetLatency, 1))))
+	if b.settings.UnevenTraffic { // a few calls tell of no latency at rest
+		target = latencyRatioTargetUneven
 	}
-	if t.calls+1 > limitInUse*b.limit()*t.warm {
-		step := limitStep * (target - min(strain, 1)) / max(t.warm, 1) / b.base
+	if t.inFlight+1 > minLimitUtilization*b.limit()*t.effectiveCapacity {
+		step := limitStep * (target - min(latencyRatio, 1)) / max(t.effectiveCapacity, 1) / b.baseLimit
 		if step < 0 { // who holds more gives back more, so that balancers even out
-			step *= b.open
+			step *= b.limitMultiplier
 		}
-		b.open = max(limitLeast, b.open+step)
+		b.limitMultiplier = max(minLimitMultiplier, b.limitMultiplier+step)
 	}
 }
--- a/logic/admission_test.go
+++ b/logic/admission_test.go
@@ -16,7 +16,7 @@
 		b, f := start(testSettings(), zoneLines("b", 4)...)
 		b.setLimit(2) // for each of four
 		for i := range b.classes {
-			b.classes[i].meet(2000*ms, false)
+			b.classes[i].observeBudget(2000*ms, false)
 		}
 		for i := range 12 {
 			b.StartRequest(0, Request{ID: fmt.Sprint("r", i), Class: class, Budget: 2000 * ms})
@@ -38,19 +38,19 @@
 	b, _ := start(testSettings(), zoneLines("b", 4)...)
 	b.addInFlight(b.backends["b0"], 100)
 	before := b.limit()
-	b.correctLimit(0, &b.classes[safe], 2*strainTarget)
+	b.adjustLimit(0, &b.classes[safe], 2*latencyRatioTarget)
 	if b.limit() >= before {
 		t.Error("late answers did not lower the limit")
 	}
 	before = b.limit()
-	b.correctLimit(0, &b.classes[safe], strainTarget/2)
+	b.adjustLimit(0, &b.classes[safe], latencyRatioTarget/2)
 	if b.limit() <= before {
 		t.Error("early answers did not raise the limit")
 	}
 	b.addInFlight(b.backends["b0"], -100)
 	before = b.limit()
-	b.correctLimit(0, &b.classes[safe], 0)
-	b.correctLimit(0, &b.classes[safe], 1)
+	b.adjustLimit(0, &b.classes[safe], 0)
+	b.adjustLimit(0, &b.classes[safe], 1)
 	if b.limit() != before {
 		t.Error("the limit moved while it was not in use")
 	}
@@ -66,12 +66,12 @@
 			for _, m := range b.listed { // in use all the time
 				b.addInFlight(m, int(b.limit())+1-m.inFlight)
 			}
-			b.requests[id] = &request{Request: Request{ID: id, Class: safe}, deadline: now + 2000*ms, out: 1,
-				attempts: []attempt{{to: b.listed[i%4], sent: now}}}
-			b.classes[safe].meet(2000*ms, false)
+			b.requests[id] = &request{Request: Request{ID: id, Class: safe}, deadline: now + 2000*ms, outstanding: 1,
+				attempts: []attempt{{backend: b.listed[i%4], sentAt: now}}}
+			b.classes[safe].observeBudget(2000*ms, false)
 			b.AttemptDone(now, Outcome{Request: id, Result: OK, Latency: latency(i), Final: true})
 		}
-		return b.limit() / b.base
+		return b.limit() / b.baseLimit
 	}
 	aim := float64(testSettings().Classes[safe].TargetLatency)
 	of := func(share float64) time.Duration { return time.Duration(share * aim) }
@@ -114,8 +114,8 @@
 	half := admitted(func(b *Balancer) { b.UpdateList(0, true, zoneLines("b", 4)) })
 	ejected := admitted(func(b *Balancer) {
 		for _, m := range b.listed[:4] {
-			m.ejected, m.inFlight, m.trialAt = 1, 4, 1000*ms // with calls that hang there
-			b.version++
+			m.ejections, m.inFlight, m.probeAt = 1, 4, 1000*ms // with calls that hang there
+			b.summaryVersion++
 		}
 	})
 	if all != 35 || half != 19 || ejected != 19 {
@@ -128,10 +128,10 @@
 func TestLimitComesDownInProportion(t *testing.T) {
 	drop := func(limit float64) float64 {
 		b, _ := start(testSettings(), zoneLines("b", 4)...)
-		b.setLimit(limit * b.base)
+		b.setLimit(limit * b.baseLimit)
 		b.addInFlight(b.backends["b0"], 1000)
 		before := b.limit()
-		b.correctLimit(0, &b.classes[safe], 1)
+		b.adjustLimit(0, &b.classes[safe], 1)
 		return before - b.limit()
 	}
 	if small, large := drop(1), drop(4); large < 3.9*small || small <= 0 {
@@ -147,8 +147,8 @@
 		set := testSettings()
 		set.BalancerCount, set.Seed = balancers, uint64(n)
 		b, f := start(set, zoneLines("b", backends)...)
-		b.classes[keyed].meet(2000*ms, false)
-		b.hold, b.classes[keyed].cost = float64(hold), float64(hold)
+		b.classes[keyed].observeBudget(2000*ms, false)
+		b.meanLatency, b.classes[keyed].meanLatency = float64(hold), float64(hold)
 		rng := rand.New(rand.NewPCG(uint64(n), 1))
 		var out []Time
 		for now := Time(0); now < seconds*1000*ms; {
@@ -156,9 +156,9 @@
 			for len(out) > 0 && out[0] <= now {
 				id := fmt.Sprint("r", int64(out[0]))
 				// On the target: the limit stays where it is.
-				onTarget := time.Duration(strainCeiling * float64(set.Classes[keyed].TargetLatency))
+				onTarget := time.Duration(maxLatencyRatioTarget * float64(set.Classes[keyed].TargetLatency))
 				b.AttemptDone(out[0], Outcome{Request: id, Result: OK, Latency: onTarget, Final: true})
-				b.hold, b.classes[keyed].cost = float64(hold), float64(hold)
+				b.meanLatency, b.classes[keyed].meanLatency = float64(hold), float64(hold)
 				out = out[1:]
 			}
 			sends := len(f.sends)
@@ -178,7 +178,7 @@
 // up to one call each, lets in more than the fleet can do.
 func TestManyBalancersKeepTheLimitInSum(t *testing.T) {
 	for _, balancers := range []int{1, 20, 300} {
-		limit := limitPerBackend * 15 / float64(balancers) // of one, in calls
+		limit := initialLimitPerBackend * 15 / float64(balancers) // of one, in calls
 		mean, sum := meanInFlight(balancers, 15, 4*limit/0.2)
 		if mean < 0.7*sum || mean > 1.15*sum {
 			t.Errorf("%d balancers with four times the work for %.0f calls hold %.0f", balancers, sum, mean)
@@ -226,8 +226,8 @@
 		b.allow(keyed, 700*ms) // a tenth of the worth
 		var sent [2]int
 		for i := range 2000 {
-			now := Time(i) * ms   // far more than fits, held for 100 ms
-			b.open, b.base = 1, 1 // ten calls
+			now := Time(i) * ms                   // far more than fits, held for 100 ms
+			b.limitMultiplier, b.baseLimit = 1, 1 // ten calls
 			class := i % 2
 			before := len(f.sends)
 			id := fmt.Sprint(even, i)
--- a/logic/allowance_test.go
+++ b/logic/allowance_test.go
@@ -10,34 +10,34 @@
 
 func TestAllowance(t *testing.T) {
 	c := class{Class: Class{Deadline: 1000 * ms}}
-	c.meet(400*ms, false)
-	if c.allowance != float64(400*ms)*allowanceStart {
-		t.Errorf("first allowance %v", time.Duration(c.allowance))
+	c.observeBudget(400*ms, false)
+	if c.attemptTimeout != float64(400*ms)*initialAttemptTimeoutShare {
+		t.Errorf("first allowance %v", time.Duration(c.attemptTimeout))
 	}
 	for i := range 20000 { // latencies spread evenly over 0 to 100 ms
-		c.learn(float64(i*37%100) * float64(ms))
+		c.observeLatency(float64(i*37%100) * float64(ms))
 	}
-	if c.allowance < float64(85*ms) || c.allowance > float64(130*ms) {
-		t.Errorf("allowance %v, want near the high percentile of 98 ms", time.Duration(c.allowance))
+	if c.attemptTimeout < float64(85*ms) || c.attemptTimeout > float64(130*ms) {
+		t.Errorf("allowance %v, want near the high percentile of 98 ms", time.Duration(c.attemptTimeout))
 	}
-	c.budget = float64(1000 * ms)
+	c.usualBudget = float64(1000 * ms)
 	for range 20 { // time-outs count at the allowance, and raise it
-		c.learn(c.allowance)
+		c.observeLatency(c.attemptTimeout)
 	}
-	if c.allowance < float64(300*ms) {
-		t.Errorf("allowance %v did not follow the time-outs", time.Duration(c.allowance))
+	if c.attemptTimeout < float64(300*ms) {
+		t.Errorf("allowance %v did not follow the time-outs", time.Duration(c.attemptTimeout))
 	}
 	for range 100 { // but not past what usual budgets can hold
-		c.learn(c.allowance)
+		c.observeLatency(c.attemptTimeout)
 	}
-	if c.allowance != allowanceCeiling*c.budget {
-		t.Errorf("allowance %v, want its ceiling", time.Duration(c.allowance))
+	if c.attemptTimeout != maxAttemptTimeoutShare*c.usualBudget {
+		t.Errorf("allowance %v, want its ceiling", time.Duration(c.attemptTimeout))
 	}
 	for range 100000 {
-		c.learn(0)
+		c.observeLatency(0)
 	}
-	if c.allowance != allowanceFloor*float64(c.Deadline) {
-		t.Errorf("allowance %v, want its floor", time.Duration(c.allowance))
+	if c.attemptTimeout != minAttemptTimeoutShare*float64(c.Deadline) {
+		t.Errorf("allowance %v, want its floor", time.Duration(c.attemptTimeout))
 	}
 }
 
@@ -52,7 +52,7 @@
 		b.allow(safe, 100*ms)
 		b.StartRequest(0, Request{ID: "r", Class: safe, Budget: 2000 * ms})
 		b.AttemptDone(c.latency, Outcome{Request: "r", Result: Error, Latency: c.latency})
-		if raised := b.classes[safe].allowance > float64(100*ms); raised != c.raised {
+		if raised := b.classes[safe].attemptTimeout > float64(100*ms); raised != c.raised {
 			t.Errorf("error after %v: raised = %v", c.latency, raised)
 		}
 	}
@@ -65,25 +65,25 @@
 func TestAllowanceOfThinTrafficRecovers(t *testing.T) {
 	const usual, slow, budget = 100 * ms, 900 * ms, 3000 * ms
 	c := class{Class: Class{Deadline: 3000 * ms}}
-	c.meet(budget, false)
+	c.observeBudget(budget, false)
 	for i := range 60 {
-		c.learn(float64(usual) * (0.5 + float64(i%11)/10))
+		c.observeLatency(float64(usual) * (0.5 + float64(i%11)/10))
 	}
 	for range 15 {
-		c.learn(float64(slow))
-		c.learn(c.allowance) // one that timed out
+		c.observeLatency(float64(slow))
+		c.observeLatency(c.attemptTimeout) // one that timed out
 	}
-	if c.allowance < float64(slow) {
-		t.Fatalf("allowance %v did not follow the slow spell", time.Duration(c.allowance))
+	if c.attemptTimeout < float64(slow) {
+		t.Fatalf("allowance %v did not follow the slow spell", time.Duration(c.attemptTimeout))
 	}
 	for i := range 60 {
-		c.learn(float64(usual) * (0.5 + float64(i%11)/10))
+		c.observeLatency(float64(usual) * (0.5 + float64(i%11)/10))
 	}
-	if c.allowance > allowanceStart*float64(budget) { // two attempts fit
-		t.Errorf("60 calls after the spell the allowance is %v", time.Duration(c.allowance))
+	if c.attemptTimeout > initialAttemptTimeoutShare*float64(budget) { // two attempts fit
+		t.Errorf("60 calls after the spell the allowance is %v", time.Duration(c.attemptTimeout))
 	}
-	if c.allowance < float64(3*usual) { // nor does it sink to where usual calls time out
-		t.Errorf("allowance %v", time.Duration(c.allowance))
+	if c.attemptTimeout < float64(3*usual) { // nor does it sink to where usual calls time out
+		t.Errorf("allowance %v", time.Duration(c.attemptTimeout))
 	}
 }
 
@@ -125,9 +125,9 @@
 	before := len(f.sends)
 	b.StartRequest(now, Request{ID: "after", Class: safe, Budget: most})
 	if len(f.sends) == before {
-		t.Errorf("turned away: an allowance of %v in %v", time.Duration(b.classes[safe].allowance), most)
+		t.Errorf("turned away: an allowance of %v in %v", time.Duration(b.classes[safe].attemptTimeout), most)
 	}
-	if a := b.classes[safe].allowance; a < float64(most)/2 {
+	if a := b.classes[safe].attemptTimeout; a < float64(most)/2 {
 		t.Errorf("allowance %v: late ones don't count", time.Duration(a))
 	}
 }
@@ -157,7 +157,7 @@
 		b.StartRequest(Time(i)*1000*ms, Request{ID: id, Class: safe, Budget: 2000 * ms})
 		b.AttemptDone(Time(i)*1000*ms+40*ms, Outcome{Request: id, Result: OK, Latency: 40 * ms, Final: true})
 	}
-	if cost := time.Duration(b.classes[safe].cost); cost > 45*ms {
+	if cost := time.Duration(b.classes[safe].meanLatency); cost > 45*ms {
 		t.Errorf("after three answers in 40 ms the mean latency is %v", cost)
 	}
 }
--- a/logic/balancer_test.go
+++ b/logic/balancer_test.go
@@ -23,7 +23,7 @@
 	if len(f.sends) != 1 || len(f.answers) != 0 {
 		t.Errorf("after the client left: %d sends, answers %v", len(f.sends), f.answers)
 	}
-	if len(b.requests)+len(b.wakes) != 0 {
+	if len(b.requests)+len(b.backoffTimers) != 0 {
 		t.Error("an ended request is still held")
 	}
 }
@@ -112,7 +112,7 @@
 			b.TimerFired(10*ms+wait, token)
 			attempt = 1
 		}
-		failures := b.backends["b1"].failures
+		failures := b.backends["b1"].failureShare
 		c.do(b)
 		if got := b.MaySendOnConnect(200*ms, "r"); got != c.want {
 			t.Errorf("%s: still to be sent %t, want %t", c.name, got, c.want)
@@ -121,7 +121,7 @@
 			continue
 		}
 		b.AttemptDone(200*ms, Outcome{Request: "r", Attempt: attempt, Result: NotSent, Latency: 200 * ms})
-		if m := b.backends["b1"]; m != nil && m.failures > failures {
+		if m := b.backends["b1"]; m != nil && m.failureShare > failures {
 			t.Errorf("%s: it counts against the backend", c.name)
 		}
 		if c.name == "the client left" {
@@ -179,9 +179,9 @@
 		}
 		m := b.backends[f.sends[0].backend]
 		b.AttemptDone(3*ms, Outcome{Request: "r", Result: Cancelled, Latency: 3 * ms, Final: true})
-		if m.inFlight != 0 || m.failures != 0 || len(b.requests) != 0 || len(f.answers) != 0 {
+		if m.inFlight != 0 || m.failureShare != 0 || len(b.requests) != 0 || len(f.answers) != 0 {
 			t.Errorf("cancel %t: %d in flight, failures %v, %d requests, answers %v",
-				cancel, m.inFlight, m.failures, len(b.requests), f.answers)
+				cancel, m.inFlight, m.failureShare, len(b.requests), f.answers)
 		}
 		b.StartRequest(4*ms, Request{ID: "served", Class: safe, Budget: 2000 * ms})
 		b.AttemptDone(5*ms, Outcome{Request: "served", Result: OK, Latency: ms, Final: true})
@@ -203,8 +203,8 @@
 		t.Errorf("%d of 50 answered while nobody was known", len(f.answers))
 	}
 	b.UpdateList(500*ms, true, zoneLines("b", 10))
-	if b.open < limitLeast || b.base <= 0 {
-		t.Errorf("limit at %v of a base of %v after the first list", b.open, b.base)
+	if b.limitMultiplier < minLimitMultiplier || b.baseLimit <= 0 {
+		t.Errorf("limit at %v of a base of %v after the first list", b.limitMultiplier, b.baseLimit)
 	}
 	if refused, _ := feed(b, f, 500*ms, 400, 10*ms, 100*ms, false); refused > 20 {
 		t.Errorf("%d of 200 refused", refused)
--- a/logic/ban_test.go
+++ b/logic/ban_test.go
@@ -66,7 +66,7 @@
 			b.eject(now, b.backends["a0"])
 		}},
 		{"all others turn calls away", func(b *Balancer, now Time) {
-			b.backends["b1"].paused, b.backends["a0"].paused = now+time.Hour, now+time.Hour
+			b.backends["b1"].pausedUntil, b.backends["a0"].pausedUntil = now+time.Hour, now+time.Hour
 		}},
 		{"taken out twice", func(b *Balancer, now Time) { b.Detach("b0") }},
 	} {
@@ -118,8 +118,8 @@
 	for seed := range uint64(20) {
 		for _, before := range []func(b *Balancer, at Time){
 			func(*Balancer, Time) {},
-			func(b *Balancer, at Time) { b.eject(at, b.backends["b0"]); b.backends["b0"].ejected = 4 },
-			func(b *Balancer, at Time) { b.backends["b0"].slowness = 50 },
+			func(b *Balancer, at Time) { b.eject(at, b.backends["b0"]); b.backends["b0"].ejections = 4 },
+			func(b *Balancer, at Time) { b.backends["b0"].relativeLatency = 50 },
 		} {
 			set := testSettings()
 			set.Seed = seed
@@ -129,12 +129,12 @@
 			b.Detach("b0")
 			_, at = served(t, b, f, at, safe, 50)
 			b.Attach(at, "b0")
-			if w := b.backends["b0"].warmth(at, &set); w > 2*set.InitialWarmUpFraction {
+			if w := b.backends["b0"].warmUpFraction(at, &set); w > 2*set.InitialWarmUpFraction {
 				t.Fatalf("back with a warmth of %.2f", w)
 			}
 			from := len(f.sends)
 			first, end := served(t, b, f, at, safe, 40)
-			if got, ok := first["b0"]; !ok || got-at > 2*b.patience+200*ms {
+			if got, ok := first["b0"]; !ok || got-at > 2*b.baseEjectionTime+200*ms {
 				t.Errorf("seed %d: first call after %v", seed, got-at)
 			}
 			calls := 0
@@ -158,7 +158,7 @@
 		t.Error("knows nobody, or not b0")
 	}
 	b.Attach(0, "b0")
-	if m := b.backends["b0"]; m.ejected != 0 || m.back != 0 {
+	if m := b.backends["b0"]; m.ejections != 0 || m.attachedAt != 0 {
 		t.Error("a backend that was not out starts cold")
 	}
 	b.Attach(0, "nobody")
@@ -181,11 +181,11 @@
 	b, _ := start(testSettings(), zoneLines("b", 2)...)
 	b.Detach("b0")
 	b.Attach(1000*ms, "b0")
-	due := b.backends["b0"].trialAt
+	due := b.backends["b0"].probeAt
 	l := line("b", 0)
 	l.StartedAt = 900 * ms
 	b.UpdateList(1100*ms, false, []Backend{l})
-	if m := b.backends["b0"]; m.ejected != 1 || m.trialAt != due || m.spacing != 0 {
+	if m := b.backends["b0"]; m.ejections != 1 || m.probeAt != due || m.spacingFactor != 0 {
 		t.Errorf("the trial is gone: %+v", m)
 	}
 }
@@ -251,10 +251,10 @@
 // of the calls would crowd the rest.
 func TestDetachedShrinksLimit(t *testing.T) {
 	b, _ := start(testSettings(), zoneLines("b", 4)...)
-	before := b.tally(0, &b.all)
+	before := b.totals(0, &b.listedSummary)
 	b.Detach("b0")
 	b.Detach("b1")
-	if got := b.tally(0, &b.all); got.count != before.count-2 || got.warm != before.warm-2 {
+	if got := b.totals(0, &b.listedSummary); got.backendCount != before.backendCount-2 || got.effectiveCapacity != before.effectiveCapacity-2 {
 		t.Errorf("%+v with all, %+v with two out", before, got)
 	}
 }
@@ -272,7 +272,7 @@
 		_, at = served(t, b, f, at, unsafe, 20)
 		b.Attach(at, "b0")
 		first, _ := served(t, b, f, at, unsafe, 50)
-		if got, ok := first["b0"]; !ok || got-at > 2*b.patience+200*ms {
+		if got, ok := first["b0"]; !ok || got-at > 2*b.baseEjectionTime+200*ms {
 			t.Errorf("seed %d: first call after %v", seed, got-at)
 		}
 	}
--- a/logic/harness_test.go
+++ b/logic/harness_test.go
@@ -102,8 +102,8 @@
 
 // allow sets a class's allowance, as if learned from requests with long budgets.
 func (b *Balancer) allow(class int, d time.Duration) {
-	b.classes[class].meet(2000*ms, false)
-	b.classes[class].allowance = float64(d)
+	b.classes[class].observeBudget(2000*ms, false)
+	b.classes[class].attemptTimeout = float64(d)
 }
 
 // line is a backend in a zone; its cell is that of its number.
@@ -146,7 +146,7 @@
 }
 
 // setLimit sets the limit on calls in flight for each unit of size.
-func (b *Balancer) setLimit(calls float64) { b.open = calls / b.base }
+func (b *Balancer) setLimit(calls float64) { b.limitMultiplier = calls / b.baseLimit }
 
 func (f *fake) one(t *testing.T, id string) answer {
 	t.Helper()
--- a/logic/list.go
+++ b/logic/list.go
@@ -5,87 +5,87 @@
 import "cmp"
 
 // serving tells whether m is in service by the list and by hand.
-func (b *Balancer) serving(m *backend) bool { return m.State == Up && !b.banned[m.ID] }
+func (b *Balancer) inService(m *backend) bool { return m.State == Up && !b.detached[m.ID] }
 
 // sure is serving by a list that may be used, past its end for what has been there all the time alone.
-func (b *Balancer) sure(now Time, m *backend) bool {
-	f := &b.fresh
+func (b *Balancer) confirmedInService(now Time, m *backend) bool {
+	f := &b.listFreshness
 	switch {
-	case !b.serving(m):
+	case !b.inService(m):
 		return false
 	case f.FreshUntil == 0:
 		return true
 	case now >= f.FreshUntil:
-		return now < f.StaleUntil && m.presence.here(f, now)
-	case f.ChangesMayLag && m.presence.doubtful(f, now):
-		b.doubts = true
+		return now < f.StaleUntil && m.liveness.provenInService(f, now)
+	case f.ChangesMayLag && m.liveness.mayHaveBeenRemoved(f, now):
+		b.listNeeded = true
 		return false
 	}
 	return true
 }
 
 // askList asks for a list where a backend has been passed over for want of one, or would be before long.
-func (b *Balancer) askList() {
-	if b.doubts && b.lister != nil {
-		b.lister.RequestList()
+func (b *Balancer) requestListIfNeeded() {
+	if b.listNeeded && b.listRequester != nil {
+		b.listRequester.RequestList()
 	}
-	b.doubts = false
+	b.listNeeded = false
 }
 
 // UpdateList takes news of the backends: the full list, or changed lines only.
 func (b *Balancer) UpdateList(now Time, full bool, lines []Backend) {
 	for _, m := range b.listed {
-		m.gone = full
+		m.removed = full
 	}
 	for _, l := range lines {
-		b.update(now, l)
+		b.updateBackend(now, l)
 	}
-	b.regroup()
-	if t := b.tally(now, &b.all); b.base == 0 && t.size > 0 {
-		b.open, b.base = 1, limitPerBackend*t.count/t.size/float64(max(b.set.BalancerCount, 1))
+	b.rebuildGroups()
+	if t := b.totals(now, &b.listedSummary); b.baseLimit == 0 && t.capacity > 0 {
+		b.limitMultiplier, b.baseLimit = 1, initialLimitPerBackend*t.backendCount/t.capacity/float64(max(b.settings.BalancerCount, 1))
 	}
 }
 
-func (b *Balancer) update(now Time, l Backend) {
+func (b *Balancer) updateBackend(now Time, l Backend) {
 	l.Capacity = cmp.Or(max(l.Capacity, 0), 1)
 	m := b.backends[l.ID]
 	if m == nil {
-		m = &backend{sent: now, spacing: b.rng.Float64(), slowness: 1}
+		m = &backend{lastSent: now, spacingFactor: b.rng.Float64(), relativeLatency: 1}
 		b.backends[l.ID] = m
 		b.listed = append(b.listed, m)
-	} else if max(l.StartedAt, m.back) != max(m.StartedAt, m.back) { // restarted: nothing learned holds
-		m.failures, m.ejected, m.slowness, m.sent, m.spacing = 0, 0, 1, now, b.rng.Float64()
+	} else if max(l.StartedAt, m.attachedAt) != max(m.StartedAt, m.attachedAt) { // restarted: nothing learned holds
+		m.failureShare, m.ejections, m.relativeLatency, m.lastSent, m.spacingFactor = 0, 0, 1, now, b.rng.Float64()
 	}
-	m.Backend, m.gone = l, l.State == Removed
+	m.Backend, m.removed = l, l.State == Removed
 }
 
 // Detach takes a backend out by hand, until Attach and whatever the list says meanwhile.
 func (b *Balancer) Detach(id string) {
-	b.banned[id] = true
-	b.version++
-	b.act.CloseIdle(id)
+	b.detached[id] = true
+	b.summaryVersion++
+	b.actions.CloseIdle(id)
 }
 
 // Attach ends that. The return is a cold start, whatever the list knows of it. A trial brings it back soon,
 // one in sum over the balancers: guards against a first call that is long in coming, and against hundreds.
 func (b *Balancer) Attach(now Time, id string) {
-	if m := b.backends[id]; m != nil && b.banned[id] {
-		m.back, m.sent, m.failures, m.slowness, m.paused = now, now, 0, 1, 0
-		m.spacing = b.rng.Float64() * one(b.rng.Float64()*float64(b.set.BalancerCount) >= 1)
-		m.ejected, m.trialAt = int(one(m.spacing == 0)), now+b.jitter(b.patience)-b.patience/2
+	if m := b.backends[id]; m != nil && b.detached[id] {
+		m.attachedAt, m.lastSent, m.failureShare, m.relativeLatency, m.pausedUntil = now, now, 0, 1, 0
+		m.spacingFactor = b.rng.Float64() * oneIf(b.rng.Float64()*float64(b.settings.BalancerCount) >= 1)
+		m.ejections, m.probeAt = int(oneIf(m.spacingFactor == 0)), now+b.jitter(b.baseEjectionTime)-b.baseEjectionTime/2
 	}
-	delete(b.banned, id)
-	b.version++
+	delete(b.detached, id)
+	b.summaryVersion++
 }
 
 // IsKnown tells whether a backend is listed or out by hand.
-func (b *Balancer) IsKnown(id string) bool { return b.backends[id] != nil || b.banned[id] }
+func (b *Balancer) IsKnown(id string) bool { return b.backends[id] != nil || b.detached[id] }
 
 // OutOfRotation is how many listed backends get no calls now, by hand or by choice.
 func (b *Balancer) OutOfRotation(now Time) int {
-	out := func(m *backend) bool { return b.banned[m.ID] || m.ejected > 0 || now < m.paused }
-	return len(filter(b.listed, out))
+	outOfRotation := func(m *backend) bool { return b.detached[m.ID] || m.ejections > 0 || now < m.pausedUntil }
+	return len(filter(b.listed, outOfRotation))
 }
 
 // SetListFreshness takes for how long the list may be used.
-func (b *Balancer) SetListFreshness(f ListFreshness) { b.fresh = f }
+func (b *Balancer) SetListFreshness(f ListFreshness) { b.listFreshness = f }
--- a/logic/outlier_test.go
+++ b/logic/outlier_test.go
@@ -12,7 +12,7 @@
 // Guards against a backend that fails fast: it looks idle and draws the calls.
 func TestEjectionAndTrial(t *testing.T) {
 	b, f := start(testSettings(), zoneLines("b", 4)...)
-	b.set.Tier = 1
+	b.settings.Tier = 1
 	n := 0
 	call := func(now Time, bad bool) string {
 		id := fmt.Sprint("r", n)
@@ -35,18 +35,18 @@
 			t.Fatal("the failing backend still gets calls")
 		}
 	}
-	later := b.backends["b2"].trialAt
+	later := b.backends["b2"].probeAt
 	if call(later, true) != "b2" {
 		t.Fatal("no trial call when it is due")
 	}
 	if call(later+2*ms, true) == "b2" {
 		t.Fatal("in use again after a failed trial")
 	}
-	if next := b.backends["b2"].trialAt; next-later <= b.patience {
+	if next := b.backends["b2"].probeAt; next-later <= b.baseEjectionTime {
 		t.Errorf("second ejection lasts %v, want longer than the first", next-later)
 	}
-	later = b.backends["b2"].trialAt
-	if call(later, false) != "b2" || b.backends["b2"].ejected != 0 {
+	later = b.backends["b2"].probeAt
+	if call(later, false) != "b2" || b.backends["b2"].ejections != 0 {
 		t.Error("a good trial did not bring the backend back")
 	}
 }
@@ -54,14 +54,14 @@
 // Failures that all backends share are no reason to eject any of them.
 func TestSharedFailureEjectsNobody(t *testing.T) {
 	b, f := start(testSettings(), zoneLines("b", 4)...)
-	b.set.Tier = 1
+	b.settings.Tier = 1
 	for i := range 100 {
 		id := fmt.Sprint("r", i)
 		b.StartRequest(Time(i)*ms, Request{ID: id, Class: unsafe, Budget: 2000 * ms})
 		b.AttemptDone(Time(i)*ms, Outcome{Request: id, Result: Error})
 	}
 	for id, m := range b.backends {
-		if m.ejected > 0 {
+		if m.ejections > 0 {
 			t.Errorf("%s was ejected", id)
 		}
 	}
@@ -74,7 +74,7 @@
 // once, they look the idlest of all.
 func TestFullBackendIsLeftAlone(t *testing.T) {
 	b, f := start(testSettings(), zoneLines("b", 3)...)
-	b.set.Tier = 1
+	b.settings.Tier = 1
 	full := 0
 	for i := range 300 {
 		id := fmt.Sprint("r", i)
@@ -96,10 +96,10 @@
 // calls at backends that are full where no other is left.
 func TestAllFailing(t *testing.T) {
 	b, f := start(testSettings(), zoneLines("b", 8)...)
-	b.set.Tier = 1
+	b.settings.Tier = 1
 	for _, m := range b.listed[:5] {
-		b.version++
-		m.ejected, m.trialAt = 1, 1000*ms
+		b.summaryVersion++
+		m.ejections, m.probeAt = 1, 1000*ms
 	}
 	got := map[string]int{}
 	for i := range 9 {
@@ -110,7 +110,7 @@
 		t.Errorf("calls %v, want them spread over the three in use", got)
 	}
 	for _, m := range b.listed {
-		m.paused = 50 * ms
+		m.pausedUntil = 50 * ms
 	}
 	b.StartRequest(ms, Request{ID: "full", Class: unsafe, Budget: 2000 * ms})
 	if !f.one(t, "full").refused {
@@ -122,7 +122,7 @@
 // on any backend alike: two such in a row are chance.
 func TestSpoiltAnswersEjectNobody(t *testing.T) {
 	b, f := start(testSettings(), zoneLines("b", 4)...)
-	b.set.Tier = 1
+	b.settings.Tier = 1
 	rng := rand.New(rand.NewPCG(3, 0))
 	out, calls := 0, 4000
 	for i := range calls {
@@ -136,7 +136,7 @@
 			b.AttemptDone(now+5*ms, Outcome{Request: id, Result: OK, Latency: 5 * ms, Final: true})
 		}
 		for _, m := range b.listed {
-			if m.ejected > 0 {
+			if m.ejections > 0 {
 				out++
 			}
 		}
@@ -151,12 +151,12 @@
 func TestOverdueTrial(t *testing.T) {
 	for _, class := range []int{safe, unsafe} {
 		b, f := start(testSettings(), zoneLines("b", 4)...)
-		b.set.Tier = 1
+		b.settings.Tier = 1
 		for i := range b.classes {
 			b.allow(i, 1300*ms) // twice that fits no budget
 		}
 		b.eject(0, b.backends["b2"])
-		due := b.backends["b2"].trialAt
+		due := b.backends["b2"].probeAt
 		tried := func(now Time) bool {
 			id := fmt.Sprint("r", now)
 			b.StartRequest(now, Request{ID: id, Class: class, Budget: 2000 * ms})
@@ -164,10 +164,10 @@
 			b.AttemptDone(now, Outcome{Request: id, Result: OK, Latency: 100 * ms, Final: true})
 			return to == "b2"
 		}
-		if tried(due) || tried(due+b.patience-1) {
+		if tried(due) || tried(due+b.baseEjectionTime-1) {
 			t.Error("a trial with a request that can't be tried again, before it is overdue")
 		}
-		if !tried(due+b.patience) || b.backends["b2"].ejected != 0 {
+		if !tried(due+b.baseEjectionTime) || b.backends["b2"].ejections != 0 {
 			t.Error("no trial when overdue")
 		}
 	}
@@ -191,7 +191,7 @@
 	m := b.backends["b0"]
 	b.eject(0, m)
 	b.eject(0, m) // a trial has failed
-	b.judge(0, &attempt{to: m, trial: true}, &b.classes[safe], OK)
+	b.updateEjection(0, &attempt{backend: m, probe: true}, &b.classes[safe], OK)
 	if want := []string{"b0 ejected", "b0 in_use"}; !slices.Equal(o.seen, want) {
 		t.Errorf("told %v, want %v", o.seen, want)
 	}
--- a/logic/owntraffic_test.go
+++ b/logic/owntraffic_test.go
@@ -59,7 +59,7 @@
 		set.UnevenTraffic = c.uneven
 		b, f := start(set, zoneLines("b", 10)...)
 		refused, _ := feed(b, f, 0, 1000, 10*ms, 100*ms, false)
-		if base := b.base * 10; base < c.least || base > c.most || refused > c.refused {
+		if base := b.baseLimit * 10; base < c.least || base > c.most || refused > c.refused {
 			t.Errorf("%s: base %v calls, want %v to %v; %d refused", c.name, base, c.least, c.most, refused)
 		}
 	}
@@ -69,11 +69,11 @@
 func TestRetriesAreNoTraffic(t *testing.T) {
 	b, f := start(uneven(), zoneLines("b", 10)...)
 	_, now := feed(b, f, 0, 300, 100*ms, 100*ms, false)
-	base, arc, near := b.base, b.arc, len(b.groups[0].near.members)
+	base, arc, near := b.baseLimit, b.minSubsetCapacity, len(b.zoneGroups[0].peerSummary.members)
 	refused, _ := feed(b, f, now, 300, 5*ms, 100*ms, true)
-	if b.base != base || b.arc != arc || len(b.groups[0].near.members) != near {
+	if b.baseLimit != base || b.minSubsetCapacity != arc || len(b.zoneGroups[0].peerSummary.members) != near {
 		t.Errorf("base %v, arc %v, %d near; before the retries %v, %v, %d",
-			b.base, b.arc, len(b.groups[0].near.members), base, arc, near)
+			b.baseLimit, b.minSubsetCapacity, len(b.zoneGroups[0].peerSummary.members), base, arc, near)
 	}
 	if refused == 0 {
 		t.Error("no retry of a flood was refused")
@@ -87,7 +87,7 @@
 	for i := range 20 {
 		b.StartRequest(ms, Request{ID: fmt.Sprint(i), Class: safe, Budget: 2000 * ms})
 	}
-	if len(f.sends) > 2*saveMost+4 {
+	if len(f.sends) > 2*maxLimitTokens+4 {
 		t.Errorf("%d of 20 sent at once", len(f.sends))
 	}
 }
--- a/logic/retry_test.go
+++ b/logic/retry_test.go
@@ -119,7 +119,7 @@
 		{"the ceiling is reached", safe, 1, 980 * ms},
 	} {
 		b, f := start(testSettings(), line("b", 1))
-		b.set.MaxAttempts = c.attempts
+		b.settings.MaxAttempts = c.attempts
 		b.allow(c.class, 100*ms)
 		b.StartRequest(0, Request{ID: "r", Class: c.class, Budget: 1000 * ms})
 		if got := f.last(t).timeout; got != c.want {
@@ -130,7 +130,7 @@
 
 func TestBackoffGrows(t *testing.T) {
 	b, f := start(testSettings(), line("b", 1))
-	b.set.MaxAttempts = 10
+	b.settings.MaxAttempts = 10
 	b.allow(safe, 100*ms)
 	now := Time(0)
 	b.StartRequest(now, Request{ID: "r", Class: safe, Budget: 2000 * ms})
@@ -239,7 +239,7 @@
 // Guards against retries that burn what is left when all slow together.
 func TestRetryBudget(t *testing.T) {
 	b, f := start(testSettings(), zoneLines("b", 4)...)
-	b.set.Tier = 1
+	b.settings.Tier = 1
 	for i := range 200 {
 		id := fmt.Sprint("r", i)
 		b.StartRequest(0, Request{ID: id, Class: safe, Budget: 2000 * ms})
@@ -280,7 +280,7 @@
 // goes on a new connection, and no longer than that.
 func TestStaleConnections(t *testing.T) {
 	b, f := start(testSettings(), zoneLines("b", 4)...)
-	b.set.Tier = 1
+	b.settings.Tier = 1
 	n := 0
 	call := func(r Result) {
 		id := fmt.Sprint("r", n)
@@ -350,12 +350,12 @@
 			continue
 		}
 		to := b.backends[f.last(t).backend]
-		allowance, slowness, failures := b.classes[c.class].allowance, to.slowness, to.failures
+		allowance, slowness, failures := b.classes[c.class].attemptTimeout, to.relativeLatency, to.failureShare
 		b.AttemptDone(c.patient, Outcome{Request: "r", Result: TimedOut, Latency: f.last(t).timeout})
 		if f.one(t, "r").refused != (c.class == safe) {
 			t.Errorf("%s: refused only where another try is harmless", c.name)
 		}
-		if b.classes[c.class].allowance > allowance || to.slowness != slowness || to.failures != failures {
+		if b.classes[c.class].attemptTimeout > allowance || to.relativeLatency != slowness || to.failureShare != failures {
 			t.Errorf("%s: the time-out was learned from", c.name)
 		}
 	}
@@ -373,20 +373,20 @@
 		set.UnevenTraffic = c.uneven
 		b, _ := start(set, zoneLines("b", 10)...)
 		b.allow(safe, 700*ms)
-		b.classes[safe].cost, b.classes[safe].answers = float64(100*ms), 100
+		b.classes[safe].meanLatency, b.classes[safe].answerCount = float64(100*ms), 100
 		m := b.backends["b0"]
 		for i := range 20 { // every fourth answer is lost
 			o, latency := OK, 100*ms
 			if i%4 == 3 {
 				o, latency = TimedOut, 700*ms
 			}
-			q := &request{Request: Request{Class: safe}, attempts: []attempt{{to: m}}}
-			b.learnFrom(Time(i)*100*ms, q, &q.attempts[0], Outcome{Result: o, Latency: latency})
-			b.version++
-			m.ejected = 0
+			q := &request{Request: Request{Class: safe}, attempts: []attempt{{backend: m}}}
+			b.recordOutcome(Time(i)*100*ms, q, &q.attempts[0], Outcome{Result: o, Latency: latency})
+			b.summaryVersion++
+			m.ejections = 0
 		}
-		if slow := m.slowness > 1.5; slow != c.slow {
-			t.Errorf("%s: slowness %v", c.name, m.slowness)
+		if slow := m.relativeLatency > 1.5; slow != c.slow {
+			t.Errorf("%s: slowness %v", c.name, m.relativeLatency)
 		}
 	}
 }
@@ -412,8 +412,8 @@
 	for range 200 {
 		now = feedOne(b, f, now+50*ms, OK)
 	}
-	if b.lost > lostShare {
-		t.Errorf("after 200 answers %v of calls still count as lost", b.lost)
+	if b.idleTimeoutShare > idleTimeoutThreshold {
+		t.Errorf("after 200 answers %v of calls still count as lost", b.idleTimeoutShare)
 	}
 }
 
--- a/logic/rules_test.go
+++ b/logic/rules_test.go
@@ -259,8 +259,8 @@
 	if len(w.b.requests) > len(w.ids) {
 		w.failf("the module holds %d requests, %d are open", len(w.b.requests), len(w.ids))
 	}
-	if len(w.b.backends) > 12 || len(w.b.wakes) > len(w.ids) {
-		w.failf("the module remembers %d backends and %d waits", len(w.b.backends), len(w.b.wakes))
+	if len(w.b.backends) > 12 || len(w.b.backoffTimers) > len(w.ids) {
+		w.failf("the module remembers %d backends and %d waits", len(w.b.backends), len(w.b.backoffTimers))
 	}
 }
 
@@ -303,7 +303,7 @@
 func TestChecksCatchABrokenModule(t *testing.T) {
 	classes := func(change func(*Class)) func(*Balancer) {
 		return func(b *Balancer) {
-			b.set.Classes = append([]Class(nil), b.set.Classes...)
+			b.settings.Classes = append([]Class(nil), b.settings.Classes...)
 			for i := range b.classes {
 				change(&b.classes[i].Class)
 			}
@@ -316,8 +316,8 @@
 		{"unsafe taken for safe", classes(func(c *Class) { c.Idempotency = Idempotent })},
 		{"zones taken for all", classes(func(c *Class) { c.DedupScope = ScopeAll })},
 		{"memory taken for longer", classes(func(c *Class) { c.DedupWindow = time.Hour })},
-		{"more attempts than allowed", func(b *Balancer) { b.set.MaxAttempts = 50 }},
-		{"come-back times too long", func(b *Balancer) { b.set.MaxRetryAfter = time.Hour }},
+		{"more attempts than allowed", func(b *Balancer) { b.settings.MaxAttempts = 50 }},
+		{"come-back times too long", func(b *Balancer) { b.settings.MaxRetryAfter = time.Hour }},
 	} {
 		caught := false
 		for seed := uint64(0); seed < 200 && !caught; seed++ {
@@ -365,7 +365,7 @@
 			if b.requests[id] == nil || b.requests[id].ended {
 				break
 			}
-			if token := b.requests[id].token; token != 0 {
+			if token := b.requests[id].timerToken; token != 0 {
 				if rng.IntN(10) == 0 {
 					b.ClientGone(now, id)
 					break
@@ -383,10 +383,10 @@
 			next++
 		}
 	}
-	if len(b.requests) != 0 || len(b.wakes) != 0 {
-		t.Errorf("%d requests and %d waits are kept", len(b.requests), len(b.wakes))
+	if len(b.requests) != 0 || len(b.backoffTimers) != 0 {
+		t.Errorf("%d requests and %d waits are kept", len(b.requests), len(b.backoffTimers))
 	}
-	if len(b.backends) != 4 || len(b.listed) != 4 || len(b.groups[0].members) != 4 {
+	if len(b.backends) != 4 || len(b.listed) != 4 || len(b.zoneGroups[0].members) != 4 {
 		t.Errorf("%d backends are kept, %d listed", len(b.backends), len(b.listed))
 	}
 	for _, m := range b.listed {
--- a/logic/selection.go
+++ b/logic/selection.go
@@ -9,209 +9,211 @@
 )
 
 const (
-	reachBalancers = 5.0  // that reach each backend: even in sum against meeting it often
-	reachLeast     = 3.0  // backends that each balancer reaches
-	reachMore      = 1.25 // by how much own traffic must have grown for a longer arc
-	reachLess      = 2.0  // or fallen for a shorter one
+	balancersPerBackend = 5.0  // that reach each backend: even in sum against meeting it often
+	minSubsetBackends   = 3.0  // backends that each balancer reaches
+	subsetGrowFactor    = 1.25 // by how much own traffic must have grown for a longer arc
+	subsetShrinkFactor  = 2.0  // or fallen for a shorter one
 
-	busyFactor = 1.25 // "well above the mean" in a group: even load against even turns
-	slowWeight = 2.0  // how much more calls count on slow backends: spares choked ones
-	paceLeast  = 0.3  // of the mean latency: faster ones get no more turns for it
+	maxLoadFactor      = 1.25 // "well above the mean" in a group: even load against even turns
+	slowBackendWeight  = 2.0  // how much more calls count on slow backends: spares choked ones
+	minRelativeLatency = 0.3  // of the mean latency: faster ones get no more turns for it
 
-	spillFactor = 1.5 // "well over another group's": idle zones used against crossings
-	spillMargin = 1.0
+	zoneSpillFactor = 1.5 // "well over another group's": idle zones used against crossings
+	zoneSpillMargin = 1.0
 )
 
 // pick chooses a due trial, or the next of the first group neither failing nor well busier than others.
-func (b *Balancer) pick(now Time, q *request) *backend {
-	if t := b.dueTrial(now, q); t != nil {
-		return t
+func (b *Balancer) pickBackend(now Time, q *request) *backend {
+	if probe := b.dueProbe(now, q); probe != nil {
+		return probe
 	}
-	failing := func(g *group) float64 { return 1 - b.tally(now, &g.all).count/float64(len(g.members)) }
-	load := func(g *group) float64 { return b.tally(now, &g.all).load(0) }
-	open := filter(b.groups, func(g *group) bool {
+	unavailableShare := func(g *zoneGroup) float64 {
+		return 1 - b.totals(now, &g.memberSummary).backendCount/float64(len(g.members))
+	}
+	load := func(g *zoneGroup) float64 { return b.totals(now, &g.memberSummary).load(0) }
+	candidates := filter(b.zoneGroups, func(g *zoneGroup) bool {
 		return slices.ContainsFunc(g.members, func(m *backend) bool { return b.usable(now, q, m) })
 	})
-	healthy := filter(open, func(g *group) bool {
-		lost := func(a attempt) bool { return a.lost && a.to.group == g } // all of it may be
-		return failing(g) <= 0.5 && !slices.ContainsFunc(q.attempts, lost)
+	healthy := filter(candidates, func(g *zoneGroup) bool {
+		connectFailedHere := func(a attempt) bool { return a.connectFailed && a.backend.zoneGroup == g } // all of it may be
+		return unavailableShare(g) <= 0.5 && !slices.ContainsFunc(q.attempts, connectFailedHere)
 	})
 	switch {
-	case len(open) == 0: // no backend is in use
-		may := filter(b.listed, func(m *backend) bool { return now >= m.paused && b.allowed(now, q, m) })
-		if len(may) == 0 {
+	case len(candidates) == 0: // no backend is in use
+		permitted := filter(b.listed, func(m *backend) bool { return now >= m.pausedUntil && b.allowed(now, q, m) })
+		if len(permitted) == 0 {
 			return nil
 		}
-		return slices.MinFunc(may, func(x, y *backend) int { return cmp.Compare(x.failures, y.failures) })
+		return slices.MinFunc(permitted, func(x, y *backend) int { return cmp.Compare(x.failureShare, y.failureShare) })
 	case len(healthy) == 0: // spread over the group: one backend alone would tip
-		least := func(x, y *group) int { return cmp.Compare(failing(x), failing(y)) }
-		return b.rotate(now, q, slices.MinFunc(open, least))
+		choice := func(x, y *zoneGroup) int { return cmp.Compare(unavailableShare(x), unavailableShare(y)) }
+		return b.pickFromGroup(now, q, slices.MinFunc(candidates, choice))
 	}
 	// Guards against a last group left idle, and against all of a lost zone's balancers meeting in the next.
-	least := slices.MinFunc(healthy, func(x, y *group) int { return cmp.Compare(load(x), load(y)) })
-	if g := healthy[0]; g.members[0].Zone == b.set.Zone && load(g) <= spillFactor*load(least)+spillMargin {
-		least = g
+	choice := slices.MinFunc(healthy, func(x, y *zoneGroup) int { return cmp.Compare(load(x), load(y)) })
+	if g := healthy[0]; g.members[0].Zone == b.settings.Zone && load(g) <= zoneSpillFactor*load(choice)+zoneSpillMargin {
+		choice = g
 	}
-	return b.rotate(now, q, least)
+	return b.pickFromGroup(now, q, choice)
 }
 
 // obstacle is why no backend could be picked for q: of the one that passed most of the checks.
-func (b *Balancer) obstacle(now Time, q *request) Cause {
-	why := NoBackend
+func (b *Balancer) refusalCause(now Time, q *request) Cause {
+	cause := NoBackend
 	for _, m := range b.listed {
 		switch {
-		case !b.serving(m):
-			why = max(why, Drained)
-		case !b.sure(now, m):
-			why = max(why, ListStale)
-		case !b.mayRepeat(now, q, m):
+		case !b.inService(m):
+			cause = max(cause, Drained)
+		case !b.confirmedInService(now, m):
+			cause = max(cause, ListStale)
+		case !b.mayRetryOn(now, q, m):
 			return MayHaveRun
-		case m.warmth(now, &b.set) < 1:
-			why = max(why, SlowStart)
+		case m.warmUpFraction(now, &b.settings) < 1:
+			cause = max(cause, SlowStart)
 		default:
-			why = Avoided
+			cause = Avoided
 		}
 	}
-	return why
+	return cause
 }
 
 // usable tells whether the rules and the backend's state let q go to m now.
 func (b *Balancer) usable(now Time, q *request, m *backend) bool {
-	return m.ejected == 0 && now >= m.paused && b.allowed(now, q, m)
+	return m.ejections == 0 && now >= m.pausedUntil && b.allowed(now, q, m)
 }
 
 // allowed holds the rules alone: drains, cold backends, repeats.
 func (b *Balancer) allowed(now Time, q *request, m *backend) bool {
-	return b.sure(now, m) && !b.tooSoon(now, m) && b.mayRepeat(now, q, m)
+	return b.confirmedInService(now, m) && !b.slowStartTooSoon(now, m) && b.mayRetryOn(now, q, m)
 }
 
 // rotate gives the call to the member whose turn is next; turns of those well above mean are lost. Those
 // past the reach are looked at only where none within it will do.
-func (b *Balancer) rotate(now Time, q *request, g *group) *backend {
-	next, past := b.nextOf(now, q, g, g.reached)
-	if next == nil || past > 0 {
-		next, _ = b.nextOf(now, q, g, g.members)
+func (b *Balancer) pickFromGroup(now Time, q *request, g *zoneGroup) *backend {
+	next, distance := b.earliestDeadline(now, q, g, g.subset)
+	if next == nil || distance > 0 {
+		next, _ = b.earliestDeadline(now, q, g, g.members)
 	}
 	if next != nil {
-		g.turn = max(g.turn, next.turn)
-		next.turn = g.turn + next.pace()
+		g.virtualTime = max(g.virtualTime, next.virtualDeadline)
+		next.virtualDeadline = g.virtualTime + next.stride()
 	}
 	return next
 }
 
 // nextOf is the member of some whose turn is next among those least past the reach, and how far that is.
-func (b *Balancer) nextOf(now Time, q *request, g *group, members []*backend) (next *backend, least float64) {
-	t, least := b.tally(now, &g.near), 2.0
+func (b *Balancer) earliestDeadline(now Time, q *request, g *zoneGroup, members []*backend) (next *backend, minDistance float64) {
+	t, minDistance := b.totals(now, &g.peerSummary), 2.0
 	for _, m := range members {
-		usable, past := b.usable(now, q, m), max(m.past, one(b.busy(now, m, t)))
-		if past > 0 || !usable {
-			g.pass(m)
+		usable, distance := b.usable(now, q, m), max(m.subsetDistance, oneIf(b.aboveMeanLoad(now, m, t)))
+		if distance > 0 || !usable {
+			g.skipMissedTurns(m)
 		}
-		if usable && (past < least || past == least && m.turn < next.turn) {
-			next, least = m, past
+		if usable && (distance < minDistance || distance == minDistance && m.virtualDeadline < next.virtualDeadline) {
+			next, minDistance = m, distance
 		}
 	}
-	return next, least
+	return next, minDistance
 }
 
 // pass lets a member's turns pass that came while it was out of the rotation. Its phase stays: guards
 // against hundreds at the first ids.
-func (g *group) pass(m *backend) {
-	if m.turn <= g.turn {
-		m.turn = g.turn + m.pace() - math.Mod(g.turn-m.turn, m.pace())
+func (g *zoneGroup) skipMissedTurns(m *backend) {
+	if m.virtualDeadline <= g.virtualTime {
+		m.virtualDeadline = g.virtualTime + m.stride() - math.Mod(g.virtualTime-m.virtualDeadline, m.stride())
 	}
 }
 
 // passAll does so for all that are past the reach, which may be laid anew next.
-func (g *group) passAll() {
+func (g *zoneGroup) skipTurnsOutsideSubset() {
 	for _, m := range g.members {
-		if m.past > 0 {
-			g.pass(m)
+		if m.subsetDistance > 0 {
+			g.skipMissedTurns(m)
 		}
 	}
 }
 
 // busy tells whether m, with one more call, is well above the mean. A slow one's count for more, a departure.
-func (b *Balancer) busy(now Time, m *backend, t tally) bool {
-	size := m.Capacity
+func (b *Balancer) aboveMeanLoad(now Time, m *backend, t totals) bool {
+	capacity := m.Capacity
 	if m.inFlight == 0 { // guards against small ones that a few calls never reach
-		size = max(size, t.size/t.count)
+		capacity = max(capacity, t.capacity/t.backendCount)
 	}
-	slow := max(0, m.slowness-1) * math.Exp(-float64(now-m.heard)/float64(b.patience)) // fades: tried again
-	return float64(m.inFlight+1)*(1+slowWeight*slow)/size > busyFactor*t.load(1)
+	excessLatency := max(0, m.relativeLatency-1) * math.Exp(-float64(now-m.lastLatencySample)/float64(b.baseEjectionTime)) // fades: tried again
+	return float64(m.inFlight+1)*(1+slowBackendWeight*excessLatency)/capacity > maxLoadFactor*t.load(1)
 }
 
 // pace is what a turn costs m: the slower it was, the later the next one.
-func (m *backend) pace() float64 {
-	return max(paceLeast, m.slowness) / cmp.Or(m.part, m.Capacity)
+func (m *backend) stride() float64 {
+	return max(minRelativeLatency, m.relativeLatency) / cmp.Or(m.subsetCapacity, m.Capacity)
 }
 
 // regroup forgets the backends that are gone (attempts still out hold their own pointers) and orders the
 // rest by group: own zone first, then around the ring of zones, so that zones spill into different ones.
-func (b *Balancer) regroup() {
+func (b *Balancer) rebuildGroups() {
 	b.listed = slices.DeleteFunc(b.listed, func(m *backend) bool {
-		if m.gone {
+		if m.removed {
 			delete(b.backends, m.ID)
 		}
-		return m.gone
+		return m.removed
 	})
-	zones, own := len(b.set.Zones), slices.Index(b.set.Zones, b.set.Zone)
+	zones, ownZone := len(b.settings.Zones), slices.Index(b.settings.Zones, b.settings.Zone)
 	rank := func(m *backend) int {
-		if i := slices.Index(b.set.Zones, m.Zone); i >= 0 {
-			return (i - own + zones) % zones
+		if i := slices.Index(b.settings.Zones, m.Zone); i >= 0 {
+			return (i - ownZone + zones) % zones
 		}
 		return zones
 	}
 	slices.SortFunc(b.listed, func(x, y *backend) int {
 		return cmp.Or(rank(x)-rank(y), cmp.Compare(x.Zone, y.Zone), cmp.Compare(x.ID, y.ID))
 	})
-	for _, g := range b.groups {
-		g.passAll()
+	for _, g := range b.zoneGroups {
+		g.skipTurnsOutsideSubset()
 	}
-	b.groups, b.size = nil, 0
+	b.zoneGroups, b.capacity = nil, 0
 	for i, m := range b.listed {
-		b.size += m.Capacity
+		b.capacity += m.Capacity
 		if i == 0 || m.Zone != b.listed[i-1].Zone {
-			b.groups = append(b.groups, &group{})
+			b.zoneGroups = append(b.zoneGroups, &zoneGroup{})
 		}
-		g := b.groups[len(b.groups)-1]
-		if m.turn == 0 { // from a random start
-			m.turn = g.turn + b.rng.Float64()/m.Capacity
+		g := b.zoneGroups[len(b.zoneGroups)-1]
+		if m.virtualDeadline == 0 { // from a random start
+			m.virtualDeadline = g.virtualTime + b.rng.Float64()/m.Capacity
 		}
-		g.turn = max(g.turn, m.turn-1/m.Capacity)
-		g.members, m.group = append(g.members, m), g
-		g.size += m.Capacity
+		g.virtualTime = max(g.virtualTime, m.virtualDeadline-1/m.Capacity)
+		g.members, m.zoneGroup = append(g.members, m), g
+		g.capacity += m.Capacity
 	}
-	b.all.members = b.listed
-	for _, g := range b.groups {
-		g.all.members = g.members
+	b.listedSummary.members = b.listed
+	for _, g := range b.zoneGroups {
+		g.memberSummary.members = g.members
 	}
-	b.reach()
+	b.assignSubsets()
 }
 
 // reach lays each group's sizes end to end on a ring and gives each balancer an arc, a departure where they
 // far outnumber backends: going round all, each would meet one too seldom to tell that it is slow. Arcs are
 // of one length and start apart by number, so that together they cover all evenly.
-func (b *Balancer) reach() {
-	const golden = 0.6180339887 // spreads whole numbers most evenly over a ring
-	share := reachBalancers * float64(len(b.set.Zones)) / float64(max(1, b.set.BalancerCount))
-	for _, g := range b.groups {
-		arc := max(b.arc, g.size*max(share, reachLeast/float64(len(g.members))))
-		at := -g.size * math.Mod(golden*float64(b.set.BalancerIndex), 1)
-		g.passAll()
-		g.near.members, g.reached = g.near.members[:0], g.reached[:0]
+func (b *Balancer) assignSubsets() {
+	const goldenRatio = 0.6180339887 // spreads whole numbers most evenly over a ring
+	share := balancersPerBackend * float64(len(b.settings.Zones)) / float64(max(1, b.settings.BalancerCount))
+	for _, g := range b.zoneGroups {
+		subset := max(b.minSubsetCapacity, g.capacity*max(share, minSubsetBackends/float64(len(g.members))))
+		start := -g.capacity * math.Mod(goldenRatio*float64(b.settings.BalancerIndex), 1)
+		g.skipTurnsOutsideSubset()
+		g.peerSummary.members, g.subset = g.peerSummary.members[:0], g.subset[:0]
 		for _, m := range g.members {
-			lap := func(at float64) float64 { return max(0, min(arc, at+m.Capacity)-max(0, at)) }
-			m.part = min(m.Capacity, lap(at)+lap(at+g.size))
-			m.past = one(m.part == 0) * max(1e-9, (at+g.size*one(at < 0)-arc)/g.size)
-			at += m.Capacity
-			if m.near = m.part > 0 || !b.set.UnevenTraffic; m.near {
-				g.near.members = append(g.near.members, m)
+			overlap := func(start float64) float64 { return max(0, min(subset, start+m.Capacity)-max(0, start)) }
+			m.subsetCapacity = min(m.Capacity, overlap(start)+overlap(start+g.capacity))
+			m.subsetDistance = oneIf(m.subsetCapacity == 0) * max(1e-9, (start+g.capacity*oneIf(start < 0)-subset)/g.capacity)
+			start += m.Capacity
+			if m.isLoadPeer = m.subsetCapacity > 0 || !b.settings.UnevenTraffic; m.isLoadPeer {
+				g.peerSummary.members = append(g.peerSummary.members, m)
 			}
-			if m.part > 0 {
-				g.reached = append(g.reached, m)
+			if m.subsetCapacity > 0 {
+				g.subset = append(g.subset, m)
 			}
 		}
 	}
-	b.version++
+	b.summaryVersion++
 }
--- a/logic/selection_test.go
+++ b/logic/selection_test.go
@@ -13,7 +13,7 @@
 
 func TestOwnZoneFirstThenSpill(t *testing.T) {
 	b, f := start(testSettings(), append(zoneLines("b", 2), zoneLines("c", 2)...)...)
-	b.set.Tier = 1
+	b.settings.Tier = 1
 	zones := map[byte]int{}
 	for i := range 12 {
 		b.StartRequest(0, Request{ID: fmt.Sprint("r", i), Class: safe, Budget: 2000 * ms})
@@ -30,7 +30,7 @@
 
 func TestRotationSkipsTheBusy(t *testing.T) {
 	b, f := start(testSettings(), zoneLines("b", 4)...)
-	b.set.Tier = 1
+	b.settings.Tier = 1
 	seen := map[string]int{}
 	for i := range 8 {
 		b.StartRequest(0, Request{ID: fmt.Sprint("r", i), Class: safe, Budget: 2000 * ms})
@@ -54,7 +54,7 @@
 // keeps them choked and makes most of those calls late. They are tried again.
 func TestSlowBackendGetsFewerCalls(t *testing.T) {
 	b, f := start(testSettings(), zoneLines("b", 4)...)
-	b.set.Tier = 1
+	b.settings.Tier = 1
 	type call struct {
 		id string
 		to string
@@ -89,7 +89,7 @@
 	lines := zoneLines("b", 4)
 	lines[0].Capacity, lines[1].Capacity = 0.5, 2.5
 	b, f := start(testSettings(), lines...)
-	b.set.Tier = 1
+	b.settings.Tier = 1
 	got := map[string]int{}
 	for i := range 650 {
 		id := fmt.Sprint("r", i)
@@ -120,10 +120,10 @@
 			}
 			b, _ := start(set, lines...)
 			for _, m := range b.listed {
-				if balancers <= 4 && m.part < 0.999*m.Capacity {
-					t.Errorf("one of %d balancers reaches %v of %v", balancers, m.part, m.Capacity)
+				if balancers <= 4 && m.subsetCapacity < 0.999*m.Capacity {
+					t.Errorf("one of %d balancers reaches %v of %v", balancers, m.subsetCapacity, m.Capacity)
 				}
-				reached[m.ID] += m.part / m.Capacity
+				reached[m.ID] += m.subsetCapacity / m.Capacity
 			}
 		}
 		least, most := math.Inf(1), 0.0
@@ -319,7 +319,7 @@
 	set := testSettings()
 	set.Zones = []string{"a", "b", "c", "d"}
 	b, f := start(set, line("a", 0), line("b", 0), line("c", 0), line("d", 0))
-	b.set.Tier = 1
+	b.settings.Tier = 1
 	zones := map[byte]int{}
 	for i := range 14 {
 		b.StartRequest(0, Request{ID: fmt.Sprint("r", i), Class: safe, Budget: 2000 * ms})
--- a/logic/slowstart_test.go
+++ b/logic/slowstart_test.go
@@ -17,7 +17,7 @@
 	cold := line("b", 9)
 	cold.StartedAt = 1
 	b, f := start(testSettings(), append(zoneLines("b", 4), cold)...)
-	b.set.Tier = 1
+	b.settings.Tier = 1
 	counts := map[string]int{}
 	run := Time(0)
 	for i := range 400 {
@@ -37,7 +37,7 @@
 	cold := line("b", 1)
 	cold.StartedAt = 1
 	b, f := start(testSettings(), cold)
-	b.set.Tier = 1
+	b.settings.Tier = 1
 	for i := range 10 {
 		b.StartRequest(Time(i+1)*ms, Request{ID: fmt.Sprint("r", i), Class: safe, Budget: 2000 * ms})
 	}
@@ -194,7 +194,7 @@
 		lines[i].StartedAt = 1
 	}
 	b, f := start(testSettings(), lines...)
-	b.set.Tier = 1
+	b.settings.Tier = 1
 	cold := 0
 	at := 5000 * ms // halfway to warm
 	for i := range 2000 {
--- a/logic/tally_test.go
+++ b/logic/tally_test.go
@@ -9,25 +9,25 @@
 )
 
 // walked is the tally of members, added up one by one.
-func walked(b *Balancer, now Time, members []*backend) (t tally) {
+func walked(b *Balancer, now Time, members []*backend) (t totals) {
 	for _, m := range members {
-		part, warmth := m.part*one(m.State == Up), m.warmth(now, &b.set)
-		t.parts += part
-		t.reach += part * warmth
-		if m.ejected == 0 && b.serving(m) {
-			t.count++
-			t.calls += float64(m.inFlight)
-			t.size += m.Capacity
-			t.warm += m.Capacity * warmth
+		part, warmth := m.subsetCapacity*oneIf(m.State == Up), m.warmUpFraction(now, &b.settings)
+		t.subsetCapacity += part
+		t.effectiveSubsetCapacity += part * warmth
+		if m.ejections == 0 && b.inService(m) {
+			t.backendCount++
+			t.inFlight += float64(m.inFlight)
+			t.capacity += m.Capacity
+			t.effectiveCapacity += m.Capacity * warmth
 		}
 	}
 	return t
 }
 
-func (t tally) like(u tally) bool {
+func (t totals) like(u totals) bool {
 	near := func(x, y float64) bool { return math.Abs(x-y) <= 1e-9*max(1, math.Abs(x)) }
-	return near(t.count, u.count) && near(t.calls, u.calls) && near(t.size, u.size) && near(t.warm, u.warm) &&
-		near(t.parts, u.parts) && near(t.reach, u.reach)
+	return near(t.backendCount, u.backendCount) && near(t.inFlight, u.inFlight) && near(t.capacity, u.capacity) && near(t.effectiveCapacity, u.effectiveCapacity) &&
+		near(t.subsetCapacity, u.subsetCapacity) && near(t.effectiveSubsetCapacity, u.effectiveSubsetCapacity)
 }
 
 // Sums that are kept up to date are those that a walk over all members gives, whatever has
@@ -75,14 +75,14 @@
 					}
 				}
 			}
-			if got, want := b.tally(now, &b.all), walked(b, now, b.listed); !got.like(want) {
+			if got, want := b.totals(now, &b.listedSummary), walked(b, now, b.listed); !got.like(want) {
 				t.Fatalf("seed %d, step %d: all: kept %+v, walked %+v", seed, step, got, want)
 			}
-			for _, g := range b.groups {
-				if got, want := b.tally(now, &g.all), walked(b, now, g.members); !got.like(want) {
+			for _, g := range b.zoneGroups {
+				if got, want := b.totals(now, &g.memberSummary), walked(b, now, g.members); !got.like(want) {
 					t.Fatalf("seed %d, step %d: group: kept %+v, walked %+v", seed, step, got, want)
 				}
-				if got, want := b.tally(now, &g.near), walked(b, now, g.near.members); !got.like(want) {
+				if got, want := b.totals(now, &g.peerSummary), walked(b, now, g.peerSummary.members); !got.like(want) {
 					t.Fatalf("seed %d, step %d: near: kept %+v, walked %+v", seed, step, got, want)
 				}
 			}
