--- a/logic/admission_test.go
+++ b/logic/admission_test.go
@@ -66,8 +66,9 @@
 			for _, m := range b.listed { // in use all the time
 				b.addInFlight(m, int(b.limit())+1-m.inFlight)
 			}
-			b.requests[id] = &request{Request: Request{ID: id, Class: safe}, deadline: now + 2000*ms, outstanding: 1,
-				attempts: []attempt{{backend: b.listed[i%4], sentAt: now}}}
+			b.requests[id] = &request{Request: Request{ID: id, Class: safe}, deadline: now + 2000*ms,
+				outstanding: 1,
+				attempts:    []attempt{{backend: b.listed[i%4], sentAt: now}}}
 			b.classes[safe].observeBudget(2000*ms, false)
 			b.AttemptDone(now, Outcome{Request: id, Result: OK, Latency: latency(i), Final: true})
 		}
@@ -162,7 +163,8 @@
 				out = out[1:]
 			}
 			sends := len(f.sends)
-			b.StartRequest(now, Request{ID: fmt.Sprint("r", int64(now+hold)), Class: keyed, Budget: 2000 * ms})
+			b.StartRequest(now, Request{ID: fmt.Sprint("r", int64(now+hold)), Class: keyed,
+				Budget: 2000 * ms})
 			if len(f.sends) > sends {
 				out = append(out, now+hold)
 				mean += float64(hold) / float64(seconds*1000*ms)
--- a/logic/api.go
+++ b/logic/api.go
@@ -1,10 +1,10 @@
-// Package logic is oxbowloft's decision module: which backend gets a call, for
-// how long, whether another attempt follows, and when a request is turned away.
+// Package logic makes the load balancer's decisions: which backend gets a call, how long an attempt may
+// take, whether a retry follows, and when a request is refused.
 //
-// This file is the module's whole interface, types only. The decisions are in the
-// files beside it, one for each concern. The module does no I/O, has no clock and
-// starts no goroutines: the program around it reports events, each with the time it
-// happened, and carries out the Actions that the module asks for while it handles them.
+// This file is the package's interface and holds types only; the decisions are in the other files, one
+// for each concern. The package does no I/O, reads no clock and starts no goroutines. The program around
+// it reports events, each with the time at which it happened, and carries out the Actions that the
+// package calls while it handles them.
 package logic
 
 import "time"
@@ -12,94 +12,99 @@
 // Time is a point on the caller's clock. Only differences matter.
 type Time = time.Duration
 
-// Repeat says what a second run of a request would do.
+// Idempotency says whether a request may be executed more than once.
 type Idempotency int
 
-// The repeat rules of a class.
+// The kinds of idempotency.
 const (
-	Idempotent    Idempotency = iota // may run any number of times
-	Deduplicated                     // carries a key; some backends drop repeats for a while
-	NonIdempotent                    // must not run twice
+	Idempotent    Idempotency = iota // may be executed any number of times
+	Deduplicated                     // carries an idempotency key; some backends drop duplicates for a while
+	NonIdempotent                    // must not be executed twice
 )
 
-// Scope is the set of backends that drop repeats of a keyed request.
+// DedupScope is the set of backends that drop duplicates of a request whose class is Deduplicated.
 type DedupScope int
 
-// The scopes of a keyed class.
+// The deduplication scopes.
 const (
-	ScopeAll  DedupScope = iota // every backend
+	ScopeAll  DedupScope = iota // all backends
 	ScopeZone                   // the backends of one zone
 	ScopeCell                   // the backends of one cell
 )
 
-// Class describes one class of request.
+// Class describes a class of requests.
 type Class struct {
 	Name          string
-	TargetLatency time.Duration // an answer within this earns the full worth
-	Deadline      time.Duration // the client's whole patience, over all its tries
+	TargetLatency time.Duration // an answer within this time earns the full value
+	Deadline      time.Duration // client timeout, over all retries by the client
 	Value         float64
 	Idempotency   Idempotency
-	DedupScope    DedupScope    // Keyed only
-	DedupWindow   time.Duration // Keyed only: how long repeats are dropped
+	DedupScope    DedupScope    // if Deduplicated
+	DedupWindow   time.Duration // if Deduplicated: how long duplicates are dropped
 }
 
-// Settings is all that a balancer is told at its start.
+// Settings configures a Balancer.
 type Settings struct {
-	Seed                  uint64
-	Zone                  string   // this balancer's zone
-	Zones                 []string // all zones, in an order that all balancers share
-	Classes               []Class
-	Tier                  int  // the tier it sends into; 0 faces the clients
-	BalancerCount         int  // how many balancers send into this tier
-	BalancerIndex         int  // this balancer's number among them, from 0
-	UnevenTraffic         bool // each client process has a balancer of its own: their traffic is unlike
-	CancelAbandoned       bool // work that is cancelled stops, and is given up when its client leaves
-	EqualClasses          bool // no class is to be worse off than others for its worth
-	MaxAttempts           int
-	MaxRetryAfter         time.Duration // longest come-back time clients obey; 0: none
-	DrainGrace            time.Duration // after being told of a drain, in which sends may still go there
-	InitialWarmUpFraction float64       // share of its capacity a backend starts with
-	WarmUpTime            time.Duration // it has all of it after this at the latest
+	Seed          uint64
+	Zone          string   // zone of this balancer
+	Zones         []string // all zones, in the same order at all balancers
+	Classes       []Class
+	Tier          int // tier that the balancer sends to; 0: it receives client requests
+	BalancerCount int // number of balancers that send to this tier
+	BalancerIndex int // index of this balancer among them, from 0
+	// Each client process has its own balancer, so that traffic differs between balancers.
+	UnevenTraffic   bool
+	CancelAbandoned bool // backends stop cancelled work: cancel attempts whose client has disconnected
+	EqualClasses    bool // no class may be served worse than others because of its value
+	MaxAttempts     int
+	MaxRetryAfter   time.Duration // longest retry-after time that clients obey; 0: none
+	// After a drain is announced, during which sends to the backend are still permitted.
+	DrainGrace            time.Duration
+	InitialWarmUpFraction float64       // share of its capacity that a backend starts with
+	WarmUpTime            time.Duration // time after the start by which a backend has its full capacity
 }
 
-// State is what the list says of a backend.
+// State is the state of a backend according to the list.
 type State int
 
 // The states of a backend.
 const (
 	Up       State = iota
-	Draining       // finishes what it has, takes nothing new
-	Removed        // gone
+	Draining       // finishes outstanding calls, takes no new ones
+	Removed        // no longer exists
 )
 
-// Backend is one line of the list.
+// Backend is one entry of the list of backends.
 type Backend struct {
 	ID        string
 	Zone      string
 	Cell      int
-	Capacity  float64 // compares with other backends' sizes; 0: unknown
+	Capacity  float64 // relative to other backends; 0: unknown
 	StartedAt Time    // 0: long ago
 	State     State
 }
 
-// SetListFreshness is for how long a list may be used.
+// ListFreshness says how long, and for which backends, the list may be used.
 type ListFreshness struct {
-	FreshUntil     Time          // it holds all that counts as told until then; 0: for ever
-	StaleUntil     Time          // as far as it may be used, by what has served a call
-	EvidenceWindow time.Duration // that was sent within this time
-	ConfirmedAt    Time          // a list or a sign of life last told that it was whole; 0: never
-	ReceivedAt     Time          // the last list came; 0: never
-	ChangesMayLag  bool          // changes may wait while a watch shows signs of life
-	MaxUnobserved  time.Duration // a backend not seen for longer may have been listed as gone meanwhile
+	FreshUntil Time // until then the list has every change that counts as announced; 0: no bound
+	// Until then a stale list may be used for backends that have recently served a call.
+	StaleUntil     Time
+	EvidenceWindow time.Duration // how recently such a call must have been sent
+	// When a list or heartbeat last confirmed that the list was complete; 0: never.
+	ConfirmedAt   Time
+	ReceivedAt    Time // when the last list was received; 0: never
+	ChangesMayLag bool // changes may be delayed although the watch receives heartbeats
+	// A backend unobserved for longer may have been removed from the list meanwhile.
+	MaxUnobserved time.Duration
 }
 
-// Request is a client's request, or a call from the tier above.
+// Request is a request from a client, or a call from the tier above.
 type Request struct {
 	ID          string
 	Class       int           // index into Settings.Classes
-	Budget      time.Duration // time until its caller gives up
-	ClientRetry bool          // the client asks again, where clients tell
-	Streamed    bool          // it is sent on as it comes: an attempt begins at its Written
+	Budget      time.Duration // time until the caller's timeout
+	ClientRetry bool          // the client marks the request as a retry
+	Streamed    bool          // forwarded while it is being received: an attempt begins at RequestWritten
 }
 
 // Result is how an attempt ended.
@@ -108,43 +113,46 @@
 // The results of an attempt.
 const (
 	OK             Result = iota
-	Error                 // the backend answered with an error; it may have run
-	Rejected              // turned away unseen
-	TimedOut              // may have run, may still run
-	ConnectFailed         // never reached the backend
-	ConnectionLost        // connection lost under way; it may have run
-	Cancelled             // may have run
-	NotSent               // not sent at all
-	ConnectPending        // not sent: its connection did not come up in time, and still may
+	Error                 // the backend answered with an error; it may have executed the request
+	Rejected              // rejected by the backend without executing it
+	TimedOut              // may have been executed, may still be executing
+	ConnectFailed         // no connection to the backend
+	ConnectionLost        // connection lost during the exchange; may have been executed
+	Cancelled             // may have been executed
+	NotSent               // the attempt was not sent
+	ConnectPending        // not sent: the connection was not established in time, but may still be
 )
 
 // Outcome reports the end of one attempt.
 type Outcome struct {
-	Request       string
-	Attempt       int // counts from 0 in the order of sends
-	Result        Result
-	Latency       time.Duration // since the send
-	Final         bool          // the request has had its final answer
-	NotReplayable bool          // it can't be sent again: a part of it has passed through
+	Request string
+	Attempt int // index of the attempt in the order of sends, from 0
+	Result  Result
+	Latency time.Duration // since the send
+	Final   bool          // the request has had its final answer
+	// Can't be sent again: part of the request or answer was streamed and not kept.
+	NotReplayable bool
 }
 
-// Cause is why a request was given up.
+// Cause is why a request was refused or failed.
 type Cause int
 
-// The causes. Those from Drained on say what kept the request from the backend that was
-// nearest to being used.
+// The causes. From Drained on they are ordered by how many checks a backend passed: the cause reported is
+// that of the backend which passed the most.
 const (
-	OverLimit            Cause = iota // the concurrency limit
-	NotEnoughTime                     // the time left does not hold another attempt
-	AttemptsExhausted                 // as many attempts as may be made have been
-	RetryBudgetExhausted              // too many repeats of what may have run, of all requests
-	MayHaveRun                        // an attempt may have run, and must not be repeated, or not there
-	BalancerStopping                  // the balancer is about to end
-	NoBackend                         // none is listed
-	Drained                           // draining, gone, or out by hand
-	ListStale                         // the list may lack what counts as told
-	SlowStart                         // cold, and has had its part
-	Avoided                           // ejected, or full a moment ago
+	OverLimit         Cause = iota // the concurrency limit was reached
+	NotEnoughTime                  // the time left is too short for an attempt
+	AttemptsExhausted              // the maximum number of attempts has been made
+	// Too many retries, over all requests, of attempts that may have been executed.
+	RetryBudgetExhausted
+	// An attempt may have been executed and must not be retried, or not on the backends available.
+	MayHaveRun
+	BalancerStopping // this balancer is shutting down
+	NoBackend        // no backend is listed
+	Drained          // draining, removed or detached
+	ListStale        // the list may lack a change that counts as announced
+	SlowStart        // in slow start, and has had its share of calls
+	Avoided          // ejected, or has just rejected a call
 )
 
 var causes = [...]string{
@@ -152,53 +160,53 @@
 	"no_backend", "drained", "list_stale", "slow_start", "avoided",
 }
 
-// String is the cause's word in the log.
+// String is the cause's name in the log.
 func (c Cause) String() string { return causes[c] }
 
 var results = [...]string{
 	"ok", "error", "full", "timed_out", "no_connect", "broken", "cancelled", "never_sent", "late",
 }
 
-// String is the result's word in the log.
+// String is the result's name in the log.
 func (r Result) String() string { return results[r] }
 
-// Standing is whether a backend is in use.
+// BackendStatus says whether a backend is in use.
 type BackendStatus int
 
-// The standings.
+// The backend statuses.
 const (
 	InUse   BackendStatus = iota
-	Ejected               // left out for its failures, until a trial succeeds
+	Ejected               // not used because of its failures, until a probe succeeds
 )
 
 var standings = [...]string{"in_use", "ejected"}
 
-// String is the standing's word in the log.
+// String is the status's name in the log.
 func (s BackendStatus) String() string { return standings[s] }
 
-// Observer is told of changes that call for nothing to be done. Actions may implement it.
+// Observer is notified of changes that need no action. Actions may implement it.
 type Observer interface {
-	// BackendStatusChanged reports that a backend's standing has changed, and its share of recent failures.
+	// BackendStatusChanged reports a backend's new status and its share of recent failures.
 	BackendStatusChanged(backend string, s BackendStatus, failures float64)
 }
 
-// Lister gets a list anew. Actions may implement it.
+// ListRequester requests the list of backends. Actions may implement it.
 type ListRequester interface {
-	// RequestList asks for a list, since one or more backends can't be used without.
+	// RequestList requests a list because one or more backends can't be used without a new one.
 	RequestList()
 }
 
-// Actions carries out what the module decides, in the order of the calls.
+// Actions carries out the package's decisions, in the order of the calls.
 type Actions interface {
 	// Send starts an attempt that times out after timeout.
 	Send(request, backend string, timeout time.Duration)
-	// Refuse answers that the request had no effect and another try is harmless.
+	// Refuse answers that the request had no effect and may be retried.
 	Refuse(request string, comeBack time.Duration, why Cause)
-	// Fail answers that the request failed, promising nothing of its effect.
+	// Fail answers that the request failed, without a statement about its effect.
 	Fail(request string, why Cause)
-	// Cancel gives up one attempt that is out; its outcome follows.
+	// Cancel cancels an outstanding attempt; its outcome is still reported.
 	Cancel(request string, attempt int)
-	// StartTimer asks for a TimerFired event with token after the given time.
+	// StartTimer requests a TimerFired event with token after the given time.
 	StartTimer(token uint64, after time.Duration)
 	// CloseIdle closes this balancer's idle connections to a backend.
 	CloseIdle(backend string)
--- a/logic/balancer.go
+++ b/logic/balancer.go
@@ -1,5 +1,6 @@
-// The balancer and its events, in the order of a request's life. The interface is in api.go, the reasons are
-// in docs/design.md. All constants of the module are ratios: none is a tuned time.
+// The balancer and its events, in the order of a request's life. The interface is in api.go, the
+// rationale in docs/design.md. All constants of the package are ratios or counts; none is a tuned
+// duration.
 
 package logic
 
@@ -10,64 +11,74 @@
 	"time"
 )
 
-const retryAfterDivisor = 4 // divides its aim: what a refused client is told to wait
+const retryAfterDivisor = 4 // divides the class's target latency: the retry-after time of a refused client
 
 // Balancer decides for one proxy. It is not safe for concurrent use.
 type Balancer struct {
-	settings         Settings
-	actions          Actions
-	observer         Observer      // nil: nobody observes
-	listRequester    ListRequester // nil: lists come by themselves alone
-	rng              *rand.Rand
-	classes          []class
-	backends         map[string]*backend
-	detached         map[string]bool // by hand, whatever the list says; they need not be in it
-	listed           []*backend      // in the order of the groups
-	listedSummary    summary         // of listed
-	summaryVersion   int             // of what summaries go by, but for calls in flight and the time
-	capacity         float64         // of them all
-	zoneGroups       []*zoneGroup    // own zone first
+	settings      Settings
+	actions       Actions
+	observer      Observer      // nil: none
+	listRequester ListRequester // nil: lists arrive without being requested
+	rng           *rand.Rand
+	classes       []class
+	backends      map[string]*backend
+	detached      map[string]bool // by an operator, whatever the list says; they need not be listed
+	listed        []*backend      // in the order of zoneGroups
+	listedSummary summary         // of listed
+	// Changes with all that summaries depend on, except calls in flight and the time.
+	summaryVersion   int
+	capacity         float64      // of all listed backends
+	zoneGroups       []*zoneGroup // own zone first
 	requests         map[string]*request
 	backoffTimers    map[uint64]*request
 	lastTimerToken   uint64
 	listFreshness    ListFreshness
-	listNeeded       bool          // a backend needs a list to be used
-	baseEjectionTime time.Duration // first ejection
+	listNeeded       bool          // some backend can't be used without a new list
+	baseEjectionTime time.Duration // of a backend's first ejection
 
-	limitMultiplier                  float64 // the limit on calls in flight, as a multiple of the base
-	baseLimit                        float64 // this balancer's part of the calls, for each unit of size
-	lastArrival                      Time    // last first try of a client
-	arrivalCount                     float64 // of such
-	meanInterarrival, allowedLatency float64 // mean time between them, mean latency that the limit allows them
-	minSubsetCapacity                float64 // size within reach by own traffic; 0: where traffic is alike
-	retryTokens                      float64
-	connectionLossShare              float64 // share of recent outcomes
-	idleTimeoutShare                 float64 // share of time-outs on connections that had been idle
-	failureShare                     float64 // share of outcomes, over longer
-	lastAdmitted                     Time    // that was let in
-	meanAdmitInterval                float64 // mean time between such calls
-	limitTokens                      float64 // calls that the limit left unused lately
-	tokensUpdatedAt                  Time    // when saved was reckoned
-	meanLatency                      float64 // mean latency over all classes
+	limitMultiplier float64 // the concurrency limit as a multiple of baseLimit
+	// This balancer's share of concurrent calls, for each unit of capacity: the same for all balancers, or
+	// estimated from own traffic where traffic is uneven.
+	baseLimit    float64
+	lastArrival  Time    // last request of a client that was not a retry
+	arrivalCount float64 // number of such requests
+	// Mean time between them; mean latency that the base limit assumes.
+	meanInterarrival, allowedLatency float64
+	// Subset capacity that own traffic requires; 0 where traffic is even.
+	minSubsetCapacity   float64
+	retryTokens         float64
+	connectionLossShare float64 // share of recent outcomes
+	// Share of timeouts among answers and timeouts on formerly idle connections.
+	idleTimeoutShare float64
+	// Share of failures among outcomes, over more outcomes than a backend's.
+	failureShare      float64
+	lastAdmitted      Time    // last request that was admitted
+	meanAdmitInterval float64 // mean time between admitted requests, in nanoseconds
+	// Token bucket of the concurrency limit: calls that it recently left unused.
+	limitTokens     float64
+	tokensUpdatedAt Time    // when limitTokens was last updated
+	meanLatency     float64 // over all classes, in nanoseconds
 }
 
 type class struct {
 	Class
-	attemptTimeout   float64
-	meanLatency      float64 // mean latency of an answer
-	meanWithTimeouts float64 // the same with time-outs, counted at the allowance
+	// Durations in nanoseconds.
+	attemptTimeout   float64 // tracks a high percentile of the latency; see observeLatency
+	meanLatency      float64 // of answers
+	meanWithTimeouts float64 // the same with timeouts, counted as attemptTimeout
 	answerCount      float64
-	unloadedLatency  float64 // cost without a queue
-	usualBudget      float64 // usual one: few are less
+	unloadedLatency  float64 // estimate of meanLatency without queueing
+	usualBudget      float64 // typical time budget: few requests have less
 }
 
 type zoneGroup struct {
 	members       []*backend
-	memberSummary summary    // of members
-	peerSummary   summary    // whose mean a busy one is held to: those within reach, where traffic is unlike
-	subset        []*backend // those within reach
-	virtualTime   float64    // of the last one in rotation
-	capacity      float64    // of them all
+	memberSummary summary // of members
+	// Backends whose mean load limits each one's: where traffic is uneven, the subset.
+	peerSummary summary
+	subset      []*backend // members with a part in this balancer's subset
+	virtualTime float64    // virtualDeadline of the last pick
+	capacity    float64    // of all members
 }
 
 type backend struct {
@@ -75,22 +86,24 @@
 	inFlight          int
 	failureShare      float64 // share of recent outcomes
 	relativeLatency   float64 // recent latencies, as multiples of their classes' means
-	lastLatencySample Time    // when slowness was last measured
-	ejections         int     // ejections in a row; 0: in use
+	lastLatencySample Time    // when relativeLatency was last updated
+	ejections         int     // number of ejections in a row; 0: in use
 	probeAt           Time
 	probeInFlight     bool
-	virtualDeadline   float64 // when the next is, by the group's count
+	virtualDeadline   float64 // when its next turn is, in the group's virtual time
 	zoneGroup         *zoneGroup
-	subsetCapacity    float64 // of its size that is within this balancer's reach
-	subsetDistance    float64 // the reach, in rings: used in that order, so that not all learn all of a slow spell
-	isLoadPeer        bool    // one of its group's near
-	lastSent          Time    // last, or when it was first heard of
-	spacingFactor     float64 // what part of the spacing of cold calls must pass after that
-	pausedUntil       Time    // full lately: until then
-	lastAnswered      Time    // last answer
-	liveness          liveness
-	removed           bool // no longer listed
-	attachedAt        Time // in again by hand, as a cold one: it was restarted meanwhile
+	subsetCapacity    float64 // part of its capacity that is in this balancer's subset
+	// Distance beyond the subset, as a share of the ring. The nearest are used first, so that not every
+	// balancer has to find out for itself that a backend is slow.
+	subsetDistance float64
+	isLoadPeer     bool    // in its group's peerSummary
+	lastSent       Time    // last send, or when it was first listed
+	spacingFactor  float64 // multiple of the slow-start call spacing that must pass after lastSent
+	pausedUntil    Time    // rejected a call recently: not used until then
+	lastAnswered   Time    // last successful answer
+	liveness       liveness
+	removed        bool // no longer listed
+	attachedAt     Time // when it was attached again; counts as a restart, so it begins a slow start
 }
 
 type request struct {
@@ -98,21 +111,21 @@
 	deadline             Time
 	attempts             []attempt
 	outstanding          int
-	timerToken           uint64 // of the backoff under way
-	ended, notReplayable bool   // spent: a part of it has passed through, and is gone
+	timerToken           uint64 // of the backoff timer that is running
+	ended, notReplayable bool   // notReplayable: part of it was streamed and not kept
 }
 
 type attempt struct {
 	backend                 *backend
 	sentAt                  Time
-	ended, provenNotRun     bool // notRun: proven
-	connectFailed           bool // no connection took it
-	cutShort                bool // it had less than the allowance
-	probe, onIdleConnection bool // rested: on a connection that had been idle
-	callsCounted            int  // calls in flight that it counts for: none while its request is still on its way
+	ended, provenNotRun     bool // provenNotRun: certainly not executed
+	connectFailed           bool // no connection to the backend was established
+	cutShort                bool // its timeout was shorter than attemptTimeout
+	probe, onIdleConnection bool // onIdleConnection: sent on a connection that had been idle
+	callsCounted            int  // calls in flight it counts as: 0 while its request is still being written
 }
 
-// New returns a balancer that acts through act.
+// New returns a balancer that calls actions.
 func New(now Time, set Settings, act Actions) *Balancer {
 	b := &Balancer{
 		settings: set, actions: act,
@@ -133,15 +146,16 @@
 	return b
 }
 
-// StartRequest takes a request; it will get exactly one final answer.
+// StartRequest accepts a request, which will get exactly one final answer.
 func (b *Balancer) StartRequest(now Time, r Request) {
 	q := &request{Request: r, deadline: now + r.Budget}
 	b.requests[r.ID] = q
 	c := &b.classes[r.Class]
-	if !r.ClientRetry || c.usualBudget == 0 { // a retry's budget is what its client has left, not the usual one
+	if !r.ClientRetry || c.usualBudget == 0 { // a client's retry has only what remains of its time budget
 		c.observeBudget(r.Budget, b.settings.Tier > 0)
 	}
-	if b.settings.UnevenTraffic && !r.ClientRetry && b.baseLimit > 0 { // guards against a limit that grows with every refusal
+	// Retries are excluded: with them the limit would grow with every refusal.
+	if b.settings.UnevenTraffic && !r.ClientRetry && b.baseLimit > 0 {
 		b.updateBaseLimit(now, c)
 	}
 	b.meanLatency = cmp.Or(b.meanLatency, c.meanLatency)
@@ -150,7 +164,7 @@
 	b.sendOrAnswer(now, q)
 }
 
-// one is 1 for what holds.
+// oneIf is 1 if the condition holds, and otherwise 0.
 func oneIf(condition bool) float64 {
 	if condition {
 		return 1
@@ -162,18 +176,19 @@
 	return slices.DeleteFunc(slices.Clone(all), func(x T) bool { return !keep(x) })
 }
 
-// AttemptDone takes the end of an attempt; each attempt has exactly one.
+// AttemptDone handles the end of an attempt; each attempt has exactly one.
 func (b *Balancer) AttemptDone(now Time, o Outcome) {
 	q := b.requests[o.Request]
 	if q == nil || o.Attempt < 0 || o.Attempt >= len(q.attempts) || q.attempts[o.Attempt].ended {
 		return
 	}
 	a := &q.attempts[o.Attempt]
-	if a.cutShort && o.Result == TimedOut { // it tells of its client's patience alone
+	if a.cutShort && o.Result == TimedOut { // says nothing of the backend, only of the client's timeout
 		o.Result = Cancelled
 	}
 	a.ended, a.connectFailed = true, o.Result == ConnectFailed
-	a.provenNotRun = a.connectFailed || o.Result == Rejected || o.Result == NotSent || o.Result == ConnectPending
+	a.provenNotRun = a.connectFailed || o.Result == Rejected || o.Result == NotSent ||
+		o.Result == ConnectPending
 	b.updateLimitTokens(now)
 	q.outstanding--
 	b.addInFlight(a.backend, -a.callsCounted)
@@ -186,19 +201,22 @@
 	b.requestListIfNeeded()
 }
 
-// MaySendOnConnect tells whether an attempt still holds once its connection stands: a dial may outlast a drain.
+// MaySendOnConnect reports whether an attempt may still be sent once its connection is established: the
+// backend may have begun to drain while the connection was being made.
 func (b *Balancer) MaySendOnConnect(now Time, id string) bool {
 	q := b.requests[id]
 	if q == nil || q.ended || q.outstanding == 0 {
 		return false
 	}
 	a := &q.attempts[len(q.attempts)-1]
-	a.provenNotRun = true // till then
-	a.provenNotRun = a.backend.removed || a.sentAt < a.backend.attachedAt || !b.confirmedInService(now, a.backend) || !b.mayRetryOn(now, q, a.backend)
+	a.provenNotRun = true // until it is sent
+	a.provenNotRun = a.backend.removed || a.sentAt < a.backend.attachedAt ||
+		!b.confirmedInService(now, a.backend) || !b.mayRetryOn(now, q, a.backend)
 	return !a.provenNotRun
 }
 
-// RequestWritten takes that a request has wholly reached its backend, which begins now: told of long ones alone.
+// RequestWritten records that a streamed request has been written in full to its backend, where execution
+// begins now.
 func (b *Balancer) RequestWritten(now Time, id string) {
 	if q := b.requests[id]; q != nil && q.outstanding > 0 {
 		a := &q.attempts[len(q.attempts)-1]
@@ -208,38 +226,40 @@
 	}
 }
 
-// TimerFired takes the end of a wait that was asked for.
+// TimerFired handles the end of a timer started by Actions.StartTimer.
 func (b *Balancer) TimerFired(now Time, token uint64) {
-	if q := b.backoffTimers[token]; q != nil { // it has not ended: forget takes it out
+	if q := b.backoffTimers[token]; q != nil { // the request has not ended: releaseIfEnded removes the timer
 		delete(b.backoffTimers, token)
 		q.timerToken = 0
 		b.sendOrAnswer(now, q)
 	}
 }
 
-// ClientGone takes that a request has ended without us: its client left.
+// ClientGone records that the client disconnected before its request was answered.
 func (b *Balancer) ClientGone(now Time, id string) {
 	if q := b.requests[id]; q != nil && !q.ended {
 		q.ended = true
-		if b.settings.CancelAbandoned && q.outstanding > 0 { // guards against work that nobody waits for
+		if b.settings.CancelAbandoned && q.outstanding > 0 { // prevents work whose result nobody waits for
 			b.actions.Cancel(q.ID, len(q.attempts)-1)
 		}
 		b.releaseIfEnded(q)
 	}
 }
 
-// AbandonRequest gives up a request because this balancer ends.
+// AbandonRequest ends a request because this balancer is shutting down.
 func (b *Balancer) AbandonRequest(id string) {
 	if q := b.requests[id]; q != nil && !q.ended {
 		b.refuseOrFail(q, BalancerStopping)
 	}
 }
 
-// giveUp is the only place that answers a request: at once, once, and as refused where that is harmless.
+// refuseOrFail is the only place that answers a request: once, and with a refusal if the client may
+// safely retry.
 func (b *Balancer) refuseOrFail(q *request, why Cause) {
 	c := &b.classes[q.Class]
 	q.ended = true
-	if c.Idempotency == Idempotent || q.firstPossiblyRun() == nil || c.Idempotency == Deduplicated && c.DedupScope == ScopeAll {
+	if c.Idempotency == Idempotent || q.firstPossiblyRun() == nil || c.Idempotency == Deduplicated &&
+		c.DedupScope == ScopeAll {
 		b.actions.Refuse(q.ID, min(b.settings.MaxRetryAfter, c.TargetLatency/retryAfterDivisor), why)
 	} else {
 		b.actions.Fail(q.ID, why)
@@ -247,7 +267,7 @@
 	b.releaseIfEnded(q)
 }
 
-// forget drops an ended request once none of its attempts is out.
+// releaseIfEnded drops an ended request once no attempt is outstanding.
 func (b *Balancer) releaseIfEnded(q *request) {
 	if q.ended {
 		delete(b.backoffTimers, q.timerToken)
@@ -257,7 +277,7 @@
 	}
 }
 
-// jitter spreads d over half to one and a half times itself.
+// jitter returns a random duration between 0.5 and 1.5 times d.
 func (b *Balancer) jitter(d time.Duration) time.Duration {
 	return max(1, time.Duration((0.5+b.rng.Float64())*float64(d)))
 }
--- a/logic/balancer_test.go
+++ b/logic/balancer_test.go
@@ -78,7 +78,8 @@
 		want  bool
 	}{
 		{"nothing happened", unsafe, false, func(*Balancer) {}, true},
-		{"drained", safe, false, func(b *Balancer) { b.UpdateList(100*ms, false, []Backend{drained}) }, false},
+		{"drained", safe, false, func(b *Balancer) { b.UpdateList(100*ms, false, []Backend{drained}) },
+			false},
 		{"gone", safe, false, func(b *Balancer) { b.UpdateList(100*ms, false, []Backend{removed}) }, false},
 		{"not in a whole list", safe, false, func(b *Balancer) { b.UpdateList(100*ms, true, nil) }, false},
 		{"drained and back", safe, false, func(b *Balancer) {
@@ -155,7 +156,8 @@
 		for i := range 200 {
 			id := fmt.Sprint("r", i)
 			b.StartRequest(Time(i)*ms, Request{ID: id, Class: i % 5, Budget: 2000 * ms})
-			b.AttemptDone(Time(i)*ms, Outcome{Request: id, Result: Result(i % 4), Latency: ms, Final: i%4 == 0})
+			b.AttemptDone(Time(i)*ms, Outcome{Request: id, Result: Result(i % 4), Latency: ms,
+				Final: i%4 == 0})
 		}
 		return fmt.Sprint(f.sends, f.answers, f.wakes)
 	}
--- a/logic/cost_test.go
+++ b/logic/cost_test.go
@@ -26,8 +26,9 @@
 // and is one of so many.
 func callBalancer(backends, balancers int) (*Balancer, *answering) {
 	act := &answering{}
-	set := Settings{Zone: "a", Zones: []string{"a", "b", "c"}, BalancerCount: balancers, BalancerIndex: 3, MaxAttempts: 4,
-		DrainGrace: 300 * ms, InitialWarmUpFraction: 0.2, WarmUpTime: time.Hour, MaxRetryAfter: time.Second,
+	set := Settings{Zone: "a", Zones: []string{"a", "b", "c"}, BalancerCount: balancers, BalancerIndex: 3,
+		MaxAttempts: 4,
+		DrainGrace:  300 * ms, InitialWarmUpFraction: 0.2, WarmUpTime: time.Hour, MaxRetryAfter: time.Second,
 		Classes: []Class{{Name: "read", TargetLatency: 200 * ms, Deadline: time.Second, Value: 1}}}
 	balancer := New(0, set, act)
 	lines := make([]Backend, backends)
--- a/logic/ban_test.go
+++ b/logic/detach_test.go
@@ -200,7 +200,8 @@
 		b, f := start(testSettings(), zoneLines("b", 2)...)
 		b.allow(safe, 100*ms)
 		b.StartRequest(0, Request{ID: "r", Class: safe, Budget: 2000 * ms})
-		b.AttemptDone(10*ms, Outcome{Request: "r", Result: ConnectFailed, Latency: 10 * ms, NotReplayable: c.spent})
+		b.AttemptDone(10*ms, Outcome{Request: "r", Result: ConnectFailed, Latency: 10 * ms,
+			NotReplayable: c.spent})
 		if !c.spent {
 			token, wait := f.wait(t)
 			b.TimerFired(10*ms+wait, token)
@@ -222,7 +223,8 @@
 		return n
 	}
 	for i := range 200 {
-		b.StartRequest(0, Request{ID: fmt.Sprint("long ", i), Class: unsafe, Budget: 2000 * ms, Streamed: true})
+		b.StartRequest(0, Request{ID: fmt.Sprint("long ", i), Class: unsafe, Budget: 2000 * ms,
+			Streamed: true})
 	}
 	if n := inFlight(); n != 0 {
 		t.Errorf("%d in flight", n)
@@ -239,7 +241,8 @@
 	}
 	for i := range 200 {
 		id := fmt.Sprint("long ", i)
-		b.AttemptDone(2*time.Second, Outcome{Request: id, Result: OK, Latency: 50 * ms, Final: true, NotReplayable: true})
+		b.AttemptDone(2*time.Second, Outcome{Request: id, Result: OK, Latency: 50 * ms, Final: true,
+			NotReplayable: true})
 	}
 	b.AttemptDone(2*time.Second, Outcome{Request: "r", Result: OK, Latency: 50 * ms, Final: true})
 	if n := inFlight(); n != 0 || len(b.requests) != 0 {
@@ -254,7 +257,8 @@
 	before := b.totals(0, &b.listedSummary)
 	b.Detach("b0")
 	b.Detach("b1")
-	if got := b.totals(0, &b.listedSummary); got.backendCount != before.backendCount-2 || got.effectiveCapacity != before.effectiveCapacity-2 {
+	if got := b.totals(0, &b.listedSummary); got.backendCount != before.backendCount-2 ||
+		got.effectiveCapacity != before.effectiveCapacity-2 {
 		t.Errorf("%+v with all, %+v with two out", before, got)
 	}
 }
--- a/logic/harness_test.go
+++ b/logic/harness_test.go
@@ -76,14 +76,16 @@
 
 func testSettings() Settings {
 	class := func(name string, r Idempotency, s DedupScope, worth float64) Class {
-		return Class{Name: name, TargetLatency: 500 * ms, Deadline: 2000 * ms, Value: worth, Idempotency: r, DedupScope: s,
+		return Class{Name: name, TargetLatency: 500 * ms, Deadline: 2000 * ms, Value: worth, Idempotency: r,
+			DedupScope:  s,
 			DedupWindow: 1000 * ms}
 	}
 	return Settings{
 		Seed: 7, Zone: "b", Zones: []string{"a", "b", "c"},
 		Classes: []Class{
 			class("safe", Idempotent, ScopeAll, 10), class("keyed", Deduplicated, ScopeAll, 1),
-			class("keyed in zone", Deduplicated, ScopeZone, 1), class("keyed in cell", Deduplicated, ScopeCell, 1),
+			class("keyed in zone", Deduplicated, ScopeZone, 1), class("keyed in cell", Deduplicated,
+				ScopeCell, 1),
 			class("unsafe", NonIdempotent, ScopeAll, 1),
 		},
 		MaxAttempts: 3, MaxRetryAfter: 100 * ms,
@@ -96,7 +98,8 @@
 // oneOfMany is the n-th of many balancers of a lower tier with one zone.
 func oneOfMany(n, balancers int) Settings {
 	set := testSettings()
-	set.BalancerIndex, set.Seed, set.Tier, set.BalancerCount, set.Zones = n, uint64(n), 1, balancers, []string{"b"}
+	set.BalancerIndex, set.Seed, set.Tier, set.BalancerCount, set.Zones = n, uint64(n), 1, balancers,
+		[]string{"b"}
 	return set
 }
 
--- a/logic/list.go
+++ b/logic/list.go
@@ -1,13 +1,14 @@
-// The list of backends, what operators say of them, and for how long the list may be used.
+// The list of backends, backends detached by operators, and the staleness bound of the list.
 
 package logic
 
 import "cmp"
 
-// serving tells whether m is in service by the list and by hand.
+// inService reports whether m is up according to the list and not detached.
 func (b *Balancer) inService(m *backend) bool { return m.State == Up && !b.detached[m.ID] }
 
-// sure is serving by a list that may be used, past its end for what has been there all the time alone.
+// confirmedInService reports whether m is in service according to a list that may be used. A stale list
+// is used only for backends proven to have been in service throughout.
 func (b *Balancer) confirmedInService(now Time, m *backend) bool {
 	f := &b.listFreshness
 	switch {
@@ -24,7 +25,7 @@
 	return true
 }
 
-// askList asks for a list where a backend has been passed over for want of one, or would be before long.
+// requestListIfNeeded requests a list if a backend was skipped for want of a newer one, or soon would be.
 func (b *Balancer) requestListIfNeeded() {
 	if b.listNeeded && b.listRequester != nil {
 		b.listRequester.RequestList()
@@ -32,7 +33,7 @@
 	b.listNeeded = false
 }
 
-// UpdateList takes news of the backends: the full list, or changed lines only.
+// UpdateList takes a full list of backends, or only the changed entries.
 func (b *Balancer) UpdateList(now Time, full bool, lines []Backend) {
 	for _, m := range b.listed {
 		m.removed = full
@@ -42,7 +43,8 @@
 	}
 	b.rebuildGroups()
 	if t := b.totals(now, &b.listedSummary); b.baseLimit == 0 && t.capacity > 0 {
-		b.limitMultiplier, b.baseLimit = 1, initialLimitPerBackend*t.backendCount/t.capacity/float64(max(b.settings.BalancerCount, 1))
+		b.limitMultiplier, b.baseLimit =
+			1, initialLimitPerBackend*t.backendCount/t.capacity/float64(max(b.settings.BalancerCount, 1))
 	}
 }
 
@@ -53,39 +55,47 @@
 		m = &backend{lastSent: now, spacingFactor: b.rng.Float64(), relativeLatency: 1}
 		b.backends[l.ID] = m
 		b.listed = append(b.listed, m)
-	} else if max(l.StartedAt, m.attachedAt) != max(m.StartedAt, m.attachedAt) { // restarted: nothing learned holds
-		m.failureShare, m.ejections, m.relativeLatency, m.lastSent, m.spacingFactor = 0, 0, 1, now, b.rng.Float64()
+		// Restarted: discard what was learned.
+	} else if max(l.StartedAt, m.attachedAt) != max(m.StartedAt, m.attachedAt) {
+		m.failureShare, m.ejections, m.relativeLatency, m.lastSent, m.spacingFactor = 0, 0, 1, now,
+			b.rng.Float64()
 	}
 	m.Backend, m.removed = l, l.State == Removed
 }
 
-// Detach takes a backend out by hand, until Attach and whatever the list says meanwhile.
+// Detach takes a backend out of service until Attach, whatever the list says meanwhile.
 func (b *Balancer) Detach(id string) {
 	b.detached[id] = true
 	b.summaryVersion++
 	b.actions.CloseIdle(id)
 }
 
-// Attach ends that. The return is a cold start, whatever the list knows of it. A trial brings it back soon,
-// one in sum over the balancers: guards against a first call that is long in coming, and against hundreds.
+// Attach ends a detachment. The backend begins a slow start, whatever start time the list has. A probe
+// soon brings it back, sent by one balancer on average: without it the first call could take long to
+// come, and hundreds of balancers must not all send one.
 func (b *Balancer) Attach(now Time, id string) {
 	if m := b.backends[id]; m != nil && b.detached[id] {
 		m.attachedAt, m.lastSent, m.failureShare, m.relativeLatency, m.pausedUntil = now, now, 0, 1, 0
 		m.spacingFactor = b.rng.Float64() * oneIf(b.rng.Float64()*float64(b.settings.BalancerCount) >= 1)
-		m.ejections, m.probeAt = int(oneIf(m.spacingFactor == 0)), now+b.jitter(b.baseEjectionTime)-b.baseEjectionTime/2
+		m.ejections, m.probeAt = int(oneIf(m.spacingFactor == 0)),
+			now+b.jitter(b.baseEjectionTime)-b.baseEjectionTime/2
 	}
 	delete(b.detached, id)
 	b.summaryVersion++
 }
 
-// IsKnown tells whether a backend is listed or out by hand.
+// IsKnown reports whether a backend is listed or detached.
 func (b *Balancer) IsKnown(id string) bool { return b.backends[id] != nil || b.detached[id] }
 
-// OutOfRotation is how many listed backends get no calls now, by hand or by choice.
+// OutOfRotation is the number of listed backends that get no calls now: detached, ejected or paused after
+// a rejection.
 func (b *Balancer) OutOfRotation(now Time) int {
-	outOfRotation := func(m *backend) bool { return b.detached[m.ID] || m.ejections > 0 || now < m.pausedUntil }
+	outOfRotation := func(m *backend) bool {
+		return b.detached[m.ID] || m.ejections > 0 ||
+			now < m.pausedUntil
+	}
 	return len(filter(b.listed, outOfRotation))
 }
 
-// SetListFreshness takes for how long the list may be used.
+// SetListFreshness sets how long the list may be used.
 func (b *Balancer) SetListFreshness(f ListFreshness) { b.listFreshness = f }
--- a/logic/list_test.go
+++ b/logic/list_test.go
@@ -79,7 +79,8 @@
 			}
 		}
 	}
-	b.SetListFreshness(ListFreshness{FreshUntil: 16000 * ms, StaleUntil: 16000 * ms, EvidenceWindow: 6000 * ms})
+	b.SetListFreshness(ListFreshness{FreshUntil: 16000 * ms, StaleUntil: 16000 * ms,
+		EvidenceWindow: 6000 * ms})
 	if ask(15900*ms) == "" {
 		t.Fatal("refused while the list may be held")
 	}
@@ -87,7 +88,8 @@
 	none("it may be drained, whatever it has answered", 16000*ms, 16100*ms, 16390*ms, 30000*ms)
 	b.UpdateList(30100*ms, true, []Backend{line("b", 0), line("b", 1)})
 	none("the list is no word of now", 30150*ms)
-	b.SetListFreshness(ListFreshness{FreshUntil: 36100 * ms, StaleUntil: 36100 * ms, EvidenceWindow: 6000 * ms})
+	b.SetListFreshness(ListFreshness{FreshUntil: 36100 * ms, StaleUntil: 36100 * ms,
+		EvidenceWindow: 6000 * ms})
 	if ask(30200*ms) == "" {
 		t.Error("refused though the list is fresh")
 	}
@@ -98,8 +100,9 @@
 	}
 	// Discovery can't be reached: what has served a call is used, for as long as it goes on
 	// serving and no longer than the time that is given.
-	b.SetListFreshness(ListFreshness{FreshUntil: 36100 * ms, StaleUntil: 44000 * ms, EvidenceWindow: 1000 * ms,
-		ConfirmedAt: 36000 * ms, MaxUnobserved: 2000 * ms})
+	b.SetListFreshness(ListFreshness{FreshUntil: 36100 * ms, StaleUntil: 44000 * ms,
+		EvidenceWindow: 1000 * ms,
+		ConfirmedAt:    36000 * ms, MaxUnobserved: 2000 * ms})
 	none("it has served nothing yet", 36150*ms)
 	b.AttemptDone(36200*ms, Outcome{Request: first, Result: OK, Latency: 100 * ms, Final: true})
 	for _, at := range []Time{36300 * ms, 36990 * ms} {
@@ -111,14 +114,17 @@
 	if to := ask(37980 * ms); to != took {
 		t.Errorf("to %q, want %q, which served a call sent at 36.99 s", to, took)
 	}
-	b.AttemptDone(37990*ms, Outcome{Request: fmt.Sprint(serial), Result: Rejected, Latency: 10 * ms, Final: true})
+	b.AttemptDone(37990*ms, Outcome{Request: fmt.Sprint(serial), Result: Rejected, Latency: 10 * ms,
+		Final: true})
 	none("it turned the last call away", 38000*ms)
-	b.SetListFreshness(ListFreshness{FreshUntil: 50000 * ms, StaleUntil: 50000 * ms, EvidenceWindow: 6000 * ms})
+	b.SetListFreshness(ListFreshness{FreshUntil: 50000 * ms, StaleUntil: 50000 * ms,
+		EvidenceWindow: 6000 * ms})
 	if ask(49900*ms) == "" {
 		t.Fatal("refused though the list is fresh")
 	}
 	served(49950 * ms)
-	b.SetListFreshness(ListFreshness{FreshUntil: 49000 * ms, StaleUntil: 49500 * ms, EvidenceWindow: 6000 * ms})
+	b.SetListFreshness(ListFreshness{FreshUntil: 49000 * ms, StaleUntil: 49500 * ms,
+		EvidenceWindow: 6000 * ms})
 	none("the time that is given is over, whatever has served since", 49960*ms)
 	b.SetListFreshness(ListFreshness{}) // no clock is kept, as in the simulator
 	if ask(60000*ms) == "" {
--- a/logic/presence_test.go
+++ b/logic/liveness_test.go
@@ -67,7 +67,8 @@
 }
 
 func freshAt(told, known, until, serving Time) ListFreshness {
-	return ListFreshness{FreshUntil: until, StaleUntil: serving, EvidenceWindow: 6000 * ms, ConfirmedAt: known, ReceivedAt: told,
+	return ListFreshness{FreshUntil: until, StaleUntil: serving, EvidenceWindow: 6000 * ms,
+		ConfirmedAt: known, ReceivedAt: told,
 		ChangesMayLag: true, MaxUnobserved: 2000 * ms}
 }
 
--- a/logic/outlier.go
+++ b/logic/outlier.go
@@ -1,29 +1,30 @@
-// Outlier ejection, and the trial calls that end it.
+// Outlier ejection, and the half-open probes that end it.
 
 package logic
 
 import "time"
 
 const (
-	ejectionThreshold    = 0.3  // the failure share from which a backend is ejected
-	ejectionFactor       = 2.0  // on top of this multiple of all backends': deaf to what all share
-	failureWeight        = 0.2  // of one outcome
-	overallFailureWeight = 0.02 // of one outcome in shares of all: chance apart from trouble
-	maxEjectedShare      = 0.5  // never eject more than this share of the backends
-	baseEjectionShare    = 0.5  // the first ejection, as a share of the longest deadline
-	maxEjectionDoublings = 3    // doublings by failed trials
+	ejectionThreshold = 0.3 // failure share from which a backend is ejected
+	// Multiple of the overall failure share that is added to it: ignores failures common to all backends.
+	ejectionFactor       = 2.0
+	failureWeight        = 0.2  // of one outcome in a backend's failure share
+	overallFailureWeight = 0.02 // of one outcome in overall shares: low, to tell chance from trouble
+	maxEjectedShare      = 0.5  // maximum share of backends ejected
+	baseEjectionShare    = 0.5  // base ejection time, as a share of the longest deadline
+	maxEjectionDoublings = 3    // maximum number of doublings by failed probes
 
-	rejectionPause = 0.5 // mean latencies of the class that a full backend is left alone
+	rejectionPause = 0.5 // mean latencies of the class for which a backend that rejected a call is not used
 )
 
-// dueTrial finds an ejected backend whose trial call is due. It may fail, so it is made with a request that
-// can be tried again, and with another when overdue: else, where allowances are long, none would be.
+// dueProbe finds an ejected backend whose probe is due. A probe may fail, so it uses a request that can
+// be retried; once overdue, any request, since with long attempt timeouts no retryable one may come.
 func (b *Balancer) dueProbe(now Time, q *request) *backend {
 	c, due := &b.classes[q.Class], now
 	if c.Idempotency == NonIdempotent || 2*c.attemptTimeout > float64(q.timeLeft(now)) {
 		due -= b.baseEjectionTime
 	}
-	b.totals(now, &b.listedSummary) // so that the ejected ones are those of now
+	b.totals(now, &b.listedSummary) // updates the list of ejected backends
 	for _, m := range b.listedSummary.ejected {
 		first := len(q.attempts) == 0 && m.ejections > 0 && !m.probeInFlight
 		if first && due >= m.probeAt && now >= m.pausedUntil && b.allowed(now, q, m) {
@@ -33,18 +34,21 @@
 	return nil
 }
 
-// judge keeps failure shares and ejects outliers, a departure: one that fails fast would draw the most.
+// updateEjection updates failure shares and ejects outliers: a backend that fails fast would otherwise
+// attract the most calls.
 func (b *Balancer) updateEjection(now Time, a *attempt, c *class, r Result) {
 	m, failed := a.backend, r != OK
 	m.probeInFlight = m.probeInFlight && !a.probe
 	if r == Rejected || r == ConnectPending && a.probe {
-		m.pausedUntil = now + b.jitter(time.Duration(rejectionPause*c.meanLatency)) // else it looks idle; it may drain
+		// Otherwise it looks idle; it may be draining.
+		m.pausedUntil = now + b.jitter(time.Duration(rejectionPause*c.meanLatency))
 	}
 	if r == Rejected || r == Cancelled || r == NotSent || r == ConnectPending {
 		return
 	}
 	m.failureShare += failureWeight * (oneIf(failed) - m.failureShare)
-	b.failureShare += overallFailureWeight * oneIf(r != ConnectFailed) * (oneIf(failed) - b.failureShare) // no chance makes that
+	// Refused connections don't count: they are no chance failures.
+	b.failureShare += overallFailureWeight * oneIf(r != ConnectFailed) * (oneIf(failed) - b.failureShare)
 	switch {
 	case a.probe && !failed:
 		b.reportStatus(m, InUse)
@@ -55,8 +59,8 @@
 	}
 }
 
-// ConnectAttemptFailed takes that a connection to a backend which was late has not come up at all. A trial of an
-// ejected one has failed with it.
+// ConnectAttemptFailed records that a connection reported as ConnectPending was not established. If the
+// backend is ejected, its probe has failed.
 func (b *Balancer) ConnectAttemptFailed(now Time, id string) {
 	m := b.backends[id]
 	if m != nil {
@@ -69,7 +73,7 @@
 	}
 }
 
-// observe tells of a backend's standing, if it is another than it was.
+// reportStatus notifies the observer if the backend's status has changed.
 func (b *Balancer) reportStatus(m *backend, s BackendStatus) {
 	if b.observer != nil && (m.ejections > 0) != (s == Ejected) {
 		b.observer.BackendStatusChanged(m.ID, s, m.failureShare)
@@ -78,12 +82,15 @@
 
 func (b *Balancer) eject(now Time, m *backend) {
 	b.reportStatus(m, Ejected)
-	m.probeAt, m.ejections = now+b.jitter(b.baseEjectionTime<<min(m.ejections, maxEjectionDoublings)), m.ejections+1
+	m.probeAt, m.ejections = now+b.jitter(b.baseEjectionTime<<min(m.ejections, maxEjectionDoublings)),
+		m.ejections+1
 	b.summaryVersion++
 }
 
-// outlier tells whether m fails more than chance makes of what all share: a few in a hundred may anywhere.
+// isOutlier reports whether m fails more often than chance and the failures common to all explain: a few
+// failures in a hundred calls occur on any backend.
 func (b *Balancer) isOutlier(now Time, m *backend) bool {
 	peers := b.totals(now, &b.listedSummary).backendCount - 1
-	return peers >= (1-maxEjectedShare)*float64(len(b.listed)) && m.failureShare > ejectionThreshold+ejectionFactor*b.failureShare
+	return peers >= (1-maxEjectedShare)*float64(len(b.listed)) &&
+		m.failureShare > ejectionThreshold+ejectionFactor*b.failureShare
 }
--- a/logic/recovery_test.go
+++ b/logic/recovery_test.go
@@ -193,10 +193,13 @@
 func (p *play) WatchList() {}
 
 var classes = []logic.Class{
-	{Name: "get", TargetLatency: 800 * time.Millisecond, Deadline: 2 * time.Second, Value: 3, Idempotency: logic.Idempotent},
-	{Name: "put", TargetLatency: 800 * time.Millisecond, Deadline: 2 * time.Second, Value: 2, Idempotency: logic.Deduplicated,
+	{Name: "get", TargetLatency: 800 * time.Millisecond, Deadline: 2 * time.Second, Value: 3,
+		Idempotency: logic.Idempotent},
+	{Name: "put", TargetLatency: 800 * time.Millisecond, Deadline: 2 * time.Second, Value: 2,
+		Idempotency: logic.Deduplicated,
 		DedupWindow: 5 * time.Second},
-	{Name: "pay", TargetLatency: 800 * time.Millisecond, Deadline: 2 * time.Second, Value: 1, Idempotency: logic.NonIdempotent},
+	{Name: "pay", TargetLatency: 800 * time.Millisecond, Deadline: 2 * time.Second, Value: 1,
+		Idempotency: logic.NonIdempotent},
 }
 
 // shape is where the balancer stands.
--- a/logic/retry_test.go
+++ b/logic/retry_test.go
@@ -350,12 +350,14 @@
 			continue
 		}
 		to := b.backends[f.last(t).backend]
-		allowance, slowness, failures := b.classes[c.class].attemptTimeout, to.relativeLatency, to.failureShare
+		allowance, slowness, failures := b.classes[c.class].attemptTimeout, to.relativeLatency,
+			to.failureShare
 		b.AttemptDone(c.patient, Outcome{Request: "r", Result: TimedOut, Latency: f.last(t).timeout})
 		if f.one(t, "r").refused != (c.class == safe) {
 			t.Errorf("%s: refused only where another try is harmless", c.name)
 		}
-		if b.classes[c.class].attemptTimeout > allowance || to.relativeLatency != slowness || to.failureShare != failures {
+		if b.classes[c.class].attemptTimeout > allowance || to.relativeLatency != slowness ||
+			to.failureShare != failures {
 			t.Errorf("%s: the time-out was learned from", c.name)
 		}
 	}
--- a/logic/rules_test.go
+++ b/logic/rules_test.go
@@ -95,7 +95,8 @@
 	}
 	c := w.set.Classes[q.class]
 	for _, t := range q.tries {
-		if t.mayRun && (c.Idempotency == NonIdempotent || c.Idempotency == Deduplicated && c.DedupScope != ScopeAll) {
+		if t.mayRun && (c.Idempotency == NonIdempotent ||
+			c.Idempotency == Deduplicated && c.DedupScope != ScopeAll) {
 			w.failf("%s: refused, though it may have run", request)
 		}
 	}
--- a/logic/selection_test.go
+++ b/logic/selection_test.go
@@ -223,7 +223,8 @@
 			if silent[f.last(t).backend] {
 				lost++
 				now += f.last(t).timeout
-				b.AttemptDone(now, Outcome{Request: id, Result: TimedOut, Latency: f.last(t).timeout, Final: true})
+				b.AttemptDone(now, Outcome{Request: id, Result: TimedOut, Latency: f.last(t).timeout,
+					Final: true})
 			} else {
 				now += 50 * ms
 				b.AttemptDone(now, Outcome{Request: id, Result: OK, Latency: 50 * ms, Final: true})
--- a/logic/slowstart.go
+++ b/logic/slowstart.go
@@ -1,12 +1,14 @@
-// Slow start: what cold backends get.
+// Slow start: the share of calls that recently started backends get.
 
 package logic
 
-const slowStartCaution = 1.5 // divides a cold backend's part: it may be a slow one, too
+const slowStartCaution = 1.5 // divides the share of a backend in slow start: it may turn out to be slow, too
 
-// tooSoon spaces the calls to a cold backend at its part of a warm one's rate, the first by a random part of
-// it: guards against hundreds that learn of it together, and, as none gets over the cold part of what it
-// carries warm, in its group or, for other zones' calls, in all, against zones that return cold.
+// slowStartTooSoon spaces the calls to a backend in slow start according to its share of a warmed-up
+// backend's rate. The first call waits for a random part of the spacing, so that hundreds of balancers
+// that learn of the backend together do not call it at once. The rate is measured against the backend's
+// group, or against all backends for calls from other zones: no backend exceeds its warm-up fraction of
+// the normal load even where a whole zone returns in slow start.
 func (b *Balancer) slowStartTooSoon(now Time, m *backend) bool {
 	fraction := m.warmUpFraction(now, &b.settings)
 	if fraction == 1 {
@@ -16,15 +18,18 @@
 	if m.Zone != b.settings.Zone {
 		among = &b.listedSummary
 	}
-	t, capacity := b.totals(now, among), max(m.subsetCapacity, 1e-9)*fraction // out of reach: as good as never
-	return float64(now-m.lastSent) < m.spacingFactor*b.meanAdmitInterval*max(m.Capacity, t.subsetCapacity, slowStartCaution*t.effectiveSubsetCapacity)/capacity
+	// Backends outside the subset get a capacity close to 0: practically never called.
+	t, capacity := b.totals(now, among), max(m.subsetCapacity, 1e-9)*fraction
+	return float64(now-m.lastSent) < m.spacingFactor*b.meanAdmitInterval*
+		max(m.Capacity, t.subsetCapacity, slowStartCaution*t.effectiveSubsetCapacity)/capacity
 }
 
-// warmth is the share of its capacity that a backend surely has.
+// warmUpFraction is the share of its capacity that a backend certainly has.
 func (m *backend) warmUpFraction(now Time, settings *Settings) float64 {
 	startedAt := max(m.StartedAt, m.attachedAt)
 	if startedAt == 0 || settings.WarmUpTime == 0 || now-startedAt >= settings.WarmUpTime {
 		return 1
 	}
-	return max(0.01, settings.InitialWarmUpFraction+(1-settings.InitialWarmUpFraction)*max(0, float64(now-startedAt)/float64(settings.WarmUpTime)))
+	return max(0.01, settings.InitialWarmUpFraction+(1-settings.InitialWarmUpFraction)*
+		max(0, float64(now-startedAt)/float64(settings.WarmUpTime)))
 }
--- a/logic/slowstart_test.go
+++ b/logic/slowstart_test.go
@@ -143,7 +143,8 @@
 			for now, i := Time(0), 0; now < end; i++ {
 				now += time.Duration(rng.ExpFloat64() / rate * float64(1000*ms))
 				for len(out) > 0 && out[0].at <= now {
-					b.AttemptDone(out[0].at, Outcome{Request: out[0].id, Result: OK, Latency: serve, Final: true})
+					b.AttemptDone(out[0].at, Outcome{Request: out[0].id, Result: OK, Latency: serve,
+						Final: true})
 					out = out[1:]
 				}
 				if !told && now >= back {
--- a/logic/tally.go
+++ b/logic/totals.go
@@ -1,30 +1,35 @@
-// Sums over backends, kept up to date so that a call need not walk all that are known.
+// Sums over backends, maintained incrementally so that a call need not visit all known backends.
 
 package logic
 
-// A tally sums up backends in use: the limit shrinks with them. Ejected ones keep their parts from the cold.
-type totals struct{ backendCount, inFlight, capacity, effectiveCapacity, subsetCapacity, effectiveSubsetCapacity float64 }
+// totals sums up the backends in use: the concurrency limit shrinks with them. Ejected backends still
+// count in subsetCapacity and effectiveSubsetCapacity, which set the call rate of those in slow start.
+type totals struct {
+	backendCount, inFlight, capacity, effectiveCapacity,
+	subsetCapacity, effectiveSubsetCapacity float64
+}
 
-// load is the mean of own calls in flight for each unit of size, with more added to each backend.
+// load is the mean of own calls in flight for each unit of capacity, with extraCalls added to each
+// backend.
 func (t totals) load(extraCalls float64) float64 {
 	return (t.inFlight + extraCalls*t.backendCount) / max(t.capacity, 1e-9)
 }
 
-// A summary is the tally of a set of members. It is made anew where the balancer's version has changed. What
-// changes with every call (calls in flight) is kept, and what changes with time (cold ones) is added at each
-// use.
+// summary holds the totals of a set of members. It is rebuilt when the balancer's summaryVersion has
+// changed. Calls in flight are updated with every call; what depends on the time (backends in slow start)
+// is added at each use.
 type summary struct {
 	members                 []*backend
-	ejected                 []*backend // in their order
-	version                 int        // of the balancer, that the rest holds for; 0: none yet
-	fixed                   totals     // but for the warmth of cold ones
+	ejected                 []*backend // in the order of members
+	version                 int        // summaryVersion that the rest is valid for; 0: none yet
+	fixed                   totals     // without the backends in slow start
 	slowStarting            []*backend
-	updatedAt               Time // when the warmth of the cold ones was summed up last
+	updatedAt               Time // when the backends in slow start were last summed up
 	slowStartCapacity       float64
 	slowStartSubsetCapacity float64
 }
 
-// tally is the tally of a summary's members.
+// totals returns the totals of a summary's members.
 func (b *Balancer) totals(now Time, s *summary) totals {
 	if s.version != b.summaryVersion {
 		b.rebuildSummary(now, s)
@@ -38,7 +43,7 @@
 	return t
 }
 
-// sumUp makes a summary anew.
+// rebuildSummary computes a summary anew.
 func (b *Balancer) rebuildSummary(now Time, s *summary) {
 	s.version, s.updatedAt = b.summaryVersion, now-1
 	s.fixed, s.slowStarting, s.ejected = totals{}, s.slowStarting[:0], s.ejected[:0]
@@ -63,7 +68,8 @@
 	}
 }
 
-// sumUpCold adds up what the cold members can do now. Those that are warm by now need no more looking at.
+// updateSlowStart sums up the present capacity of members in slow start. If one has finished, the summary
+// is marked for rebuilding.
 func (b *Balancer) updateSlowStart(now Time, s *summary) {
 	s.updatedAt, s.slowStartCapacity, s.slowStartSubsetCapacity = now, 0, 0
 	finished := false
@@ -80,10 +86,10 @@
 	}
 }
 
-// inUse tells whether a member counts as in use.
+// inUse reports whether a member is in service and not ejected.
 func (b *Balancer) inUse(m *backend) bool { return m.ejections == 0 && b.inService(m) }
 
-// addInFlight changes how many calls a backend has in flight.
+// addInFlight changes the number of calls a backend has in flight.
 func (b *Balancer) addInFlight(m *backend, calls int) {
 	m.inFlight += calls
 	if m.removed || !b.inUse(m) {
--- a/logic/tally_test.go
+++ b/logic/totals_test.go
@@ -26,7 +26,8 @@
 
 func (t totals) like(u totals) bool {
 	near := func(x, y float64) bool { return math.Abs(x-y) <= 1e-9*max(1, math.Abs(x)) }
-	return near(t.backendCount, u.backendCount) && near(t.inFlight, u.inFlight) && near(t.capacity, u.capacity) && near(t.effectiveCapacity, u.effectiveCapacity) &&
+	return near(t.backendCount, u.backendCount) && near(t.inFlight, u.inFlight) &&
+		near(t.capacity, u.capacity) && near(t.effectiveCapacity, u.effectiveCapacity) &&
 		near(t.subsetCapacity, u.subsetCapacity) && near(t.effectiveSubsetCapacity, u.effectiveSubsetCapacity)
 }
 
@@ -70,7 +71,8 @@
 					answered++
 					if q := b.requests[s.request]; q != nil {
 						result := Result(rng.IntN(int(ConnectPending) + 1))
-						b.AttemptDone(now, Outcome{Request: s.request, Attempt: len(q.attempts) - 1, Result: result,
+						b.AttemptDone(now, Outcome{Request: s.request, Attempt: len(q.attempts) - 1,
+							Result:  result,
 							Latency: 20 * ms, Final: result == OK})
 					}
 				}
@@ -82,7 +84,8 @@
 				if got, want := b.totals(now, &g.memberSummary), walked(b, now, g.members); !got.like(want) {
 					t.Fatalf("seed %d, step %d: group: kept %+v, walked %+v", seed, step, got, want)
 				}
-				if got, want := b.totals(now, &g.peerSummary), walked(b, now, g.peerSummary.members); !got.like(want) {
+				if got, want := b.totals(now, &g.peerSummary),
+					walked(b, now, g.peerSummary.members); !got.like(want) {
 					t.Fatalf("seed %d, step %d: near: kept %+v, walked %+v", seed, step, got, want)
 				}
 			}
