--- a/logic/attempt_timeout_test.go
+++ b/logic/attempt_timeout_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-func TestAllowance(t *testing.T) {
+func TestAttemptTimeout(t *testing.T) {
 	c := class{Class: Class{Deadline: 1000 * ms}}
 	c.observeBudget(400*ms, false)
 	if c.attemptTimeout != float64(400*ms)*initialAttemptTimeoutShare {
@@ -43,16 +43,16 @@
 
 // Guards against a spiral: the tier below refuses what runs late, and an
 // allowance that learns from quick answers alone shrinks with each refusal.
-func TestLateErrorRaisesAllowance(t *testing.T) {
+func TestLateErrorRaisesAttemptTimeout(t *testing.T) {
 	for _, c := range []struct {
 		latency time.Duration
 		raised  bool
 	}{{20 * ms, false}, {80 * ms, true}} {
-		b, _ := start(testSettings(), line("b", 1))
-		b.allow(safe, 100*ms)
-		b.StartRequest(0, Request{ID: "r", Class: safe, Budget: 2000 * ms})
+		b, _ := startBalancer(testSettings(), entry("b", 1))
+		b.setAttemptTimeout(idempotent, 100*ms)
+		b.StartRequest(0, Request{ID: "r", Class: idempotent, Budget: 2000 * ms})
 		b.AttemptDone(c.latency, Outcome{Request: "r", Result: Error, Latency: c.latency})
-		if raised := b.classes[safe].attemptTimeout > float64(100*ms); raised != c.raised {
+		if raised := b.classes[idempotent].attemptTimeout > float64(100*ms); raised != c.raised {
 			t.Errorf("error after %v: raised = %v", c.latency, raised)
 		}
 	}
@@ -62,7 +62,7 @@
 // some tens of them. Guards against an allowance that comes down by a thousandth with
 // each: for minutes it fits no call's time, and calls that take a tenth of it are turned
 // away unsent.
-func TestAllowanceOfThinTrafficRecovers(t *testing.T) {
+func TestAttemptTimeoutRecoversAtLowTraffic(t *testing.T) {
 	const usual, slow, budget = 100 * ms, 900 * ms, 3000 * ms
 	c := class{Class: Class{Deadline: 3000 * ms}}
 	c.observeBudget(budget, false)
@@ -88,11 +88,11 @@
 }
 
 // Guards against an allowance grown past every budget: it must come down again.
-func TestUnfitAllowanceRecovers(t *testing.T) {
-	b, f := start(testSettings(), line("b", 1))
-	b.allow(safe, 1900*ms)
+func TestExcessiveAttemptTimeoutRecovers(t *testing.T) {
+	b, f := startBalancer(testSettings(), entry("b", 1))
+	b.setAttemptTimeout(idempotent, 1900*ms)
 	for i := range 2000 {
-		b.StartRequest(0, Request{ID: fmt.Sprint("r", i), Class: safe, Budget: 500 * ms})
+		b.StartRequest(0, Request{ID: fmt.Sprint("r", i), Class: idempotent, Budget: 500 * ms})
 		if len(f.sends) > 0 {
 			return
 		}
@@ -104,60 +104,61 @@
 // of a first attempt above, some with that of a last one, which is far more. Guards against
 // the few that raise the allowance's ceiling past all others: after a slow spell these would
 // be turned away unsent for as long as a thin traffic takes to bring the allowance down.
-func TestCeilingOfUnlikeBudgets(t *testing.T) {
+func TestAttemptTimeoutCeilingWithMixedBudgets(t *testing.T) {
 	set := testSettings()
 	set.Tier = 1
-	b, f := start(set, zoneLines("b", 4)...)
-	const most, few = 600 * ms, 2000 * ms
+	b, f := startBalancer(set, zoneEntries("b", 4)...)
+	const usual, large = 600 * ms, 2000 * ms
 	now := Time(0)
 	for i := range 60 {
-		id, budget := fmt.Sprint("r", i), most
+		id, budget := fmt.Sprint("r", i), usual
 		if i%3 == 2 {
-			budget = few
+			budget = large
 		}
 		now += 100 * ms
 		before := len(f.sends)
-		b.StartRequest(now, Request{ID: id, Class: safe, Budget: budget})
+		b.StartRequest(now, Request{ID: id, Class: idempotent, Budget: budget})
 		if len(f.sends) > before { // all are late
 			b.AttemptDone(now, Outcome{Request: id, Result: TimedOut, Latency: budget, Final: true})
 		}
 	}
 	before := len(f.sends)
-	b.StartRequest(now, Request{ID: "after", Class: safe, Budget: most})
+	b.StartRequest(now, Request{ID: "after", Class: idempotent, Budget: usual})
 	if len(f.sends) == before {
-		t.Errorf("turned away: an allowance of %v in %v", time.Duration(b.classes[safe].attemptTimeout), most)
+		t.Errorf("turned away: an allowance of %v in %v",
+			time.Duration(b.classes[idempotent].attemptTimeout), usual)
 	}
-	if a := b.classes[safe].attemptTimeout; a < float64(most)/2 {
+	if a := b.classes[idempotent].attemptTimeout; a < float64(usual)/2 {
 		t.Errorf("allowance %v: late ones don't count", time.Duration(a))
 	}
 }
 
 // Guards against allowances that start so short that each of many balancers must
 // learn by a dozen time-outs. Two attempts and a backoff must fit all the same.
-func TestFirstAllowance(t *testing.T) {
-	b, f := start(testSettings(), zoneLines("b", 4)...)
+func TestInitialAttemptTimeout(t *testing.T) {
+	b, f := startBalancer(testSettings(), zoneEntries("b", 4)...)
 	b.retryTokens = 1
-	b.StartRequest(0, Request{ID: "r", Class: safe, Budget: 1000 * ms})
+	b.StartRequest(0, Request{ID: "r", Class: idempotent, Budget: 1000 * ms})
 	first := f.last(t).timeout
 	if first < 300*ms {
 		t.Errorf("the first attempt with 1 s left may take %v", first)
 	}
 	b.AttemptDone(first, Outcome{Request: "r", Result: TimedOut, Latency: first})
-	if _, wait := f.wait(t); first+wait > 600*ms {
+	if _, wait := f.takeTimer(t); first+wait > 600*ms {
 		t.Errorf("no time left for a second attempt after %v and a wait of %v", first, wait)
 	}
 }
 
 // Guards against a mean latency that starts at the first allowance: with a few
 // requests a second it comes down in minutes, and until then all look fast.
-func TestCostStartsFromAnswers(t *testing.T) {
-	b, _ := start(testSettings(), zoneLines("b", 4)...)
+func TestMeanLatencyStartsFromAnswers(t *testing.T) {
+	b, _ := startBalancer(testSettings(), zoneEntries("b", 4)...)
 	for i := range 3 {
 		id := fmt.Sprint("r", i)
-		b.StartRequest(Time(i)*1000*ms, Request{ID: id, Class: safe, Budget: 2000 * ms})
+		b.StartRequest(Time(i)*1000*ms, Request{ID: id, Class: idempotent, Budget: 2000 * ms})
 		b.AttemptDone(Time(i)*1000*ms+40*ms, Outcome{Request: id, Result: OK, Latency: 40 * ms, Final: true})
 	}
-	if cost := time.Duration(b.classes[safe].meanLatency); cost > 45*ms {
-		t.Errorf("after three answers in 40 ms the mean latency is %v", cost)
+	if meanLatency := time.Duration(b.classes[idempotent].meanLatency); meanLatency > 45*ms {
+		t.Errorf("after three answers in 40 ms the mean latency is %v", meanLatency)
 	}
 }
--- a/logic/balancer_test.go
+++ b/logic/balancer_test.go
@@ -8,13 +8,13 @@
 	"testing"
 )
 
-func TestNothingAfterTheEnd(t *testing.T) {
-	b, f := start(testSettings(), line("b", 1))
-	b.allow(safe, 100*ms)
+func TestNoActionAfterRequestEnds(t *testing.T) {
+	b, f := startBalancer(testSettings(), entry("b", 1))
+	b.setAttemptTimeout(idempotent, 100*ms)
 	b.retryTokens = 5
-	b.StartRequest(0, Request{ID: "r", Class: safe, Budget: 2000 * ms})
+	b.StartRequest(0, Request{ID: "r", Class: idempotent, Budget: 2000 * ms})
 	b.AttemptDone(10*ms, Outcome{Request: "r", Result: Error})
-	token, _ := f.wait(t)
+	token, _ := f.takeTimer(t)
 	b.ClientGone(15*ms, "r")
 	b.TimerFired(20*ms, token)
 	b.AttemptDone(30*ms, Outcome{Request: "r", Result: OK})
@@ -30,12 +30,12 @@
 
 // A balancer that ends gives each request its answer, once: guards against requests that
 // are lost with it.
-func TestEndAnswersWhatIsOpen(t *testing.T) {
+func TestAbandonAnswersOpenRequests(t *testing.T) {
 	for _, c := range []struct {
 		class   int
 		refused bool
-	}{{safe, true}, {keyed, true}, {keyedZone, false}, {unsafe, false}} {
-		b, f := start(testSettings(), line("b", 1))
+	}{{idempotent, true}, {deduplicated, true}, {dedupInZone, false}, {nonIdempotent, false}} {
+		b, f := startBalancer(testSettings(), entry("b", 1))
 		b.StartRequest(0, Request{ID: "r", Class: c.class, Budget: 2000 * ms})
 		b.AbandonRequest("r")
 		b.AbandonRequest("r")
@@ -51,8 +51,8 @@
 }
 
 func TestLateOutcomeOfEndedRequest(t *testing.T) {
-	b, f := start(testSettings(), line("b", 1))
-	b.StartRequest(0, Request{ID: "r", Class: unsafe, Budget: 2000 * ms})
+	b, f := startBalancer(testSettings(), entry("b", 1))
+	b.StartRequest(0, Request{ID: "r", Class: nonIdempotent, Budget: 2000 * ms})
 	b.ClientGone(10*ms, "r")
 	if m := b.backends["b1"]; m.inFlight != 1 {
 		t.Errorf("%d in flight, want 1: the attempt is still out", m.inFlight)
@@ -67,8 +67,8 @@
 // What was decided is looked at again when the connection stands: guards against requests
 // that a slow dial takes to a backend after it was drained, and the like. An attempt that is
 // not written has not run, and says nothing against its backend.
-func TestConnected(t *testing.T) {
-	drained, removed := line("b", 1), line("b", 1)
+func TestMaySendOnConnect(t *testing.T) {
+	drained, removed := entry("b", 1), entry("b", 1)
 	drained.State, removed.State = Draining, Removed
 	for _, c := range []struct {
 		name  string
@@ -77,39 +77,44 @@
 		do    func(b *Balancer)
 		want  bool
 	}{
-		{"nothing happened", unsafe, false, func(*Balancer) {}, true},
-		{"drained", safe, false, func(b *Balancer) { b.UpdateList(100*ms, false, []Backend{drained}) },
-			false},
-		{"gone", safe, false, func(b *Balancer) { b.UpdateList(100*ms, false, []Backend{removed}) }, false},
-		{"not in a whole list", safe, false, func(b *Balancer) { b.UpdateList(100*ms, true, nil) }, false},
-		{"drained and back", safe, false, func(b *Balancer) {
+		{"nothing happened", nonIdempotent, false, func(*Balancer) {}, true},
+		{"drained", idempotent, false, func(b *Balancer) {
 			b.UpdateList(100*ms, false, []Backend{drained})
-			b.UpdateList(110*ms, false, []Backend{line("b", 1)})
+		}, false},
+		{"gone", idempotent, false, func(b *Balancer) {
+			b.UpdateList(100*ms, false, []Backend{removed})
+		}, false},
+		{"not in a whole list", idempotent, false, func(b *Balancer) {
+			b.UpdateList(100*ms, true, nil)
+		}, false},
+		{"drained and back", idempotent, false, func(b *Balancer) {
+			b.UpdateList(100*ms, false, []Backend{drained})
+			b.UpdateList(110*ms, false, []Backend{entry("b", 1)})
 		}, true},
-		{"detached", safe, false, func(b *Balancer) { b.Detach("b1") }, false},
-		{"detached and attached, cold", safe, false, func(b *Balancer) {
+		{"detached", idempotent, false, func(b *Balancer) { b.Detach("b1") }, false},
+		{"detached and attached, cold", idempotent, false, func(b *Balancer) {
 			b.Detach("b1")
 			b.Attach(110*ms, "b1")
 		}, false},
-		{"the list is stale", safe, false, func(b *Balancer) {
+		{"the list is stale", idempotent, false, func(b *Balancer) {
 			b.SetListFreshness(ListFreshness{FreshUntil: 150 * ms})
 		}, false},
-		{"the client left", safe, false, func(b *Balancer) { b.ClientGone(100*ms, "r") }, false},
-		{"this balancer ends", safe, false, func(b *Balancer) { b.AbandonRequest("r") }, false},
-		{"a repeat in time", keyed, true, func(*Balancer) {}, true},
-		{"a repeat after the memory for it", keyed, true,
-			func(b *Balancer) { b.classes[keyed].DedupWindow = 200 * ms }, false},
-		{"a safe repeat has no such end", safe, true,
-			func(b *Balancer) { b.classes[safe].DedupWindow = 200 * ms }, true},
+		{"the client left", idempotent, false, func(b *Balancer) { b.ClientGone(100*ms, "r") }, false},
+		{"this balancer ends", idempotent, false, func(b *Balancer) { b.AbandonRequest("r") }, false},
+		{"a repeat in time", deduplicated, true, func(*Balancer) {}, true},
+		{"a repeat after the memory for it", deduplicated, true,
+			func(b *Balancer) { b.classes[deduplicated].DedupWindow = 200 * ms }, false},
+		{"a safe repeat has no such end", idempotent, true,
+			func(b *Balancer) { b.classes[idempotent].DedupWindow = 200 * ms }, true},
 	} {
-		b, f := start(testSettings(), line("b", 1))
-		b.allow(c.class, 100*ms)
+		b, f := startBalancer(testSettings(), entry("b", 1))
+		b.setAttemptTimeout(c.class, 100*ms)
 		b.retryTokens = 5
 		b.StartRequest(0, Request{ID: "r", Class: c.class, Budget: 2000 * ms})
 		attempt := 0
 		if c.ran {
 			b.AttemptDone(10*ms, Outcome{Request: "r", Result: ConnectionLost, Latency: 10 * ms})
-			token, wait := f.wait(t)
+			token, wait := f.takeTimer(t)
 			b.TimerFired(10*ms+wait, token)
 			attempt = 1
 		}
@@ -132,7 +137,7 @@
 			continue
 		}
 		if len(f.answers["r"]) == 0 { // it waits for another choice
-			token, wait := f.wait(t)
+			token, wait := f.takeTimer(t)
 			b.TimerFired(200*ms+wait, token)
 		}
 		if strings.HasSuffix(c.name, "cold") { // the one that is back may be the choice
@@ -141,25 +146,25 @@
 			}
 			continue
 		}
-		if a := f.one(t, "r"); !a.refused {
+		if a := f.onlyAnswer(t, "r"); !a.refused {
 			t.Errorf("%s: failed, though nothing of it has run or it may run again", c.name)
 		}
 	}
-	if b, _ := start(testSettings(), line("b", 1)); b.MaySendOnConnect(0, "none") {
+	if b, _ := startBalancer(testSettings(), entry("b", 1)); b.MaySendOnConnect(0, "none") {
 		t.Error("an unknown request is to be sent")
 	}
 }
 
-func TestSameEventsSameActions(t *testing.T) {
+func TestSameEventsGiveSameActions(t *testing.T) {
 	run := func() string {
-		b, f := start(testSettings(), append(zoneLines("a", 3), zoneLines("b", 3)...)...)
+		b, f := startBalancer(testSettings(), append(zoneEntries("a", 3), zoneEntries("b", 3)...)...)
 		for i := range 200 {
 			id := fmt.Sprint("r", i)
 			b.StartRequest(Time(i)*ms, Request{ID: id, Class: i % 5, Budget: 2000 * ms})
 			b.AttemptDone(Time(i)*ms, Outcome{Request: id, Result: Result(i % 4), Latency: ms,
 				Final: i%4 == 0})
 		}
-		return fmt.Sprint(f.sends, f.answers, f.wakes)
+		return fmt.Sprint(f.sends, f.answers, f.timers)
 	}
 	if first, second := run(), run(); first != second {
 		t.Error("two runs of the same events differ")
@@ -168,12 +173,12 @@
 
 // Guards against work that nobody waits for: where cancelled work stops, what is out is given up when
 // its client leaves, once; elsewhere it runs to its end.
-func TestCancelWhenClientLeaves(t *testing.T) {
+func TestCancelWhenClientDisconnects(t *testing.T) {
 	for _, cancel := range []bool{true, false} {
-		set := uneven()
+		set := unevenSettings()
 		set.CancelAbandoned = cancel
-		b, f := start(set, zoneLines("b", 3)...)
-		b.StartRequest(0, Request{ID: "r", Class: safe, Budget: 2000 * ms})
+		b, f := startBalancer(set, zoneEntries("b", 3)...)
+		b.StartRequest(0, Request{ID: "r", Class: idempotent, Budget: 2000 * ms})
 		b.ClientGone(ms, "r")
 		b.ClientGone(2*ms, "r")
 		if want := map[bool]string{true: "[r 0]", false: "[]"}[cancel]; fmt.Sprint(f.cancels) != want {
@@ -185,7 +190,7 @@
 			t.Errorf("cancel %t: %d in flight, failures %v, %d requests, answers %v",
 				cancel, m.inFlight, m.failureShare, len(b.requests), f.answers)
 		}
-		b.StartRequest(4*ms, Request{ID: "served", Class: safe, Budget: 2000 * ms})
+		b.StartRequest(4*ms, Request{ID: "served", Class: idempotent, Budget: 2000 * ms})
 		b.AttemptDone(5*ms, Outcome{Request: "served", Result: OK, Latency: ms, Final: true})
 		b.ClientGone(6*ms, "served")
 		if len(f.cancels) > 1 {
@@ -195,20 +200,20 @@
 }
 
 // Guards against a limit of nothing for good where requests come before any backend is known.
-func TestTrafficBeforeTheList(t *testing.T) {
-	f := newFake()
-	b := New(0, uneven(), f)
+func TestRequestsBeforeFirstList(t *testing.T) {
+	f := newRecorder()
+	b := New(0, unevenSettings(), f)
 	for i := range 50 {
-		b.StartRequest(Time(i)*10*ms, Request{ID: fmt.Sprint(i), Class: safe, Budget: 2000 * ms})
+		b.StartRequest(Time(i)*10*ms, Request{ID: fmt.Sprint(i), Class: idempotent, Budget: 2000 * ms})
 	}
 	if len(f.answers) != 50 {
 		t.Errorf("%d of 50 answered while nobody was known", len(f.answers))
 	}
-	b.UpdateList(500*ms, true, zoneLines("b", 10))
+	b.UpdateList(500*ms, true, zoneEntries("b", 10))
 	if b.limitMultiplier < minLimitMultiplier || b.baseLimit <= 0 {
 		t.Errorf("limit at %v of a base of %v after the first list", b.limitMultiplier, b.baseLimit)
 	}
-	if refused, _ := feed(b, f, 500*ms, 400, 10*ms, 100*ms, false); refused > 20 {
+	if refused, _ := feedRequests(b, f, 500*ms, 400, 10*ms, 100*ms, false); refused > 20 {
 		t.Errorf("%d of 200 refused", refused)
 	}
 }
--- a/logic/cost_test.go
+++ b/logic/cost_test.go
@@ -8,46 +8,46 @@
 )
 
 // answering is Actions that notes the last send.
-type answering struct {
+type lastSendRecorder struct {
 	request, backend string
 	sent             bool
 }
 
-func (a *answering) Send(request, backend string, _ time.Duration) {
+func (a *lastSendRecorder) Send(request, backend string, _ time.Duration) {
 	a.request, a.backend, a.sent = request, backend, true
 }
-func (a *answering) Refuse(string, time.Duration, Cause) {}
-func (a *answering) Fail(string, Cause)                  {}
-func (a *answering) StartTimer(uint64, time.Duration)    {}
-func (a *answering) CloseIdle(string)                    {}
-func (a *answering) Cancel(string, int)                  {}
+func (a *lastSendRecorder) Refuse(string, time.Duration, Cause) {}
+func (a *lastSendRecorder) Fail(string, Cause)                  {}
+func (a *lastSendRecorder) StartTimer(uint64, time.Duration)    {}
+func (a *lastSendRecorder) CloseIdle(string)                    {}
+func (a *lastSendRecorder) Cancel(string, int)                  {}
 
 // callBalancer is a balancer that knows so many backends, of which one in a hundred is cold,
 // and is one of so many.
-func callBalancer(backends, balancers int) (*Balancer, *answering) {
-	act := &answering{}
-	set := Settings{Zone: "a", Zones: []string{"a", "b", "c"}, BalancerCount: balancers, BalancerIndex: 3,
-		MaxAttempts: 4,
-		DrainGrace:  300 * ms, InitialWarmUpFraction: 0.2, WarmUpTime: time.Hour, MaxRetryAfter: time.Second,
+func newCallBalancer(backends, balancers int) (*Balancer, *lastSendRecorder) {
+	recorder := &lastSendRecorder{}
+	settings := Settings{Zone: "a", Zones: []string{"a", "b", "c"}, BalancerCount: balancers,
+		BalancerIndex: 3, MaxAttempts: 4, DrainGrace: 300 * ms,
+		InitialWarmUpFraction: 0.2, WarmUpTime: time.Hour, MaxRetryAfter: time.Second,
 		Classes: []Class{{Name: "read", TargetLatency: 200 * ms, Deadline: time.Second, Value: 1}}}
-	balancer := New(0, set, act)
-	lines := make([]Backend, backends)
-	for i := range lines {
-		lines[i] = Backend{ID: "s-" + strconv.Itoa(i), Zone: set.Zones[i%3], Capacity: 1}
+	balancer := New(0, settings, recorder)
+	entries := make([]Backend, backends)
+	for i := range entries {
+		entries[i] = Backend{ID: "s-" + strconv.Itoa(i), Zone: settings.Zones[i%3], Capacity: 1}
 		if i%100 == 99 {
-			lines[i].StartedAt = 1
+			entries[i].StartedAt = 1
 		}
 	}
-	balancer.UpdateList(0, true, lines)
-	return balancer, act
+	balancer.UpdateList(0, true, entries)
+	return balancer, recorder
 }
 
 // call is the i-th call, 10 ms after the one before, which is served in 5 ms.
-func call(balancer *Balancer, act *answering, i int) {
+func runCall(balancer *Balancer, recorder *lastSendRecorder, i int) {
 	now, id := Time(i)*10*ms, strconv.Itoa(i)
-	act.sent = false
+	recorder.sent = false
 	balancer.StartRequest(now, Request{ID: id, Budget: time.Second})
-	if act.sent {
+	if recorder.sent {
 		balancer.AttemptDone(now+5*ms, Outcome{Request: id, Result: OK, Latency: 5 * ms, Final: true})
 	}
 }
@@ -59,10 +59,10 @@
 		{6, 6}, {64, 100}, {200, 300}, {800, 900}, {3200, 900},
 	} {
 		b.Run(fmt.Sprintf("backends=%d", c.backends), func(b *testing.B) {
-			balancer, act := callBalancer(c.backends, c.balancers)
+			balancer, act := newCallBalancer(c.backends, c.balancers)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				call(balancer, act, i)
+				runCall(balancer, act, i)
 			}
 		})
 	}
@@ -76,10 +76,10 @@
 	least := func(backends int) time.Duration {
 		best := time.Hour
 		for range 5 {
-			balancer, act := callBalancer(backends, 900)
+			balancer, act := newCallBalancer(backends, 900)
 			began := time.Now()
 			for i := range 2000 {
-				call(balancer, act, i)
+				runCall(balancer, act, i)
 			}
 			best = min(best, time.Since(began))
 		}
--- a/logic/list.go
+++ b/logic/list.go
@@ -34,11 +34,11 @@
 }
 
 // UpdateList takes a full list of backends, or only the changed entries.
-func (b *Balancer) UpdateList(now Time, full bool, lines []Backend) {
+func (b *Balancer) UpdateList(now Time, full bool, entries []Backend) {
 	for _, m := range b.listed {
 		m.removed = full
 	}
-	for _, l := range lines {
+	for _, l := range entries {
 		b.updateBackend(now, l)
 	}
 	b.rebuildGroups()
--- a/logic/list_test.go
+++ b/logic/list_test.go
@@ -8,13 +8,13 @@
 )
 
 func TestDrain(t *testing.T) {
-	b, f := start(testSettings(), line("b", 1), line("b", 2))
-	b.allow(safe, 100*ms)
-	b.StartRequest(0, Request{ID: "r", Class: safe, Budget: 2000 * ms})
+	b, f := startBalancer(testSettings(), entry("b", 1), entry("b", 2))
+	b.setAttemptTimeout(idempotent, 100*ms)
+	b.StartRequest(0, Request{ID: "r", Class: idempotent, Budget: 2000 * ms})
 	b.AttemptDone(10*ms, Outcome{Request: "r", Result: Rejected})
-	token, wait := f.wait(t)
+	token, wait := f.takeTimer(t)
 	for _, id := range []string{"b1", "b2"} { // while the retry waits
-		l := line("b", int(id[1]-'0'))
+		l := entry("b", int(id[1]-'0'))
 		l.State = Draining
 		if id == "b2" {
 			l.State = Removed
@@ -22,14 +22,14 @@
 		b.UpdateList(15*ms, false, []Backend{l})
 	}
 	b.TimerFired(10*ms+wait, token)
-	b.StartRequest(200*ms, Request{ID: "s", Class: safe, Budget: 2000 * ms})
+	b.StartRequest(200*ms, Request{ID: "s", Class: idempotent, Budget: 2000 * ms})
 	if len(f.sends) != 1 {
 		t.Errorf("sent to %s, which drains or is gone", f.last(t).backend)
 	}
-	f.one(t, "r")
-	f.one(t, "s")
-	b.UpdateList(300*ms, true, []Backend{line("b", 3)}) // a full list without b1 and b2
-	b.StartRequest(300*ms, Request{ID: "u", Class: safe, Budget: 2000 * ms})
+	f.onlyAnswer(t, "r")
+	f.onlyAnswer(t, "s")
+	b.UpdateList(300*ms, true, []Backend{entry("b", 3)}) // a full list without b1 and b2
+	b.StartRequest(300*ms, Request{ID: "u", Class: idempotent, Budget: 2000 * ms})
 	if f.last(t).backend != "b3" {
 		t.Errorf("sent to %s, want b3", f.last(t).backend)
 	}
@@ -39,9 +39,9 @@
 }
 
 func TestEmptyList(t *testing.T) {
-	b, f := start(testSettings())
-	b.StartRequest(0, Request{ID: "r", Class: unsafe, Budget: 2000 * ms})
-	if !f.one(t, "r").refused {
+	b, f := startBalancer(testSettings())
+	b.StartRequest(0, Request{ID: "r", Class: nonIdempotent, Budget: 2000 * ms})
+	if !f.onlyAnswer(t, "r").refused {
 		t.Error("nothing was sent, yet the answer is not a refusal")
 	}
 }
@@ -50,51 +50,51 @@
 // One that has just served a call is used for somewhat longer, where discovery could not be
 // reached; all else is refused at once until the list is fresh. A list by itself, from
 // whatever source, does not move that moment. Incident: docs/incidents/silentwatch.md.
-func TestNothingStaleIsUsed(t *testing.T) {
+func TestStaleListIsNotUsed(t *testing.T) {
 	set := testSettings()
 	set.DrainGrace = 500 * ms
-	b, f := start(set, line("b", 0), line("b", 1))
+	b, f := startBalancer(set, entry("b", 0), entry("b", 1))
 	b.setLimit(10)
 	serial := 0
-	ask := func(at Time) string { // the backend that gets it, or ""
+	send := func(at Time) string { // the backend that gets it, or ""
 		serial++
 		id, sends := fmt.Sprint(serial), len(f.sends)
-		b.StartRequest(at, Request{ID: id, Class: safe, Budget: 2000 * ms})
+		b.StartRequest(at, Request{ID: id, Class: idempotent, Budget: 2000 * ms})
 		if len(f.sends) == sends {
-			if a := f.one(t, id); !a.refused || a.comeBack == 0 {
+			if a := f.onlyAnswer(t, id); !a.refused || a.retryAfter == 0 {
 				t.Errorf("at %v: %+v, want a refusal that says when to come back", at, a)
 			}
 			return ""
 		}
 		return f.last(t).backend
 	}
-	served := func(at Time) {
+	answer := func(at Time) {
 		b.AttemptDone(at, Outcome{Request: fmt.Sprint(serial), Result: OK, Latency: 100 * ms, Final: true})
 	}
-	none := func(why string, times ...Time) {
+	expectRefusals := func(reason string, times ...Time) {
 		t.Helper()
 		for _, at := range times {
-			if to := ask(at); to != "" {
-				t.Errorf("at %v to %q: %s", at, to, why)
+			if to := send(at); to != "" {
+				t.Errorf("at %v to %q: %s", at, to, reason)
 			}
 		}
 	}
 	b.SetListFreshness(ListFreshness{FreshUntil: 16000 * ms, StaleUntil: 16000 * ms,
 		EvidenceWindow: 6000 * ms})
-	if ask(15900*ms) == "" {
+	if send(15900*ms) == "" {
 		t.Fatal("refused while the list may be held")
 	}
-	served(15990 * ms)
-	none("it may be drained, whatever it has answered", 16000*ms, 16100*ms, 16390*ms, 30000*ms)
-	b.UpdateList(30100*ms, true, []Backend{line("b", 0), line("b", 1)})
-	none("the list is no word of now", 30150*ms)
+	answer(15990 * ms)
+	expectRefusals("it may be drained, whatever it has answered", 16000*ms, 16100*ms, 16390*ms, 30000*ms)
+	b.UpdateList(30100*ms, true, []Backend{entry("b", 0), entry("b", 1)})
+	expectRefusals("the list is no word of now", 30150*ms)
 	b.SetListFreshness(ListFreshness{FreshUntil: 36100 * ms, StaleUntil: 36100 * ms,
 		EvidenceWindow: 6000 * ms})
-	if ask(30200*ms) == "" {
+	if send(30200*ms) == "" {
 		t.Error("refused though the list is fresh")
 	}
-	served(30300 * ms)
-	took, first := ask(36000*ms), fmt.Sprint(serial)
+	answer(30300 * ms)
+	took, first := send(36000*ms), fmt.Sprint(serial)
 	if took == "" {
 		t.Fatal("refused though the list is fresh")
 	}
@@ -103,31 +103,31 @@
 	b.SetListFreshness(ListFreshness{FreshUntil: 36100 * ms, StaleUntil: 44000 * ms,
 		EvidenceWindow: 1000 * ms,
 		ConfirmedAt:    36000 * ms, MaxUnobserved: 2000 * ms})
-	none("it has served nothing yet", 36150*ms)
+	expectRefusals("it has served nothing yet", 36150*ms)
 	b.AttemptDone(36200*ms, Outcome{Request: first, Result: OK, Latency: 100 * ms, Final: true})
 	for _, at := range []Time{36300 * ms, 36990 * ms} {
-		if to := ask(at); to != took {
+		if to := send(at); to != took {
 			t.Errorf("at %v to %q, want %q, which served a call sent at 36 s", at, to, took)
 		}
 	}
-	served(37100 * ms) // sent at 36.99 s
-	if to := ask(37980 * ms); to != took {
+	answer(37100 * ms) // sent at 36.99 s
+	if to := send(37980 * ms); to != took {
 		t.Errorf("to %q, want %q, which served a call sent at 36.99 s", to, took)
 	}
 	b.AttemptDone(37990*ms, Outcome{Request: fmt.Sprint(serial), Result: Rejected, Latency: 10 * ms,
 		Final: true})
-	none("it turned the last call away", 38000*ms)
+	expectRefusals("it turned the last call away", 38000*ms)
 	b.SetListFreshness(ListFreshness{FreshUntil: 50000 * ms, StaleUntil: 50000 * ms,
 		EvidenceWindow: 6000 * ms})
-	if ask(49900*ms) == "" {
+	if send(49900*ms) == "" {
 		t.Fatal("refused though the list is fresh")
 	}
-	served(49950 * ms)
+	answer(49950 * ms)
 	b.SetListFreshness(ListFreshness{FreshUntil: 49000 * ms, StaleUntil: 49500 * ms,
 		EvidenceWindow: 6000 * ms})
-	none("the time that is given is over, whatever has served since", 49960*ms)
+	expectRefusals("the time that is given is over, whatever has served since", 49960*ms)
 	b.SetListFreshness(ListFreshness{}) // no clock is kept, as in the simulator
-	if ask(60000*ms) == "" {
+	if send(60000*ms) == "" {
 		t.Error("refused though no clock is kept")
 	}
 }
--- a/logic/outlier_test.go
+++ b/logic/outlier_test.go
@@ -10,15 +10,15 @@
 )
 
 // Guards against a backend that fails fast: it looks idle and draws the calls.
-func TestEjectionAndTrial(t *testing.T) {
-	b, f := start(testSettings(), zoneLines("b", 4)...)
+func TestEjectionAndProbe(t *testing.T) {
+	b, f := startBalancer(testSettings(), zoneEntries("b", 4)...)
 	b.settings.Tier = 1
 	n := 0
 	call := func(now Time, bad bool) string {
 		id := fmt.Sprint("r", n)
 		n++
 		b.retryTokens = 0
-		b.StartRequest(now, Request{ID: id, Class: safe, Budget: 2000 * ms})
+		b.StartRequest(now, Request{ID: id, Class: idempotent, Budget: 2000 * ms})
 		to := f.last(t).backend
 		if bad && to == "b2" {
 			b.AttemptDone(now+ms, Outcome{Request: id, Result: Error, Latency: ms})
@@ -53,11 +53,11 @@
 
 // Failures that all backends share are no reason to eject any of them.
 func TestSharedFailureEjectsNobody(t *testing.T) {
-	b, f := start(testSettings(), zoneLines("b", 4)...)
+	b, f := startBalancer(testSettings(), zoneEntries("b", 4)...)
 	b.settings.Tier = 1
 	for i := range 100 {
 		id := fmt.Sprint("r", i)
-		b.StartRequest(Time(i)*ms, Request{ID: id, Class: unsafe, Budget: 2000 * ms})
+		b.StartRequest(Time(i)*ms, Request{ID: id, Class: nonIdempotent, Budget: 2000 * ms})
 		b.AttemptDone(Time(i)*ms, Outcome{Request: id, Result: Error})
 	}
 	for id, m := range b.backends {
@@ -72,30 +72,30 @@
 
 // Guards against backends that are full or drain unheard: turning calls away at
 // once, they look the idlest of all.
-func TestFullBackendIsLeftAlone(t *testing.T) {
-	b, f := start(testSettings(), zoneLines("b", 3)...)
+func TestRejectingBackendIsPaused(t *testing.T) {
+	b, f := startBalancer(testSettings(), zoneEntries("b", 3)...)
 	b.settings.Tier = 1
-	full := 0
+	rejected := 0
 	for i := range 300 {
 		id := fmt.Sprint("r", i)
 		now := Time(i) * ms
-		b.StartRequest(now, Request{ID: id, Class: safe, Budget: 2000 * ms})
+		b.StartRequest(now, Request{ID: id, Class: idempotent, Budget: 2000 * ms})
 		if f.last(t).backend == "b1" {
-			full++
+			rejected++
 			b.AttemptDone(now, Outcome{Request: id, Result: Rejected})
 			continue
 		}
 		b.AttemptDone(now+40*ms, Outcome{Request: id, Result: OK, Latency: 40 * ms, Final: true})
 	}
-	if full == 0 || full > 15 { // a pause is about half the mean latency, 20 ms
-		t.Errorf("%d calls to the full backend, want a few of 300", full)
+	if rejected == 0 || rejected > 15 { // a pause is about half the mean latency, 20 ms
+		t.Errorf("%d calls to the full backend, want a few of 300", rejected)
 	}
 }
 
 // Guards against all traffic on one backend when every group fails, and against
 // calls at backends that are full where no other is left.
 func TestAllFailing(t *testing.T) {
-	b, f := start(testSettings(), zoneLines("b", 8)...)
+	b, f := startBalancer(testSettings(), zoneEntries("b", 8)...)
 	b.settings.Tier = 1
 	for _, m := range b.listed[:5] {
 		b.summaryVersion++
@@ -103,7 +103,7 @@
 	}
 	got := map[string]int{}
 	for i := range 9 {
-		b.StartRequest(0, Request{ID: fmt.Sprint("r", i), Class: safe, Budget: 2000 * ms})
+		b.StartRequest(0, Request{ID: fmt.Sprint("r", i), Class: idempotent, Budget: 2000 * ms})
 		got[f.last(t).backend]++
 	}
 	if len(got) != 3 {
@@ -112,23 +112,23 @@
 	for _, m := range b.listed {
 		m.pausedUntil = 50 * ms
 	}
-	b.StartRequest(ms, Request{ID: "full", Class: unsafe, Budget: 2000 * ms})
-	if !f.one(t, "full").refused {
+	b.StartRequest(ms, Request{ID: "full", Class: nonIdempotent, Budget: 2000 * ms})
+	if !f.onlyAnswer(t, "full").refused {
 		t.Error("not refused, though every backend was full just now")
 	}
 }
 
 // Guards against healthy backends left out where a few in a hundred answers are spoilt,
 // on any backend alike: two such in a row are chance.
-func TestSpoiltAnswersEjectNobody(t *testing.T) {
-	b, f := start(testSettings(), zoneLines("b", 4)...)
+func TestOccasionalFailuresEjectNobody(t *testing.T) {
+	b, f := startBalancer(testSettings(), zoneEntries("b", 4)...)
 	b.settings.Tier = 1
 	rng := rand.New(rand.NewPCG(3, 0))
 	out, calls := 0, 4000
 	for i := range calls {
 		id, now := fmt.Sprint("r", i), Time(i)*10*ms
 		b.retryTokens = 0
-		b.StartRequest(now, Request{ID: id, Class: safe, Budget: 2000 * ms})
+		b.StartRequest(now, Request{ID: id, Class: idempotent, Budget: 2000 * ms})
 		f.last(t)
 		if rng.Float64() < 0.08 {
 			b.AttemptDone(now+5*ms, Outcome{Request: id, Result: Error, Latency: 5 * ms})
@@ -148,12 +148,12 @@
 
 // Guards against a backend that is left out for good where allowances are long: no
 // request could then be tried again after a trial, so none was made.
-func TestOverdueTrial(t *testing.T) {
-	for _, class := range []int{safe, unsafe} {
-		b, f := start(testSettings(), zoneLines("b", 4)...)
+func TestOverdueProbe(t *testing.T) {
+	for _, class := range []int{idempotent, nonIdempotent} {
+		b, f := startBalancer(testSettings(), zoneEntries("b", 4)...)
 		b.settings.Tier = 1
 		for i := range b.classes {
-			b.allow(i, 1300*ms) // twice that fits no budget
+			b.setAttemptTimeout(i, 1300*ms) // twice that fits no budget
 		}
 		b.eject(0, b.backends["b2"])
 		due := b.backends["b2"].probeAt
@@ -174,25 +174,25 @@
 }
 
 // observed is Actions that observes.
-type observed struct {
-	*fake
-	seen []string
+type statusRecorder struct {
+	*recorder
+	changes []string
 }
 
-func (o *observed) BackendStatusChanged(backend string, s BackendStatus, _ float64) {
-	o.seen = append(o.seen, backend+" "+s.String())
+func (o *statusRecorder) BackendStatusChanged(backend string, s BackendStatus, _ float64) {
+	o.changes = append(o.changes, backend+" "+s.String())
 }
 
 // Each change of a backend's standing is told once: not again while it stays ejected.
-func TestStandingIsObserved(t *testing.T) {
-	o := &observed{fake: newFake()}
+func TestStatusChangesAreReported(t *testing.T) {
+	o := &statusRecorder{recorder: newRecorder()}
 	b := New(0, testSettings(), o)
-	b.UpdateList(0, true, zoneLines("b", 4))
+	b.UpdateList(0, true, zoneEntries("b", 4))
 	m := b.backends["b0"]
 	b.eject(0, m)
 	b.eject(0, m) // a trial has failed
-	b.updateEjection(0, &attempt{backend: m, probe: true}, &b.classes[safe], OK)
-	if want := []string{"b0 ejected", "b0 in_use"}; !slices.Equal(o.seen, want) {
-		t.Errorf("told %v, want %v", o.seen, want)
+	b.updateEjection(0, &attempt{backend: m, probe: true}, &b.classes[idempotent], OK)
+	if want := []string{"b0 ejected", "b0 in_use"}; !slices.Equal(o.changes, want) {
+		t.Errorf("told %v, want %v", o.changes, want)
 	}
 }
--- a/logic/recovery_test.go
+++ b/logic/recovery_test.go
@@ -16,39 +16,39 @@
 // so much ill of its backends that it makes no attempt by which it could learn better.
 
 // health is how a backend answers.
-type health int
+type behavior int
 
 const (
-	well     health = iota
-	failing         // with an error, at once
-	turning         // away, unseen
-	gone            // nobody there
-	hanging         // no answer
-	slow            // later than any attempt waits
-	sluggish        // within an attempt's time, most of them, and past the aim
+	healthy     behavior = iota
+	failing              // with an error, at once
+	rejecting            // away, unseen
+	unreachable          // nobody there
+	hanging              // no answer
+	slow                 // later than any attempt waits
+	lateAnswers          // within an attempt's time, most of them, and past the aim
 )
 
-func (h health) String() string {
+func (h behavior) String() string {
 	return [...]string{"well", "failing", "turning away", "gone", "hanging", "slow", "sluggish"}[h]
 }
 
 // reply draws how a call ends at a backend, and after how long.
-func (h health) reply(rng *rand.Rand) (logic.Result, time.Duration) {
+func (h behavior) drawReply(rng *rand.Rand) (logic.Result, time.Duration) {
 	between := func(least, most time.Duration) time.Duration {
 		return least + time.Duration(rng.Int64N(int64(most-least)))
 	}
 	switch h {
 	case failing:
 		return logic.Error, between(time.Millisecond, 10*time.Millisecond)
-	case turning:
+	case rejecting:
 		return logic.Rejected, between(time.Millisecond, 10*time.Millisecond)
-	case gone:
+	case unreachable:
 		return logic.ConnectFailed, time.Millisecond
 	case hanging:
 		return logic.OK, time.Hour
 	case slow:
 		return logic.OK, between(1500*time.Millisecond, 3*time.Second)
-	case sluggish:
+	case lateAnswers:
 		return logic.OK, between(500*time.Millisecond, 1100*time.Millisecond)
 	}
 	return logic.OK, between(50*time.Millisecond, 150*time.Millisecond)
@@ -56,9 +56,9 @@
 
 // timer is something due in virtual time.
 type timer struct {
-	at     logic.Time
-	number int // of those due together, the one set first goes first
-	do     func()
+	at       logic.Time
+	sequence int // of those due together, the one set first goes first
+	do       func()
 }
 
 // timers is a heap of them.
@@ -67,7 +67,7 @@
 func (t timers) Len() int      { return len(t) }
 func (t timers) Swap(i, j int) { t[i], t[j] = t[j], t[i] }
 func (t timers) Less(i, j int) bool {
-	return t[i].at < t[j].at || t[i].at == t[j].at && t[i].number < t[j].number
+	return t[i].at < t[j].at || t[i].at == t[j].at && t[i].sequence < t[j].sequence
 }
 func (t *timers) Push(x any) { *t = append(*t, x.(timer)) }
 func (t *timers) Pop() any {
@@ -90,36 +90,36 @@
 	stallRequests = 15
 )
 
-func (s stall) faulty() bool {
+func (s stall) exceedsBounds() bool {
 	return s.ended-s.began >= stallTime && s.requests >= stallRequests
 }
 
 // play is one balancer, its requests and its backends. It carries out the balancer's Actions.
-type play struct {
-	balancer *logic.Balancer
-	rng      *rand.Rand
-	now      logic.Time
-	due      timers
-	set      int // timers ever
-	health   health
-	requests int // ever
-	attempts map[string]int
-	served   int
-
-	watching bool // the spell is over
-	since    stall
-	worst    stall
+type simulation struct {
+	balancer  *logic.Balancer
+	rng       *rand.Rand
+	now       logic.Time
+	timers    timers
+	timersSet int // timers ever
+	behavior  behavior
+	requests  int // ever
+	attempts  map[string]int
+	served    int
+
+	recording bool // the spell is over
+	current   stall
+	worst     stall
 }
 
-func (p *play) after(wait time.Duration, do func()) {
-	p.set++
-	heap.Push(&p.due, timer{p.now + wait, p.set, do})
+func (p *simulation) after(wait time.Duration, do func()) {
+	p.timersSet++
+	heap.Push(&p.timers, timer{p.now + wait, p.timersSet, do})
 }
 
 // run plays until end.
-func (p *play) run(end logic.Time) {
-	for len(p.due) > 0 && p.due[0].at <= end {
-		next := heap.Pop(&p.due).(timer)
+func (p *simulation) run(end logic.Time) {
+	for len(p.timers) > 0 && p.timers[0].at <= end {
+		next := heap.Pop(&p.timers).(timer)
 		p.now = next.at
 		next.do()
 	}
@@ -127,34 +127,35 @@
 }
 
 // ask makes a request with a gap to the next one of mean length, until the gap is changed.
-func (p *play) ask(gap *time.Duration) {
+func (p *simulation) sendRequests(gap *time.Duration) {
 	p.requests++
 	id := "request-" + strconv.Itoa(p.requests)
 	class := p.rng.IntN(len(classes))
 	p.balancer.StartRequest(p.now, logic.Request{ID: id, Class: class, Budget: classes[class].Deadline})
 	if p.attempts[id] == 0 {
-		p.since.requests++
+		p.current.requests++
 	}
-	p.note()
-	p.after(time.Duration((0.5+p.rng.Float64())*float64(*gap)), func() { p.ask(gap) })
+	p.recordStall()
+	p.after(time.Duration((0.5+p.rng.Float64())*float64(*gap)), func() { p.sendRequests(gap) })
 }
 
 // note keeps the worst stretch without an attempt: a faulty one, or else the one with the most
 // requests.
-func (p *play) note() {
-	p.since.ended = p.now
-	if p.watching && !p.worst.faulty() && (p.since.faulty() || p.since.requests > p.worst.requests) {
-		p.worst = p.since
+func (p *simulation) recordStall() {
+	p.current.ended = p.now
+	if p.recording && !p.worst.exceedsBounds() &&
+		(p.current.exceedsBounds() || p.current.requests > p.worst.requests) {
+		p.worst = p.current
 	}
 }
 
 // Send implements logic.Actions.
-func (p *play) Send(request, _ string, timeout time.Duration) {
-	p.note()
-	p.since = stall{began: p.now}
+func (p *simulation) Send(request, _ string, timeout time.Duration) {
+	p.recordStall()
+	p.current = stall{began: p.now}
 	number := p.attempts[request]
 	p.attempts[request]++
-	result, latency := p.health.reply(p.rng)
+	result, latency := p.behavior.drawReply(p.rng)
 	if latency > timeout {
 		result, latency = logic.TimedOut, timeout
 	}
@@ -173,37 +174,36 @@
 }
 
 // Refuse implements logic.Actions.
-func (p *play) Refuse(string, time.Duration, logic.Cause) {}
+func (p *simulation) Refuse(string, time.Duration, logic.Cause) {}
 
 // Fail implements logic.Actions.
-func (p *play) Fail(string, logic.Cause) {}
+func (p *simulation) Fail(string, logic.Cause) {}
 
 // Cancel implements logic.Actions. No client leaves here.
-func (p *play) Cancel(string, int) {}
+func (p *simulation) Cancel(string, int) {}
 
 // Wake implements logic.Actions.
-func (p *play) StartTimer(token uint64, wait time.Duration) {
+func (p *simulation) StartTimer(token uint64, wait time.Duration) {
 	p.after(wait, func() { p.balancer.TimerFired(p.now, token) })
 }
 
 // CloseIdle implements logic.Actions.
-func (p *play) CloseIdle(string) {}
+func (p *simulation) CloseIdle(string) {}
 
 // WatchList implements logic.Actions. The list does not change here.
-func (p *play) WatchList() {}
+func (p *simulation) WatchList() {}
 
 var classes = []logic.Class{
 	{Name: "get", TargetLatency: 800 * time.Millisecond, Deadline: 2 * time.Second, Value: 3,
 		Idempotency: logic.Idempotent},
 	{Name: "put", TargetLatency: 800 * time.Millisecond, Deadline: 2 * time.Second, Value: 2,
-		Idempotency: logic.Deduplicated,
-		DedupWindow: 5 * time.Second},
+		Idempotency: logic.Deduplicated, DedupWindow: 5 * time.Second},
 	{Name: "pay", TargetLatency: 800 * time.Millisecond, Deadline: 2 * time.Second, Value: 1,
 		Idempotency: logic.NonIdempotent},
 }
 
 // shape is where the balancer stands.
-type shape struct {
+type deployment struct {
 	name      string
 	balancers int
 	tier      int
@@ -211,8 +211,8 @@
 	backends  int
 }
 
-func newPlay(s shape, seed uint64) *play {
-	p := &play{rng: rand.New(rand.NewPCG(seed, 1)), attempts: map[string]int{}}
+func newSimulation(s deployment, seed uint64) *simulation {
+	p := &simulation{rng: rand.New(rand.NewPCG(seed, 1)), attempts: map[string]int{}}
 	p.balancer = logic.New(0, logic.Settings{
 		Seed:                  seed,
 		Zone:                  "z1",
@@ -226,52 +226,53 @@
 		InitialWarmUpFraction: 0.2,
 		WarmUpTime:            10 * time.Second,
 	}, p)
-	var lines []logic.Backend
+	var entries []logic.Backend
 	for number := range s.backends {
 		zone := fmt.Sprintf("z%d", 1+number%2)
 		id := fmt.Sprintf("backend-%d", number)
-		lines = append(lines, logic.Backend{ID: id, Zone: zone, Cell: 1, Capacity: 1})
+		entries = append(entries, logic.Backend{ID: id, Zone: zone, Cell: 1, Capacity: 1})
 	}
-	p.balancer.UpdateList(0, true, lines)
+	p.balancer.UpdateList(0, true, entries)
 	return p
 }
 
 // The parts of a play, and how dense requests are in them.
 const (
-	calmBefore = 20 * time.Second
-	calmAfter  = 60 * time.Second
-	settled    = 20 * time.Second // at the end of it, in which requests must be served again
+	calmBefore    = 20 * time.Second
+	calmAfter     = 60 * time.Second
+	recoveredTime = 20 * time.Second // at the end of it, in which requests must be served again
 
-	thin  = 200 * time.Millisecond // 20 requests in the time of a stall
-	dense = 10 * time.Millisecond
+	lowTrafficGap  = 200 * time.Millisecond // 20 requests in the time of a stall
+	highTrafficGap = 10 * time.Millisecond
 )
 
 // recover plays a spell and the calm after it. It returns the worst stall of that calm, and
 // the share of requests served at its end.
-func (p *play) recover(bad health, spell, gap time.Duration) (worst stall, served float64) {
-	every := thin
-	p.after(0, func() { p.ask(&every) })
+func (p *simulation) failAndRecover(
+	failure behavior, duration, gap time.Duration) (worst stall, served float64) {
+	currentGap := lowTrafficGap
+	p.after(0, func() { p.sendRequests(&currentGap) })
 	p.run(calmBefore)
-	p.health, every = bad, gap
-	p.run(calmBefore + spell)
-	p.health, every = well, thin
-	p.watching, p.since = true, stall{began: p.now}
-	p.run(p.now + calmAfter - settled)
+	p.behavior, currentGap = failure, gap
+	p.run(calmBefore + duration)
+	p.behavior, currentGap = healthy, lowTrafficGap
+	p.recording, p.current = true, stall{began: p.now}
+	p.run(p.now + calmAfter - recoveredTime)
 	requests, before := p.requests, p.served
-	p.run(p.now + settled)
-	p.note()
+	p.run(p.now + recoveredTime)
+	p.recordStall()
 	return p.worst, float64(p.served-before) / float64(p.requests-requests)
 }
 
 // leastServed is the share of requests that a balancer before healthy backends must serve
 // once the calm has lasted for a while.
-const leastServed = 0.9
+const minServedShare = 0.9
 
 // Once backends are well again, thin traffic alone brings a balancer back: no 4 s on end in
 // which it turns all of 15 requests or more away without an attempt, and soon they are served.
 // Guards against ejections and limits that only an attempt could lift, and that allow none.
-func TestThinTrafficRecovers(t *testing.T) {
-	shapes := []shape{
+func TestLowTrafficRecovers(t *testing.T) {
+	deployments := []deployment{
 		{"one balancer", 1, 0, false, 10},
 		{"one backend", 1, 0, false, 1},
 		{"few balancers", 8, 0, false, 10},
@@ -280,38 +281,38 @@
 		{"a mesh", 100, 0, true, 30},
 		{"a large mesh", 1100, 0, true, 100},
 	}
-	spells := []time.Duration{5 * time.Second, 30 * time.Second, 2 * time.Minute}
-	for _, s := range shapes {
+	durations := []time.Duration{5 * time.Second, 30 * time.Second, 2 * time.Minute}
+	for _, s := range deployments {
 		t.Run(s.name, func(t *testing.T) {
 			t.Parallel()
-			most := 0
-			for bad := failing; bad <= sluggish; bad++ {
-				for _, spell := range spells {
-					for _, gap := range []time.Duration{thin, dense} {
-						what := fmt.Sprintf("%s for %v, a request each %v", bad, spell, gap)
-						worst, served := newPlay(s, 1).recover(bad, spell, gap)
-						most = max(most, worst.requests)
-						if worst.faulty() {
+			longest := 0
+			for failure := failing; failure <= lateAnswers; failure++ {
+				for _, duration := range durations {
+					for _, gap := range []time.Duration{lowTrafficGap, highTrafficGap} {
+						what := fmt.Sprintf("%s for %v, a request each %v", failure, duration, gap)
+						worst, served := newSimulation(s, 1).failAndRecover(failure, duration, gap)
+						longest = max(longest, worst.requests)
+						if worst.exceedsBounds() {
 							t.Errorf("%s: from %v on no attempt for %v and %d requests",
 								what, worst.began, worst.ended-worst.began, worst.requests)
 						}
-						if served < leastServed {
+						if served < minServedShare {
 							t.Errorf("%s: at the end %.0f%% are served", what, 100*served)
 						}
 					}
 				}
 			}
-			t.Logf("at most %d requests on end without an attempt", most)
+			t.Logf("at most %d requests on end without an attempt", longest)
 		})
 	}
 }
 
 // A check that can't fail says nothing: stretches on either side of its bounds.
-func TestStallCheckSeesAFault(t *testing.T) {
+func TestStallBounds(t *testing.T) {
 	for _, c := range []struct {
 		length   time.Duration
 		requests int
-		faulty   bool
+		exceeds  bool
 	}{
 		{stallTime, stallRequests, true},
 		{time.Minute, 300, true},
@@ -319,8 +320,9 @@
 		{time.Minute, stallRequests - 1, false},
 	} {
 		s := stall{began: time.Second, ended: time.Second + c.length, requests: c.requests}
-		if s.faulty() != c.faulty {
-			t.Errorf("%v with %d requests: faulty %v, want %v", c.length, c.requests, s.faulty(), c.faulty)
+		if s.exceedsBounds() != c.exceeds {
+			t.Errorf("%v with %d requests: counts as a fault: %v, want %v",
+				c.length, c.requests, s.exceedsBounds(), c.exceeds)
 		}
 	}
 }
--- a/logic/retry_test.go
+++ b/logic/retry_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-func TestFitBeforeFirstAttempt(t *testing.T) {
+func TestFirstAttemptMustFit(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		budget  time.Duration
@@ -23,23 +23,23 @@
 		{"no time at all", 0, 0, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			b, f := start(testSettings(), line("b", 1))
-			b.allow(safe, 100*ms)
-			b.StartRequest(0, Request{ID: "r", Class: safe, Budget: c.budget})
+			b, f := startBalancer(testSettings(), entry("b", 1))
+			b.setAttemptTimeout(idempotent, 100*ms)
+			b.StartRequest(0, Request{ID: "r", Class: idempotent, Budget: c.budget})
 			if len(f.sends) != c.sends {
 				t.Fatalf("%d sends, want %d", len(f.sends), c.sends)
 			}
 			if c.sends == 1 && f.sends[0].timeout != c.timeout {
 				t.Errorf("time-out %v, want %v", f.sends[0].timeout, c.timeout)
 			}
-			if c.sends == 0 && !f.one(t, "r").refused {
+			if c.sends == 0 && !f.onlyAnswer(t, "r").refused {
 				t.Error("nothing was sent, yet the answer is not a refusal")
 			}
 		})
 	}
 }
 
-func TestNextAttempt(t *testing.T) {
+func TestRetryAfterOutcome(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		class   int
@@ -48,26 +48,26 @@
 		retried bool
 		refused bool // if not retried
 	}{
-		{"safe after an error", safe, Error, 50 * ms, true, false},
-		{"safe after a time-out", safe, TimedOut, 100 * ms, true, false},
-		{"safe, but nothing fits", safe, TimedOut, 1900 * ms, false, true},
-		{"keyed after a time-out", keyed, TimedOut, 100 * ms, true, false},
-		{"keyed, forgotten by the backends", keyed, TimedOut, 950 * ms, false, true},
-		{"keyed in a zone, forgotten there", keyedZone, TimedOut, 950 * ms, false, false},
-		{"unsafe, proven not run", unsafe, Rejected, 10 * ms, true, false},
-		{"unsafe, no connection", unsafe, ConnectFailed, 10 * ms, true, false},
-		{"unsafe after an error", unsafe, Error, 10 * ms, false, false},
-		{"unsafe after a broken connection", unsafe, ConnectionLost, 10 * ms, false, false},
-		{"unsafe after a time-out", unsafe, TimedOut, 10 * ms, false, false},
+		{"safe after an error", idempotent, Error, 50 * ms, true, false},
+		{"safe after a time-out", idempotent, TimedOut, 100 * ms, true, false},
+		{"safe, but nothing fits", idempotent, TimedOut, 1900 * ms, false, true},
+		{"keyed after a time-out", deduplicated, TimedOut, 100 * ms, true, false},
+		{"keyed, forgotten by the backends", deduplicated, TimedOut, 950 * ms, false, true},
+		{"keyed in a zone, forgotten there", dedupInZone, TimedOut, 950 * ms, false, false},
+		{"unsafe, proven not run", nonIdempotent, Rejected, 10 * ms, true, false},
+		{"unsafe, no connection", nonIdempotent, ConnectFailed, 10 * ms, true, false},
+		{"unsafe after an error", nonIdempotent, Error, 10 * ms, false, false},
+		{"unsafe after a broken connection", nonIdempotent, ConnectionLost, 10 * ms, false, false},
+		{"unsafe after a time-out", nonIdempotent, TimedOut, 10 * ms, false, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			b, f := start(testSettings(), line("b", 1), line("b", 2))
+			b, f := startBalancer(testSettings(), entry("b", 1), entry("b", 2))
 			b.retryTokens = 5
-			b.allow(c.class, 100*ms)
+			b.setAttemptTimeout(c.class, 100*ms)
 			b.StartRequest(0, Request{ID: "r", Class: c.class, Budget: 2000 * ms})
 			b.AttemptDone(c.after, Outcome{Request: "r", Result: c.result, Latency: c.after})
 			if !c.retried {
-				if got := f.one(t, "r"); got.refused != c.refused {
+				if got := f.onlyAnswer(t, "r"); got.refused != c.refused {
 					t.Errorf("refused = %v, want %v", got.refused, c.refused)
 				}
 				if len(b.requests) != 0 {
@@ -75,7 +75,7 @@
 				}
 				return
 			}
-			token, wait := f.wait(t)
+			token, wait := f.takeTimer(t)
 			if wait <= 0 {
 				t.Error("no backoff")
 			}
@@ -93,34 +93,34 @@
 }
 
 // The fit is tested again when the backoff is over: timers may run late.
-func TestFitAfterBackoff(t *testing.T) {
-	b, f := start(testSettings(), line("b", 1))
+func TestRetryMustFitAfterBackoff(t *testing.T) {
+	b, f := startBalancer(testSettings(), entry("b", 1))
 	b.retryTokens = 5
-	b.allow(safe, 100*ms)
-	b.StartRequest(0, Request{ID: "r", Class: safe, Budget: 1000 * ms})
+	b.setAttemptTimeout(idempotent, 100*ms)
+	b.StartRequest(0, Request{ID: "r", Class: idempotent, Budget: 1000 * ms})
 	b.AttemptDone(100*ms, Outcome{Request: "r", Result: Error, Latency: 100 * ms})
-	token, _ := f.wait(t)
+	token, _ := f.takeTimer(t)
 	b.TimerFired(900*ms, token)
-	if len(f.sends) != 1 || !f.one(t, "r").refused {
+	if len(f.sends) != 1 || !f.onlyAnswer(t, "r").refused {
 		t.Error("sent though the allowance no longer fits")
 	}
 }
 
 // An attempt that none may follow gains nothing from an early time-out.
-func TestLastAttemptHasAllTheTime(t *testing.T) {
+func TestLastAttemptGetsAllTimeLeft(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		class    int
 		attempts int
 		want     time.Duration
 	}{
-		{"more may follow", safe, 3, 100 * ms},
-		{"must not run twice", unsafe, 3, 980 * ms},
-		{"the ceiling is reached", safe, 1, 980 * ms},
+		{"more may follow", idempotent, 3, 100 * ms},
+		{"must not run twice", nonIdempotent, 3, 980 * ms},
+		{"the ceiling is reached", idempotent, 1, 980 * ms},
 	} {
-		b, f := start(testSettings(), line("b", 1))
+		b, f := startBalancer(testSettings(), entry("b", 1))
 		b.settings.MaxAttempts = c.attempts
-		b.allow(c.class, 100*ms)
+		b.setAttemptTimeout(c.class, 100*ms)
 		b.StartRequest(0, Request{ID: "r", Class: c.class, Budget: 1000 * ms})
 		if got := f.last(t).timeout; got != c.want {
 			t.Errorf("%s: time-out %v, want %v", c.name, got, c.want)
@@ -129,15 +129,15 @@
 }
 
 func TestBackoffGrows(t *testing.T) {
-	b, f := start(testSettings(), line("b", 1))
+	b, f := startBalancer(testSettings(), entry("b", 1))
 	b.settings.MaxAttempts = 10
-	b.allow(safe, 100*ms)
+	b.setAttemptTimeout(idempotent, 100*ms)
 	now := Time(0)
-	b.StartRequest(now, Request{ID: "r", Class: safe, Budget: 2000 * ms})
+	b.StartRequest(now, Request{ID: "r", Class: idempotent, Budget: 2000 * ms})
 	var waits []time.Duration
 	for i := range 4 {
 		b.AttemptDone(now, Outcome{Request: "r", Attempt: i, Result: ConnectFailed})
-		token, wait := f.wait(t)
+		token, wait := f.takeTimer(t)
 		waits = append(waits, wait)
 		now += wait
 		b.TimerFired(now, token)
@@ -150,33 +150,33 @@
 	}
 }
 
-func TestAttemptsAreACeiling(t *testing.T) {
-	b, f := start(testSettings(), line("b", 1))
-	b.allow(safe, 10*ms)
-	b.StartRequest(0, Request{ID: "r", Class: safe, Budget: 2000 * ms})
+func TestMaxAttempts(t *testing.T) {
+	b, f := startBalancer(testSettings(), entry("b", 1))
+	b.setAttemptTimeout(idempotent, 10*ms)
+	b.StartRequest(0, Request{ID: "r", Class: idempotent, Budget: 2000 * ms})
 	for i := range 3 {
 		b.AttemptDone(Time(i)*20*ms, Outcome{Request: "r", Attempt: i, Result: ConnectFailed})
 		if i < 2 {
-			token, _ := f.wait(t)
+			token, _ := f.takeTimer(t)
 			b.TimerFired(Time(i)*20*ms+10*ms, token)
 		}
 	}
-	if len(f.sends) != 3 || !f.one(t, "r").refused {
+	if len(f.sends) != 3 || !f.onlyAnswer(t, "r").refused {
 		t.Errorf("%d sends, want the ceiling of 3 and a refusal", len(f.sends))
 	}
 }
 
 // A keyed request that may have run goes only to backends that drop its repeat.
-func TestKeyedStaysInItsGroup(t *testing.T) {
-	lines := []Backend{line("b", 1), line("b", 2), line("a", 1), line("c", 2)}
+func TestDeduplicatedStaysInScope(t *testing.T) {
+	lines := []Backend{entry("b", 1), entry("b", 2), entry("a", 1), entry("c", 2)}
 	for _, c := range []struct {
 		class int
 		same  func(x, y Backend) bool
 	}{
-		{keyedZone, func(x, y Backend) bool { return x.Zone == y.Zone }},
-		{keyedCell, func(x, y Backend) bool { return x.Cell == y.Cell }},
+		{dedupInZone, func(x, y Backend) bool { return x.Zone == y.Zone }},
+		{dedupInCell, func(x, y Backend) bool { return x.Cell == y.Cell }},
 	} {
-		b, f := start(testSettings(), lines...)
+		b, f := startBalancer(testSettings(), lines...)
 		byID := map[string]Backend{}
 		for _, l := range lines {
 			byID[l.ID] = l
@@ -185,18 +185,18 @@
 			id := fmt.Sprint("r", i)
 			now := Time(i) * 1000 * ms
 			b.retryTokens = 5
-			b.allow(c.class, 100*ms)
+			b.setAttemptTimeout(c.class, 100*ms)
 			b.StartRequest(now, Request{ID: id, Class: c.class, Budget: 2000 * ms})
 			first := byID[f.last(t).backend]
 			b.AttemptDone(now+50*ms, Outcome{Request: id, Result: ConnectionLost, Latency: 50 * ms})
 			if len(f.answers[id]) > 0 {
 				continue
 			}
-			token, wait := f.wait(t)
+			token, wait := f.takeTimer(t)
 			sends := len(f.sends)
 			b.TimerFired(now+50*ms+wait, token)
 			if len(f.sends) == sends {
-				f.one(t, id)
+				f.onlyAnswer(t, id)
 				continue
 			}
 			if second := byID[f.last(t).backend]; !c.same(first, second) {
@@ -210,18 +210,18 @@
 // Repeats saved up are what own traffic earns in the first ejection's time. Guards against
 // hundreds of balancers of thin traffic that each have ten to spend when a tier slows down:
 // in sum they add a fifth to what it already can't do.
-func TestRepeatsSavedUpOfThinTraffic(t *testing.T) {
+func TestRetryTokensAtLowTraffic(t *testing.T) {
 	for _, c := range []struct {
 		perSecond, most int
 	}{{10, 3}, {400, 12}} {
 		set := testSettings() // a tenth of the calls of a second may be repeated
 		set.Tier = 1
-		b, f := start(set, zoneLines("b", 4)...)
+		b, f := startBalancer(set, zoneEntries("b", 4)...)
 		now, gap := Time(0), 1000*ms/Time(c.perSecond)
 		call := func(i int, r Result) {
 			now += gap
 			id := fmt.Sprint("r", i)
-			b.StartRequest(now, Request{ID: id, Class: safe, Budget: 2000 * ms})
+			b.StartRequest(now, Request{ID: id, Class: idempotent, Budget: 2000 * ms})
 			b.AttemptDone(now+gap/2, Outcome{Request: id, Result: r, Latency: gap / 2, Final: r == OK})
 		}
 		for i := range 300 {
@@ -230,7 +230,7 @@
 		for i := range 15 {
 			call(300+i, Error)
 		}
-		if n := len(f.wakes); n > c.most || n == 0 {
+		if n := len(f.timers); n > c.most || n == 0 {
 			t.Errorf("%d calls a second: %d repeats of 15 calls, want up to %d", c.perSecond, n, c.most)
 		}
 	}
@@ -238,14 +238,14 @@
 
 // Guards against retries that burn what is left when all slow together.
 func TestRetryBudget(t *testing.T) {
-	b, f := start(testSettings(), zoneLines("b", 4)...)
+	b, f := startBalancer(testSettings(), zoneEntries("b", 4)...)
 	b.settings.Tier = 1
 	for i := range 200 {
 		id := fmt.Sprint("r", i)
-		b.StartRequest(0, Request{ID: id, Class: safe, Budget: 2000 * ms})
+		b.StartRequest(0, Request{ID: id, Class: idempotent, Budget: 2000 * ms})
 		b.AttemptDone(0, Outcome{Request: id, Result: Error})
 	}
-	if retries := len(f.wakes); retries > 21 || retries < 15 {
+	if retries := len(f.timers); retries > 21 || retries < 15 {
 		t.Errorf("%d retries of 200 failed calls, want about a tenth", retries)
 	}
 }
@@ -253,12 +253,12 @@
 // Connections that are reset now and then, a few in a thousand calls, say nothing of
 // those that are idle. Guards against hundreds of balancers that each answer one break
 // with some twenty new connections, to backends that hold few.
-func TestFewBreaksNoStormOfConnections(t *testing.T) {
+func TestFewLostConnectionsCauseNoReconnects(t *testing.T) {
 	closed, broken := 0, 0
 	for n := range 100 {
 		set := testSettings()
 		set.Seed, set.Tier, set.BalancerCount, set.BalancerIndex = uint64(n), 1, 100, n
-		b, f := start(set, zoneLines("b", 20)...)
+		b, f := startBalancer(set, zoneEntries("b", 20)...)
 		rng := rand.New(rand.NewPCG(uint64(n), 4))
 		for i := range 400 {
 			now, id, r := Time(i)*50*ms, fmt.Sprint("r", i), OK
@@ -266,7 +266,7 @@
 				r = ConnectionLost
 				broken++
 			}
-			b.StartRequest(now, Request{ID: id, Class: unsafe, Budget: 2000 * ms})
+			b.StartRequest(now, Request{ID: id, Class: nonIdempotent, Budget: 2000 * ms})
 			b.AttemptDone(now+ms, Outcome{Request: id, Result: r, Latency: ms, Final: r == OK})
 		}
 		closed += f.closed
@@ -278,14 +278,14 @@
 
 // Guards against connections dropped while idle: while many calls break, each
 // goes on a new connection, and no longer than that.
-func TestStaleConnections(t *testing.T) {
-	b, f := start(testSettings(), zoneLines("b", 4)...)
+func TestIdleConnectionsClosedAfterLosses(t *testing.T) {
+	b, f := startBalancer(testSettings(), zoneEntries("b", 4)...)
 	b.settings.Tier = 1
 	n := 0
 	call := func(r Result) {
 		id := fmt.Sprint("r", n)
 		n++
-		b.StartRequest(Time(n)*ms, Request{ID: id, Class: unsafe, Budget: 2000 * ms})
+		b.StartRequest(Time(n)*ms, Request{ID: id, Class: nonIdempotent, Budget: 2000 * ms})
 		b.AttemptDone(Time(n)*ms, Outcome{Request: id, Result: r, Latency: ms, Final: r == OK})
 	}
 	call(OK)
@@ -313,7 +313,7 @@
 // first attempt of what may be repeated, and in a lower tier of any: turned away there, the
 // work above is lost. Its time-out tells of the client, and neither raises the allowance nor
 // speaks against the backend.
-func TestClientsOfLittlePatience(t *testing.T) {
+func TestShortClientTimeouts(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		class   int
@@ -322,23 +322,23 @@
 		patient time.Duration
 		sent    bool
 	}{
-		{"over the mean", safe, 0, false, 250 * ms, true},
-		{"under the mean", safe, 0, false, 90 * ms, false},
-		{"must not run twice", unsafe, 0, false, 250 * ms, false},
-		{"a lower tier", safe, 1, false, 250 * ms, true},
-		{"a lower tier, must not run twice", unsafe, 1, false, 250 * ms, true},
-		{"a lower tier, under the mean", safe, 1, false, 90 * ms, false},
-		{"unlike traffic", safe, 0, true, 250 * ms, false},
+		{"over the mean", idempotent, 0, false, 250 * ms, true},
+		{"under the mean", idempotent, 0, false, 90 * ms, false},
+		{"must not run twice", nonIdempotent, 0, false, 250 * ms, false},
+		{"a lower tier", idempotent, 1, false, 250 * ms, true},
+		{"a lower tier, must not run twice", nonIdempotent, 1, false, 250 * ms, true},
+		{"a lower tier, under the mean", idempotent, 1, false, 90 * ms, false},
+		{"unlike traffic", idempotent, 0, true, 250 * ms, false},
 	} {
 		set := testSettings()
 		set.Tier, set.UnevenTraffic = c.tier, c.unlike
-		b, f := start(set, zoneLines("b", 4)...)
+		b, f := startBalancer(set, zoneEntries("b", 4)...)
 		for i := range 20 {
 			id := fmt.Sprint("before", i)
 			b.StartRequest(0, Request{ID: id, Class: c.class, Budget: 2000 * ms})
 			b.AttemptDone(0, Outcome{Request: id, Result: OK, Latency: 100 * ms, Final: true})
 		}
-		b.allow(c.class, 600*ms)
+		b.setAttemptTimeout(c.class, 600*ms)
 		before := len(f.sends)
 		b.StartRequest(ms, Request{ID: "r", Class: c.class, Budget: c.patient})
 		if got := len(f.sends) > before; got != c.sent {
@@ -346,18 +346,18 @@
 			continue
 		}
 		if !c.sent {
-			f.one(t, "r")
+			f.onlyAnswer(t, "r")
 			continue
 		}
 		to := b.backends[f.last(t).backend]
-		allowance, slowness, failures := b.classes[c.class].attemptTimeout, to.relativeLatency,
-			to.failureShare
+		attemptTimeout, relativeLatency, failureShare :=
+			b.classes[c.class].attemptTimeout, to.relativeLatency, to.failureShare
 		b.AttemptDone(c.patient, Outcome{Request: "r", Result: TimedOut, Latency: f.last(t).timeout})
-		if f.one(t, "r").refused != (c.class == safe) {
+		if f.onlyAnswer(t, "r").refused != (c.class == idempotent) {
 			t.Errorf("%s: refused only where another try is harmless", c.name)
 		}
-		if b.classes[c.class].attemptTimeout > allowance || to.relativeLatency != slowness ||
-			to.failureShare != failures {
+		if b.classes[c.class].attemptTimeout > attemptTimeout || to.relativeLatency != relativeLatency ||
+			to.failureShare != failureShare {
 			t.Errorf("%s: the time-out was learned from", c.name)
 		}
 	}
@@ -365,24 +365,24 @@
 
 // Guards against backends that lose a part of their answers and are taken for slow: all would go
 // to the few that lose none. A time-out counts for no more than two mean latencies, also for the limit.
-func TestLostAnswersAreNotSlowness(t *testing.T) {
+func TestLostAnswersDontCountAsSlow(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		uneven bool
 		slow   bool
 	}{{"unlike", true, false}, {"alike", false, true}} {
-		set := uneven()
+		set := unevenSettings()
 		set.UnevenTraffic = c.uneven
-		b, _ := start(set, zoneLines("b", 10)...)
-		b.allow(safe, 700*ms)
-		b.classes[safe].meanLatency, b.classes[safe].answerCount = float64(100*ms), 100
+		b, _ := startBalancer(set, zoneEntries("b", 10)...)
+		b.setAttemptTimeout(idempotent, 700*ms)
+		b.classes[idempotent].meanLatency, b.classes[idempotent].answerCount = float64(100*ms), 100
 		m := b.backends["b0"]
 		for i := range 20 { // every fourth answer is lost
 			o, latency := OK, 100*ms
 			if i%4 == 3 {
 				o, latency = TimedOut, 700*ms
 			}
-			q := &request{Request: Request{Class: safe}, attempts: []attempt{{backend: m}}}
+			q := &request{Request: Request{Class: idempotent}, attempts: []attempt{{backend: m}}}
 			b.recordOutcome(Time(i)*100*ms, q, &q.attempts[0], Outcome{Result: o, Latency: latency})
 			b.summaryVersion++
 			m.ejections = 0
@@ -395,24 +395,24 @@
 
 // Guards against idle connections that are dropped unseen: calls on them have no answer, where a
 // new connection has one. Busy ones stay open, since a new one is dear.
-func TestStaleIdleConnectionsWithoutABreak(t *testing.T) {
-	b, f := start(uneven(), zoneLines("b", 1)...)
-	now := feedOne(b, f, 0, OK) // a connection is made
+func TestIdleConnectionsDroppedSilently(t *testing.T) {
+	b, f := startBalancer(unevenSettings(), zoneEntries("b", 1)...)
+	now := runRequest(b, f, 0, OK) // a connection is made
 	for range 8 {
-		now = feedOne(b, f, now+3*time.Second, TimedOut)
+		now = runRequest(b, f, now+3*time.Second, TimedOut)
 	}
 	if f.closed == 0 {
 		t.Fatal("nothing was closed while all calls on idle connections had no answer")
 	}
 	closed := f.closed
 	for range 10 {
-		now = feedOne(b, f, now+50*ms, OK)
+		now = runRequest(b, f, now+50*ms, OK)
 	}
 	if n := f.closed - closed; n > 1 { // the first may have been idle
 		t.Errorf("connections in use were closed %d times", n)
 	}
 	for range 200 {
-		now = feedOne(b, f, now+50*ms, OK)
+		now = runRequest(b, f, now+50*ms, OK)
 	}
 	if b.idleTimeoutShare > idleTimeoutThreshold {
 		t.Errorf("after 200 answers %v of calls still count as lost", b.idleTimeoutShare)
@@ -420,9 +420,9 @@
 }
 
 // feedOne is one request whose attempts all end with r; it returns when the last one did.
-func feedOne(b *Balancer, f *fake, now Time, r Result) Time {
+func runRequest(b *Balancer, f *recorder, now Time, r Result) Time {
 	id := fmt.Sprint("one", now)
-	b.StartRequest(now, Request{ID: id, Class: safe, Budget: 2000 * ms})
+	b.StartRequest(now, Request{ID: id, Class: idempotent, Budget: 2000 * ms})
 	for n := 0; len(f.sends) > 0 && f.sends[len(f.sends)-1].request == id; n++ {
 		took := 100 * ms
 		if r == TimedOut {
@@ -431,8 +431,8 @@
 		now += took
 		before := len(f.sends)
 		b.AttemptDone(now, Outcome{Request: id, Attempt: n, Result: r, Latency: took, Final: r == OK})
-		for token, wait := range f.wakes {
-			delete(f.wakes, token)
+		for token, wait := range f.timers {
+			delete(f.timers, token)
 			b.TimerFired(now+wait, token)
 		}
 		if len(f.sends) == before {
--- a/logic/rules_test.go
+++ b/logic/rules_test.go
@@ -11,15 +11,15 @@
 // checks after each step what one balancer can see of the four rules.
 
 // world is a fake that plays backends and checks every action.
-type world struct {
+type randomWorld struct {
 	rng      *rand.Rand
-	set      Settings
-	b        *Balancer
+	settings Settings
+	balancer *Balancer
 	now      Time
 	open     map[string]*openRequest
 	ids      []string // of open requests and of those with attempts out, in order
 	backends map[string]Backend
-	wakes    []pendingWake
+	timers   []pendingTimer
 	fault    error
 	serial   int
 }
@@ -28,29 +28,29 @@
 	class    int
 	deadline Time
 	answered bool
-	tries    []*try
+	attempts []*attemptState
 }
 
-type try struct {
-	to      Backend
-	sent    Time
+type attemptState struct {
+	backend Backend
+	sentAt  Time
 	timeout time.Duration
 	done    bool
 	mayRun  bool // while out, and after any outcome that proves nothing
 }
 
-type pendingWake struct {
+type pendingTimer struct {
 	token uint64
 	at    Time
 }
 
-func (w *world) failf(format string, args ...any) {
+func (w *randomWorld) failf(format string, args ...any) {
 	if w.fault == nil {
 		w.fault = fmt.Errorf("at %v: %w", w.now, fmt.Errorf(format, args...))
 	}
 }
 
-func (w *world) Send(request, backend string, timeout time.Duration) {
+func (w *randomWorld) Send(request, backend string, timeout time.Duration) {
 	q, to := w.open[request], w.backends[backend]
 
 	switch {
@@ -61,53 +61,53 @@
 		w.failf("%s: sent after its answer", request)
 	case to.ID == "" || to.State != Up:
 		w.failf("%s: sent to %s, which drains or is gone", request, backend)
-	case len(q.tries) >= w.set.MaxAttempts:
+	case len(q.attempts) >= w.settings.MaxAttempts:
 		w.failf("%s: more attempts than allowed", request)
 	case timeout <= 0 || w.now+timeout > q.deadline:
 		w.failf("%s: time-out %v passes the deadline", request, timeout)
 	}
-	c := w.set.Classes[q.class]
-	for _, t := range q.tries {
+	c := w.settings.Classes[q.class]
+	for _, t := range q.attempts {
 		if !t.done {
 			w.failf("%s: two attempts out together", request)
 		}
 		if !t.mayRun {
 			continue
 		}
-		same := c.DedupScope == ScopeAll || c.DedupScope == ScopeZone && t.to.Zone == to.Zone ||
-			c.DedupScope == ScopeCell && t.to.Cell == to.Cell
+		same := c.DedupScope == ScopeAll || c.DedupScope == ScopeZone && t.backend.Zone == to.Zone ||
+			c.DedupScope == ScopeCell && t.backend.Cell == to.Cell
 		switch {
 		case c.Idempotency == NonIdempotent:
 			w.failf("%s: unsafe, sent again after it may have run", request)
 		case c.Idempotency == Deduplicated && !same:
-			w.failf("%s: keyed, sent from %s to %s outside its group", request, t.to.ID, to.ID)
-		case c.Idempotency == Deduplicated && w.now-t.sent > c.DedupWindow:
+			w.failf("%s: keyed, sent from %s to %s outside its group", request, t.backend.ID, to.ID)
+		case c.Idempotency == Deduplicated && w.now-t.sentAt > c.DedupWindow:
 			w.failf("%s: keyed, sent again after it was forgotten", request)
 		}
 	}
-	q.tries = append(q.tries, &try{to: to, sent: w.now, timeout: timeout, mayRun: true})
+	q.attempts = append(q.attempts, &attemptState{backend: to, sentAt: w.now, timeout: timeout, mayRun: true})
 }
 
-func (w *world) Refuse(request string, comeBack time.Duration, _ Cause) {
+func (w *randomWorld) Refuse(request string, retryAfter time.Duration, _ Cause) {
 	q := w.answer(request)
 	if q == nil {
 		return
 	}
-	c := w.set.Classes[q.class]
-	for _, t := range q.tries {
+	c := w.settings.Classes[q.class]
+	for _, t := range q.attempts {
 		if t.mayRun && (c.Idempotency == NonIdempotent ||
 			c.Idempotency == Deduplicated && c.DedupScope != ScopeAll) {
 			w.failf("%s: refused, though it may have run", request)
 		}
 	}
-	if comeBack < 0 || comeBack > w.set.MaxRetryAfter {
-		w.failf("%s: come back after %v", request, comeBack)
+	if retryAfter < 0 || retryAfter > w.settings.MaxRetryAfter {
+		w.failf("%s: come back after %v", request, retryAfter)
 	}
 }
 
-func (w *world) Fail(request string, _ Cause) { w.answer(request) }
+func (w *randomWorld) Fail(request string, _ Cause) { w.answer(request) }
 
-func (w *world) answer(request string) *openRequest {
+func (w *randomWorld) answer(request string) *openRequest {
 	q := w.open[request]
 	if q == nil || q.answered {
 		w.failf("%s: a second answer", request)
@@ -117,74 +117,75 @@
 	return q
 }
 
-func (w *world) StartTimer(token uint64, after time.Duration) {
-	w.wakes = append(w.wakes, pendingWake{token, w.now + after})
+func (w *randomWorld) StartTimer(token uint64, after time.Duration) {
+	w.timers = append(w.timers, pendingTimer{token, w.now + after})
 }
 
-func (w *world) CloseIdle(string) {}
+func (w *randomWorld) CloseIdle(string) {}
 
-func (w *world) Cancel(request string, attempt int) {
+func (w *randomWorld) Cancel(request string, attempt int) {
 	q := w.open[request]
-	if !w.set.CancelAbandoned || q == nil || attempt < 0 || attempt >= len(q.tries) || q.tries[attempt].done {
+	if !w.settings.CancelAbandoned || q == nil || attempt < 0 || attempt >= len(q.attempts) ||
+		q.attempts[attempt].done {
 		w.failf("%s: attempt %d cancelled, which is not out", request, attempt)
 	}
 }
 
 // step lets some time pass and one thing happen.
-func (w *world) step() {
+func (w *randomWorld) step() {
 	w.now += time.Duration(w.rng.IntN(int(8 * ms)))
-	w.due()
+	w.fireTimers()
 	switch w.rng.IntN(12) {
 	case 0:
 		w.changeList()
 	case 1:
-		w.clientLeaves()
+		w.disconnectClient()
 	case 2, 3, 4, 5:
-		w.arrive()
+		w.startRequest()
 	default:
 		w.finishOne()
 	}
 	w.check()
 }
 
-func (w *world) arrive() {
+func (w *randomWorld) startRequest() {
 	w.serial++
 	id := fmt.Sprint("r", w.serial)
 	budget := time.Duration(w.rng.IntN(int(2000 * ms)))
 	if w.rng.IntN(20) == 0 {
 		budget = 0
 	}
-	class := w.rng.IntN(len(w.set.Classes))
+	class := w.rng.IntN(len(w.settings.Classes))
 	w.open[id] = &openRequest{class: class, deadline: w.now + budget}
 	w.ids = append(w.ids, id)
-	retry := w.set.UnevenTraffic && w.rng.IntN(4) == 0
-	w.b.StartRequest(w.now, Request{ID: id, Class: class, Budget: budget, ClientRetry: retry})
+	retry := w.settings.UnevenTraffic && w.rng.IntN(4) == 0
+	w.balancer.StartRequest(w.now, Request{ID: id, Class: class, Budget: budget, ClientRetry: retry})
 }
 
 // due fires wakes and time-outs whose time has come, in order.
-func (w *world) due() {
-	for i := 0; i < len(w.wakes); i++ {
-		if p := w.wakes[i]; p.at <= w.now {
-			w.wakes = append(w.wakes[:i], w.wakes[i+1:]...)
+func (w *randomWorld) fireTimers() {
+	for i := 0; i < len(w.timers); i++ {
+		if p := w.timers[i]; p.at <= w.now {
+			w.timers = append(w.timers[:i], w.timers[i+1:]...)
 			i--
-			w.b.TimerFired(w.now, p.token)
+			w.balancer.TimerFired(w.now, p.token)
 		}
 	}
 	for _, id := range append([]string(nil), w.ids...) {
-		for n, t := range w.open[id].tries {
-			if !t.done && w.now >= t.sent+t.timeout {
+		for n, t := range w.open[id].attempts {
+			if !t.done && w.now >= t.sentAt+t.timeout {
 				w.finish(id, n, TimedOut)
 			}
 		}
 	}
 }
 
-func (w *world) finishOne() {
+func (w *randomWorld) finishOne() {
 	if len(w.ids) == 0 {
 		return
 	}
 	id := w.ids[w.rng.IntN(len(w.ids))]
-	for n, t := range w.open[id].tries {
+	for n, t := range w.open[id].attempts {
 		if !t.done {
 			w.finish(id, n, Result(w.rng.IntN(int(NotSent)+1)))
 			return
@@ -192,28 +193,29 @@
 	}
 }
 
-func (w *world) finish(id string, n int, r Result) {
+func (w *randomWorld) finish(id string, n int, r Result) {
 	q := w.open[id]
-	t := q.tries[n]
+	t := q.attempts[n]
 	t.done = true
 	t.mayRun = r != Rejected && r != ConnectFailed && r != NotSent
 	final := q.answered || r == OK
 	q.answered = final
-	w.b.AttemptDone(w.now, Outcome{Request: id, Attempt: n, Result: r, Latency: w.now - t.sent, Final: final})
+	w.balancer.AttemptDone(w.now, Outcome{Request: id, Attempt: n, Result: r, Latency: w.now - t.sentAt,
+		Final: final})
 }
 
-func (w *world) clientLeaves() {
+func (w *randomWorld) disconnectClient() {
 	if len(w.ids) == 0 {
 		return
 	}
 	id := w.ids[w.rng.IntN(len(w.ids))]
 	if q := w.open[id]; !q.answered {
 		q.answered = true
-		w.b.ClientGone(w.now, id)
+		w.balancer.ClientGone(w.now, id)
 	}
 }
 
-func (w *world) changeList() {
+func (w *randomWorld) changeList() {
 	id := fmt.Sprint("b", w.rng.IntN(12))
 	l, known := w.backends[id]
 	if !known || l.State == Removed {
@@ -224,25 +226,25 @@
 	}
 	w.backends[id] = l
 	if w.rng.IntN(4) > 0 {
-		w.b.UpdateList(w.now, false, []Backend{l})
+		w.balancer.UpdateList(w.now, false, []Backend{l})
 		return
 	}
-	var lines []Backend
+	var entries []Backend
 	for i := range 12 { // a full list names what is not removed
 		if l, ok := w.backends[fmt.Sprint("b", i)]; ok && l.State != Removed {
-			lines = append(lines, l)
+			entries = append(entries, l)
 		}
 	}
-	w.b.UpdateList(w.now, true, lines)
+	w.balancer.UpdateList(w.now, true, entries)
 }
 
 // check looks at what must hold between events.
-func (w *world) check() {
+func (w *randomWorld) check() {
 	kept := w.ids[:0]
 	for _, id := range w.ids {
 		q := w.open[id]
 		out := 0
-		for _, t := range q.tries {
+		for _, t := range q.attempts {
 			if !t.done {
 				out++
 			}
@@ -257,16 +259,17 @@
 		kept = append(kept, id)
 	}
 	w.ids = kept
-	if len(w.b.requests) > len(w.ids) {
-		w.failf("the module holds %d requests, %d are open", len(w.b.requests), len(w.ids))
+	if len(w.balancer.requests) > len(w.ids) {
+		w.failf("the module holds %d requests, %d are open", len(w.balancer.requests), len(w.ids))
 	}
-	if len(w.b.backends) > 12 || len(w.b.backoffTimers) > len(w.ids) {
-		w.failf("the module remembers %d backends and %d waits", len(w.b.backends), len(w.b.backoffTimers))
+	if len(w.balancer.backends) > 12 || len(w.balancer.backoffTimers) > len(w.ids) {
+		w.failf("the module remembers %d backends and %d waits",
+			len(w.balancer.backends), len(w.balancer.backoffTimers))
 	}
 }
 
 // play runs a world; spoil may break the module, to show that checks catch it.
-func play(seed uint64, steps int, spoil func(*Balancer)) error {
+func runRandomEvents(seed uint64, steps int, breakBalancer func(*Balancer)) error {
 	set := testSettings()
 	set.Seed, set.BalancerCount = seed, []int{1, 3, 30, 400}[seed/2%4] // in either tier
 	set.BalancerIndex = int(seed % uint64(set.BalancerCount))
@@ -275,13 +278,13 @@
 		set.Classes[i].DedupWindow = 200 * ms // short enough to run out between attempts
 	}
 	set.UnevenTraffic, set.CancelAbandoned, set.EqualClasses = seed%4 > 1, seed%8 > 3, seed%5 > 2
-	w := &world{
-		rng: rand.New(rand.NewPCG(seed, 1)), set: set,
+	w := &randomWorld{
+		rng: rand.New(rand.NewPCG(seed, 1)), settings: set,
 		open: map[string]*openRequest{}, backends: map[string]Backend{},
 	}
-	w.b = New(0, set, w)
-	if spoil != nil {
-		spoil(w.b)
+	w.balancer = New(0, set, w)
+	if breakBalancer != nil {
+		breakBalancer(w.balancer)
 	}
 	for range 6 {
 		w.changeList()
@@ -294,14 +297,14 @@
 
 func TestRulesHoldThroughRandomEvents(t *testing.T) {
 	for seed := range uint64(40) {
-		if err := play(seed, 3000, nil); err != nil {
+		if err := runRandomEvents(seed, 3000, nil); err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
 	}
 }
 
 // Each check must be able to fail: a module told wrong things breaks the rules.
-func TestChecksCatchABrokenModule(t *testing.T) {
+func TestRuleChecksDetectViolations(t *testing.T) {
 	classes := func(change func(*Class)) func(*Balancer) {
 		return func(b *Balancer) {
 			b.settings.Classes = append([]Class(nil), b.settings.Classes...)
@@ -322,7 +325,7 @@
 	} {
 		caught := false
 		for seed := uint64(0); seed < 200 && !caught; seed++ {
-			caught = play(seed, 3000, c.spoil) != nil
+			caught = runRandomEvents(seed, 3000, c.spoil) != nil
 		}
 		if !caught {
 			t.Errorf("%s: no check fails", c.name)
@@ -335,7 +338,7 @@
 		f.Add(seed)
 	}
 	f.Fuzz(func(t *testing.T, seed uint64) {
-		if err := play(seed, 500, nil); err != nil {
+		if err := runRandomEvents(seed, 500, nil); err != nil {
 			t.Error(err)
 		}
 	})
@@ -343,8 +346,8 @@
 
 // What is kept for a request, a wait or a backend goes with it: after thousands of
 // each, with every end that there is, nothing of them is left.
-func TestChurnLeavesNothing(t *testing.T) {
-	b, f := start(testSettings(), zoneLines("b", 4)...)
+func TestChurnLeavesNoState(t *testing.T) {
+	b, f := startBalancer(testSettings(), zoneEntries("b", 4)...)
 	rng := rand.New(rand.NewPCG(11, 0))
 	now, next := Time(0), 4
 	names := []string{"b0", "b1", "b2", "b3"}
@@ -375,9 +378,9 @@
 			}
 		}
 		if i%5 == 0 { // another one in the place of the oldest
-			gone := line("b", 0)
+			gone := entry("b", 0)
 			gone.ID, gone.State = names[0], Removed
-			come := line("b", next)
+			come := entry("b", next)
 			come.StartedAt = now
 			b.UpdateList(now, false, []Backend{gone, come})
 			names = append(names[1:], come.ID)
--- a/logic/selection_test.go
+++ b/logic/selection_test.go
@@ -12,11 +12,11 @@
 )
 
 func TestOwnZoneFirstThenSpill(t *testing.T) {
-	b, f := start(testSettings(), append(zoneLines("b", 2), zoneLines("c", 2)...)...)
+	b, f := startBalancer(testSettings(), append(zoneEntries("b", 2), zoneEntries("c", 2)...)...)
 	b.settings.Tier = 1
 	zones := map[byte]int{}
 	for i := range 12 {
-		b.StartRequest(0, Request{ID: fmt.Sprint("r", i), Class: safe, Budget: 2000 * ms})
+		b.StartRequest(0, Request{ID: fmt.Sprint("r", i), Class: idempotent, Budget: 2000 * ms})
 		zone := f.last(t).backend[0]
 		if i < 2 && zone != 'b' {
 			t.Errorf("call %d left the own zone while it was idle", i)
@@ -28,12 +28,12 @@
 	}
 }
 
-func TestRotationSkipsTheBusy(t *testing.T) {
-	b, f := start(testSettings(), zoneLines("b", 4)...)
+func TestRotationSkipsBusyBackends(t *testing.T) {
+	b, f := startBalancer(testSettings(), zoneEntries("b", 4)...)
 	b.settings.Tier = 1
 	seen := map[string]int{}
 	for i := range 8 {
-		b.StartRequest(0, Request{ID: fmt.Sprint("r", i), Class: safe, Budget: 2000 * ms})
+		b.StartRequest(0, Request{ID: fmt.Sprint("r", i), Class: idempotent, Budget: 2000 * ms})
 		seen[f.last(t).backend]++
 	}
 	for id, n := range seen {
@@ -43,7 +43,7 @@
 	}
 	b.addInFlight(b.backends["b2"], 20)
 	for i := range 6 {
-		b.StartRequest(0, Request{ID: fmt.Sprint("s", i), Class: safe, Budget: 2000 * ms})
+		b.StartRequest(0, Request{ID: fmt.Sprint("s", i), Class: idempotent, Budget: 2000 * ms})
 		if f.last(t).backend == "b2" {
 			t.Error("sent to the backend well above the mean")
 		}
@@ -53,7 +53,7 @@
 // Guards against slow and choked backends: an equal part of the calls in flight
 // keeps them choked and makes most of those calls late. They are tried again.
 func TestSlowBackendGetsFewerCalls(t *testing.T) {
-	b, f := start(testSettings(), zoneLines("b", 4)...)
+	b, f := startBalancer(testSettings(), zoneEntries("b", 4)...)
 	b.settings.Tier = 1
 	type call struct {
 		id string
@@ -74,7 +74,7 @@
 			out = out[1:]
 		}
 		id := fmt.Sprint("r", i)
-		b.StartRequest(now, Request{ID: id, Class: safe, Budget: 2000 * ms})
+		b.StartRequest(now, Request{ID: id, Class: idempotent, Budget: 2000 * ms})
 		counts[f.last(t).backend]++
 		out = append(out, call{id, f.last(t).backend, now + 40*ms})
 	}
@@ -85,16 +85,16 @@
 
 // Guards against small backends that no call reaches while few are in flight:
 // one call there always looked well above the mean.
-func TestTurnsGoBySize(t *testing.T) {
-	lines := zoneLines("b", 4)
+func TestTurnsAreWeightedByCapacity(t *testing.T) {
+	lines := zoneEntries("b", 4)
 	lines[0].Capacity, lines[1].Capacity = 0.5, 2.5
-	b, f := start(testSettings(), lines...)
+	b, f := startBalancer(testSettings(), lines...)
 	b.settings.Tier = 1
 	got := map[string]int{}
 	for i := range 650 {
 		id := fmt.Sprint("r", i)
 		now := Time(i) * 100 * ms
-		b.StartRequest(now, Request{ID: id, Class: unsafe, Budget: 2000 * ms})
+		b.StartRequest(now, Request{ID: id, Class: nonIdempotent, Budget: 2000 * ms})
 		got[f.last(t).backend]++
 		b.AttemptDone(now+10*ms, Outcome{Request: id, Result: OK, Latency: 10 * ms, Final: true})
 	}
@@ -108,17 +108,17 @@
 // Guards against balancers that meet each backend too seldom to tell that it is
 // slow: many balancers each go round a part of the group, few round all of it,
 // and in sum all backends are reached by their size.
-func TestReachIsEvenInSum(t *testing.T) {
+func TestSubsetsCoverBackendsEvenly(t *testing.T) {
 	for _, balancers := range []int{1, 4, 60, 300} {
 		reached := map[string]float64{}
 		for n := range balancers {
 			set := testSettings()
 			set.BalancerIndex, set.BalancerCount = n, balancers
-			lines := zoneLines("b", 30)
+			lines := zoneEntries("b", 30)
 			for i := range lines {
 				lines[i].Capacity = float64(1 + i%3)
 			}
-			b, _ := start(set, lines...)
+			b, _ := startBalancer(set, lines...)
 			for _, m := range b.listed {
 				if balancers <= 4 && m.subsetCapacity < 0.999*m.Capacity {
 					t.Errorf("one of %d balancers reaches %v of %v", balancers, m.subsetCapacity, m.Capacity)
@@ -138,17 +138,17 @@
 
 // Guards against a slow backend that keeps an equal part of the calls of many
 // balancers, each of which meets it so seldom that it has forgotten.
-func TestManyBalancersLeaveASlowBackend(t *testing.T) {
+func TestManyBalancersAvoidSlowBackend(t *testing.T) {
 	got := map[string]int{}
 	const balancers, perSecond = 100, 5
 	for n := range balancers {
 		set := oneOfMany(n, balancers)
-		b, f := start(set, zoneLines("b", 20)...)
+		b, f := startBalancer(set, zoneEntries("b", 20)...)
 		rng := rand.New(rand.NewPCG(uint64(n), 3))
 		for now := Time(0); now < 20*1000*ms; {
 			now += time.Duration(rng.ExpFloat64() / perSecond * float64(1000*ms))
 			id := fmt.Sprint("r", int64(now))
-			b.StartRequest(now, Request{ID: id, Class: unsafe, Budget: 2000 * ms})
+			b.StartRequest(now, Request{ID: id, Class: nonIdempotent, Budget: 2000 * ms})
 			to, latency := f.last(t).backend, 50*ms
 			if to == "b3" {
 				latency = 200 * ms
@@ -167,17 +167,17 @@
 // Where all of their arcs is busy, many balancers spread over the rest of the group.
 // Guards against turns lost together, which are next in the order of the ids: a few calls
 // of each balancer go past its arc, and in sum they would choke the first backends.
-func TestManyBalancersSpreadPastTheirArcs(t *testing.T) {
+func TestManyBalancersSpreadBeyondSubsets(t *testing.T) {
 	const balancers, backends, each, open = 200, 40, 50, 8
 	got := map[string]int{}
 	for n := range balancers {
-		b, f := start(oneOfMany(n, balancers), zoneLines("b", backends)...)
-		for _, to := range b.withOpen(t, f, each, open) { // more in flight than its arc has backends
+		b, f := startBalancer(oneOfMany(n, balancers), zoneEntries("b", backends)...)
+		for _, to := range b.runWithInFlight(t, f, each, open) { // more in flight than its arc has backends
 			got[to]++
 		}
 	}
 	const mean = balancers * each / backends
-	for _, l := range zoneLines("b", backends) {
+	for _, l := range zoneEntries("b", backends) {
 		if n := got[l.ID]; n < mean/2 || n > 3*mean/2 {
 			t.Errorf("%s got %d calls, %d on the mean", l.ID, n, mean)
 		}
@@ -187,12 +187,12 @@
 // What goes past its arc goes to the few next on the ring. Guards against a slow spell in
 // which each of hundreds of balancers calls each of the choked backends, and has to learn of
 // it by a time-out of its own: in sum these keep it choked.
-func TestBalancerMeetsFewBackendsPastItsArc(t *testing.T) {
+func TestFewBackendsUsedBeyondSubset(t *testing.T) {
 	const balancers, backends, each, open = 50, 40, 200, 8
 	for n := range balancers {
-		b, f := start(oneOfMany(n, 200), zoneLines("b", backends)...)
+		b, f := startBalancer(oneOfMany(n, 200), zoneEntries("b", backends)...)
 		met := map[string]bool{}
-		for _, to := range b.withOpen(t, f, each, open) {
+		for _, to := range b.runWithInFlight(t, f, each, open) {
 			met[to] = true
 		}
 		if len(met) > 2*open {
@@ -204,21 +204,21 @@
 // Balancers that see a call a second or two keep off backends that answer nothing. Guards
 // against a time-out that counts a fifth, where the next call there is as far away as the
 // time for which anything is remembered.
-func TestThinTrafficLeavesChokedBackends(t *testing.T) {
+func TestLowTrafficAvoidsOverloadedBackends(t *testing.T) {
 	const balancers, backends, choked, perSecond = 60, 12, 4, 2
 	calls, lost := 0, 0
 	silent := map[string]bool{}
-	for _, l := range zoneLines("b", choked) {
+	for _, l := range zoneEntries("b", choked) {
 		silent[l.ID] = true
 	}
 	for n := range balancers {
 		set := oneOfMany(n, balancers)
-		b, f := start(set, zoneLines("b", backends)...)
+		b, f := startBalancer(set, zoneEntries("b", backends)...)
 		rng := rand.New(rand.NewPCG(uint64(n), 3))
 		for now, i := Time(0), 0; now < 30*1000*ms; i++ {
 			now += time.Duration(rng.ExpFloat64() / perSecond * float64(1000*ms))
 			id := fmt.Sprint("r", i)
-			b.StartRequest(now, Request{ID: id, Class: safe, Budget: 2000 * ms})
+			b.StartRequest(now, Request{ID: id, Class: idempotent, Budget: 2000 * ms})
 			calls++
 			if silent[f.last(t).backend] {
 				lost++
@@ -241,15 +241,16 @@
 // A zone whose backends are all gone is left after some calls, long before the list knows.
 // Guards against calls that no backend can take being seen as what all backends share: the
 // balancers of that zone, which call no other, would turn nothing away from it.
-func TestZoneThatIsGoneIsLeft(t *testing.T) {
+func TestUnreachableZoneIsAvoided(t *testing.T) {
 	const each, perSecond = 10, 20
 	set := testSettings()
-	b, f := start(set, slices.Concat(zoneLines("a", each), zoneLines("b", each), zoneLines("c", each))...)
+	b, f := startBalancer(set, slices.Concat(
+		zoneEntries("a", each), zoneEntries("b", each), zoneEntries("c", each))...)
 	away, now := 0, Time(0)
 	for i := range 200 {
 		now += 1000 * ms / perSecond
 		id := fmt.Sprint("r", i)
-		b.StartRequest(now, Request{ID: id, Class: unsafe, Budget: 2000 * ms})
+		b.StartRequest(now, Request{ID: id, Class: nonIdempotent, Budget: 2000 * ms})
 		r := OK
 		if f.last(t).backend[:1] == "b" {
 			r = ConnectFailed
@@ -265,19 +266,19 @@
 
 // Guards against requests that use up their attempts in a zone that is lost: a repeat of a
 // call that no backend took goes to another zone, where there is one.
-func TestRepeatLeavesALostZone(t *testing.T) {
+func TestRetryLeavesUnreachableZone(t *testing.T) {
 	for _, zones := range []string{"b", "bc"} {
 		var lines []Backend
 		for _, z := range zones {
-			lines = append(lines, zoneLines(string(z), 6)...)
+			lines = append(lines, zoneEntries(string(z), 6)...)
 		}
-		b, f := start(testSettings(), lines...)
-		b.StartRequest(0, Request{ID: "r", Class: unsafe, Budget: 2000 * ms})
+		b, f := startBalancer(testSettings(), lines...)
+		b.StartRequest(0, Request{ID: "r", Class: nonIdempotent, Budget: 2000 * ms})
 		if to := f.last(t).backend; to[:1] != "b" {
 			t.Fatalf("sent to %s first", to)
 		}
 		b.AttemptDone(ms, Outcome{Request: "r", Result: ConnectFailed, Latency: ms})
-		token, after := f.wait(t)
+		token, after := f.takeTimer(t)
 		b.TimerFired(ms+after, token)
 		if len(f.sends) != 2 {
 			t.Fatalf("zones %s: %d attempts", zones, len(f.sends))
@@ -291,7 +292,7 @@
 // Where a zone is lost, its balancers spread over all that are left. Guards against all of
 // them meeting in the next zone, which chokes under twice its traffic while others idle: a
 // balancer's own calls alone never make that zone look busy.
-func TestLostZoneSpreadsOverTheOthers(t *testing.T) {
+func TestTrafficOfUnreachableZoneSpreads(t *testing.T) {
 	const balancers, each, open = 20, 10, 6
 	got := map[string]int{}
 	for n := range balancers {
@@ -300,10 +301,10 @@
 		set.Zones = []string{"a", "b", "c", "d", "e"}
 		var left []Backend
 		for _, zone := range []string{"a", "c", "d", "e"} {
-			left = append(left, zoneLines(zone, each)...)
+			left = append(left, zoneEntries(zone, each)...)
 		}
-		b, f := start(set, left...)
-		for _, to := range b.withOpen(t, f, 60, open) {
+		b, f := startBalancer(set, left...)
+		for _, to := range b.runWithInFlight(t, f, 60, open) {
 			got[to[:1]]++
 		}
 	}
@@ -319,11 +320,11 @@
 func TestLastZoneIsUsed(t *testing.T) {
 	set := testSettings()
 	set.Zones = []string{"a", "b", "c", "d"}
-	b, f := start(set, line("a", 0), line("b", 0), line("c", 0), line("d", 0))
+	b, f := startBalancer(set, entry("a", 0), entry("b", 0), entry("c", 0), entry("d", 0))
 	b.settings.Tier = 1
 	zones := map[byte]int{}
 	for i := range 14 {
-		b.StartRequest(0, Request{ID: fmt.Sprint("r", i), Class: safe, Budget: 2000 * ms})
+		b.StartRequest(0, Request{ID: fmt.Sprint("r", i), Class: idempotent, Budget: 2000 * ms})
 		zones[f.last(t).backend[0]]++
 	}
 	for _, z := range set.Zones {
--- a/logic/slowstart_test.go
+++ b/logic/slowstart_test.go
@@ -13,17 +13,17 @@
 
 // Guards against pushing a cold backend over: whatever its warm peers are doing,
 // it gets no more than its part, and that spread out.
-func TestColdBackendGetsItsPart(t *testing.T) {
-	cold := line("b", 9)
+func TestSlowStartShare(t *testing.T) {
+	cold := entry("b", 9)
 	cold.StartedAt = 1
-	b, f := start(testSettings(), append(zoneLines("b", 4), cold)...)
+	b, f := startBalancer(testSettings(), append(zoneEntries("b", 4), cold)...)
 	b.settings.Tier = 1
 	counts := map[string]int{}
 	run := Time(0)
 	for i := range 400 {
 		run = Time(i) * 5 * ms
 		id := fmt.Sprint("r", i)
-		b.StartRequest(run, Request{ID: id, Class: safe, Budget: 2000 * ms})
+		b.StartRequest(run, Request{ID: id, Class: idempotent, Budget: 2000 * ms})
 		counts[f.last(t).backend]++
 		b.AttemptDone(run+2*ms, Outcome{Request: id, Result: OK, Latency: 2 * ms, Final: true})
 	}
@@ -33,13 +33,13 @@
 	}
 }
 
-func TestOnlyColdBackends(t *testing.T) {
-	cold := line("b", 1)
+func TestAllBackendsInSlowStart(t *testing.T) {
+	cold := entry("b", 1)
 	cold.StartedAt = 1
-	b, f := start(testSettings(), cold)
+	b, f := startBalancer(testSettings(), cold)
 	b.settings.Tier = 1
 	for i := range 10 {
-		b.StartRequest(Time(i+1)*ms, Request{ID: fmt.Sprint("r", i), Class: safe, Budget: 2000 * ms})
+		b.StartRequest(Time(i+1)*ms, Request{ID: fmt.Sprint("r", i), Class: idempotent, Budget: 2000 * ms})
 	}
 	if len(f.sends) > 1 {
 		t.Errorf("a burst of %d calls at a cold backend, want 1 at most", len(f.sends))
@@ -47,7 +47,7 @@
 	for i := range 200 {
 		id := fmt.Sprint("s", i)
 		now := Time(i) * 20 * ms
-		b.StartRequest(now, Request{ID: id, Class: safe, Budget: 2000 * ms})
+		b.StartRequest(now, Request{ID: id, Class: idempotent, Budget: 2000 * ms})
 		b.AttemptDone(now+5*ms, Outcome{Request: id, Result: OK, Latency: 5 * ms, Final: true})
 	}
 	if len(f.sends) < 10 {
@@ -57,16 +57,16 @@
 
 // Guards against hundreds of balancers that learn of a cold backend, in one tick
 // or apart, and each send it a call at once: together they would push it over.
-func TestManyBalancersSpareAColdBackend(t *testing.T) {
+func TestManyBalancersSlowStart(t *testing.T) {
 	const balancers, perSecond, window = 400, 20, 1500 * ms
 	for _, apart := range []time.Duration{0, 2000 * ms} {
 		var got []Time
 		for n := range balancers {
 			set := testSettings()
 			set.Seed, set.Tier, set.BalancerCount, set.BalancerIndex = uint64(n), 1, balancers, n
-			b, f := start(set, zoneLines("b", 15)...)
+			b, f := startBalancer(set, zoneEntries("b", 15)...)
 			rng := rand.New(rand.NewPCG(uint64(n), 2))
-			cold := line("b", 99)
+			cold := entry("b", 99)
 			heard := 10*1000*ms + time.Duration(rng.Float64()*float64(apart))
 			for now, i := Time(0), 0; now < 20*1000*ms; i++ {
 				now += time.Duration(rng.ExpFloat64() / perSecond * float64(1000*ms))
@@ -75,7 +75,7 @@
 					b.UpdateList(heard, false, []Backend{cold})
 				}
 				id := fmt.Sprint("r", i)
-				b.StartRequest(now, Request{ID: id, Class: unsafe, Budget: 2000 * ms})
+				b.StartRequest(now, Request{ID: id, Class: nonIdempotent, Budget: 2000 * ms})
 				if f.last(t).backend == cold.ID {
 					got = append(got, now)
 				}
@@ -105,7 +105,7 @@
 // carries when warm, whole fleet counted. Guards against parts that are reckoned among
 // cold ones alone and sum to all of a zone's traffic, and against spill from the others
 // on top of it.
-func TestZoneThatReturnsCold(t *testing.T) {
+func TestZoneReturnsInSlowStart(t *testing.T) {
 	const each, perSecond, window, serve = 10, 20, 1500 * ms, 60 * ms
 	const back, end, busy = 4000 * ms, 9000 * ms, 0.9 // of what warm backends can do
 	for _, c := range []struct {
@@ -118,8 +118,8 @@
 			set := testSettings()
 			set.Seed, set.Tier, set.BalancerCount, set.BalancerIndex = uint64(n), 1, 60, n
 			set.Zone = set.Zones[n%3]
-			lines := slices.Concat(zoneLines("a", each), zoneLines("b", each), zoneLines("c", each))
-			b, f := start(set, lines...)
+			lines := slices.Concat(zoneEntries("a", each), zoneEntries("b", each), zoneEntries("c", each))
+			b, f := startBalancer(set, lines...)
 			rate := float64(perSecond)
 			if n%10 == 0 {
 				rate *= 7
@@ -153,7 +153,7 @@
 				}
 				id := fmt.Sprint("r", i)
 				before := len(f.sends)
-				b.StartRequest(now, Request{ID: id, Class: unsafe, Budget: 2000 * ms})
+				b.StartRequest(now, Request{ID: id, Class: nonIdempotent, Budget: 2000 * ms})
 				if len(f.sends) > before {
 					out = append(out, done{now + serve, id})
 					if to := f.last(t).backend; told && strings.Contains(c.lost, to[:1]) {
@@ -189,19 +189,19 @@
 
 // Guards against many cold newcomers that stand idle while few warm ones tip:
 // their part goes by what a warm one gets, not by the mean of all.
-func TestManyColdBackends(t *testing.T) {
-	lines := zoneLines("b", 12)
+func TestManyBackendsInSlowStart(t *testing.T) {
+	lines := zoneEntries("b", 12)
 	for i := range lines[:10] {
 		lines[i].StartedAt = 1
 	}
-	b, f := start(testSettings(), lines...)
+	b, f := startBalancer(testSettings(), lines...)
 	b.settings.Tier = 1
 	cold := 0
 	at := 5000 * ms // halfway to warm
 	for i := range 2000 {
 		now := at + Time(i)*ms
 		id := fmt.Sprint("r", i)
-		b.StartRequest(now, Request{ID: id, Class: unsafe, Budget: 2000 * ms})
+		b.StartRequest(now, Request{ID: id, Class: nonIdempotent, Budget: 2000 * ms})
 		if to := f.last(t).backend; to != "b10" && to != "b11" {
 			cold++
 		}
--- a/logic/totals_test.go
+++ b/logic/totals_test.go
@@ -9,7 +9,7 @@
 )
 
 // walked is the tally of members, added up one by one.
-func walked(b *Balancer, now Time, members []*backend) (t totals) {
+func recomputeTotals(b *Balancer, now Time, members []*backend) (t totals) {
 	for _, m := range members {
 		part, warmth := m.subsetCapacity*oneIf(m.State == Up), m.warmUpFraction(now, &b.settings)
 		t.subsetCapacity += part
@@ -24,7 +24,7 @@
 	return t
 }
 
-func (t totals) like(u totals) bool {
+func (t totals) approxEqual(u totals) bool {
 	near := func(x, y float64) bool { return math.Abs(x-y) <= 1e-9*max(1, math.Abs(x)) }
 	return near(t.backendCount, u.backendCount) && near(t.inFlight, u.inFlight) &&
 		near(t.capacity, u.capacity) && near(t.effectiveCapacity, u.effectiveCapacity) &&
@@ -33,13 +33,13 @@
 
 // Sums that are kept up to date are those that a walk over all members gives, whatever has
 // happened: lists, bans, ejections, calls that end in all ways, and time.
-func TestTallyIsKept(t *testing.T) {
+func TestTotalsStayCurrent(t *testing.T) {
 	for seed := range uint64(40) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		set := testSettings()
 		set.BalancerCount, set.UnevenTraffic = 1+rng.IntN(60), seed%2 == 1
 		set.WarmUpTime, set.InitialWarmUpFraction = 2*time.Second, 0.2
-		f := newFake()
+		f := newRecorder()
 		b := New(0, set, f)
 		line := func(now Time) Backend {
 			l := Backend{ID: fmt.Sprint("s", rng.IntN(30)), Capacity: 0.5 + rng.Float64()}
@@ -64,7 +64,7 @@
 			case 2:
 				b.Attach(now, fmt.Sprint("s", rng.IntN(30)))
 			case 3, 4, 5, 6:
-				b.StartRequest(now, Request{ID: fmt.Sprint("r", step), Class: safe, Budget: 2000 * ms})
+				b.StartRequest(now, Request{ID: fmt.Sprint("r", step), Class: idempotent, Budget: 2000 * ms})
 			default:
 				if answered < len(f.sends) {
 					s := f.sends[answered]
@@ -77,15 +77,17 @@
 					}
 				}
 			}
-			if got, want := b.totals(now, &b.listedSummary), walked(b, now, b.listed); !got.like(want) {
+			if got, want := b.totals(now, &b.listedSummary),
+				recomputeTotals(b, now, b.listed); !got.approxEqual(want) {
 				t.Fatalf("seed %d, step %d: all: kept %+v, walked %+v", seed, step, got, want)
 			}
 			for _, g := range b.zoneGroups {
-				if got, want := b.totals(now, &g.memberSummary), walked(b, now, g.members); !got.like(want) {
+				if got, want := b.totals(now, &g.memberSummary),
+					recomputeTotals(b, now, g.members); !got.approxEqual(want) {
 					t.Fatalf("seed %d, step %d: group: kept %+v, walked %+v", seed, step, got, want)
 				}
 				if got, want := b.totals(now, &g.peerSummary),
-					walked(b, now, g.peerSummary.members); !got.like(want) {
+					recomputeTotals(b, now, g.peerSummary.members); !got.approxEqual(want) {
 					t.Fatalf("seed %d, step %d: near: kept %+v, walked %+v", seed, step, got, want)
 				}
 			}
--- a/logic/uneven_traffic_test.go
+++ b/logic/uneven_traffic_test.go
@@ -9,7 +9,7 @@
 )
 
 // uneven is settings of balancers whose traffic is unlike: 100 before ten backends.
-func uneven() Settings {
+func unevenSettings() Settings {
 	set := testSettings()
 	set.Zones, set.Zone = []string{"b"}, "b"
 	set.BalancerCount, set.UnevenTraffic = 100, true
@@ -18,7 +18,8 @@
 
 // feed lets requests arrive, gap apart, each answered after latency while it is in flight; it
 // returns how many of the last half were refused and the time.
-func feed(b *Balancer, f *fake, now Time, n int, gap, latency time.Duration, retry bool) (int, Time) {
+func feedRequests(
+	b *Balancer, f *recorder, now Time, n int, gap, latency time.Duration, retry bool) (int, Time) {
 	type out struct {
 		id string
 		at Time
@@ -33,7 +34,7 @@
 		}
 		id := fmt.Sprint(now, i, retry)
 		before := len(f.sends)
-		b.StartRequest(now, Request{ID: id, Class: safe, Budget: 2000 * ms, ClientRetry: retry})
+		b.StartRequest(now, Request{ID: id, Class: idempotent, Budget: 2000 * ms, ClientRetry: retry})
 		if len(f.sends) > before {
 			open = append(open, out{id, now + latency})
 		} else if i >= n/2 {
@@ -55,10 +56,10 @@
 		least, most float64 // calls of the base
 		refused     int
 	}{{"unlike", true, 11, 14, 0}, {"alike", false, 0.5, 0.5, 500}} {
-		set := uneven()
+		set := unevenSettings()
 		set.UnevenTraffic = c.uneven
-		b, f := start(set, zoneLines("b", 10)...)
-		refused, _ := feed(b, f, 0, 1000, 10*ms, 100*ms, false)
+		b, f := startBalancer(set, zoneEntries("b", 10)...)
+		refused, _ := feedRequests(b, f, 0, 1000, 10*ms, 100*ms, false)
 		if base := b.baseLimit * 10; base < c.least || base > c.most || refused > c.refused {
 			t.Errorf("%s: base %v calls, want %v to %v; %d refused", c.name, base, c.least, c.most, refused)
 		}
@@ -66,11 +67,11 @@
 }
 
 // Guards against a limit and an arc that grow with retries: the more is refused, the more would be let in.
-func TestRetriesAreNoTraffic(t *testing.T) {
-	b, f := start(uneven(), zoneLines("b", 10)...)
-	_, now := feed(b, f, 0, 300, 100*ms, 100*ms, false)
+func TestClientRetriesDontRaiseTheLimit(t *testing.T) {
+	b, f := startBalancer(unevenSettings(), zoneEntries("b", 10)...)
+	_, now := feedRequests(b, f, 0, 300, 100*ms, 100*ms, false)
 	base, arc, near := b.baseLimit, b.minSubsetCapacity, len(b.zoneGroups[0].peerSummary.members)
-	refused, _ := feed(b, f, now, 300, 5*ms, 100*ms, true)
+	refused, _ := feedRequests(b, f, now, 300, 5*ms, 100*ms, true)
 	if b.baseLimit != base || b.minSubsetCapacity != arc || len(b.zoneGroups[0].peerSummary.members) != near {
 		t.Errorf("base %v, arc %v, %d near; before the retries %v, %v, %d",
 			b.baseLimit, b.minSubsetCapacity, len(b.zoneGroups[0].peerSummary.members), base, arc, near)
@@ -82,10 +83,10 @@
 
 // Guards against a flood at the start, before the traffic is known: no more than a like part and what may be
 // saved up goes out.
-func TestStartIsALikePart(t *testing.T) {
-	b, f := start(uneven(), zoneLines("b", 10)...)
+func TestInitialLimitIsAnEqualShare(t *testing.T) {
+	b, f := startBalancer(unevenSettings(), zoneEntries("b", 10)...)
 	for i := range 20 {
-		b.StartRequest(ms, Request{ID: fmt.Sprint(i), Class: safe, Budget: 2000 * ms})
+		b.StartRequest(ms, Request{ID: fmt.Sprint(i), Class: idempotent, Budget: 2000 * ms})
 	}
 	if len(f.sends) > 2*maxLimitTokens+4 {
 		t.Errorf("%d of 20 sent at once", len(f.sends))
@@ -94,14 +95,14 @@
 
 // Guards against few backends under all that a busy balancer carries, and against connections to
 // all of them from balancers that are quiet.
-func TestArcFollowsOwnTraffic(t *testing.T) {
+func TestSubsetFollowsOwnTraffic(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		gap         time.Duration
 		least, most int
 	}{{"quiet", 500 * ms, 3, 4}, {"busy", 10 * ms, 8, 14}} {
-		b, f := start(uneven(), zoneLines("b", 30)...)
-		feed(b, f, 0, 1000, c.gap, 100*ms, false)
+		b, f := startBalancer(unevenSettings(), zoneEntries("b", 30)...)
+		feedRequests(b, f, 0, 1000, c.gap, 100*ms, false)
 		to := map[string]bool{}
 		for _, s := range f.sends[len(f.sends)-100:] {
 			to[s.backend] = true
@@ -114,12 +115,12 @@
 
 // Guards against credit of three calls for each of many balancers: together they choke the
 // backends at the start.
-func TestCreditOfQuietBalancers(t *testing.T) {
-	b, f := start(uneven(), zoneLines("b", 10)...)
-	feed(b, f, 0, 100, 500*ms, 100*ms, false)
+func TestTokensOfIdleBalancers(t *testing.T) {
+	b, f := startBalancer(unevenSettings(), zoneEntries("b", 10)...)
+	feedRequests(b, f, 0, 100, 500*ms, 100*ms, false)
 	now, before := 60*time.Second, len(f.sends)
 	for i := range 10 {
-		b.StartRequest(now, Request{ID: fmt.Sprint("burst", i), Class: safe, Budget: 2000 * ms})
+		b.StartRequest(now, Request{ID: fmt.Sprint("burst", i), Class: idempotent, Budget: 2000 * ms})
 	}
 	if n := len(f.sends) - before; n < 1 || n > 4 {
 		t.Errorf("%d of 10 at once were sent, want 1 to 4", n)
@@ -128,12 +129,13 @@
 
 // Guards against a balancer that has long been quiet, and whose limit has grown to a hundred times
 // the little that it needs: the burst that follows would all be let in.
-func TestLimitOfAQuietBalancer(t *testing.T) {
-	b, f := start(uneven(), zoneLines("b", 10)...)
-	_, now := feed(b, f, 0, 200, 10*time.Second, 50*ms, false)
+func TestLimitOfIdleBalancer(t *testing.T) {
+	b, f := startBalancer(unevenSettings(), zoneEntries("b", 10)...)
+	_, now := feedRequests(b, f, 0, 200, 10*time.Second, 50*ms, false)
 	before := len(f.sends)
 	for i := range 300 { // none is answered yet
-		b.StartRequest(now+Time(i)*ms, Request{ID: fmt.Sprint("burst", i), Class: safe, Budget: 2000 * ms})
+		b.StartRequest(now+Time(i)*ms, Request{ID: fmt.Sprint("burst", i), Class: idempotent,
+			Budget: 2000 * ms})
 	}
 	if n := len(f.sends) - before; n > 100 {
 		t.Errorf("%d of 300 at once were sent", n)
