--- a/internal/http1/errno_test.go
+++ b/internal/http1/errno_test.go
@@ -58,8 +58,8 @@
 
 			gone := make(chan bool, 2)
 			client := NewConn(&brokenConn{TCPConn: socket, errno: errno})
-			client.Watch(func() { gone <- true }, func() { gone <- false })
-			<-client.watch
+			client.WatchPeer(func() { gone <- true }, func() { gone <- false })
+			<-client.watchDone
 			select {
 			case left := <-gone:
 				if !left {
