--- a/internal/discovery/check.go
+++ b/internal/discovery/check.go
@@ -11,23 +11,25 @@
 	"time"
 )
 
-// A check is a call beside a watch that stands, for the list as it is now. A watch may be late
-// with what it has to tell, and shows signs of life all the same; the answer to a call holds
-// all that discovery had when the call was made.
+// A check is a call beside an open watch for the list as it is now. A watch may announce changes
+// late although it sends heartbeats; the answer to a call holds everything that discovery had
+// when the call was made.
 
-// checkSpread is the part of CheckEvery over which callers spread a check: what one doubts
-// many doubt, and all at once they would keep discovery from telling anything.
+// checkSpread is the fraction of MinCheckInterval over which callers spread a check. Many callers
+// doubt their list for the same reason, and simultaneous checks would delay discovery's
+// announcements.
 const checkSpread = 0.5
 
-// RequestCheck asks for a check of the list. While none is due, or no watch stands, it does nothing.
+// RequestCheck requests a check of the list. A request within MinCheckInterval of the last check
+// is kept until the interval is over. If no watch is open then, the check is skipped.
 func (c *Client) RequestCheck() {
 	select {
-	case c.doubted <- struct{}{}:
+	case c.checkRequested <- struct{}{}:
 	default:
 	}
 }
 
-// runChecks makes the checks that are asked for until ctx is over.
+// runChecks makes the requested checks until ctx is done.
 func (c *Client) runChecks(ctx context.Context) {
 	if c.MinCheckInterval <= 0 {
 		return
@@ -36,15 +38,15 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-c.doubted:
+		case <-c.checkRequested:
 		}
 		spread := time.Duration(rand.Float64() * checkSpread * float64(c.MinCheckInterval))
 		if !sleep(ctx, spread) {
 			return
 		}
-		if at := c.current(); c.followed(at) {
+		if from := c.currentSource(); c.watched(from) {
 			began := time.Now()
-			rev, err := c.check(ctx, at)
+			rev, err := c.check(ctx, from)
 			log.Printf("event=list_checked rev=%d waited_ms=%d err=%q", rev, time.Since(began).Milliseconds(), fmt.Sprint(err))
 		}
 		if !sleep(ctx, c.MinCheckInterval-spread) {
@@ -53,14 +55,14 @@
 	}
 }
 
-// followed tells whether a watch of a source stands that has told a list.
-func (c *Client) followed(at source) bool {
+// watched reports whether a watch of a source is open that has brought a list.
+func (c *Client) watched(from source) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return at.same(c.from) && c.fresh.followed()
+	return from.is(c.source) && c.freshness.watched()
 }
 
-// sleep waits for a time, and tells whether ctx is not over.
+// sleep waits for the given time, and reports whether it ended before ctx was done.
 func sleep(ctx context.Context, wait time.Duration) bool {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -72,18 +74,18 @@
 	}
 }
 
-// check makes one call, takes the list that its answer begins with, and ends it.
-func (c *Client) check(ctx context.Context, at source) (rev int64, err error) {
-	_, err = c.open(ctx, at, func(body io.Reader, alive func()) error {
-		lists := json.NewDecoder(&stream{r: body, alive: alive, idle: func() {}, left: maxList})
-		l, err := next(lists)
+// check makes one call, applies the first list of the answer, and ends the call.
+func (c *Client) check(ctx context.Context, from source) (rev int64, err error) {
+	_, err = c.open(ctx, from, func(body io.Reader, onData func()) error {
+		lists := json.NewDecoder(&stream{r: body, onData: onData, onHeartbeat: func() {}, bytesLeft: maxListBytes})
+		l, err := nextList(lists)
 		if err != nil {
 			return err
 		}
 		rev = l.Rev
-		use, err := c.apply(at, l, false, (*freshnessTracker).checked)
-		if err == nil && !use {
-			err = errors.New("not used")
+		used, err := c.apply(from, l, false, (*freshnessTracker).checkReceived)
+		if err == nil && !used {
+			err = errors.New("the list was not used")
 		}
 		return err
 	})
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,5 +1,5 @@
-// Package discovery follows the list of backends: the known list at the start,
-// and a watch that is resumed where it broke.
+// Package discovery follows the list of backends. It starts with a known list and keeps a
+// watch open, which it resumes after each break.
 package discovery
 
 import (
@@ -19,243 +19,248 @@
 )
 
 const (
-	dialLimit = 2 * time.Second
-	// lifeEvery is how often, by the protocol, a watch that has nothing to tell shows
-	// that it stands.
-	lifeEvery = 2 * time.Second
-	// silence is how long a call or a watch may say nothing. A sign of life that is late
-	// by half is not yet missing, and the other half of TellWithin is left for asking anew.
-	silence = lifeEvery * 3 / 2
-	maxList = 8 << 20
+	dialTimeout = 2 * time.Second
+	// heartbeatInterval is the protocol's interval between heartbeats on a watch that has
+	// nothing to announce.
+	heartbeatInterval = 2 * time.Second
+	// heartbeatTimeout is how long a call or a watch may receive nothing. It allows a
+	// heartbeat to be late by half an interval, and leaves the other half of MaxAnnounceDelay
+	// for another call.
+	heartbeatTimeout = heartbeatInterval * 3 / 2
+	maxListBytes     = 8 << 20
 
-	// mostBehind is how often in a row a whole list older than ours may begin a watch.
-	// Once may be a copy of discovery that lags, whose list would bring back what has
-	// been drained; one that stays behind has begun to count anew.
-	mostBehind = 3
+	// maxOlderStarts is how many watches in a row may begin with a complete list older than
+	// the one in use before that list is accepted. A single one may come from a lagging
+	// replica of discovery, whose list would bring back drained backends. If it keeps
+	// happening, discovery has restarted its revisions.
+	maxOlderStarts = 3
 )
 
-// CallEnd is how a call or a watch came to its end.
+// CallEnd describes how a call or a watch came to its end.
 type CallEnd struct {
 	Reason    Failure
 	Rev       int64 // of the newest list by then
 	Err       error
 	Waited    time.Duration // since the call began
-	Freshness Freshness     // for how long the list may be used from then on
+	Freshness Freshness     // how long the list may be used from then on
 }
 
-// Pacer says how long to wait before a call. It is called by Run alone.
+// Pacer decides how long to wait before a call. Only Run calls it.
 type Pacer interface {
-	// FirstWait is the wait before the first call.
+	// FirstWait returns the wait before the first call.
 	FirstWait() time.Duration
-	// Succeeded takes that a call has brought a list.
+	// Succeeded records that a call has brought a list.
 	Succeeded()
-	// SourceChanged takes that the list comes from another source, which is called at once.
+	// SourceChanged records that lists come from another source, which is called at once.
 	SourceChanged()
-	// Failed takes that a call failed after it waited for so long, or with 0 that a watch
-	// which had told a list has ended, and returns the wait before the next call.
-	Failed(waited time.Duration, silent bool) time.Duration
+	// Failed records that a call failed after waiting for the given time, or with 0 that a
+	// watch which had brought a list has ended, and returns the wait before the next call.
+	Failed(waited time.Duration, unresponsive bool) time.Duration
 }
 
-// Client watches the list at one address. Its Run is the one place that makes calls: it is
-// waiting for the next one to be due, making one, or following a watch, and a wait has no
-// timer that outlives it.
+// Client watches the list at one address. Run is the only place that makes watch calls: it
+// waits until the next one is due, makes it, or follows the watch. The timer of a wait ends with
+// the wait, so that it can't trigger a later call.
 type Client struct {
 	OnList func(*List)
-	// OnEnd is told that a call failed or a watch ended.
+	// OnEnd is called when a call has failed or a watch has ended.
 	OnEnd func(CallEnd)
-	// OnFreshness is told for how long the list may be used: at the start, and whenever that
-	// changes. It must not call the client, but for Ask.
+	// OnFreshness is called with how long the list may be used, at the start and at each
+	// change. It must not call any method of the client except CallNow.
 	OnFreshness func(Freshness)
 	// Dial, if set, is used in place of the net package's. It is set before Run.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 
-	// MinCheckInterval is the least time between two checks; 0: there are none. It is set before Run.
+	// MinCheckInterval is the least time between two checks; 0 disables checks. It is set
+	// before Run.
 	MinCheckInterval time.Duration
 
-	ask      chan struct{}
-	doubted  chan struct{} // a check is wanted
-	pacer    Pacer
-	applying sync.Mutex // held while a list is handed on
+	callNow        chan struct{}
+	checkRequested chan struct{}
+	pacer          Pacer
+	applyMu        sync.Mutex // held while a list is handed to OnList
 
-	mu     sync.Mutex
-	from   source
-	behind int // watches in a row that began with an older whole list
-	fresh  freshnessTracker
+	mu          sync.Mutex
+	source      source
+	olderStarts int // watches in a row that began with an older complete list
+	freshness   freshnessTracker
 }
 
-// source is where lists come from. Each Move makes another one, also back to an address
-// that was one before.
+// source is where lists come from. Each SetSource makes a new one, also for an address that
+// was used before.
 type source struct {
-	addr  string
-	rev   int64         // of the newest list from there
-	moved chan struct{} // closed when lists come from another; it tells sources apart
+	addr     string
+	rev      int64         // of the newest list from there
+	replaced chan struct{} // closed when another source replaces this one; also its identity
 }
 
-func (s source) same(as source) bool { return s.moved == as.moved }
+func (s source) is(other source) bool { return s.replaced == other.replaced }
 
-// New returns a client that has the list of version rev, and makes its calls when pacer
-// says so.
+// New returns a client that has the list of revision rev and makes its calls when pacer says
+// so.
 func New(addr string, rev int64, pacer Pacer) *Client {
 	return &Client{
-		pacer:   pacer,
-		ask:     make(chan struct{}, 1),
-		doubted: make(chan struct{}, 1),
-		from:    source{addr: addr, rev: rev, moved: make(chan struct{})},
-		fresh:   freshnessTracker{unfollowed: MaxAnnounceDelay, serving: MaxAnnounceDelay},
+		pacer:          pacer,
+		callNow:        make(chan struct{}, 1),
+		checkRequested: make(chan struct{}, 1),
+		source:         source{addr: addr, rev: rev, replaced: make(chan struct{})},
+		freshness:      freshnessTracker{unwatchedFor: MaxAnnounceDelay, servingWindow: MaxAnnounceDelay},
 	}
 }
 
-// SetPushed tells, before Run, that lists are pushed: what there is counts as told at once,
-// also while no watch is open and from the start, so that the list is fresh for no more
-// than slack without one. What has served a call that was sent within grace can still be used
-// while the agent cannot be reached.
+// SetPushed declares, before Run, that a local agent pushes lists. Changes then count as
+// announced at once, also while no watch is open and from the start on, so that without a watch
+// the list stays fresh for no more than slack. While the agent is unreachable, backends that
+// have served a call sent within grace can still be used.
 func (c *Client) SetPushed(slack, grace time.Duration) {
-	c.fresh.pushed, c.fresh.unfollowed, c.fresh.serving = true, slack, grace
+	c.freshness.pushed, c.freshness.unwatchedFor, c.freshness.servingWindow = true, slack, grace
 }
 
-// CallNow makes the call that is due next now; while one is under way, or a watch stands, it
-// does nothing.
+// CallNow ends the wait before the next call. It does nothing while a call is under way or a
+// watch is open.
 func (c *Client) CallNow() {
 	select {
-	case c.ask <- struct{}{}:
+	case c.callNow <- struct{}{}:
 	default:
 	}
 }
 
-// Age is how long ago the list was last known to be whole, by a list or a sign of life of
-// discovery, and whether it is stale: it may lack what counts as told.
+// Age returns the time since a list or a heartbeat of discovery last confirmed that the list was
+// complete, and whether the list is stale: it may lack changes that count as announced.
 func (c *Client) Age() (age time.Duration, stale bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	return now.Sub(c.fresh.word), !now.Before(c.fresh.now().Until)
+	return now.Sub(c.freshness.lastContact), !now.Before(c.freshness.current().Until)
 }
 
-// SetSource makes addr the source, if it is not yet: the watch of the old one ends, and
-// the new one is asked at once, for all that it has, since its revisions need not
-// follow on the old one's. It tells whether the source is another.
+// SetSource makes addr the source and reports whether it was not the source already. The watch
+// of the old source ends. The new one is called at once for its complete list, as its
+// revisions need not continue those of the old one.
 func (c *Client) SetSource(addr string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if addr == c.from.addr {
+	if addr == c.source.addr {
 		return false
 	}
-	close(c.from.moved)
-	c.from, c.behind = source{addr: addr, moved: make(chan struct{})}, 0
-	c.fresh.moved(time.Now())
-	c.OnFreshness(c.fresh.now())
+	close(c.source.replaced)
+	c.source, c.olderStarts = source{addr: addr, replaced: make(chan struct{})}, 0
+	c.freshness.sourceChanged(time.Now())
+	c.OnFreshness(c.freshness.current())
 	return true
 }
 
-// note keeps the clock of the list by what has happened at a source, and tells of it if
-// that moved it. What an old source did says nothing of the new one's list. The lock is
-// held meanwhile, so that what is told last is what holds.
-func (c *Client) note(at source, happened func(f *freshnessTracker, now time.Time)) {
+// updateFreshness applies an event at a source and calls OnFreshness if that changed the
+// freshness. Events at a replaced source are ignored, since they say nothing about the list of
+// the new one. The lock is held during the callback, so that the last callback has the current
+// value.
+func (c *Client) updateFreshness(from source, event func(f *freshnessTracker, now time.Time)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !at.same(c.from) {
+	if !from.is(c.source) {
 		return
 	}
-	before := c.fresh.now()
-	happened(&c.fresh, time.Now())
-	if fresh := c.fresh.now(); fresh != before {
-		c.OnFreshness(fresh)
+	before := c.freshness.current()
+	event(&c.freshness, time.Now())
+	if freshness := c.freshness.current(); freshness != before {
+		c.OnFreshness(freshness)
 	}
 }
 
-// freshNow is for how long the list may be used.
-func (c *Client) freshNow() Freshness {
+// currentFreshness returns how long the list may be used.
+func (c *Client) currentFreshness() Freshness {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.fresh.now()
+	return c.freshness.current()
 }
 
-// lost notes how a call or a watch of a source came to its end.
-func (c *Client) lost(at source, end CallEnd) {
-	if end.Reason == Unresponsive || end.Reason == LocalFailure { // discovery may have told others of changes
-		c.note(at, (*freshnessTracker).silent)
+// recordEnd updates the freshness after the end of a call or a watch of a source.
+func (c *Client) recordEnd(from source, end CallEnd) {
+	if end.Reason == Unresponsive || end.Reason == LocalFailure { // other callers may have got changes
+		c.updateFreshness(from, (*freshnessTracker).noResponse)
 		return
 	}
 	broken := neterror.Classify(neterror.Read, end.Err).Broken()
-	if end.Reason == WatchEnded && !broken && !errors.Is(end.Err, errBehind) {
-		c.note(at, (*freshnessTracker).watchEnded)
+	if end.Reason == WatchEnded && !broken && !errors.Is(end.Err, errOlderList) {
+		c.updateFreshness(from, (*freshnessTracker).watchClosed)
 	}
 	if neterror.Classify(neterror.Dial, end.Err) == neterror.Refused {
-		c.note(at, (*freshnessTracker).refused)
+		c.updateFreshness(from, (*freshnessTracker).connectionRefused)
 		return
 	}
-	c.note(at, (*freshnessTracker).callFailed)
+	c.updateFreshness(from, (*freshnessTracker).callFailed)
 }
 
-// current is the source of lists now.
-func (c *Client) current() source {
+// currentSource returns the source of lists in use.
+func (c *Client) currentSource() source {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.from
+	return c.source
 }
 
 var (
-	errMoved  = errors.New("the source has moved")
-	errBehind = errors.New("the whole list is older than ours")
+	errSourceChanged = errors.New("the source of lists has changed")
+	errOlderList     = errors.New("the watch began with a list older than the one in use")
 )
 
-// take tells whether a list from a source is to be used, and notes it. What an old source
-// says late must not come after the new one's, nor an older list after a newer: it would
-// bring back what has been drained since. first says that the list begins a watch.
-func (c *Client) take(at source, l *List, first bool) (bool, error) {
+// accept decides whether a list from a source is to be used, and records its revision if so. A
+// list from a replaced source must not follow one of the new source, nor an older list a newer
+// one: it would bring back backends that have been drained since. first says that the list
+// begins a watch.
+func (c *Client) accept(from source, l *List, first bool) (bool, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
-	case !at.same(c.from):
-		return false, errMoved
-	case l.Rev >= c.from.rev:
+	case !from.is(c.source):
+		return false, errSourceChanged
+	case l.Rev >= c.source.rev:
 	case !first || !l.Complete:
-		log.Printf("event=list_old rev=%d have=%d", l.Rev, c.from.rev)
+		log.Printf("event=list_old rev=%d have=%d", l.Rev, c.source.rev)
 		return false, nil
 	default:
-		if c.behind++; c.behind < mostBehind {
-			return false, errBehind
+		if c.olderStarts++; c.olderStarts < maxOlderStarts {
+			return false, errOlderList
 		}
 	}
-	c.from.rev, c.behind = l.Rev, 0
-	l.PreviousConfirmedAt = c.fresh.heard
+	c.source.rev, c.olderStarts = l.Rev, 0
+	l.PreviousConfirmedAt = c.freshness.lastConfirmed
 	return true, nil
 }
 
-// apply takes a list from a source and hands it on, if it is to be used; told says what that
-// means for the clock of the list. Lists of a watch and of a check are handed on in the order
-// in which they are taken.
-func (c *Client) apply(at source, l *List, first bool, told func(*freshnessTracker, time.Time)) (use bool, err error) {
-	c.applying.Lock()
-	defer c.applying.Unlock()
-	if use, err = c.take(at, l, first); use {
+// apply hands a list from a source to OnList if it is accepted, and then updates the freshness
+// by event. Lists of a watch and of a check are handed on in the order in which they are
+// accepted.
+func (c *Client) apply(from source, l *List, first bool, event func(*freshnessTracker, time.Time)) (used bool, err error) {
+	c.applyMu.Lock()
+	defer c.applyMu.Unlock()
+	if used, err = c.accept(from, l, first); used {
 		c.OnList(l)
-		c.note(at, told)
+		c.updateFreshness(from, event)
 	}
-	return use, err
+	return used, err
 }
 
-// Run makes one watch after another, each when its pacer says so or when the source has
-// moved, until ctx is over.
+// Run makes one watch after another until ctx is done, each when the pacer says so or when the
+// source has changed.
 func (c *Client) Run(ctx context.Context) {
 	var checks sync.WaitGroup
 	defer checks.Wait()
 	checks.Go(func() { c.runChecks(ctx) })
-	at := c.current()
-	c.note(at, (*freshnessTracker).started)
+	from := c.currentSource()
+	c.updateFreshness(from, (*freshnessTracker).started)
 	wait := c.pacer.FirstWait()
-	for c.due(ctx, wait, at) {
-		before := at
-		if at = c.current(); !at.same(before) {
+	for c.waitUntilDue(ctx, wait, from) {
+		before := from
+		if from = c.currentSource(); !from.is(before) {
 			c.pacer.SourceChanged()
 		}
-		wait = c.call(ctx, at)
+		wait = c.call(ctx, from)
 	}
 }
 
-// due waits until a call is due: the wait is over, it is asked for, or the source has
-// moved. It tells whether there is to be one.
-func (c *Client) due(ctx context.Context, wait time.Duration, at source) bool {
+// waitUntilDue returns when the wait is over, CallNow ends it, or the source has changed. It
+// reports whether a call is to be made, which is not so once ctx is done.
+func (c *Client) waitUntilDue(ctx context.Context, wait time.Duration, from source) bool {
 	if wait <= 0 || ctx.Err() != nil {
 		return ctx.Err() == nil
 	}
@@ -264,58 +269,58 @@
 	select {
 	case <-ctx.Done():
 	case <-timer.C:
-	case <-c.ask:
-	case <-at.moved:
+	case <-c.callNow:
+	case <-from.replaced:
 	}
 	return ctx.Err() == nil
 }
 
 // call makes one call, follows its watch to the end, and returns the wait before the next.
-func (c *Client) call(ctx context.Context, at source) time.Duration {
+func (c *Client) call(ctx context.Context, from source) time.Duration {
 	began := time.Now()
-	told, why, err := c.watch(ctx, at)
+	gotList, reason, err := c.watch(ctx, from)
 	if ctx.Err() != nil {
 		return 0
 	}
 	select {
-	case <-c.ask: // asked for while it was under way
+	case <-c.callNow: // requested during the call
 	default:
 	}
 	select {
-	case <-at.moved: // the new source is called at once, and nothing has failed
-		log.Printf("event=watch_moved from=%s", at.addr)
+	case <-from.replaced: // the new source is called at once; this is no failure
+		log.Printf("event=watch_moved from=%s", from.addr)
 		return 0
 	default:
 	}
 	waited := time.Since(began)
-	end := CallEnd{Reason: why, Rev: c.current().rev, Err: err, Waited: waited}
-	c.lost(at, end)
-	end.Freshness = c.freshNow()
+	end := CallEnd{Reason: reason, Rev: c.currentSource().rev, Err: err, Waited: waited}
+	c.recordEnd(from, end)
+	end.Freshness = c.currentFreshness()
 	c.OnEnd(end)
-	if told {
+	if gotList {
 		waited = 0
 	}
-	return c.pacer.Failed(waited, why == Unresponsive || why == LocalFailure)
+	return c.pacer.Failed(waited, reason == Unresponsive || reason == LocalFailure)
 }
 
-// watch makes a single watch and reads it to its end. It returns whether it has told a list
-// that is in use, and how it ended.
-func (c *Client) watch(ctx context.Context, at source) (told bool, why Failure, err error) {
-	why, err = c.open(ctx, at, func(body io.Reader, alive func()) error {
-		told, err = c.follow(body, at, alive)
+// watch makes a single watch and reads it to its end. It returns whether the watch has brought a
+// list that is in use, and how it ended.
+func (c *Client) watch(ctx context.Context, from source) (gotList bool, reason Failure, err error) {
+	reason, err = c.open(ctx, from, func(body io.Reader, onData func()) error {
+		gotList, err = c.follow(body, from, onData)
 		return err
 	})
-	return told, why, err
+	return gotList, reason, err
 }
 
-// open makes a call to a source and lets read have its answer, which ends when the source is
-// no longer in use. alive is to be called with whatever comes.
-func (c *Client) open(ctx context.Context, at source, read func(body io.Reader, alive func()) error) (Failure, error) {
+// open makes a call to a source and passes the answer's body to read. The call is cancelled when
+// the source is replaced. read has to call onData for whatever it receives.
+func (c *Client) open(ctx context.Context, from source, read func(body io.Reader, onData func()) error) (Failure, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go func() {
 		select {
-		case <-at.moved:
+		case <-from.replaced:
 			cancel()
 		case <-ctx.Done():
 		}
@@ -324,60 +329,59 @@
 	if dial == nil {
 		dial = (&net.Dialer{}).DialContext
 	}
-	dialing, stop := context.WithTimeout(ctx, dialLimit)
+	dialCtx, stop := context.WithTimeout(ctx, dialTimeout)
 	defer stop()
-	nc, err := dial(dialing, "tcp", at.addr)
+	conn, err := dial(dialCtx, "tcp", from.addr)
 	if err != nil {
 		return dialFailure(err), fmt.Errorf("dial: %w", err)
 	}
-	defer nc.Close()
-	defer context.AfterFunc(ctx, func() { nc.Close() })()
-	alive := func() { nc.SetDeadline(time.Now().Add(silence)) }
-	alive()
-	_, err = fmt.Fprintf(nc, "GET /v1/servers?stream=1&index=%d HTTP/1.1\r\nHost: %s\r\n\r\n", at.rev, at.addr)
+	defer conn.Close()
+	defer context.AfterFunc(ctx, func() { conn.Close() })()
+	onData := func() { conn.SetDeadline(time.Now().Add(heartbeatTimeout)) }
+	onData()
+	_, err = fmt.Fprintf(conn, "GET /v1/servers?stream=1&index=%d HTTP/1.1\r\nHost: %s\r\n\r\n", from.rev, from.addr)
 	if err != nil {
-		return failure(err, Unreachable), fmt.Errorf("ask: %w", err)
+		return failure(err, Unreachable), fmt.Errorf("request: %w", err)
 	}
-	resp, err := http.ReadResponse(bufio.NewReader(nc), nil)
+	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
-		return failure(err, Unreachable), fmt.Errorf("answer: %w", err)
+		return failure(err, Unreachable), fmt.Errorf("response: %w", err)
 	}
 	if resp.StatusCode != http.StatusOK {
-		return Rejected, fmt.Errorf("answer: %s", resp.Status)
+		return Rejected, fmt.Errorf("response: status %s", resp.Status)
 	}
-	err = read(resp.Body, alive)
+	err = read(resp.Body, onData)
 	return failure(err, WatchEnded), err
 }
 
-// follow reads the lists of a watch of a source, however they are laid out; alive is called
-// with whatever comes. It tells whether there was a list that is in use, and how the watch
-// ended.
-func (c *Client) follow(r io.Reader, at source, alive func()) (told bool, err error) {
-	last, signsOfLife := time.Now(), 0 // since the last list, or the answer's head
+// follow reads the lists of a watch of a source, in any JSON layout, and calls onData for
+// whatever it receives. It reports whether a list was used, and how the watch ended.
+func (c *Client) follow(r io.Reader, from source, onData func()) (gotList bool, err error) {
+	last, heartbeats := time.Now(), 0 // since the last list, or the answer's head
 	confirm := func() {
-		if told {
-			c.note(at, (*freshnessTracker).told)
+		if gotList {
+			c.updateFreshness(from, (*freshnessTracker).confirmed)
 		}
 	}
-	body := &stream{r: r, alive: alive, idle: func() { signsOfLife++; confirm() }}
+	body := &stream{r: r, onData: onData, onHeartbeat: func() { heartbeats++; confirm() }}
 	lists := json.NewDecoder(body)
 	for first := true; ; first = false {
-		begun, _ := lists.Buffered().Read(make([]byte, 1)) // of the next one, read ahead
-		body.left, body.begun = maxList, begun > 0
-		l, err := next(lists)
+		buffered, _ := lists.Buffered().Read(make([]byte, 1)) // of the next list
+		body.bytesLeft, body.begun = maxListBytes, buffered > 0
+		l, err := nextList(lists)
 		if err != nil {
-			return told, err
+			return gotList, err
 		}
-		use, err := c.apply(at, l, first, (*freshnessTracker).list)
+		used, err := c.apply(from, l, first, (*freshnessTracker).listReceived)
 		if err != nil {
-			return told, err
+			return gotList, err
 		}
-		if use { // one that is older says nothing, and takes nothing back
-			told = true
+		if used { // an older list confirms nothing, and does not undo a confirmation
+			gotList = true
 			c.pacer.Succeeded()
 			log.Printf("event=list rev=%d all=%t entries=%d since_ms=%d signs_of_life=%d", l.Rev, l.Complete, len(l.Targets),
-				time.Since(last).Milliseconds(), signsOfLife)
-			last, signsOfLife = time.Now(), 0
+				time.Since(last).Milliseconds(), heartbeats)
+			last, heartbeats = time.Now(), 0
 		}
 	}
 }
--- a/internal/discovery/freshness.go
+++ b/internal/discovery/freshness.go
@@ -3,76 +3,82 @@
 import "time"
 
 const (
-	// MaxAnnounceDelay is how long after discovery had a change and could be reached, by the
-	// protocol, the change counts as told, whatever became of watches and calls.
+	// MaxAnnounceDelay is the protocol's bound on announcements: a change counts as announced
+	// this long after discovery had it and could be reached, whatever became of watches and
+	// calls.
 	MaxAnnounceDelay = 6 * time.Second
-	// tellEnded is how long after the end of a watch, by the protocol, what it has not
-	// told counts as told: a watch is a call that may wait, and may end instead of telling.
-	tellEnded = 2 * time.Second
-	// tellMoved is the same after a new configuration has named another address.
-	tellMoved = 4 * time.Second
+	// announceDelayAfterClose is the bound after discovery has closed a watch: what the watch
+	// did not announce counts as announced then. A watch is a call that may wait, and may end
+	// instead of announcing a change.
+	announceDelayAfterClose = 2 * time.Second
+	// announceDelayAfterMove is the bound after a new configuration has named another address.
+	announceDelayAfterMove = 4 * time.Second
 )
 
-// Freshness is for how long a list may be used.
+// Freshness is how long a list may be used.
 type Freshness struct {
-	// Until then it holds all that counts as told.
+	// Until is the staleness bound: up to then the list holds every change that counts as
+	// announced.
 	Until time.Time
-	// UntilIfServing is as far as it may be used, from Until on for those backends alone that
-	// have served a call that was sent within Serving.
+	// UntilIfServing is the end of all use. Between Until and this time the list may only be
+	// used for backends that have served a call sent within the last ServingWindow.
 	UntilIfServing time.Time
 	ServingWindow  time.Duration
-	// ConfirmedAt is when discovery last told, by a list or a sign of life, that the list was whole,
-	// and Told when the last list came; zero: not since the start.
+	// ConfirmedAt is when a list or a heartbeat of discovery last confirmed that the list was
+	// complete, and ReceivedAt when the last list came. Both are zero if that has not happened
+	// since the start.
 	ConfirmedAt time.Time
 	ReceivedAt  time.Time
-	// MayAnnounceLate says that changes may wait to be told: there has been a list, and somebody who
-	// may have more to tell.
+	// MayAnnounceLate reports whether discovery may still hold back changes: a list has come,
+	// and the last call did not find discovery's address without a listener.
 	MayAnnounceLate bool
 }
 
-// MaxUnobservedGap is how long a backend may go unseen, with no call that found it away, and still be taken
-// for there all the time: as long as a watch goes without a sign of life. One that is away for
-// less and gets no call meanwhile passes for one that was not; with a shorter gap, those that
-// get a call now and then would pass for having been away.
-const MaxUnobservedGap = lifeEvery
+// MaxUnobservedGap is the longest time for which a backend may go unobserved, with no call that
+// found it unreachable, and still count as continuously present. It is the heartbeat interval
+// of a watch. A backend that is away for less and gets no call in that time counts as never
+// having been away; a shorter gap would report backends as having been away that are only
+// called now and then.
+const MaxUnobservedGap = heartbeatInterval
 
-// freshnessTracker keeps for how long a list may be used. docs/design.md has a table of the bounds
-// with their sources.
+// freshnessTracker computes how long the list may be used.
 //
-// Past the time until which the list holds all that counts as told, a backend that serves
-// calls is likely not drained, as one that drains turns calls away, but that is no proof:
-// some answer on. It is relied on only while discovery could not be reached, and never
-// after a watch was closed, a silence or a move, until there is a list.
+// Past the staleness bound, a backend that serves calls is probably not drained, as a draining
+// backend rejects calls. That is no proof, since some keep answering. It is relied on only
+// while discovery is unreachable, and not after discovery has closed a watch, has been
+// unresponsive or has moved, until the next list.
 type freshnessTracker struct {
-	// unfollowed is for how long a list may be used that no watch follows: TellWithin, or
-	// less where lists are pushed, since what there is counts as told at once there.
-	unfollowed time.Duration
-	pushed     bool
-	serving    time.Duration // what drains by now was in service so long ago
-
-	word    time.Time // last list or sign of life; at first the start
-	heard   time.Time // the same; at first zero
-	listed  time.Time // last list; at first zero
-	until   time.Time // by the last word of discovery
-	ended   time.Time // bound by a watch that ended and may not have told all; zero: none
-	cut     time.Time // last time that discovery could not be reached; zero: never
-	deaf    bool      // discovery has been silent, or has moved: it may have told others of changes
-	reached bool      // something of discovery has met a call in this life: it may have told others
-	nobody  bool      // the last call was refused: nobody is there who could have something to tell
-}
-
-// now is for how long the list may be used.
-func (f *freshnessTracker) now() Freshness {
-	now := Freshness{Until: f.until, UntilIfServing: f.until, ServingWindow: f.serving,
-		ConfirmedAt: f.heard, ReceivedAt: f.listed, MayAnnounceLate: !f.pushed && !f.nobody && !f.listed.IsZero()}
-	if reached := f.cut.Add(MaxAnnounceDelay); !f.cut.IsZero() && !f.deaf && reached.After(f.until) {
-		now.UntilIfServing = reached
+	// unwatchedFor is how long a list stays fresh without a watch: MaxAnnounceDelay, or less
+	// where lists are pushed, since every change counts as announced at once there.
+	unwatchedFor time.Duration
+	pushed       bool
+	// servingWindow is the age up to which a served call shows that a backend, if it drains
+	// by now, was still in service.
+	servingWindow time.Duration
+
+	lastContact     time.Time // last list or heartbeat; at first the start
+	lastConfirmed   time.Time // last list or heartbeat; zero: none
+	lastList        time.Time // zero: none
+	freshUntil      time.Time // by the last contact with discovery
+	closeBound      time.Time // staleness bound of a closed watch that may have withheld changes; zero: none
+	lastUnreachable time.Time // last time that discovery could not be reached; zero: never
+	unresponsive    bool      // discovery gave no response or has moved; other callers may have got changes
+	everReached     bool      // discovery has met a call since the start; other callers may have got changes
+	lastRefused     bool      // the last connection was refused: no discovery that could have changes
+}
+
+// current returns how long the list may be used.
+func (f *freshnessTracker) current() Freshness {
+	current := Freshness{Until: f.freshUntil, UntilIfServing: f.freshUntil, ServingWindow: f.servingWindow,
+		ConfirmedAt: f.lastConfirmed, ReceivedAt: f.lastList, MayAnnounceLate: !f.pushed && !f.lastRefused && !f.lastList.IsZero()}
+	if bound := f.lastUnreachable.Add(MaxAnnounceDelay); !f.lastUnreachable.IsZero() && !f.unresponsive && bound.After(f.freshUntil) {
+		current.UntilIfServing = bound
 	}
-	if !f.ended.IsZero() {
-		now.Until = earlier(now.Until, f.ended)
-		now.UntilIfServing = earlier(now.UntilIfServing, f.ended)
+	if !f.closeBound.IsZero() {
+		current.Until = earlier(current.Until, f.closeBound)
+		current.UntilIfServing = earlier(current.UntilIfServing, f.closeBound)
 	}
-	return now
+	return current
 }
 
 func earlier(a, b time.Time) time.Time {
@@ -82,97 +88,101 @@
 	return b
 }
 
-// extend puts the clock forward to a time, never back.
+// extend moves the staleness bound to a later time, and never to an earlier one.
 func (f *freshnessTracker) extend(until time.Time) {
-	if until.After(f.until) {
-		f.until = until
+	if until.After(f.freshUntil) {
+		f.freshUntil = until
 	}
 }
 
-// limit puts the clock back to a time, never forward.
-func (f *freshnessTracker) limit(until time.Time) {
-	if until.Before(f.until) {
-		f.until = until
+// shorten moves the staleness bound to an earlier time, and never to a later one.
+func (f *freshnessTracker) shorten(until time.Time) {
+	if until.Before(f.freshUntil) {
+		f.freshUntil = until
 	}
 }
 
-// followed tells whether a watch stands that has told a list.
-func (f *freshnessTracker) followed() bool {
-	return !f.listed.IsZero() && f.ended.IsZero() && f.cut.IsZero() && !f.deaf
+// watched reports whether a watch is open that has brought a list.
+func (f *freshnessTracker) watched() bool {
+	return !f.lastList.IsZero() && f.closeBound.IsZero() && f.lastUnreachable.IsZero() && !f.unresponsive
 }
 
-// started takes that the list known at the start is in use. It is what this proxy had last,
-// in an earlier life that may be long over, and nothing tells how old it is: what it lacks may
-// count as told already. Where lists are pushed all counts from the start on.
+// started records that the list known at the start is in use. An earlier run of this process
+// stored it, possibly long ago, so changes that it lacks may count as announced already.
+// Pushed lists count as fresh from the start.
 func (f *freshnessTracker) started(now time.Time) {
-	f.word = now
+	f.lastContact = now
 	f.extend(now)
 	if f.pushed {
-		f.extend(now.Add(f.unfollowed))
+		f.extend(now.Add(f.unwatchedFor))
 	}
 }
 
-// list takes that a list has come that is in use.
-func (f *freshnessTracker) list(now time.Time) {
-	f.listed = now
-	f.told(now)
+// listReceived records that a list has come on a watch and is in use.
+func (f *freshnessTracker) listReceived(now time.Time) {
+	f.lastList = now
+	f.confirmed(now)
 }
 
-// checked takes that a list has come by a check beside a watch. Where the watch has ended
-// meanwhile, the list may be from before that, and moves nothing.
-func (f *freshnessTracker) checked(now time.Time) {
-	if f.followed() {
-		f.list(now)
+// checkReceived records that a check beside a watch has brought a list. If the watch has ended
+// meanwhile, the list may be older than that end and does not extend the staleness bound.
+func (f *freshnessTracker) checkReceived(now time.Time) {
+	if f.watched() {
+		f.listReceived(now)
 	}
 }
 
-// told takes that a watch stands: a list that is in use, or a sign of life behind it. A sign
-// of life proves that discovery goes on telling, not that no change waits its turn.
-func (f *freshnessTracker) told(now time.Time) {
-	f.word, f.heard, f.ended, f.cut, f.deaf, f.reached = now, now, time.Time{}, time.Time{}, false, true
-	f.nobody = false
+// confirmed records that a watch is alive: it brought a list that is in use, or a heartbeat
+// after one. A heartbeat proves that discovery still announces changes, not that none is
+// waiting.
+func (f *freshnessTracker) confirmed(now time.Time) {
+	f.lastContact, f.lastConfirmed, f.closeBound, f.lastUnreachable, f.unresponsive, f.everReached = now, now, time.Time{}, time.Time{}, false, true
+	f.lastRefused = false
 	f.extend(now.Add(MaxAnnounceDelay))
 }
 
-// refused takes that a connection was refused: nobody was there who could have told of a
-// change. What does not count as told by now counts TellWithin later at the earliest; what
-// does so already goes on doing so, so that a list that is stale stays it. The list of the
-// start is taken for whole where there has been nobody from the start on.
-func (f *freshnessTracker) refused(now time.Time) {
-	f.cut, f.nobody = now, true
+// connectionRefused records that a connection was refused, so no discovery was there that could
+// have announced a change. A change that does not count as announced by now does so
+// MaxAnnounceDelay later at the earliest. One that already counts goes on counting, so a stale
+// list stays stale. The list of the start counts as complete if every connection since the
+// start was refused.
+func (f *freshnessTracker) connectionRefused(now time.Time) {
+	f.lastUnreachable, f.lastRefused = now, true
 	if f.pushed {
-		f.limit(now.Add(f.unfollowed))
+		f.shorten(now.Add(f.unwatchedFor))
 	}
-	if !f.reached || now.Before(f.until) {
-		f.extend(now.Add(f.unfollowed))
+	if !f.everReached || now.Before(f.freshUntil) {
+		f.extend(now.Add(f.unwatchedFor))
 	}
 }
 
-// watchEnded takes that a watch was closed, in order, by discovery: it may have had
-// something to tell.
-func (f *freshnessTracker) watchEnded(now time.Time) {
-	bound := now.Add(tellEnded)
-	if f.ended.IsZero() || bound.Before(f.ended) {
-		f.ended = bound
+// watchClosed records that discovery closed a watch in order. It may have withheld changes.
+func (f *freshnessTracker) watchClosed(now time.Time) {
+	bound := now.Add(announceDelayAfterClose)
+	if f.closeBound.IsZero() || bound.Before(f.closeBound) {
+		f.closeBound = bound
 	}
 }
 
-// callFailed takes that a call was turned away or failed, or that a watch broke, since
-// discovery could not be reached or had too much to do. What it may have missed counts as
-// told by the clock as it is; where lists are pushed, what there is counts at once.
+// callFailed records that a call was rejected or failed, or that a watch broke, since discovery
+// was unreachable or overloaded. Missed changes count as announced by the current staleness
+// bound; where lists are pushed, they count at once.
 func (f *freshnessTracker) callFailed(now time.Time) {
-	f.cut, f.reached, f.nobody = now, true, false
+	f.lastUnreachable, f.everReached, f.lastRefused = now, true, false
 	if f.pushed {
-		f.limit(now.Add(f.unfollowed))
+		f.shorten(now.Add(f.unwatchedFor))
 	}
 }
 
-// silent takes that a call or a watch fell silent, which moves nothing: what it misses counts
-// as told by the last word before it, also where lists are pushed.
-func (f *freshnessTracker) silent(time.Time) { f.deaf, f.reached, f.nobody = true, true, false }
+// noResponse records that a call or a watch got no response or heartbeat in time. The staleness
+// bound stays, also where lists are pushed: missed changes count as announced by the last
+// contact.
+func (f *freshnessTracker) noResponse(time.Time) {
+	f.unresponsive, f.everReached, f.lastRefused = true, true, false
+}
 
-// moved takes that a new configuration has named another source.
-func (f *freshnessTracker) moved(now time.Time) {
-	f.deaf = true
-	f.limit(now.Add(tellMoved))
+// sourceChanged records that a new configuration has named another source.
+func (f *freshnessTracker) sourceChanged(now time.Time) {
+	f.unresponsive = true
+	f.shorten(now.Add(announceDelayAfterMove))
 }
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// List is a whole list, or the entries that changed.
+// List is a complete list of backends, or the entries that changed.
 type List struct {
 	Rev      int64
 	Complete bool
 	Targets  []Target
-	// PreviousConfirmedAt is when discovery last told, by a list or a sign of life, that the list before
-	// this one was whole; zero: it has told nothing yet.
+	// PreviousConfirmedAt is when a list or a heartbeat of discovery last confirmed that the
+	// list before this one was complete; zero: never.
 	PreviousConfirmedAt time.Time
 }
 
@@ -26,7 +26,7 @@
 	Cell         int     `json:"pod_group"`
 	State        string  `json:"state"`
 	CapacityHint float64 `json:"capacity_hint"`
-	BootMs       int64   `json:"boot_ms"` // Unix time in milliseconds; 0: long ago
+	BootMs       int64   `json:"boot_ms"` // start of its process in Unix time, milliseconds; 0: long ago
 }
 
 // The states of a target.
@@ -36,8 +36,8 @@
 	Terminated  = "terminated"
 )
 
-// next reads the next list of a watch.
-func next(lists *json.Decoder) (*List, error) {
+// nextList reads the next list of a watch.
+func nextList(lists *json.Decoder) (*List, error) {
 	var text json.RawMessage
 	if err := lists.Decode(&text); err != nil {
 		return nil, fmt.Errorf("list: %w", err)
@@ -49,7 +49,7 @@
 	return l, nil
 }
 
-// ParseList reads one list and makes sure that it can be used as a whole.
+// ParseList parses one list and checks every entry, so that a list is used whole or not at all.
 func ParseList(line []byte) (*List, error) {
 	var l struct {
 		Rev     *int64    `json:"rev"`
@@ -60,17 +60,18 @@
 		return nil, err
 	}
 	if l.Rev == nil || l.Targets == nil {
-		return nil, errors.New("no rev or no targets")
+		return nil, errors.New("list has no rev or no targets")
 	}
 	for i, t := range *l.Targets {
-		if err := t.check(); err != nil {
+		if err := t.validate(); err != nil {
 			return nil, fmt.Errorf("target %d: %w", i, err)
 		}
 	}
 	return &List{Rev: *l.Rev, Complete: l.All, Targets: *l.Targets}, nil
 }
 
-func (t *Target) check() error {
+// validate reports what makes the entry unusable.
+func (t *Target) validate() error {
 	if t.UID == "" {
 		return errors.New("no uid")
 	}
--- a/internal/discovery/stream.go
+++ b/internal/discovery/stream.go
@@ -5,15 +5,15 @@
 	"io"
 )
 
-// stream is the body of a watch without its line ends. JSON has none inside of strings and
-// needs none between values, and the empty lines of a watch that stands for months would
-// pile up in the decoder until the next list.
+// stream is the body of a watch without its line ends. JSON has none inside strings and needs
+// none between values. The decoder would buffer the empty lines of a watch that stays open for
+// months until the next list.
 type stream struct {
-	r     io.Reader
-	alive func()
-	idle  func() // called with a line end alone where no list has begun: a sign of life
-	left  int    // bytes that the list may still have
-	begun bool
+	r           io.Reader
+	onData      func()
+	onHeartbeat func() // called for a line end alone while no list has begun
+	bytesLeft   int    // that the list may still have
+	begun       bool   // the list
 }
 
 // Read implements io.Reader.
@@ -21,7 +21,7 @@
 	for {
 		n, err := s.r.Read(p)
 		if n > 0 {
-			s.alive()
+			s.onData()
 		}
 		kept := p[:0]
 		for _, c := range p[:n] {
@@ -29,13 +29,13 @@
 				kept = append(kept, c)
 			}
 		}
-		if s.left -= len(kept); s.left < 0 {
-			return 0, fmt.Errorf("over %d bytes", maxList)
+		if s.bytesLeft -= len(kept); s.bytesLeft < 0 {
+			return 0, fmt.Errorf("list exceeds %d bytes", maxListBytes)
 		}
 		if len(kept) > 0 {
 			s.begun = true
 		} else if n > 0 && !s.begun {
-			s.idle()
+			s.onHeartbeat()
 		}
 		if len(kept) > 0 || err != nil {
 			return len(kept), err
--- a/internal/pacing/pacing.go
+++ b/internal/pacing/pacing.go
@@ -1,6 +1,6 @@
-// Package pacing says how long to wait before the next call for the list of backends.
-// It has no clock and starts nothing: its caller tells how calls came to an end, and makes
-// the next one when the wait is over.
+// Package pacing computes how long to wait before the next call for the list of backends. It has
+// no clock and starts no goroutine: its caller reports how each call ended, and makes the next
+// one when the wait is over.
 package pacing
 
 import (
@@ -9,97 +9,99 @@
 )
 
 const (
-	// firstShare is the wait before the first call and after a watch that told a list, as
-	// a share of the time within which the settings want one.
-	firstShare = 0.05
-	// mostShare is the longest wait after a call that was turned away at once, as a share
-	// of the same: such a call did not wait in a queue that had to be relieved.
-	mostShare = 0.25
-	// againFactor is the wait after a call that waited in vain, in multiples of the time
-	// that it waited. Guards against hundreds of callers that keep discovery's queue so
-	// long that no call is ever answered.
-	againFactor = 2
-	// growth is how much longer each further wait is.
-	growth = 2
-	// grownShare is how far calls that were turned away make the wait grow, as a share of
-	// the time within which a list is wanted: spread by half it stays within that, so that
-	// callers who failed together do not all come back at its end.
-	grownShare = 2.0 / 3
+	// firstWaitFraction is the mean wait before the first call, and after a watch that has
+	// brought a list, as a fraction of the time within which the settings require a list.
+	firstWaitFraction = 0.05
+	// rejectedWaitFraction is the longest mean wait after a call that was rejected at once, as
+	// a fraction of the same time. Such a call did not wait in a queue that needs relief.
+	rejectedWaitFraction = 0.25
+	// queuedWaitFactor is the least mean wait after a call that waited and failed, in multiples
+	// of the time that it waited. It prevents hundreds of callers from keeping discovery's
+	// queue so long that no call is ever answered.
+	queuedWaitFactor = 2
+	// backoffFactor is the growth from one mean wait to the next.
+	backoffFactor = 2
+	// maxBackoffFraction bounds the mean wait after calls that were not left without a
+	// response, as a fraction of the time within which a list is required. Jitter of half the
+	// wait keeps it within that time, so that callers that failed together do not all return
+	// at its end.
+	maxBackoffFraction = 2.0 / 3
 
-	// Where lists are pushed, the agent beside the process is asked, which has no queue.
-	pushedFirst = 250 * time.Millisecond
-	pushedMost  = time.Second
+	// Where lists are pushed, the calls go to a local agent, which has no queue.
+	pushedFirstWait = 250 * time.Millisecond
+	pushedMaxWait   = time.Second
 )
 
 // Pacer paces the calls of one caller. It is not safe for concurrent use.
 type Pacer struct {
-	rng     *rand.Rand
-	within  time.Duration // wait at most so long, whatever happens; 0: lists are pushed
-	first   time.Duration // mean wait before the first call
-	backoff time.Duration // mean wait before the next
-	silent  bool          // the last call or watch ended in silence
+	rng          *rand.Rand
+	maxWait      time.Duration // the longest wait in any case; 0: lists are pushed
+	firstWait    time.Duration // mean wait before the first call
+	backoff      time.Duration // mean wait before the next call
+	unresponsive bool          // the last call or watch ended without a response
 }
 
-// NewForService returns a pacer for a caller that asks a shared service for the list, and has to
-// ask again within the given time.
-func NewForService(within time.Duration, rng *rand.Rand) *Pacer {
-	first := time.Duration(firstShare * float64(within))
-	return &Pacer{rng: rng, within: within, first: first, backoff: first}
+// NewForService returns a pacer for a caller that calls a shared service for the list, and has to
+// call again within maxWait.
+func NewForService(maxWait time.Duration, rng *rand.Rand) *Pacer {
+	first := time.Duration(firstWaitFraction * float64(maxWait))
+	return &Pacer{rng: rng, maxWait: maxWait, firstWait: first, backoff: first}
 }
 
-// NewForAgent returns a pacer for a caller to whom lists are pushed by an agent of its own.
+// NewForAgent returns a pacer for a caller whose local agent pushes lists.
 func NewForAgent(rng *rand.Rand) *Pacer {
-	return &Pacer{rng: rng, first: pushedFirst, backoff: pushedFirst}
+	return &Pacer{rng: rng, firstWait: pushedFirstWait, backoff: pushedFirstWait}
 }
 
-// FirstWait is the wait before the first call. All callers may start together, and must not
-// ask together; an agent of one's own is asked at once.
+// FirstWait returns the wait before the first call. Callers of a shared service may all start
+// together, so their first calls are spread; a local agent is called at once.
 func (p *Pacer) FirstWait() time.Duration {
-	if p.within == 0 {
+	if p.maxWait == 0 {
 		return 0
 	}
-	return p.jitter(p.first)
+	return p.jitter(p.firstWait)
 }
 
-// Succeeded takes that a call has brought a list: the waits are short again.
-func (p *Pacer) Succeeded() { p.backoff, p.silent = p.first, false }
+// Succeeded records that a call has brought a list, and resets the backoff.
+func (p *Pacer) Succeeded() { p.backoff, p.unresponsive = p.firstWait, false }
 
-// SourceChanged takes that the list comes from another source: how the old one failed says
-// nothing of it.
+// SourceChanged records that lists come from another source. It resets the backoff, since
+// failures of the old source say nothing about the new one.
 func (p *Pacer) SourceChanged() { p.Succeeded() }
 
-// Failed takes that a call has failed after it waited for so long, or that a watch which
-// told a list has ended, for which waited is 0. silent says that it ended with no word. It
-// returns the wait before the next call: longer each time, and longer after a call that
-// waited long, but for a first silence, since by the protocol who has too much to do says so.
-func (p *Pacer) Failed(waited time.Duration, silent bool) time.Duration {
-	if p.within == 0 {
-		wait := min(p.backoff, pushedMost)
-		p.backoff = growth * wait
+// Failed records that a call has failed after waiting for the given time, or with 0 that a watch
+// which had brought a list has ended. unresponsive says that it ended without a response.
+// Failed returns the wait before the next call, which grows with each failure and with the time
+// that the call waited. A first unresponsive call gets only the first wait, since by the
+// protocol an overloaded discovery answers or resets.
+func (p *Pacer) Failed(waited time.Duration, unresponsive bool) time.Duration {
+	if p.maxWait == 0 {
+		wait := min(p.backoff, pushedMaxWait)
+		p.backoff = backoffFactor * wait
 		return p.jitter(wait)
 	}
-	wait := p.afterFailure(waited)
-	if silent && !p.silent {
-		wait = p.first
+	wait := p.waitAfterFailure(waited)
+	if unresponsive && !p.unresponsive {
+		wait = p.firstWait
 	}
-	p.silent, p.backoff = silent, growth*wait
-	if !silent {
-		p.backoff = min(p.backoff, time.Duration(grownShare*float64(p.within)))
+	p.unresponsive, p.backoff = unresponsive, backoffFactor*wait
+	if !unresponsive {
+		p.backoff = min(p.backoff, time.Duration(maxBackoffFraction*float64(p.maxWait)))
 	}
-	return min(p.jitter(wait), p.within)
+	return min(p.jitter(wait), p.maxWait)
 }
 
-// afterFailure is the mean wait after a call that waited for so long.
-func (p *Pacer) afterFailure(waited time.Duration) time.Duration {
-	relief := againFactor * waited
-	most := time.Duration(mostShare * float64(p.within))
-	if relief >= most {
-		most = p.within
+// waitAfterFailure returns the mean wait after a call that waited for the given time.
+func (p *Pacer) waitAfterFailure(waited time.Duration) time.Duration {
+	relief := queuedWaitFactor * waited
+	longest := time.Duration(rejectedWaitFraction * float64(p.maxWait))
+	if relief >= longest {
+		longest = p.maxWait
 	}
-	return min(max(p.backoff, relief), most)
+	return min(max(p.backoff, relief), longest)
 }
 
-// jitter spreads a wait over half to one and a half times itself.
+// jitter spreads a wait evenly from half to one and a half times its value.
 func (p *Pacer) jitter(wait time.Duration) time.Duration {
 	return max(1, time.Duration((0.5+p.rng.Float64())*float64(wait)))
 }
