--- a/internal/pacing/pacing.go
+++ b/internal/pacing/pacing.go
@@ -21,9 +21,9 @@
 	queuedWaitFactor = 2
 	// backoffFactor is the growth from one mean wait to the next.
 	backoffFactor = 2
-	// maxBackoffFraction bounds the mean wait after calls that were not left without a
-	// response, as a fraction of the time within which a list is required. Jitter of half the
-	// wait keeps it within that time, so that callers that failed together do not all return
+	// maxBackoffFraction bounds the growth of the mean wait by all failures but unresponsive
+	// ones, as a fraction of the time within which a list is required. With jitter of half the
+	// wait it stays within that time, so that callers that failed together do not all return
 	// at its end.
 	maxBackoffFraction = 2.0 / 3
 
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -13,79 +13,83 @@
 )
 
 const (
-	// connectShare is the part of an attempt's time that its connection may take to come
-	// up. The rest is for the backend: an attempt is sent where all of its time fits, and
-	// one that begins late would be cut short.
-	connectShare = 0.25
-	// connectFactor is how much longer than usual a connection may take before it counts
-	// as late: an order of magnitude is no chance. connectLeast is what it may take in any
-	// case: where the way is long, no share of a short time holds it.
-	connectFactor = 10
-	connectLeast  = 2
-	// connectFloor is the part of an attempt's time that its connection may take however
-	// quick others were: below it lies noise, as with the allowance.
-	connectFloor = 0.02
-	// connectStep is how fast the usual time follows, by its logarithm.
-	connectStep = 0.1
-	// mostLate is how many connections to a backend may be on their way with nobody
-	// waiting for them. One that is late may be chance.
-	mostLate = 2
+	// connectTimeoutFraction is the largest part of an attempt's timeout that connecting may
+	// take. The rest is for the backend: an attempt is only sent if its whole timeout fits the
+	// deadline, and a late start would cut it short.
+	connectTimeoutFraction = 0.25
+	// connectTimeoutFactor is the connect timeout in multiples of the median connect time: a
+	// delay of an order of magnitude is no random variation. minConnectTimeoutFactor is a lower
+	// bound in the same multiples, for networks so slow that connecting takes more than
+	// connectTimeoutFraction of a short attempt timeout.
+	connectTimeoutFactor    = 10
+	minConnectTimeoutFactor = 2
+	// minConnectTimeoutFraction is the part of an attempt's timeout that connecting may take
+	// however short the median is. Shorter differences are noise, as they are for the
+	// per-attempt timeout estimate.
+	minConnectTimeoutFraction = 0.02
+	// connectMedianStep is how far each sample moves the median estimate, in its logarithm.
+	connectMedianStep = 0.1
+	// maxAbandonedDials is how many dials to a backend may be in progress with no attempt
+	// waiting for them. A single slow dial may be random.
+	maxAbandonedDials = 2
 )
 
-// errLate is that a connection has not come up in the time that an attempt has for it.
-var errLate = errors.New("the connection is late")
+// errConnectTimeout says that a connection was not established within an attempt's connect
+// timeout. The dial may still succeed.
+var errConnectTimeout = errors.New("connection not established within the connect timeout")
 
-// dial is a connection on its way. An attempt that can't wait for it leaves it behind, and
-// it serves another once it is up: guards against every attempt at a backend beginning a
-// connection of its own that is late, too.
-type dial struct {
+// pendingDial is a dial in progress. An attempt that can't wait for it abandons it, and the
+// connection becomes idle for other attempts once it is established. Otherwise every attempt at
+// a slow backend would start a dial of its own that times out as well.
+type pendingDial struct {
 	backend *Backend
-	ended   chan struct{} // closed once the result is there
+	done    chan struct{} // closed once the result is available
 
-	mu   sync.Mutex
-	left bool // nobody waits for it
-	conn net.Conn
-	err  error
+	mu        sync.Mutex
+	abandoned bool // no attempt waits for it
+	conn      net.Conn
+	err       error
 }
 
-// open opens a connection, for which the caller has taken a slot, for an attempt that has
-// timeout. It waits for as long as connectPatience says, the deadline at most, or until ctx
-// is over: with that one the connection is given up.
+// open dials a connection for an attempt with the given timeout. The caller has acquired the
+// descriptor. open waits for the connect timeout and at most until the deadline. If ctx ends
+// meanwhile, the dial is cancelled.
 func (b *Backend) open(ctx context.Context, deadline time.Time, timeout time.Duration) (*http1.Conn, error) {
-	if b.crowded() {
+	if b.tooManyAbandoned() {
 		b.opt.Descriptors.Release()
-		return nil, errLate
+		return nil, errConnectTimeout
 	}
-	dialing, cancel := context.WithTimeout(b.life, b.opt.DialTimeout)
-	d := &dial{backend: b, ended: make(chan struct{})}
-	go d.run(dialing, cancel)
-	wait := min(time.Until(deadline), b.opt.connectPatience(timeout))
+	dialCtx, cancel := context.WithTimeout(b.lifetime, b.opt.DialTimeout)
+	d := &pendingDial{backend: b, done: make(chan struct{})}
+	go d.run(dialCtx, cancel)
+	wait := min(time.Until(deadline), b.opt.connectTimeout(timeout))
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	select {
-	case <-d.ended:
+	case <-d.done:
 	case <-timer.C:
 	case <-ctx.Done():
 		cancel()
-		<-d.ended
+		<-d.done
 	}
-	conn, err := d.take()
+	conn, err := d.claim()
 	if err != nil {
 		return nil, err
 	}
 	return http1.NewConn(conn), nil
 }
 
-// crowded tells whether so many connections are late that another is not worth a try.
-func (b *Backend) crowded() bool {
+// tooManyAbandoned reports whether so many abandoned dials are in progress that another one is
+// not worth a try.
+func (b *Backend) tooManyAbandoned() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.late >= mostLate
+	return b.abandonedDials >= maxAbandonedDials
 }
 
-// run makes the connection, and hands it on to the attempt that waits for it or else to
-// whichever is next.
-func (d *dial) run(ctx context.Context, cancel func()) {
+// run dials. The connection goes to the attempt that waits for it; if that has abandoned it, it
+// becomes idle.
+func (d *pendingDial) run(ctx context.Context, cancel func()) {
 	defer cancel()
 	b, began := d.backend, time.Now()
 	dial := b.opt.Dial
@@ -101,67 +105,67 @@
 		b.opt.Descriptors.Release()
 	} else {
 		b.opt.ConnsOpened.Add(1)
-		b.opt.connectTook(time.Since(began))
+		b.opt.recordConnectTime(time.Since(began))
 	}
 	d.mu.Lock()
-	left := d.left
+	abandoned := d.abandoned
 	d.conn, d.err = conn, err
-	close(d.ended)
+	close(d.done)
 	d.mu.Unlock()
-	if !left {
+	if !abandoned {
 		return
 	}
 	b.mu.Lock()
-	b.late--
+	b.abandonedDials--
 	b.mu.Unlock()
 	switch {
 	case err == nil:
-		b.keep(http1.NewConn(conn))
-	case b.life.Err() == nil && b.opt.OnLateDialFailure != nil:
+		b.putIdle(http1.NewConn(conn))
+	case b.lifetime.Err() == nil && b.opt.OnLateDialFailure != nil:
 		b.opt.OnLateDialFailure(b, err)
 	}
 }
 
-// take returns the connection, or leaves it behind where it has not come up.
-func (d *dial) take() (net.Conn, error) {
+// claim returns the result of the dial, or abandons the dial if it is still in progress.
+func (d *pendingDial) claim() (net.Conn, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	select {
-	case <-d.ended:
+	case <-d.done:
 		return d.conn, d.err
 	default:
 	}
-	d.left = true
+	d.abandoned = true
 	b := d.backend
 	b.mu.Lock()
-	b.late++
+	b.abandonedDials++
 	b.mu.Unlock()
-	return nil, errLate
+	return nil, errConnectTimeout
 }
 
-// connectPatience is how long an attempt that has timeout waits for its connection.
-func (o *Options) connectPatience(timeout time.Duration) time.Duration {
-	most := time.Duration(connectShare * float64(timeout))
+// connectTimeout returns how long an attempt with the given timeout waits for its connection.
+func (o *Options) connectTimeout(timeout time.Duration) time.Duration {
+	longest := time.Duration(connectTimeoutFraction * float64(timeout))
 	o.connectMu.Lock()
 	defer o.connectMu.Unlock()
 	if o.connectMedian == 0 {
-		return most
+		return longest
 	}
-	least := max(connectLeast*o.connectMedian, time.Duration(connectFloor*float64(timeout)))
-	return max(least, min(connectFactor*o.connectMedian, most))
+	shortest := max(minConnectTimeoutFactor*o.connectMedian, time.Duration(minConnectTimeoutFraction*float64(timeout)))
+	return max(shortest, min(connectTimeoutFactor*o.connectMedian, longest))
 }
 
-// connectTook follows the median of the times that connections take.
-func (o *Options) connectTook(took time.Duration) {
+// recordConnectTime updates the estimate of the median connect time with one sample.
+func (o *Options) recordConnectTime(took time.Duration) {
 	o.connectMu.Lock()
 	defer o.connectMu.Unlock()
 	switch {
 	case o.connectMedian == 0:
 		o.connectMedian = took
 	case took > o.connectMedian:
-		o.connectMedian = time.Duration(float64(o.connectMedian) * math.Exp(connectStep))
+		o.connectMedian = time.Duration(float64(o.connectMedian) * math.Exp(connectMedianStep))
 	default:
-		o.connectMedian = time.Duration(float64(o.connectMedian) * math.Exp(-connectStep))
+		o.connectMedian = time.Duration(float64(o.connectMedian) * math.Exp(-connectMedianStep))
 	}
 	o.connectMedian = max(1, o.connectMedian)
 }
--- a/internal/upstream/dial_test.go
+++ b/internal/upstream/dial_test.go
@@ -11,16 +11,16 @@
 	"oxbowloft/internal/standin"
 )
 
-// heldDial is a dial that waits until it is let through, ends with an error, or is given up.
-type heldDial struct {
-	begun atomic.Int64
-	up    chan error // nil lets one through
+// blockedDial is a dial that waits until it is let through, ends with an error, or is given up.
+type blockedDial struct {
+	begun   atomic.Int64
+	release chan error // nil lets one through
 }
 
-func (h *heldDial) dial(ctx context.Context, network, addr string) (net.Conn, error) {
+func (h *blockedDial) dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	h.begun.Add(1)
 	select {
-	case err := <-h.up:
+	case err := <-h.release:
 		if err != nil {
 			return nil, err
 		}
@@ -30,17 +30,17 @@
 	}
 }
 
-func eventuallyIs(t *testing.T, what string, f func() bool) {
+func eventually(t *testing.T, what string, f func() bool) {
 	t.Helper()
 	standin.Eventually(t, 10*time.Second, what, f)
 }
 
-// lateBackend is a backend whose connections are held, and what it takes from.
-func lateBackend(t *testing.T) (*Backend, *heldDial, *slots, *standin.Backend) {
+// newBlockedBackend is a backend whose connections are held, and what it takes from.
+func newBlockedBackend(t *testing.T) (*Backend, *blockedDial, *descriptors, *standin.Backend) {
 	t.Helper()
 	behind := standin.NewBackend(t, standin.Echo)
 	opt, taken := options(100)
-	held := &heldDial{up: make(chan error, 10)}
+	held := &blockedDial{release: make(chan error, 10)}
 	opt.Dial, opt.DialTimeout = held.dial, time.Minute
 	return New(behind.Addr(), opt), held, taken, behind
 }
@@ -48,10 +48,10 @@
 // An attempt leaves a late connection to others, and no more than mostLate are on their
 // way with nobody waiting.
 func TestLate(t *testing.T) {
-	b, held, _, behind := lateBackend(t)
+	b, held, _, behind := newBlockedBackend(t)
 	defer b.Close()
 	request := &Request{Render: get, Timeout: 200 * time.Millisecond}
-	for range mostLate {
+	for range maxAbandonedDials {
 		if a := b.Exchange(context.Background(), request); a.Stage != ConnectTimedOut {
 			t.Fatalf("ended in stage %d: %v", a.Stage, a.Err)
 		}
@@ -61,19 +61,19 @@
 			t.Fatalf("ended in stage %d: %v", a.Stage, a.Err)
 		}
 	}
-	if n := held.begun.Load(); n != mostLate {
-		t.Errorf("%d connections begun, want %d", n, mostLate)
+	if n := held.begun.Load(); n != maxAbandonedDials {
+		t.Errorf("%d connections begun, want %d", n, maxAbandonedDials)
 	}
-	for range mostLate {
-		held.up <- nil
+	for range maxAbandonedDials {
+		held.release <- nil
 	}
-	eventuallyIs(t, "both up", func() bool { return b.IdleCount() == mostLate })
+	eventually(t, "both up", func() bool { return b.IdleCount() == maxAbandonedDials })
 	request.Timeout = 10 * time.Second
 	if a := b.Exchange(context.Background(), request); a.Stage != Answered || a.Err != nil {
 		t.Fatalf("ended in stage %d: %v", a.Stage, a.Err)
 	}
-	if opened, _ := behind.Conns(); opened != mostLate || held.begun.Load() != mostLate {
-		t.Errorf("%d connections opened and %d begun, want %d", opened, held.begun.Load(), mostLate)
+	if opened, _ := behind.Conns(); opened != maxAbandonedDials || held.begun.Load() != maxAbandonedDials {
+		t.Errorf("%d connections opened and %d begun, want %d", opened, held.begun.Load(), maxAbandonedDials)
 	}
 }
 
@@ -81,7 +81,7 @@
 // given up because its backend is gone is not told.
 func TestLateNeverUp(t *testing.T) {
 	for _, gone := range []bool{false, true} {
-		b, held, taken, _ := lateBackend(t)
+		b, held, taken, _ := newBlockedBackend(t)
 		told := make(chan error, 10)
 		b.opt.OnLateDialFailure = func(_ *Backend, err error) { told <- err }
 		if a := b.Exchange(context.Background(), &Request{Render: get, Timeout: 100 * time.Millisecond}); a.Stage != ConnectTimedOut {
@@ -91,12 +91,12 @@
 		if gone {
 			b.Close()
 		} else {
-			held.up <- wrong
+			held.release <- wrong
 			if err := <-told; err != wrong {
 				t.Errorf("told %v", err)
 			}
 		}
-		eventuallyIs(t, "the descriptor given back", func() bool { return taken.free.Load() == 100 })
+		eventually(t, "the descriptor given back", func() bool { return taken.free.Load() == 100 })
 		if len(told) > 0 {
 			t.Errorf("told %v", <-told)
 		}
@@ -116,7 +116,7 @@
 		{80 * time.Millisecond, 160 * time.Millisecond},
 	} {
 		o := &Options{connectMedian: c.usual}
-		if got := o.connectPatience(timeout); got != c.want {
+		if got := o.connectTimeout(timeout); got != c.want {
 			t.Errorf("usual %v: %v, want %v", c.usual, got, c.want)
 		}
 	}
@@ -126,7 +126,7 @@
 		if i%3 == 0 {
 			took = time.Second
 		}
-		o.connectTook(took)
+		o.recordConnectTime(took)
 	}
 	if o.connectMedian < time.Millisecond/2 || o.connectMedian > 2*time.Millisecond {
 		t.Errorf("the usual time is %v, want some 1 ms", o.connectMedian)
--- a/internal/upstream/ends_test.go
+++ b/internal/upstream/ends_test.go
@@ -16,20 +16,20 @@
 	"oxbowloft/internal/standin"
 )
 
-// upload is a client's connection with a long request. Of its body it gives so much,
+// uploadConn is a client's connection with a long request. Of its body it gives so much,
 // then waits for more or for the end of its time, and tells of each interruption.
-type upload struct {
+type uploadConn struct {
 	net.Conn
-	text        string // what is left to give
+	pending     string // what is left to give
 	endless     bool   // gives x without end after it
 	interrupted chan bool
 	once        sync.Once
 }
 
-func (u *upload) Read(b []byte) (int, error) {
-	if u.text != "" {
-		n := copy(b, u.text)
-		u.text = u.text[n:]
+func (u *uploadConn) Read(b []byte) (int, error) {
+	if u.pending != "" {
+		n := copy(b, u.pending)
+		u.pending = u.pending[n:]
 		return n, nil
 	}
 	if u.endless {
@@ -39,18 +39,18 @@
 	return 0, os.ErrDeadlineExceeded
 }
 
-func (u *upload) SetReadDeadline(t time.Time) error {
+func (u *uploadConn) SetReadDeadline(t time.Time) error {
 	if t.Equal(time.Unix(1, 0)) {
 		u.once.Do(func() { close(u.interrupted) })
 	}
 	return nil
 }
 
-// uploading is an exchange's request with a rest that comes from u.
-func uploading(t *testing.T, endless bool) (*upload, *Request) {
+// newUpload is an exchange's request with a rest that comes from u.
+func newUpload(t *testing.T, endless bool) (*uploadConn, *Request) {
 	t.Helper()
-	u := &upload{endless: endless, interrupted: make(chan bool),
-		text: "POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: 30000000\r\n\r\nfirst part"}
+	u := &uploadConn{endless: endless, interrupted: make(chan bool),
+		pending: "POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: 30000000\r\n\r\nfirst part"}
 	_, first, rest, err := http1.NewConn(u).ReadRequest()
 	if err != nil || rest == nil {
 		t.Fatal(rest, err)
@@ -64,8 +64,8 @@
 	}
 }
 
-// got is what an exchange comes to; it fails the test where that takes for ever.
-func got(t *testing.T, b *Backend, ctx context.Context, req *Request) ExchangeResult {
+// exchangeInTime is what an exchange comes to; it fails the test where that takes for ever.
+func exchangeInTime(t *testing.T, b *Backend, ctx context.Context, req *Request) ExchangeResult {
 	t.Helper()
 	done := make(chan ExchangeResult, 1)
 	go func() { done <- b.Exchange(ctx, req) }()
@@ -78,8 +78,8 @@
 	}
 }
 
-// writeWaits tells whether a write in this process waits for its reader.
-func writeWaits() bool {
+// writeIsBlocked tells whether a write in this process waits for its reader.
+func writeIsBlocked() bool {
 	stacks := make([]byte, 1<<20)
 	return strings.Contains(string(stacks[:runtime.Stack(stacks, true)]), "internal/poll.(*pollDesc).waitWrite")
 }
@@ -106,7 +106,7 @@
 		opt, s := options(5)
 		var a ExchangeResult
 		for { // until the answer has found a write that stands still
-			u, req := uploading(t, true)
+			u, req := newUpload(t, true)
 			var far sync.WaitGroup
 			far.Go(func() {
 				nc, err := ln.Accept()
@@ -114,15 +114,15 @@
 					t.Error(err)
 					return
 				}
-				standin.Eventually(t, 10*time.Second, "the write stands still", writeWaits)
+				standin.Eventually(t, 10*time.Second, "the write stands still", writeIsBlocked)
 				io.WriteString(nc, c.text)
 				<-u.interrupted // the answer has been seen; the reset has not
 				nc.(*net.TCPConn).SetLinger(0)
 				nc.Close()
 			})
-			a = got(t, New(ln.Addr().String(), opt), soon(t), req)
+			a = exchangeInTime(t, New(ln.Addr().String(), opt), shortContext(t), req)
 			far.Wait()
-			if !errors.Is(a.Err, errEarly) {
+			if !errors.Is(a.Err, errEarlyAnswer) {
 				break
 			}
 		}
@@ -141,7 +141,7 @@
 // the request's end is not ours. A new connection has no older answer.
 func TestStaleAnswerDuringAnUpload(t *testing.T) {
 	for _, reused := range []bool{true, false} {
-		_, req := uploading(t, false)
+		_, req := newUpload(t, false)
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
@@ -166,12 +166,12 @@
 		opt, s := options(5)
 		b := New(ln.Addr().String(), opt)
 		if reused {
-			if a := b.Exchange(timed(soon(t), get)); a.Status != 200 || len(b.idle) != 1 {
+			if a := b.Exchange(newExchange(shortContext(t), get)); a.Status != 200 || len(b.idleConns) != 1 {
 				t.Fatalf("got %+v", a)
 			}
-			b.idle[0].since = time.Now().Add(-time.Hour)
+			b.idleConns[0].idleSince = time.Now().Add(-time.Hour)
 		}
-		a := got(t, b, soon(t), req)
+		a := exchangeInTime(t, b, shortContext(t), req)
 		if n := opt.ConnsOpened.Load(); n != 1 {
 			t.Errorf("%d connections", n)
 		}
@@ -196,7 +196,7 @@
 	}
 	defer ln.Close()
 	for _, endless := range []bool{false, true} {
-		_, req := uploading(t, endless)
+		_, req := newUpload(t, endless)
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		over := make(chan bool)
@@ -214,7 +214,7 @@
 			<-over
 		})
 		opt, s := options(5)
-		a := got(t, New(ln.Addr().String(), opt), ctx, req)
+		a := exchangeInTime(t, New(ln.Addr().String(), opt), ctx, req)
 		close(over)
 		if !errors.Is(a.Err, context.Canceled) || a.Stage != SendFailed || a.BodyReadErr != nil || s.free.Load() != 5 {
 			t.Errorf("endless %t: got %+v, %d descriptors", endless, a, s.free.Load())
@@ -239,7 +239,7 @@
 	} {
 		opt, s := options(5)
 		b := New(standin.NewBackend(t, func(c *standin.Call) { c.Raw(text); c.Reset() }).Addr(), opt)
-		a := got(t, b, soon(t), &Request{Render: get, Timeout: time.Minute})
+		a := exchangeInTime(t, b, shortContext(t), &Request{Render: get, Timeout: time.Minute})
 		if a.Err == nil || a.Stage < Written || a.Status != 0 {
 			t.Errorf("%q: got %+v", text, a)
 		}
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -1,6 +1,6 @@
-// Package upstream holds the connections to one backend and makes single
-// exchanges on them. An exchange that fails says how far it came, since that
-// decides whether the backend may have run the request.
+// Package upstream holds the connections to one backend and makes single exchanges on them.
+// The result of a failed exchange says how far it got, since that decides whether the backend
+// may have run the request.
 package upstream
 
 import (
@@ -17,154 +17,154 @@
 	"oxbowloft/internal/neterror"
 )
 
-// Stage is how far an exchange came.
+// Stage is how far an exchange got.
 type Stage int
 
 // The stages of an exchange.
 const (
-	Unsent          Stage = iota // no connection to be had here, or it was not wanted any more: nothing is written
-	ConnectTimedOut              // no connection in the time for it, which may come up yet: nothing is written
-	SendFailed                   // not connected, or not wholly written
-	Written                      // wholly written; it may have run
-	Answered                     // an answer came, perhaps a malformed one
+	Unsent          Stage = iota // no descriptor or local failure, or the request was no longer wanted: nothing was written
+	ConnectTimedOut              // no connection within the connect timeout; the dial may still succeed: nothing was written
+	SendFailed                   // not connected, or not completely written
+	Written                      // completely written; it may have run
+	Answered                     // an answer came, possibly a malformed one
 )
 
-// DescriptorBudget is the budget of descriptors that connections come from.
+// DescriptorBudget is the budget of file descriptors for connections to backends.
 type DescriptorBudget interface {
-	TryAcquire() bool // without waiting
+	TryAcquire() bool // does not wait
 	Release()
-	Exhausted() bool // what becomes idle should be given back
+	Exhausted() bool // connections that become idle should be closed
 }
 
-// Options are what the connections to all backends have in common.
+// Options are the options and counters that connections to all backends share.
 type Options struct {
 	DialTimeout time.Duration
-	IdleTimeout time.Duration // idle connections are closed by then
+	IdleTimeout time.Duration // idle connections are closed before it
 	Descriptors DescriptorBudget
 	// Dial, if set, is used in place of the net package's. It is set before the first exchange.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 
-	// OnLateDialFailure, if set, is told that a connection which no attempt waited for any longer
-	// has not come up at all.
+	// OnLateDialFailure, if set, is called when a dial has failed that no attempt waited for
+	// any longer.
 	OnLateDialFailure func(b *Backend, err error)
 
-	ConnsOpened     atomic.Int64 // connections, to all backends
-	RequestsWritten atomic.Int64 // requests written whole
+	ConnsOpened     atomic.Int64 // connections established, to all backends
+	RequestsWritten atomic.Int64 // requests completely written
 
 	connectMu     sync.Mutex
-	connectMedian time.Duration // of the times that connections took to come up
+	connectMedian time.Duration // estimate of the median connect time; 0: no sample
 }
 
-// Backend is one backend's address and the idle connections to it.
+// Backend is one backend's address with the idle connections to it.
 type Backend struct {
 	Addr string
 	opt  *Options
 
-	life context.Context // over with Close
-	end  func()
+	lifetime context.Context // ends with Close
+	cancel   func()
 
-	mu     sync.Mutex
-	idle   []idle // oldest first
-	late   int    // connections on their way that nobody waits for
-	closed bool
+	mu             sync.Mutex
+	idleConns      []idleConn // oldest first
+	abandonedDials int        // in progress with no attempt waiting
+	closed         bool
 }
 
-type idle struct {
-	conn  *http1.Conn
-	since time.Time
+type idleConn struct {
+	conn      *http1.Conn
+	idleSince time.Time
 }
 
 // New returns a backend without connections.
 func New(addr string, opt *Options) *Backend {
-	life, end := context.WithCancel(context.Background())
-	return &Backend{Addr: addr, opt: opt, life: life, end: end}
+	lifetime, cancel := context.WithCancel(context.Background())
+	return &Backend{Addr: addr, opt: opt, lifetime: lifetime, cancel: cancel}
 }
 
 // Request is what an exchange sends.
 type Request struct {
-	Render     func(left time.Duration) []byte // head and body, or its first part, with the time left
-	BodyRest   *http1.Rest                     // of a long body; nil: none
-	Transfers  *http1.Transfers                // for it
-	ShouldSend func() bool                     // asked before the first byte whether it is still to be sent; nil: it is
-	OnWritten  func()                          // called once all of it is written; may be nil
-	Timeout    time.Duration                   // from then on, or from Decided where there is no rest
-	DecidedAt  time.Time                       // when the attempt was decided on; zero: now
+	Render     func(left time.Duration) []byte // returns the head and the body or its first part, given the time left
+	BodyRest   *http1.Rest                     // rest of a long body, streamed; nil: none
+	Transfers  *http1.Transfers                // buffers for BodyRest
+	ShouldSend func() bool                     // called before the first byte; false abandons the request; nil: always send
+	OnWritten  func()                          // called once the request is completely written; may be nil
+	Timeout    time.Duration                   // counts from the end of BodyRest, or from DecidedAt if there is none
+	DecidedAt  time.Time                       // when the balancer decided on the attempt; zero: now
 }
 
-// ExchangeResult is what came back.
+// ExchangeResult is the outcome of an exchange.
 type ExchangeResult struct {
 	Stage       Stage
 	Status      int
 	Header      http.Header
 	Body        []byte      // or its first part
-	BodyRest    *http1.Rest // of a long body; nil: none
-	Err         error       // nil for an answer that came whole, or its first part
-	BodyReadErr error       // the request's rest could not be read: its sender's fault
+	BodyRest    *http1.Rest // rest of a long body, to be streamed; nil: none
+	Err         error       // nil for a complete answer, or for one whose first part has come
+	BodyReadErr error       // BodyRest of the request could not be read, a failure of the client
 
-	release func(whole bool)
+	release func(complete bool)
 }
 
-// Release lets go of the connection of an answer with a rest: whole, if that has been
-// read to its end.
-func (a *ExchangeResult) Release(whole bool) {
-	if a.release != nil {
-		a.release(whole)
-		a.release = nil
+// Release gives back the connection of an answer with BodyRest. complete says that BodyRest has
+// been read to its end, so that the connection can carry another exchange.
+func (r *ExchangeResult) Release(complete bool) {
+	if r.release != nil {
+		r.release(complete)
+		r.release = nil
 	}
 }
 
-// slowest bounds a transfer to or from a backend. Peers may take seconds over a part;
-// one that takes for ever holds a connection and a buffer.
-var slowest = http1.Slowest{Start: 5 * time.Second, Rate: 16 << 10, Stall: 5 * time.Second}
+// transferLimits bounds the duration of a transfer to or from a backend. A peer may take seconds
+// over a part, but must not hold a connection and a buffer indefinitely. The rate is in bytes
+// per second.
+var transferLimits = http1.Slowest{Start: 5 * time.Second, Rate: 16 << 10, Stall: 5 * time.Second}
 
-// early is how long an answer to a half-sent request may take to be read once its
+// earlyAnswerTimeout bounds the reading of an answer to a partly sent request after the
 // connection has broken.
-const early = 50 * time.Millisecond
+const earlyAnswerTimeout = 50 * time.Millisecond
 
-// ProgressDeadlines returns what says how long each step of a transfer may take, by what has
-// passed since now.
-func ProgressDeadlines(set func(time.Time) error) func(passed int64) {
+// ProgressDeadlines returns a function that sets the deadline of the next step of a transfer
+// which begins now, by the number of bytes transferred so far.
+func ProgressDeadlines(setDeadline func(time.Time) error) func(transferred int64) {
 	start := time.Now()
-	return func(passed int64) { set(slowest.Until(start, passed)) }
+	return func(transferred int64) { setDeadline(transferLimits.Until(start, transferred)) }
 }
 
-var errEarly = errors.New("answered before the request's end")
+var errEarlyAnswer = errors.New("the backend answered before the end of the request")
 
-// TimedOut tells whether the exchange ended because its time was up.
-func (a *ExchangeResult) TimedOut() bool { return neterror.IsDeadline(a.Err) }
+// TimedOut reports whether the exchange ended at its deadline.
+func (r *ExchangeResult) TimedOut() bool { return neterror.IsDeadline(r.Err) }
 
-// Exchange sends one request and reads the answer, or the first part of a long one,
-// all within the request's time-out or until ctx is over. It tries once: what fails is
-// never sent again by it. On return the connection is idle or closed, unless the answer
-// has a rest.
+// Exchange sends one request and reads the answer, or the first part of a long one, within the
+// request's timeout and until ctx is done. It never retries. On return the connection is idle or
+// closed, unless the answer has BodyRest.
 func (b *Backend) Exchange(ctx context.Context, req *Request) ExchangeResult {
-	decided := req.DecidedAt
-	if decided.IsZero() {
-		decided = time.Now()
+	decidedAt := req.DecidedAt
+	if decidedAt.IsZero() {
+		decidedAt = time.Now()
 	}
-	deadline := decided.Add(req.Timeout)
+	deadline := decidedAt.Add(req.Timeout)
 	c, text, failed := b.prepare(ctx, req, deadline)
 	if failed != nil {
 		return *failed
 	}
 	c.SetDeadline(deadline)
-	unwatch := context.AfterFunc(ctx, func() { c.SetDeadline(http1.LongAgo) })
-	defer unwatch()
+	stopCancel := context.AfterFunc(ctx, func() { c.SetDeadline(http1.LongAgo) })
+	defer stopCancel()
 	if _, err := c.Write(text); err != nil {
 		b.discard(c)
 		return ExchangeResult{Stage: SendFailed, Err: err}
 	}
 	if req.BodyRest != nil {
-		carried := c.Carried()
-		err := passRest(ctx, c, req)
+		reused := c.Carried()
+		err := streamBody(ctx, c, req)
 		switch {
 		case err != nil && ctx.Err() != nil:
 			b.discard(c)
 			return ExchangeResult{Stage: SendFailed, Err: ctx.Err()}
-		case errors.Is(err, errEarly), errors.Is(err, http1.ErrPassed):
-			// It said no before the end, or broke: what it said counts.
+		case errors.Is(err, errEarlyAnswer), errors.Is(err, http1.ErrPassed):
+			// The backend answered before the end, or the connection broke: read the answer.
 			if errors.Is(err, http1.ErrPassed) {
-				req.Timeout = early
+				req.Timeout = earlyAnswerTimeout
 			}
 			deadline = time.Now().Add(req.Timeout)
 			c.SetDeadline(deadline)
@@ -173,13 +173,13 @@
 			if readErr != nil || rest != nil {
 				return ExchangeResult{Stage: SendFailed, Err: err}
 			}
-			// Guards against what is late of an older answer: a backend begins at the
-			// request's last byte, and may have begun nothing.
-			if resp.StatusCode == http.StatusOK && carried {
-				return ExchangeResult{Stage: Answered, Err: errEarly}
+			// On a reused connection this 200 may be a late answer to an older request: a
+			// backend begins only at the last byte of a request, and has not run this one.
+			if resp.StatusCode == http.StatusOK && reused {
+				return ExchangeResult{Stage: Answered, Err: errEarlyAnswer}
 			}
-			// A reset is told once, and the write has heard it: what ends with its
-			// connection now looks whole, wherever it was cut off.
+			// The system reports a reset once, here to the write. An answer that ends with its
+			// connection looks complete to the reader then, even if it was cut off.
 			if resp.StatusCode == http.StatusOK && http1.Unbounded(resp) && errors.Is(err, http1.ErrPassed) {
 				return ExchangeResult{Stage: SendFailed, Err: err}
 			}
@@ -188,7 +188,7 @@
 			b.discard(c)
 			return ExchangeResult{Stage: SendFailed, Err: err, BodyReadErr: err}
 		}
-		deadline = time.Now().Add(req.Timeout) // the backend begins at the last byte
+		deadline = time.Now().Add(req.Timeout) // the backend begins at the last byte of the request
 		c.SetDeadline(deadline)
 		if ctx.Err() != nil {
 			b.discard(c)
@@ -209,19 +209,19 @@
 		}
 		return ExchangeResult{Stage: stage, Err: err}
 	}
-	// One that ctx may have touched meanwhile carries no other exchange.
-	fit := unwatch() && !resp.Close
+	// A connection whose deadline the end of ctx may have set is not reused.
+	reusable := stopCancel() && !resp.Close
 	answer := ExchangeResult{Stage: Answered, Status: resp.StatusCode, Header: resp.Header, Body: body, BodyRest: rest}
-	answer.release = func(whole bool) {
+	answer.release = func(complete bool) {
 		c.Pace = nil
-		if !whole || !fit || c.Buffered() > 0 {
+		if !complete || !reusable || c.Buffered() > 0 {
 			if rest != nil {
 				rest.Drop()
 			}
 			b.discard(c)
 		} else {
 			c.SetDeadline(time.Time{})
-			b.keep(c)
+			b.putIdle(c)
 		}
 	}
 	if rest != nil {
@@ -233,106 +233,106 @@
 	return answer
 }
 
-// prepare has a connection and the text for it, just before the first byte, or how the
-// exchange ends without one.
+// prepare returns a connection and the text to write on it, immediately before the first byte,
+// or the result of an exchange that ends without a connection.
 func (b *Backend) prepare(ctx context.Context, req *Request, deadline time.Time) (*http1.Conn, []byte, *ExchangeResult) {
 	for {
 		c, err := b.connect(ctx, deadline, req.Timeout)
 		switch {
-		case errors.Is(err, errLate):
+		case errors.Is(err, errConnectTimeout):
 			return nil, nil, &ExchangeResult{Stage: ConnectTimedOut, Err: err}
-		case errors.Is(err, errNoSlot), neterror.Classify(neterror.Dial, err) == neterror.LocalFailure:
-			return nil, nil, &ExchangeResult{Stage: Unsent, Err: err} // it says nothing of the backend
+		case errors.Is(err, errNoDescriptor), neterror.Classify(neterror.Dial, err) == neterror.LocalFailure:
+			return nil, nil, &ExchangeResult{Stage: Unsent, Err: err} // this says nothing about the backend
 		case err != nil:
 			return nil, nil, &ExchangeResult{Stage: SendFailed, Err: err}
 		case req.ShouldSend != nil && !req.ShouldSend():
-			b.keep(c) // nothing has been written on it
-			return nil, nil, &ExchangeResult{Stage: Unsent, Err: errUnwanted}
+			b.putIdle(c) // nothing has been written on it
+			return nil, nil, &ExchangeResult{Stage: Unsent, Err: errNotWanted}
 		}
 		text := req.Render(time.Until(deadline))
 		if !c.Carried() || c.Quiet() {
 			return c, text, nil
 		}
-		b.discard(c) // what has come since it was taken is not ours
+		b.discard(c) // the data that arrived meanwhile does not answer this request
 	}
 }
 
-// passRest sends the rest of a long request on as it comes. An answer that comes
-// meanwhile ends it, since the backend has said no; so does the end of ctx, wherever the
-// transfer stands.
-func passRest(ctx context.Context, c *http1.Conn, req *Request) error {
+// streamBody streams the rest of a long request body. An answer that comes meanwhile ends it,
+// since it is a rejection by the backend, and so does the end of ctx at any point of the
+// transfer.
+func streamBody(ctx context.Context, c *http1.Conn, req *Request) error {
 	c.SetReadDeadline(time.Time{})
 	var answered atomic.Bool
-	said := func() {
+	onAnswer := func() {
 		answered.Store(true)
-		req.BodyRest.Interrupt() // the sender may be slow, or wait for the answer
+		req.BodyRest.Interrupt() // the client may be slow, or wait for the answer
 	}
-	c.Watch(said, said)
+	c.Watch(onAnswer, onAnswer)
 	interrupted := make(chan struct{})
 	stop := context.AfterFunc(ctx, func() {
 		req.BodyRest.Interrupt()
 		close(interrupted)
 	})
-	within := ProgressDeadlines(c.SetWriteDeadline)
-	err := req.Transfers.Pass(c, req.BodyRest, false, func(passed int64) error {
+	setDeadline := ProgressDeadlines(c.SetWriteDeadline)
+	err := req.Transfers.Pass(c, req.BodyRest, false, func(transferred int64) error {
 		if answered.Load() {
-			return errEarly
+			return errEarlyAnswer
 		}
-		within(passed)
-		return ctx.Err() // looked at last: the deadline that ends it may just have been overwritten
+		setDeadline(transferred)
+		return ctx.Err() // checked last: setDeadline may have overwritten the deadline set at the end of ctx
 	})
 	c.Unwatch()
-	givenUp := !stop()
-	if givenUp {
+	cancelled := !stop()
+	if cancelled {
 		<-interrupted
 	}
-	if givenUp || answered.Load() {
+	if cancelled || answered.Load() {
 		req.BodyRest.Resume()
 	}
 	if answered.Load() && errors.Is(err, http1.ErrInterrupted) {
-		err = errEarly
+		err = errEarlyAnswer
 	}
 	return err
 }
 
 var (
-	errNoSlot   = errors.New("no descriptor to spare")
-	errUnwanted = errors.New("no longer to be sent")
+	errNoDescriptor = errors.New("no file descriptor left for a connection")
+	errNotWanted    = errors.New("the request is no longer wanted")
 )
 
-// restLeast is how long a connection rests after an answer, while another can be
-// had: what a backend sends right behind an answer comes in that time, is seen, and
-// can't be taken for the next one.
-const restLeast = 2 * time.Millisecond
+// minIdleTime is how long a connection stays idle after an answer if another connection is
+// available. Data that a backend sends right behind an answer arrives in that time, is noticed,
+// and can't be mistaken for the next answer.
+const minIdleTime = 2 * time.Millisecond
 
-// connect takes the newest idle connection that is still open, or opens one.
+// connect takes the newest idle connection that is still open, or dials a new one.
 func (b *Backend) connect(ctx context.Context, deadline time.Time, timeout time.Duration) (*http1.Conn, error) {
-	if c := b.reuse(restLeast); c != nil {
+	if c := b.takeOpenIdle(minIdleTime); c != nil {
 		return c, nil
 	}
-	spare := b.reuse(0)
+	spare := b.takeOpenIdle(0)
 	if !b.opt.Descriptors.TryAcquire() {
 		if spare != nil {
 			return spare, nil
 		}
-		return nil, errNoSlot
+		return nil, errNoDescriptor
 	}
 	if spare != nil {
-		b.keep(spare)
+		b.putIdle(spare)
 	}
 	c, err := b.open(ctx, deadline, timeout)
-	if errors.Is(err, errLate) { // one that was in use or at rest meanwhile will do
-		if c := b.reuse(0); c != nil {
+	if errors.Is(err, errConnectTimeout) { // any connection that has become idle will do
+		if c := b.takeOpenIdle(0); c != nil {
 			return c, nil
 		}
 	}
 	return c, err
 }
 
-// reuse takes the newest idle connection that has rested and is still open.
-func (b *Backend) reuse(rest time.Duration) *http1.Conn {
+// takeOpenIdle takes the newest connection that has been idle for minIdle and is still open.
+func (b *Backend) takeOpenIdle(minIdle time.Duration) *http1.Conn {
 	for {
-		c := b.newest(time.Now().Add(-rest))
+		c := b.takeNewestIdle(time.Now().Add(-minIdle))
 		if c == nil || c.Quiet() {
 			return c
 		}
@@ -340,28 +340,31 @@
 	}
 }
 
-// newest takes the newest connection that was idle at a time, or has carried nothing yet.
-func (b *Backend) newest(at time.Time) *http1.Conn {
+// takeNewestIdle takes the newest connection that was idle at the given time or has carried no
+// exchange yet.
+func (b *Backend) takeNewestIdle(at time.Time) *http1.Conn {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for n := len(b.idle) - 1; n >= 0; n-- {
-		if c := b.idle[n]; !c.since.After(at) || !c.conn.Carried() {
-			b.idle = slices.Delete(b.idle, n, n+1)
+	for n := len(b.idleConns) - 1; n >= 0; n-- {
+		if c := b.idleConns[n]; !c.idleSince.After(at) || !c.conn.Carried() {
+			b.idleConns = slices.Delete(b.idleConns, n, n+1)
 			return c.conn
 		}
 	}
 	return nil
 }
 
-func (b *Backend) keep(c *http1.Conn) {
-	full := b.opt.Descriptors.Exhausted()
+// putIdle makes a connection available to other exchanges, or closes it if descriptors are
+// exhausted or the backend is closed.
+func (b *Backend) putIdle(c *http1.Conn) {
+	exhausted := b.opt.Descriptors.Exhausted()
 	b.mu.Lock()
-	drop := full || b.closed
-	if !drop {
-		b.idle = append(b.idle, idle{c, time.Now()})
+	discard := exhausted || b.closed
+	if !discard {
+		b.idleConns = append(b.idleConns, idleConn{c, time.Now()})
 	}
 	b.mu.Unlock()
-	if drop {
+	if discard {
 		b.discard(c)
 	}
 }
@@ -371,70 +374,70 @@
 	b.opt.Descriptors.Release()
 }
 
-// CloseExpired closes the connections that have stood idle for most of the limit, so
-// that none is used which the backend is about to close.
+// CloseExpired closes the connections that have been idle for most of the idle timeout, so that
+// no request is sent on a connection that the backend is about to close.
 func (b *Backend) CloseExpired(now time.Time) {
-	const most = 0.7
-	b.closeAll(b.take(func(i idle) bool { return float64(now.Sub(i.since)) > most*float64(b.opt.IdleTimeout) }))
+	const maxFraction = 0.7
+	b.closeAll(b.takeIdle(func(i idleConn) bool { return float64(now.Sub(i.idleSince)) > maxFraction*float64(b.opt.IdleTimeout) }))
 }
 
-// RemoveIdle takes all idle connections out of use, without waiting for anything.
-// The function that it returns closes them.
-func (b *Backend) RemoveIdle() (closeThem func()) {
-	out := b.take(func(idle) bool { return true })
-	return func() { b.closeAll(out) }
+// RemoveIdle takes all idle connections out of use without blocking. The function that it returns
+// closes them.
+func (b *Backend) RemoveIdle() (closeRemoved func()) {
+	removed := b.takeIdle(func(idleConn) bool { return true })
+	return func() { b.closeAll(removed) }
 }
 
-// IdleCount is how many connections are idle.
+// IdleCount returns the number of idle connections.
 func (b *Backend) IdleCount() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return len(b.idle)
+	return len(b.idleConns)
 }
 
-// OldestIdleSince is when the oldest idle connection became idle.
+// OldestIdleSince returns when the oldest idle connection became idle; ok is false if none is idle.
 func (b *Backend) OldestIdleSince() (since time.Time, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if len(b.idle) == 0 {
+	if len(b.idleConns) == 0 {
 		return since, false
 	}
-	return b.idle[0].since, true
+	return b.idleConns[0].idleSince, true
 }
 
-// CloseOldestIdle closes the oldest idle connection, if there is one.
+// CloseOldestIdle closes the oldest idle connection and reports whether there was one.
 func (b *Backend) CloseOldestIdle() bool {
 	first := true
-	out := b.take(func(idle) bool { was := first; first = false; return was })
-	b.closeAll(out)
-	return len(out) > 0
+	removed := b.takeIdle(func(idleConn) bool { was := first; first = false; return was })
+	b.closeAll(removed)
+	return len(removed) > 0
 }
 
-// Close closes the idle connections, those in use once they become idle, and gives up those
-// on their way.
+// Close closes the idle connections, closes those in use once they become idle, and cancels the
+// dials in progress.
 func (b *Backend) Close() {
-	b.end()
+	b.cancel()
 	b.mu.Lock()
 	b.closed = true
 	b.mu.Unlock()
 	b.RemoveIdle()()
 }
 
-// take takes those idle connections out of use that which says.
-func (b *Backend) take(which func(idle) bool) (out []*http1.Conn) {
+// takeIdle removes and returns the idle connections for which match is true.
+func (b *Backend) takeIdle(match func(idleConn) bool) (removed []*http1.Conn) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	kept := b.idle[:0]
-	for _, i := range b.idle {
-		if which(i) {
-			out = append(out, i.conn)
+	kept := b.idleConns[:0]
+	for _, i := range b.idleConns {
+		if match(i) {
+			removed = append(removed, i.conn)
 		} else {
 			kept = append(kept, i)
 		}
 	}
-	clear(b.idle[len(kept):])
-	b.idle = kept
-	return out
+	clear(b.idleConns[len(kept):])
+	b.idleConns = kept
+	return removed
 }
 
 func (b *Backend) closeAll(conns []*http1.Conn) {
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -19,36 +19,36 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// slots is a budget that counts; none is left once out of them.
-type slots struct{ free atomic.Int64 }
+// descriptors is a budget that counts; none is left once out of them.
+type descriptors struct{ free atomic.Int64 }
 
-func (s *slots) TryAcquire() bool {
+func (s *descriptors) TryAcquire() bool {
 	if s.free.Add(-1) < 0 {
 		s.free.Add(1)
 		return false
 	}
 	return true
 }
-func (s *slots) Release()        { s.free.Add(1) }
-func (s *slots) Exhausted() bool { return s.free.Load() == 0 }
+func (s *descriptors) Release()        { s.free.Add(1) }
+func (s *descriptors) Exhausted() bool { return s.free.Load() == 0 }
 
-func options(n int64) (*Options, *slots) {
-	s := &slots{}
+func options(n int64) (*Options, *descriptors) {
+	s := &descriptors{}
 	s.free.Store(n)
 	return &Options{DialTimeout: time.Second, IdleTimeout: 10 * time.Second, Descriptors: s}, s
 }
 
 func get(time.Duration) []byte { return []byte("GET /x HTTP/1.1\r\nHost: h\r\n\r\n") }
 
-// until is a context that is over after d, and let go of at the test's end.
-func until(t *testing.T, d time.Duration) context.Context {
+// contextFor is a context that is over after d, and let go of at the test's end.
+func contextFor(t *testing.T, d time.Duration) context.Context {
 	ctx, cancel := context.WithTimeout(context.Background(), d)
 	t.Cleanup(cancel)
 	return ctx
 }
 
-// timed is an exchange of text whose time-out is what ctx leaves.
-func timed(ctx context.Context, text func(time.Duration) []byte) (context.Context, *Request) {
+// newExchange is an exchange of text whose time-out is what ctx leaves.
+func newExchange(ctx context.Context, text func(time.Duration) []byte) (context.Context, *Request) {
 	timeout := time.Minute
 	if end, ok := ctx.Deadline(); ok {
 		timeout = time.Until(end)
@@ -56,7 +56,7 @@
 	return ctx, &Request{Render: text, Timeout: timeout}
 }
 
-func soon(t *testing.T) context.Context { return until(t, 10*time.Second) }
+func shortContext(t *testing.T) context.Context { return contextFor(t, 10*time.Second) }
 
 func TestStages(t *testing.T) {
 	const short = 100 * time.Millisecond
@@ -87,7 +87,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			opt, s := options(5)
 			b := New(standin.NewBackend(t, c.handle).Addr(), opt)
-			a := b.Exchange(timed(until(t, c.within), get))
+			a := b.Exchange(newExchange(contextFor(t, c.within), get))
 			if a.Stage != c.stage || a.Status != c.status || a.TimedOut() != c.timeout {
 				t.Errorf("got %+v, timeout %t", a, a.TimedOut())
 			}
@@ -106,7 +106,7 @@
 	opt, s := options(5)
 	stopped := standin.NewBackend(t, standin.Echo)
 	stopped.Stop()
-	if a := New(stopped.Addr(), opt).Exchange(timed(soon(t), get)); a.Stage != SendFailed || s.free.Load() != 5 {
+	if a := New(stopped.Addr(), opt).Exchange(newExchange(shortContext(t), get)); a.Stage != SendFailed || s.free.Load() != 5 {
 		t.Errorf("got %+v, %d descriptors", a, s.free.Load())
 	}
 }
@@ -143,7 +143,7 @@
 				<-over
 			})
 			opt, _ := options(5)
-			a := New(ln.Addr().String(), opt).Exchange(timed(until(t, c.within), huge))
+			a := New(ln.Addr().String(), opt).Exchange(newExchange(contextFor(t, c.within), huge))
 			close(over)
 			far.Wait()
 			if a.Stage != SendFailed || a.Err == nil {
@@ -158,10 +158,10 @@
 	backend := standin.NewBackend(t, standin.Echo)
 	b := New(backend.Addr(), opt)
 	for range 3 {
-		if a := b.Exchange(timed(soon(t), get)); a.Status != 200 || string(a.Body) != "GET /x " {
+		if a := b.Exchange(newExchange(shortContext(t), get)); a.Status != 200 || string(a.Body) != "GET /x " {
 			t.Fatalf("got %+v", a)
 		}
-		time.Sleep(restLeast)
+		time.Sleep(minIdleTime)
 	}
 	if opened, _ := backend.Conns(); opened != 1 || opt.ConnsOpened.Load() != 1 {
 		t.Errorf("%d connections opened, %d counted", opened, opt.ConnsOpened.Load())
@@ -174,13 +174,13 @@
 	if s.free.Load() != 5 {
 		t.Error("an idle connection is kept until close to its limit")
 	}
-	b.Exchange(timed(soon(t), get))
+	b.Exchange(newExchange(shortContext(t), get))
 	b.RemoveIdle()()
 	if s.free.Load() != 5 {
 		t.Error("a detached connection is still open")
 	}
 	b.Close()
-	b.Exchange(timed(soon(t), get))
+	b.Exchange(newExchange(shortContext(t), get))
 	if s.free.Load() != 5 {
 		t.Error("a connection of a closed backend is kept")
 	}
@@ -191,7 +191,7 @@
 func TestBehindAnAnswer(t *testing.T) {
 	const copied = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstale"
 	for name, behind := range map[string]string{"a copy": copied, "noise": "\x00\x01\xff", "a line": "\r\n", "1xx": "HTTP/1.1 100 Continue\r\n\r\n"} {
-		for _, after := range []time.Duration{0, restLeast / 4} {
+		for _, after := range []time.Duration{0, minIdleTime / 4} {
 			opt, s := options(5)
 			b := New(standin.NewBackend(t, func(c *standin.Call) {
 				if after == 0 {
@@ -203,7 +203,7 @@
 				c.Raw(behind)
 			}).Addr(), opt)
 			for n := range 5 {
-				if a := b.Exchange(timed(soon(t), get)); a.Err != nil || string(a.Body) != fmt.Sprint(n+1) {
+				if a := b.Exchange(newExchange(shortContext(t), get)); a.Err != nil || string(a.Body) != fmt.Sprint(n+1) {
 					t.Errorf("%s after %v: got %q, %v", name, after, a.Body, a.Err)
 				}
 			}
@@ -233,13 +233,13 @@
 	opt, _ := options(10)
 	up := New(b.Addr(), opt)
 	defer up.Close()
-	ctx, req := timed(soon(t), get)
+	ctx, req := newExchange(shortContext(t), get)
 	if a := up.Exchange(ctx, req); a.Err != nil || string(a.Body) != "1" {
 		t.Fatalf("got %q, %v", a.Body, a.Err)
 	}
 	up.mu.Lock()
-	taken := up.idle[0].conn
-	up.idle[0].since = time.Now().Add(-time.Hour) // it has rested
+	taken := up.idleConns[0].conn
+	up.idleConns[0].idleSince = time.Now().Add(-time.Hour) // it has rested
 	up.mu.Unlock()
 	asked := 0
 	req.ShouldSend = func() bool { asked++; return true }
@@ -268,10 +268,10 @@
 	backend := standin.NewBackend(t, func(c *standin.Call) { c.Reply(200, fmt.Sprint(c.N)) })
 	b := New(backend.Addr(), opt)
 	defer b.Close()
-	b.Exchange(timed(soon(t), get))
+	b.Exchange(newExchange(shortContext(t), get))
 	backend.Cut()
 	standin.Eventually(t, 10*time.Second, "cut", func() bool { _, open := backend.Conns(); return open == 0 })
-	if a := b.Exchange(timed(soon(t), get)); a.Status != 200 || string(a.Body) != "2" {
+	if a := b.Exchange(newExchange(shortContext(t), get)); a.Status != 200 || string(a.Body) != "2" {
 		t.Errorf("got %+v", a)
 	}
 }
@@ -281,11 +281,11 @@
 	backend := standin.NewBackend(t, standin.Echo)
 	b := New(backend.Addr(), opt)
 	// With none to spare, a connection is not kept idle.
-	if a := b.Exchange(timed(soon(t), get)); a.Status != 200 || s.free.Load() != 1 {
+	if a := b.Exchange(newExchange(shortContext(t), get)); a.Status != 200 || s.free.Load() != 1 {
 		t.Errorf("got %+v, %d descriptors", a, s.free.Load())
 	}
 	s.TryAcquire()
-	if a := b.Exchange(timed(soon(t), get)); a.Stage != Unsent || backend.Calls() != 1 {
+	if a := b.Exchange(newExchange(shortContext(t), get)); a.Stage != Unsent || backend.Calls() != 1 {
 		t.Errorf("got %+v after %d calls", a, backend.Calls())
 	}
 }
@@ -300,7 +300,7 @@
 	}
 	done := make(chan bool)
 	for range 2 {
-		go func() { b.Exchange(timed(soon(t), get)); done <- true }()
+		go func() { b.Exchange(newExchange(shortContext(t), get)); done <- true }()
 	}
 	hold <- true
 	hold <- true
@@ -321,7 +321,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	done := make(chan ExchangeResult)
-	go func() { done <- b.Exchange(timed(ctx, get)) }()
+	go func() { done <- b.Exchange(newExchange(ctx, get)) }()
 	for deadline := time.Now().Add(20 * time.Second); backend.Calls() == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
 			t.Fatal("no call came")
@@ -336,7 +336,7 @@
 	case <-time.After(20 * time.Second):
 		t.Fatal("goes on after it was given up")
 	}
-	if a := b.Exchange(timed(ctx, get)); a.Stage != SendFailed {
+	if a := b.Exchange(newExchange(ctx, get)); a.Stage != SendFailed {
 		t.Errorf("begun after it was given up: %+v", a)
 	}
 }
