--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,6 +1,7 @@
-// Package admin is the operators' door: one more address, one line to a connection,
-// one answer. It takes nothing that requests need but the processor: its descriptors
-// are set aside, its callers are few, and each has little time and one short line.
+// Package admin is the admin endpoint for operators. It listens at an address of its own and
+// answers one command line per connection. It competes with requests for the processor alone:
+// its file descriptors are reserved, its connections are few, and each has little time and one
+// short line.
 package admin
 
 import (
@@ -16,76 +17,77 @@
 	"time"
 )
 
-// Handler is what the calls act on. An error's text is what the operator reads.
+// Handler carries out the commands. The operator gets the text of its errors.
 type Handler interface {
 	Ping() error
-	// Info returns the figures, a line each.
+	// Info returns the figures, one per line.
 	Info() string
-	// Detach returns once nothing new goes to the backend, Attach once it may.
+	// Detach returns once no new request goes to the backend, Attach once requests may.
 	Detach(id string) error
 	Attach(id string) error
 }
 
 const (
-	mostCallers   = 8
-	maxLine       = 512             // the longest call, its line's end included
-	silence       = 2 * time.Second // from the accept to a whole line
-	writeLimit    = 2 * time.Second
+	maxConns      = 8
+	maxLine       = 512             // longest command in bytes, including the line end
+	readTimeout   = 2 * time.Second // from the accept to a complete line
+	writeTimeout  = 2 * time.Second
 	acceptBackoff = 5 * time.Millisecond
 
-	// After an answer as much is read of what a caller still sends, for as long:
-	// closing on it would take the answer back.
-	restMost  = 64 << 10
-	restLimit = 100 * time.Millisecond
+	// Limits of the lingering close: after the answer, data that the client still sends is
+	// read up to lingerBytes and for lingerTime. Closing the connection with unread data
+	// would reset it, and the client could lose the answer.
+	lingerBytes = 64 << 10
+	lingerTime  = 100 * time.Millisecond
 )
 
-// MaxDescriptors is how many the door ever holds: the listener, its callers, and one
-// that has just been accepted.
-const MaxDescriptors = mostCallers + 2
+// MaxDescriptors is the largest number of file descriptors that the server holds: the listener,
+// its connections, and one that has just been accepted.
+const MaxDescriptors = maxConns + 2
 
-// Server is an open door.
+// Server is a listening admin endpoint.
 type Server struct {
-	to    Handler
-	ln    net.Listener
-	tasks sync.WaitGroup
+	handler Handler
+	ln      net.Listener
+	tasks   sync.WaitGroup
 
-	mu      sync.Mutex
-	callers *list.List // of net.Conn, oldest first
-	closed  bool
+	mu     sync.Mutex
+	conns  *list.List // of net.Conn, oldest first
+	closed bool
 }
 
-// Listen listens at addr and answers calls until Close.
-func Listen(addr string, to Handler) (*Server, error) {
+// Listen listens at addr and answers commands until Close.
+func Listen(addr string, handler Handler) (*Server, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, fmt.Errorf("admin: %w", err)
 	}
-	d := &Server{to: to, ln: ln, callers: list.New()}
-	d.tasks.Go(d.accept)
-	return d, nil
+	s := &Server{handler: handler, ln: ln, conns: list.New()}
+	s.tasks.Go(s.accept)
+	return s, nil
 }
 
-// Addr is where the door listens.
-func (d *Server) Addr() net.Addr { return d.ln.Addr() }
+// Addr returns the address at which the server listens.
+func (s *Server) Addr() net.Addr { return s.ln.Addr() }
 
-// Close ends the door and all calls under way.
-func (d *Server) Close() {
-	d.ln.Close()
-	d.mu.Lock()
-	d.closed = true
-	for e := d.callers.Front(); e != nil; e = e.Next() {
+// Close closes the listener and all connections, and waits for their goroutines.
+func (s *Server) Close() {
+	s.ln.Close()
+	s.mu.Lock()
+	s.closed = true
+	for e := s.conns.Front(); e != nil; e = e.Next() {
 		e.Value.(net.Conn).Close()
 	}
-	d.mu.Unlock()
-	d.tasks.Wait()
+	s.mu.Unlock()
+	s.tasks.Wait()
 }
 
-func (d *Server) accept() {
+func (s *Server) accept() {
 	for {
-		c, err := d.ln.Accept()
+		c, err := s.ln.Accept()
 		switch {
 		case err == nil:
-			d.admit(c)
+			s.admit(c)
 		case errors.Is(err, net.ErrClosed):
 			return
 		default:
@@ -95,56 +97,56 @@
 	}
 }
 
-// admit takes a caller in. Where there are too many, the oldest leaves: guards
-// against silent ones that keep all others out. A call takes some milliseconds at most.
-func (d *Server) admit(c net.Conn) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.closed {
+// admit serves a new connection. At maxConns it closes the oldest one first, so that idle
+// clients can't keep others out. A command takes a few milliseconds at most.
+func (s *Server) admit(c net.Conn) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.closed {
 		c.Close()
 		return
 	}
-	if d.callers.Len() >= mostCallers {
-		oldest := d.callers.Front()
+	if s.conns.Len() >= maxConns {
+		oldest := s.conns.Front()
 		oldest.Value.(net.Conn).Close()
-		d.callers.Remove(oldest)
+		s.conns.Remove(oldest)
 	}
-	place := d.callers.PushBack(c)
-	d.tasks.Go(func() {
-		d.serve(c)
+	element := s.conns.PushBack(c)
+	s.tasks.Go(func() {
+		s.serve(c)
 		c.Close()
-		d.mu.Lock()
-		d.callers.Remove(place) // does nothing where it has been removed
-		d.mu.Unlock()
+		s.mu.Lock()
+		s.conns.Remove(element) // has no effect if it was removed before
+		s.mu.Unlock()
 	})
 }
 
-// serve takes one call.
-func (d *Server) serve(c net.Conn) {
-	c.SetReadDeadline(time.Now().Add(silence))
+// serve answers one command.
+func (s *Server) serve(c net.Conn) {
+	c.SetReadDeadline(time.Now().Add(readTimeout))
 	line, err := readLine(c)
-	if err != nil && !errors.Is(err, errLine) {
-		return // it left, was silent, or made room: nobody waits for an answer
+	if err != nil && !errors.Is(err, errBadLine) {
+		return // the client closed or timed out, or its connection was closed for a newer one
 	}
 	answer := ""
 	if err != nil {
-		answer = failure(err)
+		answer = errorLine(err)
 	} else {
-		answer = d.call(line)
+		answer = s.execute(line)
 	}
-	c.SetWriteDeadline(time.Now().Add(writeLimit))
+	c.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if _, err := io.WriteString(c, answer); err != nil {
 		return
 	}
 	if t, ok := c.(*net.TCPConn); ok && t.CloseWrite() == nil {
-		c.SetReadDeadline(time.Now().Add(restLimit))
-		io.CopyN(io.Discard, c, restMost)
+		c.SetReadDeadline(time.Now().Add(lingerTime))
+		io.CopyN(io.Discard, c, lingerBytes)
 	}
 }
 
-var errLine = errors.New("not one line of 512 bytes at most")
+var errBadLine = errors.New("not one line of 512 bytes at most")
 
-// readLine reads up to the first line's end.
+// readLine reads the first line, without its line end.
 func readLine(r io.Reader) (string, error) {
 	buf := make([]byte, 0, maxLine)
 	for {
@@ -155,44 +157,44 @@
 		}
 		switch {
 		case len(buf) == cap(buf), errors.Is(err, io.EOF) && len(buf) > 0:
-			return "", errLine
+			return "", errBadLine
 		case err != nil:
 			return "", err
 		}
 	}
 }
 
-// call carries out one call and words its answer.
-func (d *Server) call(line string) string {
+// execute carries out one command and returns the answer.
+func (s *Server) execute(line string) string {
 	words := strings.Split(line, " ")
-	word, args := words[0], words[1:]
-	takesID := word == "DETACH" || word == "ATTACH"
+	command, args := words[0], words[1:]
+	takesID := command == "DETACH" || command == "ATTACH"
 	switch {
-	case word != "PING" && word != "INFO" && !takesID:
-		return failure(errors.New("unknown call; PING, INFO, DETACH ID, ATTACH ID"))
+	case command != "PING" && command != "INFO" && !takesID:
+		return errorLine(errors.New("unknown call; PING, INFO, DETACH ID, ATTACH ID"))
 	case !takesID && len(args) > 0:
-		return failure(errors.New(word + " takes no word"))
+		return errorLine(errors.New(command + " takes no word"))
 	case takesID && (len(args) != 1 || args[0] == ""):
-		return failure(errors.New(word + " takes one id"))
+		return errorLine(errors.New(command + " takes one id"))
 	}
 	var err error
-	switch word {
+	switch command {
 	case "PING":
-		err = d.to.Ping()
+		err = s.handler.Ping()
 	case "INFO":
-		return d.to.Info() + "END\n"
+		return s.handler.Info() + "END\n"
 	case "DETACH":
-		err = d.to.Detach(args[0])
+		err = s.handler.Detach(args[0])
 	case "ATTACH":
-		err = d.to.Attach(args[0])
+		err = s.handler.Attach(args[0])
 	}
 	if err != nil {
-		return failure(err)
+		return errorLine(err)
 	}
 	return "OK\n"
 }
 
-// failure is an answer of one line, whatever the error says.
-func failure(err error) string {
+// errorLine returns the answer for an error, on one line whatever its text.
+func errorLine(err error) string {
 	return "ERR " + strings.NewReplacer("\n", " ", "\r", " ").Replace(err.Error()) + "\n"
 }
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -14,41 +14,41 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// operated notes what is called.
-type operated struct {
-	mu    sync.Mutex
-	calls []string
+// recordingHandler records the commands that it gets.
+type recordingHandler struct {
+	mu       sync.Mutex
+	commands []string
 }
 
-func (o *operated) note(call string) error {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.calls = append(o.calls, call)
-	if strings.Contains(call, "nobody") {
+func (h *recordingHandler) record(command string) error {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.commands = append(h.commands, command)
+	if strings.Contains(command, "nobody") {
 		return errors.New("two\nlines\r\n")
 	}
 	return nil
 }
 
-func (o *operated) Ping() error            { return o.note("ping") }
-func (o *operated) Info() string           { o.note("info"); return "a 1\nb 2\n" }
-func (o *operated) Detach(id string) error { return o.note("detach " + id) }
-func (o *operated) Attach(id string) error { return o.note("attach " + id) }
+func (h *recordingHandler) Ping() error            { return h.record("ping") }
+func (h *recordingHandler) Info() string           { h.record("info"); return "a 1\nb 2\n" }
+func (h *recordingHandler) Detach(id string) error { return h.record("detach " + id) }
+func (h *recordingHandler) Attach(id string) error { return h.record("attach " + id) }
 
-func open(t *testing.T) (*Server, *operated) {
+func newServer(t *testing.T) (*Server, *recordingHandler) {
 	t.Helper()
-	o := &operated{}
-	d, err := Listen("127.0.0.1:0", o)
+	h := &recordingHandler{}
+	s, err := Listen("127.0.0.1:0", h)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(d.Close)
-	return d, o
+	t.Cleanup(s.Close)
+	return s, h
 }
 
-func dial(t *testing.T, d *Server) *net.TCPConn {
+func dial(t *testing.T, s *Server) *net.TCPConn {
 	t.Helper()
-	c, err := net.Dial("tcp", d.Addr().String())
+	c, err := net.Dial("tcp", s.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -57,17 +57,17 @@
 	return c.(*net.TCPConn)
 }
 
-func ask(t *testing.T, d *Server, text string) string {
+func ask(t *testing.T, s *Server, text string) string {
 	t.Helper()
-	c := dial(t, d)
+	c := dial(t, s)
 	io.WriteString(c, text)
 	got, _ := io.ReadAll(c)
 	return string(got)
 }
 
-func TestCalls(t *testing.T) {
+func TestCommands(t *testing.T) {
 	long := strings.Repeat("x", 600)
-	for _, c := range []struct{ text, want, call string }{
+	for _, c := range []struct{ text, want, command string }{
 		{"PING\n", "OK\n", "ping"},
 		{"PING\r\n", "OK\n", "ping"},
 		{"INFO\n", "a 1\nb 2\nEND\n", "info"},
@@ -86,66 +86,66 @@
 		{"\x00\xff\xfe\n", "ERR", ""},
 		{"GET / HTTP/1.1\r\nHost: x\r\n\r\n", "ERR", ""},
 		{"DETACH " + long + "\n", "ERR", ""},
-		{strings.Repeat(long, 500), "ERR", ""}, // no line at all
+		{strings.Repeat(long, 500), "ERR", ""}, // no line end at all
 	} {
-		d, o := open(t)
-		got := ask(t, d, c.text)
+		s, h := newServer(t)
+		got := ask(t, s, c.text)
 		if exact := c.want != "ERR"; exact && got != c.want ||
 			!exact && (!strings.HasPrefix(got, "ERR ") || strings.Count(got, "\n") != 1 || !strings.HasSuffix(got, "\n")) {
 			t.Errorf("%.20q: got %q", c.text, got)
 		}
-		if calls := strings.Join(o.calls, ","); calls != c.call {
-			t.Errorf("%.20q: calls %q", c.text, calls)
+		if commands := strings.Join(h.commands, ","); commands != c.command {
+			t.Errorf("%.20q: got commands %q", c.text, commands)
 		}
 	}
 }
 
-// Half a line and an end is no call.
-func TestHalfLine(t *testing.T) {
-	d, o := open(t)
-	c := dial(t, d)
+// A line that is cut off by the end of input is not executed.
+func TestIncompleteLine(t *testing.T) {
+	s, h := newServer(t)
+	c := dial(t, s)
 	io.WriteString(c, "DETACH s-1")
 	c.CloseWrite()
 	if got, _ := io.ReadAll(c); len(got) > 0 && !strings.HasPrefix(string(got), "ERR ") {
 		t.Errorf("got %q", got)
 	}
-	dial(t, d).Close()
-	if len(o.calls) > 0 {
-		t.Errorf("calls %q", o.calls)
+	dial(t, s).Close()
+	if len(h.commands) > 0 {
+		t.Errorf("got commands %q", h.commands)
 	}
 }
 
-// Guards against callers that say nothing and keep others out: more of them than the
-// door takes, and it still answers at once; they are closed, not kept.
-func TestSilentCallers(t *testing.T) {
-	d, _ := open(t)
-	var silent []net.Conn
-	for range 5 * mostCallers {
-		silent = append(silent, dial(t, d))
+// Idle connections must not keep other clients out: with more of them than the server admits, it
+// still answers at once, and closes the oldest ones.
+func TestIdleClients(t *testing.T) {
+	s, _ := newServer(t)
+	var idle []net.Conn
+	for range 5 * maxConns {
+		idle = append(idle, dial(t, s))
 	}
 	start := time.Now()
-	if got := ask(t, d, "PING\n"); got != "OK\n" {
+	if got := ask(t, s, "PING\n"); got != "OK\n" {
 		t.Errorf("got %q", got)
 	}
-	if took := time.Since(start); took > silence/2 {
+	if took := time.Since(start); took > readTimeout/2 {
 		t.Errorf("answered after %v", took)
 	}
-	d.mu.Lock()
-	n := d.callers.Len()
-	d.mu.Unlock()
-	if n > mostCallers {
-		t.Errorf("%d callers", n)
+	s.mu.Lock()
+	n := s.conns.Len()
+	s.mu.Unlock()
+	if n > maxConns {
+		t.Errorf("%d connections", n)
 	}
-	for _, c := range silent {
+	for _, c := range idle {
 		if got, err := io.ReadAll(c); err != nil && !errors.Is(err, io.EOF) && len(got) > 0 {
 			t.Errorf("got %q, %v", got, err)
 		}
 	}
 }
 
-func TestOpenFails(t *testing.T) {
-	d, o := open(t)
-	if _, err := Listen(d.Addr().String(), o); err == nil || !strings.HasPrefix(err.Error(), "admin: ") {
-		t.Errorf("a second door at one address: %v", err)
+func TestListenFails(t *testing.T) {
+	s, h := newServer(t)
+	if _, err := Listen(s.Addr().String(), h); err == nil || !strings.HasPrefix(err.Error(), "admin: ") {
+		t.Errorf("a second server at the same address: %v", err)
 	}
 }
--- a/internal/faults/off.go
+++ b/internal/faults/off.go
@@ -1,15 +1,15 @@
 //go:build !faults
 
-// Package faults is the seam by which a program that is built with the tag "faults" meets
-// failing system calls and a stepped wall clock, as its environment says. In all other
-// builds, the one that runs included, it does nothing and reads nothing.
+// Package faults injects failing system calls and a stepped wall clock, as set in the
+// environment, into programs built with the tag "faults". In all other builds, including the
+// production one, it does nothing and reads nothing.
 package faults
 
 import "time"
 
-// WallClockOffset is how far the wall clock has been stepped, for a process that starts now.
+// WallClockOffset returns 0: the wall clock is not stepped in this build.
 func WallClockOffset() time.Duration { return 0 }
 
-// Inject is the error that the next call of a kind ("accept", "dial", "write") ends with; nil:
-// it is made.
+// Inject returns nil: calls are not made to fail in this build. The kind of call is "accept",
+// "dial" or "write".
 func Inject(string) error { return nil }
--- a/internal/faults/on.go
+++ b/internal/faults/on.go
@@ -1,7 +1,7 @@
 //go:build faults
 
-// Package faults is the seam by which a program that is built with the tag "faults" meets
-// failing system calls and a stepped wall clock, as its environment says.
+// Package faults injects failing system calls and a stepped wall clock, as set in the
+// environment, into programs built with the tag "faults".
 package faults
 
 import (
@@ -14,14 +14,14 @@
 	"time"
 )
 
-// The variables that say what fails.
+// The environment variables that configure the faults.
 const (
-	wallVariable  = "OXBOWLOFT_FAULT_WALL"  // a duration: how far the wall clock has been stepped
-	callsVariable = "OXBOWLOFT_FAULT_CALLS" // kind=share,...: what share of the calls of a kind fails
-	seedVariable  = "OXBOWLOFT_FAULT_SEED"
+	wallVariable  = "OXBOWLOFT_FAULT_WALL"  // step of the wall clock, a duration
+	callsVariable = "OXBOWLOFT_FAULT_CALLS" // kind=fraction,...: fraction of the calls of each kind that fail
+	seedVariable  = "OXBOWLOFT_FAULT_SEED"  // seed of the random choice of failing calls
 )
 
-// errnos are those that a call of a kind fails with, by turns.
+// errnos are the errors of failing calls by kind, chosen at random.
 var errnos = map[string][]syscall.Errno{
 	"accept": {syscall.ECONNABORTED, syscall.ETIMEDOUT, syscall.ENFILE, syscall.EPROTO, syscall.EAGAIN},
 	"dial":   {syscall.EADDRNOTAVAIL, syscall.ENOBUFS, syscall.ENETUNREACH, syscall.EMFILE, syscall.EHOSTUNREACH},
@@ -30,38 +30,38 @@
 
 var plan struct {
 	sync.Mutex
-	read   bool
-	shares map[string]float64
-	rng    *rand.Rand
+	loaded    bool
+	fractions map[string]float64 // of calls that fail, by kind
+	rng       *rand.Rand
 }
 
-// WallClockOffset is how far the wall clock has been stepped, for a process that starts now.
+// WallClockOffset returns the simulated step of the wall clock for a process that starts now.
 func WallClockOffset() time.Duration {
 	offset, _ := time.ParseDuration(os.Getenv(wallVariable))
 	return offset
 }
 
-// Inject is the error that the next call of a kind ("accept", "dial", "write") ends with; nil:
-// it is made.
+// Inject returns the error with which the next call of a kind ("accept", "dial", "write") fails,
+// or nil if the call is to be made.
 func Inject(kind string) error {
 	plan.Lock()
 	defer plan.Unlock()
-	if !plan.read {
-		readPlan()
+	if !plan.loaded {
+		loadPlan()
 	}
-	if plan.rng.Float64() >= plan.shares[kind] {
+	if plan.rng.Float64() >= plan.fractions[kind] {
 		return nil
 	}
-	among := errnos[kind]
-	return os.NewSyscallError(kind, among[plan.rng.IntN(len(among))])
+	candidates := errnos[kind]
+	return os.NewSyscallError(kind, candidates[plan.rng.IntN(len(candidates))])
 }
 
-func readPlan() {
+func loadPlan() {
 	seed, _ := strconv.ParseUint(os.Getenv(seedVariable), 10, 64)
-	plan.read, plan.shares, plan.rng = true, map[string]float64{}, rand.New(rand.NewPCG(seed, 0))
+	plan.loaded, plan.fractions, plan.rng = true, map[string]float64{}, rand.New(rand.NewPCG(seed, 0))
 	for _, part := range strings.Split(os.Getenv(callsVariable), ",") {
-		if kind, share, ok := strings.Cut(part, "="); ok {
-			plan.shares[kind], _ = strconv.ParseFloat(share, 64)
+		if kind, fraction, ok := strings.Cut(part, "="); ok {
+			plan.fractions[kind], _ = strconv.ParseFloat(fraction, 64)
 		}
 	}
 }
--- a/internal/logging/limit.go
+++ b/internal/logging/limit.go
@@ -1,4 +1,4 @@
-// Package logging bounds how much is logged.
+// Package logging limits the rate of log lines.
 package logging
 
 import (
@@ -6,32 +6,33 @@
 	"time"
 )
 
-// RateLimiter lets lines through at one for each span of Every, and counts the others: a flood of
-// events must not cost a line each. Up to Burst lines that were not used earlier may come at
-// once; zero stands for one.
+// RateLimiter is a token bucket that allows one line per Interval and counts the suppressed ones,
+// so that a flood of events does not write a line for each. Up to Burst unused lines accumulate
+// and may be written at once; 0 means 1.
 type RateLimiter struct {
 	Interval time.Duration
 	Burst    int
 
-	mu      sync.Mutex
-	last    time.Time // from when on lines have been earned; zero: no line yet
-	leftOut int64     // since the last line
+	mu          sync.Mutex
+	accruedFrom time.Time // start of the time that tokens have accumulated for; zero: no line yet
+	suppressed  int64     // since the last line
 }
 
-// Allow tells whether a line may be written now, and how many were left out before it.
-func (l *RateLimiter) Allow() (leftOut int64, ok bool) {
+// Allow reports whether a line may be written now, and how many were suppressed since the last
+// one.
+func (l *RateLimiter) Allow() (suppressed int64, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
-	saved := time.Duration(max(1, l.Burst)) * l.Interval
-	if oldest := now.Add(-saved); l.last.Before(oldest) {
-		l.last = oldest
+	capacity := time.Duration(max(1, l.Burst)) * l.Interval
+	if earliest := now.Add(-capacity); l.accruedFrom.Before(earliest) {
+		l.accruedFrom = earliest
 	}
-	if now.Sub(l.last) < l.Interval {
-		l.leftOut++
+	if now.Sub(l.accruedFrom) < l.Interval {
+		l.suppressed++
 		return 0, false
 	}
-	leftOut, l.leftOut = l.leftOut, 0
-	l.last = l.last.Add(l.Interval)
-	return leftOut, true
+	suppressed, l.suppressed = l.suppressed, 0
+	l.accruedFrom = l.accruedFrom.Add(l.Interval)
+	return suppressed, true
 }
--- a/internal/logging/limit_test.go
+++ b/internal/logging/limit_test.go
@@ -6,32 +6,32 @@
 	"time"
 )
 
-// allowed is how many of n lines that come at once are let through, and how many the first
-// of them tells to have been left out.
-func allowed(l *RateLimiter, n int) (lines int, leftOut int64) {
+// countAllowed tries to write n lines at once. It returns how many are allowed, and how many the
+// first of them reports as suppressed.
+func countAllowed(l *RateLimiter, n int) (lines int, suppressed int64) {
 	for range n {
-		if left, ok := l.Allow(); ok {
+		if before, ok := l.Allow(); ok {
 			if lines++; lines == 1 {
-				leftOut = left
+				suppressed = before
 			}
 		}
 	}
-	return lines, leftOut
+	return lines, suppressed
 }
 
-func TestLimit(t *testing.T) {
+func TestRateLimiter(t *testing.T) {
 	for _, c := range []struct{ burst, first int }{{0, 1}, {1, 1}, {5, 5}} {
 		synctest.Test(t, func(t *testing.T) {
 			l := RateLimiter{Interval: time.Second, Burst: c.burst}
-			if lines, left := allowed(&l, 20); lines != c.first || left != 0 {
-				t.Errorf("burst %d: %d lines at first, %d told as left out; want %d", c.burst, lines, left, c.first)
+			if lines, suppressed := countAllowed(&l, 20); lines != c.first || suppressed != 0 {
+				t.Errorf("burst %d: %d lines at first, %d reported as suppressed; want %d", c.burst, lines, suppressed, c.first)
 			}
 			time.Sleep(time.Second)
-			if lines, left := allowed(&l, 20); lines != 1 || left != int64(20-c.first) {
-				t.Errorf("burst %d: %d lines a second later, %d told as left out; want 1 and %d", c.burst, lines, left, 20-c.first)
+			if lines, suppressed := countAllowed(&l, 20); lines != 1 || suppressed != int64(20-c.first) {
+				t.Errorf("burst %d: %d lines a second later, %d reported as suppressed; want 1 and %d", c.burst, lines, suppressed, 20-c.first)
 			}
 			time.Sleep(time.Hour)
-			if lines, _ := allowed(&l, 20); lines != c.first {
+			if lines, _ := countAllowed(&l, 20); lines != c.first {
 				t.Errorf("burst %d: %d lines after an hour, want %d", c.burst, lines, c.first)
 			}
 		})
--- a/internal/neterror/neterror.go
+++ b/internal/neterror/neterror.go
@@ -1,7 +1,7 @@
-// Package neterror says what an error of a socket call means, and is the one place that
-// does: net.Error's Timeout is also true of errnos (ETIMEDOUT, EAGAIN) that are no deadline
-// of this process, and the same errno means different things to different calls. The
-// errnos are those that accept(2), connect(2), socket(2), tcp(7) and ip(7) document.
+// Package neterror classifies errors of socket calls, and is the only place that does.
+// net.Error's Timeout is also true for errnos (ETIMEDOUT, EAGAIN) that are no deadline of this
+// process, and the same errno means different things to different calls. The errnos are those
+// that accept(2), connect(2), socket(2), tcp(7) and ip(7) document.
 package neterror
 
 import (
@@ -16,7 +16,7 @@
 // Call is the kind of call that failed.
 type Call int
 
-// The calls. Dial stands for socket(2) and connect(2), Read for the waits for a read, too.
+// The calls. Dial covers socket(2) and connect(2); Read includes waiting for data.
 const (
 	Accept Call = iota
 	Dial
@@ -24,42 +24,42 @@
 	Write
 )
 
-// Kind is what an error says.
+// Kind is the class of an error.
 type Kind int
 
-// The meanings.
+// The kinds of errors.
 const (
 	None           Kind = iota // no error
-	Deadline                   // a deadline that this process has set is over
-	Canceled                   // this process has given the call up
+	Deadline                   // a deadline set by this process has passed
+	Canceled                   // this process has cancelled the call
 	Closed                     // this process has closed the socket
-	PeerClosed                 // the peer has ended its side in order
-	Refused                    // nobody listens at the address
-	Reset                      // the connection was ended by the peer, out of order
-	NetworkFailure             // the network gave the connection, or the way to the peer, up
-	LocalFailure               // this machine or process lacks something: it says nothing of the peer
-	Interrupted                // nothing has happened: the call can be made again
+	PeerClosed                 // the peer has closed its side in order
+	Refused                    // no process listens at the address
+	Reset                      // the peer has aborted the connection
+	NetworkFailure             // the network has dropped the connection or has no route to the peer
+	LocalFailure               // this machine or process lacks a resource; it says nothing about the peer
+	Interrupted                // the call had no effect and can be repeated
 	Unknown                    // anything else
 )
 
-var meanings = [...]string{
+var kindNames = [...]string{
 	"none", "deadline", "canceled", "closed", "ended", "refused", "reset", "lost", "local", "interrupted", "unknown",
 }
 
-// String is the meaning's word in the log.
-func (m Kind) String() string { return meanings[m] }
+// String returns the kind's name in the log.
+func (k Kind) String() string { return kindNames[k] }
 
-// Broken tells whether a connection is of no further use, and did not end in order.
-func (m Kind) Broken() bool { return m == Reset || m == NetworkFailure }
+// Broken reports whether the error ended the connection other than by an orderly close.
+func (k Kind) Broken() bool { return k == Reset || k == NetworkFailure }
 
-// byCall has the errnos of each call. Those of accept(2) for a connection that has just come
-// are that connection's alone: the listener goes on.
-var byCall = [...]map[syscall.Errno]Kind{
+// kindsByCall classifies the errnos of each call. Where accept(2) reports an error of a new
+// connection, only that connection is lost and the listener goes on.
+var kindsByCall = [...]map[syscall.Errno]Kind{
 	Accept: {
 		syscall.ECONNABORTED: Reset,
 		syscall.ECONNRESET:   Reset,
 		syscall.EPROTO:       Reset,
-		syscall.EPERM:        Reset, // a firewall's word on one connection
+		syscall.EPERM:        Reset, // a firewall rejected the connection
 		syscall.EOPNOTSUPP:   Reset,
 		syscall.ENOPROTOOPT:  Reset,
 		syscall.ETIMEDOUT:    NetworkFailure,
@@ -82,16 +82,16 @@
 		syscall.ETIMEDOUT:     NetworkFailure,
 		syscall.EHOSTUNREACH:  NetworkFailure,
 		syscall.EHOSTDOWN:     NetworkFailure,
-		syscall.ENETUNREACH:   LocalFailure, // no route from here
+		syscall.ENETUNREACH:   LocalFailure, // no route from this machine
 		syscall.ENETDOWN:      LocalFailure,
 		syscall.EADDRNOTAVAIL: LocalFailure, // no free local port
 		syscall.EADDRINUSE:    LocalFailure,
-		syscall.EAGAIN:        LocalFailure, // connect(2): no free local port, or no room for routes
+		syscall.EAGAIN:        LocalFailure, // connect(2): no free local port, or the routing cache is full
 		syscall.EMFILE:        LocalFailure,
 		syscall.ENFILE:        LocalFailure,
 		syscall.ENOBUFS:       LocalFailure,
 		syscall.ENOMEM:        LocalFailure,
-		syscall.EACCES:        LocalFailure, // a rule of this machine
+		syscall.EACCES:        LocalFailure, // a firewall rule of this machine
 		syscall.EPERM:         LocalFailure,
 		syscall.EINTR:         Interrupted,
 	},
@@ -99,8 +99,8 @@
 	Write: established,
 }
 
-// established has the errnos of a connection that stands. The runtime's poller waits out
-// EAGAIN and EINTR: one that comes through all the same leaves nothing to go on with.
+// established classifies the errnos of an established connection. The runtime's poller handles
+// EAGAIN and EINTR; if one is returned all the same, the connection can't be used any further.
 var established = map[syscall.Errno]Kind{
 	syscall.ECONNRESET:   Reset,
 	syscall.ECONNABORTED: Reset,
@@ -119,15 +119,15 @@
 	syscall.EINTR:        NetworkFailure,
 }
 
-// Classify says what an error of a call means.
+// Classify returns the kind of an error of a call.
 func Classify(call Call, err error) Kind {
 	var errno syscall.Errno
 	switch {
 	case err == nil:
 		return None
 	case errors.As(err, &errno):
-		if m, ok := byCall[call][errno]; ok {
-			return m
+		if kind, ok := kindsByCall[call][errno]; ok {
+			return kind
 		}
 		return Unknown
 	case IsDeadline(err):
@@ -142,8 +142,8 @@
 	return Unknown
 }
 
-// IsDeadline tells whether a deadline that this process has set is over: of a connection,
-// or of a dial, which the net package words differently.
+// IsDeadline reports whether a deadline set by this process has passed, either of a connection
+// or of a dial, for which the net package returns another error.
 func IsDeadline(err error) bool {
 	var errno syscall.Errno
 	if errors.As(err, &errno) {
--- a/internal/neterror/neterror_test.go
+++ b/internal/neterror/neterror_test.go
@@ -17,7 +17,7 @@
 	return fmt.Errorf("call: %w", &net.OpError{Op: op, Net: "tcp", Err: os.NewSyscallError(name, errno)})
 }
 
-// Each row is an errno that the manual pages name for a call, and what it means there.
+// Classifies the errnos that the manual pages document for each call.
 func TestErrnoByCall(t *testing.T) {
 	for _, row := range []struct {
 		call   Call
@@ -51,13 +51,13 @@
 				t.Errorf("call %d, %v: %v, want %v", row.call, errno, got, row.want)
 			}
 			if IsDeadline(err) {
-				t.Errorf("call %d, %v: taken for a deadline", row.call, errno)
+				t.Errorf("call %d, %v: classified as a deadline", row.call, errno)
 			}
 		}
 	}
 }
 
-// What is no errno means the same to each call.
+// Errors other than errnos have the same kind for every call.
 func TestNoErrno(t *testing.T) {
 	for _, row := range []struct {
 		err  error
@@ -69,7 +69,7 @@
 		{context.Canceled, Canceled},
 		{net.ErrClosed, Closed},
 		{io.EOF, PeerClosed},
-		{errors.New("else"), Unknown},
+		{errors.New("other"), Unknown},
 	} {
 		err := row.err
 		if err != nil {
@@ -83,7 +83,7 @@
 	}
 }
 
-// The runtime's own errors, as they come.
+// Classifies errors as the net package returns them.
 func TestRealErrors(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -91,23 +91,23 @@
 	}
 	ln.(*net.TCPListener).SetDeadline(time.Now().Add(-time.Second))
 	if _, err := ln.Accept(); Classify(Accept, err) != Deadline {
-		t.Errorf("an accept past its deadline: %v", err)
+		t.Errorf("accept after its deadline: %v", err)
 	}
 	addr := ln.Addr().String()
 	ln.Close()
 	if _, err := ln.Accept(); Classify(Accept, err) != Closed {
-		t.Errorf("an accept at a closed listener: %v", err)
+		t.Errorf("accept on a closed listener: %v", err)
 	}
 	if _, err := net.Dial("tcp", addr); Classify(Dial, err) != Refused {
-		t.Errorf("a dial where nobody listens: %v", err)
+		t.Errorf("dial to an address without a listener: %v", err)
 	}
 	dialer := net.Dialer{Deadline: time.Now().Add(-time.Second)}
 	if _, err := dialer.Dial("tcp", addr); Classify(Dial, err) != Deadline {
-		t.Errorf("a dial past its deadline: %v", err)
+		t.Errorf("dial after its deadline: %v", err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	if _, err := (&net.Dialer{}).DialContext(ctx, "tcp", addr); Classify(Dial, err) != Canceled {
-		t.Errorf("a dial that was given up: %v", err)
+		t.Errorf("cancelled dial: %v", err)
 	}
 }
