--- a/internal/http1/floods_test.go
+++ b/internal/http1/floods_test.go
@@ -26,7 +26,7 @@
 	t.Helper()
 	eventually(t, "arrived", func() bool {
 		got := 0
-		c.raw.Control(func(fd uintptr) {
+		c.rawConn.Control(func(fd uintptr) {
 			got, _, _ = syscall.Recvfrom(int(fd), make([]byte, n), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		})
 		return got == n
@@ -36,11 +36,11 @@
 // An empty line behind a request is none of it, wherever the buffer ends: guards against
 // a verdict that goes by how the bytes were cut.
 func TestMoreBehindAFullBuffer(t *testing.T) {
-	for _, size := range []int{firstBuf - 2, firstBuf - 1, firstBuf, 2 * firstBuf, 8 * firstBuf} {
+	for _, size := range []int{initialBufferBytes - 2, initialBufferBytes - 1, initialBufferBytes, 2 * initialBufferBytes, 8 * initialBufferBytes} {
 		for _, b := range []struct {
 			behind string
 			more   bool
-		}{{"", false}, {"\r\n", false}, {"\r\n\r\n\n", false}, {"\r\nG", true}, {"G", true}, {strings.Repeat("\r\n", mostEmpty), true}} {
+		}{{"", false}, {"\r\n", false}, {"\r\n\r\n\n", false}, {"\r\nG", true}, {"G", true}, {strings.Repeat("\r\n", maxEmptyLineBytes), true}} {
 			c, far := tcp(t)
 			text := padded(size) + b.behind
 			io.WriteString(far, text)
@@ -48,7 +48,7 @@
 			if _, body, _, err := c.ReadRequest(); err != nil || string(body) != "0123456789" {
 				t.Fatalf("%d: %q, %v", size, body, err)
 			}
-			if c.More() != b.more {
+			if c.HasPipelinedData() != b.more {
 				t.Errorf("%.20q behind %d bytes: more is %t", b.behind, size, !b.more)
 			}
 		}
@@ -81,23 +81,23 @@
 			c := NewConn(nc)
 			var sender sync.WaitGroup
 			ahead := make(chan bool, 1)
-			io.WriteString(far, padded(firstBuf))
-			pending(t, c, firstBuf)
+			io.WriteString(far, padded(initialBufferBytes))
+			pending(t, c, initialBufferBytes)
 			if _, _, _, err := c.ReadRequest(); err != nil {
 				t.Fatal(err)
 			}
 			sender.Go(func() { io.WriteString(far, flood) })
 			if watched {
-				c.Watch(func() { t.Errorf("%s: gone", name) }, func() { ahead <- true })
+				c.WatchPeer(func() { t.Errorf("%s: gone", name) }, func() { ahead <- true })
 				<-ahead
-				c.Unwatch()
+				c.UnwatchPeer()
 			} else {
-				eventually(t, name+": noticed", c.More)
+				eventually(t, name+": noticed", c.HasPipelinedData)
 			}
-			if nc.room > 4*firstBuf || len(c.buf) > firstBuf {
+			if nc.room > 4*initialBufferBytes || len(c.buf) > initialBufferBytes {
 				t.Errorf("%s, watched %t: room for %d bytes in %d reads, a buffer of %d", name, watched, nc.room, nc.reads, len(c.buf))
 			}
-			if !c.More() {
+			if !c.HasPipelinedData() {
 				t.Errorf("%s: more is forgotten", name)
 			}
 			c.Close()
@@ -110,7 +110,7 @@
 // leaves many bytes behind, and by a reset.
 func TestRequestsThatEndBadly(t *testing.T) {
 	post := "POST / HTTP/1.1\r\nHost: h\r\n"
-	long := strings.Repeat("x", MaxBody+20_000)
+	long := strings.Repeat("x", MaxBufferedBodyBytes+20_000)
 	for _, r := range []struct {
 		name, text string
 		malformed  error // nil: it is only cut off
@@ -130,7 +130,7 @@
 		{"noise", "\x16\x03\x01", ErrMalformed},
 		{"bad size line", post + "Transfer-Encoding: chunked\r\n\r\nzz\r\n", ErrMalformed},
 		{"no line end behind a chunk", post + "Transfer-Encoding: chunked\r\n\r\n3\r\nabcdef", ErrMalformed},
-		{"a long head", post + "X: " + long, ErrHeadTooLarge},
+		{"a long head", post + "X: " + long, ErrHeaderTooLarge},
 		{"a long body told", post + "Content-Length: 99999999\r\n\r\n" + long, ErrBodyTooLarge},
 	} {
 		for _, by := range []string{"end", "reset"} {
@@ -145,7 +145,7 @@
 			}()
 			_, _, rest, err := c.ReadRequest()
 			if err == nil && rest != nil {
-				err = rest.Discard(NewTransfers(1))
+				err = rest.Discard(NewStreamPool(1))
 			}
 			want := r.malformed
 			switch {
@@ -187,7 +187,7 @@
 	})
 	for i := range n {
 		var stopped atomic.Bool
-		c.Watch(func() { t.Error("gone") }, func() {
+		c.WatchPeer(func() { t.Error("gone") }, func() {
 			if stopped.Load() {
 				t.Error("told of after it was stopped")
 			}
@@ -196,7 +196,7 @@
 		if c.PeerClosed() {
 			t.Fatal("closed")
 		}
-		c.Unwatch()
+		c.UnwatchPeer()
 		stopped.Store(true)
 		if at := last.Load().(time.Time); !at.IsZero() {
 			t.Fatalf("a deadline is left: %v", at)
@@ -212,7 +212,7 @@
 	for i := range 200 { // an end in that moment is told of before Unwatch returns, or not at all
 		c, far := tcp(t)
 		var stopped atomic.Bool
-		c.Watch(func() {
+		c.WatchPeer(func() {
 			if stopped.Load() {
 				t.Error("gone after it was stopped")
 			}
@@ -224,7 +224,7 @@
 				reset(far.(*net.TCPConn))
 			}
 		})
-		c.Unwatch()
+		c.UnwatchPeer()
 		stopped.Store(true)
 		sender.Wait()
 		if _, _, _, err := c.ReadRequest(); err == nil || neterror.IsDeadline(err) {
--- a/internal/upstream/ends_test.go
+++ b/internal/upstream/ends_test.go
@@ -55,12 +55,12 @@
 	if err != nil || rest == nil {
 		t.Fatal(rest, err)
 	}
-	t.Cleanup(rest.Drop)
+	t.Cleanup(rest.Abandon)
 	return u, &Request{
 		Render: func(time.Duration) []byte {
 			return append([]byte("POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: 30000000\r\n\r\n"), first...)
 		},
-		BodyRest: rest, Transfers: http1.NewTransfers(1), Timeout: time.Minute,
+		BodyRest: rest, Transfers: http1.NewStreamPool(1), Timeout: time.Minute,
 	}
 }
 
@@ -238,7 +238,7 @@
 		"HTTP/1.1 100 Continue\r\n\r\n", "noise", "HTTP/1.1 200 OK\nContent-Length: 1\n\n1",
 	} {
 		opt, s := options(5)
-		b := New(standin.NewBackend(t, func(c *standin.Call) { c.Raw(text); c.Reset() }).Addr(), opt)
+		b := New(standin.NewBackend(t, func(c *standin.Call) { c.WriteRaw(text); c.Reset() }).Addr(), opt)
 		a := exchangeInTime(t, b, shortContext(t), &Request{Render: get, Timeout: time.Minute})
 		if a.Err == nil || a.Stage < Written || a.Status != 0 {
 			t.Errorf("%q: got %+v", text, a)
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -83,8 +83,8 @@
 // Request is what an exchange sends.
 type Request struct {
 	Render     func(left time.Duration) []byte // returns the head and the body or its first part, given the time left
-	BodyRest   *http1.Rest                     // rest of a long body, streamed; nil: none
-	Transfers  *http1.Transfers                // buffers for BodyRest
+	BodyRest   *http1.RemainingBody            // rest of a long body, streamed; nil: none
+	Transfers  *http1.StreamPool               // buffers for BodyRest
 	ShouldSend func() bool                     // called before the first byte; false abandons the request; nil: always send
 	OnWritten  func()                          // called once the request is completely written; may be nil
 	Timeout    time.Duration                   // counts from the end of BodyRest, or from DecidedAt if there is none
@@ -96,10 +96,10 @@
 	Stage       Stage
 	Status      int
 	Header      http.Header
-	Body        []byte      // or its first part
-	BodyRest    *http1.Rest // rest of a long body, to be streamed; nil: none
-	Err         error       // nil for a complete answer, or for one whose first part has come
-	BodyReadErr error       // BodyRest of the request could not be read, a failure of the client
+	Body        []byte               // or its first part
+	BodyRest    *http1.RemainingBody // rest of a long body, to be streamed; nil: none
+	Err         error                // nil for a complete answer, or for one whose first part has come
+	BodyReadErr error                // BodyRest of the request could not be read, a failure of the client
 
 	release func(complete bool)
 }
@@ -116,7 +116,7 @@
 // transferLimits bounds the duration of a transfer to or from a backend. A peer may take seconds
 // over a part, but must not hold a connection and a buffer indefinitely. The rate is in bytes
 // per second.
-var transferLimits = http1.Slowest{Start: 5 * time.Second, Rate: 16 << 10, Stall: 5 * time.Second}
+var transferLimits = http1.MinTransferRate{InitialAllowance: 5 * time.Second, BytesPerSecond: 16 << 10, StallTimeout: 5 * time.Second}
 
 // earlyAnswerTimeout bounds the reading of an answer to a partly sent request after the
 // connection has broken.
@@ -126,7 +126,7 @@
 // which begins now, by the number of bytes transferred so far.
 func ProgressDeadlines(setDeadline func(time.Time) error) func(transferred int64) {
 	start := time.Now()
-	return func(transferred int64) { setDeadline(transferLimits.Until(start, transferred)) }
+	return func(transferred int64) { setDeadline(transferLimits.Deadline(start, transferred)) }
 }
 
 var errEarlyAnswer = errors.New("the backend answered before the end of the request")
@@ -148,22 +148,22 @@
 		return *failed
 	}
 	c.SetDeadline(deadline)
-	stopCancel := context.AfterFunc(ctx, func() { c.SetDeadline(http1.LongAgo) })
+	stopCancel := context.AfterFunc(ctx, func() { c.SetDeadline(http1.ExpiredDeadline) })
 	defer stopCancel()
 	if _, err := c.Write(text); err != nil {
 		b.discard(c)
 		return ExchangeResult{Stage: SendFailed, Err: err}
 	}
 	if req.BodyRest != nil {
-		reused := c.Carried()
+		reused := c.HasReadMessage()
 		err := streamBody(ctx, c, req)
 		switch {
 		case err != nil && ctx.Err() != nil:
 			b.discard(c)
 			return ExchangeResult{Stage: SendFailed, Err: ctx.Err()}
-		case errors.Is(err, errEarlyAnswer), errors.Is(err, http1.ErrPassed):
+		case errors.Is(err, errEarlyAnswer), errors.Is(err, http1.ErrDestination):
 			// The backend answered before the end, or the connection broke: read the answer.
-			if errors.Is(err, http1.ErrPassed) {
+			if errors.Is(err, http1.ErrDestination) {
 				req.Timeout = earlyAnswerTimeout
 			}
 			deadline = time.Now().Add(req.Timeout)
@@ -180,7 +180,7 @@
 			}
 			// The system reports a reset once, here to the write. An answer that ends with its
 			// connection looks complete to the reader then, even if it was cut off.
-			if resp.StatusCode == http.StatusOK && http1.Unbounded(resp) && errors.Is(err, http1.ErrPassed) {
+			if resp.StatusCode == http.StatusOK && http1.IsCloseDelimited(resp) && errors.Is(err, http1.ErrDestination) {
 				return ExchangeResult{Stage: SendFailed, Err: err}
 			}
 			return ExchangeResult{Stage: Answered, Status: resp.StatusCode, Header: resp.Header, Body: body}
@@ -203,7 +203,7 @@
 	if err != nil {
 		b.discard(c)
 		stage := Written
-		if errors.Is(err, http1.ErrMalformed) || errors.Is(err, http1.ErrHeadTooLarge) ||
+		if errors.Is(err, http1.ErrMalformed) || errors.Is(err, http1.ErrHeaderTooLarge) ||
 			errors.Is(err, http1.ErrBodyTooLarge) {
 			stage = Answered
 		}
@@ -213,10 +213,10 @@
 	reusable := stopCancel() && !resp.Close
 	answer := ExchangeResult{Stage: Answered, Status: resp.StatusCode, Header: resp.Header, Body: body, BodyRest: rest}
 	answer.release = func(complete bool) {
-		c.Pace = nil
+		c.BeforeBodyRead = nil
 		if !complete || !reusable || c.Buffered() > 0 {
 			if rest != nil {
-				rest.Drop()
+				rest.Abandon()
 			}
 			b.discard(c)
 		} else {
@@ -226,7 +226,7 @@
 	}
 	if rest != nil {
 		c.SetDeadline(time.Time{})
-		c.Pace = ProgressDeadlines(c.SetReadDeadline)
+		c.BeforeBodyRead = ProgressDeadlines(c.SetReadDeadline)
 	} else {
 		answer.Release(true)
 	}
@@ -250,7 +250,7 @@
 			return nil, nil, &ExchangeResult{Stage: Unsent, Err: errNotWanted}
 		}
 		text := req.Render(time.Until(deadline))
-		if !c.Carried() || c.Quiet() {
+		if !c.HasReadMessage() || c.IsIdle() {
 			return c, text, nil
 		}
 		b.discard(c) // the data that arrived meanwhile does not answer this request
@@ -267,21 +267,21 @@
 		answered.Store(true)
 		req.BodyRest.Interrupt() // the client may be slow, or wait for the answer
 	}
-	c.Watch(onAnswer, onAnswer)
+	c.WatchPeer(onAnswer, onAnswer)
 	interrupted := make(chan struct{})
 	stop := context.AfterFunc(ctx, func() {
 		req.BodyRest.Interrupt()
 		close(interrupted)
 	})
 	setDeadline := ProgressDeadlines(c.SetWriteDeadline)
-	err := req.Transfers.Pass(c, req.BodyRest, false, func(transferred int64) error {
+	err := req.Transfers.Forward(c, req.BodyRest, false, func(transferred int64) error {
 		if answered.Load() {
 			return errEarlyAnswer
 		}
 		setDeadline(transferred)
 		return ctx.Err() // checked last: setDeadline may have overwritten the deadline set at the end of ctx
 	})
-	c.Unwatch()
+	c.UnwatchPeer()
 	cancelled := !stop()
 	if cancelled {
 		<-interrupted
@@ -333,7 +333,7 @@
 func (b *Backend) takeOpenIdle(minIdle time.Duration) *http1.Conn {
 	for {
 		c := b.takeNewestIdle(time.Now().Add(-minIdle))
-		if c == nil || c.Quiet() {
+		if c == nil || c.IsIdle() {
 			return c
 		}
 		b.discard(c)
@@ -346,7 +346,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for n := len(b.idleConns) - 1; n >= 0; n-- {
-		if c := b.idleConns[n]; !c.idleSince.After(at) || !c.conn.Carried() {
+		if c := b.idleConns[n]; !c.idleSince.After(at) || !c.conn.HasReadMessage() {
 			b.idleConns = slices.Delete(b.idleConns, n, n+1)
 			return c.conn
 		}
--- a/logic/admission_test.go
+++ b/logic/admission_test.go
@@ -16,10 +16,10 @@
 		b, f := start(testSettings(), zoneLines("b", 4)...)
 		b.setLimit(2) // for each of four
 		for i := range b.classes {
-			b.classes[i].meet(2000*ms, false)
+			b.classes[i].observeBudget(2000*ms, false)
 		}
 		for i := range 12 {
-			b.Arrive(0, Request{ID: fmt.Sprint("r", i), Class: class, Budget: 2000 * ms})
+			b.StartRequest(0, Request{ID: fmt.Sprint("r", i), Class: class, Budget: 2000 * ms})
 		}
 		for id := range f.answers {
 			if got := f.one(t, id); !got.refused || got.comeBack <= 0 {
@@ -38,19 +38,19 @@
 	b, _ := start(testSettings(), zoneLines("b", 4)...)
 	b.addInFlight(b.backends["b0"], 100)
 	before := b.limit()
-	b.correctLimit(0, &b.classes[safe], 2*strainTarget)
+	b.adjustLimit(0, &b.classes[safe], 2*latencyRatioTarget)
 	if b.limit() >= before {
 		t.Error("late answers did not lower the limit")
 	}
 	before = b.limit()
-	b.correctLimit(0, &b.classes[safe], strainTarget/2)
+	b.adjustLimit(0, &b.classes[safe], latencyRatioTarget/2)
 	if b.limit() <= before {
 		t.Error("early answers did not raise the limit")
 	}
 	b.addInFlight(b.backends["b0"], -100)
 	before = b.limit()
-	b.correctLimit(0, &b.classes[safe], 0)
-	b.correctLimit(0, &b.classes[safe], 1)
+	b.adjustLimit(0, &b.classes[safe], 0)
+	b.adjustLimit(0, &b.classes[safe], 1)
 	if b.limit() != before {
 		t.Error("the limit moved while it was not in use")
 	}
@@ -66,14 +66,15 @@
 			for _, m := range b.listed { // in use all the time
 				b.addInFlight(m, int(b.limit())+1-m.inFlight)
 			}
-			b.requests[id] = &request{Request: Request{ID: id, Class: safe}, deadline: now + 2000*ms, out: 1,
-				attempts: []attempt{{to: b.listed[i%4], sent: now}}}
-			b.classes[safe].meet(2000*ms, false)
-			b.Done(now, Outcome{Request: id, Result: OK, Latency: latency(i), Final: true})
+			b.requests[id] = &request{Request: Request{ID: id, Class: safe}, deadline: now + 2000*ms,
+				outstanding: 1,
+				attempts:    []attempt{{backend: b.listed[i%4], sentAt: now}}}
+			b.classes[safe].observeBudget(2000*ms, false)
+			b.AttemptDone(now, Outcome{Request: id, Result: OK, Latency: latency(i), Final: true})
 		}
-		return b.limit() / b.base
+		return b.limit() / b.baseLimit
 	}
-	aim := float64(testSettings().Classes[safe].Aim)
+	aim := float64(testSettings().Classes[safe].TargetLatency)
 	of := func(share float64) time.Duration { return time.Duration(share * aim) }
 	if got := play(func(i int) time.Duration { return of(0.2 + 0.15*float64(i%3)) }); got < 1 {
 		t.Errorf("at rest the limit falls to %.2f of the first", got)
@@ -89,7 +90,7 @@
 func TestFirstLimitIsShared(t *testing.T) {
 	total := func(balancers int) float64 {
 		set := testSettings()
-		set.Balancers = balancers
+		set.BalancerCount = balancers
 		b, _ := start(set, zoneLines("b", 40)...)
 		return b.limit() * float64(balancers)
 	}
@@ -106,16 +107,16 @@
 		b.setLimit(4)
 		change(b)
 		for i := range 60 {
-			b.Arrive(0, Request{ID: fmt.Sprint("r", i), Class: safe, Budget: 2000 * ms})
+			b.StartRequest(0, Request{ID: fmt.Sprint("r", i), Class: safe, Budget: 2000 * ms})
 		}
 		return len(f.sends)
 	}
 	all := admitted(func(*Balancer) {})
-	half := admitted(func(b *Balancer) { b.List(0, true, zoneLines("b", 4)) })
+	half := admitted(func(b *Balancer) { b.UpdateList(0, true, zoneLines("b", 4)) })
 	ejected := admitted(func(b *Balancer) {
 		for _, m := range b.listed[:4] {
-			m.ejected, m.inFlight, m.trialAt = 1, 4, 1000*ms // with calls that hang there
-			b.version++
+			m.ejections, m.inFlight, m.probeAt = 1, 4, 1000*ms // with calls that hang there
+			b.summaryVersion++
 		}
 	})
 	if all != 35 || half != 19 || ejected != 19 {
@@ -128,10 +129,10 @@
 func TestLimitComesDownInProportion(t *testing.T) {
 	drop := func(limit float64) float64 {
 		b, _ := start(testSettings(), zoneLines("b", 4)...)
-		b.setLimit(limit * b.base)
+		b.setLimit(limit * b.baseLimit)
 		b.addInFlight(b.backends["b0"], 1000)
 		before := b.limit()
-		b.correctLimit(0, &b.classes[safe], 1)
+		b.adjustLimit(0, &b.classes[safe], 1)
 		return before - b.limit()
 	}
 	if small, large := drop(1), drop(4); large < 3.9*small || small <= 0 {
@@ -145,10 +146,10 @@
 	const seconds, hold = 60, 200 * ms
 	for n := range balancers {
 		set := testSettings()
-		set.Balancers, set.Seed = balancers, uint64(n)
+		set.BalancerCount, set.Seed = balancers, uint64(n)
 		b, f := start(set, zoneLines("b", backends)...)
-		b.classes[keyed].meet(2000*ms, false)
-		b.hold, b.classes[keyed].cost = float64(hold), float64(hold)
+		b.classes[keyed].observeBudget(2000*ms, false)
+		b.meanLatency, b.classes[keyed].meanLatency = float64(hold), float64(hold)
 		rng := rand.New(rand.NewPCG(uint64(n), 1))
 		var out []Time
 		for now := Time(0); now < seconds*1000*ms; {
@@ -156,13 +157,14 @@
 			for len(out) > 0 && out[0] <= now {
 				id := fmt.Sprint("r", int64(out[0]))
 				// On the target: the limit stays where it is.
-				onTarget := time.Duration(strainCeiling * float64(set.Classes[keyed].Aim))
-				b.Done(out[0], Outcome{Request: id, Result: OK, Latency: onTarget, Final: true})
-				b.hold, b.classes[keyed].cost = float64(hold), float64(hold)
+				onTarget := time.Duration(maxLatencyRatioTarget * float64(set.Classes[keyed].TargetLatency))
+				b.AttemptDone(out[0], Outcome{Request: id, Result: OK, Latency: onTarget, Final: true})
+				b.meanLatency, b.classes[keyed].meanLatency = float64(hold), float64(hold)
 				out = out[1:]
 			}
 			sends := len(f.sends)
-			b.Arrive(now, Request{ID: fmt.Sprint("r", int64(now+hold)), Class: keyed, Budget: 2000 * ms})
+			b.StartRequest(now, Request{ID: fmt.Sprint("r", int64(now+hold)), Class: keyed,
+				Budget: 2000 * ms})
 			if len(f.sends) > sends {
 				out = append(out, now+hold)
 				mean += float64(hold) / float64(seconds*1000*ms)
@@ -178,7 +180,7 @@
 // up to one call each, lets in more than the fleet can do.
 func TestManyBalancersKeepTheLimitInSum(t *testing.T) {
 	for _, balancers := range []int{1, 20, 300} {
-		limit := limitPerBackend * 15 / float64(balancers) // of one, in calls
+		limit := initialLimitPerBackend * 15 / float64(balancers) // of one, in calls
 		mean, sum := meanInFlight(balancers, 15, 4*limit/0.2)
 		if mean < 0.7*sum || mean > 1.15*sum {
 			t.Errorf("%d balancers with four times the work for %.0f calls hold %.0f", balancers, sum, mean)
@@ -202,12 +204,12 @@
 		b.setLimit(5)
 		for i := range 40 {
 			id, now := fmt.Sprint("r", i), Time(i)*100*ms
-			b.Arrive(now, Request{ID: id, Class: unsafe, Budget: 2000 * ms})
+			b.StartRequest(now, Request{ID: id, Class: unsafe, Budget: 2000 * ms})
 			if i < 14 { // they keep the limit in use
 				continue
 			}
 			b.allow(unsafe, 700*ms)
-			b.Done(now+c.latency, Outcome{Request: id, Result: Error, Latency: c.latency, Final: true})
+			b.AttemptDone(now+c.latency, Outcome{Request: id, Result: Error, Latency: c.latency, Final: true})
 		}
 		if got := b.limit() * 4; (got < 18) != c.down {
 			t.Errorf("%s errors: the limit is %.1f after 20", c.name, got)
@@ -220,22 +222,22 @@
 func TestEvenClasses(t *testing.T) {
 	for _, even := range []bool{false, true} {
 		set := uneven()
-		set.Uneven, set.EvenClasses = false, even // the limit is set below, not by traffic
+		set.UnevenTraffic, set.EqualClasses = false, even // the limit is set below, not by traffic
 		b, f := start(set, zoneLines("b", 10)...)
 		b.allow(safe, 700*ms)
 		b.allow(keyed, 700*ms) // a tenth of the worth
 		var sent [2]int
 		for i := range 2000 {
-			now := Time(i) * ms   // far more than fits, held for 100 ms
-			b.open, b.base = 1, 1 // ten calls
+			now := Time(i) * ms                   // far more than fits, held for 100 ms
+			b.limitMultiplier, b.baseLimit = 1, 1 // ten calls
 			class := i % 2
 			before := len(f.sends)
 			id := fmt.Sprint(even, i)
-			b.Arrive(now, Request{ID: id, Class: class, Budget: 2000 * ms})
+			b.StartRequest(now, Request{ID: id, Class: class, Budget: 2000 * ms})
 			sent[class] += len(f.sends) - before
 			if i >= 100 {
 				done := fmt.Sprint(even, i-100)
-				b.Done(now, Outcome{Request: done, Result: OK, Latency: 100 * ms, Final: true})
+				b.AttemptDone(now, Outcome{Request: done, Result: OK, Latency: 100 * ms, Final: true})
 			}
 		}
 		if alike := float64(sent[1]) > 0.8*float64(sent[0]); alike != even {
--- a/logic/owntraffic_test.go
+++ b/logic/uneven_traffic_test.go
@@ -12,7 +12,7 @@
 func uneven() Settings {
 	set := testSettings()
 	set.Zones, set.Zone = []string{"b"}, "b"
-	set.Balancers, set.Uneven = 100, true
+	set.BalancerCount, set.UnevenTraffic = 100, true
 	return set
 }
 
@@ -28,12 +28,12 @@
 	for i := range n {
 		now += gap
 		for len(open) > 0 && open[0].at <= now {
-			b.Done(open[0].at, Outcome{Request: open[0].id, Result: OK, Latency: latency, Final: true})
+			b.AttemptDone(open[0].at, Outcome{Request: open[0].id, Result: OK, Latency: latency, Final: true})
 			open = open[1:]
 		}
 		id := fmt.Sprint(now, i, retry)
 		before := len(f.sends)
-		b.Arrive(now, Request{ID: id, Class: safe, Budget: 2000 * ms, Retry: retry})
+		b.StartRequest(now, Request{ID: id, Class: safe, Budget: 2000 * ms, ClientRetry: retry})
 		if len(f.sends) > before {
 			open = append(open, out{id, now + latency})
 		} else if i >= n/2 {
@@ -41,7 +41,7 @@
 		}
 	}
 	for _, o := range open {
-		b.Done(max(now, o.at), Outcome{Request: o.id, Result: OK, Latency: latency, Final: true})
+		b.AttemptDone(max(now, o.at), Outcome{Request: o.id, Result: OK, Latency: latency, Final: true})
 	}
 	return refused, now
 }
@@ -56,10 +56,10 @@
 		refused     int
 	}{{"unlike", true, 11, 14, 0}, {"alike", false, 0.5, 0.5, 500}} {
 		set := uneven()
-		set.Uneven = c.uneven
+		set.UnevenTraffic = c.uneven
 		b, f := start(set, zoneLines("b", 10)...)
 		refused, _ := feed(b, f, 0, 1000, 10*ms, 100*ms, false)
-		if base := b.base * 10; base < c.least || base > c.most || refused > c.refused {
+		if base := b.baseLimit * 10; base < c.least || base > c.most || refused > c.refused {
 			t.Errorf("%s: base %v calls, want %v to %v; %d refused", c.name, base, c.least, c.most, refused)
 		}
 	}
@@ -69,11 +69,11 @@
 func TestRetriesAreNoTraffic(t *testing.T) {
 	b, f := start(uneven(), zoneLines("b", 10)...)
 	_, now := feed(b, f, 0, 300, 100*ms, 100*ms, false)
-	base, arc, near := b.base, b.arc, len(b.groups[0].near.members)
+	base, arc, near := b.baseLimit, b.minSubsetCapacity, len(b.zoneGroups[0].peerSummary.members)
 	refused, _ := feed(b, f, now, 300, 5*ms, 100*ms, true)
-	if b.base != base || b.arc != arc || len(b.groups[0].near.members) != near {
+	if b.baseLimit != base || b.minSubsetCapacity != arc || len(b.zoneGroups[0].peerSummary.members) != near {
 		t.Errorf("base %v, arc %v, %d near; before the retries %v, %v, %d",
-			b.base, b.arc, len(b.groups[0].near.members), base, arc, near)
+			b.baseLimit, b.minSubsetCapacity, len(b.zoneGroups[0].peerSummary.members), base, arc, near)
 	}
 	if refused == 0 {
 		t.Error("no retry of a flood was refused")
@@ -85,9 +85,9 @@
 func TestStartIsALikePart(t *testing.T) {
 	b, f := start(uneven(), zoneLines("b", 10)...)
 	for i := range 20 {
-		b.Arrive(ms, Request{ID: fmt.Sprint(i), Class: safe, Budget: 2000 * ms})
+		b.StartRequest(ms, Request{ID: fmt.Sprint(i), Class: safe, Budget: 2000 * ms})
 	}
-	if len(f.sends) > 2*saveMost+4 {
+	if len(f.sends) > 2*maxLimitTokens+4 {
 		t.Errorf("%d of 20 sent at once", len(f.sends))
 	}
 }
@@ -119,7 +119,7 @@
 	feed(b, f, 0, 100, 500*ms, 100*ms, false)
 	now, before := 60*time.Second, len(f.sends)
 	for i := range 10 {
-		b.Arrive(now, Request{ID: fmt.Sprint("burst", i), Class: safe, Budget: 2000 * ms})
+		b.StartRequest(now, Request{ID: fmt.Sprint("burst", i), Class: safe, Budget: 2000 * ms})
 	}
 	if n := len(f.sends) - before; n < 1 || n > 4 {
 		t.Errorf("%d of 10 at once were sent, want 1 to 4", n)
@@ -133,7 +133,7 @@
 	_, now := feed(b, f, 0, 200, 10*time.Second, 50*ms, false)
 	before := len(f.sends)
 	for i := range 300 { // none is answered yet
-		b.Arrive(now+Time(i)*ms, Request{ID: fmt.Sprint("burst", i), Class: safe, Budget: 2000 * ms})
+		b.StartRequest(now+Time(i)*ms, Request{ID: fmt.Sprint("burst", i), Class: safe, Budget: 2000 * ms})
 	}
 	if n := len(f.sends) - before; n > 100 {
 		t.Errorf("%d of 300 at once were sent", n)
--- a/proxy/guard_test.go
+++ b/proxy/guard_test.go
@@ -30,13 +30,13 @@
 		{"none", guards, func(*driver) {}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			p := listening(t, standin.List(1, true, standin.Target("s-1", b.Addr())), "127.0.0.1:1")
+			p := listening(t, standin.ListJSON(1, true, standin.TargetJSON("s-1", b.Addr())), "127.0.0.1:1")
 			p.cfg.Grace = time.Millisecond
 			defer running(t, p)()
 			p.driver.mu.Lock()
 			c.plant(p.driver)
 			p.driver.mu.Unlock()
-			before := b.Calls()
+			before := b.RequestCount()
 			code, _ := ask(t, dial(t, p), "get", 2000)
 			for g := range guards {
 				if n := p.driver.violations.counts[g].Load(); (n > 0) != (g == c.guard) {
@@ -44,7 +44,7 @@
 				}
 			}
 			stopped := c.guard < guards
-			if sent := b.Calls() > before; sent == stopped || (code == http.StatusOK) == stopped {
+			if sent := b.RequestCount() > before; sent == stopped || (code == http.StatusOK) == stopped {
 				t.Errorf("answered %d, sent %t", code, sent)
 			}
 			if info := (operated{p}).Info(); !strings.Contains(info, `balancer_invariant_violations{guard="send"}`) {
@@ -56,7 +56,7 @@
 
 // The other guards, each asked about a step that must not be taken and one that may.
 func TestGuardsOfACall(t *testing.T) {
-	p := listening(t, standin.List(1, true), "127.0.0.1:1")
+	p := listening(t, standin.ListJSON(1, true), "127.0.0.1:1")
 	defer p.listener.Close()
 	defer p.state.close()
 	d := p.driver
@@ -70,10 +70,10 @@
 		t.Error("a call that was answered, or whose client left, may start")
 	}
 	for _, c := range []struct {
-		repeat logic.Repeat
+		repeat logic.Idempotency
 		ran    bool
 		may    bool
-	}{{logic.Unsafe, true, false}, {logic.Unsafe, false, true}, {logic.Safe, true, true}, {logic.Keyed, true, true}} {
+	}{{logic.NonIdempotent, true, false}, {logic.NonIdempotent, false, true}, {logic.Idempotent, true, true}, {logic.Deduplicated, true, true}} {
 		if d.mayRepeat(&call{repeat: c.repeat, ran: c.ran}) != c.may {
 			t.Errorf("repeat rule %v, ran %t: may be repeated %t", c.repeat, c.ran, !c.may)
 		}
