--- a/internal/http1/conn_test.go
+++ b/internal/http1/conn_test.go
@@ -20,14 +20,14 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// pieces is a connection that brings its pieces one a read, then ends.
-type pieces struct {
+// scriptedConn is a connection that returns one element of in per read, then io.EOF.
+type scriptedConn struct {
 	net.Conn
 	in  [][]byte
 	out bytes.Buffer
 }
 
-func (p *pieces) Read(b []byte) (int, error) {
+func (p *scriptedConn) Read(b []byte) (int, error) {
 	if len(p.in) == 0 {
 		return 0, io.EOF
 	}
@@ -38,10 +38,11 @@
 	return n, nil
 }
 
-func (p *pieces) Write(b []byte) (int, error) { return p.out.Write(b) }
+func (p *scriptedConn) Write(b []byte) (int, error) { return p.out.Write(b) }
 
-func split(text string, at ...int) *pieces {
-	p, from := &pieces{}, 0
+// splitAt returns a connection that delivers text in reads that are split at the given offsets.
+func splitAt(text string, at ...int) *scriptedConn {
+	p, from := &scriptedConn{}, 0
 	for _, i := range append(at, len(text)) {
 		if i > from {
 			p.in = append(p.in, []byte(text[from:i]))
@@ -51,13 +52,13 @@
 	return p
 }
 
-// three messages: by length, without a body after an empty line, and in chunks
-// with a trailer.
-const three = "POST /a?b=c HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\n\r\nhello" +
+// threeMessages are a request with a length, one without a body after an empty line, and a
+// chunked one with a trailer.
+const threeMessages = "POST /a?b=c HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\n\r\nhello" +
 	"\r\nGET /d HTTP/1.1\r\nHost: h\r\n\r\n" +
 	"POST /e HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\nX-T: 1\r\n\r\n"
 
-func readThree(t *testing.T, c *Conn) {
+func readThreeMessages(t *testing.T, c *Conn) {
 	t.Helper()
 	for _, want := range []struct{ method, uri, body string }{
 		{"POST", "/a?b=c", "hello"}, {"GET", "/d", ""}, {"POST", "/e", "abcde"},
@@ -76,15 +77,15 @@
 }
 
 func TestEverySplit(t *testing.T) {
-	for i := range len(three) {
-		readThree(t, NewConn(split(three, i)))
-		readThree(t, NewConn(split(three, i/2, i)))
+	for i := range len(threeMessages) {
+		readThreeMessages(t, NewConn(splitAt(threeMessages, i)))
+		readThreeMessages(t, NewConn(splitAt(threeMessages, i/2, i)))
 	}
 	var single []int
-	for i := range len(three) {
+	for i := range len(threeMessages) {
 		single = append(single, i)
 	}
-	readThree(t, NewConn(split(three, single...)))
+	readThreeMessages(t, NewConn(splitAt(threeMessages, single...)))
 }
 
 func TestRequestErrors(t *testing.T) {
@@ -95,25 +96,25 @@
 	}{
 		{"nothing", "", io.EOF},
 		{"empty lines only", "\r\n\r\n", io.EOF},
-		{"half a head", "GET / HT", io.ErrUnexpectedEOF},
-		{"half a body", post("Content-Length: 5", "abc"), io.ErrUnexpectedEOF},
-		{"half a chunk", post("Transfer-Encoding: chunked", "5\r\nabc"), io.ErrUnexpectedEOF},
+		{"incomplete header", "GET / HT", io.ErrUnexpectedEOF},
+		{"incomplete body", post("Content-Length: 5", "abc"), io.ErrUnexpectedEOF},
+		{"incomplete chunk", post("Transfer-Encoding: chunked", "5\r\nabc"), io.ErrUnexpectedEOF},
 		{"no request line", "hello there\r\n\r\n", ErrMalformed},
 		{"bad version", "GET / HTTP/x\r\n\r\n", ErrMalformed},
 		{"bad header", "GET / HTTP/1.1\r\nno colon\r\n\r\n", ErrMalformed},
 		{"bad length", post("Content-Length: five", ""), ErrMalformed},
 		{"two lengths", post("Content-Length: 1\r\nContent-Length: 2", "ab"), ErrMalformed},
 		{"bad chunk", post("Transfer-Encoding: chunked", "zz\r\nabc\r\n"), ErrMalformed},
-		{"large head", post("X: "+strings.Repeat("x", MaxHeaderBytes), ""), ErrHeaderTooLarge},
-		{"endless head", "GET / HTTP/1.1\r\n" + strings.Repeat("X: y\r\n", MaxHeaderBytes), ErrHeaderTooLarge},
-		{"large body told", post("Content-Length: 33554433", ""), ErrBodyTooLarge},
+		{"large header", post("X: "+strings.Repeat("x", MaxHeaderBytes), ""), ErrHeaderTooLarge},
+		{"endless header", "GET / HTTP/1.1\r\n" + strings.Repeat("X: y\r\n", MaxHeaderBytes), ErrHeaderTooLarge},
+		{"large body announced", post("Content-Length: 33554433", ""), ErrBodyTooLarge},
 		{"more framing than body", post("Transfer-Encoding: chunked",
 			strings.Repeat("1;"+strings.Repeat("e", 200)+"\r\nx\r\n", 2000)), ErrMalformed},
 		{"tiny chunks without end", post("Transfer-Encoding: chunked",
 			strings.Repeat("1\r\nx\r\n", 60000)), io.ErrUnexpectedEOF},
 	} {
 		for _, at := range []int{len(c.text), len(c.text) / 2} {
-			if _, _, _, err := NewConn(split(c.text, at)).ReadRequest(); !errors.Is(err, c.want) {
+			if _, _, _, err := NewConn(splitAt(c.text, at)).ReadRequest(); !errors.Is(err, c.want) {
 				t.Errorf("%s: got %v, want %v", c.name, err, c.want)
 			}
 		}
@@ -122,40 +123,40 @@
 
 func TestLargestBody(t *testing.T) {
 	body := strings.Repeat("x", MaxBufferedBodyBytes)
-	c := NewConn(split("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 65536\r\n\r\n"+body, 100, 9000))
+	c := NewConn(splitAt("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 65536\r\n\r\n"+body, 100, 9000))
 	_, got, _, err := c.ReadRequest()
 	if err != nil || string(got) != body {
 		t.Fatalf("got %d bytes, %v", len(got), err)
 	}
-	// Guards against connections that hold on to the buffer of one large message.
+	// Prevents idle connections from keeping the buffer of one large message.
 	if c.buf != nil {
-		t.Errorf("keeps a buffer of %d bytes", len(c.buf))
+		t.Errorf("connection keeps a buffer of %d bytes", len(c.buf))
 	}
 }
 
-// Guards against buffers that double past any message: a crowd of large ones
-// would not fit into the memory.
+// The buffer must not double past the largest message: many connections with large messages
+// would otherwise exceed the memory limit.
 func TestBufferIsBounded(t *testing.T) {
-	c := NewConn(split("POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n" + strings.Repeat("1\r\nx\r\n", 70000)))
+	c := NewConn(splitAt("POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n" + strings.Repeat("1\r\nx\r\n", 70000)))
 	if _, body, rest, err := c.ReadRequest(); err != nil || len(body) <= MaxBufferedBodyBytes || rest == nil {
 		t.Fatal(err)
 	}
 	if len(c.buf) > MaxHeaderBytes+MaxBufferedBodyBytes+20<<10 {
-		t.Errorf("a buffer of %d bytes", len(c.buf))
+		t.Errorf("buffer of %d bytes", len(c.buf))
 	}
 }
 
 func TestExpectContinue(t *testing.T) {
 	head := "POST / HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n"
-	p := split(head+"hi", len(head))
+	p := splitAt(head+"hi", len(head))
 	if _, body, _, err := NewConn(p).ReadRequest(); err != nil || string(body) != "hi" {
 		t.Fatalf("got %q, %v", body, err)
 	}
 	if got := p.out.String(); got != "HTTP/1.1 100 Continue\r\n\r\n" {
 		t.Errorf("wrote %q", got)
 	}
-	// One that is too large is not asked for.
-	p = split("POST / HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 33554433\r\n\r\n")
+	// A body that is too large is refused without 100 Continue.
+	p = splitAt("POST / HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 33554433\r\n\r\n")
 	if _, _, _, err := NewConn(p).ReadRequest(); !errors.Is(err, ErrBodyTooLarge) || p.out.Len() > 0 {
 		t.Errorf("got %v, wrote %q", err, p.out.String())
 	}
@@ -170,16 +171,16 @@
 	}{
 		{"by length", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", "ok", 200, false, nil},
 		{"chunked", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", "ok", 200, false, nil},
-		{"until the end", "HTTP/1.1 200 OK\r\n\r\nok", "ok", 200, true, nil},
-		// Guards against taking what was cut off for the whole.
+		{"close-delimited", "HTTP/1.1 200 OK\r\n\r\nok", "ok", 200, true, nil},
+		// Prevents taking a truncated response for a complete one.
 		{"neither length nor body", "HTTP/1.1 200 OK\r\n\r\n", "", 0, false, io.ErrUnexpectedEOF},
-		{"says close", "HTTP/1.1 500 X\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", "", 500, true, nil},
+		{"Connection: close", "HTTP/1.1 500 X\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", "", 500, true, nil},
 		{"after a 100", "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", "ok", 200, false, nil},
 		{"nothing", "", "", 0, false, io.EOF},
-		{"breaks in the body", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nok", "", 0, false, io.ErrUnexpectedEOF},
+		{"connection ends in the body", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nok", "", 0, false, io.ErrUnexpectedEOF},
 		{"garbage", "SSH-2.0-x\r\n\r\n", "", 0, false, ErrMalformed},
 	} {
-		resp, body, _, err := NewConn(split(c.text, len(c.text)/2)).ReadResponse(context.Background(), time.Time{})
+		resp, body, _, err := NewConn(splitAt(c.text, len(c.text)/2)).ReadResponse(context.Background(), time.Time{})
 		if !errors.Is(err, c.want) {
 			t.Errorf("%s: got %v, want %v", c.name, err, c.want)
 		}
@@ -189,8 +190,8 @@
 	}
 }
 
-// tcp returns both ends of a connection.
-func tcp(t *testing.T) (near *Conn, far net.Conn) {
+// tcpPair returns both ends of a TCP connection.
+func tcpPair(t *testing.T) (near *Conn, far net.Conn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -213,22 +214,22 @@
 	standin.Eventually(t, 10*time.Second, what, f)
 }
 
-func TestQuiet(t *testing.T) {
-	c, far := tcp(t)
+func TestIsIdle(t *testing.T) {
+	c, far := tcpPair(t)
 	if !c.IsIdle() {
-		t.Error("an open, silent connection is not quiet")
+		t.Error("an open connection without unread bytes is not idle")
 	}
 	far.Close()
-	eventually(t, "a closed connection is not quiet", func() bool { return !c.IsIdle() })
-	c, far = tcp(t)
+	eventually(t, "a closed connection is not idle", func() bool { return !c.IsIdle() })
+	c, far = tcpPair(t)
 	io.WriteString(far, "x")
-	eventually(t, "a connection with something to read is not quiet", func() bool { return !c.IsIdle() })
+	eventually(t, "a connection with unread bytes is not idle", func() bool { return !c.IsIdle() })
 }
 
-// An end is seen at once, also behind bytes that nobody has read, in the buffer or in the
-// kernel; an open connection is open, and what can't be seen counts as that.
+// A close is detected at once, also after bytes that are still unread in the buffer or in the
+// kernel. A connection whose state can't be determined counts as open.
 func TestPeerClosed(t *testing.T) {
-	read := func(c *Conn) { // into the buffer
+	read := func(c *Conn) { // reads into the buffer
 		if err := c.AwaitMessage(); err != nil {
 			t.Fatal(err)
 		}
@@ -243,53 +244,53 @@
 		{"unread in the buffer", "half a line", read},
 	} {
 		for name, end := range map[string]func(*net.TCPConn){
-			"open":        nil,
-			"end":         func(c *net.TCPConn) { c.Close() },
-			"half an end": func(c *net.TCPConn) { c.CloseWrite() },
+			"open":       nil,
+			"close":      func(c *net.TCPConn) { c.Close() },
+			"half close": func(c *net.TCPConn) { c.CloseWrite() },
 			"reset": func(c *net.TCPConn) {
 				c.SetLinger(0)
 				c.Close()
 			},
 		} {
-			c, far := tcp(t)
+			c, far := tcpPair(t)
 			io.WriteString(far, ahead.bytes)
 			ahead.before(c)
 			if c.PeerClosed() {
-				t.Errorf("%s, %s: closed before its end", name, ahead.name)
+				t.Errorf("%s, %s: reported as closed while open", name, ahead.name)
 			}
 			if end == nil {
 				continue
 			}
 			end(far.(*net.TCPConn))
-			eventually(t, name+", "+ahead.name+": seen", c.PeerClosed)
-			// It takes nothing: what was sent is still there, and the end is seen on.
+			eventually(t, name+", "+ahead.name+": detected", c.PeerClosed)
+			// PeerClosed consumes nothing: all bytes can be read, and the close stays visible.
 			got, _ := io.ReadAll(c)
 			if all := string(c.buf[c.bufStart:c.bufEnd]) + string(got); all != ahead.bytes {
 				t.Errorf("%s, %s: then read %q, want %q", name, ahead.name, all, ahead.bytes)
 			}
 			if !c.PeerClosed() {
-				t.Errorf("%s, %s: open again once it was read", name, ahead.name)
+				t.Errorf("%s, %s: reported as open after the bytes were read", name, ahead.name)
 			}
 		}
 	}
-	c, far := tcp(t)
+	c, far := tcpPair(t)
 	far.Close()
 	c.Close()
 	if c.PeerClosed() {
-		t.Error("a connection that was closed here tells of its peer")
+		t.Error("a connection that was closed locally reports its peer as closed")
 	}
-	if NewConn(split("")).PeerClosed() {
-		t.Error("a connection without a descriptor tells of its peer")
+	if NewConn(splitAt("")).PeerClosed() {
+		t.Error("a connection without a descriptor reports its peer as closed")
 	}
 }
 
-func TestWatch(t *testing.T) {
-	c, far := tcp(t)
+func TestWatchPeer(t *testing.T) {
+	c, far := tcpPair(t)
 	gone, ahead := make(chan bool, 1), make(chan bool, 1)
 	watch := func() { c.WatchPeer(func() { gone <- true }, func() { ahead <- true }) }
 	watch()
 	c.UnwatchPeer()
-	// What comes during a watch is told, and can be read after it.
+	// Bytes that arrive during a watch are reported and can be read after it.
 	watch()
 	io.WriteString(far, "\r\n")
 	io.WriteString(far, "GET /next HTTP/1.1\r\nHost: h\r\n\r\n")
@@ -301,7 +302,7 @@
 	}
 	select {
 	case <-gone:
-		t.Fatal("gone, though it is there")
+		t.Fatal("the connection was reported as closed while open")
 	default:
 	}
 	watch()
@@ -309,15 +310,15 @@
 	select {
 	case <-gone:
 	case <-time.After(10 * time.Second):
-		t.Fatal("the end was not noticed")
+		t.Fatal("the close was not reported")
 	}
 	c.UnwatchPeer()
 }
 
-// FuzzRequests checks that no input makes reading panic, loop or depend on how
-// the bytes are cut.
+// FuzzRequests checks that no input makes reading panic, loop or depend on how the bytes are
+// split into reads.
 func FuzzRequests(f *testing.F) {
-	f.Add([]byte(three), 7)
+	f.Add([]byte(threeMessages), 7)
 	f.Add([]byte("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\n\r\nGET / HTTP/1.1\r\n\r\n"), 50)
 	f.Add([]byte("GET / HTTP/1.1\nHost: h\n\nPOST / HTTP/1.0\r\nContent-Length: 1\r\n\r\nx"), 3)
 	f.Add([]byte("\r\n\n\r\nGET  HTTP/1.1\r\n\r\n"), 1)
@@ -325,7 +326,7 @@
 		if at < 0 || at > len(text) {
 			at = len(text)
 		}
-		whole, cut := NewConn(split(string(text))), NewConn(split(string(text), at))
+		whole, cut := NewConn(splitAt(string(text))), NewConn(splitAt(string(text), at))
 		for range len(text) + 1 {
 			r1, b1, _, err1 := whole.ReadRequest()
 			r2, b2, _, err2 := cut.ReadRequest()
@@ -343,7 +344,7 @@
 	})
 }
 
-// FuzzResponses checks the same of answers.
+// FuzzResponses checks the same for responses.
 func FuzzResponses(f *testing.F) {
 	f.Add([]byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"), 20)
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n"), 60)
@@ -352,8 +353,8 @@
 		if at < 0 || at > len(text) {
 			at = len(text)
 		}
-		r1, b1, _, err1 := NewConn(split(string(text))).ReadResponse(context.Background(), time.Time{})
-		r2, b2, _, err2 := NewConn(split(string(text), at)).ReadResponse(context.Background(), time.Time{})
+		r1, b1, _, err1 := NewConn(splitAt(string(text))).ReadResponse(context.Background(), time.Time{})
+		r2, b2, _, err2 := NewConn(splitAt(string(text), at)).ReadResponse(context.Background(), time.Time{})
 		if (err1 == nil) != (err2 == nil) || !bytes.Equal(b1, b2) {
 			t.Fatalf("whole: %q %v, cut at %d: %q %v", b1, err1, at, b2, err2)
 		}
@@ -363,8 +364,8 @@
 	})
 }
 
-// patterned is a body in which no part is like another at the same place.
-func patterned(n int) []byte {
+// patternedBody returns a body of n bytes in which blocks at different offsets differ.
+func patternedBody(n int) []byte {
 	b := make([]byte, n)
 	for i := range b {
 		b[i] = byte(i*7 + i>>8)
@@ -372,8 +373,8 @@
 	return b
 }
 
-// chunks is body in chunks of one size, with an extension on each and a trailer.
-func chunks(body []byte, size int) string {
+// encodeChunks encodes body in chunks of one size, each with an extension, and a trailer.
+func encodeChunks(body []byte, size int) string {
 	var b strings.Builder
 	for len(body) > 0 {
 		n := min(size, len(body))
@@ -383,61 +384,61 @@
 	return b.String() + "0\r\nX-Sum: 1\r\n\r\n"
 }
 
-// Long messages come as a first part and a rest, by length and in chunks of any size,
-// and what follows them is still there.
-func TestRest(t *testing.T) {
-	body := patterned(300_000)
+// Long messages are read as a first part and a remaining body, with a length or in chunks of
+// any size, and the message that follows them can be read.
+func TestRemainingBody(t *testing.T) {
+	body := patternedBody(300_000)
 	next := "GET /next HTTP/1.1\r\nHost: h\r\n\r\n"
 	head := "POST /long HTTP/1.1\r\nHost: h\r\n"
 	for _, c := range []struct {
 		name, text string
 		size       int64
 	}{
-		{"by length", head + "Content-Length: 300000\r\n\r\n" + string(body), 300_000},
-		{"one chunk", head + "Transfer-Encoding: chunked\r\n\r\n" + chunks(body, len(body)), -1},
-		{"chunks of 1000", head + "Transfer-Encoding: chunked\r\n\r\n" + chunks(body, 1000), -1},
-		{"chunks of 11", head + "Transfer-Encoding: chunked\r\n\r\n" + chunks(body, 11), -1},
+		{"with a length", head + "Content-Length: 300000\r\n\r\n" + string(body), 300_000},
+		{"one chunk", head + "Transfer-Encoding: chunked\r\n\r\n" + encodeChunks(body, len(body)), -1},
+		{"chunks of 1000", head + "Transfer-Encoding: chunked\r\n\r\n" + encodeChunks(body, 1000), -1},
+		{"chunks of 11", head + "Transfer-Encoding: chunked\r\n\r\n" + encodeChunks(body, 11), -1},
 	} {
 		for _, at := range [][]int{{}, {60}, {100, 101, 102, 70_000}, {len(c.text) - 1}, {len(c.text) + 3}} {
-			conn := NewConn(split(c.text+next, at...))
+			conn := NewConn(splitAt(c.text+next, at...))
 			req, first, rest, err := conn.ReadRequest()
 			if err != nil || rest == nil || rest.TotalSize != c.size || req.RequestURI != "/long" {
-				t.Fatalf("%s, cut at %v: rest %v, %v", c.name, at, rest, err)
+				t.Fatalf("%s, split at %v: remaining body %v, %v", c.name, at, rest, err)
 			}
 			if rest.ReadStarted() {
-				t.Errorf("%s: begun before it is read", c.name)
+				t.Errorf("%s: started before it is read", c.name)
 			}
-			sink := &pieces{}
+			sink := &scriptedConn{}
 			err = NewStreamPool(1).Forward(NewConn(sink), rest, true, func(int64) error { return nil })
 			if got := append(first, sink.out.Bytes()...); err != nil || !bytes.Equal(got, body) {
-				t.Fatalf("%s, cut at %v: %d bytes of %d, %v", c.name, at, len(got), len(body), err)
+				t.Fatalf("%s, split at %v: %d bytes of %d, %v", c.name, at, len(got), len(body), err)
 			}
 			if len(conn.buf) > maxBufferBytes+1 {
-				t.Errorf("%s: a buffer of %d bytes", c.name, len(conn.buf))
+				t.Errorf("%s: buffer of %d bytes", c.name, len(conn.buf))
 			}
 			if req, _, _, err := conn.ReadRequest(); err != nil || req.RequestURI != "/next" {
-				t.Errorf("%s, cut at %v: then %v", c.name, at, err)
+				t.Errorf("%s, split at %v: next request: %v", c.name, at, err)
 			}
 		}
 	}
 }
 
-// A rest that ends early, is spoilt or too long says so, and one in chunks is passed
-// on in chunks that say the same.
-func TestRestEnds(t *testing.T) {
+// A remaining body that is truncated, malformed or too long is reported as such, and a
+// chunked one is forwarded in chunks with the same content.
+func TestRemainingBodyErrors(t *testing.T) {
 	head := "POST /long HTTP/1.1\r\nHost: h\r\n"
 	long := strings.Repeat("x", 100_000)
 	for _, c := range []struct {
 		name, text string
 		want       error
 	}{
-		{"ended early", head + "Content-Length: 200000\r\n\r\n" + long, io.ErrUnexpectedEOF},
-		{"ended inside a chunk", head + "Transfer-Encoding: chunked\r\n\r\n20000\r\n" + long, io.ErrUnexpectedEOF},
-		{"spoilt chunk", head + "Transfer-Encoding: chunked\r\n\r\n186a0\r\n" + long + "\r\nzz\r\n", ErrMalformed},
-		{"too long in chunks", head + "Transfer-Encoding: chunked\r\n\r\n" +
+		{"truncated", head + "Content-Length: 200000\r\n\r\n" + long, io.ErrUnexpectedEOF},
+		{"truncated inside a chunk", head + "Transfer-Encoding: chunked\r\n\r\n20000\r\n" + long, io.ErrUnexpectedEOF},
+		{"malformed chunk", head + "Transfer-Encoding: chunked\r\n\r\n186a0\r\n" + long + "\r\nzz\r\n", ErrMalformed},
+		{"too long, chunked", head + "Transfer-Encoding: chunked\r\n\r\n" +
 			strings.Repeat("186a0\r\n"+long+"\r\n", MaxStreamedBodyBytes/100_000+1), ErrBodyTooLarge},
 	} {
-		conn := NewConn(split(c.text, 50))
+		conn := NewConn(splitAt(c.text, 50))
 		_, _, rest, err := conn.ReadRequest()
 		if err != nil || rest == nil {
 			t.Fatalf("%s: %v, %v", c.name, rest, err)
@@ -448,13 +449,13 @@
 		rest.Abandon()
 	}
 
-	body := patterned(200_000)
-	conn := NewConn(split(head+"Transfer-Encoding: chunked\r\n\r\n"+chunks(body, 999), 77))
+	body := patternedBody(200_000)
+	conn := NewConn(splitAt(head+"Transfer-Encoding: chunked\r\n\r\n"+encodeChunks(body, 999), 77))
 	_, first, rest, err := conn.ReadRequest()
 	if err != nil {
 		t.Fatal(err)
 	}
-	sink := &pieces{}
+	sink := &scriptedConn{}
 	sink.out.WriteString("POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n")
 	sink.Write(EncodeChunk(first))
 	err = NewStreamPool(1).Forward(NewConn(sink), rest, false, func(int64) error { return nil })
@@ -466,19 +467,19 @@
 		t.Fatal(err)
 	}
 	if got, err := io.ReadAll(req.Body); err != nil || !bytes.Equal(got, body) {
-		t.Errorf("passed on: %d bytes of %d, %v", len(got), len(body), err)
+		t.Errorf("forwarded %d bytes of %d, %v", len(got), len(body), err)
 	}
 }
 
-// No more transfers than the memory holds run at a time; one too many is told.
-func TestTransfersAreBounded(t *testing.T) {
-	tr := NewStreamPool(3 * streamMemoryBytes)
+// No more streams run at a time than fit into the memory; a further one fails.
+func TestStreamPoolIsBounded(t *testing.T) {
+	pool := NewStreamPool(3 * streamMemoryBytes)
 	for range 3 {
-		if _, err := tr.acquireBuffer(time.Minute); err != nil {
+		if _, err := pool.acquireBuffer(time.Minute); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if _, err := tr.acquireBuffer(time.Millisecond); err != ErrStreamPoolExhausted {
-		t.Errorf("a fourth: %v", err)
+	if _, err := pool.acquireBuffer(time.Millisecond); err != ErrStreamPoolExhausted {
+		t.Errorf("fourth stream: %v", err)
 	}
 }
--- a/internal/http1/errno_test.go
+++ b/internal/http1/errno_test.go
@@ -12,23 +12,23 @@
 	"oxbowloft/internal/neterror"
 )
 
-// brokenConn is a connection that a read finds broken, as the kernel tells it: what came,
-// then the errno once, then an end.
+// brokenConn is a connection that breaks the way the kernel reports it: reads return the
+// received bytes, then the errno once, then io.EOF.
 type brokenConn struct {
 	*net.TCPConn
-	came  string
-	errno syscall.Errno
-	told  bool
+	received string
+	errno    syscall.Errno
+	reported bool
 }
 
 func (c *brokenConn) Read(b []byte) (int, error) {
-	if c.came != "" {
-		n := copy(b, c.came)
-		c.came = c.came[n:]
+	if c.received != "" {
+		n := copy(b, c.received)
+		c.received = c.received[n:]
 		return n, nil
 	}
-	if !c.told {
-		c.told = true
+	if !c.reported {
+		c.reported = true
 		return 0, &net.OpError{Op: "read", Net: "tcp", Err: os.NewSyscallError("read", c.errno)}
 	}
 	return 0, io.EOF
@@ -36,48 +36,49 @@
 
 func (c *brokenConn) SyscallConn() (syscall.RawConn, error) { return nil, os.ErrInvalid }
 
-// brokenErrnos are how a connection's end is told by read(2) where the peer has not ended
-// it in order. Two of them answer true to net.Error's Timeout.
+// brokenErrnos are the errnos by which read(2) reports a broken connection. For two of them
+// net.Error's Timeout returns true.
 var brokenErrnos = []syscall.Errno{
 	syscall.ECONNRESET, syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ENETUNREACH,
 	syscall.EPIPE, syscall.ECONNABORTED, syscall.EAGAIN, syscall.ENETDOWN,
 }
 
-// An errno of the connection is no deadline of ours: an answer without a length that breaks
-// is not whole, and a client whose connection breaks has gone.
-func TestErrnoIsNoDeadline(t *testing.T) {
+// An errno of the connection is not taken for an expired deadline of this process: a
+// close-delimited response whose connection breaks is not complete, and a client whose
+// connection breaks is reported as gone.
+func TestErrnoIsNotADeadline(t *testing.T) {
 	for _, errno := range brokenErrnos {
 		t.Run(errno.Error(), func(t *testing.T) {
-			plain, _ := tcp(t)
+			plain, _ := tcpPair(t)
 			socket := plain.Conn.(*net.TCPConn)
-			broken := &brokenConn{TCPConn: socket, came: "HTTP/1.1 200 OK\r\n\r\nhalf an ans", errno: errno}
+			broken := &brokenConn{TCPConn: socket, received: "HTTP/1.1 200 OK\r\n\r\nhalf an ans", errno: errno}
 			_, body, rest, err := NewConn(broken).ReadResponse(context.Background(), time.Now().Add(10*time.Second))
 			if err == nil {
-				t.Errorf("a broken answer was taken for a whole one, or its first part: %q, rest %v", body, rest != nil)
+				t.Errorf("a broken response was read as complete or as a first part: %q, remaining body %v", body, rest != nil)
 			}
 
-			gone := make(chan bool, 2)
+			closed := make(chan bool, 2)
 			client := NewConn(&brokenConn{TCPConn: socket, errno: errno})
-			client.WatchPeer(func() { gone <- true }, func() { gone <- false })
+			client.WatchPeer(func() { closed <- true }, func() { closed <- false })
 			<-client.watchDone
 			select {
-			case left := <-gone:
-				if !left {
-					t.Error("a broken connection was taken for a request ahead")
+			case isClosed := <-closed:
+				if !isClosed {
+					t.Error("a broken connection was reported as more data")
 				}
 			default:
-				t.Error("a client whose connection broke was not told to have gone")
+				t.Error("a broken client connection was not reported as closed")
 			}
 		})
 	}
 }
 
-// What is a deadline of ours is still told as one.
-func TestDeadlineIsTold(t *testing.T) {
-	c, _ := tcp(t)
+// An expired deadline of this process is still recognized as one.
+func TestExpiredDeadlineIsReported(t *testing.T) {
+	c, _ := tcpPair(t)
 	c.SetReadDeadline(time.Now().Add(-time.Second))
 	_, err := c.Read(make([]byte, 1))
 	if !neterror.IsDeadline(err) {
-		t.Errorf("%v is not told as a deadline", err)
+		t.Errorf("%v is not recognized as an expired deadline", err)
 	}
 }
--- a/internal/http1/floods_test.go
+++ b/internal/http1/floods_test.go
@@ -15,14 +15,14 @@
 	"oxbowloft/internal/neterror"
 )
 
-// padded is a request of n bytes, of which 10 are its body.
-func padded(n int) string {
+// paddedRequest is a request of n bytes, of which 10 are its body.
+func paddedRequest(n int) string {
 	const head, body = "POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: 10\r\nX: ", "\r\n\r\n0123456789"
 	return head + strings.Repeat("x", n-len(head)-len(body)) + body
 }
 
-// pending waits until n bytes are in the kernel, unread.
-func pending(t *testing.T, c *Conn, n int) {
+// awaitUnread waits until n bytes are in the kernel, unread.
+func awaitUnread(t *testing.T, c *Conn, n int) {
 	t.Helper()
 	eventually(t, "arrived", func() bool {
 		got := 0
@@ -35,16 +35,16 @@
 
 // An empty line behind a request is none of it, wherever the buffer ends: guards against
 // a verdict that goes by how the bytes were cut.
-func TestMoreBehindAFullBuffer(t *testing.T) {
+func TestPipelinedDataAfterFullBuffer(t *testing.T) {
 	for _, size := range []int{initialBufferBytes - 2, initialBufferBytes - 1, initialBufferBytes, 2 * initialBufferBytes, 8 * initialBufferBytes} {
 		for _, b := range []struct {
 			behind string
 			more   bool
 		}{{"", false}, {"\r\n", false}, {"\r\n\r\n\n", false}, {"\r\nG", true}, {"G", true}, {strings.Repeat("\r\n", maxEmptyLineBytes), true}} {
-			c, far := tcp(t)
-			text := padded(size) + b.behind
+			c, far := tcpPair(t)
+			text := paddedRequest(size) + b.behind
 			io.WriteString(far, text)
-			pending(t, c, len(text))
+			awaitUnread(t, c, len(text))
 			if _, body, _, err := c.ReadRequest(); err != nil || string(body) != "0123456789" {
 				t.Fatalf("%d: %q, %v", size, body, err)
 			}
@@ -55,34 +55,34 @@
 	}
 }
 
-// counted counts the reads of a connection, and the bytes that they had room for.
-type counted struct {
+// countingConn counts the reads of a connection, and the bytes that they had room for.
+type countingConn struct {
 	*net.TCPConn
-	reads, room int
+	reads, readCapacity int
 }
 
-func (c *counted) Read(b []byte) (int, error) {
+func (c *countingConn) Read(b []byte) (int, error) {
 	c.reads++
-	c.room += len(b)
+	c.readCapacity += len(b)
 	return c.TCPConn.Read(b)
 }
 
 // A flood behind a request costs no more than the request: it is noticed, and left in the
 // kernel.
-func TestFloodCostsLittle(t *testing.T) {
+func TestFloodUsesBoundedBuffer(t *testing.T) {
 	for name, flood := range map[string]string{
 		"requests":    strings.Repeat("GET /x HTTP/1.1\r\nHost: h\r\n\r\n", 20_000),
 		"empty lines": strings.Repeat("\r\n", 200_000),
 		"noise":       strings.Repeat("\x00", 200_000),
 	} {
 		for _, watched := range []bool{false, true} {
-			near, far := tcp(t)
-			nc := &counted{TCPConn: near.Conn.(*net.TCPConn)}
+			near, far := tcpPair(t)
+			nc := &countingConn{TCPConn: near.Conn.(*net.TCPConn)}
 			c := NewConn(nc)
 			var sender sync.WaitGroup
 			ahead := make(chan bool, 1)
-			io.WriteString(far, padded(initialBufferBytes))
-			pending(t, c, initialBufferBytes)
+			io.WriteString(far, paddedRequest(initialBufferBytes))
+			awaitUnread(t, c, initialBufferBytes)
 			if _, _, _, err := c.ReadRequest(); err != nil {
 				t.Fatal(err)
 			}
@@ -94,8 +94,8 @@
 			} else {
 				eventually(t, name+": noticed", c.HasPipelinedData)
 			}
-			if nc.room > 4*initialBufferBytes || len(c.buf) > initialBufferBytes {
-				t.Errorf("%s, watched %t: room for %d bytes in %d reads, a buffer of %d", name, watched, nc.room, nc.reads, len(c.buf))
+			if nc.readCapacity > 4*initialBufferBytes || len(c.buf) > initialBufferBytes {
+				t.Errorf("%s, watched %t: room for %d bytes in %d reads, a buffer of %d", name, watched, nc.readCapacity, nc.reads, len(c.buf))
 			}
 			if !c.HasPipelinedData() {
 				t.Errorf("%s: more is forgotten", name)
@@ -108,7 +108,7 @@
 
 // What ends inside a message is told apart from what is malformed, also where its sender
 // leaves many bytes behind, and by a reset.
-func TestRequestsThatEndBadly(t *testing.T) {
+func TestTruncatedAndMalformedRequests(t *testing.T) {
 	post := "POST / HTTP/1.1\r\nHost: h\r\n"
 	long := strings.Repeat("x", MaxBufferedBodyBytes+20_000)
 	for _, r := range []struct {
@@ -134,7 +134,7 @@
 		{"a long body told", post + "Content-Length: 99999999\r\n\r\n" + long, ErrBodyTooLarge},
 	} {
 		for _, by := range []string{"end", "reset"} {
-			c, far := tcp(t)
+			c, far := tcpPair(t)
 			go func() {
 				io.WriteString(far, r.text)
 				if by == "end" {
@@ -164,7 +164,7 @@
 		}
 	}
 	// The same where the end comes with the last bytes.
-	c := NewConn(&lastBytes{text: post + "Transfer-Encoding: chunked\r\n\r\nzz\r\n", err: io.EOF})
+	c := NewConn(&lastReadErrorConn{text: post + "Transfer-Encoding: chunked\r\n\r\nzz\r\n", err: io.EOF})
 	if _, _, _, err := c.ReadRequest(); !errors.Is(err, ErrMalformed) {
 		t.Errorf("malformed, and ended: %v", err)
 	}
@@ -172,10 +172,10 @@
 
 // A watch that is stopped while bytes come loses none, leaves no deadline behind and
 // tells of no end afterwards; a look for the peer's end may be taken during it.
-func TestWatchStopsAtAnyTime(t *testing.T) {
-	c, s, far := stage(t)
+func TestUnwatchPeerAtAnyTime(t *testing.T) {
+	c, s, far := newScriptedSocket(t)
 	var last atomic.Value
-	s.deadline = func(at time.Time) { last.Store(at) }
+	s.onReadDeadline = func(at time.Time) { last.Store(at) }
 	const n = 2000
 	turn := make(chan int)
 	var sender sync.WaitGroup
@@ -210,7 +210,7 @@
 	sender.Wait()
 
 	for i := range 200 { // an end in that moment is told of before Unwatch returns, or not at all
-		c, far := tcp(t)
+		c, far := tcpPair(t)
 		var stopped atomic.Bool
 		c.WatchPeer(func() {
 			if stopped.Load() {
