--- a/cmd/oxbowloft/main.go
+++ b/cmd/oxbowloft/main.go
@@ -1,5 +1,5 @@
-// Command oxbowloft is the load balancer on sockets: "serve" balances until SIGTERM, "check"
-// reads a configuration and says what is wrong with it, "version" prints the version.
+// Command oxbowloft is the load balancer. "serve" runs the proxy until SIGTERM, "check" validates a
+// configuration, and "version" prints the version.
 package main
 
 import (
@@ -27,7 +27,7 @@
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
-	root.AddCommand(serve(), check(), &cobra.Command{
+	root.AddCommand(serveCommand(), checkCommand(), &cobra.Command{
 		Use:   "version",
 		Short: "Print the version",
 		Args:  cobra.NoArgs,
@@ -39,22 +39,22 @@
 	}
 }
 
-// serve returns the command that runs the proxy. SIGTERM drains it, a second signal ends it
-// at once, and SIGHUP makes it read its configuration again.
-func serve() *cobra.Command {
+// serveCommand returns the command that runs the proxy. SIGTERM starts a drain, a second signal
+// ends the process at once, and SIGHUP reloads the configuration.
+func serveCommand() *cobra.Command {
 	var grace time.Duration
 	cmd := &cobra.Command{
 		Use:   "serve [config.json]",
-		Short: "Balance until SIGTERM, as the configuration ($BALANCER_CONFIG) says",
+		Short: "Run the proxy until SIGTERM, with the configuration at the path or in $BALANCER_CONFIG",
 		Args:  cobra.MaximumNArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
-			// From here on neither signal ends the process by itself, however early it
-			// comes; SIGHUP does not in a drain neither.
+			// From here on no signal ends the process by default, however early it comes. SIGHUP
+			// must not do so during a drain either.
 			ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 			context.AfterFunc(ctx, stop) // a second signal ends the process
-			again := make(chan os.Signal, 1)
-			signal.Notify(again, syscall.SIGHUP)
-			cfg, err := load(args)
+			hangups := make(chan os.Signal, 1)
+			signal.Notify(hangups, syscall.SIGHUP)
+			cfg, err := loadConfig(args)
 			if err != nil {
 				return err
 			}
@@ -65,21 +65,21 @@
 			}
 			p.OnLimits = proxy.Limits.Tune
 			go func() {
-				for range again {
-					reload(p, args)
+				for range hangups {
+					reloadConfig(p, args)
 				}
 			}()
 			return p.Run(ctx)
 		},
 	}
-	cmd.Flags().DurationVar(&grace, "grace", proxy.DefaultGrace, "how long a drain goes on accepting")
+	cmd.Flags().DurationVar(&grace, "grace", proxy.DefaultGrace, "how long new connections are accepted during a drain")
 	return cmd
 }
 
-// reload reads the configuration again. What can't be used is logged, and the
-// one before it serves on.
-func reload(p *proxy.Proxy, args []string) {
-	cfg, err := load(args)
+// reloadConfig reads the configuration again. An invalid one is logged, and the proxy keeps the
+// one it has.
+func reloadConfig(p *proxy.Proxy, args []string) {
+	cfg, err := loadConfig(args)
 	if err == nil {
 		err = p.Reload(cfg)
 	}
@@ -88,14 +88,14 @@
 	}
 }
 
-// check returns the command that reads the configuration and serves nothing.
-func check() *cobra.Command {
+// checkCommand returns the command that validates the configuration without serving.
+func checkCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "check [config.json]",
-		Short: "Read the configuration and say what is wrong with it",
+		Short: "Validate the configuration and report what is wrong with it",
 		Args:  cobra.MaximumNArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
-			_, err := load(args)
+			_, err := loadConfig(args)
 			if err == nil {
 				fmt.Println("ok")
 			}
@@ -104,9 +104,9 @@
 	}
 }
 
-// load reads the configuration at the path given, or else at $BALANCER_CONFIG. The environment
-// serves where it lacks a value.
-func load(args []string) (*proxy.Config, error) {
+// loadConfig reads the configuration from the path in args, or else from $BALANCER_CONFIG.
+// Environment variables supply values that the configuration leaves out.
+func loadConfig(args []string) (*proxy.Config, error) {
 	path := os.Getenv("BALANCER_CONFIG")
 	if len(args) > 0 {
 		path = args[0]
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -92,17 +92,17 @@
 		if !ok {
 			return fmt.Errorf("unknown class %q", *e.Kind)
 		}
-		in.balancer.Arrive(now, logic.Request{ID: *e.RequestID, Class: class, Budget: settings.Duration(*e.BudgetMs),
-			Retry: e.StateBits&wire.RetryBit != 0})
+		in.balancer.StartRequest(now, logic.Request{ID: *e.RequestID, Class: class, Budget: settings.Duration(*e.BudgetMs),
+			ClientRetry: e.StateBits&wire.RetryBit != 0})
 	case "resolved":
 		return in.resolved(now, e)
 	case "lapsed":
-		in.balancer.Gone(now, *e.RequestID)
+		in.balancer.ClientGone(now, *e.RequestID)
 	case "elapsed":
 		if *e.TimerToken >= listNonces {
 			in.listDue(now, *e.TimerToken)
 		} else {
-			in.balancer.Wake(now, *e.TimerToken)
+			in.balancer.TimerFired(now, *e.TimerToken)
 		}
 	case "status-back", "neighbour-says", "first":
 		// The module probes nobody, talks to no peer, and waits for an answer's
@@ -124,7 +124,7 @@
 	in.balancer = logic.New(now, set, in)
 	if within, asked := e.Settings.ListsOnRequest(); asked {
 		in.lists = newListCalls(within, set.Seed)
-		in.callForList(in.lists.pacer.First())
+		in.callForList(in.lists.pacer.FirstWait())
 	}
 	return nil
 }
@@ -151,24 +151,24 @@
 		if !ok {
 			return fmt.Errorf("backend %s: unknown health %q", l.Backend, l.Health)
 		}
-		line := logic.Backend{ID: l.Backend, Zone: l.Zone, Cell: l.Cell, State: state, Started: settings.Duration(l.ReadyAtMs)}
+		line := logic.Backend{ID: l.Backend, Zone: l.Zone, Cell: l.Cell, State: state, StartedAt: settings.Duration(l.ReadyAtMs)}
 		if l.CapacityUnits != nil {
-			line.Size = *l.CapacityUnits
+			line.Capacity = *l.CapacityUnits
 		}
 		lines = append(lines, line)
 	}
 	in.listTold()
-	in.balancer.List(now, *e.Kind != "INCREMENTAL", lines)
+	in.balancer.UpdateList(now, *e.Kind != "INCREMENTAL", lines)
 	return nil
 }
 
 func (in *instance) resolved(now logic.Time, e *wire.Event) error {
-	results := [...]logic.Result{1: logic.OK, 2: logic.Error, 3: logic.Full, 4: logic.TimedOut,
-		5: logic.NoConnect, 6: logic.Broken, 7: logic.Cancelled, 8: logic.NeverSent}
+	results := [...]logic.Result{1: logic.OK, 2: logic.Error, 3: logic.Rejected, 4: logic.TimedOut,
+		5: logic.ConnectFailed, 6: logic.ConnectionLost, 7: logic.Cancelled, 8: logic.NotSent}
 	if *e.Code < 1 || *e.Code >= len(results) {
 		return fmt.Errorf("unknown code %d", *e.Code)
 	}
-	in.balancer.Done(now, logic.Outcome{
+	in.balancer.AttemptDone(now, logic.Outcome{
 		Request: *e.RequestID,
 		Attempt: e.Attempt,
 		Result:  results[*e.Code],
@@ -203,8 +203,8 @@
 	in.act(wire.Action{Type: "stop-attempt", RequestID: request, Attempt: &attempt})
 }
 
-// Wake implements logic.Actions.
-func (in *instance) Wake(token uint64, after time.Duration) {
+// StartTimer implements logic.Actions.
+func (in *instance) StartTimer(token uint64, after time.Duration) {
 	in.act(wire.Action{Type: "schedule", TimerToken: &token, WaitMs: settings.Milliseconds(after)})
 }
 
--- a/proxy/config_test.go
+++ b/proxy/config_test.go
@@ -14,7 +14,7 @@
 // load reads a configuration in which old is replaced.
 func load(t *testing.T, old, with string) (*Config, error) {
 	t.Helper()
-	text := standin.Config("127.0.0.1:0", "127.0.0.1:1", 256, standin.List(7, true))
+	text := standin.Config("127.0.0.1:0", "127.0.0.1:1", 256, standin.ListJSON(7, true))
 	if !strings.Contains(text, old) {
 		t.Fatalf("no %s in the configuration", old)
 	}
@@ -40,9 +40,9 @@
 		{`"known":{}`, 0, 0},
 		{`"known":{"targets":[]}`, 0, 0},
 		{`"known":{"rev":7,"all":false,"targets":null}`, 0, 0},
-		{`"known":` + standin.List(7, false, standin.Target("a", "127.0.0.1:2"),
+		{`"known":` + standin.ListJSON(7, false, standin.TargetJSON("a", "127.0.0.1:2"),
 			`{"uid":"b","state":"terminated"}`), 7, 2},
-		{`"known":{"targets":[` + standin.Target("a", "127.0.0.1:2") + `]}`, 0, -1},
+		{`"known":{"targets":[` + standin.TargetJSON("a", "127.0.0.1:2") + `]}`, 0, -1},
 		{`"known":{"rev":7,"targets":[null]}`, 0, -1},
 		{`"known":{"rev":7,"targets":[{"uid":"a","state":"in_service"}]}`, 0, -1},
 		{`"known":[]`, 0, -1},
@@ -56,7 +56,7 @@
 			}
 		case err != nil:
 			t.Errorf("%s: %v", c.with, err)
-		case !cfg.known.All || cfg.known.Rev != c.rev || len(cfg.known.Targets) != c.targets:
+		case !cfg.known.Complete || cfg.known.Rev != c.rev || len(cfg.known.Targets) != c.targets:
 			t.Errorf("%s: read as %+v", c.with, cfg.known)
 		}
 	}
@@ -66,8 +66,8 @@
 func TestAskWithin(t *testing.T) {
 	for with, want := range map[string]time.Duration{
 		`"ask-within-ms":4000`: 4 * time.Second,
-		`"ask-within-ms":0`:    discovery.TellWithin,
-		`"else":0`:             discovery.TellWithin,
+		`"ask-within-ms":0`:    discovery.MaxAnnounceDelay,
+		`"else":0`:             discovery.MaxAnnounceDelay,
 	} {
 		if cfg, err := load(t, `"ask-within-ms":4000`, with); err != nil || cfg.askWithin != want {
 			t.Errorf("%s: %v, want %v", with, err, want)
