--- a/cmd/oxbowloft/shapes_test.go
+++ b/cmd/oxbowloft/shapes_test.go
@@ -13,10 +13,10 @@
 	"oxbowloft/internal/standin"
 )
 
-// Configurations of every shape that the operators' pages allow.
+// This file tests configurations of every kind that the operators' documentation allows.
 
-// configSummary is what the test asks of a configuration: its class names, and the values by
-// which it tells what the files cover.
+// configSummary has the parts of a configuration that the test needs: the names of its classes,
+// and the values that tell which features it covers.
 type configSummary struct {
 	Limits *struct{ Sockets int }
 	Known  *struct {
@@ -43,7 +43,7 @@
 	}
 }
 
-// features names what of the shapes the configuration has.
+// features returns the names of the features that the configuration covers.
 func (s *configSummary) features() []string {
 	o := s.Settings
 	count := func(what string, n int) string { return what + " " + strconv.Itoa(min(n, 2)) }
@@ -88,9 +88,9 @@
 	return out
 }
 
-// The program starts with a configuration of every shape that the operators' pages allow,
-// gets ready, and serves a request of each class. Guards against a check that refuses, and
-// against code that fails on, a deployment unlike those that we know.
+// With each configuration of testdata/shapes, which together cover every feature that the
+// operators' documentation allows, the program starts, gets ready, and serves a request of each
+// class. Guards against validation that rejects, or code that fails on, unusual deployments.
 func TestConfigVariants(t *testing.T) {
 	files, err := filepath.Glob("testdata/shapes/*.json")
 	if err != nil {
@@ -129,13 +129,13 @@
 		"no known", "empty known", "known in_service", "known terminating", "known terminated",
 	} {
 		if !covered[want] {
-			t.Errorf("no file has %q", want)
+			t.Errorf("no file in testdata/shapes covers %q", want)
 		}
 	}
 }
 
-// serveConfig starts the program as text says, with addresses filled in, and asks it for
-// each class.
+// serveConfig starts the program with the configuration in text, with addresses filled in, and
+// sends it a request of each class.
 func serveConfig(t *testing.T, text string, s *configSummary) {
 	b, gone := standin.NewBackend(t, standin.Echo), standin.NewBackend(t, standin.Echo)
 	d := standin.NewDiscovery(t, standin.ListJSON(100, true, standin.TargetJSON("b-9", b.Addr())))
@@ -143,7 +143,7 @@
 	text = strings.NewReplacer("LISTEN", addr, "DISCOVERY", d.Addr(), "BACKEND", b.Addr(), "GONE", gone.Addr()).Replace(text)
 	config := writeConfig(t, text)
 	if out, err := exec.Command(program, "check", config).CombinedOutput(); err != nil {
-		t.Fatalf("refused: %s", out)
+		t.Fatalf("check rejects the configuration: %s", out)
 	}
 	cmd := exec.Command(program, "serve", "--grace", "20ms")
 	cmd.Env = append(os.Environ(), "BALANCER_CONFIG="+config)
@@ -151,8 +151,8 @@
 	r.eventually("ready", func() bool {
 		return r.dial().roundTrip("GET /healthz HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n").status == 200
 	})
-	// Where lists are pushed, what there is counts as told from the first moment, and a
-	// list known from before is not used for long.
+	// With pushed lists every change counts as announced at once, and the configured list may be
+	// used only briefly.
 	r.eventually("the list", func() bool { return strings.Contains(r.logText(), "event=list ") })
 	for _, class := range s.Settings.Classes {
 		request, want := requestHead("GET", "/api", class.Name, 4000), "GET /api "
@@ -164,9 +164,9 @@
 		}
 	}
 	if want := len(s.Settings.Classes); b.RequestCount() != want || gone.RequestCount() != 0 {
-		t.Errorf("%d calls in service, want %d; %d to what had left or was leaving", b.RequestCount(), want, gone.RequestCount())
+		t.Errorf("%d requests at the backend in service, want %d; %d at the one terminated or terminating", b.RequestCount(), want, gone.RequestCount())
 	}
 	if slices.ContainsFunc(s.features(), func(c string) bool { return c == "no known" || c == "empty known" }) && len(d.RequestURIs()) == 0 {
-		t.Error("discovery was not asked")
+		t.Error("no request for the list to discovery")
 	}
 }
--- a/cmd/oxbowloft/stale_list_test.go
+++ b/cmd/oxbowloft/stale_list_test.go
@@ -10,27 +10,27 @@
 	"oxbowloft/internal/standin"
 )
 
-// What counts as told though no list has brought it, on real processes: a backend that
-// discovery has had as gone for six seconds gets nothing new, also where it has come back
-// under its id and serves, until a list says so.
+// This file tests, on real processes, changes that count as announced although no list has brought
+// them. A backend that discovery has had as removed for six seconds must get no requests, even if it
+// is back under its ID and serves, until a list contains it again.
 
 const (
-	// announcedWithin is how long after discovery has had a change it counts as told.
+	// announcedWithin is the time after which a change counts as announced, from when discovery has it.
 	announcedWithin = 6 * time.Second
-	// servesWhileDraining is for how long a backend that drains answers on before it turns calls away.
+	// servesWhileDraining is how long a draining backend still serves before it rejects requests.
 	servesWhileDraining = 2500 * time.Millisecond
-	// drainGrace is that of standin.Config, which gives none, and the protocol's slack.
+	// drainGrace is the grace of standin.Config, which sets none, plus the protocol's tolerance.
 	drainGrace = 50 * time.Millisecond
 )
 
-// requestLog is when a backend got each of its calls.
+// requestLog records the arrival times of a backend's requests.
 type requestLog struct {
 	mu          sync.Mutex
 	times       []time.Time
-	rejectsFrom time.Time // from when on all calls are turned away; zero: none are
+	rejectsFrom time.Time // all later requests are rejected; zero: none are
 }
 
-// reply answers a call with the backend's name, or turns it away, and notes its time.
+// reply returns a handler that records each request, and answers with the backend's name or rejects.
 func (s *requestLog) reply(name string) func(*standin.Call) {
 	return func(c *standin.Call) {
 		if s.record() {
@@ -41,7 +41,7 @@
 	}
 }
 
-// record notes a call, and tells whether it is to be turned away.
+// record records a request, and reports whether it is to be rejected.
 func (s *requestLog) record() (rejected bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -50,14 +50,14 @@
 	return !s.rejectsFrom.IsZero() && now.After(s.rejectsFrom)
 }
 
-// rejectFrom makes all calls be turned away from a time on.
+// rejectFrom makes all requests after a time be rejected.
 func (s *requestLog) rejectFrom(from time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.rejectsFrom = from
 }
 
-// countBetween is how many calls came from one time on and before another.
+// countBetween returns the number of requests at or after from, and before to.
 func (s *requestLog) countBetween(from, to time.Time) (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -69,7 +69,7 @@
 	return n
 }
 
-// staleListTest is a process that is told nothing of a backend's going and return.
+// staleListTest has a process that gets no list about a backend's removal and return.
 type staleListTest struct {
 	t                *testing.T
 	discovery        *standin.Discovery
@@ -80,7 +80,7 @@
 	process          *runningProgram
 }
 
-// startStaleListTest starts a process with two backends, and sees that both are used.
+// startStaleListTest starts a process with two backends, and checks that both are used.
 func startStaleListTest(t *testing.T) *staleListTest {
 	s := &staleListTest{t: t}
 	s.leaving = standin.NewBackend(t, s.leavingRequests.reply("leaving"))
@@ -94,12 +94,12 @@
 	s.process.eventually("a request served", s.sendRequest)
 	s.sendRequestsUntil(time.Now().Add(300 * time.Millisecond))
 	if s.leavingRequests.countBetween(time.Time{}, time.Now()) == 0 {
-		t.Fatal("nothing sent to the backend while it was in service")
+		t.Fatal("no request at the backend while it was in service")
 	}
 	return s
 }
 
-// restart kills the process and starts it again, with the list that it had.
+// restart kills the process and starts it again with the list that it had.
 func (s *staleListTest) restart() {
 	s.process.signal(syscall.SIGKILL)
 	s.process.wait()
@@ -107,14 +107,14 @@
 	s.process = startCommand(s.t, exec.Command(program, "serve", "--grace", "20ms", config), s.process.addr)
 }
 
-// sendRequest sends one request, and tells whether it was served.
+// sendRequest sends one request, and reports whether it was served.
 func (s *staleListTest) sendRequest() bool {
 	c := s.process.dial()
 	defer c.Close()
 	return c.roundTrip(getRequest(1000)).status == 200
 }
 
-// sendRequestsUntil sends requests up to a time, and tells how many were served.
+// sendRequestsUntil sends requests until end, and returns how many were served.
 func (s *staleListTest) sendRequestsUntil(end time.Time) (served int) {
 	for ; time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		if s.sendRequest() {
@@ -124,26 +124,26 @@
 	return served
 }
 
-// Discovery is too busy to tell of a backend that went and came back. However the process
-// got the list that it has, the backend's going counts six seconds after discovery had it.
-// The bounds follow from the list's own age, never from a call that failed, a sign of life
-// or a start of our own. Incident: docs/incidents/stale-lists.md.
+// Discovery is too overloaded to announce that a backend was removed and came back. However the
+// process got its list, the removal counts as announced six seconds after discovery had it. The
+// bounds follow from the age of the list alone, never from a failed discovery request, a heartbeat
+// or a restart of the process. Incident: docs/incidents/stale-lists.md.
 func TestReturnedBackendCountsAsGone(t *testing.T) {
 	for _, c := range []struct {
 		name         string
-		disrupt      func(s *staleListTest) // before the backend goes
-		afterReturn  func(s *staleListTest) // behind its return
-		keepsServing bool                   // the backend that stayed goes on being used meanwhile
+		disrupt      func(s *staleListTest) // before the backend is removed
+		afterReturn  func(s *staleListTest) // after its return
+		keepsServing bool                   // the other backend stays in use meanwhile
 	}{
-		{"a process starts again with the list that it had", func(s *staleListTest) {
+		{"the process restarts with the list that it had", func(s *staleListTest) {
 			s.discovery.SetOverloaded(500 * time.Millisecond)
 			s.discovery.ResetWatches()
 		}, (*staleListTest).restart, false},
-		{"calls for the list are turned away", func(s *staleListTest) {
+		{"discovery requests are rejected", func(s *staleListTest) {
 			s.discovery.SetOverloaded(500 * time.Millisecond)
 			s.discovery.ResetWatches()
 		}, func(*staleListTest) {}, true},
-		{"the watch stands, and shows signs of life", func(s *staleListTest) {
+		{"the watch stays open and gets heartbeats", func(s *staleListTest) {
 			s.discovery.SetOverloaded(500 * time.Millisecond)
 		}, func(*staleListTest) {}, true},
 	} {
@@ -152,7 +152,7 @@
 			s := startStaleListTest(t)
 			c.disrupt(s)
 			s.leaving.Stop()
-			gone := time.Now() // discovery has it, and tells nobody
+			gone := time.Now() // discovery has the removal, but announces it to nobody
 			s.sendRequestsUntil(gone.Add(2 * time.Second))
 			s.leaving.Restart(t)
 			c.afterReturn(s)
@@ -161,17 +161,17 @@
 			end := announcedAt.Add(2 * time.Second)
 			served := s.sendRequestsUntil(end)
 			if n := s.leavingRequests.countBetween(announcedAt.Add(drainGrace), end); n > 0 {
-				t.Errorf("%d requests to a backend whose going counts as told", n)
+				t.Errorf("%d requests to a backend whose removal or drain counts as announced", n)
 			}
 			if c.keepsServing && served == 0 {
-				t.Error("nothing is served by the backend that never went")
+				t.Error("the backend that stayed served no request")
 			}
 
-			// A list says that it is in service, and it is used again. No watch tells it: it comes
-			// with a call.
+			// A list with the backend in service makes the process use it again. No watch brings
+			// the list: it is the response to a new discovery request.
 			s.discovery.SetFirstLine(standin.ListJSON(3, true, s.targets...))
 			s.discovery.SetDown(false)
-			s.process.eventually("use of the backend again", func() bool {
+			s.process.eventually("a request at the returned backend", func() bool {
 				s.sendRequest()
 				return s.leavingRequests.countBetween(end, time.Now()) > 0
 			})
@@ -179,12 +179,13 @@
 	}
 }
 
-// A backend drains, goes on answering for some seconds, and then turns calls away, while
-// discovery has too much to do to tell of it. Its going counts after six seconds, and it gets
-// nothing from then on. As found it got all the calls that came: what it had served counted for
-// six seconds, whatever it did afterwards. On a herd day of 380 processes 379 of 387 attempts
-// that came right behind one which was turned away were turned away, too
-// ("event=stale_attempt ... result=full" again and again, up to 4 s past the list's time).
+// A backend drains, still serves for some seconds, and then rejects requests, while discovery is too
+// overloaded to announce the drain. The drain counts as announced after six seconds; from then on
+// the backend must get no requests. Guards against a process that trusts a backend for six seconds
+// after the last request that it served, whatever it did since, and so went on sending it every
+// request. In a thundering-herd test with 380 processes, 379 of 387 attempts sent right after a rejected one were
+// rejected too ("event=stale_attempt ... result=full" again and again, up to 4 s past the staleness
+// bound of the list).
 func TestDrainedBackendRejectsRequests(t *testing.T) {
 	t.Parallel()
 	s := startStaleListTest(t)
@@ -197,16 +198,17 @@
 	end := announcedAt.Add(2 * time.Second)
 	s.sendRequestsUntil(end)
 	if n := s.leavingRequests.countBetween(announcedAt, end); n > 0 {
-		t.Errorf("%d requests to a backend whose going counts as told", n)
+		t.Errorf("%d requests to a backend whose removal or drain counts as announced", n)
 	}
 }
 
-// The same on a watch that stands, shows signs of life, and is over six seconds late. Known to
-// fail, found by the soak (seed 49121): a backend that has turned all calls away is doubted on a
-// watch from six seconds after the last one that it served, and it answers on while it drains, so
-// that this is some seconds after its drain counts. There the last list was of 1.27 s, the drain
-// of 1.83 s, the last sign of life of 4.4 s ("event=watch_ended why=silent fresh_ms=2999" at 7.4 s,
-// "event=list_stale" at 10.5 s), and the sends that broke the rule came from 8.3 s on.
+// Like TestDrainedBackendRejectsRequests, on a watch that stays open and gets heartbeats but is over
+// six seconds late. Known to fail, found by the soak test (seed 49121): on a watch, a backend that
+// rejects every request is suspected only six seconds after the last one that it served. Since a
+// draining backend still serves for a while, that is some seconds after its drain counts as
+// announced. In that run the last list was of 1.27 s, the drain of 1.83 s, and the last heartbeat of
+// 4.4 s ("event=watch_ended why=silent fresh_ms=2999" at 7.4 s, "event=list_stale" at 10.5 s); the
+// requests that broke the rule were sent from 8.3 s on.
 func TestDrainedBackendOnALateWatch(t *testing.T) {
 	t.Parallel()
 	s := startStaleListTest(t)
@@ -218,15 +220,16 @@
 	end := announcedAt.Add(2 * time.Second)
 	s.sendRequestsUntil(end)
 	if n := s.leavingRequests.countBetween(announcedAt, end); n > 0 {
-		t.Errorf("%d requests to a backend whose going counts as told", n)
+		t.Errorf("%d requests to a backend whose removal or drain counts as announced", n)
 	}
 }
 
-// A backend drains and answers on for some seconds, and this process has nothing to send for a
-// while. Once its going counts it gets nothing. As found the call that it had served last
-// counted for six seconds, though some of those were behind its drain. On a herd day seventeen
-// attempts went to backends that had turned to draining in a quiet time of over two seconds
-// ("event=stale_attempt uid=s-64a0abb7 ... result=ok" at 13.97 s, "result=full" at 17.20 s).
+// A backend drains and still serves for some seconds, and then the process has no requests to send
+// for a while. Once the drain counts as announced, the backend must get no requests. Guards against
+// a process that trusts a backend for six seconds after the last request that it served, though the
+// backend was draining by then. In a thundering-herd test seventeen attempts went to backends that had begun to
+// drain while there was no traffic for over two seconds ("event=stale_attempt uid=s-64a0abb7 ...
+// result=ok" at 13.97 s, "result=full" at 17.20 s).
 func TestDrainedBackendWithoutTraffic(t *testing.T) {
 	t.Parallel()
 	s := startStaleListTest(t)
@@ -239,20 +242,20 @@
 	end := announcedAt.Add(2 * time.Second)
 	s.sendRequestsUntil(end)
 	if n := s.leavingRequests.countBetween(announcedAt, end); n > 0 {
-		t.Errorf("%d requests to a backend whose going counts as told", n)
+		t.Errorf("%d requests to a backend whose removal or drain counts as announced", n)
 	}
 }
 
-// A backend drains and answers on, and discovery has too much to do to tell of it, though it
-// is up. Its going counts after six seconds, as any other. Known to fail: a process can't tell
-// a crowd from an outage, nor a watch that is late from one that has nothing to tell, by
-// what it sees itself, nor after a start in an outage what counted before it
-// (docs/incidents/stale-lists.md).
+// A backend drains and still serves, while discovery is up but too overloaded to announce the drain.
+// The drain counts as announced after six seconds, as any other. Known to fail: from what it
+// observes, a process can't tell an overloaded discovery service from an outage, nor a late watch
+// from one without changes, nor, after a start during an outage, what had counted as announced
+// before it (docs/incidents/stale-lists.md).
 func TestCrowdIsNoOutage(t *testing.T) {
 	for _, c := range []struct {
 		name           string
 		disrupt        func(s *staleListTest)
-		afterAnnounced func(s *staleListTest) // once its going counts
+		afterAnnounced func(s *staleListTest) // once the drain counts as announced
 	}{
 		{"calls for the list are turned away", func(s *staleListTest) { s.discovery.ResetWatches() }, func(*staleListTest) {}},
 		{"the watch stands, and shows signs of life", func(*staleListTest) {}, func(*staleListTest) {}},
@@ -272,7 +275,7 @@
 			end := announcedAt.Add(2 * time.Second)
 			s.sendRequestsUntil(end)
 			if n := s.leavingRequests.countBetween(announcedAt.Add(drainGrace), end); n > 0 {
-				t.Errorf("%d requests to a backend whose going counts as told", n)
+				t.Errorf("%d requests to a backend whose removal or drain counts as announced", n)
 			}
 		})
 	}
--- a/cmd/oxbowloft/streaming_test.go
+++ b/cmd/oxbowloft/streaming_test.go
@@ -17,10 +17,10 @@
 	"oxbowloft/internal/standin"
 )
 
-// Long messages, which pass through in parts, and the forms that messages come in.
+// This file tests long messages, which are streamed, and the forms that messages may have.
 
-// Long bodies and answers pass through whole, by length and in chunks, many at a time
-// and far more than the memory holds; the connection goes on afterwards.
+// Long requests and responses are streamed without loss, with a content length and in chunks. Many
+// at a time add up to far more than the memory limit. Connections stay usable afterwards.
 func TestLongMessages(t *testing.T) {
 	const size = 4 << 20
 	answer := bytes.Repeat([]byte("0123456789abcdef"), size/16)
@@ -47,7 +47,7 @@
 		fmt.Fprintf(chunked, "%x;x=y\r\n%s\r\n", len(part), part)
 	}
 	chunked.WriteString("0\r\nX-Sum: 3\r\n\r\n")
-	for range 20 { // 320 MB in all, of a proxy with 192
+	for range 20 { // 320 MB in all, through a proxy with 192 MB
 		tasks.Go(func() {
 			c := r.dial()
 			for _, a := range []struct{ method, uri, length, body, want string }{
@@ -64,7 +64,7 @@
 					}
 					var got response
 					got, c = r.roundTripReconnecting(c, requestHead(a.method, a.uri, class, 2000, more...)+a.body)
-					if got.status == 503 && got.header.Get("Retry-After") != "" { // as the module sees fit
+					if got.status == 503 && got.header.Get("Retry-After") != "" { // refused by the concurrency limit
 						time.Sleep(20 * time.Millisecond)
 						continue
 					}
@@ -85,14 +85,14 @@
 	if m == nil {
 		t.Fatal("no VmHWM")
 	}
-	// The race detector multiplies what a program holds; without it the most is 20 MB.
+	// The race detector multiplies the program's memory; without it the peak is 20 MB.
 	if most, _ := strconv.Atoi(string(m[1])); most > 192<<10 {
-		t.Errorf("%d kB of memory at most", most)
+		t.Errorf("peak memory %d kB, limit 192 MB", most)
 	}
 }
 
-// The first bytes of a long answer don't wait for the rest, and one that stops short is
-// seen to by the client.
+// The first bytes of a long response are forwarded without waiting for the rest, and a response
+// that the backend truncates is not passed on as complete.
 func TestLongAnswerFirstBytes(t *testing.T) {
 	more := make(chan bool)
 	b := standin.NewBackend(t, func(c *standin.Call) {
@@ -123,17 +123,17 @@
 		more <- true
 		_, err = io.ReadAll(resp.Body)
 		if whole := uri == "/api/whole"; whole != (err == nil) {
-			t.Errorf("%s: the rest: %v", uri, err)
+			t.Errorf("%s: read of the rest: %v", uri, err)
 		}
 	}
-	r.eventually("one whole, two cut short", func() bool {
+	r.eventually("one fulfilled, two faulted", func() bool {
 		f := r.metrics()
 		return f[`fulfilled{priority="get"}`] == 1 && f[`faulted{priority="get"}`] == 2
 	})
 }
 
-// What a backend says before the end of a long body is the answer, an unsafe request is
-// not sent again once a part of it has gone, and the connection goes on.
+// A response that a backend sends before the end of a long body is passed on. A request that must
+// not run twice is not retried once part of it was sent. The client's connection stays usable.
 func TestLongBodyRejected(t *testing.T) {
 	ln, err := net.Listen("tcp", freeAddr(t))
 	if err != nil {
@@ -165,8 +165,8 @@
 	r := newPlatform(t, 256, standin.ListJSON(1, true, standin.TargetJSON("s-0", ln.Addr().String()))).start()
 	c := r.dial()
 	body := strings.Repeat("x", 1<<20)
-	// It sends no more until it has the answer: guards against one that is seen only with
-	// the next part.
+	// The client sends no more until it has the response. Guards against a proxy that notices
+	// the backend's response only when it forwards the next part of the body.
 	c.send(requestHead("POST", "/api", "pay", 2000, "Content-Length: "+strconv.Itoa(len(body))) + body[:100_000])
 	got := c.read()
 	if got.status != 503 || got.header.Get("Retry-After") == "" {
@@ -174,21 +174,20 @@
 	}
 	c.send(body[100_000:])
 	if n := heads.swap(0); n != 1 {
-		t.Errorf("sent %d times", n)
+		t.Errorf("%d attempts, want 1", n)
 	}
 	if got := c.roundTrip(getRequest(2000)); got.status != 503 {
-		t.Errorf("then %+v", got)
+		t.Errorf("afterwards: got %+v", got)
 	}
 }
 
-// All forms in which a message may come and an answer may end are served: to an
-// HTTP/1.0 client, to one that waits for leave to send, and from a backend whose answer
-// lasts as long as its connection.
+// All valid forms of messages are served: responses to HTTP/1.0 clients, requests with Expect:
+// 100-continue, and responses from backends that are delimited by the close of the connection.
 func TestMessageForms(t *testing.T) {
 	long := strings.Repeat("0123456789", 20_000)
 	b := standin.NewBackend(t, func(c *standin.Call) {
 		switch c.RequestURI {
-		case "/api/end": // no length, ends with the connection
+		case "/api/end": // no content length, delimited by close
 			c.WriteRaw("HTTP/1.1 200 OK\r\n\r\n" + long)
 			c.Close()
 		case "/api/end/short":
@@ -215,7 +214,7 @@
 		text, err := io.ReadAll(old.r)
 		resp, body, _ := strings.Cut(string(text), "\r\n\r\n")
 		if err != nil || body != want || strings.Contains(resp, "chunked") {
-			t.Errorf("%s to HTTP/1.0: %d bytes behind %.80q, %v", uri, len(body), resp, err)
+			t.Errorf("%s to HTTP/1.0: %d bytes after head %.80q, %v", uri, len(body), resp, err)
 		}
 	}
 	for _, size := range []int{10, 200_000} {
@@ -223,18 +222,18 @@
 		c.send(requestHead("POST", "/api", "pay", 2000, "Expect: 100-continue", "Content-Length: "+strconv.Itoa(size)))
 		line, err := c.r.ReadString('\n')
 		if err != nil || !strings.HasPrefix(line, "HTTP/1.1 100 ") {
-			t.Fatalf("leave to send: %q, %v", line, err)
+			t.Fatalf("100 Continue: got %q, %v", line, err)
 		}
 		c.r.ReadString('\n')
 		c.send(long[:size])
 		if got := c.read(); got.status != 200 || got.body != strconv.Itoa(size) {
-			t.Errorf("after leave to send %d: %+v", size, got)
+			t.Errorf("after 100 Continue, with %d bytes: got %+v", size, got)
 		}
 	}
 }
 
-// A client that leaves or spoils its long body half way costs its backend nothing and
-// nobody else anything; the request never runs.
+// A client that disconnects in the middle of a long body, or sends a malformed one, holds no
+// resources at the backend and does not affect other clients. Its request never runs.
 func TestLongBodyAborted(t *testing.T) {
 	b := standin.NewBackend(t, standin.Echo)
 	r := newPlatform(t, 256, discoveryList(b)).start()
@@ -246,18 +245,18 @@
 	malformed.send(requestHead("POST", "/api", "pay", 2000, "Transfer-Encoding: chunked") +
 		"30000\r\n" + strings.Repeat("x", 0x30000) + "\r\nzz\r\n")
 	if got := malformed.read(); got.status != 400 {
-		t.Errorf("spoilt: %+v", got)
+		t.Errorf("malformed chunk: got %+v", got)
 	}
 	excess := r.dial()
 	excess.send(requestHead("POST", "/api", "pay", 2000, "Content-Length: 200000") + strings.Repeat("x", 200_000) + "noise")
 	if got := excess.read(); got.status != 400 {
-		t.Errorf("more than told: %+v", got)
+		t.Errorf("more than the content length: got %+v", got)
 	}
 	if got := r.dial().roundTrip(getRequest(2000)); got.status != 200 {
-		t.Errorf("then %+v", got)
+		t.Errorf("afterwards: got %+v", got)
 	}
-	if n := b.RequestCount() - calls; n > 2 { // the one that was whole, and the last
-		t.Errorf("%d calls", n)
+	if n := b.RequestCount() - calls; n > 2 { // the one with a complete body, and the last one
+		t.Errorf("%d requests at the backend, want at most 2", n)
 	}
-	r.eventually("nothing open", func() bool { return r.metrics()["open_requests"] == 0 })
+	r.eventually("no open requests", func() bool { return r.metrics()["open_requests"] == 0 })
 }
