--- a/proxy/actions.go
+++ b/proxy/actions.go
@@ -12,33 +12,33 @@
 // handed to the request that it is for, or kept until the lock is free.
 
 // standingEvery bounds the lines about backends that are ejected and return.
-const standingEvery = 100 * time.Millisecond
+const statusLogInterval = 100 * time.Millisecond
 
 // Send implements logic.Actions.
 func (d *driver) Send(request, backend string, timeout time.Duration) {
-	r := d.calls[request]
-	s := step{kind: stepSend, attempt: r.sends, uid: backend, to: d.backends[backend].Backend, sent: time.Now()}
+	r := d.requests[request]
+	s := step{kind: stepSend, attempt: r.attempts, uid: backend, backend: d.backends[backend].Backend, sentAt: time.Now()}
 	s.timeout = timeout
-	s.withheld = r.sends > 0 && !d.mayRepeat(r)
+	s.withheld = r.attempts > 0 && !d.checkRetry(r)
 	s.ctx, s.cancel = context.WithCancel(context.Background())
-	r.cancel, r.begun = s.cancel, false
+	r.cancel, r.writeStarted = s.cancel, false
 	r.steps <- s
-	r.sends++
+	r.attempts++
 }
 
 // Refuse implements logic.Actions.
-func (d *driver) Refuse(request string, comeBack time.Duration, why logic.Cause) {
-	d.calls[request].steps <- step{kind: stepRefuse, comeBack: comeBack, why: why}
+func (d *driver) Refuse(request string, retryAfter time.Duration, cause logic.Cause) {
+	d.requests[request].steps <- step{kind: stepRefuse, retryAfter: retryAfter, cause: cause}
 }
 
 // Fail implements logic.Actions.
-func (d *driver) Fail(request string, why logic.Cause) {
-	d.calls[request].steps <- step{kind: stepFail, why: why}
+func (d *driver) Fail(request string, cause logic.Cause) {
+	d.requests[request].steps <- step{kind: stepFail, cause: cause}
 }
 
 // Cancel implements logic.Actions.
 func (d *driver) Cancel(request string, attempt int) {
-	if r := d.calls[request]; r != nil && r.sends == attempt+1 {
+	if r := d.requests[request]; r != nil && r.attempts == attempt+1 {
 		r.cancel()
 	}
 }
@@ -47,25 +47,25 @@
 func (d *driver) Wake(token uint64, after time.Duration) {
 	due := time.Now().Add(after)
 	timer := time.AfterFunc(after, func() {
-		d.stats.late(time.Since(due))
+		d.stats.recordTimerDelay(time.Since(due))
 		d.wake(token)
 	})
 	if d.current != nil {
-		d.current.timer = timer
+		d.current.backoffTimer = timer
 	}
 }
 
 // Stands implements logic.Observer.
 func (d *driver) Stands(backend string, s logic.Standing, failures float64) {
-	if leftOut, ok := d.standingLog.Allow(); ok {
-		log.Printf("event=backend uid=%s standing=%s failures=%.2f left_out=%d", backend, s, failures, leftOut)
+	if omitted, ok := d.statusLog.Allow(); ok {
+		log.Printf("event=backend uid=%s standing=%s failures=%.2f left_out=%d", backend, s, failures, omitted)
 	}
 }
 
 // AskList implements logic.Lister.
 func (d *driver) AskList() {
 	if d.askList != nil {
-		d.later = append(d.later, d.askList)
+		d.deferred = append(d.deferred, d.askList)
 	}
 }
 
@@ -73,6 +73,6 @@
 func (d *driver) CloseIdle(backend string) {
 	// Out of use at once, since the module may send to it next; closed later.
 	if b, ok := d.backends[backend]; ok {
-		d.later = append(d.later, b.Detach())
+		d.deferred = append(d.deferred, b.Detach())
 	}
 }
--- a/proxy/answers_test.go
+++ b/proxy/answers_test.go
@@ -272,7 +272,7 @@
 						t.Fatalf("got %+v, want the %dth answer", a, n+1)
 					}
 					call := <-calls
-					eventually(t, "at rest", func() bool { return p.driver.all()[0].Idle() == 1 })
+					eventually(t, "at rest", func() bool { return p.driver.allBackends()[0].Idle() == 1 })
 					late(call.Conn)
 					arrived(t, call.Conn)
 				}
--- a/proxy/boot_test.go
+++ b/proxy/boot_test.go
@@ -99,7 +99,7 @@
 					t.Fatal(err)
 				}
 				l.Before = time.Now()
-				p.driver.list(l)
+				p.driver.updateList(l)
 				if served := askAll(t, p, n); served > n/3 {
 					t.Errorf("%s: a cold backend got %d of %d requests", start.name, served, n)
 				}
--- a/proxy/clients.go
+++ b/proxy/clients.go
@@ -16,204 +16,204 @@
 // for the rest of one, are kept in order, so that the one that has waited for
 // longest can be asked to close. Each has a limit: from its accept to a whole
 // request, and from its last answer to the next one.
-type clients struct {
-	partLimit time.Duration // for the head of a request that has begun to come
-	newLimit  time.Duration // from the accept to a whole head
-	idleLimit time.Duration // from an answer to the next request's first byte
+type clientConns struct {
+	headTimeout         time.Duration // for the head of a request that has begun to come
+	firstRequestTimeout time.Duration // from the accept to a whole head
+	idleTimeout         time.Duration // from an answer to the next request's first byte
 
-	freshLeast  time.Duration // from the accept to a close that makes room
-	lingerLimit time.Duration // from the end of writing to the close
-	short       func() bool   // descriptors run short
-	wanted      func() bool   // a client waits for one
+	minFirstRequestWait time.Duration // from the accept to a close that makes room
+	lingerTimeout       time.Duration // from the end of writing to the close
+	descriptorsShort    func() bool   // descriptors run short
+	descriptorWanted    func() bool   // a client waits for one
 
-	mu        sync.Mutex
-	fresh     *list.List // of *client that wait for their first request, oldest first
-	waiting   *list.List // of those that have had an answer, oldest first
-	lingering *list.List // of those that are being closed, oldest first
-	open      int
-	closing   bool          // none may wait any more
-	cut       bool          // none may linger any more
-	empty     chan struct{} // closed once closing and none is open
+	mu             sync.Mutex
+	awaitingFirst  *list.List // of *client that wait for their first request, oldest first
+	idle           *list.List // of those that have had an answer, oldest first
+	lingering      *list.List // of those that are being closed, oldest first
+	openCount      int
+	closing        bool          // none may wait any more
+	lingerDisabled bool          // none may linger any more
+	allClosed      chan struct{} // closed once closing and none is open
 }
 
-type client struct {
-	conn   *http1.Conn
-	since  time.Time     // it waits, or was accepted
-	asked  bool          // a request of it has been taken
-	place  *list.Element // in fresh, waiting or lingering
-	begun  bool          // a part of a request is here
-	nudged bool
+type clientConn struct {
+	conn       *http1.Conn
+	waitStart  time.Time     // it waits, or was accepted
+	hadRequest bool          // a request of it has been taken
+	element    *list.Element // in fresh, waiting or lingering
+	receiving  bool          // a part of a request is here
+	evicting   bool
 
-	reset bool // its close is a reset on purpose, or can be nothing else
+	resetOnClose bool // its close is a reset on purpose, or can be nothing else
 	// answering tells that an answer to the request under way has begun to be written.
-	answering bool
-	departed  bool // it has ended its side inside a message
-	hurried   bool // it lingers for lingerLeast
+	responseStarted  bool
+	closedMidMessage bool // it has ended its side inside a message
+	lingerShortened  bool // it lingers for lingerLeast
 
-	bodyFrom time.Time // when its body began to come; zero: not yet
+	bodyStart time.Time // when its body began to come; zero: not yet
 }
 
 const (
 	// nudgedPart is what is left to a request that has begun to come once its
 	// connection is needed: ample for one under way, and an end for one that
 	// dribbles.
-	nudgedPart = 250 * time.Millisecond
+	evictedReadTimeout = 250 * time.Millisecond
 	// freshLeast is what a new connection has to say something, and idleLeast what an
 	// idle one has, before they are the first to be closed.
-	freshLeast = 20 * time.Millisecond
-	idleLeast  = time.Second
+	minFirstRequestWait = 20 * time.Millisecond
+	minIdleTime         = time.Second
 
 	// Clients may take two seconds for a head; a new one that sends nothing of use must
 	// be gone before three.
-	newLimit  = 2500 * time.Millisecond
-	partLimit = 2250 * time.Millisecond
-	idleLimit = 3 * time.Second
+	firstRequestTimeout = 2500 * time.Millisecond
+	headTimeout         = 2250 * time.Millisecond
+	idleTimeout         = 3 * time.Second
 )
 
 // bodySlowest bounds bodies: they may come at 64 kB a second, and have room to come late.
-var bodySlowest = http1.Slowest{Start: 1500 * time.Millisecond, Rate: 48 << 10, Stall: 2 * time.Second}
+var minBodyRate = http1.Slowest{Start: 1500 * time.Millisecond, Rate: 48 << 10, Stall: 2 * time.Second}
 
-func newClients() *clients {
-	return &clients{
-		partLimit:   partLimit,
-		newLimit:    newLimit,
-		idleLimit:   idleLimit,
-		freshLeast:  freshLeast,
-		lingerLimit: lingerLimit,
-		fresh:       list.New(),
-		waiting:     list.New(),
-		lingering:   list.New(),
-		short:       func() bool { return false },
-		wanted:      func() bool { return false },
-		empty:       make(chan struct{}),
+func newClientConns() *clientConns {
+	return &clientConns{
+		headTimeout:         headTimeout,
+		firstRequestTimeout: firstRequestTimeout,
+		idleTimeout:         idleTimeout,
+		minFirstRequestWait: minFirstRequestWait,
+		lingerTimeout:       lingerTimeout,
+		awaitingFirst:       list.New(),
+		idle:                list.New(),
+		lingering:           list.New(),
+		descriptorsShort:    func() bool { return false },
+		descriptorWanted:    func() bool { return false },
+		allClosed:           make(chan struct{}),
 	}
 }
 
-func (s *clients) add() {
+func (s *clientConns) add() {
 	s.mu.Lock()
-	s.open++
+	s.openCount++
 	s.mu.Unlock()
 }
 
 // count is how many are open.
-func (s *clients) count() int {
+func (s *clientConns) count() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.open
+	return s.openCount
 }
 
-func (s *clients) remove() {
+func (s *clientConns) remove() {
 	s.mu.Lock()
-	s.open--
-	s.ended()
+	s.openCount--
+	s.signalIfAllClosed()
 	s.mu.Unlock()
 }
 
 // ended closes empty, once: a connection that was caught in the kernel may still be
 // accepted after the last one has gone. The caller holds mu.
-func (s *clients) ended() {
-	if !s.closing || s.open > 0 {
+func (s *clientConns) signalIfAllClosed() {
+	if !s.closing || s.openCount > 0 {
 		return
 	}
 	select {
-	case <-s.empty:
+	case <-s.allClosed:
 	default:
-		close(s.empty)
+		close(s.allClosed)
 	}
 }
 
 // errAhead is a request, or noise, behind one that has no answer yet.
-var errAhead = errors.New("sends on before the answer")
+var errPipelined = errors.New("sends on before the answer")
 
 // next waits for the next request on c and reads it. An error before its first
 // byte is io.EOF: the connection has ended, or was asked to while idle, or has said
 // nothing for too long.
-func (s *clients) next(c *client) (*http.Request, []byte, *http1.Rest, error) {
-	s.wait(c)
-	defer s.done(c)
+func (s *clientConns) nextRequest(c *clientConn) (*http.Request, []byte, *http1.Rest, error) {
+	s.beginWait(c)
+	defer s.finishRead(c)
 	if err := c.conn.Await(); err != nil {
 		// A request that crossed the limit or the nudge is still served.
 		if !neterror.IsDeadline(err) || c.conn.Quiet() {
 			return nil, nil, nil, io.EOF
 		}
 	}
-	s.begin(c)
+	s.beginRead(c)
 	req, body, rest, err := c.conn.ReadRequest()
 	if err == nil && rest == nil && c.conn.More() {
 		// Callers wait for an answer before they send on. What follows on a request
 		// is a length that was wrong, or a flood.
-		err = errAhead
+		err = errPipelined
 	}
 	return req, body, rest, err
 }
 
-func (s *clients) wait(c *client) {
+func (s *clientConns) beginWait(c *clientConn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	limit := s.newLimit
-	if c.asked {
-		c.since, limit = time.Now(), s.idleLimit
+	timeout := s.firstRequestTimeout
+	if c.hadRequest {
+		c.waitStart, timeout = time.Now(), s.idleTimeout
 	}
-	c.place = s.listOf(c).PushBack(c)
-	c.conn.SetReadDeadline(c.since.Add(limit))
+	c.element = s.waitList(c).PushBack(c)
+	c.conn.SetReadDeadline(c.waitStart.Add(timeout))
 	// Where one waits for a descriptor and no other is about to give way, nobody else may
 	// for as long as this one may be idle.
-	if s.closing || c.asked && s.fresh.Len()+s.lingering.Len() == 0 && s.wanted() {
-		s.nudge(c)
+	if s.closing || c.hadRequest && s.awaitingFirst.Len()+s.lingering.Len() == 0 && s.descriptorWanted() {
+		s.evict(c)
 	}
 }
 
 // listOf is the list that c waits in.
-func (s *clients) listOf(c *client) *list.List {
-	if c.asked {
-		return s.waiting
+func (s *clientConns) waitList(c *clientConn) *list.List {
+	if c.hadRequest {
+		return s.idle
 	}
-	return s.fresh
+	return s.awaitingFirst
 }
 
-func (s *clients) begin(c *client) {
+func (s *clientConns) beginRead(c *clientConn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c.begun, c.nudged, c.bodyFrom = true, false, time.Time{}
-	limit := time.Now().Add(s.partLimit)
-	if end := c.since.Add(s.newLimit); !c.asked && end.Before(limit) {
-		limit = end
+	c.receiving, c.evicting, c.bodyStart = true, false, time.Time{}
+	deadline := time.Now().Add(s.headTimeout)
+	if firstRequestDeadline := c.waitStart.Add(s.firstRequestTimeout); !c.hadRequest && firstRequestDeadline.Before(deadline) {
+		deadline = firstRequestDeadline
 	}
-	c.conn.SetReadDeadline(limit)
-	c.conn.Pace = func(body int64) { s.pace(c, body) }
+	c.conn.SetReadDeadline(deadline)
+	c.conn.Pace = func(body int64) { s.setBodyDeadline(c, body) }
 }
 
 // pace sets the time for the next read of a body, by what has come of it. A client
 // that has been nudged keeps the time that it got.
-func (s *clients) pace(c *client, body int64) {
+func (s *clientConns) setBodyDeadline(c *clientConn, received int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if c.nudged {
+	if c.evicting {
 		return
 	}
-	if c.bodyFrom.IsZero() {
-		c.bodyFrom = time.Now()
+	if c.bodyStart.IsZero() {
+		c.bodyStart = time.Now()
 	}
-	c.conn.SetReadDeadline(bodySlowest.Until(c.bodyFrom, body))
+	c.conn.SetReadDeadline(minBodyRate.Until(c.bodyStart, received))
 }
 
-func (s *clients) done(c *client) {
+func (s *clientConns) finishRead(c *clientConn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.listOf(c).Remove(c.place)
-	c.asked, c.begun, c.nudged = true, false, false
+	s.waitList(c).Remove(c.element)
+	c.hadRequest, c.receiving, c.evicting = true, false, false
 	c.conn.SetReadDeadline(time.Time{})
 }
 
 // nudge ends the wait of a client, soon if a request has begun to come, or if it is new;
 // its own task then closes it.
-func (s *clients) nudge(c *client) {
-	c.nudged = true
+func (s *clientConns) evict(c *clientConn) {
+	c.evicting = true
 	switch {
-	case c.begun:
-		c.conn.SetReadDeadline(time.Now().Add(nudgedPart))
-	case !c.asked: // its first request is most likely on the way
-		c.conn.SetReadDeadline(c.since.Add(s.freshLeast))
+	case c.receiving:
+		c.conn.SetReadDeadline(time.Now().Add(evictedReadTimeout))
+	case !c.hadRequest: // its first request is most likely on the way
+		c.conn.SetReadDeadline(c.waitStart.Add(s.minFirstRequestWait))
 	default:
 		c.conn.SetReadDeadline(http1.LongAgo)
 	}
@@ -222,35 +222,35 @@
 // nudgeOldest nudges n clients: those that linger at their close, which then do so no
 // longer than they must, those that have said nothing since they came, then those that
 // have been idle for long, then the rest of both.
-func (s *clients) nudgeOldest(n int) {
+func (s *clientConns) evictOldest(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for e := s.lingering.Front(); e != nil && n > 0; e = e.Next() {
-		if c := e.Value.(*client); !c.hurried {
-			c.hurry()
+		if c := e.Value.(*clientConn); !c.lingerShortened {
+			c.shortenLinger()
 		}
 		n--
 	}
 	now := time.Now()
-	if s.wanted() { // guards against a crowd of silent ones that gives way by a few at a time
-		s.nudgeBefore(s.fresh, s.fresh.Len(), now.Add(-s.freshLeast))
+	if s.descriptorWanted() { // guards against a crowd of silent ones that gives way by a few at a time
+		s.evictWaitingSince(s.awaitingFirst, s.awaitingFirst.Len(), now.Add(-s.minFirstRequestWait))
 	}
-	n = s.nudgeBefore(s.fresh, n, now.Add(-s.freshLeast))
-	n = s.nudgeBefore(s.waiting, n, now.Add(-idleLeast))
-	n = s.nudgeBefore(s.fresh, n, now)
-	s.nudgeBefore(s.waiting, n, now)
+	n = s.evictWaitingSince(s.awaitingFirst, n, now.Add(-s.minFirstRequestWait))
+	n = s.evictWaitingSince(s.idle, n, now.Add(-minIdleTime))
+	n = s.evictWaitingSince(s.awaitingFirst, n, now)
+	s.evictWaitingSince(s.idle, n, now)
 }
 
 // nudgeBefore nudges up to n of those that wait since before a time, and returns how many
 // it did not find.
-func (s *clients) nudgeBefore(l *list.List, n int, before time.Time) int {
+func (s *clientConns) evictWaitingSince(l *list.List, n int, before time.Time) int {
 	for e := l.Front(); e != nil && n > 0; e = e.Next() {
-		c := e.Value.(*client)
-		if c.since.After(before) {
+		c := e.Value.(*clientConn)
+		if c.waitStart.After(before) {
 			break
 		}
-		if !c.nudged {
-			s.nudge(c)
+		if !c.evicting {
+			s.evict(c)
 		}
 		n--
 	}
@@ -260,17 +260,17 @@
 // close nudges all idle ones, and each that becomes idle from now on. Requests
 // that have begun to come are still taken. The channel is closed once none is
 // open.
-func (s *clients) close() <-chan struct{} {
+func (s *clientConns) shutdown() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.closing = true
-	s.ended()
-	for _, l := range []*list.List{s.fresh, s.waiting} {
+	s.signalIfAllClosed()
+	for _, l := range []*list.List{s.awaitingFirst, s.idle} {
 		for e := l.Front(); e != nil; e = e.Next() {
-			if c := e.Value.(*client); !c.begun {
-				s.nudge(c)
+			if c := e.Value.(*clientConn); !c.receiving {
+				s.evict(c)
 			}
 		}
 	}
-	return s.empty
+	return s.allClosed
 }
--- a/proxy/clock.go
+++ b/proxy/clock.go
@@ -13,21 +13,21 @@
 // at the start, so that the stamps of starts that discovery gives fit in: the one time that
 // the wall clock is read.
 type clock struct {
-	start time.Time
-	unix  logic.Time // of start
+	start     time.Time
+	unixStart logic.Time // of start
 }
 
 func newClock() clock {
 	now := time.Now()
-	return clock{start: now, unix: logic.Time(now.UnixNano()) + faults.WallOffset()}
+	return clock{start: now, unixStart: logic.Time(now.UnixNano()) + faults.WallOffset()}
 }
 
 func (c clock) now() logic.Time { return c.at(time.Now()) }
 
-func (c clock) at(t time.Time) logic.Time { return c.unix + t.Sub(c.start) }
+func (c clock) at(t time.Time) logic.Time { return c.unixStart + t.Sub(c.start) }
 
 // ifEver is at, and 0 for the zero time: never.
-func (c clock) ifEver(t time.Time) logic.Time {
+func (c clock) atOrZero(t time.Time) logic.Time {
 	if t.IsZero() {
 		return 0
 	}
@@ -40,13 +40,13 @@
 // the process is told of it, and, for a process that runs, not before the list last known
 // to be whole without it, as far back as a list may be behind. What can't be true is taken
 // for a start right now: the backend is cold for no longer than it takes to warm up.
-func (c clock) booted(now logic.Time, stampMs int64, before time.Time) logic.Time {
+func (c clock) startTime(now logic.Time, stampMs int64, listBefore time.Time) logic.Time {
 	if stampMs == 0 {
 		return 0
 	}
 	earliest := logic.Time(0)
-	if !before.IsZero() {
-		earliest = c.at(before) - discovery.TellWithin
+	if !listBefore.IsZero() {
+		earliest = c.at(listBefore) - discovery.TellWithin
 	}
 	// Compared in milliseconds: a stamp may be too large for the module's time.
 	if stampMs > now.Milliseconds() || stampMs < earliest.Milliseconds() {
--- a/proxy/config.go
+++ b/proxy/config.go
@@ -40,10 +40,10 @@
 	// StateDir is shared by a process and the one that replaces it; empty: none.
 	StateDir string `json:"-"`
 
-	known     *discovery.List
-	logic     logic.Settings
-	listAsked bool          // lists come only once asked for
-	askWithin time.Duration // the longest wait between calls for the list
+	knownList       *discovery.List
+	logicSettings   logic.Settings
+	pollList        bool          // lists come only once asked for
+	maxPollInterval time.Duration // the longest wait between calls for the list
 }
 
 // Limits are the machine's.
@@ -60,19 +60,19 @@
 // What a configuration without limits is taken to say, and the least that a
 // proxy can work with.
 const (
-	defaultMemoryMB = 192
-	defaultSockets  = 1024
-	mostMemoryMB    = 1 << 16 // more is of no use, and places for long messages are made by it
-	leastSockets    = 32
-	leastShared     = 2 // descriptors for requests, however many processes share few
+	defaultMemoryMB  = 192
+	defaultSockets   = 1024
+	maxMemoryMB      = 1 << 16 // more is of no use, and places for long messages are made by it
+	minSockets       = 32
+	minSharedSockets = 2 // descriptors for requests, however many processes share few
 )
 
 // listenFD is the variable that names an inherited listener, which comes after the
 // standard streams.
 const (
-	listenFD = "BALANCER_LISTEN_FD"
-	firstFD  = 3
-	lastFD   = 1 << 20
+	listenFDVariable = "BALANCER_LISTEN_FD"
+	minFD            = 3
+	maxFD            = 1 << 20
 )
 
 // Load reads the configuration file at path. What it lacks of name and
@@ -100,38 +100,38 @@
 		}
 	}
 	c.StateDir = env("TMPDIR")
-	if fd := env(listenFD); fd != "" {
-		if c.ListenFD, err = strconv.Atoi(fd); err != nil || c.ListenFD < firstFD || c.ListenFD > lastFD {
-			return nil, fmt.Errorf("%s: %q is no descriptor from %d on", listenFD, fd, firstFD)
+	if fd := env(listenFDVariable); fd != "" {
+		if c.ListenFD, err = strconv.Atoi(fd); err != nil || c.ListenFD < minFD || c.ListenFD > maxFD {
+			return nil, fmt.Errorf("%s: %q is no descriptor from %d on", listenFDVariable, fd, minFD)
 		}
 	}
-	if err := c.check(); err != nil {
+	if err := c.checkAndSetDefaults(); err != nil {
 		return nil, fmt.Errorf("configuration %s: %w", path, err)
 	}
 	return c, nil
 }
 
 // ensure checks a configuration that does not come from Load.
-func (c *Config) ensure() error {
-	if c.known != nil {
+func (c *Config) ensureChecked() error {
+	if c.knownList != nil {
 		return nil
 	}
-	if err := c.check(); err != nil {
+	if err := c.checkAndSetDefaults(); err != nil {
 		return fmt.Errorf("configuration: %w", err)
 	}
 	return nil
 }
 
 // fixed names the fields that a running proxy does not take and that differ in to.
-func (c *Config) fixed(to *Config) (names []string) {
+func (c *Config) changedFixedFields(updated *Config) (names []string) {
 	for _, f := range []struct {
 		name string
 		same bool
 	}{
-		{"name", c.Name == to.Name},
-		{"listen", c.Listen == to.Listen},
-		{"admin", c.Admin == to.Admin},
-		{"settings", reflect.DeepEqual(c.Settings, to.Settings)},
+		{"name", c.Name == updated.Name},
+		{"listen", c.Listen == updated.Listen},
+		{"admin", c.Admin == updated.Admin},
+		{"settings", reflect.DeepEqual(c.Settings, updated.Settings)},
 	} {
 		if !f.same {
 			names = append(names, f.name)
@@ -141,7 +141,7 @@
 }
 
 // check fills in defaults and tells what is wrong.
-func (c *Config) check() error {
+func (c *Config) checkAndSetDefaults() error {
 	if c.Admin != "" {
 		if _, port, err := net.SplitHostPort(c.Admin); err != nil {
 			return fmt.Errorf("admin: %w", err)
@@ -160,7 +160,7 @@
 	if c.Limits.Sockets == 0 {
 		c.Limits.Sockets = defaultSockets
 	}
-	c.Limits.MemoryMB = min(c.Limits.MemoryMB, mostMemoryMB)
+	c.Limits.MemoryMB = min(c.Limits.MemoryMB, maxMemoryMB)
 	if c.Grace == 0 {
 		c.Grace = DefaultGrace
 	}
@@ -171,8 +171,8 @@
 		return errors.New("limits: cores below zero")
 	case !(c.Limits.MemoryMB >= 0):
 		return errors.New("limits: memory_mb below zero")
-	case c.Limits.Sockets < leastSockets:
-		return fmt.Errorf("limits: %d sockets, %d at least", c.Limits.Sockets, leastSockets)
+	case c.Limits.Sockets < minSockets:
+		return fmt.Errorf("limits: %d sockets, %d at least", c.Limits.Sockets, minSockets)
 	case c.Settings == nil:
 		return errors.New("no settings")
 	}
@@ -190,17 +190,17 @@
 	if err := c.Settings.Check(); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
-	if c.logic, err = c.Settings.Logic(seed); err != nil {
+	if c.logicSettings, err = c.Settings.Logic(seed); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
-	c.askWithin, c.listAsked = c.Settings.ListAsked()
-	if c.askWithin == 0 { // guards against calls with no pause between them while discovery is down
-		c.askWithin = discovery.TellWithin
+	c.maxPollInterval, c.pollList = c.Settings.ListAsked()
+	if c.maxPollInterval == 0 { // guards against calls with no pause between them while discovery is down
+		c.maxPollInterval = discovery.TellWithin
 	}
 	// Guards against waits between calls for the list that don't fit into the time after
 	// which what it misses counts as told: the pacer takes its waits from this one.
-	c.askWithin = min(c.askWithin, 2*discovery.TellWithin)
-	c.known = known // last: what has it has been checked
+	c.maxPollInterval = min(c.maxPollInterval, 2*discovery.TellWithin)
+	c.knownList = known // last: what has it has been checked
 	return nil
 }
 
@@ -228,20 +228,20 @@
 // pacer paces the calls for the list.
 func (c *Config) pacer() *pacing.Pacer {
 	const stream = 1 // of random numbers, beside the module's
-	rng := rand.New(rand.NewPCG(c.logic.Seed, stream))
-	if !c.listAsked {
+	rng := rand.New(rand.NewPCG(c.logicSettings.Seed, stream))
+	if !c.pollList {
 		return pacing.Pushed(rng)
 	}
-	return pacing.Asked(c.askWithin, rng)
+	return pacing.Asked(c.maxPollInterval, rng)
 }
 
 // heapShare is the heap's part of the memory; the rest is stacks, sockets and files.
-const heapShare = 0.6
+const heapFraction = 0.6
 
 // Tune sets the process up for the limits, of which it has a part where several
 // processes share them. It is for programs that are a proxy and nothing else.
 func (l Limits) Tune(processes int) {
-	debug.SetMemoryLimit(int64(heapShare * l.MemoryMB / float64(processes) * (1 << 20)))
+	debug.SetMemoryLimit(int64(heapFraction * l.MemoryMB / float64(processes) * (1 << 20)))
 	if l.Cores > 0 {
 		runtime.GOMAXPROCS(min(runtime.GOMAXPROCS(0), int(math.Ceil(l.Cores))))
 	}
--- a/proxy/config_test.go
+++ b/proxy/config_test.go
@@ -56,8 +56,8 @@
 			}
 		case err != nil:
 			t.Errorf("%s: %v", c.with, err)
-		case !cfg.known.All || cfg.known.Rev != c.rev || len(cfg.known.Targets) != c.targets:
-			t.Errorf("%s: read as %+v", c.with, cfg.known)
+		case !cfg.knownList.All || cfg.knownList.Rev != c.rev || len(cfg.knownList.Targets) != c.targets:
+			t.Errorf("%s: read as %+v", c.with, cfg.knownList)
 		}
 	}
 }
@@ -69,7 +69,7 @@
 		`"ask-within-ms":0`:    discovery.TellWithin,
 		`"else":0`:             discovery.TellWithin,
 	} {
-		if cfg, err := load(t, `"ask-within-ms":4000`, with); err != nil || cfg.askWithin != want {
+		if cfg, err := load(t, `"ask-within-ms":4000`, with); err != nil || cfg.maxPollInterval != want {
 			t.Errorf("%s: %v, want %v", with, err, want)
 		}
 	}
@@ -96,7 +96,7 @@
 func TestLargeLimits(t *testing.T) {
 	for _, mb := range []string{"1000000", "1e12", "1e300"} {
 		cfg, err := load(t, `"memory_mb":192`, `"memory_mb":`+mb)
-		if err != nil || cfg.Limits.MemoryMB != mostMemoryMB {
+		if err != nil || cfg.Limits.MemoryMB != maxMemoryMB {
 			t.Fatalf("%s: %v", mb, err)
 		}
 		began := time.Now()
--- a/proxy/connect_test.go
+++ b/proxy/connect_test.go
@@ -53,7 +53,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.driver.list(l)
+	p.driver.updateList(l)
 }
 
 // What was decided before a slow dial is looked at again when the connection stands.
@@ -81,7 +81,7 @@
 			again := strings.Replace(standin.Target("s-1", old), `"boot_ms":0`, fmt.Sprintf(`"boot_ms":%d`, time.Now().UnixMilli()), 1)
 			p.change(t, standin.List(2, false, again, standin.Target("s-2", other)))
 		}, true},
-		{"detached", func(t *testing.T, p *Proxy, _, _ string) { p.driver.byHand("s-1", true) }, false},
+		{"detached", func(t *testing.T, p *Proxy, _, _ string) { p.driver.setDetached("s-1", true) }, false},
 		{"the list is stale", func(t *testing.T, p *Proxy, _, _ string) { p.driver.listFresh(discovery.Fresh{Until: time.Now()}) }, false},
 	} {
 		for _, class := range []string{"get", "pay"} {
@@ -141,7 +141,7 @@
 			eventually(t, "the request forgotten", func() bool {
 				p.driver.mu.Lock()
 				defer p.driver.mu.Unlock()
-				return len(p.driver.calls) == 0
+				return len(p.driver.requests) == 0
 			})
 			close(d.go_)
 			if opened, _ := b.Conns(); opened > 0 || b.Calls() > 0 {
@@ -167,7 +167,7 @@
 	if resp, _ := read(t, half); resp.StatusCode != http.StatusBadGateway {
 		t.Errorf("got %d", resp.StatusCode)
 	}
-	eventually(t, "both have ended", func() bool { return p.stats.gone.Load() == 2 })
+	eventually(t, "both have ended", func() bool { return p.stats.clientsGone.Load() == 2 })
 	if n := b.Calls(); n > 0 {
 		t.Errorf("%d calls for clients that had left", n)
 	}
@@ -188,7 +188,7 @@
 	within(t, "the dial", d.begun)
 	cl.Close()
 	close(d.go_)
-	eventually(t, "the request has ended", func() bool { return p.stats.gone.Load() == 1 })
+	eventually(t, "the request has ended", func() bool { return p.stats.clientsGone.Load() == 1 })
 	if n := b.Calls(); n > 0 {
 		t.Errorf("%d calls after the client left", n)
 	}
@@ -212,12 +212,12 @@
 	p.cfg.Grace = time.Millisecond
 	defer running(t, p)()
 	for _, detached := range []bool{false, true} {
-		p.driver.byHand("s-1", detached)
+		p.driver.setDetached("s-1", detached)
 		near, far := net.Pipe()
-		c := &client{since: time.Now(), conn: http1.NewConn(onWrite{far, func() {
+		c := &clientConn{waitStart: time.Now(), conn: http1.NewConn(onWrite{far, func() {
 			p.driver.mu.Lock()
 			defer p.driver.mu.Unlock()
-			if len(p.driver.open)+len(p.driver.calls) > 0 {
+			if len(p.driver.openIDs)+len(p.driver.requests) > 0 {
 				t.Error("the id is still taken as its answer is written")
 			}
 		}})}
--- a/proxy/drain_test.go
+++ b/proxy/drain_test.go
@@ -40,8 +40,8 @@
 	t.Run("drain", func(t *testing.T) {
 		b := standin.NewBackend(t, (*standin.Call).Hang)
 		p := listening(t, standin.List(1, true, standin.Target("s-1", b.Addr())), "127.0.0.1:1")
-		p.cfg.Grace, p.longest, p.shortest = time.Millisecond, time.Minute, 300*time.Millisecond
-		p.slack = 20 * time.Second // the verdict is not the machine's
+		p.cfg.Grace, p.longestDeadline, p.shortestDeadline = time.Millisecond, time.Minute, 300*time.Millisecond
+		p.finalWriteTime = 20 * time.Second // the verdict is not the machine's
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		done := make(chan error, 1)
@@ -54,14 +54,14 @@
 		}
 		asked := []net.Conn{send(1, "get"), send(2, "pay")}
 		eventually(t, "two attempts", func() bool { return b.Calls() == 2 })
-		p.sockets.mu.Lock()
-		p.sockets.limit = 4 // both, and their backend's two
-		p.sockets.mu.Unlock()
+		p.descriptors.mu.Lock()
+		p.descriptors.limit = 4 // both, and their backend's two
+		p.descriptors.mu.Unlock()
 		if _, err := io.ReadAll(dial(t, p)); err != nil { // the last that is accepted makes room
 			t.Error(err)
 		}
 		eventually(t, "none is left", func() bool {
-			used, _ := p.sockets.inUse()
+			used, _ := p.descriptors.inUse()
 			return used == 4 && p.clients.count() == 2
 		})
 		asked = append(asked, send(3, "get"), send(4, "pay"))
@@ -76,7 +76,7 @@
 			c.Close()
 		}
 		ended(t, done)
-		if used, _ := p.sockets.inUse(); used != 0 {
+		if used, _ := p.descriptors.inUse(); used != 0 {
 			t.Errorf("%d descriptors are kept", used)
 		}
 	})
@@ -86,7 +86,7 @@
 func TestEndBeforeStart(t *testing.T) {
 	p := listening(t, standin.List(1, true), "127.0.0.1:1")
 	p.listener.Close()
-	p.state.close()
+	p.shared.close()
 	p.listener = nil
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
@@ -98,9 +98,9 @@
 // A connection that was caught in the kernel and comes when all others have gone ends as
 // the others did.
 func TestAcceptedBehindTheLast(t *testing.T) {
-	s := newClients()
+	s := newClientConns()
 	s.add()
-	empty := s.close()
+	empty := s.shutdown()
 	s.remove()
 	<-empty
 	s.add()
@@ -109,19 +109,19 @@
 
 // A listener's wait for a descriptor ends when it is told to, also where it has begun.
 func TestWaitForDescriptorEnds(t *testing.T) {
-	s := newSockets(ownSockets + 2) // one is the backends'
-	s.relieve = func(int) {}
-	if !s.wait() {
+	s := newDescriptorBudget(reservedDescriptors + 2) // one is the backends'
+	s.reclaim = func(int) {}
+	if !s.acquireForClient() {
 		t.Fatal("none of one")
 	}
 	got := make(chan bool)
-	go func() { got <- s.wait() }()
-	s.waitUntil(time.Now())
+	go func() { got <- s.acquireForClient() }()
+	s.setWaitDeadline(time.Now())
 	if <-got {
 		t.Error("got one over the budget")
 	}
-	s.leave()
-	if !s.wait() {
+	s.releaseForClient()
+	if !s.acquireForClient() {
 		t.Error("none where one was given back")
 	}
 }
@@ -134,15 +134,15 @@
 	defer p.listener.Close()
 	r := p.driver.arrive("1", 0, time.Hour, false, false)
 	p.driver.done(r, <-r.steps, logic.NoConnect, false, false)
-	if r.timer == nil || len(r.steps) > 0 {
+	if r.backoffTimer == nil || len(r.steps) > 0 {
 		t.Fatal("no backoff")
 	}
-	p.driver.end()
-	if s := within(t, "an answer", r.steps); s.kind != stepRefuse || s.comeBack <= 0 {
+	p.driver.endAll()
+	if s := within(t, "an answer", r.steps); s.kind != stepRefuse || s.retryAfter <= 0 {
 		t.Errorf("got %+v, want to be told to come back", s)
 	}
-	r.timer.Reset(0) // its end comes all the same, and nothing of it
-	eventually(t, "the backoff is over", func() bool { return !r.timer.Stop() })
+	r.backoffTimer.Reset(0) // its end comes all the same, and nothing of it
+	eventually(t, "the backoff is over", func() bool { return !r.backoffTimer.Stop() })
 	p.driver.forget(r)
 	if len(r.steps) > 0 {
 		t.Errorf("then %+v", <-r.steps)
@@ -155,7 +155,7 @@
 	for _, size := range []int{1000, 2 * http1.MaxBody} {
 		b := standin.NewBackend(t, func(c *standin.Call) { c.Reply(200, fmt.Sprint(len(c.Text))) })
 		p := listening(t, standin.List(1, true, standin.Target("s-1", b.Addr())), "127.0.0.1:1")
-		p.cfg.Grace, p.longest, p.slack = time.Millisecond, time.Minute, 20*time.Second // ample on any machine
+		p.cfg.Grace, p.longestDeadline, p.finalWriteTime = time.Millisecond, time.Minute, 20*time.Second // ample on any machine
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan error, 1)
 		go func() { done <- p.Run(ctx) }()
@@ -166,8 +166,8 @@
 		eventually(t, "it has begun to come", func() bool {
 			p.clients.mu.Lock()
 			defer p.clients.mu.Unlock()
-			e := p.clients.fresh.Front()
-			return p.clients.open == 1 && (p.clients.fresh.Len() == 0 || e.Value.(*client).begun)
+			e := p.clients.awaitingFirst.Front()
+			return p.clients.openCount == 1 && (p.clients.awaitingFirst.Len() == 0 || e.Value.(*clientConn).receiving)
 		})
 		cancel()
 		eventually(t, "a drain", func() bool { return p.Phase() == Draining })
--- a/proxy/driver.go
+++ b/proxy/driver.go
@@ -28,43 +28,43 @@
 	mu       sync.Mutex
 	balancer *logic.Balancer
 	classes  []logic.Class
-	calls    map[string]*call
-	open     map[string]bool // callers' ids of requests in the module's hands
-	backends map[string]place
+	requests map[string]*activeRequest
+	openIDs  map[string]bool // callers' ids of requests in the module's hands
+	backends map[string]backendEntry
 	serial   uint64
-	later    []func()
-	current  *call // whose outcome the module is handling
-
-	violations  *violations
-	standingLog logging.Limit // of backends whose standing changes
-	staleLog    *staleAttemptLog
-	listUntil   logic.Time      // the list holds all that counts as told until then; 0: nothing is known of it
-	byHandOut   map[string]bool // detached by operators
+	deferred []func()
+	current  *activeRequest // whose outcome the module is handling
+
+	violations     *violations
+	statusLog      logging.Limit // of backends whose standing changes
+	staleLog       *staleAttemptLog
+	listFreshUntil logic.Time      // the list holds all that counts as told until then; 0: nothing is known of it
+	detached       map[string]bool // detached by operators
 }
 
 // place is where a backend is, since when.
-type place struct {
+type backendEntry struct {
 	*upstream.Backend
-	boot    int64      // the stamp of its start, as discovery gives it
-	started logic.Time // what that is taken for, from when it was first told
-	state   logic.State
-	leaving logic.Time // since when it is not in service
+	startStamp    int64      // the stamp of its start, as discovery gives it
+	started       logic.Time // what that is taken for, from when it was first told
+	state         logic.State
+	leftServiceAt logic.Time // since when it is not in service
 }
 
 // call is one request in the module's hands.
-type call struct {
-	id     string
-	name   string       // its caller's id
-	repeat logic.Repeat // what a second run of it would do
-	ran    bool         // an attempt may have run
-	sends  int
-	cancel func()      // gives up the attempt sent last
-	begun  bool        // that attempt is being written, or has been
-	past   logic.Time  // how long past the list's time it began; 0: it did not
-	left   bool        // its client has: the step that says so is out
-	steps  chan step   // room for one step and the client's going
-	timer  *time.Timer // of its backoff
-	ahead  atomic.Bool // its caller has sent on before the answer
+type activeRequest struct {
+	id           string
+	clientID     string       // its caller's id
+	idempotency  logic.Repeat // what a second run of it would do
+	mayHaveRun   bool         // an attempt may have run
+	attempts     int
+	cancel       func()      // gives up the attempt sent last
+	writeStarted bool        // that attempt is being written, or has been
+	staleBy      logic.Time  // how long past the list's time it began; 0: it did not
+	clientLeft   bool        // its client has: the step that says so is out
+	steps        chan step   // room for one step and the client's going
+	backoffTimer *time.Timer // of its backoff
+	pipelined    atomic.Bool // its caller has sent on before the answer
 }
 
 type stepKind int
@@ -73,83 +73,83 @@
 	stepSend stepKind = iota
 	stepRefuse
 	stepFail
-	stepGone
-	stepAhead
+	stepClientGone
+	stepPipelined
 )
 
 // step is what the module wants next for a request.
 type step struct {
-	kind     stepKind
-	attempt  int
-	uid      string // of the backend
-	to       *upstream.Backend
-	sent     time.Time
-	timeout  time.Duration
-	ctx      context.Context // over once the attempt is given up
-	cancel   func()
-	withheld bool // it must not be sent
-	comeBack time.Duration
-	why      logic.Cause // of a refusal or failure
+	kind       stepKind
+	attempt    int
+	uid        string // of the backend
+	backend    *upstream.Backend
+	sentAt     time.Time
+	timeout    time.Duration
+	ctx        context.Context // over once the attempt is given up
+	cancel     func()
+	withheld   bool // it must not be sent
+	retryAfter time.Duration
+	cause      logic.Cause // of a refusal or failure
 }
 
 func newDriver(cfg *Config, opt *upstream.Options, st *stats) *driver {
 	d := &driver{
 		clock:    newClock(),
-		classes:  cfg.logic.Classes,
+		classes:  cfg.logicSettings.Classes,
 		opt:      opt,
 		stats:    st,
-		calls:    map[string]*call{},
-		open:     map[string]bool{},
-		backends: map[string]place{},
-
-		violations:  newViolations(),
-		standingLog: logging.Limit{Every: standingEvery, Burst: 20},
-		staleLog:    newStaleAttemptLog(),
-		byHandOut:   map[string]bool{},
+		requests: map[string]*activeRequest{},
+		openIDs:  map[string]bool{},
+		backends: map[string]backendEntry{},
+
+		violations: newViolations(),
+		statusLog:  logging.Limit{Every: statusLogInterval, Burst: 20},
+		staleLog:   newStaleAttemptLog(),
+		detached:   map[string]bool{},
 	}
 	opt.Unreached = d.unreached
-	d.do(func(now logic.Time) { d.balancer = logic.New(now, cfg.logic, d) })
+	d.withBalancer(func(now logic.Time) { d.balancer = logic.New(now, cfg.logicSettings, d) })
 	return d
 }
 
 // moduleFault is a panic inside the decision module, or of what it asked for.
-type moduleFault struct{ cause any }
+type decisionPanic struct{ value any }
 
 // do makes one call to the module, then what must wait until the lock is free.
-func (d *driver) do(f func(now logic.Time)) {
+func (d *driver) withBalancer(f func(now logic.Time)) {
 	d.mu.Lock()
-	inside := true
+	panicked := true
 	defer func() {
-		if !inside {
+		if !panicked {
 			return
 		}
 		if cause := recover(); cause != nil {
-			panic(moduleFault{fmt.Sprintf("%v\n%s", cause, debug.Stack())})
+			panic(decisionPanic{fmt.Sprintf("%v\n%s", cause, debug.Stack())})
 		}
 	}()
 	f(d.clock.now())
-	inside = false
-	later := d.later
-	d.later = nil
+	panicked = false
+	deferred := d.deferred
+	d.deferred = nil
 	d.mu.Unlock()
-	for _, f := range later {
+	for _, f := range deferred {
 		f()
 	}
 }
 
 // arrive hands a request to the module; its first step is ready on return. It
 // returns nil for one whose id is open here already.
-func (d *driver) arrive(name string, class int, budget time.Duration, retry, long bool) (r *call) {
-	d.do(func(now logic.Time) {
-		if d.open[name] {
+func (d *driver) arrive(clientID string, class int, budget time.Duration, retry, long bool) (r *activeRequest) {
+	d.withBalancer(func(now logic.Time) {
+		if d.openIDs[clientID] {
 			return
 		}
-		d.open[name] = true
+		d.openIDs[clientID] = true
 		// The module gets ids of our own: a caller's may come again.
 		d.serial++
-		r = &call{id: strconv.FormatUint(d.serial, 36), name: name, steps: make(chan step, 2)}
-		r.repeat = d.classes[class].Repeat
-		d.calls[r.id] = r
+		r = &activeRequest{id: strconv.FormatUint(d.serial, 36), clientID: clientID, steps: make(chan step, 2)}
+		r.idempotency = d.classes[class].Repeat
+		d.requests[r.id] = r
 		d.balancer.Arrive(now, logic.Request{ID: r.id, Class: class, Budget: budget, Retry: retry, Long: long})
 	})
 	return r
@@ -157,44 +157,44 @@
 
 // connected reports that the connection for an attempt stands, and tells whether the
 // attempt still is to be written.
-func (d *driver) connected(r *call, s step) (yes bool) {
-	d.do(func(now logic.Time) {
+func (d *driver) connected(r *activeRequest, s step) (proceed bool) {
+	d.withBalancer(func(now logic.Time) {
 		// A backend that has moved is another machine, whatever the module knows of it.
-		yes = d.backends[s.uid].Backend == s.to && d.balancer.Connected(now, r.id)
-		yes = yes && d.mayStart(r) && d.maySend(r, s) && !s.withheld
-		r.begun = yes
-		if yes && d.listUntil != 0 {
-			r.past = max(0, now-d.listUntil)
+		proceed = d.backends[s.uid].Backend == s.backend && d.balancer.Connected(now, r.id)
+		proceed = proceed && d.checkStart(r) && d.checkSend(r, s) && !s.withheld
+		r.writeStarted = proceed
+		if proceed && d.listFreshUntil != 0 {
+			r.staleBy = max(0, now-d.listFreshUntil)
 		}
 	})
-	return yes
+	return proceed
 }
 
 // written reports that the attempt of a long request has been written whole.
-func (d *driver) written(r *call) {
-	d.do(func(now logic.Time) { d.balancer.Written(now, r.id) })
+func (d *driver) written(r *activeRequest) {
+	d.withBalancer(func(now logic.Time) { d.balancer.Written(now, r.id) })
 }
 
 // done reports the end of an attempt, and whether the request is spent. Unless it is
 // final, a step follows.
-func (d *driver) done(r *call, s step, result logic.Result, final, spent bool) {
-	var past time.Duration
-	d.do(func(now logic.Time) {
-		past, r.past = r.past, 0
+func (d *driver) done(r *activeRequest, s step, result logic.Result, final, consumed bool) {
+	var staleBy time.Duration
+	d.withBalancer(func(now logic.Time) {
+		staleBy, r.staleBy = r.staleBy, 0
 		d.current = r
 		defer func() { d.current = nil }()
-		r.ran = r.ran || mayHaveRun(result)
+		r.mayHaveRun = r.mayHaveRun || mayHaveRun(result)
 		d.balancer.Done(now, logic.Outcome{
 			Request: r.id,
 			Attempt: s.attempt,
 			Result:  result,
-			Latency: now - d.clock.at(s.sent),
+			Latency: now - d.clock.at(s.sentAt),
 			Final:   final,
-			Spent:   spent,
+			Spent:   consumed,
 		})
 	})
-	if past > 0 {
-		d.staleLog.write(r, s, past, result)
+	if staleBy > 0 {
+		d.staleLog.write(r, s, staleBy, result)
 	}
 }
 
@@ -204,7 +204,7 @@
 	if neterror.Of(neterror.Dial, err) == neterror.Local {
 		return
 	}
-	d.do(func(now logic.Time) {
+	d.withBalancer(func(now logic.Time) {
 		for uid, p := range d.backends {
 			if p.Backend == b {
 				d.balancer.Unreached(now, uid)
@@ -223,32 +223,32 @@
 }
 
 // hasLeft tells whether a request's client has left.
-func (d *driver) hasLeft(r *call) bool {
+func (d *driver) clientHasLeft(r *activeRequest) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return r.left
+	return r.clientLeft
 }
 
 // gone reports that a request's client has left.
-func (d *driver) gone(r *call) { d.over(r, stepGone) }
+func (d *driver) clientGone(r *activeRequest) { d.endByClient(r, stepClientGone) }
 
 // ahead reports that a request's client has sent on before its answer: it is not
 // served.
-func (d *driver) ahead(r *call) {
-	r.ahead.Store(true)
-	d.over(r, stepAhead)
+func (d *driver) clientPipelined(r *activeRequest) {
+	r.pipelined.Store(true)
+	d.endByClient(r, stepPipelined)
 }
 
 // over reports that a request has ended without the module, and hands on how. An attempt
 // that has not begun is given up; whether one that has begun is, the module says.
-func (d *driver) over(r *call, how stepKind) {
-	d.do(func(now logic.Time) {
-		if r.left { // there is room for one such step
+func (d *driver) endByClient(r *activeRequest, how stepKind) {
+	d.withBalancer(func(now logic.Time) {
+		if r.clientLeft { // there is room for one such step
 			return
 		}
-		r.left = true
+		r.clientLeft = true
 		d.balancer.Gone(now, r.id)
-		if r.cancel != nil && !r.begun {
+		if r.cancel != nil && !r.writeStarted {
 			r.cancel()
 		}
 		r.steps <- step{kind: how}
@@ -257,14 +257,14 @@
 
 // wake reports the end of a wait that the module asked for.
 func (d *driver) wake(token uint64) {
-	d.do(func(now logic.Time) { d.balancer.Wake(now, token) })
+	d.withBalancer(func(now logic.Time) { d.balancer.Wake(now, token) })
 }
 
 // end reports that the proxy ends, and with it each request that is still open: each
 // gets its answer from the module now, and what is out for it is given up.
-func (d *driver) end() {
-	d.do(func(logic.Time) {
-		for id, r := range d.calls {
+func (d *driver) endAll() {
+	d.withBalancer(func(logic.Time) {
+		for id, r := range d.requests {
 			d.balancer.End(id)
 			if r.cancel != nil {
 				r.cancel()
@@ -275,79 +275,79 @@
 
 // forget lets go of a request whose answer is known. It comes before the first byte of
 // the answer: who has read that may use the id again at once.
-func (d *driver) forget(r *call) {
+func (d *driver) forget(r *activeRequest) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.calls[r.id] != r {
+	if d.requests[r.id] != r {
 		return // the id may be another one's by now
 	}
-	delete(d.calls, r.id)
-	delete(d.open, r.name)
-	if r.timer != nil {
-		r.timer.Stop()
+	delete(d.requests, r.id)
+	delete(d.openIDs, r.clientID)
+	if r.backoffTimer != nil {
+		r.backoffTimer.Stop()
 	}
 }
 
 // states are the module's words for the states of a target.
-var states = map[string]logic.State{
+var balancerStates = map[string]logic.State{
 	discovery.InService:   logic.Up,
 	discovery.Terminating: logic.Draining,
 	discovery.Terminated:  logic.Removed,
 }
 
 // list hands on news of the backends.
-func (d *driver) list(l *discovery.List) {
-	lines := make([]logic.Backend, 0, len(l.Targets))
-	named := map[string]bool{}
-	d.do(func(now logic.Time) {
+func (d *driver) updateList(l *discovery.List) {
+	entries := make([]logic.Backend, 0, len(l.Targets))
+	listed := map[string]bool{}
+	d.withBalancer(func(now logic.Time) {
 		for _, t := range l.Targets {
 			if t.State == discovery.Terminated {
-				d.drop(t.UID)
+				d.removeBackend(t.UID)
 			} else {
-				d.place(now, t, l.Before)
+				d.updateBackend(now, t, l.Before)
 			}
-			line := logic.Backend{ID: t.UID, Zone: t.Zone, Cell: t.Cell, Size: t.Size, State: states[t.State]}
-			line.Started = d.backends[t.UID].started
-			lines = append(lines, line)
-			named[t.UID] = true
+			entry := logic.Backend{ID: t.UID, Zone: t.Zone, Cell: t.Cell, Size: t.Size, State: balancerStates[t.State]}
+			entry.Started = d.backends[t.UID].started
+			entries = append(entries, entry)
+			listed[t.UID] = true
 		}
 		for uid := range d.backends {
-			if l.All && !named[uid] {
-				d.drop(uid)
+			if l.All && !listed[uid] {
+				d.removeBackend(uid)
 			}
 		}
-		d.balancer.List(now, l.All, lines)
+		d.balancer.List(now, l.All, entries)
 	})
 }
 
 // place makes sure that a backend is reached where the list says. Connections
 // from before it moved or started again are of no use: guards against calls
 // broken on those that a machine left open when it vanished.
-func (d *driver) place(now logic.Time, t discovery.Target, before time.Time) {
-	b, ok := d.backends[t.UID]
-	same := ok && b.boot == t.Boot
-	state, leaving := states[t.State], b.leaving
-	if state != b.state {
-		leaving = now
+func (d *driver) updateBackend(now logic.Time, t discovery.Target, listBefore time.Time) {
+	entry, ok := d.backends[t.UID]
+	sameProcess := ok && entry.startStamp == t.Boot
+	state, leftServiceAt := balancerStates[t.State], entry.leftServiceAt
+	if state != entry.state {
+		leftServiceAt = now
 	}
-	if same && b.Addr == t.Endpoint {
-		b.state, b.leaving = state, leaving
-		d.backends[t.UID] = b
+	if sameProcess && entry.Addr == t.Endpoint {
+		entry.state, entry.leftServiceAt = state, leftServiceAt
+		d.backends[t.UID] = entry
 		return
 	}
-	started := b.started
-	if !same {
-		started = d.clock.booted(now, t.Boot, before)
+	started := entry.started
+	if !sameProcess {
+		started = d.clock.startTime(now, t.Boot, listBefore)
 	}
-	d.drop(t.UID)
-	d.backends[t.UID] = place{upstream.New(t.Endpoint, d.opt), t.Boot, started, state, leaving}
+	d.removeBackend(t.UID)
+	d.backends[t.UID] = backendEntry{upstream.New(t.Endpoint, d.opt), t.Boot, started, state, leftServiceAt}
 }
 
 // drop lets go of a backend, if it is known, and of the connections to it.
-func (d *driver) drop(uid string) {
+func (d *driver) removeBackend(uid string) {
 	if b, ok := d.backends[uid]; ok {
 		delete(d.backends, uid)
-		d.later = append(d.later, b.Close)
+		d.deferred = append(d.deferred, b.Close)
 	}
 }
 
@@ -357,54 +357,54 @@
 		Until:        d.clock.at(f.Until),
 		UntilServing: d.clock.at(f.UntilServing),
 		Serving:      f.Serving,
-		Known:        d.clock.ifEver(f.Known),
-		Told:         d.clock.ifEver(f.Told),
+		Known:        d.clock.atOrZero(f.Known),
+		Told:         d.clock.atOrZero(f.Told),
 		TellsLate:    f.TellsLate,
 		Gap:          discovery.Gap,
 	}
-	d.do(func(logic.Time) {
-		d.listUntil = fresh.Until
+	d.withBalancer(func(logic.Time) {
+		d.listFreshUntil = fresh.Until
 		d.balancer.ListFresh(fresh)
 	})
 }
 
 // all returns the backends there are.
-func (d *driver) all() []*upstream.Backend {
+func (d *driver) allBackends() []*upstream.Backend {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	out := make([]*upstream.Backend, 0, len(d.backends))
+	backends := make([]*upstream.Backend, 0, len(d.backends))
 	for _, b := range d.backends {
-		out = append(out, b.Backend)
+		backends = append(backends, b.Backend)
 	}
-	return out
+	return backends
 }
 
-func (d *driver) known() int {
+func (d *driver) backendCount() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(d.backends)
 }
 
 // listed is how many backends the list has, and how many of them are avoided.
-func (d *driver) listed() (all, avoided int) {
-	d.do(func(now logic.Time) { all, avoided = len(d.backends), d.balancer.Avoided(now) })
-	return all, avoided
+func (d *driver) backendCounts() (listed, avoided int) {
+	d.withBalancer(func(now logic.Time) { listed, avoided = len(d.backends), d.balancer.Avoided(now) })
+	return listed, avoided
 }
 
 // knows tells whether a backend is listed, or out by hand.
-func (d *driver) knows(id string) (yes bool) {
-	d.do(func(logic.Time) { yes = d.balancer.Knows(id) })
-	return yes
+func (d *driver) knows(id string) (known bool) {
+	d.withBalancer(func(logic.Time) { known = d.balancer.Knows(id) })
+	return known
 }
 
 // byHand takes a backend out, or in again. It holds on return.
-func (d *driver) byHand(id string, out bool) {
-	d.do(func(now logic.Time) {
-		if out {
-			d.byHandOut[id] = true
+func (d *driver) setDetached(id string, detach bool) {
+	d.withBalancer(func(now logic.Time) {
+		if detach {
+			d.detached[id] = true
 			d.balancer.Detach(id)
 		} else {
-			delete(d.byHandOut, id)
+			delete(d.detached, id)
 			d.balancer.Attach(now, id)
 		}
 	})
--- a/proxy/end_test.go
+++ b/proxy/end_test.go
@@ -53,13 +53,13 @@
 				t.Error(err)
 				return
 			}
-			p.driver.list(l)
+			p.driver.updateList(l)
 		},
 		"bans": func(_ *testing.T, p *Proxy, _ *Config, _ string) {
-			operated{p}.Detach("s-0")
-			operated{p}.Attach("s-0")
+			adminTarget{p}.Detach("s-0")
+			adminTarget{p}.Attach("s-0")
 		},
-		"relief": func(_ *testing.T, p *Proxy, _ *Config, _ string) { p.relieve(3) },
+		"relief": func(_ *testing.T, p *Proxy, _ *Config, _ string) { p.reclaimDescriptors(3) },
 		"clients that leave at once": func(_ *testing.T, p *Proxy, _ *Config, addr string) {
 			if c, err := net.Dial("tcp", addr); err == nil {
 				io.WriteString(c, request("get", 300))
@@ -86,8 +86,8 @@
 				})
 				list := standin.List(1, true, standin.Target("s-0", b.Addr()))
 				p := listening(t, list, "127.0.0.1:1")
-				p.sockets.resize(ownSockets + 16)
-				p.cfg.Grace, p.longest, p.shortest = 50*time.Millisecond, 300*time.Millisecond, 300*time.Millisecond
+				p.descriptors.resize(reservedDescriptors + 16)
+				p.cfg.Grace, p.longestDeadline, p.shortestDeadline = 50*time.Millisecond, 300*time.Millisecond, 300*time.Millisecond
 				path := filepath.Join(t.TempDir(), "config.json")
 				if err := os.WriteFile(path, []byte(standin.Config("127.0.0.1:0", "127.0.0.1:2", 33, list)), 0o600); err != nil {
 					t.Fatal(err)
@@ -108,7 +108,7 @@
 					io.WriteString(asked[i], request("pay", 60_000))
 				}
 				eventually(t, "taken", func() bool {
-					return p.stats.open.Load()+p.stats.ended(fulfilled)+p.stats.ended(throttled)+p.stats.ended(faulted) >= 4
+					return p.stats.openRequests.Load()+p.stats.requestsEnded(fulfilled)+p.stats.requestsEnded(throttled)+p.stats.requestsEnded(faulted) >= 4
 				})
 				stop := make(chan bool)
 				var tasks sync.WaitGroup
--- a/proxy/endlog.go
+++ b/proxy/endlog.go
@@ -12,7 +12,7 @@
 
 // endsPerSecond bounds the lines about requests that did not end with a plain answer: in
 // an overload most do not.
-const endsPerSecond = 20
+const endLogLinesPerSecond = 20
 
 // requestEnd is how a request ended other than with a backend's answer in time, as the log
 // has it.
@@ -26,7 +26,7 @@
 	endLate       requestEnd = "late"        // served past the time that its client had
 	endCutShort   requestEnd = "cut_short"   // an answer that could not be passed on to its end
 	endClientGone requestEnd = "client_gone" // its client left
-	endAhead      requestEnd = "ahead"       // its client sent on before the answer
+	endPipelined  requestEnd = "ahead"       // its client sent on before the answer
 	endUnreadable requestEnd = "unreadable"  // the rest of a long request could not be read
 	endBusy       requestEnd = "busy"        // too many long messages under way
 )
@@ -40,27 +40,27 @@
 
 // endLog writes a line for each request that did not end with a plain answer, up to a
 // bound, and how many were left out.
-type endLog struct{ limit logging.Limit }
+type requestEndLog struct{ limit logging.Limit }
 
-func newEndLog() *endLog {
-	return &endLog{logging.Limit{Every: time.Second / endsPerSecond, Burst: endsPerSecond}}
+func newRequestEndLog() *requestEndLog {
+	return &requestEndLog{logging.Limit{Every: time.Second / endLogLinesPerSecond, Burst: endLogLinesPerSecond}}
 }
 
 // write logs the end of a request that began at start. cause is empty where the end says
 // all.
-func (l *endLog) write(in *incoming, end requestEnd, cause string, start time.Time, attempts []attemptTrace) {
-	leftOut, ok := l.limit.Allow()
+func (l *requestEndLog) write(info *requestInfo, end requestEnd, cause string, start time.Time, attempts []attemptTrace) {
+	omitted, ok := l.limit.Allow()
 	if !ok {
 		return
 	}
 	var tried strings.Builder
-	for i, a := range attempts {
+	for i, attempt := range attempts {
 		if i > 0 {
 			tried.WriteByte(',')
 		}
-		fmt.Fprintf(&tried, "%s:%s:%dms", a.backend, a.result, a.took.Milliseconds())
+		fmt.Fprintf(&tried, "%s:%s:%dms", attempt.backend, attempt.result, attempt.took.Milliseconds())
 	}
 	log.Printf("event=request_end id=%q class=%q end=%s cause=%s budget_ms=%d took_ms=%d attempts=%d tried=%q left_out=%d",
-		in.id, in.className, end, cause, in.budget.Milliseconds(), time.Since(start).Milliseconds(), len(attempts),
-		tried.String(), leftOut)
+		info.id, info.className, end, cause, info.budget.Milliseconds(), time.Since(start).Milliseconds(), len(attempts),
+		tried.String(), omitted)
 }
--- a/proxy/guard.go
+++ b/proxy/guard.go
@@ -22,11 +22,11 @@
 
 // The guards.
 const (
-	guardStart  guard = iota // an attempt starts only for a request that is open, whose client is there
-	guardSend                // it is sent only to what the list has in service, with the time that is left
-	guardRepeat              // what must not run twice is not sent again once it may have run
-	guardClose               // a request that was taken ends with an answer, or its client has gone
-	guards
+	guardStart guard = iota // an attempt starts only for a request that is open, whose client is there
+	guardSend               // it is sent only to what the list has in service, with the time that is left
+	guardRetry              // what must not run twice is not sent again once it may have run
+	guardClose              // a request that was taken ends with an answer, or its client has gone
+	guardCount
 )
 
 var guardNames = [...]string{"start", "send", "repeat", "close"}
@@ -35,42 +35,42 @@
 func (g guard) String() string { return guardNames[g] }
 
 // violationEvery bounds the lines about violations.
-const violationEvery = 50 * time.Millisecond
+const violationLogInterval = 50 * time.Millisecond
 
 // violations counts steps that a guard has stopped, or, where there is nothing to stop, seen.
 type violations struct {
-	counts [guards]atomic.Int64
-	limit  logging.Limit
+	counts   [guardCount]atomic.Int64
+	logLimit logging.Limit
 }
 
 func newViolations() *violations {
-	return &violations{limit: logging.Limit{Every: violationEvery, Burst: 20}}
+	return &violations{logLimit: logging.Limit{Every: violationLogInterval, Burst: 20}}
 }
 
 // count notes a violation.
-func (v *violations) count(g guard, id, detail string) {
+func (v *violations) record(g guard, id, detail string) {
 	n := v.counts[g].Add(1)
-	if leftOut, ok := v.limit.Allow(); ok {
-		log.Printf("event=invariant_violated guard=%s id=%q count=%d left_out=%d detail=%q", g, id, n, leftOut, detail)
+	if omitted, ok := v.logLimit.Allow(); ok {
+		log.Printf("event=invariant_violated guard=%s id=%q count=%d left_out=%d detail=%q", g, id, n, omitted, detail)
 	}
 }
 
 // figures are the counts in the text form of the operators' figures.
-func (v *violations) figures() string {
+func (v *violations) metrics() string {
 	var b strings.Builder
-	for g := range guards {
+	for g := range guardCount {
 		fmt.Fprintf(&b, "balancer_invariant_violations{guard=%q} %d\n", g, v.counts[g].Load())
 	}
 	return b.String()
 }
 
 // mayStart checks that an attempt may start, just before its first byte. The caller holds mu.
-func (d *driver) mayStart(r *call) bool {
+func (d *driver) checkStart(r *activeRequest) bool {
 	switch {
-	case r.left:
-		d.violations.count(guardStart, r.name, "its client has left")
-	case d.calls[r.id] != r:
-		d.violations.count(guardStart, r.name, "it has its answer")
+	case r.clientLeft:
+		d.violations.record(guardStart, r.clientID, "its client has left")
+	case d.requests[r.id] != r:
+		d.violations.record(guardStart, r.clientID, "it has its answer")
 	default:
 		return true
 	}
@@ -78,15 +78,15 @@
 }
 
 // maySend checks that an attempt may be sent to its backend. The caller holds mu.
-func (d *driver) maySend(r *call, s step) bool {
-	at, known := d.backends[s.uid]
+func (d *driver) checkSend(r *activeRequest, s step) bool {
+	entry, known := d.backends[s.uid]
 	switch {
-	case !known || at.Backend != s.to:
-		d.violations.count(guardSend, r.name, s.uid+" is gone, or has moved")
-	case at.state != logic.Up:
-		d.violations.count(guardSend, r.name, fmt.Sprintf("%s is leaving since %v", s.uid, d.clock.now()-at.leaving))
-	case d.byHandOut[s.uid]:
-		d.violations.count(guardSend, r.name, s.uid+" is out by hand")
+	case !known || entry.Backend != s.backend:
+		d.violations.record(guardSend, r.clientID, s.uid+" is gone, or has moved")
+	case entry.state != logic.Up:
+		d.violations.record(guardSend, r.clientID, fmt.Sprintf("%s is leaving since %v", s.uid, d.clock.now()-entry.leftServiceAt))
+	case d.detached[s.uid]:
+		d.violations.record(guardSend, r.clientID, s.uid+" is out by hand")
 	default:
 		return true
 	}
@@ -94,17 +94,17 @@
 }
 
 // mayRepeat checks that another attempt may be made. The caller holds mu.
-func (d *driver) mayRepeat(r *call) bool {
-	if r.ran && r.repeat == logic.Unsafe {
-		d.violations.count(guardRepeat, r.name, fmt.Sprintf("attempt %d after one that may have run", r.sends))
+func (d *driver) checkRetry(r *activeRequest) bool {
+	if r.mayHaveRun && r.idempotency == logic.Unsafe {
+		d.violations.record(guardRetry, r.clientID, fmt.Sprintf("attempt %d after one that may have run", r.attempts))
 		return false
 	}
 	return true
 }
 
 // closed checks how a request that was taken has ended.
-func (p *Proxy) closed(c *client, r *call, id string) {
-	if !c.answering && !c.reset && !c.departed && !p.driver.hasLeft(r) {
-		p.driver.violations.count(guardClose, id, "it ended with no answer")
+func (p *Proxy) checkClosed(c *clientConn, r *activeRequest, id string) {
+	if !c.responseStarted && !c.resetOnClose && !c.closedMidMessage && !p.driver.clientHasLeft(r) {
+		p.driver.violations.record(guardClose, id, "it ended with no answer")
 	}
 }
--- a/proxy/guard_test.go
+++ b/proxy/guard_test.go
@@ -26,8 +26,8 @@
 			at.state = logic.Draining
 			d.backends["s-1"] = at
 		}},
-		{"sent to one that is out by hand", guardSend, func(d *driver) { d.byHandOut["s-1"] = true }},
-		{"none", guards, func(*driver) {}},
+		{"sent to one that is out by hand", guardSend, func(d *driver) { d.detached["s-1"] = true }},
+		{"none", guardCount, func(*driver) {}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			p := listening(t, standin.List(1, true, standin.Target("s-1", b.Addr())), "127.0.0.1:1")
@@ -38,16 +38,16 @@
 			p.driver.mu.Unlock()
 			before := b.Calls()
 			code, _ := ask(t, dial(t, p), "get", 2000)
-			for g := range guards {
+			for g := range guardCount {
 				if n := p.driver.violations.counts[g].Load(); (n > 0) != (g == c.guard) {
 					t.Errorf("guard %s counts %d", g, n)
 				}
 			}
-			stopped := c.guard < guards
+			stopped := c.guard < guardCount
 			if sent := b.Calls() > before; sent == stopped || (code == http.StatusOK) == stopped {
 				t.Errorf("answered %d, sent %t", code, sent)
 			}
-			if info := (operated{p}).Info(); !strings.Contains(info, `balancer_invariant_violations{guard="send"}`) {
+			if info := (adminTarget{p}).Info(); !strings.Contains(info, `balancer_invariant_violations{guard="send"}`) {
 				t.Errorf("not shown: %s", info)
 			}
 		})
@@ -58,15 +58,15 @@
 func TestGuardsOfACall(t *testing.T) {
 	p := listening(t, standin.List(1, true), "127.0.0.1:1")
 	defer p.listener.Close()
-	defer p.state.close()
+	defer p.shared.close()
 	d := p.driver
 	counted := func(g guard) int64 { return d.violations.counts[g].Load() }
-	open := &call{id: "1", name: "open"}
-	d.calls["1"] = open
-	if !d.mayStart(open) || counted(guardStart) != 0 {
+	open := &activeRequest{id: "1", clientID: "open"}
+	d.requests["1"] = open
+	if !d.checkStart(open) || counted(guardStart) != 0 {
 		t.Error("an open call may not start")
 	}
-	if d.mayStart(&call{id: "2", name: "answered"}) || d.mayStart(&call{id: "1", name: "left", left: true}) || counted(guardStart) != 2 {
+	if d.checkStart(&activeRequest{id: "2", clientID: "answered"}) || d.checkStart(&activeRequest{id: "1", clientID: "left", clientLeft: true}) || counted(guardStart) != 2 {
 		t.Error("a call that was answered, or whose client left, may start")
 	}
 	for _, c := range []struct {
@@ -74,24 +74,24 @@
 		ran    bool
 		may    bool
 	}{{logic.Unsafe, true, false}, {logic.Unsafe, false, true}, {logic.Safe, true, true}, {logic.Keyed, true, true}} {
-		if d.mayRepeat(&call{repeat: c.repeat, ran: c.ran}) != c.may {
+		if d.checkRetry(&activeRequest{idempotency: c.repeat, mayHaveRun: c.ran}) != c.may {
 			t.Errorf("repeat rule %v, ran %t: may be repeated %t", c.repeat, c.ran, !c.may)
 		}
 	}
-	if counted(guardRepeat) != 1 {
-		t.Errorf("%d repeats counted", counted(guardRepeat))
+	if counted(guardRetry) != 1 {
+		t.Errorf("%d repeats counted", counted(guardRetry))
 	}
 	near, far := net.Pipe()
 	defer near.Close()
 	defer far.Close()
-	c := &client{conn: http1.NewConn(near)}
-	p.closed(c, open, "open")
+	c := &clientConn{conn: http1.NewConn(near)}
+	p.checkClosed(c, open, "open")
 	if counted(guardClose) != 1 {
 		t.Error("an end with no answer is not counted")
 	}
-	c.answering = true
-	p.closed(c, open, "open")
-	p.closed(&client{}, &call{left: true}, "left")
+	c.responseStarted = true
+	p.checkClosed(c, open, "open")
+	p.checkClosed(&clientConn{}, &activeRequest{clientLeft: true}, "left")
 	if counted(guardClose) != 1 {
 		t.Error("an end with an answer, or without a client, is counted")
 	}
--- a/proxy/late_test.go
+++ b/proxy/late_test.go
@@ -58,7 +58,7 @@
 			if !tried() {
 				t.Fatal("the late backend was never tried")
 			}
-			if _, avoided := p.driver.listed(); avoided > 0 {
+			if _, avoided := p.driver.backendCounts(); avoided > 0 {
 				t.Error("the late backend is avoided")
 			}
 			mu.Lock()
--- a/proxy/linger_test.go
+++ b/proxy/linger_test.go
@@ -90,11 +90,11 @@
 		}
 	}
 	ended = make(chan bool)
-	p.sockets.wait()
+	p.descriptors.acquireForClient()
 	p.clients.add()
 	go func() {
 		defer close(ended)
-		p.serve(&client{conn: http1.NewConn(at), since: time.Now()})
+		p.serve(&clientConn{conn: http1.NewConn(at), waitStart: time.Now()})
 	}()
 	return nc.(*net.TCPConn), at, ended
 }
@@ -110,9 +110,9 @@
 	chunk := "POST /api HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n"
 	none := func(*Proxy) {}
 	quick := func(p *Proxy) {
-		p.clients.idleLimit, p.clients.newLimit, p.clients.partLimit = time.Millisecond, time.Millisecond, time.Millisecond
+		p.clients.idleTimeout, p.clients.firstRequestTimeout, p.clients.headTimeout = time.Millisecond, time.Millisecond, time.Millisecond
 	}
-	finish := func(p *Proxy) { p.clients.close() }
+	finish := func(p *Proxy) { p.clients.shutdown() }
 	for _, c := range []struct {
 		name, sent, late string
 		before, after    func(*Proxy) // that the first answer is here
@@ -120,9 +120,9 @@
 	}{
 		{"nothing asked yet", "", request, quick, none, nil},
 		{"idle limit", request, request, quick, none, []string{"HTTP/1.1 200 "}},
-		{"needed for others", request, request, none, func(p *Proxy) { p.clients.nudgeOldest(1) }, []string{"HTTP/1.1 200 "}},
+		{"needed for others", request, request, none, func(p *Proxy) { p.clients.evictOldest(1) }, []string{"HTTP/1.1 200 "}},
 		{"end of a drain", request, request, none, finish, []string{"HTTP/1.1 200 "}},
-		{"last answer of a drain", request, request, func(p *Proxy) { p.enter(Finishing) }, none, []string{"HTTP/1.1 200 "}},
+		{"last answer of a drain", request, request, func(p *Proxy) { p.enterPhase(Finishing) }, none, []string{"HTTP/1.1 200 "}},
 		{"Connection: close", last, request, none, none, []string{"HTTP/1.1 200 "}},
 		{"HTTP/1.0", old, request, none, none, []string{"HTTP/1.1 200 "}},
 		{"empty line", last, "\r\n", none, none, []string{"HTTP/1.1 200 "}},
@@ -141,11 +141,11 @@
 			calls := 0
 			if strings.HasPrefix(c.sent, "GET") {
 				calls = 1
-				eventually(t, "answered", func() bool { return p.stats.ended(fulfilled) == 1 })
+				eventually(t, "answered", func() bool { return p.stats.requestsEnded(fulfilled) == 1 })
 				eventually(t, "idle again, or over", func() bool {
 					p.clients.mu.Lock()
 					defer p.clients.mu.Unlock()
-					return p.clients.waiting.Len()+p.clients.lingering.Len() > 0 || p.clients.open == 0
+					return p.clients.idle.Len()+p.clients.lingering.Len() > 0 || p.clients.openCount == 0
 				})
 			}
 			c.after(p)
@@ -166,7 +166,7 @@
 			if n := b.Calls(); n != calls {
 				t.Errorf("%d calls at the backend, want %d", n, calls)
 			}
-			for _, b := range p.driver.all() {
+			for _, b := range p.driver.allBackends() {
 				b.Close()
 			}
 		})
@@ -180,21 +180,21 @@
 	b := standin.NewBackend(t, func(c *standin.Call) { c.Reply(200, body) })
 	p := listening(t, standin.List(1, true, standin.Target("s-1", b.Addr())), "127.0.0.1:1")
 	defer p.listener.Close()
-	p.clients.lingerLimit = time.Hour
+	p.clients.lingerTimeout = time.Hour
 	nc, _, ended := crossing(t, p, "\r\n")
 	nc.SetReadBuffer(4 << 10)
 	io.WriteString(nc, strings.Replace(text("get", 2000), "\r\n\r\n", "\r\nConnection: close\r\n\r\n", 1))
 	eventually(t, "closing", func() bool {
 		p.clients.mu.Lock()
 		defer p.clients.mu.Unlock()
-		return p.clients.lingering.Len() > 0 || p.clients.open == 0
+		return p.clients.lingering.Len() > 0 || p.clients.openCount == 0
 	})
 	if _, got := read(t, nc); got != body {
 		t.Errorf("got %d bytes of %d", len(got), len(body))
 	}
 	nc.Close()
 	<-ended
-	for _, b := range p.driver.all() {
+	for _, b := range p.driver.allBackends() {
 		b.Close()
 	}
 }
@@ -217,7 +217,7 @@
 	if at.shut {
 		t.Error("its end was written")
 	}
-	for _, b := range p.driver.all() {
+	for _, b := range p.driver.allBackends() {
 		b.Close()
 	}
 }
@@ -236,9 +236,9 @@
 	defer p.listener.Close()
 	nc, _, ended := crossing(t, p, text("get", 2000))
 	set := func(by int) {
-		p.sockets.mu.Lock()
-		p.sockets.used += by
-		p.sockets.mu.Unlock()
+		p.descriptors.mu.Lock()
+		p.descriptors.used += by
+		p.descriptors.mu.Unlock()
 	}
 	calls := func() bool { return b.Calls() == 1 }
 	io.WriteString(nc, text("get", 2000))
@@ -259,7 +259,7 @@
 	if !calls() {
 		t.Error("another request was served")
 	}
-	for _, b := range p.driver.all() {
+	for _, b := range p.driver.allBackends() {
 		b.Close()
 	}
 }
@@ -272,13 +272,13 @@
 		limit time.Duration // what else ends it
 		flood bool
 	}{
-		{"silent", lingerLimit, false},
+		{"silent", lingerTimeout, false},
 		{"flood", time.Hour, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			p := listening(t, standin.List(1, true), "127.0.0.1:1")
 			defer p.listener.Close()
-			p.clients.lingerLimit = c.limit
+			p.clients.lingerTimeout = c.limit
 			nc, _, ended := crossing(t, p, "")
 			io.WriteString(nc, "noise\r\n")
 			over := make(chan bool)
@@ -307,8 +307,8 @@
 // not close keep nobody out.
 func TestLingeringGivesWay(t *testing.T) {
 	p := listening(t, standin.List(1, true, standin.Target("s-1", "127.0.0.1:1")), "127.0.0.1:1")
-	p.sockets.resize(ownSockets + 8)
-	p.clients.newLimit, p.clients.lingerLimit = 10*time.Millisecond, time.Hour
+	p.descriptors.resize(reservedDescriptors + 8)
+	p.clients.firstRequestTimeout, p.clients.lingerTimeout = 10*time.Millisecond, time.Hour
 	defer running(t, p)()
 	for i := range 40 { // each is accepted, and told to end
 		if got, err := io.ReadAll(dial(t, p)); err != nil || len(got) > 0 {
@@ -322,18 +322,18 @@
 // the moment of its accept, with its request on the way.
 func TestNewClientIsHeard(t *testing.T) {
 	for name, needed := range map[string]func(*Proxy){
-		"its descriptor is needed": func(p *Proxy) { p.clients.nudgeOldest(10) },
-		"the drain ends":           func(p *Proxy) { p.clients.close() },
+		"its descriptor is needed": func(p *Proxy) { p.clients.evictOldest(10) },
+		"the drain ends":           func(p *Proxy) { p.clients.shutdown() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := listening(t, standin.List(1, true), "127.0.0.1:1")
 			defer p.listener.Close()
-			p.clients.freshLeast = time.Hour
+			p.clients.minFirstRequestWait = time.Hour
 			nc, at, ended := crossing(t, p, "")
 			eventually(t, "waiting", func() bool {
 				p.clients.mu.Lock()
 				defer p.clients.mu.Unlock()
-				return p.clients.fresh.Len() == 1
+				return p.clients.awaitingFirst.Len() == 1
 			})
 			needed(p)
 			if at.until.Load().(time.Time).Before(time.Now()) {
@@ -359,8 +359,8 @@
 		b := standin.NewBackend(t, standin.Echo)
 		list := standin.List(1, true, standin.Target("s-1", b.Addr()))
 		p := listening(t, list, "127.0.0.1:1")
-		p.clients.lingerLimit = time.Hour
-		p.cfg.Grace, p.longest, p.shortest = time.Millisecond, 300*time.Millisecond, 300*time.Millisecond
+		p.clients.lingerTimeout = time.Hour
+		p.cfg.Grace, p.longestDeadline, p.shortestDeadline = time.Millisecond, 300*time.Millisecond, 300*time.Millisecond
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan error)
 		go func() { done <- p.Run(ctx) }()
--- a/proxy/local_dial_test.go
+++ b/proxy/local_dial_test.go
@@ -48,12 +48,12 @@
 				ask(t, dial(t, p), "get", 2000)
 			}
 			p.stats.mu.Lock()
-			blamed := p.stats.results[logic.NoConnect]
+			blamed := p.stats.attemptResults[logic.NoConnect]
 			p.stats.mu.Unlock()
 			if (blamed == 0) != c.local {
 				t.Errorf("%d attempts are counted against backends", blamed)
 			}
-			if _, avoided := p.driver.listed(); c.local && avoided > 0 {
+			if _, avoided := p.driver.backendCounts(); c.local && avoided > 0 {
 				t.Errorf("%d backends are avoided", avoided)
 			}
 			if code, body := ask(t, dial(t, p), "get", 2000); c.local && code != http.StatusOK {
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -35,57 +35,57 @@
 	Stopped
 )
 
-var phases = [...]string{"starting", "serving", "draining", "finishing", "stopped"}
+var phaseNames = [...]string{"starting", "serving", "draining", "finishing", "stopped"}
 
-func (p Phase) String() string { return phases[p] }
+func (p Phase) String() string { return phaseNames[p] }
 
 const (
 	// finishSlack is what is left after the end of a drain to write answers.
-	finishSlack = 100 * time.Millisecond
+	finalWriteTime = 100 * time.Millisecond
 	// mostNotice bounds what a drain has beside its grace: the platform ends a process
 	// that it has told to end after the longest deadline, but no later than after this,
 	// and 0.7 s.
-	mostNotice   = 3 * time.Second
-	drainedEvery = 10 * time.Millisecond
+	maxDrainTime      = 3 * time.Second
+	drainPollInterval = 10 * time.Millisecond
 	// hardlyFits is the part of the shortest deadline, as a divisor, in which hardly an
 	// attempt fits.
-	hardlyFits  = 4
-	reapEvery   = 500 * time.Millisecond
-	statsEvery  = 10 * time.Second
-	defaultIdle = 10 * time.Second
-	defaultDial = time.Second
+	minAttemptDivisor  = 4
+	reapInterval       = 500 * time.Millisecond
+	statsInterval      = 10 * time.Second
+	defaultIdleTimeout = 10 * time.Second
+	defaultDialTimeout = time.Second
 	// transferShare is the part of the heap that long messages under way may hold.
-	transferShare = 0.25
+	transferFraction = 0.25
 )
 
 // Proxy is one balancer on sockets.
 type Proxy struct {
-	cfg       *Config // of the start
-	phase     atomic.Int32
-	classes   map[string]int
-	longest   time.Duration // deadline
-	shortest  time.Duration
-	slack     time.Duration             // finishSlack, but for tests
-	end       atomic.Pointer[time.Time] // of a drain; nil: none. No answer comes after it
-	sockets   *sockets
-	clients   *clients
-	transfers *http1.Transfers
-	driver    *driver
-	list      *discovery.Client
-	readiness readiness
-	stats     *stats
-	listener  listener
-	acceptLog logging.Limit // of accepts that failed
-	endLog    *endLog
-	door      *admin.Door // nil: none
-	tasks     sync.WaitGroup
+	cfg              *Config // of the start
+	phase            atomic.Int32
+	classes          map[string]int
+	longestDeadline  time.Duration // deadline
+	shortestDeadline time.Duration
+	finalWriteTime   time.Duration             // finishSlack, but for tests
+	drainEnd         atomic.Pointer[time.Time] // of a drain; nil: none. No answer comes after it
+	descriptors      *descriptorBudget
+	clients          *clientConns
+	transfers        *http1.Transfers
+	driver           *driver
+	list             *discovery.Client
+	readiness        readiness
+	stats            *stats
+	listener         listener
+	acceptLog        logging.Limit // of accepts that failed
+	endLog           *requestEndLog
+	adminEndpoint    *admin.Door // nil: none
+	tasks            sync.WaitGroup
 
-	hands sync.Mutex // held while a ban is changed, in state and module
-	state *state
+	detachMu sync.Mutex // held while a ban is changed, in state and module
+	shared   *sharedState
 
-	reloads   sync.Mutex
-	limits    Limits // of the newest configuration
-	processes int    // that share them
+	limitsMu     sync.Mutex
+	limits       Limits // of the newest configuration
+	processCount int    // that share them
 
 	// OnLimits, if set, is told the limits and how many processes share them, at the
 	// start and whenever either changes.
@@ -94,56 +94,56 @@
 
 // New returns a proxy that knows its list and does not listen yet.
 func New(cfg *Config) (*Proxy, error) {
-	if err := cfg.ensure(); err != nil {
+	if err := cfg.ensureChecked(); err != nil {
 		return nil, err
 	}
 	p := &Proxy{
-		cfg:     cfg,
-		classes: map[string]int{},
-		stats:   newStats(len(cfg.logic.Classes)),
-		limits:  cfg.Limits,
-		slack:   finishSlack,
+		cfg:            cfg,
+		classes:        map[string]int{},
+		stats:          newStats(len(cfg.logicSettings.Classes)),
+		limits:         cfg.Limits,
+		finalWriteTime: finalWriteTime,
 
-		acceptLog: logging.Limit{Every: acceptLogEvery},
-		endLog:    newEndLog(),
+		acceptLog: logging.Limit{Every: acceptLogInterval},
+		endLog:    newRequestEndLog(),
 	}
-	p.sockets = newSockets(cfg.Limits.Sockets - p.doorSockets())
-	for i, c := range cfg.logic.Classes {
+	p.descriptors = newDescriptorBudget(cfg.Limits.Sockets - p.adminDescriptors())
+	for i, c := range cfg.logicSettings.Classes {
 		p.classes[c.Name] = i
-		p.longest = max(p.longest, c.Deadline)
-		if i == 0 || c.Deadline < p.shortest {
-			p.shortest = c.Deadline
+		p.longestDeadline = max(p.longestDeadline, c.Deadline)
+		if i == 0 || c.Deadline < p.shortestDeadline {
+			p.shortestDeadline = c.Deadline
 		}
 	}
-	p.clients = newClients()
-	p.transfers = http1.NewTransfers(int64(transferShare * heapShare * cfg.Limits.MemoryMB * (1 << 20)))
+	p.clients = newClientConns()
+	p.transfers = http1.NewTransfers(int64(transferFraction * heapFraction * cfg.Limits.MemoryMB * (1 << 20)))
 	opt := &upstream.Options{
 		DialTimeout: settings.Duration(cfg.Settings.Limits.DialTimeout),
 		IdleLimit:   settings.Duration(cfg.Settings.Limits.ConnIdle),
-		Slots:       p.sockets,
+		Slots:       p.descriptors,
 	}
 	if opt.DialTimeout == 0 {
-		opt.DialTimeout = defaultDial
+		opt.DialTimeout = defaultDialTimeout
 	}
 	if opt.IdleLimit == 0 {
-		opt.IdleLimit = defaultIdle
+		opt.IdleLimit = defaultIdleTimeout
 	}
-	p.list = discovery.New(cfg.Discovery, cfg.known.Rev, cfg.pacer())
-	if cfg.listAsked {
-		p.list.CheckEvery = cfg.askWithin
+	p.list = discovery.New(cfg.Discovery, cfg.knownList.Rev, cfg.pacer())
+	if cfg.pollList {
+		p.list.CheckEvery = cfg.maxPollInterval
 	} else {
-		p.list.Pushed(cfg.logic.Grace/2, cfg.logic.Grace) // the other half is for the send itself
+		p.list.Pushed(cfg.logicSettings.Grace/2, cfg.logicSettings.Grace) // the other half is for the send itself
 	}
 	p.driver = newDriver(cfg, opt, p.stats)
 	p.driver.askList = p.list.Check
 	p.list.OnEnd = logWatchEnd
 	p.list.OnFresh = func(f discovery.Fresh) {
 		p.driver.listFresh(f)
-		p.readiness.note(f)
+		p.readiness.recordList(f)
 	}
-	p.list.OnList = p.driver.list
-	p.sockets.relieve, p.clients.short, p.clients.wanted = p.relieve, p.sockets.short, p.sockets.wanted
-	p.driver.list(cfg.known)
+	p.list.OnList = p.driver.updateList
+	p.descriptors.reclaim, p.clients.descriptorsShort, p.clients.descriptorWanted = p.reclaimDescriptors, p.descriptors.nearLimit, p.descriptors.clientIsWaiting
+	p.driver.updateList(cfg.knownList)
 	return p, nil
 }
 
@@ -159,23 +159,23 @@
 // descriptors there are. The rest is for a start: the module, and what callers were
 // told, go by it. An error means that nothing was taken.
 func (p *Proxy) Reload(cfg *Config) error {
-	if err := cfg.ensure(); err != nil {
+	if err := cfg.ensureChecked(); err != nil {
 		return err
 	}
-	p.reloads.Lock()
-	defer p.reloads.Unlock()
+	p.limitsMu.Lock()
+	defer p.limitsMu.Unlock()
 	p.limits = cfg.Limits
 	p.applyLimits()
 	moved := p.list.Move(cfg.Discovery)
 	log.Printf("event=reload discovery=%s moved=%t sockets=%d not_taken=%q",
-		cfg.Discovery, moved, cfg.Limits.Sockets, strings.Join(p.cfg.fixed(cfg), ","))
+		cfg.Discovery, moved, cfg.Limits.Sockets, strings.Join(p.cfg.changedFixedFields(cfg), ","))
 	return nil
 }
 
 // Phase is where the proxy is in its life.
 func (p *Proxy) Phase() Phase { return Phase(p.phase.Load()) }
 
-func (p *Proxy) enter(ph Phase) {
+func (p *Proxy) enterPhase(ph Phase) {
 	p.phase.Store(int32(ph))
 	log.Printf("event=phase phase=%s", ph)
 }
@@ -183,14 +183,14 @@
 // Ready tells whether the proxy can serve: it knows a backend, and has had a list that may be
 // used, or has waited for one for long enough.
 func (p *Proxy) Ready() bool {
-	return p.Phase() == Serving && p.driver.known() > 0 && p.readiness.reached()
+	return p.Phase() == Serving && p.driver.backendCount() > 0 && p.readiness.satisfied()
 }
 
 // Addr is where the proxy listens, from Serving on.
 func (p *Proxy) Addr() net.Addr { return p.listener.Addr() }
 
 // doorSockets is how many descriptors are set aside for the operators' door.
-func (p *Proxy) doorSockets() int {
+func (p *Proxy) adminDescriptors() int {
 	if p.cfg.Admin == "" {
 		return 0
 	}
@@ -201,7 +201,7 @@
 // it replaces. Run does it where it has not been done.
 func (p *Proxy) Listen() (err error) {
 	if p.cfg.ListenFD != 0 {
-		p.listener, err = inherited(p.cfg.ListenFD)
+		p.listener, err = inheritedListener(p.cfg.ListenFD)
 	} else {
 		var ln net.Listener
 		if ln, err = net.Listen("tcp", p.cfg.Listen); err == nil {
@@ -211,15 +211,15 @@
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
-	if p.state, err = openState(p.cfg.StateDir, p.cfg.Listen); err != nil {
+	if p.shared, err = openSharedState(p.cfg.StateDir, p.cfg.Listen); err != nil {
 		log.Printf("event=state_failed err=%q", err) // it serves, but knows of no other
 	}
-	p.share(p.state.processes())
-	p.followBans()
+	p.setProcessCount(p.shared.processCount())
+	p.syncDetached()
 	if p.cfg.Admin != "" { // before serving, so that it can say no
-		if p.door, err = admin.Open(p.cfg.Admin, operated{p}); err != nil {
+		if p.adminEndpoint, err = admin.Open(p.cfg.Admin, adminTarget{p}); err != nil {
 			p.listener.Close()
-			p.state.close()
+			p.shared.close()
 			return err
 		}
 	}
@@ -231,7 +231,7 @@
 func (p *Proxy) Run(ctx context.Context) error {
 	if p.listener == nil {
 		if ctx.Err() != nil { // told to end before it began: nobody has connected
-			p.enter(Stopped)
+			p.enterPhase(Stopped)
 			return nil
 		}
 		if err := p.Listen(); err != nil {
@@ -241,50 +241,50 @@
 	background, stop := context.WithCancel(context.Background())
 	p.tasks.Go(func() { p.list.Run(background) })
 	p.tasks.Go(func() { p.housekeeping(background) })
-	p.tasks.Go(func() { p.follow(background) })
+	p.tasks.Go(func() { p.followSharedState(background) })
 
 	log.Printf("event=start name=%q listen=%s tier=%d known=%d rev=%d",
-		p.cfg.Name, p.Addr(), p.cfg.logic.Tier, p.driver.known(), p.cfg.known.Rev)
-	p.readiness.began = time.Now()
-	p.enter(Serving)
+		p.cfg.Name, p.Addr(), p.cfg.logicSettings.Tier, p.driver.backendCount(), p.cfg.knownList.Rev)
+	p.readiness.start = time.Now()
+	p.enterPhase(Serving)
 	accepted := make(chan error, 1)
-	go func() { accepted <- p.accept() }()
+	go func() { accepted <- p.acceptLoop() }()
 	var err error
 	select {
 	case err = <-accepted:
-		p.endBy(time.Now().Add(p.longest))
+		p.setDrainEnd(time.Now().Add(p.longestDeadline))
 		err = fmt.Errorf("accept: %w", err)
 		p.listener.Close()
 	case <-ctx.Done():
 		p.drain(accepted)
 	}
 
-	p.enter(Finishing)
+	p.enterPhase(Finishing)
 	select {
-	case <-p.clients.close():
-	case <-time.After(p.left()):
-		p.driver.end()
+	case <-p.clients.shutdown():
+	case <-time.After(p.timeLeft()):
+		p.driver.endAll()
 		select {
-		case <-p.clients.empty:
-		case <-time.After(p.slack):
-			if p.clients.hurryAll() > 0 {
+		case <-p.clients.allClosed:
+		case <-time.After(p.finalWriteTime):
+			if p.clients.endLingering() > 0 {
 				log.Printf("event=cut_off err=%q", "requests in flight past the end of the drain")
 			} else {
-				<-p.clients.empty
+				<-p.clients.allClosed
 			}
 		}
 	}
 	stop()
-	if p.door != nil {
-		p.door.Close()
+	if p.adminEndpoint != nil {
+		p.adminEndpoint.Close()
 	}
-	for _, b := range p.driver.all() {
+	for _, b := range p.driver.allBackends() {
 		b.Close()
 	}
 	p.tasks.Wait()
-	p.state.close()
+	p.shared.close()
 	p.stats.log(p)
-	p.enter(Stopped)
+	p.enterPhase(Stopped)
 	return err
 }
 
@@ -297,55 +297,55 @@
 // The end is the platform's, which does not wait for every deadline: guards against
 // requests that were taken with more time than there is, and are lost with the process.
 func (p *Proxy) drain(accepted <-chan error) {
-	end := time.Now().Add(p.cfg.Grace + min(p.longest, mostNotice))
-	p.endBy(end)
-	p.enter(Draining)
+	end := time.Now().Add(p.cfg.Grace + min(p.longestDeadline, maxDrainTime))
+	p.setDrainEnd(end)
+	p.enterPhase(Draining)
 	if p.cfg.ListenFD != 0 { // another process accepts, and what waits in the kernel is its
 		p.listener.SetDeadline(http1.LongAgo)
-		p.sockets.waitUntil(time.Now())
+		p.descriptors.setWaitDeadline(time.Now())
 		select {
 		case <-accepted:
 			p.listener.Close()
-		case <-time.After(restMost):
+		case <-time.After(backlogDrainTime):
 			// Caught in the kernel (neverBlocks says how); the end of the process ends it.
 			log.Printf("event=accept_caught")
 		}
 	} else {
-		over := time.Now().Add(p.cfg.Grace)
-		p.listener.SetDeadline(over)
-		p.sockets.waitUntil(over)
+		graceEnd := time.Now().Add(p.cfg.Grace)
+		p.listener.SetDeadline(graceEnd)
+		p.descriptors.setWaitDeadline(graceEnd)
 		<-accepted
 		p.clients.add() // what waits in the kernel is a client, too: nothing ends before it
 		go func() {
 			defer p.clients.remove()
-			p.acceptRest(end.Add(p.slack / 2))
+			p.acceptBacklog(end.Add(p.finalWriteTime / 2))
 			p.listener.Close()
 		}()
 	}
-	for p.clients.count() > 0 && time.Now().Before(end.Add(-p.shortest/hardlyFits)) {
-		time.Sleep(drainedEvery)
+	for p.clients.count() > 0 && time.Now().Before(end.Add(-p.shortestDeadline/minAttemptDivisor)) {
+		time.Sleep(drainPollInterval)
 	}
 }
 
 // left is the time until the end of a drain; where there is none, the longest
 // deadline.
-func (p *Proxy) left() time.Duration {
-	if end := p.end.Load(); end != nil {
+func (p *Proxy) timeLeft() time.Duration {
+	if end := p.drainEnd.Load(); end != nil {
 		return max(0, time.Until(*end))
 	}
-	return p.longest
+	return p.longestDeadline
 }
 
 // endBy sets the end of a drain. It is kept with its monotonic reading: the wall clock may
 // be stepped meanwhile.
-func (p *Proxy) endBy(end time.Time) { p.end.Store(&end) }
+func (p *Proxy) setDrainEnd(end time.Time) { p.drainEnd.Store(&end) }
 
 // serve takes one request after another from a client.
-func (p *Proxy) serve(c *client) {
+func (p *Proxy) serve(c *clientConn) {
 	defer p.clients.remove()
-	defer p.sockets.leave()
+	defer p.descriptors.releaseForClient()
 	defer c.conn.Close()
-	for p.exchangeOnce(c) {
+	for p.exchangeRecovering(c) {
 	}
 	p.clients.linger(c)
 }
@@ -354,34 +354,34 @@
 // the process with all others. The request is answered as failed where no answer has begun;
 // its connection is closed in any case. A panic inside the decision module is not caught:
 // what it knows can't be relied on from then on, least of all for what must not run twice.
-func (p *Proxy) exchangeOnce(c *client) (open bool) {
-	c.answering = false
+func (p *Proxy) exchangeRecovering(c *clientConn) (open bool) {
+	c.responseStarted = false
 	defer func() {
 		cause := recover()
 		if cause == nil {
 			return
 		}
-		if fault, ok := cause.(moduleFault); ok {
+		if fault, ok := cause.(decisionPanic); ok {
 			panic(fault)
 		}
-		p.stats.recovered.Add(1)
+		p.stats.recoveredPanics.Add(1)
 		log.Printf("event=panic client=%s err=%q stack=%q", c.conn.RemoteAddr(), fmt.Sprint(cause), debug.Stack())
 		open = false
-		if c.answering {
-			c.reset = true
+		if c.responseStarted {
+			c.resetOnClose = true
 			return
 		}
-		p.write(c, http.StatusBadGateway, nil, []byte("failed\n"), true)
+		p.writeResponse(c, http.StatusBadGateway, nil, []byte("failed\n"), true)
 	}()
 	return p.exchange(c)
 }
 
 // relieve frees descriptors: of backends' connections the one that has been
 // idle for longest, of callers' as many as there are too many.
-func (p *Proxy) relieve(excess int) {
+func (p *Proxy) reclaimDescriptors(excess int) {
 	var oldest *upstream.Backend
 	var since time.Time
-	for _, b := range p.driver.all() {
+	for _, b := range p.driver.allBackends() {
 		if t, ok := b.Oldest(); ok && (oldest == nil || t.Before(since)) {
 			oldest, since = b, t
 		}
@@ -389,22 +389,22 @@
 	if oldest != nil {
 		oldest.CloseOldest()
 	}
-	p.clients.nudgeOldest(excess)
+	p.clients.evictOldest(excess)
 }
 
 // housekeeping closes connections to backends that have been idle for long, and
 // logs the counts and each time that the list becomes stale.
 func (p *Proxy) housekeeping(ctx context.Context) {
-	reap, count := time.NewTicker(reapEvery), time.NewTicker(statsEvery)
+	reap, stats := time.NewTicker(reapInterval), time.NewTicker(statsInterval)
 	defer reap.Stop()
-	defer count.Stop()
+	defer stats.Stop()
 	wasStale := false
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case now := <-reap.C:
-			for _, b := range p.driver.all() {
+			for _, b := range p.driver.allBackends() {
 				b.Reap(now)
 			}
 			age, stale := p.list.Age()
@@ -412,7 +412,7 @@
 				log.Printf("event=list_stale age=%.1f", age.Seconds())
 			}
 			wasStale = stale
-		case <-count.C:
+		case <-stats.C:
 			p.stats.log(p)
 		}
 	}
--- a/proxy/proxy_test.go
+++ b/proxy/proxy_test.go
@@ -175,10 +175,10 @@
 		eventually(t, "the calls' state forgotten", func() bool {
 			p.driver.mu.Lock()
 			defer p.driver.mu.Unlock()
-			return len(p.driver.calls) == 0
+			return len(p.driver.requests) == 0
 		})
 		stop()
-		if used, _ := p.sockets.inUse(); used != 0 {
+		if used, _ := p.descriptors.inUse(); used != 0 {
 			t.Errorf("%d of the budget in use after the end", used)
 		}
 	})
@@ -250,7 +250,7 @@
 		{"timed out", upstream.Answer{Stage: upstream.Written, Err: os.ErrDeadlineExceeded}, logic.TimedOut},
 		{"no descriptor", upstream.Answer{Stage: upstream.Unsent, Err: io.EOF}, logic.NeverSent},
 	} {
-		got, final := outcome(&c.a)
+		got, final := attemptOutcome(&c.a)
 		if got != c.want || final != (got == logic.OK || got == logic.Cancelled) {
 			t.Errorf("%s: got %v, final %t, want %v", c.name, got, final, c.want)
 		}
@@ -258,9 +258,9 @@
 }
 
 func TestSocketsBudget(t *testing.T) {
-	s := newSockets(ownSockets + 16)
+	s := newDescriptorBudget(reservedDescriptors + 16)
 	relieved := 0
-	s.relieve = func(int) { relieved++ }
+	s.reclaim = func(int) { relieved++ }
 	taken := 0
 	for s.Take() {
 		taken++
@@ -271,19 +271,19 @@
 	if relieved == 0 {
 		t.Error("near the end, idle connections were not closed")
 	}
-	s.wait()
-	s.wait()
+	s.acquireForClient()
+	s.acquireForClient()
 	if !s.Full() {
 		t.Error("not full")
 	}
 	got := make(chan bool)
-	go func() { s.wait(); got <- true }()
+	go func() { s.acquireForClient(); got <- true }()
 	select {
 	case <-got:
 		t.Error("a client got one over the budget")
 	case <-time.After(20 * time.Millisecond):
 	}
-	s.leave()
+	s.releaseForClient()
 	<-got
 	if used, most := s.inUse(); used != 16 || most != 16 {
 		t.Errorf("%d in use, %d at most", used, most)
@@ -296,7 +296,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	got := string(forward(req, "backend:1", []byte("hi"), nil, 79900*time.Microsecond))
+	got := string(encodeRequest(req, "backend:1", []byte("hi"), nil, 79900*time.Microsecond))
 	want := "POST /a?b=%20 HTTP/1.1\r\nHost: h\r\nX-Request-Id: 9f\r\nX-Timeout-Ms: 79\r\nContent-Length: 2\r\n\r\nhi"
 	if got != want {
 		t.Errorf("got\n%q, want\n%q", got, want)
@@ -316,10 +316,10 @@
 		conns = append(conns, c)
 	}
 	p.listener.SetDeadline(time.Unix(1, 0)) // the grace is over
-	if err := p.accept(); err == nil {
+	if err := p.acceptLoop(); err == nil {
 		t.Fatal("still accepting")
 	}
-	p.acceptRest(time.Now().Add(20 * time.Second))
+	p.acceptBacklog(time.Now().Add(20 * time.Second))
 	p.listener.Close()
 	for i, c := range conns {
 		// An answer, whatever the module says to so many at once.
@@ -328,8 +328,8 @@
 		}
 		c.Close()
 	}
-	<-p.clients.close()
-	for _, b := range p.driver.all() {
+	<-p.clients.shutdown()
+	for _, b := range p.driver.allBackends() {
 		b.Close()
 	}
 }
@@ -345,19 +345,19 @@
 	if status, _ := ask(t, c, "get", 2000); status != 200 {
 		t.Fatalf("got %d", status)
 	}
-	set := func(f func(s *sockets)) {
-		p.sockets.mu.Lock()
-		defer p.sockets.mu.Unlock()
-		f(p.sockets)
+	set := func(f func(s *descriptorBudget)) {
+		p.descriptors.mu.Lock()
+		defer p.descriptors.mu.Unlock()
+		f(p.descriptors)
 	}
 	before := 0
-	set(func(s *sockets) { before, s.used = 2*s.limit-s.used, 2*s.limit })
+	set(func(s *descriptorBudget) { before, s.used = 2*s.limit-s.used, 2*s.limit })
 	io.WriteString(c, text("get", 2000))
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil || resp.StatusCode != 200 || !resp.Close {
 		t.Errorf("got %+v, %v", resp, err)
 	}
-	set(func(s *sockets) { s.used -= before })
+	set(func(s *descriptorBudget) { s.used -= before })
 }
 
 // A request that ends in the middle of a backoff takes its timer with it.
@@ -367,12 +367,12 @@
 	defer p.listener.Close()
 	r := p.driver.arrive("1", 0, time.Hour, false, false)
 	p.driver.done(r, <-r.steps, logic.NoConnect, false, false)
-	if r.timer == nil {
+	if r.backoffTimer == nil {
 		t.Fatal("no backoff")
 	}
-	p.driver.gone(r)
+	p.driver.clientGone(r)
 	p.driver.forget(r)
-	if r.timer.Stop() {
+	if r.backoffTimer.Stop() {
 		t.Error("the timer still ran")
 	}
 }
@@ -387,11 +387,11 @@
 	if status, _ := ask(t, dial(t, p), "get", 2000); status != 200 {
 		t.Fatalf("got %d", status)
 	}
-	to := p.driver.all()[0]
+	to := p.driver.allBackends()[0]
 	if _, idle := to.Oldest(); !idle {
 		t.Fatal("no idle connection")
 	}
-	p.driver.do(func(logic.Time) {
+	p.driver.withBalancer(func(logic.Time) {
 		p.driver.CloseIdle("s-1")
 		if _, idle := to.Oldest(); idle {
 			t.Error("still in use")
@@ -406,7 +406,7 @@
 	b := standin.NewBackend(t, standin.Echo)
 	list := standin.List(1, true, standin.Target("s-1", b.Addr()))
 	p := listening(t, list, standin.NewDiscovery(t, list).Addr())
-	p.clients.partLimit, p.clients.newLimit = time.Hour, time.Hour
+	p.clients.headTimeout, p.clients.firstRequestTimeout = time.Hour, time.Hour
 	stop := running(t, p)
 	var crowd []net.Conn
 	for range 300 {
@@ -448,15 +448,15 @@
 	}
 	known := standin.List(1, true, line(), line(), line(), line())
 	p := listening(t, known, standin.NewDiscovery(t, standin.List(1, false)).Addr())
-	p.clients.idleLimit = 50 * time.Millisecond
+	p.clients.idleTimeout = 50 * time.Millisecond
 	defer running(t, p)()
 
 	var kept []net.Conn // clients that ask once and stay
 	heap := func() uint64 {
 		eventually(t, "all given back", func() bool {
-			used, _ := p.sockets.inUse()
+			used, _ := p.descriptors.inUse()
 			idle := 0
-			for _, b := range p.driver.all() {
+			for _, b := range p.driver.allBackends() {
 				idle += b.Idle()
 			}
 			return used == idle+1 // one is taken for the next client
@@ -490,7 +490,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			p.driver.list(l)
+			p.driver.updateList(l)
 		}
 	}
 	churn(20)
@@ -501,12 +501,12 @@
 		t.Errorf("the heap has grown by %d KB", grown>>10)
 	}
 	p.driver.mu.Lock()
-	if n := len(p.driver.calls) + len(p.driver.open); n > 0 || len(p.driver.backends) != 4 {
+	if n := len(p.driver.requests) + len(p.driver.openIDs); n > 0 || len(p.driver.backends) != 4 {
 		t.Errorf("%d requests and %d backends are kept", n, len(p.driver.backends))
 	}
 	p.driver.mu.Unlock()
 	p.clients.mu.Lock()
-	if n := p.clients.open + p.clients.fresh.Len() + p.clients.waiting.Len(); n > 0 {
+	if n := p.clients.openCount + p.clients.awaitingFirst.Len() + p.clients.idle.Len(); n > 0 {
 		t.Errorf("%d clients are kept", n)
 	}
 	p.clients.mu.Unlock()
@@ -538,7 +538,7 @@
 			done := make(chan error)
 			go func() { done <- p.Run(ctx) }()
 			defer func() { cancel(); <-done }()
-			eventually(t, "a list that may be used", p.readiness.had.Load)
+			eventually(t, "a list that may be used", p.readiness.hadUsableList.Load)
 			began := time.Now()
 			cl := dial(t, p)
 			io.WriteString(cl, text(c.class, 2000))
--- a/proxy/race_test.go
+++ b/proxy/race_test.go
@@ -63,16 +63,16 @@
 						open = false
 						break
 					}
-					if s.to == nil {
+					if s.backend == nil {
 						t.Error("a send without a backend")
 					}
 					if !left && r.IntN(4) == 0 { // at most once, as of a watch
 						left = true
 						leaves.Go(func() {
 							if n%2 == 0 {
-								d.gone(c)
+								d.clientGone(c)
 							} else {
-								d.ahead(c)
+								d.clientPipelined(c)
 							}
 						})
 					}
@@ -101,22 +101,22 @@
 				return
 			default:
 			}
-			d.list(randomList(t, r, rev))
+			d.updateList(randomList(t, r, rev))
 			switch r.IntN(12) {
 			case 0:
 				d.listFresh(discovery.Fresh{Until: time.Now().Add(time.Minute)})
 			case 1:
 				d.listFresh(discovery.Fresh{Until: time.Now().Add(time.Second)})
 			case 2:
-				d.byHand(fmt.Sprintf("s-%d", r.IntN(8)), r.IntN(2) == 0)
+				d.setDetached(fmt.Sprintf("s-%d", r.IntN(8)), r.IntN(2) == 0)
 			case 3:
-				d.end()
+				d.endAll()
 			case 4:
-				for _, b := range d.all() {
+				for _, b := range d.allBackends() {
 					b.Reap(time.Now())
 				}
 			}
-			d.listed()
+			d.backendCounts()
 		}
 	})
 	callers.Wait()
@@ -124,18 +124,18 @@
 	news.Wait()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if len(d.calls)+len(d.open) > 0 {
-		t.Errorf("%d calls and %d ids are left", len(d.calls), len(d.open))
+	if len(d.requests)+len(d.openIDs) > 0 {
+		t.Errorf("%d calls and %d ids are left", len(d.requests), len(d.openIDs))
 	}
 }
 
 // A step of the module's, its end and its caller's going, all at once and with nobody to
 // take them yet, find room: one that had to wait would hold the driver's lock.
 func TestStepsHaveRoom(t *testing.T) {
-	for name, tell := range map[string][]func(*driver, *call){
-		"end, gone":  {func(d *driver, _ *call) { d.end() }, (*driver).gone},
-		"gone, end":  {(*driver).gone, func(d *driver, _ *call) { d.end() }},
-		"end, ahead": {func(d *driver, _ *call) { d.end() }, (*driver).ahead},
+	for name, tell := range map[string][]func(*driver, *activeRequest){
+		"end, gone":  {func(d *driver, _ *activeRequest) { d.endAll() }, (*driver).clientGone},
+		"gone, end":  {(*driver).clientGone, func(d *driver, _ *activeRequest) { d.endAll() }},
+		"end, ahead": {func(d *driver, _ *activeRequest) { d.endAll() }, (*driver).clientPipelined},
 	} {
 		p := listening(t, standin.List(1, true, standin.Target("s-1", "127.0.0.1:1")), "127.0.0.1:1")
 		d := p.driver
@@ -148,7 +148,7 @@
 				f(d, c)
 			}
 			d.done(c, s, logic.Broken, false, false)
-			d.end()
+			d.endAll()
 		}()
 		select {
 		case <-done:
@@ -213,7 +213,7 @@
 			case 1:
 				at.Break()
 			case 2:
-				p.driver.byHand("s-0", r.IntN(2) == 0)
+				p.driver.setDetached("s-0", r.IntN(2) == 0)
 			case 3:
 				fleet[r.IntN(len(fleet))].Cut()
 			default:
@@ -222,7 +222,7 @@
 					t.Error(err)
 					return
 				}
-				p.driver.list(l)
+				p.driver.updateList(l)
 			}
 		}
 	})
@@ -282,9 +282,9 @@
 	close(over)
 	news.Wait()
 	eventually(t, "all given back", func() bool {
-		used, _ := p.sockets.inUse()
+		used, _ := p.descriptors.inUse()
 		p.driver.mu.Lock()
 		defer p.driver.mu.Unlock()
-		return used == 0 && len(p.driver.calls)+len(p.driver.open) == 0
+		return used == 0 && len(p.driver.requests)+len(p.driver.openIDs) == 0
 	})
 }
--- a/proxy/ready_test.go
+++ b/proxy/ready_test.go
@@ -17,16 +17,16 @@
 	d.Down(true)
 	p := listening(t, known, d.Addr())
 	defer running(t, p)()
-	if took := time.Since(p.readiness.began); took < readyAnyway {
-		t.Errorf("ready after %v without a list, want %v", took, readyAnyway)
+	if took := time.Since(p.readiness.start); took < readyTimeout {
+		t.Errorf("ready after %v without a list, want %v", took, readyTimeout)
 	}
 	d.Down(false)
 	q := listening(t, known, d.Addr())
 	defer running(t, q)()
-	if took := time.Since(q.readiness.began); took >= readyAnyway {
+	if took := time.Since(q.readiness.start); took >= readyTimeout {
 		t.Errorf("ready after %v though discovery gives a list", took)
 	}
-	if !q.readiness.had.Load() {
+	if !q.readiness.hadUsableList.Load() {
 		t.Error("ready with no list")
 	}
 }
--- a/proxy/request.go
+++ b/proxy/request.go
@@ -28,30 +28,30 @@
 )
 
 const (
-	writeLimit = 5 * time.Second
+	writeTimeout = 5 * time.Second
 	// maxTimeout is the longest time-out taken for one, in milliseconds.
-	maxTimeout = 24 * 3600 * 1000
-	maxID      = 256 // bytes of a request's id
+	maxTimeoutMs = 24 * 3600 * 1000
+	maxIDBytes   = 256 // bytes of a request's id
 )
 
 // exchange is the life of one request, from the wait for it to its answer. It
 // returns whether the connection can carry another.
-func (p *Proxy) exchange(c *client) bool {
+func (p *Proxy) exchange(c *clientConn) bool {
 	// Read.
-	req, body, rest, err := p.clients.next(c)
+	req, body, rest, err := p.clients.nextRequest(c)
 	if err != nil {
-		p.turnAway(c, unreadable(err), err)
+		p.answerBadRequest(c, readErrorStatus(err), err)
 		return false
 	}
 	if rest != nil {
 		defer rest.Drop()
 	}
 	if req.Method == http.MethodGet && req.URL.Path == pathReady && rest == nil {
-		return p.ready(c, req)
+		return p.serveReadiness(c, req)
 	}
-	in, code, err := p.parse(req, len(body) > 0 || rest != nil)
+	info, code, err := p.parseRequest(req, len(body) > 0 || rest != nil)
 	if err != nil {
-		p.turnAway(c, code, err)
+		p.answerBadRequest(c, code, err)
 		return false
 	}
 	start := time.Now()
@@ -60,122 +60,122 @@
 	}
 
 	// Arrive.
-	call := p.driver.arrive(in.id, in.class, in.budget, in.retry, rest != nil)
-	if call == nil {
-		p.turnAway(c, http.StatusConflict, errOpen)
+	r := p.driver.arrive(info.id, info.class, info.budget, info.retry, rest != nil)
+	if r == nil {
+		p.answerBadRequest(c, http.StatusConflict, errDuplicateID)
 		return false
 	}
-	p.stats.open.Add(1)
-	defer p.stats.open.Add(-1)
-	defer p.driver.forget(call)
-	defer func() { p.closed(c, call, in.id) }()
-	var out *step // the attempt that is out
+	p.stats.openRequests.Add(1)
+	defer p.stats.openRequests.Add(-1)
+	defer p.driver.forget(r)
+	defer func() { p.checkClosed(c, r, info.id) }()
+	var inFlight *step // the attempt that is out
 	defer func() {
-		if out != nil { // a panic went by
-			p.driver.done(call, *out, logic.Cancelled, true, false)
-			out.cancel()
+		if inFlight != nil { // a panic went by
+			p.driver.done(r, *inFlight, logic.Cancelled, true, false)
+			inFlight.cancel()
 		}
 	}()
 	defer c.conn.Unwatch()
-	ends := &p.stats.ends[in.class]
+	outcomes := &p.stats.outcomes[info.class]
 	watch := func() {
-		c.conn.Watch(func() { p.driver.gone(call) }, func() { p.driver.ahead(call) })
+		c.conn.Watch(func() { p.driver.clientGone(r) }, func() { p.driver.clientPipelined(r) })
 	}
 	var attempts []attemptTrace
-	ended := func(end requestEnd, cause string) { p.endLog.write(&in, end, cause, start, attempts) }
-	stays := func(open bool) bool { // what still comes of a request that has its answer is read
+	logEnd := func(end requestEnd, cause string) { p.endLog.write(&info, end, cause, start, attempts) }
+	keepOpen := func(open bool) bool { // what still comes of a request that has its answer is read
 		return open && (rest == nil || rest.Discard(p.transfers) == nil)
 	}
 
 	// Step, attempt, outcome, until there is an answer.
 	for {
-		step := <-call.steps
+		step := <-r.steps
 		if step.kind != stepSend {
-			p.driver.forget(call)
+			p.driver.forget(r)
 		}
 		switch step.kind {
 		case stepSend:
-			sending := &upstream.Request{Timeout: step.timeout, Decided: step.sent, Rest: rest, Transfers: p.transfers}
-			sending.Connected = func() bool {
+			upstreamRequest := &upstream.Request{Timeout: step.timeout, Decided: step.sentAt, Rest: rest, Transfers: p.transfers}
+			upstreamRequest.Connected = func() bool {
 				if c.conn.PeerClosed() { // also behind a body that nobody has read to its end
-					p.driver.gone(call)
+					p.driver.clientGone(r)
 				}
-				return p.driver.connected(call, step)
+				return p.driver.connected(r, step)
 			}
-			sending.Text = func(left time.Duration) []byte { return forward(req, step.to.Addr, body, rest, left) }
+			upstreamRequest.Text = func(left time.Duration) []byte { return encodeRequest(req, step.backend.Addr, body, rest, left) }
 			if rest == nil {
 				watch()
 			} else {
-				sending.Written = func() {
-					step.sent = time.Now()
-					p.driver.written(call)
+				upstreamRequest.Written = func() {
+					step.sentAt = time.Now()
+					p.driver.written(r)
 					if c.conn.More() { // it is here already: no need to wait for a watch to see it
-						p.driver.ahead(call)
+						p.driver.clientPipelined(r)
 						return
 					}
 					c.conn.SetReadDeadline(time.Time{}) // of the rest
 					watch()
 				}
 			}
-			out = &step
-			got := step.to.Exchange(step.ctx, sending)
-			result, final := outcome(&got)
-			if got.Err != nil && errors.Is(step.ctx.Err(), context.Canceled) {
+			inFlight = &step
+			answer := step.backend.Exchange(step.ctx, upstreamRequest)
+			result, final := attemptOutcome(&answer)
+			if answer.Err != nil && errors.Is(step.ctx.Err(), context.Canceled) {
 				result = logic.Cancelled
 			}
 			step.cancel()
-			out = nil
-			p.driver.done(call, step, result, final, rest != nil && rest.Begun())
-			p.stats.attempt(result)
-			attempts = append(attempts, attemptTrace{step.uid, result, time.Since(step.sent)})
+			inFlight = nil
+			p.driver.done(r, step, result, final, rest != nil && rest.Begun())
+			p.stats.recordAttempt(result)
+			attempts = append(attempts, attemptTrace{step.uid, result, time.Since(step.sentAt)})
 			if final {
-				p.driver.forget(call)
+				p.driver.forget(r)
 			}
 			switch {
-			case errors.Is(got.Source, http1.ErrBusy):
-				ends[throttled].Add(1)
-				ended(endBusy, "")
+			case errors.Is(answer.Source, http1.ErrBusy):
+				outcomes[throttled].Add(1)
+				logEnd(endBusy, "")
 				req.Close = true // most of it has not been read
-				p.answer(c, req, http.StatusServiceUnavailable, comeBack(p.cfg.logic.MaxComeBack), "busy")
+				p.respond(c, req, http.StatusServiceUnavailable, retryAfterHeader(p.cfg.logicSettings.MaxComeBack), "busy")
 				return false
-			case got.Source != nil:
-				ended(endUnreadable, "")
-				p.turnAway(c, unreadable(got.Source), got.Source)
+			case answer.Source != nil:
+				logEnd(endUnreadable, "")
+				p.answerBadRequest(c, readErrorStatus(answer.Source), answer.Source)
 				return false
-			case call.ahead.Load():
-				got.Release(false)
+			case r.pipelined.Load():
+				answer.Release(false)
 			case result == logic.OK:
-				p.stats.served(time.Since(start))
-				open := p.pass(c, req, &got, ends)
+				p.stats.recordLatency(time.Since(start))
+				open := p.forwardResponse(c, req, &answer, outcomes)
 				switch {
-				case c.reset:
-					ended(endCutShort, "")
-				case time.Since(start) > in.budget:
-					ended(endLate, "")
+				case c.resetOnClose:
+					logEnd(endCutShort, "")
+				case time.Since(start) > info.budget:
+					logEnd(endLate, "")
 				}
-				return stays(open)
+				return keepOpen(open)
 			case final:
-				got.Release(false)
-				ended(endRejected, strconv.Itoa(got.Status))
-				ends[faulted].Add(1)
-				return stays(p.answer(c, req, got.Status, nil, "rejected"))
+				answer.Release(false)
+				logEnd(endRejected, strconv.Itoa(answer.Status))
+				outcomes[faulted].Add(1)
+				return keepOpen(p.respond(c, req, answer.Status, nil, "rejected"))
 			default:
-				got.Release(false)
+				answer.Release(false)
 			}
 		case stepRefuse:
-			ended(endRefused, step.why.String())
-			ends[throttled].Add(1)
-			return stays(p.answer(c, req, http.StatusServiceUnavailable, comeBack(step.comeBack), "refused"))
+			logEnd(endRefused, step.cause.String())
+			outcomes[throttled].Add(1)
+			return keepOpen(p.respond(c, req, http.StatusServiceUnavailable, retryAfterHeader(step.retryAfter), "refused"))
 		case stepFail:
-			ended(endFailed, step.why.String())
-			ends[faulted].Add(1)
-			return stays(p.answer(c, req, http.StatusBadGateway, nil, "failed"))
-		case stepAhead:
-			ended(endAhead, "")
-			p.turnAway(c, http.StatusBadRequest, errAhead)
+			logEnd(endFailed, step.cause.String())
+			outcomes[faulted].Add(1)
+			return keepOpen(p.respond(c, req, http.StatusBadGateway, nil, "failed"))
+		case stepPipelined:
+			logEnd(endPipelined, "")
+			p.answerBadRequest(c, http.StatusBadRequest, errPipelined)
 			return false
-		case stepGone:
-			ended(endClientGone, "")
+		case stepClientGone:
+			logEnd(endClientGone, "")
 			return p.clientGone(c, req)
 		}
 	}
@@ -183,19 +183,19 @@
 
 // clientGone ends a request whose client has left. It may have ended its own side alone,
 // and still read.
-func (p *Proxy) clientGone(c *client, req *http.Request) bool {
-	p.stats.gone.Add(1)
-	p.answer(c, req, http.StatusBadGateway, nil, "client left")
+func (p *Proxy) clientGone(c *clientConn, req *http.Request) bool {
+	p.stats.clientsGone.Add(1)
+	p.respond(c, req, http.StatusBadGateway, nil, "client left")
 	return false
 }
 
 // outcome names what an exchange came to in the module's terms, and tells whether
 // the request is over with it.
-func outcome(a *upstream.Answer) (r logic.Result, final bool) {
-	if a.Source != nil { // never whole at the backend, and no fault of its own
+func attemptOutcome(answer *upstream.Answer) (result logic.Result, final bool) {
+	if answer.Source != nil { // never whole at the backend, and no fault of its own
 		return logic.NeverSent, true
 	}
-	switch a.Stage {
+	switch answer.Stage {
 	case upstream.Unsent:
 		return logic.NeverSent, false
 	case upstream.Late:
@@ -203,20 +203,20 @@
 	case upstream.Unopened:
 		return logic.NoConnect, false
 	case upstream.Written:
-		if a.Timeout() {
+		if answer.Timeout() {
 			return logic.TimedOut, false
 		}
 		return logic.Broken, false
 	}
-	turnedAway := a.Status == http.StatusServiceUnavailable || a.Status == http.StatusGatewayTimeout
+	rejectStatus := answer.Status == http.StatusServiceUnavailable || answer.Status == http.StatusGatewayTimeout
 	switch {
-	case a.Err != nil:
+	case answer.Err != nil:
 		return logic.Error, false
-	case a.Status == http.StatusOK:
+	case answer.Status == http.StatusOK:
 		return logic.OK, true
-	case turnedAway && a.Header.Get(headerNotProcessed) == "1":
+	case rejectStatus && answer.Header.Get(headerNotProcessed) == "1":
 		return logic.Full, false
-	case callersFault(a.Status):
+	case isClientError(answer.Status):
 		return logic.Cancelled, true
 	}
 	return logic.Error, false
@@ -224,7 +224,7 @@
 
 // callersFault tells whether a status says that the request itself is at fault, and
 // would be anywhere. It says nothing against the backend, and is not tried again.
-func callersFault(status int) bool {
+func isClientError(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusTooEarly, http.StatusTooManyRequests:
 		return false
@@ -234,7 +234,7 @@
 
 // forward is the text of req for a backend that has left to answer it: with all of its
 // body, or the first part of it where there is a rest.
-func forward(req *http.Request, host string, body []byte, rest *http1.Rest, left time.Duration) []byte {
+func encodeRequest(req *http.Request, host string, body []byte, rest *http1.Rest, left time.Duration) []byte {
 	b := make([]byte, 0, 512+len(body))
 	b = append(b, req.Method...)
 	b = append(b, ' ')
@@ -249,7 +249,7 @@
 	}
 	b = append(b, host...)
 	for name, values := range req.Header {
-		if hopByHop[name] {
+		if hopByHopHeaders[name] {
 			continue
 		}
 		for _, v := range values {
@@ -278,7 +278,7 @@
 }
 
 // hopByHop are the headers that a message's sender sets anew.
-var hopByHop = map[string]bool{
+var hopByHopHeaders = map[string]bool{
 	"Connection":                           true,
 	"Content-Length":                       true,
 	"Expect":                               true,
@@ -291,7 +291,7 @@
 	http.CanonicalHeaderKey(headerTimeout): true,
 }
 
-func comeBack(d time.Duration) []string {
+func retryAfterHeader(d time.Duration) []string {
 	if d <= 0 {
 		return nil
 	}
@@ -300,28 +300,28 @@
 
 // pass hands on a backend's answer, and counts how the request ended: with one that is
 // here whole at once, so that who has read it finds it counted; else with its last byte.
-func (p *Proxy) pass(c *client, req *http.Request, got *upstream.Answer, ends *[endings]atomic.Int64) bool {
+func (p *Proxy) forwardResponse(c *clientConn, req *http.Request, answer *upstream.Answer, outcomes *[outcomeCount]atomic.Int64) bool {
 	var header []string
 	for _, name := range []string{"Content-Type", "Content-Encoding"} {
-		if v := got.Header.Get(name); v != "" {
+		if v := answer.Header.Get(name); v != "" {
 			header = append(header, name, v)
 		}
 	}
-	if got.Rest == nil {
-		ends[fulfilled].Add(1)
-		return p.write(c, got.Status, header, got.Body, req.Close)
+	if answer.Rest == nil {
+		outcomes[fulfilled].Add(1)
+		return p.writeResponse(c, answer.Status, header, answer.Body, req.Close)
 	}
-	last := !req.ProtoAtLeast(1, 1) || req.Close || !p.stays() // said once, and kept to
-	err := p.passLong(c, req, got, header, last)
-	got.Release(err == nil)
+	last := !req.ProtoAtLeast(1, 1) || req.Close || !p.keepConnections() // said once, and kept to
+	err := p.streamResponse(c, req, answer, header, last)
+	answer.Release(err == nil)
 	if err == nil || errors.Is(err, http1.ErrPassed) {
-		ends[fulfilled].Add(1)
+		outcomes[fulfilled].Add(1)
 	} else {
-		ends[faulted].Add(1)
+		outcomes[faulted].Add(1)
 	}
 	if err != nil { // the client must be able to tell: no end, and no clean close
-		p.stats.cutShort.Add(1)
-		c.reset = true
+		p.stats.truncated.Add(1)
+		c.resetOnClose = true
 		if t, ok := c.conn.Conn.(interface{ SetLinger(int) error }); ok {
 			t.SetLinger(0)
 		}
@@ -332,16 +332,16 @@
 
 // passLong writes an answer with a rest, as it comes. A client that reads HTTP/1.0 gets
 // one of unknown size until the connection's end.
-func (p *Proxy) passLong(c *client, req *http.Request, got *upstream.Answer, header []string, last bool) (err error) {
-	old, first := !req.ProtoAtLeast(1, 1), got.Body
+func (p *Proxy) streamResponse(c *clientConn, req *http.Request, answer *upstream.Answer, header []string, last bool) (err error) {
+	http10, first := !req.ProtoAtLeast(1, 1), answer.Body
 	switch {
-	case got.Rest.Size >= 0:
-		header = append(header, "Content-Length", strconv.FormatInt(got.Rest.Size, 10))
-	case !old:
+	case answer.Rest.Size >= 0:
+		header = append(header, "Content-Length", strconv.FormatInt(answer.Rest.Size, 10))
+	case !http10:
 		header = append(header, "Transfer-Encoding", "chunked")
 		first = http1.Chunk(first)
 	}
-	if old && got.Rest.Size < 0 {
+	if http10 && answer.Rest.Size < 0 {
 		// The connection's end is the answer's: until that is here, any other end is a
 		// reset, also the one that the kernel makes of ours.
 		if t, ok := c.conn.Conn.(interface{ SetLinger(int) error }); ok {
@@ -353,53 +353,53 @@
 			}()
 		}
 	}
-	within := upstream.Progress(c.conn.SetWriteDeadline)
-	within(0)
-	_, err = c.conn.Write(answerText(got.Status, header, first, last))
-	c.answering = true
+	extendDeadline := upstream.Progress(c.conn.SetWriteDeadline)
+	extendDeadline(0)
+	_, err = c.conn.Write(encodeResponse(answer.Status, header, first, last))
+	c.responseStarted = true
 	if err != nil {
 		return fmt.Errorf("%w: %w", http1.ErrPassed, err)
 	}
-	return p.transfers.Pass(c.conn, got.Rest, old, func(passed int64) error {
-		within(passed)
+	return p.transfers.Pass(c.conn, answer.Rest, http10, func(passed int64) error {
+		extendDeadline(passed)
 		return nil
 	})
 }
 
 // stays tells whether connections of clients are kept after an answer.
-func (p *Proxy) stays() bool { return p.Phase() <= Draining && !p.sockets.Full() }
+func (p *Proxy) keepConnections() bool { return p.Phase() <= Draining && !p.descriptors.Full() }
 
 // answer answers a request ourselves.
-func (p *Proxy) answer(c *client, req *http.Request, status int, header []string, text string) bool {
+func (p *Proxy) respond(c *clientConn, req *http.Request, status int, header []string, text string) bool {
 	header = append(header, "Content-Type", "text/plain")
-	return p.write(c, status, header, []byte(text+"\n"), req.Close)
+	return p.writeResponse(c, status, header, []byte(text+"\n"), req.Close)
 }
 
 // ready answers whether the proxy can serve.
-func (p *Proxy) ready(c *client, req *http.Request) bool {
+func (p *Proxy) serveReadiness(c *clientConn, req *http.Request) bool {
 	if p.Ready() {
-		return p.answer(c, req, http.StatusOK, nil, "ok")
+		return p.respond(c, req, http.StatusOK, nil, "ok")
 	}
-	return p.answer(c, req, http.StatusServiceUnavailable, nil, "not ready")
+	return p.respond(c, req, http.StatusServiceUnavailable, nil, "not ready")
 }
 
 // write writes an answer and returns whether the connection stays.
-func (p *Proxy) write(c *client, status int, header []string, body []byte, last bool) bool {
-	last = last || !p.stays()
+func (p *Proxy) writeResponse(c *clientConn, status int, header []string, body []byte, last bool) bool {
+	last = last || !p.keepConnections()
 	header = append(header, "Content-Length", strconv.Itoa(len(body)))
-	c.conn.SetWriteDeadline(time.Now().Add(writeLimit))
-	_, err := c.conn.Write(answerText(status, header, body, last))
-	c.answering = true
+	c.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
+	_, err := c.conn.Write(encodeResponse(status, header, body, last))
+	c.responseStarted = true
 	if err != nil {
-		p.stats.unwritten.Add(1)
-		c.reset = true // nobody takes what it would linger for
+		p.stats.writeFailures.Add(1)
+		c.resetOnClose = true // nobody takes what it would linger for
 		return false
 	}
 	return !last
 }
 
 // answerText is an answer's head, and what is here of its body.
-func answerText(status int, header []string, body []byte, last bool) []byte {
+func encodeResponse(status int, header []string, body []byte, last bool) []byte {
 	b := make([]byte, 0, 256+len(body))
 	b = append(b, "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(status), 10)
@@ -420,9 +420,9 @@
 
 // unreadable is the status that answers what could not be read as a request; 0
 // where nobody waits for an answer.
-func unreadable(err error) int {
+func readErrorStatus(err error) int {
 	switch {
-	case errors.Is(err, http1.ErrMalformed), errors.Is(err, errAhead):
+	case errors.Is(err, http1.ErrMalformed), errors.Is(err, errPipelined):
 		return http.StatusBadRequest
 	case errors.Is(err, http1.ErrHeadTooLarge):
 		return http.StatusRequestHeaderFieldsTooLarge
@@ -435,11 +435,11 @@
 }
 
 // turnAway answers what is no request of ours, so that its connection can be closed.
-func (p *Proxy) turnAway(c *client, code int, err error) {
+func (p *Proxy) answerBadRequest(c *clientConn, code int, err error) {
 	if code == 0 {
-		c.departed = true
+		c.closedMidMessage = true
 		return
 	}
-	p.stats.turnedAway(code, c.conn.RemoteAddr(), err)
-	p.write(c, code, nil, []byte(http.StatusText(code)+"\n"), true)
+	p.stats.recordBadRequest(code, c.conn.RemoteAddr(), err)
+	p.writeResponse(c, code, nil, []byte(http.StatusText(code)+"\n"), true)
 }
--- a/proxy/sockets.go
+++ b/proxy/sockets.go
@@ -12,35 +12,35 @@
 // end idle connections are closed. Each side has a part that the other can't take: what
 // the kernel has accepted must be taken, and can be refused; and a request that has been
 // taken needs a backend, however many clients stand idle.
-type sockets struct {
-	mu       sync.Mutex
-	freed    *sync.Cond
-	used     int
-	backends int // of these
-	limit    int
-	most     int  // that were ever in use
-	waiting  bool // a client does
+type descriptorBudget struct {
+	mu            sync.Mutex
+	released      *sync.Cond
+	used          int
+	backendUsed   int // of these
+	limit         int
+	peakUsed      int  // that were ever in use
+	clientWaiting bool // a client does
 
 	// relieve closes or hurries idle connections: too many by excess.
-	relieve func(excess int)
-	until   time.Time // no client waits any longer; zero: no bound
+	reclaim      func(excess int)
+	waitDeadline time.Time // no client waits any longer; zero: no bound
 }
 
 const (
-	ownSockets   = 16        // listener, discovery, poller, standard streams, a dial under way
-	ownPart      = 8         // the budget by this is for clients alone, and as much for backends
-	relieveAbove = 3.0 / 4.0 // of the budget in use
+	reservedDescriptors = 16        // listener, discovery, poller, standard streams, a dial under way
+	minShareDivisor     = 8         // the budget by this is for clients alone, and as much for backends
+	reclaimThreshold    = 3.0 / 4.0 // of the budget in use
 )
 
-func newSockets(limit int) *sockets {
-	s := &sockets{limit: allowedSockets(limit) - ownSockets}
-	s.freed = sync.NewCond(&s.mu)
+func newDescriptorBudget(limit int) *descriptorBudget {
+	s := &descriptorBudget{limit: allowedDescriptors(limit) - reservedDescriptors}
+	s.released = sync.NewCond(&s.mu)
 	return s
 }
 
 // allowedSockets is how many descriptors a process that may have so many by its
 // configuration can open at all: guards against accepts and dials that fail by EMFILE.
-func allowedSockets(configured int) int {
+func allowedDescriptors(configured int) int {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil || limit.Cur >= uint64(configured) {
 		return configured
@@ -51,125 +51,125 @@
 
 // resize makes the budget that of a new limit. What is in use over it is given back
 // as its connections end.
-func (s *sockets) resize(limit int) {
+func (s *descriptorBudget) resize(limit int) {
 	s.mu.Lock()
-	s.limit = allowedSockets(limit) - ownSockets
+	s.limit = allowedDescriptors(limit) - reservedDescriptors
 	s.mu.Unlock()
-	s.freed.Broadcast()
+	s.released.Broadcast()
 }
 
 // Take takes a descriptor for a connection to a backend, if there is one.
-func (s *sockets) Take() bool {
-	s.relieveIfNear()
+func (s *descriptorBudget) Take() bool {
+	s.reclaimIfNearLimit()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.backends+max(s.used-s.backends, s.own()) >= s.limit {
+	if s.backendUsed+max(s.used-s.backendUsed, s.minShare()) >= s.limit {
 		return false
 	}
-	s.backends++
-	s.take()
+	s.backendUsed++
+	s.recordAcquired()
 	return true
 }
 
 // own is the least part of each side: one at least, without which nothing is served.
-func (s *sockets) own() int { return max(1, s.limit/ownPart) }
+func (s *descriptorBudget) minShare() int { return max(1, s.limit/minShareDivisor) }
 
 // crowded tells whether no other client can be taken. The caller holds mu.
-func (s *sockets) crowded() bool {
-	return s.used-s.backends+max(s.backends, s.own()) >= s.limit
+func (s *descriptorBudget) fullForClients() bool {
+	return s.used-s.backendUsed+max(s.backendUsed, s.minShare()) >= s.limit
 }
 
 // waitUntil bounds the wait for a descriptor, also one that is under way: guards against
 // a drain that hangs on it.
-func (s *sockets) waitUntil(t time.Time) {
+func (s *descriptorBudget) setWaitDeadline(deadline time.Time) {
 	s.mu.Lock()
-	s.until = t
+	s.waitDeadline = deadline
 	s.mu.Unlock()
-	time.AfterFunc(time.Until(t), func() {
+	time.AfterFunc(time.Until(deadline), func() {
 		s.mu.Lock() // who has seen that there is time left is waiting by now
 		defer s.mu.Unlock()
-		s.freed.Broadcast()
+		s.released.Broadcast()
 	})
 }
 
 // wait takes a descriptor for a client, once there is one. It returns false where there
 // is none in time.
-func (s *sockets) wait() bool {
-	s.relieveIfNear()
+func (s *descriptorBudget) acquireForClient() bool {
+	s.reclaimIfNearLimit()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	defer func() { s.waiting = false }()
-	for s.crowded() {
-		if !s.until.IsZero() && !time.Now().Before(s.until) {
+	defer func() { s.clientWaiting = false }()
+	for s.fullForClients() {
+		if !s.waitDeadline.IsZero() && !time.Now().Before(s.waitDeadline) {
 			return false
 		}
-		if !s.waiting { // who becomes idle from now on makes room by itself
-			s.waiting = true
+		if !s.clientWaiting { // who becomes idle from now on makes room by itself
+			s.clientWaiting = true
 			s.mu.Unlock()
-			s.relieveIfNear()
+			s.reclaimIfNearLimit()
 			s.mu.Lock()
 			continue
 		}
-		s.freed.Wait()
+		s.released.Wait()
 	}
-	s.take()
+	s.recordAcquired()
 	return true
 }
 
 // wanted tells whether a client waits for a descriptor.
-func (s *sockets) wanted() bool {
+func (s *descriptorBudget) clientIsWaiting() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.waiting
+	return s.clientWaiting
 }
 
-func (s *sockets) take() {
+func (s *descriptorBudget) recordAcquired() {
 	s.used++
-	s.most = max(s.most, s.used)
+	s.peakUsed = max(s.peakUsed, s.used)
 }
 
 // Give gives one of a backend's back.
-func (s *sockets) Give() {
+func (s *descriptorBudget) Give() {
 	s.mu.Lock()
-	s.backends--
+	s.backendUsed--
 	s.used--
 	s.mu.Unlock()
-	s.freed.Signal()
+	s.released.Signal()
 }
 
 // leave gives one of a client's back.
-func (s *sockets) leave() {
+func (s *descriptorBudget) releaseForClient() {
 	s.mu.Lock()
 	s.used--
 	s.mu.Unlock()
-	s.freed.Signal()
+	s.released.Signal()
 }
 
 // Full tells whether none is left: connections that become idle are closed then.
-func (s *sockets) Full() bool {
+func (s *descriptorBudget) Full() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.used >= s.limit
 }
 
-func (s *sockets) relieveIfNear() {
+func (s *descriptorBudget) reclaimIfNearLimit() {
 	if n := s.excess(); n > 0 {
-		s.relieve(n)
+		s.reclaim(n)
 	}
 }
 
 // excess is how many too many are in use once another one is.
-func (s *sockets) excess() int {
+func (s *descriptorBudget) excess() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.used + 1 - int(relieveAbove*float64(s.limit))
+	return s.used + 1 - int(reclaimThreshold*float64(s.limit))
 }
 
 // short tells whether descriptors are given back as soon as can be.
-func (s *sockets) short() bool { return s.excess() > 0 }
+func (s *descriptorBudget) nearLimit() bool { return s.excess() > 0 }
 
-func (s *sockets) inUse() (used, most int) {
+func (s *descriptorBudget) inUse() (used, peak int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.used, s.most
+	return s.used, s.peakUsed
 }
--- a/proxy/sockets_test.go
+++ b/proxy/sockets_test.go
@@ -14,11 +14,11 @@
 // the least that a process can have.
 func TestSocketsParts(t *testing.T) {
 	for _, c := range []struct{ budget, part int }{{2, 1}, {6, 1}, {16, 2}, {240, 30}} {
-		s := newSockets(ownSockets + c.budget)
-		s.relieve = func(int) {}
-		s.waitUntil(time.Now()) // what can't be had at once can't be had
+		s := newDescriptorBudget(reservedDescriptors + c.budget)
+		s.reclaim = func(int) {}
+		s.setWaitDeadline(time.Now()) // what can't be had at once can't be had
 		clients, backends := 0, 0
-		for s.wait() {
+		for s.acquireForClient() {
 			clients++
 		}
 		for s.Take() {
@@ -27,14 +27,14 @@
 		if clients != c.budget-c.part || backends != c.part {
 			t.Errorf("%d: clients first got %d, backends %d", c.budget, clients, backends)
 		}
-		s = newSockets(ownSockets + c.budget)
-		s.relieve = func(int) {}
-		s.waitUntil(time.Now())
+		s = newDescriptorBudget(reservedDescriptors + c.budget)
+		s.reclaim = func(int) {}
+		s.setWaitDeadline(time.Now())
 		clients, backends = 0, 0
 		for s.Take() {
 			backends++
 		}
-		for s.wait() {
+		for s.acquireForClient() {
 			clients++
 		}
 		if backends != c.budget-c.part || clients != c.part {
@@ -55,9 +55,9 @@
 	known := standin.List(1, true, standin.Target("s-1", b.Addr()))
 	d := standin.NewDiscovery(t, known)
 	p := listening(t, known, d.Addr())
-	p.sockets.resize(ownSockets + 8)
+	p.descriptors.resize(reservedDescriptors + 8)
 	// None of the crowd makes room.
-	p.clients.freshLeast, p.clients.newLimit, p.clients.idleLimit = time.Hour, time.Hour, time.Hour
+	p.clients.minFirstRequestWait, p.clients.firstRequestTimeout, p.clients.idleTimeout = time.Hour, time.Hour, time.Hour
 	defer running(t, p)()
 	d.Down(true) // once there has been a list: that of the start alone may not be used
 	d.Reset()
@@ -70,13 +70,13 @@
 			c.Close()
 		}
 	}()
-	eventually(t, "a crowd that takes all it can", p.sockets.wanted)
+	eventually(t, "a crowd that takes all it can", p.descriptors.clientIsWaiting)
 	io.WriteString(crowd[0], text("get", 2000))
 	if resp, _ := read(t, crowd[0]); resp.StatusCode != 200 {
 		t.Errorf("got %d", resp.StatusCode)
 	}
 	crowd[0].Close()
-	eventually(t, "full again", p.sockets.wanted)
+	eventually(t, "full again", p.descriptors.clientIsWaiting)
 	io.WriteString(crowd[1], "GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n")
 	if resp, _ := read(t, crowd[1]); resp.StatusCode != 200 {
 		t.Errorf("healthz: got %d", resp.StatusCode)
@@ -86,7 +86,7 @@
 	d.Down(false)
 	eventually(t, "a new list", func() bool {
 		d.Push(standin.List(2, true, standin.Target("s-1", b.Addr()), standin.Target("s-2", moved.Addr())))
-		return p.driver.known() == 2
+		return p.driver.backendCount() == 2
 	})
 	if took := time.Since(back); took > discovery.TellWithin {
 		t.Errorf("the list is followed %v after discovery's return", took)
@@ -99,10 +99,10 @@
 	b := standin.NewBackend(t, standin.Echo)
 	p := listening(t, standin.List(1, true, standin.Target("s-1", b.Addr())), "127.0.0.1:1")
 	defer p.listener.Close()
-	p.clients.idleLimit = time.Hour
+	p.clients.idleTimeout = time.Hour
 	nc, _, ended := crossing(t, p, "")
 	p.clients.mu.Lock()
-	p.clients.wanted = func() bool { return true } // from now on
+	p.clients.descriptorWanted = func() bool { return true } // from now on
 	p.clients.mu.Unlock()
 	io.WriteString(nc, text("get", 2000))
 	if resp, _ := read(t, nc); resp.StatusCode != 200 || resp.Close {
@@ -113,7 +113,7 @@
 	}
 	nc.Close()
 	<-ended
-	for _, b := range p.driver.all() {
+	for _, b := range p.driver.allBackends() {
 		b.Close()
 	}
 }
--- a/proxy/state.go
+++ b/proxy/state.go
@@ -23,47 +23,47 @@
 // locks, which the kernel frees with their process, so that nothing left behind by one
 // that died does harm. Without a directory there is no other, and bans last as long as
 // the process.
-type state struct {
-	bansPath string
-	locks    *os.File
-	slot     int64 // of the lock file, locked by this process
+type sharedState struct {
+	detachedPath string
+	lockFile     *os.File
+	slot         int64 // of the lock file, locked by this process
 
-	mu   sync.Mutex
-	bans map[string]bool // as this process has them
-	seen os.FileInfo     // the bans file when it was last read
-	kept map[string]bool // changes that are not written yet: they hold here, whatever is read
+	mu        sync.Mutex
+	detached  map[string]bool // as this process has them
+	lastRead  os.FileInfo     // the bans file when it was last read
+	unwritten map[string]bool // changes that are not written yet: they hold here, whatever is read
 
-	written time.Time // last try
+	lastWriteAttempt time.Time // last try
 }
 
 const (
 	// mostProcesses may be there at once: the old one, the new one, and others that
 	// failed to start and are about to end.
-	mostProcesses = 4
-	changeLock    = mostProcesses // a byte behind the slots: held while bans are changed
+	maxProcesses     = 4
+	changeLockOffset = maxProcesses // a byte behind the slots: held while bans are changed
 
 	// The kernel's locks of open files (F_OFD_GETLK and the like), which one process
 	// can hold against itself, too.
-	ofdGet, ofdSet = 36, 37
+	fcntlOFDGetLock, fcntlOFDSetLock = 36, 37
 
 	// lockTries and lockPause bound the wait for the change lock: guards against a
 	// process that is stopped while it holds it.
-	lockTries = 20
-	lockPause = 10 * time.Millisecond
+	changeLockAttempts      = 20
+	changeLockRetryInterval = 10 * time.Millisecond
 
 	// newSuffix ends the name of a file of bans that is being written.
-	newSuffix = ".new"
+	tempFileSuffix = ".new"
 	// writeAgainEvery is how often what could not be written is tried again: a full disk
 	// is full for a while.
-	writeAgainEvery = 500 * time.Millisecond
+	writeRetryInterval = 500 * time.Millisecond
 
-	maxBans     = 1024
-	maxBansFile = maxBans * (maxID*6 + 4) // every byte of an id escaped
+	maxDetached          = 1024
+	maxDetachedFileBytes = maxDetached * (maxIDBytes*6 + 4) // every byte of an id escaped
 )
 
 // openState takes this process's place in dir, for a proxy that listens at listen.
-func openState(dir, listen string) (*state, error) {
-	s := &state{bans: map[string]bool{}, kept: map[string]bool{}, slot: -1}
+func openSharedState(dir, listen string) (*sharedState, error) {
+	s := &sharedState{detached: map[string]bool{}, unwritten: map[string]bool{}, slot: -1}
 	if dir == "" {
 		return s, nil
 	}
@@ -77,26 +77,26 @@
 	if err != nil {
 		return s, fmt.Errorf("state: %w", err)
 	}
-	s.locks, s.bansPath = f, base+".bans"
-	s.clearHalfWritten()
-	for slot := range int64(mostProcesses) {
-		if s.lock(ofdSet, syscall.F_WRLCK, slot) == nil {
+	s.lockFile, s.detachedPath = f, base+".bans"
+	s.removeTempFiles()
+	for slot := range int64(maxProcesses) {
+		if s.lockByte(fcntlOFDSetLock, syscall.F_WRLCK, slot) == nil {
 			s.slot = slot
 			return s, nil
 		}
 	}
-	return s, fmt.Errorf("state: %d processes hold %s", mostProcesses, f.Name())
+	return s, fmt.Errorf("state: %d processes hold %s", maxProcesses, f.Name())
 }
 
 // clearHalfWritten removes what a process that was killed in the middle of a write has left
 // behind. Who holds the change lock is writing now: then it is left to the next start.
-func (s *state) clearHalfWritten() {
-	if s.lock(ofdSet, syscall.F_WRLCK, changeLock) != nil {
+func (s *sharedState) removeTempFiles() {
+	if s.lockByte(fcntlOFDSetLock, syscall.F_WRLCK, changeLockOffset) != nil {
 		return
 	}
-	defer s.lock(ofdSet, syscall.F_UNLCK, changeLock)
-	left, _ := filepath.Glob(globQuoted(s.bansPath) + newSuffix + "*")
-	for _, name := range left {
+	defer s.lockByte(fcntlOFDSetLock, syscall.F_UNLCK, changeLockOffset)
+	files, _ := filepath.Glob(escapeGlob(s.detachedPath) + tempFileSuffix + "*")
+	for _, name := range files {
 		if err := os.Remove(name); err != nil {
 			log.Printf("event=bans_not_cleared err=%q", err)
 		}
@@ -104,24 +104,24 @@
 }
 
 // globQuoted is a path as a pattern that it alone matches.
-func globQuoted(path string) string {
+func escapeGlob(path string) string {
 	return strings.NewReplacer(`\`, `\\`, "*", `\*`, "?", `\?`, "[", `\[`).Replace(path)
 }
 
 // lock applies a lock command to one byte of the lock file.
-func (s *state) lock(cmd int, kind int16, at int64) error {
-	return syscall.FcntlFlock(s.locks.Fd(), cmd, &syscall.Flock_t{Type: kind, Start: at, Len: 1})
+func (s *sharedState) lockByte(cmd int, lockType int16, offset int64) error {
+	return syscall.FcntlFlock(s.lockFile.Fd(), cmd, &syscall.Flock_t{Type: lockType, Start: offset, Len: 1})
 }
 
 // processes is how many there are, this one included.
-func (s *state) processes() int {
+func (s *sharedState) processCount() int {
 	n := 1
-	if s.locks == nil {
+	if s.lockFile == nil {
 		return n
 	}
-	for slot := range int64(mostProcesses) {
-		at := syscall.Flock_t{Type: syscall.F_WRLCK, Start: slot, Len: 1}
-		if slot != s.slot && syscall.FcntlFlock(s.locks.Fd(), ofdGet, &at) == nil && at.Type != syscall.F_UNLCK {
+	for slot := range int64(maxProcesses) {
+		lock := syscall.Flock_t{Type: syscall.F_WRLCK, Start: slot, Len: 1}
+		if slot != s.slot && syscall.FcntlFlock(s.lockFile.Fd(), fcntlOFDGetLock, &lock) == nil && lock.Type != syscall.F_UNLCK {
 			n++
 		}
 	}
@@ -131,115 +131,115 @@
 // change bans a backend or lifts its ban, for this process and the other, and returns
 // once a process that starts now would know. What can't be written holds here alone,
 // and the error says why.
-func (s *state) change(id string, ban bool) error {
+func (s *sharedState) setDetached(id string, detach bool) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.locks == nil {
-		s.bans = maps.Clone(s.bans) // readers of the old ones compare
-		setBan(s.bans, id, ban)
+	if s.lockFile == nil {
+		s.detached = maps.Clone(s.detached) // readers of the old ones compare
+		updateDetachedSet(s.detached, id, detach)
 		return nil
 	}
-	s.kept[id] = ban
-	return s.writeKept()
+	s.unwritten[id] = detach
+	return s.writePending()
 }
 
-func setBan(bans map[string]bool, id string, ban bool) {
-	if ban {
-		bans[id] = true
+func updateDetachedSet(detached map[string]bool, id string, detach bool) {
+	if detach {
+		detached[id] = true
 	} else {
-		delete(bans, id)
+		delete(detached, id)
 	}
 }
 
 // writeKept makes the changes that are not written yet, here and in the file. The caller
 // holds mu.
-func (s *state) writeKept() error {
-	err := s.lock(ofdSet, syscall.F_WRLCK, changeLock)
-	for range lockTries {
+func (s *sharedState) writePending() error {
+	err := s.lockByte(fcntlOFDSetLock, syscall.F_WRLCK, changeLockOffset)
+	for range changeLockAttempts {
 		if err == nil {
 			break
 		}
-		time.Sleep(lockPause)
-		err = s.lock(ofdSet, syscall.F_WRLCK, changeLock)
+		time.Sleep(changeLockRetryInterval)
+		err = s.lockByte(fcntlOFDSetLock, syscall.F_WRLCK, changeLockOffset)
 	}
 	if err != nil {
 		log.Printf("event=bans_unlocked err=%q", err)
 	}
-	defer s.lock(ofdSet, syscall.F_UNLCK, changeLock)
-	s.read() // what the other process has changed must stay
-	s.bans = maps.Clone(s.bans)
-	for id, ban := range s.kept {
-		setBan(s.bans, id, ban)
+	defer s.lockByte(fcntlOFDSetLock, syscall.F_UNLCK, changeLockOffset)
+	s.reloadFile() // what the other process has changed must stay
+	s.detached = maps.Clone(s.detached)
+	for id, detach := range s.unwritten {
+		updateDetachedSet(s.detached, id, detach)
 	}
-	s.written = time.Now()
-	if err := s.write(); err != nil {
+	s.lastWriteAttempt = time.Now()
+	if err := s.writeFile(); err != nil {
 		return err
 	}
-	clear(s.kept)
+	clear(s.unwritten)
 	return nil
 }
 
 // follow reads the bans again if the file is another. It returns what is banned anew,
 // and what no longer is.
-func (s *state) follow() (out, in []string) {
+func (s *sharedState) refresh() (detached, attached []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.locks == nil {
+	if s.lockFile == nil {
 		return nil, nil
 	}
-	before := s.bans
-	s.read()
-	if len(s.kept) > 0 && time.Since(s.written) >= writeAgainEvery {
-		if err := s.writeKept(); err == nil {
+	before := s.detached
+	s.reloadFile()
+	if len(s.unwritten) > 0 && time.Since(s.lastWriteAttempt) >= writeRetryInterval {
+		if err := s.writePending(); err == nil {
 			log.Printf("event=bans_written_late")
 		}
 	}
-	for id := range s.bans {
+	for id := range s.detached {
 		if !before[id] {
-			out = append(out, id)
+			detached = append(detached, id)
 		}
 	}
 	for id := range before {
-		if !s.bans[id] {
-			in = append(in, id)
+		if !s.detached[id] {
+			attached = append(attached, id)
 		}
 	}
-	return out, in
+	return detached, attached
 }
 
 // read makes the bans those of the file, if it is another than was last read. One that
 // can't be read is told once, and changes nothing.
-func (s *state) read() {
-	info, err := os.Stat(s.bansPath)
+func (s *sharedState) reloadFile() {
+	info, err := os.Stat(s.detachedPath)
 	if errors.Is(err, fs.ErrNotExist) {
 		return // nobody has banned anything, or the directory was cleared: bans hold
 	}
-	if err == nil && s.seen != nil && os.SameFile(info, s.seen) && info.ModTime().Equal(s.seen.ModTime()) &&
-		info.Size() == s.seen.Size() {
+	if err == nil && s.lastRead != nil && os.SameFile(info, s.lastRead) && info.ModTime().Equal(s.lastRead.ModTime()) &&
+		info.Size() == s.lastRead.Size() {
 		return
 	}
-	var bans map[string]bool
+	var detached map[string]bool
 	if err == nil {
-		s.seen = info
-		bans, err = readBans(s.bansPath)
+		s.lastRead = info
+		detached, err = readDetachedFile(s.detachedPath)
 	}
 	if err != nil {
 		log.Printf("event=bans_unreadable err=%q", err)
 		return
 	}
-	for id, ban := range s.kept {
-		setBan(bans, id, ban)
+	for id, detach := range s.unwritten {
+		updateDetachedSet(detached, id, detach)
 	}
-	s.bans = bans
+	s.detached = detached
 }
 
-func readBans(path string) (map[string]bool, error) {
+func readDetachedFile(path string) (map[string]bool, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
 	defer f.Close()
-	text, err := io.ReadAll(io.LimitReader(f, maxBansFile+1))
+	text, err := io.ReadAll(io.LimitReader(f, maxDetachedFileBytes+1))
 	if err != nil {
 		return nil, err
 	}
@@ -247,27 +247,27 @@
 	if err := json.Unmarshal(text, &ids); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	if ids == nil || len(ids) > maxBans {
-		return nil, fmt.Errorf("%s: no list of up to %d ids", path, maxBans)
+	if ids == nil || len(ids) > maxDetached {
+		return nil, fmt.Errorf("%s: no list of up to %d ids", path, maxDetached)
 	}
-	bans := map[string]bool{}
+	detached := map[string]bool{}
 	for _, id := range ids {
-		bans[id] = true
+		detached[id] = true
 	}
-	return bans, nil
+	return detached, nil
 }
 
 // write puts a new file in the place of the old one, so that none is ever read in part.
-func (s *state) write() error {
-	ids := make([]string, 0, len(s.bans))
-	for id := range s.bans {
+func (s *sharedState) writeFile() error {
+	ids := make([]string, 0, len(s.detached))
+	for id := range s.detached {
 		ids = append(ids, id)
 	}
 	text, err := json.Marshal(ids)
 	if err != nil {
 		return err
 	}
-	f, err := os.CreateTemp(filepath.Dir(s.bansPath), filepath.Base(s.bansPath)+newSuffix+"*")
+	f, err := os.CreateTemp(filepath.Dir(s.detachedPath), filepath.Base(s.detachedPath)+tempFileSuffix+"*")
 	if err != nil {
 		return err
 	}
@@ -278,32 +278,32 @@
 		err = f.Sync() // on disk before it takes the old one's place
 	}
 	if err == nil {
-		s.seen, err = f.Stat()
+		s.lastRead, err = f.Stat()
 	}
 	err = errors.Join(err, f.Close())
 	if err == nil {
-		err = os.Rename(f.Name(), s.bansPath)
+		err = os.Rename(f.Name(), s.detachedPath)
 	}
 	if err != nil {
-		s.seen = nil
+		s.lastRead = nil
 		os.Remove(f.Name())
 	}
 	return err
 }
 
 // count is how many backends are out, as this process has it.
-func (s *state) count() int {
+func (s *sharedState) detachedCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.bans)
+	return len(s.detached)
 }
 
-func (s *state) close() {
-	if s.locks != nil {
-		s.locks.Close()
+func (s *sharedState) close() {
+	if s.lockFile != nil {
+		s.lockFile.Close()
 	}
 }
 
 // followEvery is how often a process looks for another and for bans made there: well
 // inside the second that a ban may take.
-const followEvery = 50 * time.Millisecond
+const sharedStatePollInterval = 50 * time.Millisecond
--- a/proxy/state_test.go
+++ b/proxy/state_test.go
@@ -11,9 +11,9 @@
 	"time"
 )
 
-func opened(t *testing.T, dir string) *state {
+func openTestState(t *testing.T, dir string) *sharedState {
 	t.Helper()
-	s, err := openState(dir, "127.0.0.1:3000")
+	s, err := openSharedState(dir, "127.0.0.1:3000")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -25,25 +25,25 @@
 // holder, and another proxy's are no business of theirs.
 func TestProcesses(t *testing.T) {
 	dir := t.TempDir()
-	a := opened(t, dir)
-	if n := a.processes(); n != 1 {
+	a := openTestState(t, dir)
+	if n := a.processCount(); n != 1 {
 		t.Errorf("%d processes alone", n)
 	}
-	b := opened(t, dir)
-	other, err := openState(dir, "127.0.0.1:3001")
+	b := openTestState(t, dir)
+	other, err := openSharedState(dir, "127.0.0.1:3001")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer other.close()
-	if a.processes() != 2 || b.processes() != 2 || other.processes() != 1 {
-		t.Errorf("%d, %d, %d processes", a.processes(), b.processes(), other.processes())
+	if a.processCount() != 2 || b.processCount() != 2 || other.processCount() != 1 {
+		t.Errorf("%d, %d, %d processes", a.processCount(), b.processCount(), other.processCount())
 	}
-	a.locks.Close()
-	if n := b.processes(); n != 1 {
+	a.lockFile.Close()
+	if n := b.processCount(); n != 1 {
 		t.Errorf("%d processes after the other's end", n)
 	}
-	c := opened(t, dir)
-	if c.processes() != 2 || b.processes() != 2 {
+	c := openTestState(t, dir)
+	if c.processCount() != 2 || b.processCount() != 2 {
 		t.Error("a second replacement is not seen")
 	}
 }
@@ -52,27 +52,27 @@
 // their end.
 func TestBansAreShared(t *testing.T) {
 	dir := t.TempDir()
-	a, b := opened(t, dir), opened(t, dir)
-	change := func(s *state, id string, ban bool) {
+	a, b := openTestState(t, dir), openTestState(t, dir)
+	change := func(s *sharedState, id string, ban bool) {
 		t.Helper()
-		if err := s.change(id, ban); err != nil {
+		if err := s.setDetached(id, ban); err != nil {
 			t.Fatal(err)
 		}
 	}
 	change(a, "s-1", true)
 	change(b, "s-2 \"\n", true) // before b has followed a
-	if out, in := a.follow(); !slices.Equal(out, []string{"s-2 \"\n"}) || in != nil {
+	if out, in := a.refresh(); !slices.Equal(out, []string{"s-2 \"\n"}) || in != nil {
 		t.Errorf("a follows with %q out, %q in", out, in)
 	}
-	if out, in := a.follow(); out != nil || in != nil {
+	if out, in := a.refresh(); out != nil || in != nil {
 		t.Errorf("a follows again with %q out, %q in", out, in)
 	}
 	change(b, "s-1", false)
-	if out, in := a.follow(); out != nil || !slices.Equal(in, []string{"s-1"}) {
+	if out, in := a.refresh(); out != nil || !slices.Equal(in, []string{"s-1"}) {
 		t.Errorf("a follows with %q out, %q in", out, in)
 	}
-	c := opened(t, dir)
-	if out, _ := c.follow(); !slices.Equal(out, []string{"s-2 \"\n"}) {
+	c := openTestState(t, dir)
+	if out, _ := c.refresh(); !slices.Equal(out, []string{"s-2 \"\n"}) {
 		t.Errorf("a new process starts with %q", out)
 	}
 }
@@ -81,25 +81,25 @@
 // told in one line, the bans that are known hold, and the next change mends them.
 func TestSpoiltState(t *testing.T) {
 	for _, text := range []string{"", "{", `{"s-1":true}`, "null", `["s-1",2]`, "\x00\xff",
-		`["` + strings.Repeat("x", maxBansFile) + `"]`, fmt.Sprintf("[%s]", strings.Repeat(`"a",`, 2*maxBans)+`"a"`)} {
+		`["` + strings.Repeat("x", maxDetachedFileBytes) + `"]`, fmt.Sprintf("[%s]", strings.Repeat(`"a",`, 2*maxDetached)+`"a"`)} {
 		dir := t.TempDir()
-		s := opened(t, dir)
-		if err := s.change("s-9", true); err != nil {
+		s := openTestState(t, dir)
+		if err := s.setDetached("s-9", true); err != nil {
 			t.Fatal(err)
 		}
-		if err := os.WriteFile(s.bansPath, []byte(text), 0o600); err != nil {
+		if err := os.WriteFile(s.detachedPath, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if out, in := s.follow(); out != nil || in != nil {
+		if out, in := s.refresh(); out != nil || in != nil {
 			t.Errorf("%.20q: follows with %q out, %q in", text, out, in)
 		}
-		if out, in := opened(t, dir).follow(); out != nil || in != nil {
+		if out, in := openTestState(t, dir).refresh(); out != nil || in != nil {
 			t.Errorf("%.20q: starts with %q out, %q in", text, out, in)
 		}
-		if err := s.change("s-8", true); err != nil {
+		if err := s.setDetached("s-8", true); err != nil {
 			t.Fatal(err)
 		}
-		if out, _ := opened(t, dir).follow(); len(out) != 2 {
+		if out, _ := openTestState(t, dir).refresh(); len(out) != 2 {
 			t.Errorf("%.20q: after a change a new process starts with %q", text, out)
 		}
 	}
@@ -107,27 +107,27 @@
 
 // Without a directory, or with one that can't be written to, bans hold here alone.
 func TestNoState(t *testing.T) {
-	s, err := openState("", "127.0.0.1:3000")
-	if err != nil || s.processes() != 1 || s.change("s-1", true) != nil || !s.bans["s-1"] {
-		t.Errorf("without a directory: %v, %v", err, s.bans)
+	s, err := openSharedState("", "127.0.0.1:3000")
+	if err != nil || s.processCount() != 1 || s.setDetached("s-1", true) != nil || !s.detached["s-1"] {
+		t.Errorf("without a directory: %v, %v", err, s.detached)
 	}
-	s, err = openState(filepath.Join(t.TempDir(), "missing"), "127.0.0.1:3000")
-	if err == nil || s.processes() != 1 || s.change("s-1", true) != nil || !s.bans["s-1"] {
-		t.Errorf("in a missing directory: %v, %v", err, s.bans)
+	s, err = openSharedState(filepath.Join(t.TempDir(), "missing"), "127.0.0.1:3000")
+	if err == nil || s.processCount() != 1 || s.setDetached("s-1", true) != nil || !s.detached["s-1"] {
+		t.Errorf("in a missing directory: %v, %v", err, s.detached)
 	}
 	dir := t.TempDir()
-	s = opened(t, dir)
-	if err := s.change("s-1", true); err != nil {
+	s = openTestState(t, dir)
+	if err := s.setDetached("s-1", true); err != nil {
 		t.Fatal(err)
 	}
 	if err := os.RemoveAll(dir); err != nil {
 		t.Fatal(err)
 	}
-	if err := s.change("s-2", true); err == nil {
+	if err := s.setDetached("s-2", true); err == nil {
 		t.Error("nobody is told of a ban that was not written")
 	}
-	if out, in := s.follow(); out != nil || in != nil || !s.bans["s-1"] || !s.bans["s-2"] {
-		t.Errorf("bans are lost with their directory: %v", s.bans)
+	if out, in := s.refresh(); out != nil || in != nil || !s.detached["s-1"] || !s.detached["s-2"] {
+		t.Errorf("bans are lost with their directory: %v", s.detached)
 	}
 }
 
@@ -135,12 +135,12 @@
 // does not wait for it.
 func TestChangeLockIsHeld(t *testing.T) {
 	dir := t.TempDir()
-	a, b := opened(t, dir), opened(t, dir)
-	if err := a.lock(ofdSet, syscall.F_WRLCK, changeLock); err != nil {
+	a, b := openTestState(t, dir), openTestState(t, dir)
+	if err := a.lockByte(fcntlOFDSetLock, syscall.F_WRLCK, changeLockOffset); err != nil {
 		t.Fatal(err)
 	}
 	start := time.Now()
-	if err := b.change("s-1", true); err != nil {
+	if err := b.setDetached("s-1", true); err != nil {
 		t.Error(err)
 	}
 	if took := time.Since(start); took > 10*time.Second {
--- a/proxy/trouble_test.go
+++ b/proxy/trouble_test.go
@@ -58,7 +58,7 @@
 	eventually(t, "nothing left behind", func() bool {
 		p.driver.mu.Lock()
 		defer p.driver.mu.Unlock()
-		return len(p.driver.calls) == 0 && len(p.driver.open) == 0 && p.stats.open.Load() == 0
+		return len(p.driver.requests) == 0 && len(p.driver.openIDs) == 0 && p.stats.openRequests.Load() == 0
 	})
 }
 
@@ -66,53 +66,53 @@
 // knows of it.
 func TestBanWrittenLater(t *testing.T) {
 	dir := t.TempDir()
-	s := opened(t, dir)
-	full := filepath.Join(s.bansPath, "in the way") // a rename onto it fails
+	s := openTestState(t, dir)
+	full := filepath.Join(s.detachedPath, "in the way") // a rename onto it fails
 	if err := os.MkdirAll(full, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	if err := s.change("s-1", true); err == nil {
+	if err := s.setDetached("s-1", true); err == nil {
 		t.Fatal("written onto a directory")
 	}
-	if out, in := s.follow(); len(out)+len(in) > 0 || !s.bans["s-1"] {
+	if out, in := s.refresh(); len(out)+len(in) > 0 || !s.detached["s-1"] {
 		t.Errorf("the ban does not hold here: out %v, in %v", out, in)
 	}
-	if err := os.RemoveAll(s.bansPath); err != nil {
+	if err := os.RemoveAll(s.detachedPath); err != nil {
 		t.Fatal(err)
 	}
-	for until := time.Now().Add(5 * time.Second); time.Now().Before(until) && !opened(t, dir).hasBan("s-1"); {
-		s.follow()
+	for until := time.Now().Add(5 * time.Second); time.Now().Before(until) && !openTestState(t, dir).isDetached("s-1"); {
+		s.refresh()
 		time.Sleep(20 * time.Millisecond)
 	}
-	if !opened(t, dir).hasBan("s-1") {
+	if !openTestState(t, dir).isDetached("s-1") {
 		t.Error("a process that starts later does not know of the ban")
 	}
 }
 
 // hasBan tells whether a state that has just been opened knows of a ban.
-func (s *state) hasBan(id string) bool {
-	s.follow()
+func (s *sharedState) isDetached(id string) bool {
+	s.refresh()
 	defer s.close()
-	return s.bans[id]
+	return s.detached[id]
 }
 
 // What a process that was killed in the middle of a write left behind is cleared away by
 // the next, and the bans of the last whole write hold.
 func TestHalfWrittenBans(t *testing.T) {
 	dir := t.TempDir()
-	s := opened(t, dir)
-	if err := s.change("s-1", true); err != nil {
+	s := openTestState(t, dir)
+	if err := s.setDetached("s-1", true); err != nil {
 		t.Fatal(err)
 	}
-	half := s.bansPath + ".new123"
+	half := s.detachedPath + ".new123"
 	if err := os.WriteFile(half, []byte(`["s-1","s-`), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	s.close()
-	next := opened(t, dir)
+	next := openTestState(t, dir)
 	defer next.close()
-	next.follow()
-	if !next.bans["s-1"] {
+	next.refresh()
+	if !next.detached["s-1"] {
 		t.Error("the ban is lost")
 	}
 	entries, err := os.ReadDir(dir)
@@ -140,8 +140,8 @@
 	defer syscall.Setrlimit(syscall.RLIMIT_NOFILE, &was)
 	p := listening(t, standin.List(1, true), "127.0.0.1:1") // its configuration says 256
 	defer p.listener.Close()
-	defer p.state.close()
-	if most := p.sockets.limit; most > allowed-ownSockets {
+	defer p.shared.close()
+	if most := p.descriptors.limit; most > allowed-reservedDescriptors {
 		t.Errorf("%d connections at a time with %d descriptors allowed", most, allowed)
 	}
 }
--- a/proxy/unanswered_test.go
+++ b/proxy/unanswered_test.go
@@ -32,8 +32,8 @@
 
 // grant gives a proxy that does not run yet another budget of descriptors.
 func (p *Proxy) grant(sockets int) {
-	p.reloads.Lock()
-	defer p.reloads.Unlock()
+	p.limitsMu.Lock()
+	defer p.limitsMu.Unlock()
 	p.limits.Sockets = sockets
 	p.applyLimits()
 }
