--- a/proxy/actions.go
+++ b/proxy/actions.go
@@ -8,10 +8,10 @@
 	"oxbowloft/logic"
 )
 
-// What the module asks for. It calls these while the driver's lock is held: what they do is
-// handed to the request that it is for, or kept until the lock is free.
+// Methods that the balancing logic calls while the driver's lock is held. What they do is
+// handed to the request that it concerns, or deferred until the lock is released.
 
-// standingEvery bounds the lines about backends that are ejected and return.
+// statusLogInterval limits the log lines about backends that are ejected or return.
 const statusLogInterval = 100 * time.Millisecond
 
 // Send implements logic.Actions.
@@ -71,7 +71,7 @@
 
 // CloseIdle implements logic.Actions.
 func (d *driver) CloseIdle(backend string) {
-	// Out of use at once, since the module may send to it next; closed later.
+	// Detached at once, since the balancing logic may send to it next; closed later.
 	if b, ok := d.backends[backend]; ok {
 		d.deferred = append(d.deferred, b.Detach())
 	}
--- a/proxy/operate.go
+++ b/proxy/admin.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// operated is the proxy as the operators' door sees it.
+// adminTarget is the proxy as the admin endpoint uses it.
 type adminTarget struct{ p *Proxy }
 
-// Ping tells whether this process can serve.
+// Ping returns an error unless this process can serve.
 func (o adminTarget) Ping() error {
 	switch phase := o.p.Phase(); {
 	case phase != Serving:
@@ -23,7 +23,7 @@
 	return nil
 }
 
-// Info is the figures, in the text form of the field's monitoring programs.
+// Info returns the metrics in the Prometheus text format.
 func (o adminTarget) Info() string {
 	var b strings.Builder
 	stats := o.p.stats
@@ -44,10 +44,10 @@
 
 var errUnknownBackend = errors.New("nobody has this id")
 
-// Detach takes a backend out by hand, here and in the process that replaces this one.
+// Detach takes a backend out of service, in this process and in the one that replaces it.
 func (o adminTarget) Detach(id string) error { return o.setDetached(id, true) }
 
-// Attach ends that.
+// Attach ends a detachment.
 func (o adminTarget) Attach(id string) error { return o.setDetached(id, false) }
 
 func (o adminTarget) setDetached(id string, detach bool) error {
@@ -59,7 +59,7 @@
 	}
 	o.p.detachMu.Lock()
 	defer o.p.detachMu.Unlock()
-	if err := o.p.shared.setDetached(id, detach); err != nil { // it holds in this process all the same
+	if err := o.p.shared.setDetached(id, detach); err != nil { // it applies in this process all the same
 		log.Printf("event=bans_unwritten err=%q", err)
 	}
 	o.p.driver.setDetached(id, detach)
@@ -67,8 +67,8 @@
 	return nil
 }
 
-// follow keeps to what another process does that serves the same clients, until ctx is
-// over: the limits are for all of them together, and bans hold in all.
+// followSharedState follows the other processes that serve the same clients, until ctx is
+// done: they share the limits, and a detachment applies in all of them.
 func (p *Proxy) followSharedState(ctx context.Context) {
 	tick := time.NewTicker(sharedStatePollInterval)
 	defer tick.Stop()
@@ -98,7 +98,7 @@
 	}
 }
 
-// share makes the limits those of one of several processes.
+// setProcessCount sets the number of processes that share the limits.
 func (p *Proxy) setProcessCount(processes int) {
 	p.limitsMu.Lock()
 	defer p.limitsMu.Unlock()
@@ -112,8 +112,8 @@
 	p.applyLimits()
 }
 
-// applyLimits makes the limits in force those of the configuration, by the number of
-// processes. The caller holds reloads.
+// applyLimits applies the configured limits, divided by the number of processes. The
+// caller holds limitsMu.
 func (p *Proxy) applyLimits() {
 	p.descriptors.resize(max(reservedDescriptors+minSharedSockets, p.limits.Sockets/max(1, p.processCount)-p.adminDescriptors()))
 	if p.OnLimits != nil {
--- a/proxy/driver.go
+++ b/proxy/driver.go
@@ -16,55 +16,56 @@
 	"oxbowloft/logic"
 )
 
-// driver alone calls the module: one call at a time, each with the time at
-// which it is made. It does no I/O under its lock: what the module asks for is
-// handed to the request it is for, or kept until the lock is free.
+// driver makes all calls to the balancing logic, one at a time, each with the time at
+// which it is made. It does no I/O while it holds its lock: an action of the balancing
+// logic is handed to the request that it concerns, or deferred until the lock is
+// released.
 type driver struct {
 	clock   clock
 	opt     *upstream.Options
 	stats   *stats
-	askList func() // asks for a check of the list; nil: there are none
+	askList func() // requests a check of the list; nil: no checks
 
 	mu       sync.Mutex
 	balancer *logic.Balancer
 	classes  []logic.Class
 	requests map[string]*activeRequest
-	openIDs  map[string]bool // callers' ids of requests in the module's hands
+	openIDs  map[string]bool // clients' ids of requests that have no response yet
 	backends map[string]backendEntry
 	serial   uint64
 	deferred []func()
-	current  *activeRequest // whose outcome the module is handling
+	current  *activeRequest // request whose result the balancing logic is processing
 
 	violations     *violations
-	statusLog      logging.Limit // of backends whose standing changes
+	statusLog      logging.Limit // rate limit of log lines about backend status
 	staleLog       *staleAttemptLog
-	listFreshUntil logic.Time      // the list holds all that counts as told until then; 0: nothing is known of it
-	detached       map[string]bool // detached by operators
+	listFreshUntil logic.Time      // until then the list contains all announced changes; 0: unknown
+	detached       map[string]bool // by operators
 }
 
-// place is where a backend is, since when.
+// backendEntry is a listed backend, with its address and state.
 type backendEntry struct {
 	*upstream.Backend
-	startStamp    int64      // the stamp of its start, as discovery gives it
-	started       logic.Time // what that is taken for, from when it was first told
+	startStamp    int64      // start time as announced by discovery
+	started       logic.Time // start time as accepted when it was first announced
 	state         logic.State
-	leftServiceAt logic.Time // since when it is not in service
+	leftServiceAt logic.Time // when it was last seen to leave service
 }
 
-// call is one request in the module's hands.
+// activeRequest is a request that the balancing logic has not finished.
 type activeRequest struct {
 	id           string
-	clientID     string       // its caller's id
-	idempotency  logic.Repeat // what a second run of it would do
+	clientID     string       // id given by the client
+	idempotency  logic.Repeat // the effect of running it twice
 	mayHaveRun   bool         // an attempt may have run
 	attempts     int
-	cancel       func()      // gives up the attempt sent last
-	writeStarted bool        // that attempt is being written, or has been
-	staleBy      logic.Time  // how long past the list's time it began; 0: it did not
-	clientLeft   bool        // its client has: the step that says so is out
-	steps        chan step   // room for one step and the client's going
-	backoffTimer *time.Timer // of its backoff
-	pipelined    atomic.Bool // its caller has sent on before the answer
+	cancel       func()     // cancels the latest attempt
+	writeStarted bool       // the latest attempt is being written or has been
+	staleBy      logic.Time // how long the list had been stale when the latest attempt began; 0: it was fresh
+	clientLeft   bool       // the client has left, and the step that says so has been sent
+	steps        chan step  // room for one step and the client's leaving
+	backoffTimer *time.Timer
+	pipelined    atomic.Bool // the client sent more data before the response
 }
 
 type stepKind int
@@ -77,7 +78,7 @@
 	stepPipelined
 )
 
-// step is what the module wants next for a request.
+// step is what the balancing logic decided to do next for a request.
 type step struct {
 	kind       stepKind
 	attempt    int
@@ -85,9 +86,9 @@
 	backend    *upstream.Backend
 	sentAt     time.Time
 	timeout    time.Duration
-	ctx        context.Context // over once the attempt is given up
+	ctx        context.Context // done once the attempt is canceled
 	cancel     func()
-	withheld   bool // it must not be sent
+	withheld   bool // the attempt must not be sent
 	retryAfter time.Duration
 	cause      logic.Cause // of a refusal or failure
 }
@@ -112,10 +113,11 @@
 	return d
 }
 
-// moduleFault is a panic inside the decision module, or of what it asked for.
+// decisionPanic is a panic inside the balancing logic, or in an action that it called.
 type decisionPanic struct{ value any }
 
-// do makes one call to the module, then what must wait until the lock is free.
+// withBalancer makes one call to the balancing logic, then runs what was deferred until
+// the lock is released.
 func (d *driver) withBalancer(f func(now logic.Time)) {
 	d.mu.Lock()
 	panicked := true
@@ -137,15 +139,16 @@
 	}
 }
 
-// arrive hands a request to the module; its first step is ready on return. It
-// returns nil for one whose id is open here already.
+// arrive passes a new request to the balancing logic; its first step is ready on return.
+// It returns nil if a request with the same id is open already.
 func (d *driver) arrive(clientID string, class int, budget time.Duration, retry, long bool) (r *activeRequest) {
 	d.withBalancer(func(now logic.Time) {
 		if d.openIDs[clientID] {
 			return
 		}
 		d.openIDs[clientID] = true
-		// The module gets ids of our own: a caller's may come again.
+		// The balancing logic gets ids of the proxy's own, since clients may reuse
+		// theirs.
 		d.serial++
 		r = &activeRequest{id: strconv.FormatUint(d.serial, 36), clientID: clientID, steps: make(chan step, 2)}
 		r.idempotency = d.classes[class].Repeat
@@ -155,11 +158,12 @@
 	return r
 }
 
-// connected reports that the connection for an attempt stands, and tells whether the
-// attempt still is to be written.
+// connected reports that the connection for an attempt is established. It returns whether
+// the attempt is still to be written.
 func (d *driver) connected(r *activeRequest, s step) (proceed bool) {
 	d.withBalancer(func(now logic.Time) {
-		// A backend that has moved is another machine, whatever the module knows of it.
+		// A backend with a new address is another machine, whatever the balancing logic
+		// knows of it.
 		proceed = d.backends[s.uid].Backend == s.backend && d.balancer.Connected(now, r.id)
 		proceed = proceed && d.checkStart(r) && d.checkSend(r, s) && !s.withheld
 		r.writeStarted = proceed
@@ -170,13 +174,13 @@
 	return proceed
 }
 
-// written reports that the attempt of a long request has been written whole.
+// written reports that the attempt of a streamed request has been written completely.
 func (d *driver) written(r *activeRequest) {
 	d.withBalancer(func(now logic.Time) { d.balancer.Written(now, r.id) })
 }
 
-// done reports the end of an attempt, and whether the request is spent. Unless it is
-// final, a step follows.
+// done reports the result of an attempt, and whether the request body has been consumed,
+// so that it can't be replayed. Unless the result is final, a step follows.
 func (d *driver) done(r *activeRequest, s step, result logic.Result, final, consumed bool) {
 	var staleBy time.Duration
 	d.withBalancer(func(now logic.Time) {
@@ -198,8 +202,8 @@
 	}
 }
 
-// unreached reports that a connection to a backend has not come up at all, which no attempt
-// waited for any longer.
+// unreached reports that a connection to a backend could not be opened, when no attempt
+// was waiting for it any more.
 func (d *driver) unreached(b *upstream.Backend, err error) {
 	if neterror.Of(neterror.Dial, err) == neterror.Local {
 		return
@@ -213,7 +217,7 @@
 	})
 }
 
-// mayHaveRun tells whether an attempt that ended so may have run.
+// mayHaveRun reports whether an attempt with this result may have run at the backend.
 func mayHaveRun(result logic.Result) bool {
 	switch result {
 	case logic.Full, logic.NoConnect, logic.NeverSent, logic.Late:
@@ -222,25 +226,25 @@
 	return true
 }
 
-// hasLeft tells whether a request's client has left.
+// clientHasLeft reports whether a request's client has left.
 func (d *driver) clientHasLeft(r *activeRequest) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return r.clientLeft
 }
 
-// gone reports that a request's client has left.
+// clientGone reports that a request's client has left.
 func (d *driver) clientGone(r *activeRequest) { d.endByClient(r, stepClientGone) }
 
-// ahead reports that a request's client has sent on before its answer: it is not
-// served.
+// clientPipelined reports that a request's client sent more data before the response. The
+// request is not served.
 func (d *driver) clientPipelined(r *activeRequest) {
 	r.pipelined.Store(true)
 	d.endByClient(r, stepPipelined)
 }
 
-// over reports that a request has ended without the module, and hands on how. An attempt
-// that has not begun is given up; whether one that has begun is, the module says.
+// endByClient ends a request because of its client, and passes on how. An attempt that
+// has not begun is canceled; for one that has begun, the balancing logic decides.
 func (d *driver) endByClient(r *activeRequest, how stepKind) {
 	d.withBalancer(func(now logic.Time) {
 		if r.clientLeft { // there is room for one such step
@@ -255,13 +259,13 @@
 	})
 }
 
-// wake reports the end of a wait that the module asked for.
+// wake reports the end of a delay that the balancing logic asked for.
 func (d *driver) wake(token uint64) {
 	d.withBalancer(func(now logic.Time) { d.balancer.Wake(now, token) })
 }
 
-// end reports that the proxy ends, and with it each request that is still open: each
-// gets its answer from the module now, and what is out for it is given up.
+// endAll ends each open request because the proxy shuts down: each gets its response from
+// the balancing logic now, and its attempt is canceled.
 func (d *driver) endAll() {
 	d.withBalancer(func(logic.Time) {
 		for id, r := range d.requests {
@@ -273,13 +277,13 @@
 	})
 }
 
-// forget lets go of a request whose answer is known. It comes before the first byte of
-// the answer: who has read that may use the id again at once.
+// forget removes a request whose response is decided. It is called before the response's
+// first byte is written: a client that has read it may reuse the id at once.
 func (d *driver) forget(r *activeRequest) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.requests[r.id] != r {
-		return // the id may be another one's by now
+		return // the id may belong to another request by now
 	}
 	delete(d.requests, r.id)
 	delete(d.openIDs, r.clientID)
@@ -288,14 +292,14 @@
 	}
 }
 
-// states are the module's words for the states of a target.
+// balancerStates maps the states of targets to those of the balancing logic.
 var balancerStates = map[string]logic.State{
 	discovery.InService:   logic.Up,
 	discovery.Terminating: logic.Draining,
 	discovery.Terminated:  logic.Removed,
 }
 
-// list hands on news of the backends.
+// updateList applies a list, or changes to it.
 func (d *driver) updateList(l *discovery.List) {
 	entries := make([]logic.Backend, 0, len(l.Targets))
 	listed := map[string]bool{}
@@ -320,9 +324,9 @@
 	})
 }
 
-// place makes sure that a backend is reached where the list says. Connections
-// from before it moved or started again are of no use: guards against calls
-// broken on those that a machine left open when it vanished.
+// updateBackend makes sure that a backend has the address in the list. Connections from
+// before it moved or restarted are closed: a machine that vanished leaves its connections
+// open, and requests sent on them would fail.
 func (d *driver) updateBackend(now logic.Time, t discovery.Target, listBefore time.Time) {
 	entry, ok := d.backends[t.UID]
 	sameProcess := ok && entry.startStamp == t.Boot
@@ -343,7 +347,7 @@
 	d.backends[t.UID] = backendEntry{upstream.New(t.Endpoint, d.opt), t.Boot, started, state, leftServiceAt}
 }
 
-// drop lets go of a backend, if it is known, and of the connections to it.
+// removeBackend removes a backend, if it is known, and closes its connections.
 func (d *driver) removeBackend(uid string) {
 	if b, ok := d.backends[uid]; ok {
 		delete(d.backends, uid)
@@ -351,7 +355,7 @@
 	}
 }
 
-// listFresh reports for how long the list may be used.
+// listFresh reports how long the list may be used.
 func (d *driver) listFresh(f discovery.Fresh) {
 	fresh := logic.ListFresh{
 		Until:        d.clock.at(f.Until),
@@ -368,7 +372,7 @@
 	})
 }
 
-// all returns the backends there are.
+// allBackends returns the known backends.
 func (d *driver) allBackends() []*upstream.Backend {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -385,19 +389,19 @@
 	return len(d.backends)
 }
 
-// listed is how many backends the list has, and how many of them are avoided.
+// backendCounts returns how many backends the list has, and how many of them are avoided.
 func (d *driver) backendCounts() (listed, avoided int) {
 	d.withBalancer(func(now logic.Time) { listed, avoided = len(d.backends), d.balancer.Avoided(now) })
 	return listed, avoided
 }
 
-// knows tells whether a backend is listed, or out by hand.
+// knows reports whether a backend is listed or detached.
 func (d *driver) knows(id string) (known bool) {
 	d.withBalancer(func(logic.Time) { known = d.balancer.Knows(id) })
 	return known
 }
 
-// byHand takes a backend out, or in again. It holds on return.
+// setDetached detaches or attaches a backend. It has taken effect on return.
 func (d *driver) setDetached(id string, detach bool) {
 	d.withBalancer(func(now logic.Time) {
 		if detach {
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -1,6 +1,6 @@
-// Package proxy is the balancer on sockets: it takes requests from callers,
-// does with each what the decision module says, and answers. It has no policy:
-// facts of the transport go into the module, its actions come out.
+// Package proxy is the balancer on sockets: it accepts requests from clients, executes
+// what the balancing logic decides for each, and responds. It contains no policy: it
+// reports transport events to package logic and executes the actions that logic returns.
 package proxy
 
 import (
@@ -23,15 +23,15 @@
 	"oxbowloft/internal/upstream"
 )
 
-// Phase is where a proxy is in its life.
+// Phase is the stage of a proxy's life cycle.
 type Phase int32
 
 // The phases, in order.
 const (
 	Starting  Phase = iota // knows its list, does not listen yet
 	Serving                // ready, if it knows a backend
-	Draining               // not ready; takes and answers what still comes
-	Finishing              // closes what is idle; answers what it has
+	Draining               // not ready; accepts and answers what still arrives
+	Finishing              // closes idle connections; answers open requests
 	Stopped
 )
 
@@ -40,33 +40,34 @@
 func (p Phase) String() string { return phaseNames[p] }
 
 const (
-	// finishSlack is what is left after the end of a drain to write answers.
+	// finalWriteTime is the time left after the end of a drain to write responses.
 	finalWriteTime = 100 * time.Millisecond
-	// mostNotice bounds what a drain has beside its grace: the platform ends a process
-	// that it has told to end after the longest deadline, but no later than after this,
-	// and 0.7 s.
+	// maxDrainTime bounds the part of a drain that follows its grace. The platform kills
+	// a process 0.7 s after the longest deadline since its termination signal, or 0.7 s
+	// after this limit if that is earlier.
 	maxDrainTime      = 3 * time.Second
 	drainPollInterval = 10 * time.Millisecond
-	// hardlyFits is the part of the shortest deadline, as a divisor, in which hardly an
-	// attempt fits.
+	// minAttemptDivisor divides the shortest deadline; the quotient is a time in which an
+	// attempt hardly fits.
 	minAttemptDivisor  = 4
 	reapInterval       = 500 * time.Millisecond
 	statsInterval      = 10 * time.Second
 	defaultIdleTimeout = 10 * time.Second
 	defaultDialTimeout = time.Second
-	// transferShare is the part of the heap that long messages under way may hold.
+	// transferFraction is the fraction of the heap that long messages in transfer may
+	// use.
 	transferFraction = 0.25
 )
 
-// Proxy is one balancer on sockets.
+// Proxy is a balancer on sockets.
 type Proxy struct {
-	cfg              *Config // of the start
+	cfg              *Config // the configuration at start
 	phase            atomic.Int32
 	classes          map[string]int
-	longestDeadline  time.Duration // deadline
+	longestDeadline  time.Duration // of all classes
 	shortestDeadline time.Duration
-	finalWriteTime   time.Duration             // finishSlack, but for tests
-	drainEnd         atomic.Pointer[time.Time] // of a drain; nil: none. No answer comes after it
+	finalWriteTime   time.Duration             // the constant, unless a test changes it
+	drainEnd         atomic.Pointer[time.Time] // end of a drain, after which no response is written; nil: not draining
 	descriptors      *descriptorBudget
 	clients          *clientConns
 	transfers        *http1.Transfers
@@ -75,20 +76,20 @@
 	readiness        readiness
 	stats            *stats
 	listener         listener
-	acceptLog        logging.Limit // of accepts that failed
+	acceptLog        logging.Limit // rate limit of log lines about failed accepts
 	endLog           *requestEndLog
 	adminEndpoint    *admin.Door // nil: none
 	tasks            sync.WaitGroup
 
-	detachMu sync.Mutex // held while a ban is changed, in state and module
+	detachMu sync.Mutex // held while a backend is detached or attached, in shared and driver
 	shared   *sharedState
 
 	limitsMu     sync.Mutex
-	limits       Limits // of the newest configuration
-	processCount int    // that share them
+	limits       Limits // of the latest configuration
+	processCount int    // processes that share the limits
 
-	// OnLimits, if set, is told the limits and how many processes share them, at the
-	// start and whenever either changes.
+	// OnLimits, if set, is called with the limits and the number of processes that share
+	// them, at start and whenever either changes.
 	OnLimits func(l Limits, processes int)
 }
 
@@ -147,17 +148,17 @@
 	return p, nil
 }
 
-// logWatchEnd logs how a call for the list or a watch ended, and for how long the list may
-// still be used: by what it holds, and by what backends have served.
+// logWatchEnd logs how a poll or a watch of the list ended, and how long the list may
+// still be used: by its own freshness, and by what backends have served.
 func logWatchEnd(end discovery.End) {
 	log.Printf("event=watch_ended why=%s rev=%d waited_ms=%d fresh_ms=%d serving_ms=%d err=%q", end.Why, end.Rev,
 		end.Waited.Milliseconds(), time.Until(end.Fresh.Until).Milliseconds(),
 		time.Until(end.Fresh.UntilServing).Milliseconds(), end.Err)
 }
 
-// Reload takes from cfg what a running proxy can: where discovery is, and how many
-// descriptors there are. The rest is for a start: the module, and what callers were
-// told, go by it. An error means that nothing was taken.
+// Reload applies the part of cfg that a running proxy can change: the address of
+// discovery and the limits. All other settings need a restart, since the balancing logic
+// and the callers depend on them. After an error nothing has changed.
 func (p *Proxy) Reload(cfg *Config) error {
 	if err := cfg.ensureChecked(); err != nil {
 		return err
@@ -172,7 +173,7 @@
 	return nil
 }
 
-// Phase is where the proxy is in its life.
+// Phase returns the current phase.
 func (p *Proxy) Phase() Phase { return Phase(p.phase.Load()) }
 
 func (p *Proxy) enterPhase(ph Phase) {
@@ -180,16 +181,16 @@
 	log.Printf("event=phase phase=%s", ph)
 }
 
-// Ready tells whether the proxy can serve: it knows a backend, and has had a list that may be
-// used, or has waited for one for long enough.
+// Ready reports whether the proxy can serve: it knows a backend, and has received a
+// usable list or waited long enough for one.
 func (p *Proxy) Ready() bool {
 	return p.Phase() == Serving && p.driver.backendCount() > 0 && p.readiness.satisfied()
 }
 
-// Addr is where the proxy listens, from Serving on.
+// Addr returns the listener's address, from Serving on.
 func (p *Proxy) Addr() net.Addr { return p.listener.Addr() }
 
-// doorSockets is how many descriptors are set aside for the operators' door.
+// adminDescriptors returns the number of descriptors set aside for the admin endpoint.
 func (p *Proxy) adminDescriptors() int {
 	if p.cfg.Admin == "" {
 		return 0
@@ -197,8 +198,8 @@
 	return admin.Descriptors
 }
 
-// Listen takes the proxy's place: the addresses, and what it shares with a process that
-// it replaces. Run does it where it has not been done.
+// Listen opens the listener, the shared state and the admin endpoint. Run calls it unless
+// it has been called before.
 func (p *Proxy) Listen() (err error) {
 	if p.cfg.ListenFD != 0 {
 		p.listener, err = inheritedListener(p.cfg.ListenFD)
@@ -212,11 +213,11 @@
 		return fmt.Errorf("listen: %w", err)
 	}
 	if p.shared, err = openSharedState(p.cfg.StateDir, p.cfg.Listen); err != nil {
-		log.Printf("event=state_failed err=%q", err) // it serves, but knows of no other
+		log.Printf("event=state_failed err=%q", err) // it serves, but without knowledge of other processes
 	}
 	p.setProcessCount(p.shared.processCount())
 	p.syncDetached()
-	if p.cfg.Admin != "" { // before serving, so that it can say no
+	if p.cfg.Admin != "" { // before serving, so that it can report not ready
 		if p.adminEndpoint, err = admin.Open(p.cfg.Admin, adminTarget{p}); err != nil {
 			p.listener.Close()
 			p.shared.close()
@@ -226,11 +227,11 @@
 	return nil
 }
 
-// Run goes through the phases: it serves until ctx is over, then drains and
-// returns once nothing is in flight.
+// Run takes the proxy through its phases: it serves until ctx is done, then drains and
+// returns once no request is in flight.
 func (p *Proxy) Run(ctx context.Context) error {
 	if p.listener == nil {
-		if ctx.Err() != nil { // told to end before it began: nobody has connected
+		if ctx.Err() != nil { // told to end before it listened: no client has connected
 			p.enterPhase(Stopped)
 			return nil
 		}
@@ -288,26 +289,27 @@
 	return err
 }
 
-// drain takes connections for as long as the grace says, and goes on answering on
-// those that are open until so little is left before the end that hardly an attempt
-// fits: the module gets no more time than that, and refuses what does not. Guards
-// against callers with nobody to ask while several proxies start again one after the
-// other. An inherited listener is left to the process that replaces this one.
+// drain accepts connections during the grace, and goes on answering on open connections
+// until hardly an attempt fits into the time before the end. Requests get no more time
+// than is left before the end, and the balancing logic refuses those that do not fit.
+// Without the grace, callers would have no proxy to call while several proxies restart
+// one after the other. An inherited listener is left to the process that replaces this
+// one.
 //
-// The end is the platform's, which does not wait for every deadline: guards against
-// requests that were taken with more time than there is, and are lost with the process.
+// The platform sets the end of the drain and does not wait for every deadline. A request
+// accepted with a later deadline would be lost with the process.
 func (p *Proxy) drain(accepted <-chan error) {
 	end := time.Now().Add(p.cfg.Grace + min(p.longestDeadline, maxDrainTime))
 	p.setDrainEnd(end)
 	p.enterPhase(Draining)
-	if p.cfg.ListenFD != 0 { // another process accepts, and what waits in the kernel is its
+	if p.cfg.ListenFD != 0 { // another process accepts; the kernel's backlog is left to it
 		p.listener.SetDeadline(http1.LongAgo)
 		p.descriptors.setWaitDeadline(time.Now())
 		select {
 		case <-accepted:
 			p.listener.Close()
 		case <-time.After(backlogDrainTime):
-			// Caught in the kernel (neverBlocks says how); the end of the process ends it.
+			// Blocked in the kernel (see setNonblocking); the end of the process ends it.
 			log.Printf("event=accept_caught")
 		}
 	} else {
@@ -315,7 +317,7 @@
 		p.listener.SetDeadline(graceEnd)
 		p.descriptors.setWaitDeadline(graceEnd)
 		<-accepted
-		p.clients.add() // what waits in the kernel is a client, too: nothing ends before it
+		p.clients.add() // counts the kernel's backlog as a client, so that the drain does not end before it
 		go func() {
 			defer p.clients.remove()
 			p.acceptBacklog(end.Add(p.finalWriteTime / 2))
@@ -327,8 +329,8 @@
 	}
 }
 
-// left is the time until the end of a drain; where there is none, the longest
-// deadline.
+// timeLeft returns the time until the end of a drain, or the longest deadline if there is
+// no drain.
 func (p *Proxy) timeLeft() time.Duration {
 	if end := p.drainEnd.Load(); end != nil {
 		return max(0, time.Until(*end))
@@ -336,11 +338,11 @@
 	return p.longestDeadline
 }
 
-// endBy sets the end of a drain. It is kept with its monotonic reading: the wall clock may
-// be stepped meanwhile.
+// setDrainEnd sets the end of a drain. It keeps the monotonic reading, because the wall
+// clock may be stepped meanwhile.
 func (p *Proxy) setDrainEnd(end time.Time) { p.drainEnd.Store(&end) }
 
-// serve takes one request after another from a client.
+// serve handles the requests of a client connection, one after the other.
 func (p *Proxy) serve(c *clientConn) {
 	defer p.clients.remove()
 	defer p.descriptors.releaseForClient()
@@ -350,10 +352,11 @@
 	p.clients.linger(c)
 }
 
-// exchangeOnce does as exchange, and keeps a panic on the way of one request from ending
-// the process with all others. The request is answered as failed where no answer has begun;
-// its connection is closed in any case. A panic inside the decision module is not caught:
-// what it knows can't be relied on from then on, least of all for what must not run twice.
+// exchangeRecovering calls exchange, and keeps a panic in the handling of one request
+// from ending the process. The request is answered as failed unless its response has
+// begun; its connection is closed in any case. A panic inside the balancing logic is not
+// recovered: its state can't be trusted any more, least of all for requests that must not
+// run twice.
 func (p *Proxy) exchangeRecovering(c *clientConn) (open bool) {
 	c.responseStarted = false
 	defer func() {
@@ -376,8 +379,8 @@
 	return p.exchange(c)
 }
 
-// relieve frees descriptors: of backends' connections the one that has been
-// idle for longest, of callers' as many as there are too many.
+// reclaimDescriptors frees descriptors: it closes the backend connection that has been
+// idle longest, and evicts as many client connections as there are too many.
 func (p *Proxy) reclaimDescriptors(excess int) {
 	var oldest *upstream.Backend
 	var since time.Time
@@ -392,8 +395,8 @@
 	p.clients.evictOldest(excess)
 }
 
-// housekeeping closes connections to backends that have been idle for long, and
-// logs the counts and each time that the list becomes stale.
+// housekeeping closes backend connections that have been idle too long, and logs the
+// statistics and each time that the list becomes stale.
 func (p *Proxy) housekeeping(ctx context.Context) {
 	reap, stats := time.NewTicker(reapInterval), time.NewTicker(statsInterval)
 	defer reap.Stop()
--- a/proxy/request.go
+++ b/proxy/request.go
@@ -21,7 +21,7 @@
 	headerID           = "X-Request-ID"
 	headerClass        = "X-Priority-Class"
 	headerTimeout      = "X-Timeout-Ms"
-	headerRetry        = "X-Retried" // where the settings say that clients mark retries
+	headerRetry        = "X-Retried" // if the settings say that clients mark retries
 	headerNotProcessed = "X-Not-Processed"
 
 	pathReady = "/healthz"
@@ -29,15 +29,15 @@
 
 const (
 	writeTimeout = 5 * time.Second
-	// maxTimeout is the longest time-out taken for one, in milliseconds.
+	// maxTimeoutMs is the longest timeout that is accepted, in milliseconds.
 	maxTimeoutMs = 24 * 3600 * 1000
-	maxIDBytes   = 256 // bytes of a request's id
+	maxIDBytes   = 256 // length of a request id
 )
 
-// exchange is the life of one request, from the wait for it to its answer. It
-// returns whether the connection can carry another.
+// exchange handles one request, from the wait for it to its response. It returns whether
+// the connection can carry another one.
 func (p *Proxy) exchange(c *clientConn) bool {
-	// Read.
+	// Read the request.
 	req, body, rest, err := p.clients.nextRequest(c)
 	if err != nil {
 		p.answerBadRequest(c, readErrorStatus(err), err)
@@ -55,11 +55,11 @@
 		return false
 	}
 	start := time.Now()
-	if c.conn.PeerClosed() { // while it waited to be read: nobody is to be asked for it
+	if c.conn.PeerClosed() { // left while the request waited to be read: do not send it
 		return p.clientGone(c, req)
 	}
 
-	// Arrive.
+	// Pass it to the balancing logic.
 	r := p.driver.arrive(info.id, info.class, info.budget, info.retry, rest != nil)
 	if r == nil {
 		p.answerBadRequest(c, http.StatusConflict, errDuplicateID)
@@ -69,9 +69,9 @@
 	defer p.stats.openRequests.Add(-1)
 	defer p.driver.forget(r)
 	defer func() { p.checkClosed(c, r, info.id) }()
-	var inFlight *step // the attempt that is out
+	var inFlight *step // the current attempt
 	defer func() {
-		if inFlight != nil { // a panic went by
+		if inFlight != nil { // a panic is passing through
 			p.driver.done(r, *inFlight, logic.Cancelled, true, false)
 			inFlight.cancel()
 		}
@@ -83,11 +83,11 @@
 	}
 	var attempts []attemptTrace
 	logEnd := func(end requestEnd, cause string) { p.endLog.write(&info, end, cause, start, attempts) }
-	keepOpen := func(open bool) bool { // what still comes of a request that has its answer is read
+	keepOpen := func(open bool) bool { // reads the rest of a request that has been answered
 		return open && (rest == nil || rest.Discard(p.transfers) == nil)
 	}
 
-	// Step, attempt, outcome, until there is an answer.
+	// Execute steps until the request is answered.
 	for {
 		step := <-r.steps
 		if step.kind != stepSend {
@@ -97,7 +97,7 @@
 		case stepSend:
 			upstreamRequest := &upstream.Request{Timeout: step.timeout, Decided: step.sentAt, Rest: rest, Transfers: p.transfers}
 			upstreamRequest.Connected = func() bool {
-				if c.conn.PeerClosed() { // also behind a body that nobody has read to its end
+				if c.conn.PeerClosed() { // noticed here even behind an unread body
 					p.driver.clientGone(r)
 				}
 				return p.driver.connected(r, step)
@@ -109,11 +109,11 @@
 				upstreamRequest.Written = func() {
 					step.sentAt = time.Now()
 					p.driver.written(r)
-					if c.conn.More() { // it is here already: no need to wait for a watch to see it
+					if c.conn.More() { // already here: no need for a watch to notice it
 						p.driver.clientPipelined(r)
 						return
 					}
-					c.conn.SetReadDeadline(time.Time{}) // of the rest
+					c.conn.SetReadDeadline(time.Time{}) // of the rest of the body
 					watch()
 				}
 			}
@@ -135,7 +135,7 @@
 			case errors.Is(answer.Source, http1.ErrBusy):
 				outcomes[throttled].Add(1)
 				logEnd(endBusy, "")
-				req.Close = true // most of it has not been read
+				req.Close = true // most of the body is unread
 				p.respond(c, req, http.StatusServiceUnavailable, retryAfterHeader(p.cfg.logicSettings.MaxComeBack), "busy")
 				return false
 			case answer.Source != nil:
@@ -181,18 +181,18 @@
 	}
 }
 
-// clientGone ends a request whose client has left. It may have ended its own side alone,
-// and still read.
+// clientGone ends a request whose client has left. The client may have closed only its
+// own side, and still read.
 func (p *Proxy) clientGone(c *clientConn, req *http.Request) bool {
 	p.stats.clientsGone.Add(1)
 	p.respond(c, req, http.StatusBadGateway, nil, "client left")
 	return false
 }
 
-// outcome names what an exchange came to in the module's terms, and tells whether
-// the request is over with it.
+// attemptOutcome converts the end of an exchange with a backend to a result for the
+// balancing logic. It also returns whether the request ends with it.
 func attemptOutcome(answer *upstream.Answer) (result logic.Result, final bool) {
-	if answer.Source != nil { // never whole at the backend, and no fault of its own
+	if answer.Source != nil { // the client's body failed: the backend never had the whole request, and is not to blame
 		return logic.NeverSent, true
 	}
 	switch answer.Stage {
@@ -222,8 +222,8 @@
 	return logic.Error, false
 }
 
-// callersFault tells whether a status says that the request itself is at fault, and
-// would be anywhere. It says nothing against the backend, and is not tried again.
+// isClientError reports whether a status means that the request itself is at fault, at
+// any backend. It does not count against the backend and is not retried.
 func isClientError(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusTooEarly, http.StatusTooManyRequests:
@@ -232,8 +232,8 @@
 	return status >= 400 && status < 500
 }
 
-// forward is the text of req for a backend that has left to answer it: with all of its
-// body, or the first part of it where there is a rest.
+// encodeRequest returns the text of req for a backend, with the time that is left to
+// answer it. It contains the whole body, or the first part of a streamed one.
 func encodeRequest(req *http.Request, host string, body []byte, rest *http1.Rest, left time.Duration) []byte {
 	b := make([]byte, 0, 512+len(body))
 	b = append(b, req.Method...)
@@ -277,7 +277,7 @@
 	return append(b, body...)
 }
 
-// hopByHop are the headers that a message's sender sets anew.
+// hopByHopHeaders are headers that each sender of a message sets anew.
 var hopByHopHeaders = map[string]bool{
 	"Connection":                           true,
 	"Content-Length":                       true,
@@ -298,8 +298,9 @@
 	return []string{"Retry-After", strconv.FormatFloat(d.Seconds(), 'f', 3, 64)}
 }
 
-// pass hands on a backend's answer, and counts how the request ended: with one that is
-// here whole at once, so that who has read it finds it counted; else with its last byte.
+// forwardResponse forwards a backend's response and counts the request's outcome: before
+// writing if the response is here completely, so that a client that has read it finds it
+// counted, else after its last byte.
 func (p *Proxy) forwardResponse(c *clientConn, req *http.Request, answer *upstream.Answer, outcomes *[outcomeCount]atomic.Int64) bool {
 	var header []string
 	for _, name := range []string{"Content-Type", "Content-Encoding"} {
@@ -311,7 +312,7 @@
 		outcomes[fulfilled].Add(1)
 		return p.writeResponse(c, answer.Status, header, answer.Body, req.Close)
 	}
-	last := !req.ProtoAtLeast(1, 1) || req.Close || !p.keepConnections() // said once, and kept to
+	last := !req.ProtoAtLeast(1, 1) || req.Close || !p.keepConnections() // decided once: the response announces it
 	err := p.streamResponse(c, req, answer, header, last)
 	answer.Release(err == nil)
 	if err == nil || errors.Is(err, http1.ErrPassed) {
@@ -319,7 +320,7 @@
 	} else {
 		outcomes[faulted].Add(1)
 	}
-	if err != nil { // the client must be able to tell: no end, and no clean close
+	if err != nil { // the client must notice: neither an end of the message nor a clean close
 		p.stats.truncated.Add(1)
 		c.resetOnClose = true
 		if t, ok := c.conn.Conn.(interface{ SetLinger(int) error }); ok {
@@ -330,8 +331,8 @@
 	return !last
 }
 
-// passLong writes an answer with a rest, as it comes. A client that reads HTTP/1.0 gets
-// one of unknown size until the connection's end.
+// streamResponse writes a response as it arrives from the backend. An HTTP/1.0 client
+// gets a response of unknown length up to the end of the connection.
 func (p *Proxy) streamResponse(c *clientConn, req *http.Request, answer *upstream.Answer, header []string, last bool) (err error) {
 	http10, first := !req.ProtoAtLeast(1, 1), answer.Body
 	switch {
@@ -342,8 +343,9 @@
 		first = http1.Chunk(first)
 	}
 	if http10 && answer.Rest.Size < 0 {
-		// The connection's end is the answer's: until that is here, any other end is a
-		// reset, also the one that the kernel makes of ours.
+		// The end of the connection is the end of the response. Until the response is
+		// complete, any other close has to be a reset, even one that the kernel makes
+		// when the process dies.
 		if t, ok := c.conn.Conn.(interface{ SetLinger(int) error }); ok {
 			t.SetLinger(0)
 			defer func() {
@@ -366,16 +368,16 @@
 	})
 }
 
-// stays tells whether connections of clients are kept after an answer.
+// keepConnections reports whether client connections stay open after a response.
 func (p *Proxy) keepConnections() bool { return p.Phase() <= Draining && !p.descriptors.Full() }
 
-// answer answers a request ourselves.
+// respond writes a response of the proxy's own.
 func (p *Proxy) respond(c *clientConn, req *http.Request, status int, header []string, text string) bool {
 	header = append(header, "Content-Type", "text/plain")
 	return p.writeResponse(c, status, header, []byte(text+"\n"), req.Close)
 }
 
-// ready answers whether the proxy can serve.
+// serveReadiness answers whether the proxy can serve.
 func (p *Proxy) serveReadiness(c *clientConn, req *http.Request) bool {
 	if p.Ready() {
 		return p.respond(c, req, http.StatusOK, nil, "ok")
@@ -383,7 +385,7 @@
 	return p.respond(c, req, http.StatusServiceUnavailable, nil, "not ready")
 }
 
-// write writes an answer and returns whether the connection stays.
+// writeResponse writes a response and returns whether the connection stays open.
 func (p *Proxy) writeResponse(c *clientConn, status int, header []string, body []byte, last bool) bool {
 	last = last || !p.keepConnections()
 	header = append(header, "Content-Length", strconv.Itoa(len(body)))
@@ -392,13 +394,13 @@
 	c.responseStarted = true
 	if err != nil {
 		p.stats.writeFailures.Add(1)
-		c.resetOnClose = true // nobody takes what it would linger for
+		c.resetOnClose = true // the client reads nothing any more: lingering is of no use
 		return false
 	}
 	return !last
 }
 
-// answerText is an answer's head, and what is here of its body.
+// encodeResponse returns a response's head and the part of its body that is available.
 func encodeResponse(status int, header []string, body []byte, last bool) []byte {
 	b := make([]byte, 0, 256+len(body))
 	b = append(b, "HTTP/1.1 "...)
@@ -418,8 +420,8 @@
 	return append(b, body...)
 }
 
-// unreadable is the status that answers what could not be read as a request; 0
-// where nobody waits for an answer.
+// readErrorStatus returns the status for data that could not be read as a request; 0 if
+// no client waits for a response.
 func readErrorStatus(err error) int {
 	switch {
 	case errors.Is(err, http1.ErrMalformed), errors.Is(err, errPipelined):
@@ -431,10 +433,10 @@
 	case neterror.IsDeadline(err):
 		return http.StatusRequestTimeout
 	}
-	return 0 // the client ended it inside the message
+	return 0 // the client closed the connection inside the message
 }
 
-// turnAway answers what is no request of ours, so that its connection can be closed.
+// answerBadRequest answers an invalid request, after which its connection is closed.
 func (p *Proxy) answerBadRequest(c *clientConn, code int, err error) {
 	if code == 0 {
 		c.closedMidMessage = true
--- a/proxy/attemptlog.go
+++ b/proxy/stalelog.go
@@ -8,19 +8,22 @@
 	"oxbowloft/logic"
 )
 
-// staleAttemptsPerSecond bounds the lines about attempts that go out past the list's time.
+// staleAttemptLogLinesPerSecond limits the log lines about attempts that are sent while
+// the list is stale.
 const staleAttemptLogLinesPerSecond = 20
 
-// staleAttemptLog writes a line for each attempt that was sent past the time until which the
-// list holds all that counts as told, up to a bound, and how many were left out: such an
-// attempt rests on what the backend itself has shown, and its outcome tells whether that held.
+// staleAttemptLog writes a rate-limited line, with the number of omitted lines, for each
+// attempt sent after the time until which the list is known to contain all announced
+// changes. Such an attempt relies on evidence from the backend itself, and its result
+// shows whether that was right.
 type staleAttemptLog struct{ limit logging.Limit }
 
 func newStaleAttemptLog() *staleAttemptLog {
 	return &staleAttemptLog{logging.Limit{Every: time.Second / staleAttemptLogLinesPerSecond, Burst: staleAttemptLogLinesPerSecond}}
 }
 
-// write logs how an attempt of r ended that was sent past the list's time by so much.
+// write logs the result of an attempt of r that was sent when the list had been stale for
+// staleBy.
 func (l *staleAttemptLog) write(r *activeRequest, s step, staleBy time.Duration, result logic.Result) {
 	omitted, ok := l.limit.Allow()
 	if !ok {
