--- a/proxy/accept_test.go
+++ b/proxy/accept_test.go
@@ -10,8 +10,7 @@
 	"oxbowloft/internal/standin"
 )
 
-// failingListener fails an accept with each of its errnos, one after the other, then
-// accepts as usual.
+// failingListener fails one accept with each of its errnos, then accepts as usual.
 type failingListener struct {
 	listener
 	errnos chan syscall.Errno
@@ -26,8 +25,8 @@
 	}
 }
 
-// accept(2) passes on errors of the new connection, and those of a moment: none of them
-// says that the listener is of no further use.
+// accept(2) reports errors of the new connection and temporary errors. None of them may
+// end the accept loop.
 func TestAcceptErrno(t *testing.T) {
 	errnos := []syscall.Errno{
 		syscall.ETIMEDOUT, syscall.EAGAIN, syscall.ECONNABORTED, syscall.EPROTO, syscall.EHOSTUNREACH,
@@ -35,17 +34,17 @@
 		syscall.EPERM,
 	}
 	b := standin.NewBackend(t, standin.Echo)
-	p := listening(t, standin.List(1, true, standin.Target("s-1", b.Addr())), standin.FreeAddr(t))
+	p := listenProxy(t, standin.List(1, true, standin.Target("s-1", b.Addr())), standin.FreeAddr(t))
 	failing := &failingListener{listener: p.listener, errnos: make(chan syscall.Errno, len(errnos))}
 	p.listener = failing
 	for _, errno := range errnos {
 		failing.errnos <- errno
 	}
-	stop := running(t, p)
+	stop := startProxy(t, p)
 	defer stop()
 	for range errnos {
-		if code, body := ask(t, dial(t, p), "get", 2000); code != http.StatusOK {
-			t.Fatalf("after an accept that failed: %d %q", code, body)
+		if code, body := sendRequest(t, dialProxy(t, p), "get", 2000); code != http.StatusOK {
+			t.Fatalf("after a failed accept: %d %q", code, body)
 		}
 	}
 }
--- a/proxy/answers_test.go
+++ b/proxy/answers_test.go
@@ -17,55 +17,56 @@
 	"oxbowloft/internal/standin"
 )
 
-// answer is what a client has of an answer; err is nil only for one with a clean end.
-type answer struct {
+// clientResponse is what a client receives; err is nil only if the response is complete.
+type clientResponse struct {
 	status int
 	body   string
 	err    error
 }
 
-// before is a proxy before one backend, whose drain takes no longer than it must.
-func before(t *testing.T, b *standin.Backend) (p *Proxy, stop func()) {
+// startBefore starts a proxy with one backend and a minimal drain time.
+func startBefore(t *testing.T, b *standin.Backend) (p *Proxy, stop func()) {
 	t.Helper()
-	p = listening(t, standin.List(1, true, standin.Target("s", b.Addr())), "127.0.0.1:1")
+	p = listenProxy(t, standin.List(1, true, standin.Target("s", b.Addr())), "127.0.0.1:1")
 	p.cfg.Grace = time.Millisecond
-	return p, running(t, p)
+	return p, startProxy(t, p)
 }
 
-// request is a client's request of HTTP/1.1 or 1.0.
-func request(version, class string) string {
-	return strings.Replace(text(class, 2000), "HTTP/1.1", "HTTP/"+version, 1)
+// requestTextVersion returns a request of HTTP/1.1 or 1.0.
+func requestTextVersion(version, class string) string {
+	return strings.Replace(requestText(class, 2000), "HTTP/1.1", "HTTP/"+version, 1)
 }
 
-// answered reads an answer from c; begun is told with the first byte of its body.
-func answered(c net.Conn, begun func()) (a answer) {
+// readResponse reads a response from c and calls onBodyStart at the first byte of its
+// body.
+func readResponse(c net.Conn, onBodyStart func()) (a clientResponse) {
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
-		return answer{err: err}
+		return clientResponse{err: err}
 	}
 	a.status = resp.StatusCode
 	var b strings.Builder
 	one := make([]byte, 1)
 	if _, a.err = io.ReadFull(resp.Body, one); a.err == nil {
-		begun()
+		onBodyStart()
 		b.Write(one)
 		_, a.err = io.Copy(&b, resp.Body)
 	}
-	if a.err == io.EOF { // no body, whole
+	if a.err == io.EOF { // a complete response without a body
 		a.err = nil
 	}
 	a.body = b.String()
 	return a
 }
 
-// arrived waits until all that was written to c is in its peer's kernel.
-func arrived(t *testing.T, c net.Conn) {
+// waitDelivered waits until everything written to c has reached its peer's kernel.
+func waitDelivered(t *testing.T, c net.Conn) {
 	t.Helper()
 	raw, err := c.(*net.TCPConn).SyscallConn()
 	if err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "arrived", func() bool {
+	eventually(t, "delivery", func() bool {
 		left := 0
 		raw.Control(func(fd uintptr) { left, _ = unix.IoctlGetInt(int(fd), unix.SIOCOUTQ) })
 		return left == 0
@@ -82,16 +83,16 @@
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", n)
 }
 
-// An answer that ends badly, or is none, is never served, nor is what must not run twice
-// sent again; and its connection carries no other request.
-func TestAnswersThatEndBadly(t *testing.T) {
-	type spoilt struct {
+// A truncated or invalid backend response is never served. A request that must not run
+// twice is not sent again, and the connection carries no other request.
+func TestIncompleteBackendResponses(t *testing.T) {
+	type badResponse struct {
 		name, text string
 		end        func(*standin.Call) // nil: it stays open
 	}
 	reset := (*standin.Call).Reset
-	var all []spoilt
-	for _, s := range []spoilt{
+	var cases []badResponse
+	for _, s := range []badResponse{
 		{"before any byte", "", nil},
 		{"in the status line", "HTTP/1.1 20", nil},
 		{"in the head", "HTTP/1.1 200 OK\r\nContent-Le", nil},
@@ -99,31 +100,31 @@
 		{"no length, no body", plainHead, nil},
 		{"short of its length", lengthHead(9) + "half", nil},
 		{"short of its length by one", lengthHead(5) + "half", nil},
-		{"in a size line", chunkedHead + "4", nil},
+		{"in a chunk size line", chunkedHead + "4", nil},
 		{"in a chunk", chunkedHead + "4\r\nha", nil},
-		{"behind a chunk", chunkedHead + "4\r\nhalf\r\n", nil},
-		{"in the last size line", chunkedHead + "4\r\nhalf\r\n0", nil},
+		{"after a chunk", chunkedHead + "4\r\nhalf\r\n", nil},
+		{"in the last chunk size line", chunkedHead + "4\r\nhalf\r\n0", nil},
 		{"in the trailer", chunkedHead + "4\r\nhalf\r\n0\r\nX-Sum: 1", nil},
-		{"ahead of the last line", chunkedHead + "4\r\nhalf\r\n0\r\nX-Sum: 1\r\n", nil},
+		{"before the last line", chunkedHead + "4\r\nhalf\r\n0\r\nX-Sum: 1\r\n", nil},
 	} {
-		all = append(all, spoilt{s.name + ", end", s.text, (*standin.Call).Close}, spoilt{s.name + ", reset", s.text, reset})
+		cases = append(cases, badResponse{s.name + ", end", s.text, (*standin.Call).Close}, badResponse{s.name + ", reset", s.text, reset})
 	}
-	all = append(all,
-		spoilt{"no length, reset", plainHead + "half", reset},
-		spoilt{"no length, 1.0, reset", oldHead + "half", reset},
-		spoilt{"no length, an error, reset", "HTTP/1.0 404 Not Found\r\n\r\nhalf", reset},
-		spoilt{"noise", "\x00\x01\xff", nil},
-		spoilt{"bare line ends", "HTTP/1.1 200 OK\nContent-Length: 4\n\nhalf", nil},
-		spoilt{"two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 5\r\n\r\nhalf", nil},
-		spoilt{"length and chunks", "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\nhalf", nil},
-		spoilt{"bad size line", chunkedHead + "zz\r\nhalf", nil},
-		spoilt{"3 GB", lengthHead(3<<30) + "half", nil},
-		spoilt{"1xx without end", strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", 100), nil},
-		spoilt{"a head without end", "HTTP/1.1 200 OK\r\n" + strings.Repeat("X: y\r\n", http1.MaxHead), nil},
-		spoilt{"a trailer without end", chunkedHead + "4\r\nhalf\r\n0\r\n" + strings.Repeat("X: y\r\n", http1.MaxHead), nil},
-		spoilt{"another protocol", "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n", nil},
+	cases = append(cases,
+		badResponse{"no length, reset", plainHead + "half", reset},
+		badResponse{"no length, 1.0, reset", oldHead + "half", reset},
+		badResponse{"no length, an error, reset", "HTTP/1.0 404 Not Found\r\n\r\nhalf", reset},
+		badResponse{"noise", "\x00\x01\xff", nil},
+		badResponse{"bare line ends", "HTTP/1.1 200 OK\nContent-Length: 4\n\nhalf", nil},
+		badResponse{"two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 5\r\n\r\nhalf", nil},
+		badResponse{"length and chunks", "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\nhalf", nil},
+		badResponse{"bad chunk size line", chunkedHead + "zz\r\nhalf", nil},
+		badResponse{"3 GB", lengthHead(3<<30) + "half", nil},
+		badResponse{"endless 1xx", strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", 100), nil},
+		badResponse{"endless head", "HTTP/1.1 200 OK\r\n" + strings.Repeat("X: y\r\n", http1.MaxHead), nil},
+		badResponse{"endless trailer", chunkedHead + "4\r\nhalf\r\n0\r\n" + strings.Repeat("X: y\r\n", http1.MaxHead), nil},
+		badResponse{"another protocol", "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n", nil},
 	)
-	for _, s := range all {
+	for _, s := range cases {
 		for _, class := range []string{"pay", "get"} {
 			t.Run(s.name+", "+class, func(t *testing.T) {
 				t.Parallel()
@@ -132,7 +133,7 @@
 				b := standin.NewBackend(t, func(c *standin.Call) {
 					mu.Lock()
 					if conns[c.Conn] {
-						t.Error("a request on a connection of a spoilt answer")
+						t.Error("request on a connection that carried an invalid response")
 					}
 					conns[c.Conn] = true
 					mu.Unlock()
@@ -141,16 +142,16 @@
 						s.end(c)
 					}
 				})
-				p, stop := before(t, b)
+				p, stop := startBefore(t, b)
 				defer stop()
-				c := dial(t, p)
-				io.WriteString(c, request("1.1", class))
-				a := answered(c, func() {})
+				c := dialProxy(t, p)
+				io.WriteString(c, requestTextVersion("1.1", class))
+				a := readResponse(c, func() {})
 				if a.err != nil || a.status != http.StatusBadGateway && a.status != http.StatusServiceUnavailable {
 					t.Errorf("got %+v", a)
 				}
 				if n := b.Calls(); class == "pay" && n > 1 || n == 0 {
-					t.Errorf("it ran %d times", n)
+					t.Errorf("the request ran %d times", n)
 				}
 				c.Close()
 			})
@@ -158,10 +159,10 @@
 	}
 }
 
-// What has been passed on in part ends at the client as it ended at the backend: a reset
-// is seen as a broken answer, whichever way the client is told where it ends, and nothing
-// of it is sent for again.
-func TestCutOnTheWay(t *testing.T) {
+// A streamed response ends at the client as it ended at the backend: a reset is seen as a
+// truncated response, whichever way its length is given, and the request is not sent
+// again.
+func TestTruncatedStream(t *testing.T) {
 	long := strings.Repeat("x", http1.MaxBody+50_000)
 	chunk := func(b string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(b), b) }
 	reset, end := (*standin.Call).Reset, (*standin.Call).Close
@@ -180,10 +181,10 @@
 		{"length, end", lengthHead(len(long)+1) + long, end, false},
 		{"chunks, reset", chunkedHead + chunk(long), reset, false},
 		{"chunks, end", chunkedHead + chunk(long), end, false},
-		{"in a size line", chunkedHead + chunk(long) + "5", end, false},
+		{"in a chunk size line", chunkedHead + chunk(long) + "5", end, false},
 		{"in a chunk", chunkedHead + chunk(long) + "5\r\nab", end, false},
 		{"in the trailer", chunkedHead + chunk(long) + "0\r\nX-Sum: 1\r\n", end, false},
-		{"bad size line", chunkedHead + chunk(long) + "zz\r\n", end, false},
+		{"bad chunk size line", chunkedHead + chunk(long) + "zz\r\n", end, false},
 	} {
 		for _, version := range []string{"1.1", "1.0"} {
 			t.Run(s.name+", to "+version, func(t *testing.T) {
@@ -192,21 +193,21 @@
 				begin := sync.OnceFunc(func() { close(begun) })
 				b := standin.NewBackend(t, func(c *standin.Call) {
 					c.Raw(s.text)
-					<-begun // a part is at the client
+					<-begun // a part has reached the client
 					s.end(c)
 				})
-				p, stop := before(t, b)
+				p, stop := startBefore(t, b)
 				defer stop()
-				c := dial(t, p)
-				io.WriteString(c, request(version, "get"))
-				a := answered(c, begin)
-				begin() // where it has failed, nobody waits for it
+				c := dialProxy(t, p)
+				io.WriteString(c, requestTextVersion(version, "get"))
+				a := readResponse(c, begin)
+				begin() // after an early failure nobody waits for it
 				want := s.text[strings.Index(s.text, "\r\n\r\n")+4:]
 				if s.whole && (a.err != nil || a.body != want) || !s.whole && a.err == nil {
 					t.Errorf("got %d, %d bytes, %v", a.status, len(a.body), a.err)
 				}
 				if n := b.Calls(); n != 1 {
-					t.Errorf("it ran %d times", n)
+					t.Errorf("the request ran %d times", n)
 				}
 				c.Close()
 			})
@@ -214,8 +215,8 @@
 	}
 }
 
-// An answer that never ends is cut off, and the client can tell.
-func TestAnswerWithoutEnd(t *testing.T) {
+// An endless response is cut off, and the client can tell.
+func TestEndlessResponse(t *testing.T) {
 	for name, head := range map[string]string{"no length": plainHead, "chunks": chunkedHead} {
 		b := standin.NewBackend(t, func(c *standin.Call) {
 			c.Raw(head)
@@ -229,31 +230,31 @@
 				}
 			}
 		})
-		p, stop := before(t, b)
-		c := dial(t, p)
-		io.WriteString(c, request("1.1", "get"))
-		if a := answered(c, func() {}); a.err == nil || len(a.body) > http1.MaxStream+1<<20 {
+		p, stop := startBefore(t, b)
+		c := dialProxy(t, p)
+		io.WriteString(c, requestTextVersion("1.1", "get"))
+		if a := readResponse(c, func() {}); a.err == nil || len(a.body) > http1.MaxStream+1<<20 {
 			t.Errorf("%s: got %d, %d bytes, %v", name, a.status, len(a.body), a.err)
 		}
 		c.Close()
 		stop()
 		if n := b.Calls(); n != 1 {
-			t.Errorf("%s: it ran %d times", name, n)
+			t.Errorf("%s: the request ran %d times", name, n)
 		}
 	}
 }
 
-// What a backend sends on a resting connection is never taken for a later answer, whatever
-// it is and however late it comes.
-func TestBytesOnARestingConnection(t *testing.T) {
+// Bytes that a backend sends on an idle connection are never taken for a later response,
+// whatever they are and however late they arrive.
+func TestBytesOnIdleConnection(t *testing.T) {
 	const stale = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstale"
-	for name, late := range map[string]func(net.Conn){
-		"a second answer": func(c net.Conn) { io.WriteString(c, stale) },
-		"half a line":     func(c net.Conn) { io.WriteString(c, "HTTP/1.1 2") },
-		"a byte":          func(c net.Conn) { io.WriteString(c, "H") },
-		"an empty line":   func(c net.Conn) { io.WriteString(c, "\r\n") },
-		"a 1xx":           func(c net.Conn) { io.WriteString(c, "HTTP/1.1 100 Continue\r\n\r\n") },
-		"noise and end":   func(c net.Conn) { io.WriteString(c, "\x00"); c.(*net.TCPConn).CloseWrite() },
+	for name, sendStray := range map[string]func(net.Conn){
+		"a second response": func(c net.Conn) { io.WriteString(c, stale) },
+		"half a line":       func(c net.Conn) { io.WriteString(c, "HTTP/1.1 2") },
+		"a byte":            func(c net.Conn) { io.WriteString(c, "H") },
+		"an empty line":     func(c net.Conn) { io.WriteString(c, "\r\n") },
+		"a 1xx":             func(c net.Conn) { io.WriteString(c, "HTTP/1.1 100 Continue\r\n\r\n") },
+		"noise and end":     func(c net.Conn) { io.WriteString(c, "\x00"); c.(*net.TCPConn).CloseWrite() },
 	} {
 		for _, class := range []string{"pay", "get"} {
 			t.Run(name+", "+class, func(t *testing.T) {
@@ -263,18 +264,18 @@
 					c.Reply(200, fmt.Sprint(c.N))
 					calls <- c
 				})
-				p, stop := before(t, b)
+				p, stop := startBefore(t, b)
 				defer stop()
-				c := dial(t, p)
+				c := dialProxy(t, p)
 				for n := range 3 {
-					io.WriteString(c, request("1.1", class))
-					if a := answered(c, func() {}); a.err != nil || a.status != 200 || a.body != fmt.Sprint(n+1) {
-						t.Fatalf("got %+v, want the %dth answer", a, n+1)
+					io.WriteString(c, requestTextVersion("1.1", class))
+					if a := readResponse(c, func() {}); a.err != nil || a.status != 200 || a.body != fmt.Sprint(n+1) {
+						t.Fatalf("got %+v, want response %d", a, n+1)
 					}
 					call := <-calls
-					eventually(t, "at rest", func() bool { return p.driver.allBackends()[0].Idle() == 1 })
-					late(call.Conn)
-					arrived(t, call.Conn)
+					eventually(t, "idle connection", func() bool { return p.driver.allBackends()[0].Idle() == 1 })
+					sendStray(call.Conn)
+					waitDelivered(t, call.Conn)
 				}
 				if opened, _ := b.Conns(); opened != 3 {
 					t.Errorf("%d connections for 3 requests", opened)
@@ -285,9 +286,8 @@
 	}
 }
 
-// An answer in pieces of one byte, each of which has arrived before the next is sent, is
-// served whole.
-func TestAnswerInPieces(t *testing.T) {
+// A response that arrives byte by byte is served completely.
+func TestResponseInSingleBytes(t *testing.T) {
 	for _, text := range []string{
 		"HTTP/1.1 100 Continue\r\n\r\n" + lengthHead(5) + "whole",
 		chunkedHead + "2;a=b\r\nwh\r\n3\r\nole\r\n0\r\nX-Sum: 1\r\n\r\n",
@@ -296,16 +296,16 @@
 		b := standin.NewBackend(t, func(c *standin.Call) {
 			for i := range text {
 				c.Raw(text[i : i+1])
-				arrived(t, c.Conn)
+				waitDelivered(t, c.Conn)
 			}
 			if strings.HasPrefix(text, "HTTP/1.0") {
 				c.Close()
 			}
 		})
-		p, stop := before(t, b)
-		c := dial(t, p)
-		io.WriteString(c, request("1.1", "pay"))
-		if a := answered(c, func() {}); a.err != nil || a.status != 200 || a.body != "whole" {
+		p, stop := startBefore(t, b)
+		c := dialProxy(t, p)
+		io.WriteString(c, requestTextVersion("1.1", "pay"))
+		if a := readResponse(c, func() {}); a.err != nil || a.status != 200 || a.body != "whole" {
 			t.Errorf("%q: got %+v", text, a)
 		}
 		c.Close()
--- a/proxy/config_test.go
+++ b/proxy/config_test.go
@@ -11,8 +11,8 @@
 	"oxbowloft/internal/standin"
 )
 
-// load reads a configuration in which old is replaced.
-func load(t *testing.T, old, with string) (*Config, error) {
+// loadReplacing loads a configuration in which old is replaced.
+func loadReplacing(t *testing.T, old, with string) (*Config, error) {
 	t.Helper()
 	text := standin.Config("127.0.0.1:0", "127.0.0.1:1", 256, standin.List(7, true))
 	if !strings.Contains(text, old) {
@@ -25,14 +25,14 @@
 	return Load(path, func(string) string { return "" })
 }
 
-// A list that names no backend is no reason not to start, in whatever form it comes:
-// discovery is asked. What names backends in a form that can't be read is refused.
-func TestKnown(t *testing.T) {
+// A known list without backends does not prevent the start, whatever its form: discovery
+// provides the list. A list of backends that can't be parsed is an error.
+func TestKnownList(t *testing.T) {
 	const known = `"known":{"rev":7,"all":true,"targets":[]}`
 	for _, c := range []struct {
 		with    string
 		rev     int64
-		targets int // below zero: refused
+		targets int // negative: an error
 	}{
 		{known, 7, 0},
 		{`"known":null`, 0, 0},
@@ -48,7 +48,7 @@
 		{`"known":[]`, 0, -1},
 		{`"known":"none"`, 0, -1},
 	} {
-		cfg, err := load(t, known, c.with)
+		cfg, err := loadReplacing(t, known, c.with)
 		switch {
 		case c.targets < 0:
 			if err == nil || !strings.Contains(err.Error(), " known: ") || strings.Contains(err.Error(), "\n") {
@@ -62,23 +62,23 @@
 	}
 }
 
-// Guards against calls for the list with no pause between them while discovery is down.
-func TestAskWithin(t *testing.T) {
+// Prevents polls without a pause between them while discovery is down.
+func TestPollIntervalDefault(t *testing.T) {
 	for with, want := range map[string]time.Duration{
 		`"ask-within-ms":4000`: 4 * time.Second,
 		`"ask-within-ms":0`:    discovery.TellWithin,
 		`"else":0`:             discovery.TellWithin,
 	} {
-		if cfg, err := load(t, `"ask-within-ms":4000`, with); err != nil || cfg.maxPollInterval != want {
+		if cfg, err := loadReplacing(t, `"ask-within-ms":4000`, with); err != nil || cfg.maxPollInterval != want {
 			t.Errorf("%s: %v, want %v", with, err, want)
 		}
 	}
 }
 
-// Guards against a refused configuration that a second try takes, with no settings for
-// the module.
-func TestRefusedAgain(t *testing.T) {
-	cfg, err := load(t, `"seed"`, `"seed"`)
+// Prevents an invalid configuration from being accepted at a second try, without settings
+// for the balancing logic.
+func TestInvalidConfigStaysInvalid(t *testing.T) {
+	cfg, err := loadReplacing(t, `"seed"`, `"seed"`)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -91,17 +91,17 @@
 	}
 }
 
-// Guards against a limit so large that it is below zero in bytes, or that the places for
-// long messages, which are made by it, take all the memory there is.
+// Prevents a memory limit that overflows to a negative number of bytes, or that makes the
+// transfer buffers, whose number depends on it, use up the memory.
 func TestLargeLimits(t *testing.T) {
 	for _, mb := range []string{"1000000", "1e12", "1e300"} {
-		cfg, err := load(t, `"memory_mb":192`, `"memory_mb":`+mb)
+		cfg, err := loadReplacing(t, `"memory_mb":192`, `"memory_mb":`+mb)
 		if err != nil || cfg.Limits.MemoryMB != maxMemoryMB {
 			t.Fatalf("%s: %v", mb, err)
 		}
 		began := time.Now()
 		if _, err := New(cfg); err != nil || time.Since(began) > 5*time.Second {
-			t.Errorf("%s: made in %v, %v", mb, time.Since(began), err)
+			t.Errorf("%s: New took %v, %v", mb, time.Since(began), err)
 		}
 	}
 }
--- a/proxy/drain_test.go
+++ b/proxy/drain_test.go
@@ -18,8 +18,8 @@
 	"oxbowloft/logic"
 )
 
-// ended waits for the end of Run.
-func ended(t *testing.T, done <-chan error) {
+// waitRunEnd waits for the end of Run.
+func waitRunEnd(t *testing.T, done <-chan error) {
 	t.Helper()
 	select {
 	case err := <-done:
@@ -27,40 +27,40 @@
 			t.Error(err)
 		}
 	case <-time.After(20 * time.Second):
-		t.Fatal("still runs")
+		t.Fatal("Run has not returned")
 	}
 }
 
-// A drain that finds no descriptor left, and requests that outlast it, ends in time: what
-// is in flight is answered at its end, and what waits in the kernel gets the descriptors
-// that this frees, and its answer. Guards against a drain that waits for a descriptor for
-// as long as deadlines are.
+// A drain ends in time although no descriptor is left and requests outlast it. Requests
+// in flight are answered at its end; connections in the backlog then get the freed
+// descriptors and a response. Prevents a drain from waiting for a descriptor as long as
+// the deadlines are.
 func TestDrainWithNoDescriptorLeft(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	t.Run("drain", func(t *testing.T) {
 		b := standin.NewBackend(t, (*standin.Call).Hang)
-		p := listening(t, standin.List(1, true, standin.Target("s-1", b.Addr())), "127.0.0.1:1")
+		p := listenProxy(t, standin.List(1, true, standin.Target("s-1", b.Addr())), "127.0.0.1:1")
 		p.cfg.Grace, p.longestDeadline, p.shortestDeadline = time.Millisecond, time.Minute, 300*time.Millisecond
-		p.finalWriteTime = 20 * time.Second // the verdict is not the machine's
+		p.finalWriteTime = 20 * time.Second // independent of the machine's speed
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		done := make(chan error, 1)
 		go func() { done <- p.Run(ctx) }()
 		eventually(t, "ready", p.Ready)
 		send := func(id int, class string) net.Conn {
-			c := dial(t, p)
-			io.WriteString(c, strings.Replace(text(class, 60_000), "ID: 1", fmt.Sprint("ID: ", id), 1))
+			c := dialProxy(t, p)
+			io.WriteString(c, strings.Replace(requestText(class, 60_000), "ID: 1", fmt.Sprint("ID: ", id), 1))
 			return c
 		}
 		asked := []net.Conn{send(1, "get"), send(2, "pay")}
 		eventually(t, "two attempts", func() bool { return b.Calls() == 2 })
 		p.descriptors.mu.Lock()
-		p.descriptors.limit = 4 // both, and their backend's two
+		p.descriptors.limit = 4 // two clients and two backend connections
 		p.descriptors.mu.Unlock()
-		if _, err := io.ReadAll(dial(t, p)); err != nil { // the last that is accepted makes room
+		if _, err := io.ReadAll(dialProxy(t, p)); err != nil { // the last accepted client is evicted
 			t.Error(err)
 		}
-		eventually(t, "none is left", func() bool {
+		eventually(t, "no descriptor left", func() bool {
 			used, _ := p.descriptors.inUse()
 			return used == 4 && p.clients.count() == 2
 		})
@@ -75,16 +75,16 @@
 			}
 			c.Close()
 		}
-		ended(t, done)
+		waitRunEnd(t, done)
 		if used, _ := p.descriptors.inUse(); used != 0 {
-			t.Errorf("%d descriptors are kept", used)
+			t.Errorf("%d descriptors were not released", used)
 		}
 	})
 }
 
-// A proxy that is told to end before it listens does not begin.
-func TestEndBeforeStart(t *testing.T) {
-	p := listening(t, standin.List(1, true), "127.0.0.1:1")
+// A proxy that is told to end before it listens does not start.
+func TestShutdownBeforeListen(t *testing.T) {
+	p := listenProxy(t, standin.List(1, true), "127.0.0.1:1")
 	p.listener.Close()
 	p.shared.close()
 	p.listener = nil
@@ -95,42 +95,42 @@
 	}
 }
 
-// A connection that was caught in the kernel and comes when all others have gone ends as
-// the others did.
-func TestAcceptedBehindTheLast(t *testing.T) {
+// A connection whose accept returns after all others have closed is closed like them.
+func TestLateAcceptAfterShutdown(t *testing.T) {
 	s := newClientConns()
 	s.add()
 	empty := s.shutdown()
 	s.remove()
 	<-empty
 	s.add()
-	s.remove() // would end the program
+	s.remove() // must not panic by closing a channel twice
 }
 
-// A listener's wait for a descriptor ends when it is told to, also where it has begun.
+// The accept loop's wait for a descriptor ends at the deadline, also if it was set during
+// the wait.
 func TestWaitForDescriptorEnds(t *testing.T) {
-	s := newDescriptorBudget(reservedDescriptors + 2) // one is the backends'
+	s := newDescriptorBudget(reservedDescriptors + 2) // one is reserved for backends
 	s.reclaim = func(int) {}
 	if !s.acquireForClient() {
-		t.Fatal("none of one")
+		t.Fatal("no descriptor, though one is free")
 	}
 	got := make(chan bool)
 	go func() { got <- s.acquireForClient() }()
 	s.setWaitDeadline(time.Now())
 	if <-got {
-		t.Error("got one over the budget")
+		t.Error("got a descriptor over the budget")
 	}
 	s.releaseForClient()
 	if !s.acquireForClient() {
-		t.Error("none where one was given back")
+		t.Error("no descriptor after a release")
 	}
 }
 
-// A request that waits for its backoff when the process ends gets its answer at once, and no
-// attempt follows.
-func TestEndInBackoff(t *testing.T) {
+// A request in backoff when the process shuts down is answered at once, and no attempt
+// follows.
+func TestShutdownDuringBackoff(t *testing.T) {
 	list := standin.List(1, true, standin.Target("s-1", "127.0.0.1:1"), standin.Target("s-2", "127.0.0.1:2"))
-	p := listening(t, list, "127.0.0.1:1")
+	p := listenProxy(t, list, "127.0.0.1:1")
 	defer p.listener.Close()
 	r := p.driver.arrive("1", 0, time.Hour, false, false)
 	p.driver.done(r, <-r.steps, logic.NoConnect, false, false)
@@ -138,45 +138,45 @@
 		t.Fatal("no backoff")
 	}
 	p.driver.endAll()
-	if s := within(t, "an answer", r.steps); s.kind != stepRefuse || s.retryAfter <= 0 {
-		t.Errorf("got %+v, want to be told to come back", s)
+	if s := receive(t, "a response", r.steps); s.kind != stepRefuse || s.retryAfter <= 0 {
+		t.Errorf("got %+v, want a refusal with Retry-After", s)
 	}
-	r.backoffTimer.Reset(0) // its end comes all the same, and nothing of it
-	eventually(t, "the backoff is over", func() bool { return !r.backoffTimer.Stop() })
+	r.backoffTimer.Reset(0) // the timer fires all the same, without effect
+	eventually(t, "the end of the backoff", func() bool { return !r.backoffTimer.Stop() })
 	p.driver.forget(r)
 	if len(r.steps) > 0 {
-		t.Errorf("then %+v", <-r.steps)
+		t.Errorf("unexpected step %+v", <-r.steps)
 	}
 }
 
-// A request whose body is still coming when the process is told to end is served, if it comes
-// in time, both one that is read whole and one that passes through.
-func TestDrainInBody(t *testing.T) {
+// A request whose body is still arriving when the process is told to end is served if the
+// rest arrives in time, both if it is buffered and if it is streamed.
+func TestDrainDuringRequestBody(t *testing.T) {
 	for _, size := range []int{1000, 2 * http1.MaxBody} {
 		b := standin.NewBackend(t, func(c *standin.Call) { c.Reply(200, fmt.Sprint(len(c.Text))) })
-		p := listening(t, standin.List(1, true, standin.Target("s-1", b.Addr())), "127.0.0.1:1")
+		p := listenProxy(t, standin.List(1, true, standin.Target("s-1", b.Addr())), "127.0.0.1:1")
 		p.cfg.Grace, p.longestDeadline, p.finalWriteTime = time.Millisecond, time.Minute, 20*time.Second // ample on any machine
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan error, 1)
 		go func() { done <- p.Run(ctx) }()
 		eventually(t, "ready", p.Ready)
-		c := dial(t, p)
+		c := dialProxy(t, p)
 		fmt.Fprintf(c, "POST /api HTTP/1.1\r\nHost: h\r\nX-Request-ID: 1\r\nX-Priority-Class: pay\r\n"+
 			"X-Timeout-Ms: 60000\r\nContent-Length: %d\r\n\r\n%s", size, strings.Repeat("x", size/2))
-		eventually(t, "it has begun to come", func() bool {
+		eventually(t, "the start of the body", func() bool {
 			p.clients.mu.Lock()
 			defer p.clients.mu.Unlock()
 			e := p.clients.awaitingFirst.Front()
 			return p.clients.openCount == 1 && (p.clients.awaitingFirst.Len() == 0 || e.Value.(*clientConn).receiving)
 		})
 		cancel()
-		eventually(t, "a drain", func() bool { return p.Phase() == Draining })
+		eventually(t, "the drain", func() bool { return p.Phase() == Draining })
 		io.WriteString(c, strings.Repeat("x", size-size/2))
-		resp, body := read(t, c)
+		resp, body := mustReadResponse(t, c)
 		if resp.StatusCode != 200 || body != fmt.Sprint(size) {
 			t.Errorf("%d bytes: got %d %q", size, resp.StatusCode, body)
 		}
 		c.Close()
-		ended(t, done)
+		waitRunEnd(t, done)
 	}
 }
--- a/proxy/end_test.go
+++ b/proxy/end_test.go
@@ -20,26 +20,26 @@
 	"oxbowloft/internal/standin"
 )
 
-// Whatever goes on while a proxy ends, it ends: by itself, with nothing left behind, and
-// with an answer to each request that it took. Each case goes on from before the end until
-// after it, so that the two meet in every state.
-func TestEndMeets(t *testing.T) {
+// A proxy shuts down whatever happens meanwhile: by itself, without leaks, and with a
+// response to each accepted request. Each disturbance lasts from before the shutdown
+// until after it, so that it meets all phases.
+func TestConcurrentShutdown(t *testing.T) {
 	ids := make(chan int)
-	over := make(chan bool)
-	defer close(over)
+	stopIDs := make(chan bool)
+	defer close(stopIDs)
 	go func() {
 		for id := 1; ; id++ {
 			select {
 			case ids <- id:
-			case <-over:
+			case <-stopIDs:
 				return
 			}
 		}
 	}()
 	request := func(class string, ms int) string {
-		return strings.Replace(text(class, ms), "ID: 1", fmt.Sprint("ID: ", <-ids), 1)
+		return strings.Replace(requestText(class, ms), "ID: 1", fmt.Sprint("ID: ", <-ids), 1)
 	}
-	for name, with := range map[string]func(t *testing.T, p *Proxy, cfg *Config, addr string){
+	for name, disturb := range map[string]func(t *testing.T, p *Proxy, cfg *Config, addr string){
 		"reload": func(_ *testing.T, p *Proxy, cfg *Config, _ string) {
 			if err := p.Reload(cfg); err != nil {
 				t.Error(err)
@@ -67,7 +67,7 @@
 				c.Close()
 			}
 		},
-		"clients that send on": func(_ *testing.T, p *Proxy, _ *Config, addr string) {
+		"clients that send more": func(_ *testing.T, p *Proxy, _ *Config, addr string) {
 			if c, err := net.Dial("tcp", addr); err == nil {
 				io.WriteString(c, request("get", 300)+"noise")
 				c.Close()
@@ -85,7 +85,7 @@
 					}
 				})
 				list := standin.List(1, true, standin.Target("s-0", b.Addr()))
-				p := listening(t, list, "127.0.0.1:1")
+				p := listenProxy(t, list, "127.0.0.1:1")
 				p.descriptors.resize(reservedDescriptors + 16)
 				p.cfg.Grace, p.longestDeadline, p.shortestDeadline = 50*time.Millisecond, 300*time.Millisecond, 300*time.Millisecond
 				path := filepath.Join(t.TempDir(), "config.json")
@@ -102,12 +102,12 @@
 				done := make(chan error, 1)
 				go func() { done <- p.Run(ctx) }()
 				eventually(t, "ready", p.Ready)
-				asked := make([]net.Conn, 4)
-				for i := range asked { // taken before the end
-					asked[i] = dial(t, p)
-					io.WriteString(asked[i], request("pay", 60_000))
+				open := make([]net.Conn, 4)
+				for i := range open { // accepted before the shutdown
+					open[i] = dialProxy(t, p)
+					io.WriteString(open[i], request("pay", 60_000))
 				}
-				eventually(t, "taken", func() bool {
+				eventually(t, "accepted requests", func() bool {
 					return p.stats.openRequests.Load()+p.stats.requestsEnded(fulfilled)+p.stats.requestsEnded(throttled)+p.stats.requestsEnded(faulted) >= 4
 				})
 				stop := make(chan bool)
@@ -119,19 +119,19 @@
 							case <-stop:
 								return
 							default:
-								with(t, p, cfg, addr)
+								disturb(t, p, cfg, addr)
 								time.Sleep(time.Millisecond)
 							}
 						}
 					})
 				}
 				cancel()
-				for i, c := range asked {
+				for i, c := range open {
 					if _, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil {
 						t.Errorf("request %d: %v", i, err)
 					}
 				}
-				ended(t, done)
+				waitRunEnd(t, done)
 				close(stop)
 				tasks.Wait()
 			})
--- a/proxy/guard_test.go
+++ b/proxy/guard_test.go
@@ -12,8 +12,8 @@
 	"oxbowloft/logic"
 )
 
-// A violation that is planted between the module and the driver is stopped by its guard,
-// counted and shown; a request that breaks none counts none.
+// A violation injected between the balancing logic and the driver is prevented by its
+// guard, counted and shown. A normal request counts none.
 func TestGuards(t *testing.T) {
 	b := standin.NewBackend(t, standin.Echo)
 	for _, c := range []struct {
@@ -21,23 +21,23 @@
 		guard guard
 		plant func(d *driver)
 	}{
-		{"sent to one that drains", guardSend, func(d *driver) {
+		{"sent to a draining backend", guardSend, func(d *driver) {
 			at := d.backends["s-1"]
 			at.state = logic.Draining
 			d.backends["s-1"] = at
 		}},
-		{"sent to one that is out by hand", guardSend, func(d *driver) { d.detached["s-1"] = true }},
+		{"sent to a detached backend", guardSend, func(d *driver) { d.detached["s-1"] = true }},
 		{"none", guardCount, func(*driver) {}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			p := listening(t, standin.List(1, true, standin.Target("s-1", b.Addr())), "127.0.0.1:1")
+			p := listenProxy(t, standin.List(1, true, standin.Target("s-1", b.Addr())), "127.0.0.1:1")
 			p.cfg.Grace = time.Millisecond
-			defer running(t, p)()
+			defer startProxy(t, p)()
 			p.driver.mu.Lock()
 			c.plant(p.driver)
 			p.driver.mu.Unlock()
 			before := b.Calls()
-			code, _ := ask(t, dial(t, p), "get", 2000)
+			code, _ := sendRequest(t, dialProxy(t, p), "get", 2000)
 			for g := range guardCount {
 				if n := p.driver.violations.counts[g].Load(); (n > 0) != (g == c.guard) {
 					t.Errorf("guard %s counts %d", g, n)
@@ -48,15 +48,15 @@
 				t.Errorf("answered %d, sent %t", code, sent)
 			}
 			if info := (adminTarget{p}).Info(); !strings.Contains(info, `balancer_invariant_violations{guard="send"}`) {
-				t.Errorf("not shown: %s", info)
+				t.Errorf("metrics lack the counter: %s", info)
 			}
 		})
 	}
 }
 
-// The other guards, each asked about a step that must not be taken and one that may.
-func TestGuardsOfACall(t *testing.T) {
-	p := listening(t, standin.List(1, true), "127.0.0.1:1")
+// The other guards, each with a step that must not be taken and one that may.
+func TestGuardsOfARequest(t *testing.T) {
+	p := listenProxy(t, standin.List(1, true), "127.0.0.1:1")
 	defer p.listener.Close()
 	defer p.shared.close()
 	d := p.driver
@@ -64,10 +64,10 @@
 	open := &activeRequest{id: "1", clientID: "open"}
 	d.requests["1"] = open
 	if !d.checkStart(open) || counted(guardStart) != 0 {
-		t.Error("an open call may not start")
+		t.Error("an open request may not start")
 	}
 	if d.checkStart(&activeRequest{id: "2", clientID: "answered"}) || d.checkStart(&activeRequest{id: "1", clientID: "left", clientLeft: true}) || counted(guardStart) != 2 {
-		t.Error("a call that was answered, or whose client left, may start")
+		t.Error("a request that was answered, or whose client left, may start")
 	}
 	for _, c := range []struct {
 		repeat logic.Repeat
@@ -75,11 +75,11 @@
 		may    bool
 	}{{logic.Unsafe, true, false}, {logic.Unsafe, false, true}, {logic.Safe, true, true}, {logic.Keyed, true, true}} {
 		if d.checkRetry(&activeRequest{idempotency: c.repeat, mayHaveRun: c.ran}) != c.may {
-			t.Errorf("repeat rule %v, ran %t: may be repeated %t", c.repeat, c.ran, !c.may)
+			t.Errorf("idempotency %v, may have run %t: retry allowed %t", c.repeat, c.ran, !c.may)
 		}
 	}
 	if counted(guardRetry) != 1 {
-		t.Errorf("%d repeats counted", counted(guardRetry))
+		t.Errorf("%d violations counted for retries", counted(guardRetry))
 	}
 	near, far := net.Pipe()
 	defer near.Close()
@@ -87,12 +87,12 @@
 	c := &clientConn{conn: http1.NewConn(near)}
 	p.checkClosed(c, open, "open")
 	if counted(guardClose) != 1 {
-		t.Error("an end with no answer is not counted")
+		t.Error("an end without a response is not counted")
 	}
 	c.responseStarted = true
 	p.checkClosed(c, open, "open")
 	p.checkClosed(&clientConn{}, &activeRequest{clientLeft: true}, "left")
 	if counted(guardClose) != 1 {
-		t.Error("an end with an answer, or without a client, is counted")
+		t.Error("an end with a response, or after the client left, is counted")
 	}
 }
--- a/proxy/late_test.go
+++ b/proxy/late_test.go
@@ -11,30 +11,30 @@
 	"oxbowloft/internal/standin"
 )
 
-// A connection that comes up late takes no request's time: the request is sent elsewhere,
-// whatever a second run of it would do, since nothing has been written. The connection
-// serves another once it is up, and its backend is not avoided for it.
+// A slow dial does not use up a request's time: the request is sent to another backend,
+// whatever its idempotency, since nothing has been written. Once open, the connection
+// serves other requests, and the backend is not avoided.
 func TestLateConnection(t *testing.T) {
 	for _, class := range []string{"get", "put", "pay"} {
 		t.Run(class, func(t *testing.T) {
-			late, other := standin.NewBackend(t, standin.Echo), standin.NewBackend(t, standin.Echo)
-			p := listening(t, standin.List(1, true, standin.Target("s-1", late.Addr()), standin.Target("s-2", other.Addr())),
+			slow, other := standin.NewBackend(t, standin.Echo), standin.NewBackend(t, standin.Echo)
+			p := listenProxy(t, standin.List(1, true, standin.Target("s-1", slow.Addr()), standin.Target("s-2", other.Addr())),
 				"127.0.0.1:1")
-			p.cfg.Grace = time.Millisecond // so that the end takes no time
+			p.cfg.Grace = time.Millisecond // keeps the drain short
 			up := make(chan struct{})
 			var once sync.Once
 			release := func() { once.Do(func() { close(up) }) }
 			defer release()
 			var mu sync.Mutex
-			dials := 0
+			dialCount := 0
 			p.driver.opt.DialTimeout = 20 * time.Second
 			p.driver.opt.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
-				if addr == late.Addr() {
-					// No longer than the request that begins it, where nothing else ends it.
+				if addr == slow.Addr() {
+					// bounds the dial by the time of the request that started it
 					ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 					defer cancel()
 					mu.Lock()
-					dials++
+					dialCount++
 					mu.Unlock()
 					select {
 					case <-up:
@@ -44,38 +44,38 @@
 				}
 				return (&net.Dialer{}).DialContext(ctx, network, addr)
 			}
-			defer running(t, p)()
+			defer startProxy(t, p)()
 			tried := func() bool {
 				mu.Lock()
 				defer mu.Unlock()
-				return dials > 0
+				return dialCount > 0
 			}
 			for i := 0; i < 50 && !tried(); i++ {
-				if code, body := ask(t, dial(t, p), class, 2000); code != http.StatusOK {
-					t.Errorf("a request that met a late connection: %d %q", code, body)
+				if code, body := sendRequest(t, dialProxy(t, p), class, 2000); code != http.StatusOK {
+					t.Errorf("a request that met a slow dial: %d %q", code, body)
 				}
 			}
 			if !tried() {
-				t.Fatal("the late backend was never tried")
+				t.Fatal("the slow backend was never dialed")
 			}
 			if _, avoided := p.driver.backendCounts(); avoided > 0 {
-				t.Error("the late backend is avoided")
+				t.Error("the slow backend is avoided")
 			}
 			mu.Lock()
-			made := dials
+			dialed := dialCount
 			mu.Unlock()
 			release()
-			eventually(t, "the late connections up", func() bool {
+			eventually(t, "slow connections established", func() bool {
 				p.driver.mu.Lock()
 				defer p.driver.mu.Unlock()
-				return p.driver.backends["s-1"].Idle() == made
+				return p.driver.backends["s-1"].Idle() == dialed
 			})
-			eventually(t, "the late connections used", func() bool {
-				ask(t, dial(t, p), class, 2000)
-				return late.Calls() > 0
+			eventually(t, "slow connections used", func() bool {
+				sendRequest(t, dialProxy(t, p), class, 2000)
+				return slow.Calls() > 0
 			})
-			if opened, _ := late.Conns(); opened > made {
-				t.Errorf("%d connections to the late backend, where %d were on their way", opened, made)
+			if opened, _ := slow.Conns(); opened > dialed {
+				t.Errorf("%d connections to the slow backend, want at most the %d dialed", opened, dialed)
 			}
 		})
 	}
--- a/proxy/linger_test.go
+++ b/proxy/linger_test.go
@@ -22,33 +22,33 @@
 
 // crossed is a client's connection as the proxy has it. In the very moment in which the
 // proxy first shuts or closes it, late happens, and all of what that sends has come.
-type crossed struct {
+type hookedConn struct {
 	*net.TCPConn
-	once sync.Once
-	late func()
-	shut bool // its write side was ended
+	once        sync.Once
+	beforeClose func()
+	writeClosed bool // its write side was ended
 
-	until atomic.Value // time.Time: what its next read may take
+	readDeadline atomic.Value // time.Time: what its next read may take
 }
 
-func (c *crossed) SetReadDeadline(t time.Time) error {
-	c.until.Store(t)
+func (c *hookedConn) SetReadDeadline(t time.Time) error {
+	c.readDeadline.Store(t)
 	return c.TCPConn.SetReadDeadline(t)
 }
 
-func (c *crossed) CloseWrite() error {
-	c.shut = true
-	c.once.Do(c.late)
+func (c *hookedConn) CloseWrite() error {
+	c.writeClosed = true
+	c.once.Do(c.beforeClose)
 	return c.TCPConn.CloseWrite()
 }
 
-func (c *crossed) Close() error {
-	c.once.Do(c.late)
+func (c *hookedConn) Close() error {
+	c.once.Do(c.beforeClose)
 	return c.TCPConn.Close()
 }
 
 // readable waits until something can be read from a connection, without taking it.
-func readable(t *testing.T, c *net.TCPConn) {
+func waitReadable(t *testing.T, c *net.TCPConn) {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		t.Error(err)
@@ -65,45 +65,45 @@
 
 // crossing is a proxy that serves one connection, on which what late says comes as the
 // proxy shuts or closes it. ended is closed once the proxy is done with it.
-func crossing(t *testing.T, p *Proxy, late string) (c *net.TCPConn, at *crossed, ended chan bool) {
+func serveHooked(t *testing.T, p *Proxy, late string) (c *net.TCPConn, conn *hookedConn, done chan bool) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	nc, err := net.Dial("tcp", ln.Addr().String())
+	client, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { nc.Close() })
-	nc.SetDeadline(time.Now().Add(20 * time.Second))
+	t.Cleanup(func() { client.Close() })
+	client.SetDeadline(time.Now().Add(20 * time.Second))
 	accepted, err := ln.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	at = &crossed{TCPConn: accepted.(*net.TCPConn)}
-	at.late = func() {
+	conn = &hookedConn{TCPConn: accepted.(*net.TCPConn)}
+	conn.beforeClose = func() {
 		if late != "" {
-			io.WriteString(nc, late)
-			readable(t, at.TCPConn)
+			io.WriteString(client, late)
+			waitReadable(t, conn.TCPConn)
 		}
 	}
-	ended = make(chan bool)
+	done = make(chan bool)
 	p.descriptors.acquireForClient()
 	p.clients.add()
 	go func() {
-		defer close(ended)
-		p.serve(&clientConn{conn: http1.NewConn(at), waitStart: time.Now()})
+		defer close(done)
+		p.serve(&clientConn{conn: http1.NewConn(conn), waitStart: time.Now()})
 	}()
-	return nc.(*net.TCPConn), at, ended
+	return client.(*net.TCPConn), conn, done
 }
 
 // A close over unread bytes resets the connection, and takes back what the client has not
 // read of the last answer. Whatever ends a connection, and whatever comes in that very
 // moment, the client gets all that was written and then the end; what came is not served.
-func TestCloseCrossed(t *testing.T) {
-	request := text("get", 2000)
+func TestLingeringClose(t *testing.T) {
+	request := requestText("get", 2000)
 	old := strings.Replace(request, "HTTP/1.1", "HTTP/1.0", 1)
 	last := strings.Replace(request, "\r\n\r\n", "\r\nConnection: close\r\n\r\n", 1)
 	half := "POST /api HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\n\r\nhel"
@@ -133,10 +133,10 @@
 		t.Run(c.name, func(t *testing.T) {
 			b := standin.NewBackend(t, standin.Echo)
 			list := standin.List(1, true, standin.Target("s-1", b.Addr()))
-			p := listening(t, list, "127.0.0.1:1")
+			p := listenProxy(t, list, "127.0.0.1:1")
 			defer p.listener.Close()
 			c.before(p)
-			nc, _, ended := crossing(t, p, c.late)
+			nc, _, ended := serveHooked(t, p, c.late)
 			io.WriteString(nc, c.sent)
 			calls := 0
 			if strings.HasPrefix(c.sent, "GET") {
@@ -175,21 +175,21 @@
 
 // An answer that is longer than what its reader takes at once is still on the way when
 // its connection is closed: all of it arrives, whatever the reader has sent meanwhile.
-func TestCloseBehindLongAnswer(t *testing.T) {
+func TestLingeringCloseAfterLongResponse(t *testing.T) {
 	body := strings.Repeat("x", 60<<10)
 	b := standin.NewBackend(t, func(c *standin.Call) { c.Reply(200, body) })
-	p := listening(t, standin.List(1, true, standin.Target("s-1", b.Addr())), "127.0.0.1:1")
+	p := listenProxy(t, standin.List(1, true, standin.Target("s-1", b.Addr())), "127.0.0.1:1")
 	defer p.listener.Close()
 	p.clients.lingerTimeout = time.Hour
-	nc, _, ended := crossing(t, p, "\r\n")
+	nc, _, ended := serveHooked(t, p, "\r\n")
 	nc.SetReadBuffer(4 << 10)
-	io.WriteString(nc, strings.Replace(text("get", 2000), "\r\n\r\n", "\r\nConnection: close\r\n\r\n", 1))
+	io.WriteString(nc, strings.Replace(requestText("get", 2000), "\r\n\r\n", "\r\nConnection: close\r\n\r\n", 1))
 	eventually(t, "closing", func() bool {
 		p.clients.mu.Lock()
 		defer p.clients.mu.Unlock()
 		return p.clients.lingering.Len() > 0 || p.clients.openCount == 0
 	})
-	if _, got := read(t, nc); got != body {
+	if _, got := mustReadResponse(t, nc); got != body {
 		t.Errorf("got %d bytes of %d", len(got), len(body))
 	}
 	nc.Close()
@@ -201,20 +201,20 @@
 
 // An answer that is cut short ends in a reset, which no lingering close may soften: a
 // clean end would be the end of an answer to HTTP/1.0.
-func TestCutShortIsReset(t *testing.T) {
+func TestTruncatedResponseIsReset(t *testing.T) {
 	b := standin.NewBackend(t, func(c *standin.Call) {
 		c.Raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n20000\r\n" + strings.Repeat("x", 0x20000) + "\r\n")
 		c.Reset()
 	})
-	p := listening(t, standin.List(1, true, standin.Target("s-1", b.Addr())), "127.0.0.1:1")
+	p := listenProxy(t, standin.List(1, true, standin.Target("s-1", b.Addr())), "127.0.0.1:1")
 	defer p.listener.Close()
-	nc, at, ended := crossing(t, p, "")
-	io.WriteString(nc, strings.Replace(text("get", 2000), "HTTP/1.1", "HTTP/1.0", 1))
+	nc, at, ended := serveHooked(t, p, "")
+	io.WriteString(nc, strings.Replace(requestText("get", 2000), "HTTP/1.1", "HTTP/1.0", 1))
 	if got, err := io.ReadAll(nc); !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("%d bytes, then %v, want a reset", len(got), err)
 	}
 	<-ended
-	if at.shut {
+	if at.writeClosed {
 		t.Error("its end was written")
 	}
 	for _, b := range p.driver.allBackends() {
@@ -224,7 +224,7 @@
 
 // An answer that says that its connection ends is the last one, also where there is room
 // again by its end.
-func TestLastAnswerIsLast(t *testing.T) {
+func TestConnectionCloseIsFinal(t *testing.T) {
 	first, rest := make(chan bool), make(chan bool)
 	b := standin.NewBackend(t, func(c *standin.Call) {
 		<-first
@@ -232,16 +232,16 @@
 		<-rest
 		c.Raw(strings.Repeat("x", 100_000))
 	})
-	p := listening(t, standin.List(1, true, standin.Target("s-1", b.Addr())), "127.0.0.1:1")
+	p := listenProxy(t, standin.List(1, true, standin.Target("s-1", b.Addr())), "127.0.0.1:1")
 	defer p.listener.Close()
-	nc, _, ended := crossing(t, p, text("get", 2000))
+	nc, _, ended := serveHooked(t, p, requestText("get", 2000))
 	set := func(by int) {
 		p.descriptors.mu.Lock()
 		p.descriptors.used += by
 		p.descriptors.mu.Unlock()
 	}
 	calls := func() bool { return b.Calls() == 1 }
-	io.WriteString(nc, text("get", 2000))
+	io.WriteString(nc, requestText("get", 2000))
 	eventually(t, "the attempt", calls)
 	set(1000)
 	close(first)
@@ -265,7 +265,7 @@
 }
 
 // Clients that never close their side, and floods that never end, are closed all the same.
-func TestLingerEnds(t *testing.T) {
+func TestLingeringIsBounded(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	for _, c := range []struct {
 		name  string
@@ -276,10 +276,10 @@
 		{"flood", time.Hour, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			p := listening(t, standin.List(1, true), "127.0.0.1:1")
+			p := listenProxy(t, standin.List(1, true), "127.0.0.1:1")
 			defer p.listener.Close()
 			p.clients.lingerTimeout = c.limit
-			nc, _, ended := crossing(t, p, "")
+			nc, _, ended := serveHooked(t, p, "")
 			io.WriteString(nc, "noise\r\n")
 			over := make(chan bool)
 			go func() {
@@ -305,13 +305,13 @@
 
 // Where descriptors run short, a connection that lingers gives its own up: clients that do
 // not close keep nobody out.
-func TestLingeringGivesWay(t *testing.T) {
-	p := listening(t, standin.List(1, true, standin.Target("s-1", "127.0.0.1:1")), "127.0.0.1:1")
+func TestLingeringEndsWhenDescriptorsAreShort(t *testing.T) {
+	p := listenProxy(t, standin.List(1, true, standin.Target("s-1", "127.0.0.1:1")), "127.0.0.1:1")
 	p.descriptors.resize(reservedDescriptors + 8)
 	p.clients.firstRequestTimeout, p.clients.lingerTimeout = 10*time.Millisecond, time.Hour
-	defer running(t, p)()
+	defer startProxy(t, p)()
 	for i := range 40 { // each is accepted, and told to end
-		if got, err := io.ReadAll(dial(t, p)); err != nil || len(got) > 0 {
+		if got, err := io.ReadAll(dialProxy(t, p)); err != nil || len(got) > 0 {
 			t.Fatalf("client %d: %q, %v", i, got, err)
 		}
 	}
@@ -320,26 +320,26 @@
 // A new connection has freshLeast to say something also where it is the only one that
 // could make room, or the process is about to end: guards against one that is closed in
 // the moment of its accept, with its request on the way.
-func TestNewClientIsHeard(t *testing.T) {
+func TestNewClientGetsMinimumWait(t *testing.T) {
 	for name, needed := range map[string]func(*Proxy){
 		"its descriptor is needed": func(p *Proxy) { p.clients.evictOldest(10) },
 		"the drain ends":           func(p *Proxy) { p.clients.shutdown() },
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := listening(t, standin.List(1, true), "127.0.0.1:1")
+			p := listenProxy(t, standin.List(1, true), "127.0.0.1:1")
 			defer p.listener.Close()
 			p.clients.minFirstRequestWait = time.Hour
-			nc, at, ended := crossing(t, p, "")
+			nc, at, ended := serveHooked(t, p, "")
 			eventually(t, "waiting", func() bool {
 				p.clients.mu.Lock()
 				defer p.clients.mu.Unlock()
 				return p.clients.awaitingFirst.Len() == 1
 			})
 			needed(p)
-			if at.until.Load().(time.Time).Before(time.Now()) {
+			if at.readDeadline.Load().(time.Time).Before(time.Now()) {
 				t.Error("closed at once")
 			}
-			if status, _ := ask(t, nc, "get", 2000); status != 503 {
+			if status, _ := sendRequest(t, nc, "get", 2000); status != 503 {
 				t.Errorf("got %d", status)
 			}
 			nc.Close()
@@ -352,13 +352,13 @@
 // end is closed, and nothing that was answered counts as cut off.
 func TestDrainDoesNotLinger(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	var text logged
+	var text logBuffer
 	log.SetOutput(&text)
 	defer log.SetOutput(io.Discard)
 	t.Run("drain", func(t *testing.T) {
 		b := standin.NewBackend(t, standin.Echo)
 		list := standin.List(1, true, standin.Target("s-1", b.Addr()))
-		p := listening(t, list, "127.0.0.1:1")
+		p := listenProxy(t, list, "127.0.0.1:1")
 		p.clients.lingerTimeout = time.Hour
 		p.cfg.Grace, p.longestDeadline, p.shortestDeadline = time.Millisecond, 300*time.Millisecond, 300*time.Millisecond
 		ctx, cancel := context.WithCancel(context.Background())
@@ -366,13 +366,13 @@
 		go func() { done <- p.Run(ctx) }()
 		eventually(t, "ready", p.Ready)
 		for i := range 20 {
-			c := dial(t, p)
+			c := dialProxy(t, p)
 			if i%2 == 0 {
-				ask(t, c, "get", 2000)
+				sendRequest(t, c, "get", 2000)
 			}
 		}
 		cancel()
-		ended(t, done)
+		waitRunEnd(t, done)
 		if n := p.clients.count(); n != 0 {
 			t.Errorf("%d clients are kept", n)
 		}
@@ -383,18 +383,18 @@
 }
 
 // logged is what has been written to the log.
-type logged struct {
+type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-func (l *logged) Write(b []byte) (int, error) {
+func (l *logBuffer) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(b)
 }
 
-func (l *logged) bytes() []byte {
+func (l *logBuffer) bytes() []byte {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return bytes.Clone(l.text.Bytes())
--- a/proxy/local_dial_test.go
+++ b/proxy/local_dial_test.go
@@ -16,10 +16,10 @@
 // A connection that can't be opened for want of something on this machine says nothing of
 // the backend: it is not counted as a failure of it, nor is it ejected, and the request is
 // tried again.
-func TestLocalDialBlamesNobody(t *testing.T) {
+func TestLocalDialErrorIsNoBackendFailure(t *testing.T) {
 	for _, c := range []struct {
-		errno syscall.Errno
-		local bool
+		errno      syscall.Errno
+		localError bool
 	}{
 		{syscall.EADDRNOTAVAIL, true},
 		{syscall.EAGAIN, true},
@@ -32,7 +32,7 @@
 	} {
 		t.Run(c.errno.Error(), func(t *testing.T) {
 			first, second := standin.NewBackend(t, standin.Echo), standin.NewBackend(t, standin.Echo)
-			p := listening(t, standin.List(1, true, standin.Target("s-1", first.Addr()), standin.Target("s-2", second.Addr())),
+			p := listenProxy(t, standin.List(1, true, standin.Target("s-1", first.Addr()), standin.Target("s-2", second.Addr())),
 				"127.0.0.1:1")
 			p.cfg.Grace = 1 // so that the end takes no time
 			var failures atomic.Int64
@@ -43,20 +43,20 @@
 				}
 				return (&net.Dialer{}).DialContext(ctx, network, addr)
 			}
-			defer running(t, p)()
+			defer startProxy(t, p)()
 			for failures.Load() > 0 {
-				ask(t, dial(t, p), "get", 2000)
+				sendRequest(t, dialProxy(t, p), "get", 2000)
 			}
 			p.stats.mu.Lock()
-			blamed := p.stats.attemptResults[logic.NoConnect]
+			counted := p.stats.attemptResults[logic.NoConnect]
 			p.stats.mu.Unlock()
-			if (blamed == 0) != c.local {
-				t.Errorf("%d attempts are counted against backends", blamed)
+			if (counted == 0) != c.localError {
+				t.Errorf("%d attempts are counted against backends", counted)
 			}
-			if _, avoided := p.driver.backendCounts(); c.local && avoided > 0 {
+			if _, avoided := p.driver.backendCounts(); c.localError && avoided > 0 {
 				t.Errorf("%d backends are avoided", avoided)
 			}
-			if code, body := ask(t, dial(t, p), "get", 2000); c.local && code != http.StatusOK {
+			if code, body := sendRequest(t, dialProxy(t, p), "get", 2000); c.localError && code != http.StatusOK {
 				t.Errorf("once connections can be opened again: %d %q", code, body)
 			}
 		})
--- a/proxy/proxy_test.go
+++ b/proxy/proxy_test.go
@@ -30,7 +30,7 @@
 }
 
 // listening is a proxy that listens and does not run yet.
-func listening(t *testing.T, known, discovery string) *Proxy {
+func listenProxy(t *testing.T, known, discovery string) *Proxy {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
 	text := standin.Config("127.0.0.1:0", discovery, 256, known)
@@ -55,14 +55,14 @@
 }
 
 // run runs a proxy in this process, before backends known from the start.
-func run(t *testing.T, known, discovery string) (p *Proxy, stop func()) {
+func runProxy(t *testing.T, known, discovery string) (p *Proxy, stop func()) {
 	t.Helper()
-	p = listening(t, known, discovery)
-	return p, running(t, p)
+	p = listenProxy(t, known, discovery)
+	return p, startProxy(t, p)
 }
 
 // running runs a proxy until stop is called.
-func running(t *testing.T, p *Proxy) (stop func()) {
+func startProxy(t *testing.T, p *Proxy) (stop func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error)
@@ -84,23 +84,23 @@
 	standin.Eventually(t, 20*time.Second, what, f)
 }
 
-func text(class string, ms int) string {
+func requestText(class string, ms int) string {
 	return fmt.Sprintf("GET /api HTTP/1.1\r\nHost: h\r\nX-Request-ID: 1\r\nX-Priority-Class: %s\r\nX-Timeout-Ms: %d\r\n\r\n",
 		class, ms)
 }
 
 // ask makes one request on a connection of its own, or on c.
-func ask(t *testing.T, c net.Conn, class string, ms int) (int, string) {
+func sendRequest(t *testing.T, c net.Conn, class string, ms int) (int, string) {
 	t.Helper()
-	if _, err := io.WriteString(c, text(class, ms)); err != nil {
+	if _, err := io.WriteString(c, requestText(class, ms)); err != nil {
 		t.Fatal(err)
 	}
-	resp, body := read(t, c)
+	resp, body := mustReadResponse(t, c)
 	return resp.StatusCode, body
 }
 
 // read reads an answer and its body from c.
-func read(t *testing.T, c net.Conn) (*http.Response, string) {
+func mustReadResponse(t *testing.T, c net.Conn) (*http.Response, string) {
 	t.Helper()
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
@@ -113,7 +113,7 @@
 	return resp, string(body)
 }
 
-func dial(t *testing.T, p *Proxy) net.Conn {
+func dialProxy(t *testing.T, p *Proxy) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", p.Addr().String())
 	if err != nil {
@@ -124,7 +124,7 @@
 	return c
 }
 
-func descriptors(t *testing.T) int {
+func openDescriptorCount(t *testing.T) int {
 	t.Helper()
 	entries, err := os.ReadDir("/proc/self/fd")
 	if err != nil {
@@ -135,9 +135,9 @@
 
 // After a life with every kind of end of a request, no goroutine, descriptor or
 // state of a request is left.
-func TestNothingIsLeft(t *testing.T) {
+func TestNoLeaks(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	before := descriptors(t)
+	before := openDescriptorCount(t)
 	t.Run("life", func(t *testing.T) {
 		b := standin.NewBackend(t, func(c *standin.Call) {
 			switch c.Header.Get("X-Priority-Class") {
@@ -150,27 +150,27 @@
 			}
 		})
 		list := standin.List(1, true, standin.Target("s-1", b.Addr()))
-		p, stop := run(t, list, standin.NewDiscovery(t, list).Addr())
-		c := dial(t, p)
-		if status, _ := ask(t, c, "get", 2000); status != 200 {
+		p, stop := runProxy(t, list, standin.NewDiscovery(t, list).Addr())
+		c := dialProxy(t, p)
+		if status, _ := sendRequest(t, c, "get", 2000); status != 200 {
 			t.Errorf("got %d", status)
 		}
-		if status, _ := ask(t, c, "put", 500); status != 503 && status != 502 {
+		if status, _ := sendRequest(t, c, "put", 500); status != 503 && status != 502 {
 			t.Errorf("got %d for one that breaks", status)
 		}
-		if status, _ := ask(t, c, "pay", 300); status != 502 {
+		if status, _ := sendRequest(t, c, "pay", 300); status != 502 {
 			t.Errorf("got %d for one that hangs", status)
 		}
-		if status, _ := ask(t, c, "none", 300); status != 400 {
+		if status, _ := sendRequest(t, c, "none", 300); status != 400 {
 			t.Errorf("got %d for an unknown class", status)
 		}
 		calls := b.Calls()
-		left := dial(t, p)
-		io.WriteString(left, text("pay", 400))
+		left := dialProxy(t, p)
+		io.WriteString(left, requestText("pay", 400))
 		eventually(t, "an attempt", func() bool { return b.Calls() > calls })
 		left.Close()
-		dial(t, p) // says nothing
-		half := dial(t, p)
+		dialProxy(t, p) // says nothing
+		half := dialProxy(t, p)
 		io.WriteString(half, "GET /ap")
 		eventually(t, "the calls' state forgotten", func() bool {
 			p.driver.mu.Lock()
@@ -182,23 +182,23 @@
 			t.Errorf("%d of the budget in use after the end", used)
 		}
 	})
-	eventually(t, "as many descriptors as before", func() bool { return descriptors(t) <= before+1 })
+	eventually(t, "as many descriptors as before", func() bool { return openDescriptorCount(t) <= before+1 })
 }
 
 // Guards against times of starts that are held against another clock than the
 // module's: a backend that has just started would pass for a warm one.
-func TestColdByTheWallClock(t *testing.T) {
+func TestSlowStartUsesWallClock(t *testing.T) {
 	cold, warm := standin.NewBackend(t, standin.Echo), standin.NewBackend(t, standin.Echo)
 	now := fmt.Sprintf(`"boot_ms":%d`, time.Now().UnixMilli())
 	long := fmt.Sprintf(`"boot_ms":%d`, time.Now().Add(-time.Hour).UnixMilli())
 	list := standin.List(1, true,
 		strings.Replace(standin.Target("s-1", cold.Addr()), `"boot_ms":0`, now, 1),
 		strings.Replace(standin.Target("s-2", warm.Addr()), `"boot_ms":0`, long, 1))
-	p, stop := run(t, list, standin.NewDiscovery(t, list).Addr())
+	p, stop := runProxy(t, list, standin.NewDiscovery(t, list).Addr())
 	defer stop()
-	c := dial(t, p)
+	c := dialProxy(t, p)
 	for range 200 {
-		if status, _ := ask(t, c, "get", 2000); status != 200 {
+		if status, _ := sendRequest(t, c, "get", 2000); status != 200 {
 			t.Fatalf("got %d", status)
 		}
 	}
@@ -226,7 +226,7 @@
 	}
 }
 
-func TestOutcome(t *testing.T) {
+func TestAttemptOutcome(t *testing.T) {
 	notProcessed := http.Header{"X-Not-Processed": {"1"}}
 	for _, c := range []struct {
 		name string
@@ -257,7 +257,7 @@
 	}
 }
 
-func TestSocketsBudget(t *testing.T) {
+func TestDescriptorBudget(t *testing.T) {
 	s := newDescriptorBudget(reservedDescriptors + 16)
 	relieved := 0
 	s.reclaim = func(int) { relieved++ }
@@ -290,7 +290,7 @@
 	}
 }
 
-func TestForward(t *testing.T) {
+func TestEncodeRequest(t *testing.T) {
 	req, err := http.ReadRequest(bufio.NewReader(strings.NewReader("POST http://h/a?b=%20 HTTP/1.1\r\nHost: h\r\n" +
 		"Connection: keep-alive\r\nX-Timeout-Ms: 480\r\nX-Request-ID: 9f\r\nContent-Length: 2\r\n\r\nhi")))
 	if err != nil {
@@ -305,14 +305,14 @@
 
 // Guards against closing on connections that the kernel had accepted when the
 // drain's grace was over: the requests on them would be lost.
-func TestAcceptedAtTheEnd(t *testing.T) {
+func TestBacklogAcceptedAtDrainEnd(t *testing.T) {
 	b := standin.NewBackend(t, standin.Echo)
 	list := standin.List(1, true, standin.Target("s-1", b.Addr()))
-	p := listening(t, list, standin.NewDiscovery(t, list).Addr())
+	p := listenProxy(t, list, standin.NewDiscovery(t, list).Addr())
 	var conns []net.Conn
 	for range 20 {
-		c := dial(t, p)
-		io.WriteString(c, text("get", 2000))
+		c := dialProxy(t, p)
+		io.WriteString(c, requestText("get", 2000))
 		conns = append(conns, c)
 	}
 	p.listener.SetDeadline(time.Unix(1, 0)) // the grace is over
@@ -336,13 +336,13 @@
 
 // With no descriptor left, an answer says that its connection ends, so that the
 // next request is not sent on one that is about to close.
-func TestFullSaysClose(t *testing.T) {
+func TestConnectionCloseWhenFull(t *testing.T) {
 	b := standin.NewBackend(t, standin.Echo)
 	list := standin.List(1, true, standin.Target("s-1", b.Addr()))
-	p, stop := run(t, list, standin.NewDiscovery(t, list).Addr())
+	p, stop := runProxy(t, list, standin.NewDiscovery(t, list).Addr())
 	defer stop()
-	c := dial(t, p)
-	if status, _ := ask(t, c, "get", 2000); status != 200 {
+	c := dialProxy(t, p)
+	if status, _ := sendRequest(t, c, "get", 2000); status != 200 {
 		t.Fatalf("got %d", status)
 	}
 	set := func(f func(s *descriptorBudget)) {
@@ -352,7 +352,7 @@
 	}
 	before := 0
 	set(func(s *descriptorBudget) { before, s.used = 2*s.limit-s.used, 2*s.limit })
-	io.WriteString(c, text("get", 2000))
+	io.WriteString(c, requestText("get", 2000))
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil || resp.StatusCode != 200 || !resp.Close {
 		t.Errorf("got %+v, %v", resp, err)
@@ -361,9 +361,9 @@
 }
 
 // A request that ends in the middle of a backoff takes its timer with it.
-func TestBackoffTimerEnds(t *testing.T) {
+func TestBackoffTimerStopped(t *testing.T) {
 	list := standin.List(1, true, standin.Target("s-1", "127.0.0.1:1"), standin.Target("s-2", "127.0.0.1:2"))
-	p := listening(t, list, "127.0.0.1:1")
+	p := listenProxy(t, list, "127.0.0.1:1")
 	defer p.listener.Close()
 	r := p.driver.arrive("1", 0, time.Hour, false, false)
 	p.driver.done(r, <-r.steps, logic.NoConnect, false, false)
@@ -382,9 +382,9 @@
 func TestCloseIdleAtOnce(t *testing.T) {
 	b := standin.NewBackend(t, standin.Echo)
 	list := standin.List(1, true, standin.Target("s-1", b.Addr()))
-	p, stop := run(t, list, standin.NewDiscovery(t, list).Addr())
+	p, stop := runProxy(t, list, standin.NewDiscovery(t, list).Addr())
 	defer stop()
-	if status, _ := ask(t, dial(t, p), "get", 2000); status != 200 {
+	if status, _ := sendRequest(t, dialProxy(t, p), "get", 2000); status != 200 {
 		t.Fatalf("got %d", status)
 	}
 	to := p.driver.allBackends()[0]
@@ -402,19 +402,19 @@
 
 // Guards against a crowd that sends a part of a request each and no more: it
 // would hold all descriptors for as long as a request may take to come.
-func TestCrowdOfParts(t *testing.T) {
+func TestManyPartialRequests(t *testing.T) {
 	b := standin.NewBackend(t, standin.Echo)
 	list := standin.List(1, true, standin.Target("s-1", b.Addr()))
-	p := listening(t, list, standin.NewDiscovery(t, list).Addr())
+	p := listenProxy(t, list, standin.NewDiscovery(t, list).Addr())
 	p.clients.headTimeout, p.clients.firstRequestTimeout = time.Hour, time.Hour
-	stop := running(t, p)
+	stop := startProxy(t, p)
 	var crowd []net.Conn
 	for range 300 {
-		c := dial(t, p)
+		c := dialProxy(t, p)
 		io.WriteString(c, "POST /api HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\n\r\nhel")
 		crowd = append(crowd, c)
 	}
-	if status, _ := ask(t, dial(t, p), "get", 2000); status != 200 {
+	if status, _ := sendRequest(t, dialProxy(t, p), "get", 2000); status != 200 {
 		t.Errorf("got %d", status)
 	}
 	for _, c := range crowd {
@@ -425,7 +425,7 @@
 
 // What is kept for a backend, a connection, an id or a key has an owner that lets it
 // go: with thousands of each, no more is held in the second half than in the first.
-func TestChurnLeavesNothing(t *testing.T) {
+func TestChurnLeaksNothing(t *testing.T) {
 	fleet := []*standin.Backend{}
 	for range 4 {
 		fleet = append(fleet, standin.NewBackend(t, func(c *standin.Call) {
@@ -447,9 +447,9 @@
 		return standin.Target(fmt.Sprintf("s-%d", uids), fleet[uids%len(fleet)].Addr())
 	}
 	known := standin.List(1, true, line(), line(), line(), line())
-	p := listening(t, known, standin.NewDiscovery(t, standin.List(1, false)).Addr())
+	p := listenProxy(t, known, standin.NewDiscovery(t, standin.List(1, false)).Addr())
 	p.clients.idleTimeout = 50 * time.Millisecond
-	defer running(t, p)()
+	defer startProxy(t, p)()
 
 	var kept []net.Conn // clients that ask once and stay
 	heap := func() uint64 {
@@ -477,7 +477,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				text := strings.Replace(text([]string{"get", "put", "pay"}[i%3], 2000),
+				text := strings.Replace(requestText([]string{"get", "put", "pay"}[i%3], 2000),
 					"X-Request-ID: 1", fmt.Sprintf("X-Request-ID: %d-%d-%d\r\nX-Route-Key: %d", uids, round, i, uids), 1)
 				io.WriteString(c, text)
 				if _, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil {
@@ -514,45 +514,45 @@
 
 // A request that is given up is answered at once, with a time to come back where it
 // may be tried again: guards against answers held back to spare a retry.
-func TestGivenUpIsAnsweredAtOnce(t *testing.T) {
-	over := make(chan time.Time, 10)
+func TestFinalFailureIsAnsweredAtOnce(t *testing.T) {
+	backendDone := make(chan time.Time, 10)
 	reset := standin.NewBackend(t, func(c *standin.Call) {
-		over <- time.Now()
+		backendDone <- time.Now()
 		c.Reset()
 	})
-	gone := standin.NewBackend(t, standin.Echo)
-	gone.Stop()
+	stopped := standin.NewBackend(t, standin.Echo)
+	stopped.Stop()
 	for _, c := range []struct {
 		name, class string
 		targets     []string
 		status      int
 	}{
 		{"nobody known", "get", nil, 503},
-		{"nobody there", "pay", []string{standin.Target("s-1", gone.Addr())}, 503},
+		{"nobody there", "pay", []string{standin.Target("s-1", stopped.Addr())}, 503},
 		{"may have run", "pay", []string{standin.Target("s-1", reset.Addr())}, 502},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			list := standin.List(1, true, c.targets...)
-			p := listening(t, list, standin.NewDiscovery(t, list).Addr())
+			p := listenProxy(t, list, standin.NewDiscovery(t, list).Addr())
 			ctx, cancel := context.WithCancel(context.Background())
 			done := make(chan error)
 			go func() { done <- p.Run(ctx) }()
 			defer func() { cancel(); <-done }()
 			eventually(t, "a list that may be used", p.readiness.hadUsableList.Load)
 			began := time.Now()
-			cl := dial(t, p)
-			io.WriteString(cl, text(c.class, 2000))
+			cl := dialProxy(t, p)
+			io.WriteString(cl, requestText(c.class, 2000))
 			resp, err := http.ReadResponse(bufio.NewReader(cl), nil)
 			if err != nil || resp.StatusCode != c.status {
 				t.Fatalf("got %+v, %v", resp, err)
 			}
 			select {
-			case began = <-over:
+			case began = <-backendDone:
 			default:
 			}
 			// Near its deadline would be 2 s; what is given up needs no wait.
-			if took := time.Since(began); took > time.Second {
-				t.Errorf("answered after %v", took)
+			if elapsed := time.Since(began); elapsed > time.Second {
+				t.Errorf("answered after %v", elapsed)
 			}
 			if after := resp.Header.Get("Retry-After"); (after == "") != (c.status == 502) {
 				t.Errorf("Retry-After %q with %d", after, c.status)
@@ -564,12 +564,12 @@
 // A long request that finds all transfers taken for a second is told to come back, and has
 // not run. Guards against memory without a bound, and against one that waits for good; what
 // holds the transfer, and what comes after it, is served.
-func TestNoTransferToSpare(t *testing.T) {
+func TestNoTransferBufferLeft(t *testing.T) {
 	const size = 200_000
 	b := standin.NewBackend(t, func(c *standin.Call) { c.Reply(200, fmt.Sprint(len(c.Text))) })
-	p := listening(t, standin.List(1, true, standin.Target("s", b.Addr())), "127.0.0.1:1")
+	p := listenProxy(t, standin.List(1, true, standin.Target("s", b.Addr())), "127.0.0.1:1")
 	p.transfers = http1.NewTransfers(1) // one
-	defer running(t, p)()
+	defer startProxy(t, p)()
 	head := func(id int) string {
 		return fmt.Sprintf("POST /api HTTP/1.1\r\nHost: h\r\nX-Request-ID: %d\r\nX-Priority-Class: pay\r\n"+
 			"X-Timeout-Ms: 2000\r\nContent-Length: %d\r\n\r\n", id, size)
@@ -579,14 +579,14 @@
 		go io.WriteString(c, text)
 	}
 
-	first := dial(t, p)
+	first := dialProxy(t, p)
 	send(first, head(1)+body[:size/2])
 	eventually(t, "under way", func() bool { opened, _ := b.Conns(); return opened == 1 })
 	served := 0
 	for id := 2; ; id++ { // the first may not have its transfer yet
-		c := dial(t, p)
+		c := dialProxy(t, p)
 		send(c, head(id)+body)
-		resp, text := read(t, c)
+		resp, text := mustReadResponse(t, c)
 		if resp.StatusCode == http.StatusOK && served < 3 {
 			served++
 			continue
@@ -600,13 +600,13 @@
 		t.Errorf("%d requests have run, %d were served", n, served)
 	}
 	send(first, body[size/2:])
-	if resp, text := read(t, first); resp.StatusCode != http.StatusOK || text != fmt.Sprint(size) {
+	if resp, text := mustReadResponse(t, first); resp.StatusCode != http.StatusOK || text != fmt.Sprint(size) {
 		t.Errorf("the first got %d %q", resp.StatusCode, text)
 	}
 	eventually(t, "served again", func() bool {
-		c := dial(t, p)
+		c := dialProxy(t, p)
 		send(c, head(100)+body)
-		resp, _ := read(t, c)
+		resp, _ := mustReadResponse(t, c)
 		return resp.StatusCode == http.StatusOK
 	})
 }
--- a/proxy/race_test.go
+++ b/proxy/race_test.go
@@ -37,12 +37,12 @@
 // Whatever the list, the operators and the end do while requests are under way: a send has
 // a backend, each request gets to an end, none waits for a step that never comes, and what
 // is told of one request at a time never holds up the rest.
-func TestDriverUnderChange(t *testing.T) {
-	p := listening(t, standin.List(1, true, standin.Target("s-1", "127.0.0.1:1")), "127.0.0.1:1")
+func TestDriverUnderConcurrentChanges(t *testing.T) {
+	p := listenProxy(t, standin.List(1, true, standin.Target("s-1", "127.0.0.1:1")), "127.0.0.1:1")
 	defer p.listener.Close()
 	d := p.driver
-	var callers, news sync.WaitGroup
-	over := make(chan bool)
+	var callers, changes sync.WaitGroup
+	stopNews := make(chan bool)
 	for n := range 8 {
 		callers.Go(func() {
 			r := rand.New(rand.NewPCG(1, uint64(n)))
@@ -93,11 +93,11 @@
 			}
 		})
 	}
-	news.Go(func() {
+	changes.Go(func() {
 		r := rand.New(rand.NewPCG(2, 2))
 		for rev := 2; ; rev++ {
 			select {
-			case <-over:
+			case <-stopNews:
 				return
 			default:
 			}
@@ -120,8 +120,8 @@
 		}
 	})
 	callers.Wait()
-	close(over)
-	news.Wait()
+	close(stopNews)
+	changes.Wait()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if len(d.requests)+len(d.openIDs) > 0 {
@@ -131,20 +131,20 @@
 
 // A step of the module's, its end and its caller's going, all at once and with nobody to
 // take them yet, find room: one that had to wait would hold the driver's lock.
-func TestStepsHaveRoom(t *testing.T) {
-	for name, tell := range map[string][]func(*driver, *activeRequest){
+func TestStepsNeverBlock(t *testing.T) {
+	for name, events := range map[string][]func(*driver, *activeRequest){
 		"end, gone":  {func(d *driver, _ *activeRequest) { d.endAll() }, (*driver).clientGone},
 		"gone, end":  {(*driver).clientGone, func(d *driver, _ *activeRequest) { d.endAll() }},
 		"end, ahead": {func(d *driver, _ *activeRequest) { d.endAll() }, (*driver).clientPipelined},
 	} {
-		p := listening(t, standin.List(1, true, standin.Target("s-1", "127.0.0.1:1")), "127.0.0.1:1")
+		p := listenProxy(t, standin.List(1, true, standin.Target("s-1", "127.0.0.1:1")), "127.0.0.1:1")
 		d := p.driver
 		c := d.arrive("1", 0, time.Hour, false, false)
 		s := <-c.steps // the attempt is out: the caller is watched from here on
 		done := make(chan bool)
 		go func() {
 			defer close(done)
-			for _, f := range tell {
+			for _, f := range events {
 				f(d, c)
 			}
 			d.done(c, s, logic.Broken, false, false)
@@ -167,7 +167,7 @@
 // The whole proxy under changes of the list and of where it comes from, with callers that
 // leave, send on or say half, until its end in the midst of them: it ends, each answer is
 // that of its request, and nothing is left.
-func TestChangesUntilTheEnd(t *testing.T) {
+func TestListChangesUntilShutdown(t *testing.T) {
 	reply := func(c *standin.Call) {
 		if c.N%7 == 0 {
 			c.Reset()
@@ -184,34 +184,34 @@
 		return standin.TargetIn(state, fmt.Sprintf("s-%d", r.IntN(6)), fleet[r.IntN(len(fleet))].Addr())
 	}
 	known := standin.List(1, true, standin.Target("s-0", fleet[0].Addr()), standin.Target("s-1", fleet[1].Addr()))
-	places := []*standin.Discovery{standin.NewDiscovery(t, known), standin.NewDiscovery(t, known)}
-	p := listening(t, known, places[0].Addr())
+	discoveries := []*standin.Discovery{standin.NewDiscovery(t, known), standin.NewDiscovery(t, known)}
+	p := listenProxy(t, known, discoveries[0].Addr())
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- p.Run(ctx) }()
 	eventually(t, "ready", p.Ready)
 
-	var callers, news sync.WaitGroup
+	var callers, changes sync.WaitGroup
 	var served atomic.Int64
-	over := make(chan bool)
-	news.Go(func() {
+	stopNews := make(chan bool)
+	changes.Go(func() {
 		r := rand.New(rand.NewPCG(3, 3))
 		for rev := 2; ; rev++ {
 			select {
-			case <-over:
+			case <-stopNews:
 				return
 			case <-time.After(time.Millisecond):
 			}
-			at := places[r.IntN(2)]
+			to := discoveries[r.IntN(2)]
 			switch r.IntN(10) {
 			case 0:
 				cfg := *p.cfg
-				cfg.Discovery = at.Addr()
+				cfg.Discovery = to.Addr()
 				if err := p.Reload(&cfg); err != nil {
 					t.Error(err)
 				}
 			case 1:
-				at.Break()
+				to.Break()
 			case 2:
 				p.driver.setDetached("s-0", r.IntN(2) == 0)
 			case 3:
@@ -244,17 +244,17 @@
 					c.SetDeadline(time.Now().Add(20 * time.Second))
 				}
 				id := fmt.Sprintf("%d-%d", n, i)
-				ask := strings.Replace(text([]string{"get", "put", "pay"}[r.IntN(3)], 500), "X-Request-ID: 1", "X-Request-ID: "+id, 1)
+				request := strings.Replace(requestText([]string{"get", "put", "pay"}[r.IntN(3)], 500), "X-Request-ID: 1", "X-Request-ID: "+id, 1)
 				drop := true
 				switch r.IntN(10) {
 				case 0:
-					io.WriteString(c, ask[:r.IntN(len(ask))])
+					io.WriteString(c, request[:r.IntN(len(request))])
 				case 1:
-					io.WriteString(c, ask)
+					io.WriteString(c, request)
 				case 2:
-					io.WriteString(c, ask+ask)
+					io.WriteString(c, request+request)
 				default:
-					io.WriteString(c, ask)
+					io.WriteString(c, request)
 					resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 					if err != nil {
 						break
@@ -277,10 +277,10 @@
 	}
 	eventually(t, "some are served", func() bool { return served.Load() >= 200 })
 	cancel()
-	ended(t, done)
+	waitRunEnd(t, done)
 	callers.Wait()
-	close(over)
-	news.Wait()
+	close(stopNews)
+	changes.Wait()
 	eventually(t, "all given back", func() bool {
 		used, _ := p.descriptors.inUse()
 		p.driver.mu.Lock()
--- a/proxy/ready_test.go
+++ b/proxy/ready_test.go
@@ -10,19 +10,19 @@
 // A proxy is ready with the first list that may be used, or once it has waited for one for
 // long enough: guards against callers that are refused by a process that has just started
 // while another could serve them, and against a start that waits for good.
-func TestReadyWithAList(t *testing.T) {
+func TestReadyWithUsableList(t *testing.T) {
 	b := standin.NewBackend(t, standin.Echo)
 	known := standin.List(1, true, standin.Target("s-1", b.Addr()))
 	d := standin.NewDiscovery(t, known)
 	d.Down(true)
-	p := listening(t, known, d.Addr())
-	defer running(t, p)()
+	p := listenProxy(t, known, d.Addr())
+	defer startProxy(t, p)()
 	if took := time.Since(p.readiness.start); took < readyTimeout {
 		t.Errorf("ready after %v without a list, want %v", took, readyTimeout)
 	}
 	d.Down(false)
-	q := listening(t, known, d.Addr())
-	defer running(t, q)()
+	q := listenProxy(t, known, d.Addr())
+	defer startProxy(t, q)()
 	if took := time.Since(q.readiness.start); took >= readyTimeout {
 		t.Errorf("ready after %v though discovery gives a list", took)
 	}
--- a/proxy/sockets_test.go
+++ b/proxy/sockets_test.go
@@ -12,7 +12,7 @@
 
 // Neither side can take the other's part, whichever comes first, also where the budget is
 // the least that a process can have.
-func TestSocketsParts(t *testing.T) {
+func TestDescriptorShares(t *testing.T) {
 	for _, c := range []struct{ budget, part int }{{2, 1}, {6, 1}, {16, 2}, {240, 30}} {
 		s := newDescriptorBudget(reservedDescriptors + c.budget)
 		s.reclaim = func(int) {}
@@ -50,20 +50,20 @@
 // gets a connection to a backend and its answer, /healthz answers, and the list is followed
 // in time once discovery is back. Guards against clients that hold every descriptor by doing
 // nothing. (The admin endpoint has descriptors of its own: TestDoorWhileSaturated.)
-func TestCrowdLeavesRoom(t *testing.T) {
+func TestIdleCrowdLeavesDescriptors(t *testing.T) {
 	b, moved := standin.NewBackend(t, standin.Echo), standin.NewBackend(t, standin.Echo)
 	known := standin.List(1, true, standin.Target("s-1", b.Addr()))
 	d := standin.NewDiscovery(t, known)
-	p := listening(t, known, d.Addr())
+	p := listenProxy(t, known, d.Addr())
 	p.descriptors.resize(reservedDescriptors + 8)
 	// None of the crowd makes room.
 	p.clients.minFirstRequestWait, p.clients.firstRequestTimeout, p.clients.idleTimeout = time.Hour, time.Hour, time.Hour
-	defer running(t, p)()
+	defer startProxy(t, p)()
 	d.Down(true) // once there has been a list: that of the start alone may not be used
 	d.Reset()
 	var crowd []net.Conn
 	for range 12 {
-		crowd = append(crowd, dial(t, p))
+		crowd = append(crowd, dialProxy(t, p))
 	}
 	defer func() {
 		for _, c := range crowd {
@@ -71,14 +71,14 @@
 		}
 	}()
 	eventually(t, "a crowd that takes all it can", p.descriptors.clientIsWaiting)
-	io.WriteString(crowd[0], text("get", 2000))
-	if resp, _ := read(t, crowd[0]); resp.StatusCode != 200 {
+	io.WriteString(crowd[0], requestText("get", 2000))
+	if resp, _ := mustReadResponse(t, crowd[0]); resp.StatusCode != 200 {
 		t.Errorf("got %d", resp.StatusCode)
 	}
 	crowd[0].Close()
 	eventually(t, "full again", p.descriptors.clientIsWaiting)
 	io.WriteString(crowd[1], "GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n")
-	if resp, _ := read(t, crowd[1]); resp.StatusCode != 200 {
+	if resp, _ := mustReadResponse(t, crowd[1]); resp.StatusCode != 200 {
 		t.Errorf("healthz: got %d", resp.StatusCode)
 	}
 	crowd[1].Close()
@@ -95,17 +95,17 @@
 
 // A client that becomes idle while another waits for a descriptor makes room for it, also
 // where its answer still said that the connection stays.
-func TestIdleMakesRoom(t *testing.T) {
+func TestIdleClientFreesDescriptor(t *testing.T) {
 	b := standin.NewBackend(t, standin.Echo)
-	p := listening(t, standin.List(1, true, standin.Target("s-1", b.Addr())), "127.0.0.1:1")
+	p := listenProxy(t, standin.List(1, true, standin.Target("s-1", b.Addr())), "127.0.0.1:1")
 	defer p.listener.Close()
 	p.clients.idleTimeout = time.Hour
-	nc, _, ended := crossing(t, p, "")
+	nc, _, ended := serveHooked(t, p, "")
 	p.clients.mu.Lock()
 	p.clients.descriptorWanted = func() bool { return true } // from now on
 	p.clients.mu.Unlock()
-	io.WriteString(nc, text("get", 2000))
-	if resp, _ := read(t, nc); resp.StatusCode != 200 || resp.Close {
+	io.WriteString(nc, requestText("get", 2000))
+	if resp, _ := mustReadResponse(t, nc); resp.StatusCode != 200 || resp.Close {
 		t.Errorf("got %d, close %t", resp.StatusCode, resp.Close)
 	}
 	if n, err := nc.Read(make([]byte, 1)); err != io.EOF {
--- a/proxy/stalelog_test.go
+++ b/proxy/stalelog_test.go
@@ -12,18 +12,19 @@
 	"oxbowloft/logic"
 )
 
-// An attempt that goes out past the list's time is logged with its outcome, and no other is.
+// An attempt sent while the list is stale is logged with its result; other attempts are
+// not.
 func TestStaleAttemptIsLogged(t *testing.T) {
-	var text logged
+	var text logBuffer
 	log.SetOutput(&text)
 	defer log.SetOutput(io.Discard)
-	p := listening(t, standin.List(1, true, standin.Target("s-1", "127.0.0.1:1")), "127.0.0.1:1")
+	p := listenProxy(t, standin.List(1, true, standin.Target("s-1", "127.0.0.1:1")), "127.0.0.1:1")
 	defer p.listener.Close()
 	attempt := func(id string, result logic.Result) {
 		r := p.driver.arrive(id, 0, time.Second, false, false)
 		s := <-r.steps
 		if s.kind != stepSend || !p.driver.connected(r, s) {
-			t.Fatalf("%s is not sent", id)
+			t.Fatalf("%s was not sent", id)
 		}
 		p.driver.done(r, s, result, true, false)
 		p.driver.forget(r)
@@ -37,9 +38,9 @@
 	attempt("past", logic.Full)
 	lines := string(text.bytes())
 	if strings.Contains(lines, `id="in-time"`) {
-		t.Error("an attempt within the list's time is logged")
+		t.Error("an attempt with a fresh list was logged")
 	}
 	if !strings.Contains(lines, `event=stale_attempt id="past" uid=s-1 past_ms=0`) || !strings.Contains(lines, "result=full") {
-		t.Errorf("no line of the attempt past it in\n%s", lines)
+		t.Errorf("no line about the attempt with a stale list in\n%s", lines)
 	}
 }
--- a/proxy/state_test.go
+++ b/proxy/state_test.go
@@ -23,7 +23,7 @@
 
 // Two processes know of each other as long as both are there; a lock is freed with its
 // holder, and another proxy's are no business of theirs.
-func TestProcesses(t *testing.T) {
+func TestProcessCount(t *testing.T) {
 	dir := t.TempDir()
 	a := openTestState(t, dir)
 	if n := a.processCount(); n != 1 {
@@ -50,7 +50,7 @@
 
 // Bans made at either process hold in both and in one that starts later, and so does
 // their end.
-func TestBansAreShared(t *testing.T) {
+func TestDetachmentsAreShared(t *testing.T) {
 	dir := t.TempDir()
 	a, b := openTestState(t, dir), openTestState(t, dir)
 	change := func(s *sharedState, id string, ban bool) {
@@ -79,7 +79,7 @@
 
 // Guards against files that a process left behind, or that something spoilt: they are
 // told in one line, the bans that are known hold, and the next change mends them.
-func TestSpoiltState(t *testing.T) {
+func TestCorruptState(t *testing.T) {
 	for _, text := range []string{"", "{", `{"s-1":true}`, "null", `["s-1",2]`, "\x00\xff",
 		`["` + strings.Repeat("x", maxDetachedFileBytes) + `"]`, fmt.Sprintf("[%s]", strings.Repeat(`"a",`, 2*maxDetached)+`"a"`)} {
 		dir := t.TempDir()
@@ -106,7 +106,7 @@
 }
 
 // Without a directory, or with one that can't be written to, bans hold here alone.
-func TestNoState(t *testing.T) {
+func TestNoSharedState(t *testing.T) {
 	s, err := openSharedState("", "127.0.0.1:3000")
 	if err != nil || s.processCount() != 1 || s.setDetached("s-1", true) != nil || !s.detached["s-1"] {
 		t.Errorf("without a directory: %v, %v", err, s.detached)
@@ -143,7 +143,7 @@
 	if err := b.setDetached("s-1", true); err != nil {
 		t.Error(err)
 	}
-	if took := time.Since(start); took > 10*time.Second {
-		t.Errorf("took %v", took)
+	if elapsed := time.Since(start); elapsed > 10*time.Second {
+		t.Errorf("took %v", elapsed)
 	}
 }
--- a/proxy/trouble_test.go
+++ b/proxy/trouble_test.go
@@ -15,13 +15,13 @@
 )
 
 // panicking is a connection whose first write panics.
-type panicking struct {
+type panickingConn struct {
 	*net.TCPConn
-	done atomic.Bool
+	panicked atomic.Bool
 }
 
-func (c *panicking) Write(b []byte) (int, error) {
-	if !c.done.Swap(true) {
+func (c *panickingConn) Write(b []byte) (int, error) {
+	if !c.panicked.Swap(true) {
 		panic("planted")
 	}
 	return c.TCPConn.Write(b)
@@ -30,13 +30,13 @@
 // panickingListener makes the first connection that it accepts a panicking one.
 type panickingListener struct {
 	listener
-	done atomic.Bool
+	panicked atomic.Bool
 }
 
 func (l *panickingListener) Accept() (net.Conn, error) {
 	c, err := l.listener.Accept()
-	if err == nil && !l.done.Swap(true) {
-		return &panicking{TCPConn: c.(*net.TCPConn)}, nil
+	if err == nil && !l.panicked.Swap(true) {
+		return &panickingConn{TCPConn: c.(*net.TCPConn)}, nil
 	}
 	return c, err
 }
@@ -45,14 +45,14 @@
 // leaves nothing behind; all others are served on.
 func TestPanicInRequest(t *testing.T) {
 	b := standin.NewBackend(t, standin.Echo)
-	p := listening(t, standin.List(1, true, standin.Target("s-1", b.Addr())), "127.0.0.1:1")
+	p := listenProxy(t, standin.List(1, true, standin.Target("s-1", b.Addr())), "127.0.0.1:1")
 	p.cfg.Grace = time.Millisecond
 	p.listener = &panickingListener{listener: p.listener}
-	defer running(t, p)()
-	if code, _ := ask(t, dial(t, p), "get", 2000); code != http.StatusBadGateway {
+	defer startProxy(t, p)()
+	if code, _ := sendRequest(t, dialProxy(t, p), "get", 2000); code != http.StatusBadGateway {
 		t.Errorf("the request that met the panic: %d", code)
 	}
-	if code, _ := ask(t, dial(t, p), "get", 2000); code != http.StatusOK {
+	if code, _ := sendRequest(t, dialProxy(t, p), "get", 2000); code != http.StatusOK {
 		t.Errorf("the next request: %d", code)
 	}
 	eventually(t, "nothing left behind", func() bool {
@@ -64,7 +64,7 @@
 
 // A ban that could not be written is written once it can be, and a process that starts then
 // knows of it.
-func TestBanWrittenLater(t *testing.T) {
+func TestDetachmentWrittenLater(t *testing.T) {
 	dir := t.TempDir()
 	s := openTestState(t, dir)
 	full := filepath.Join(s.detachedPath, "in the way") // a rename onto it fails
@@ -98,7 +98,7 @@
 
 // What a process that was killed in the middle of a write left behind is cleared away by
 // the next, and the bans of the last whole write hold.
-func TestHalfWrittenBans(t *testing.T) {
+func TestPartialWriteOfDetachments(t *testing.T) {
 	dir := t.TempDir()
 	s := openTestState(t, dir)
 	if err := s.setDetached("s-1", true); err != nil {
@@ -128,20 +128,20 @@
 
 // The budget of descriptors is no larger than what the process may open, whatever the
 // configuration says: guards against accepts and dials that fail by EMFILE.
-func TestBudgetAsksTheKernel(t *testing.T) {
-	var was syscall.Rlimit
-	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &was); err != nil {
+func TestBudgetWithinRlimit(t *testing.T) {
+	var previous syscall.Rlimit
+	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &previous); err != nil {
 		t.Fatal(err)
 	}
 	const allowed = 120
-	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: allowed, Max: was.Max}); err != nil {
+	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: allowed, Max: previous.Max}); err != nil {
 		t.Fatal(err)
 	}
-	defer syscall.Setrlimit(syscall.RLIMIT_NOFILE, &was)
-	p := listening(t, standin.List(1, true), "127.0.0.1:1") // its configuration says 256
+	defer syscall.Setrlimit(syscall.RLIMIT_NOFILE, &previous)
+	p := listenProxy(t, standin.List(1, true), "127.0.0.1:1") // its configuration says 256
 	defer p.listener.Close()
 	defer p.shared.close()
-	if most := p.descriptors.limit; most > allowed-reservedDescriptors {
-		t.Errorf("%d connections at a time with %d descriptors allowed", most, allowed)
+	if limit := p.descriptors.limit; limit > allowed-reservedDescriptors {
+		t.Errorf("%d connections at a time with %d descriptors allowed", limit, allowed)
 	}
 }
--- a/proxy/unanswered_test.go
+++ b/proxy/unanswered_test.go
@@ -31,7 +31,7 @@
 )
 
 // grant gives a proxy that does not run yet another budget of descriptors.
-func (p *Proxy) grant(sockets int) {
+func (p *Proxy) setDescriptorLimit(sockets int) {
 	p.limitsMu.Lock()
 	defer p.limitsMu.Unlock()
 	p.limits.Sockets = sockets
@@ -73,7 +73,7 @@
 	if err := c.connect(); err != nil {
 		return 0, err
 	}
-	request := strings.Replace(text(class, int(budget.Milliseconds())), "X-Request-ID: 1", "X-Request-ID: "+id, 1)
+	request := strings.Replace(requestText(class, int(budget.Milliseconds())), "X-Request-ID: 1", "X-Request-ID: "+id, 1)
 	c.conn.SetDeadline(time.Now().Add(budget + answerSlack))
 	if _, err := io.WriteString(c.conn, request); err != nil {
 		return 0, err
@@ -126,13 +126,13 @@
 }
 
 // tally is how the requests of a burst ended.
-type tally struct {
+type burstResult struct {
 	mu         sync.Mutex
 	answered   map[int]int // by status
 	unanswered []string
 }
 
-func (t *tally) add(id, class string, budget time.Duration, status int, err error) {
+func (t *burstResult) add(id, class string, budget time.Duration, status int, err error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if err != nil {
@@ -143,8 +143,8 @@
 }
 
 // burst has all clients ask at once, each with budgets of its own, and waits for the last.
-func burst(addr string) *tally {
-	out := &tally{answered: map[int]int{}}
+func runBurst(addr string) *burstResult {
+	out := &burstResult{answered: map[int]int{}}
 	var clients sync.WaitGroup
 	for number := range burstClients {
 		clients.Go(func() {
@@ -170,16 +170,16 @@
 // named: under a burst, with all backends bad in one way, and with some in each. Guards
 // against attempts without a time-out, and against requests that fall out of all queues.
 func TestNoRequestIsLeftUnanswered(t *testing.T) {
-	one := func(handle func(*standin.Call)) []func(*standin.Call) {
+	threeOf := func(handle func(*standin.Call)) []func(*standin.Call) {
 		return []func(*standin.Call){handle, handle, handle}
 	}
-	var every []func(*standin.Call)
+	var all []func(*standin.Call)
 	cases := map[string][]func(*standin.Call){}
 	for _, bad := range badBackends {
-		cases["each "+bad.name] = one(bad.handle)
-		every = append(every, bad.handle)
+		cases["each "+bad.name] = threeOf(bad.handle)
+		all = append(all, bad.handle)
 	}
-	cases["one of each kind, and two well"] = append(every, standin.Echo, standin.Echo)
+	cases["one of each kind, and two well"] = append(all, standin.Echo, standin.Echo)
 	for name, handles := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -188,14 +188,14 @@
 				b := standin.NewBackend(t, handle)
 				targets = append(targets, standin.Target(fmt.Sprintf("s-%d", number), b.Addr()))
 			}
-			p := listening(t, standin.List(1, true, targets...), "127.0.0.1:1")
+			p := listenProxy(t, standin.List(1, true, targets...), "127.0.0.1:1")
 			p.cfg.Grace = time.Millisecond
-			p.grant(burstSockets)
-			defer running(t, p)()
-			got := burst(p.Addr().String())
-			t.Logf("answered, by status: %v", got.answered)
-			if n := len(got.unanswered); n > 0 {
-				t.Errorf("%d of %d are left without an answer: %s", n, burstClients*burstRequests, got.unanswered[0])
+			p.setDescriptorLimit(burstSockets)
+			defer startProxy(t, p)()
+			result := runBurst(p.Addr().String())
+			t.Logf("answered, by status: %v", result.answered)
+			if n := len(result.unanswered); n > 0 {
+				t.Errorf("%d of %d are left without an answer: %s", n, burstClients*burstRequests, result.unanswered[0])
 			}
 		})
 	}
