--- a/proxy/drain_test.go
+++ b/proxy/drain_test.go
@@ -99,9 +99,9 @@
 func TestLateAcceptAfterShutdown(t *testing.T) {
 	s := newClientConns()
 	s.add()
-	empty := s.shutdown()
+	allClosed := s.shutdown()
 	s.remove()
-	<-empty
+	<-allClosed
 	s.add()
 	s.remove() // must not panic by closing a channel twice
 }
--- a/proxy/linger_test.go
+++ b/proxy/linger_test.go
@@ -20,15 +20,15 @@
 	"oxbowloft/internal/standin"
 )
 
-// crossed is a client's connection as the proxy has it. In the very moment in which the
-// proxy first shuts or closes it, late happens, and all of what that sends has come.
+// hookedConn is the proxy's side of a client connection. When the proxy first closes its
+// write side or the connection, it calls beforeClose, whose data has then arrived.
 type hookedConn struct {
 	*net.TCPConn
 	once        sync.Once
 	beforeClose func()
-	writeClosed bool // its write side was ended
+	writeClosed bool // the proxy closed its write side
 
-	readDeadline atomic.Value // time.Time: what its next read may take
+	readDeadline atomic.Value // time.Time: deadline of the next read
 }
 
 func (c *hookedConn) SetReadDeadline(t time.Time) error {
@@ -47,7 +47,7 @@
 	return c.TCPConn.Close()
 }
 
-// readable waits until something can be read from a connection, without taking it.
+// waitReadable waits until data can be read from a connection, without reading it.
 func waitReadable(t *testing.T, c *net.TCPConn) {
 	raw, err := c.SyscallConn()
 	if err != nil {
@@ -63,8 +63,8 @@
 	})
 }
 
-// crossing is a proxy that serves one connection, on which what late says comes as the
-// proxy shuts or closes it. ended is closed once the proxy is done with it.
+// serveHooked lets the proxy serve one connection, on which late is sent when the proxy
+// closes it or its write side. done is closed once the proxy is done with it.
 func serveHooked(t *testing.T, p *Proxy, late string) (c *net.TCPConn, conn *hookedConn, done chan bool) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -99,36 +99,37 @@
 	return client.(*net.TCPConn), conn, done
 }
 
-// A close over unread bytes resets the connection, and takes back what the client has not
-// read of the last answer. Whatever ends a connection, and whatever comes in that very
-// moment, the client gets all that was written and then the end; what came is not served.
+// Closing a connection with unread bytes resets it and discards what the client has not
+// read of the last response. Whatever ends a connection, and whatever arrives at that
+// moment, the client gets all that was written and then the end of the connection. What
+// arrived is not served.
 func TestLingeringClose(t *testing.T) {
 	request := requestText("get", 2000)
-	old := strings.Replace(request, "HTTP/1.1", "HTTP/1.0", 1)
-	last := strings.Replace(request, "\r\n\r\n", "\r\nConnection: close\r\n\r\n", 1)
+	http10 := strings.Replace(request, "HTTP/1.1", "HTTP/1.0", 1)
+	closing := strings.Replace(request, "\r\n\r\n", "\r\nConnection: close\r\n\r\n", 1)
 	half := "POST /api HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\n\r\nhel"
 	chunk := "POST /api HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n"
 	none := func(*Proxy) {}
-	quick := func(p *Proxy) {
+	shortTimeouts := func(p *Proxy) {
 		p.clients.idleTimeout, p.clients.firstRequestTimeout, p.clients.headTimeout = time.Millisecond, time.Millisecond, time.Millisecond
 	}
-	finish := func(p *Proxy) { p.clients.shutdown() }
+	shutdown := func(p *Proxy) { p.clients.shutdown() }
 	for _, c := range []struct {
 		name, sent, late string
-		before, after    func(*Proxy) // that the first answer is here
-		want             []string     // the answers' beginnings
+		before, after    func(*Proxy) // the first response is here
+		want             []string     // beginnings of the responses
 	}{
-		{"nothing asked yet", "", request, quick, none, nil},
-		{"idle limit", request, request, quick, none, []string{"HTTP/1.1 200 "}},
-		{"needed for others", request, request, none, func(p *Proxy) { p.clients.evictOldest(1) }, []string{"HTTP/1.1 200 "}},
-		{"end of a drain", request, request, none, finish, []string{"HTTP/1.1 200 "}},
-		{"last answer of a drain", request, request, func(p *Proxy) { p.enterPhase(Finishing) }, none, []string{"HTTP/1.1 200 "}},
-		{"Connection: close", last, request, none, none, []string{"HTTP/1.1 200 "}},
-		{"HTTP/1.0", old, request, none, none, []string{"HTTP/1.1 200 "}},
-		{"empty line", last, "\r\n", none, none, []string{"HTTP/1.1 200 "}},
+		{"no request yet", "", request, shortTimeouts, none, nil},
+		{"idle timeout", request, request, shortTimeouts, none, []string{"HTTP/1.1 200 "}},
+		{"evicted", request, request, none, func(p *Proxy) { p.clients.evictOldest(1) }, []string{"HTTP/1.1 200 "}},
+		{"end of a drain", request, request, none, shutdown, []string{"HTTP/1.1 200 "}},
+		{"last response of a drain", request, request, func(p *Proxy) { p.enterPhase(Finishing) }, none, []string{"HTTP/1.1 200 "}},
+		{"Connection: close", closing, request, none, none, []string{"HTTP/1.1 200 "}},
+		{"HTTP/1.0", http10, request, none, none, []string{"HTTP/1.1 200 "}},
+		{"empty line", closing, "\r\n", none, none, []string{"HTTP/1.1 200 "}},
 		{"malformed", "noise\r\n", request, none, none, []string{"HTTP/1.1 400 "}},
 		{"inside a body", chunk, "5\r\nhello\r\n", none, none, []string{"HTTP/1.1 400 "}},
-		{"half a request", half, "lo", quick, none, []string{"HTTP/1.1 408 "}},
+		{"half a request", half, "lo", shortTimeouts, none, []string{"HTTP/1.1 408 "}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b := standin.NewBackend(t, standin.Echo)
@@ -142,7 +143,7 @@
 			if strings.HasPrefix(c.sent, "GET") {
 				calls = 1
 				eventually(t, "answered", func() bool { return p.stats.requestsEnded(fulfilled) == 1 })
-				eventually(t, "idle again, or over", func() bool {
+				eventually(t, "idle again, or closed", func() bool {
 					p.clients.mu.Lock()
 					defer p.clients.mu.Unlock()
 					return p.clients.idle.Len()+p.clients.lingering.Len() > 0 || p.clients.openCount == 0
@@ -159,12 +160,12 @@
 				}
 			}
 			if n := bytes.Count(got, []byte("HTTP/1.1 ")); n != len(c.want) {
-				t.Errorf("%d answers, want %d: %q", n, len(c.want), got)
+				t.Errorf("%d responses, want %d: %q", n, len(c.want), got)
 			}
 			nc.Close()
 			<-ended
 			if n := b.Calls(); n != calls {
-				t.Errorf("%d calls at the backend, want %d", n, calls)
+				t.Errorf("%d requests at the backend, want %d", n, calls)
 			}
 			for _, b := range p.driver.allBackends() {
 				b.Close()
@@ -173,8 +174,8 @@
 	}
 }
 
-// An answer that is longer than what its reader takes at once is still on the way when
-// its connection is closed: all of it arrives, whatever the reader has sent meanwhile.
+// A response longer than its reader's buffer is still in transfer when its connection is
+// closed. All of it arrives, whatever the reader has sent meanwhile.
 func TestLingeringCloseAfterLongResponse(t *testing.T) {
 	body := strings.Repeat("x", 60<<10)
 	b := standin.NewBackend(t, func(c *standin.Call) { c.Reply(200, body) })
@@ -184,7 +185,7 @@
 	nc, _, ended := serveHooked(t, p, "\r\n")
 	nc.SetReadBuffer(4 << 10)
 	io.WriteString(nc, strings.Replace(requestText("get", 2000), "\r\n\r\n", "\r\nConnection: close\r\n\r\n", 1))
-	eventually(t, "closing", func() bool {
+	eventually(t, "lingering", func() bool {
 		p.clients.mu.Lock()
 		defer p.clients.mu.Unlock()
 		return p.clients.lingering.Len() > 0 || p.clients.openCount == 0
@@ -199,8 +200,8 @@
 	}
 }
 
-// An answer that is cut short ends in a reset, which no lingering close may soften: a
-// clean end would be the end of an answer to HTTP/1.0.
+// A truncated response ends in a reset without lingering: to an HTTP/1.0 client a clean
+// close would mean a complete response.
 func TestTruncatedResponseIsReset(t *testing.T) {
 	b := standin.NewBackend(t, func(c *standin.Call) {
 		c.Raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n20000\r\n" + strings.Repeat("x", 0x20000) + "\r\n")
@@ -215,15 +216,15 @@
 	}
 	<-ended
 	if at.writeClosed {
-		t.Error("its end was written")
+		t.Error("the write side was closed cleanly")
 	}
 	for _, b := range p.driver.allBackends() {
 		b.Close()
 	}
 }
 
-// An answer that says that its connection ends is the last one, also where there is room
-// again by its end.
+// No request is served after a response that announces the end of its connection, even if
+// descriptors are available again by its end.
 func TestConnectionCloseIsFinal(t *testing.T) {
 	first, rest := make(chan bool), make(chan bool)
 	b := standin.NewBackend(t, func(c *standin.Call) {
@@ -235,28 +236,28 @@
 	p := listenProxy(t, standin.List(1, true, standin.Target("s-1", b.Addr())), "127.0.0.1:1")
 	defer p.listener.Close()
 	nc, _, ended := serveHooked(t, p, requestText("get", 2000))
-	set := func(by int) {
+	addUsed := func(by int) {
 		p.descriptors.mu.Lock()
 		p.descriptors.used += by
 		p.descriptors.mu.Unlock()
 	}
-	calls := func() bool { return b.Calls() == 1 }
+	oneAttempt := func() bool { return b.Calls() == 1 }
 	io.WriteString(nc, requestText("get", 2000))
-	eventually(t, "the attempt", calls)
-	set(1000)
+	eventually(t, "the attempt", oneAttempt)
+	addUsed(1000)
 	close(first)
 	head := make([]byte, 64<<10)
 	if _, err := io.ReadFull(nc, head); err != nil || !bytes.Contains(head, []byte("Connection: close\r\n")) {
 		t.Errorf("%v, %.100q", err, head)
 	}
-	set(-1000)
+	addUsed(-1000)
 	close(rest)
-	if _, err := io.ReadAll(nc); err != nil { // to the end, with no second answer
+	if _, err := io.ReadAll(nc); err != nil { // up to the end, without a second response
 		t.Error(err)
 	}
 	nc.Close()
 	<-ended
-	if !calls() {
+	if !oneAttempt() {
 		t.Error("another request was served")
 	}
 	for _, b := range p.driver.allBackends() {
@@ -264,12 +265,13 @@
 	}
 }
 
-// Clients that never close their side, and floods that never end, are closed all the same.
+// Connections of clients that never close their side, or that never stop sending, are
+// closed all the same.
 func TestLingeringIsBounded(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	for _, c := range []struct {
 		name  string
-		limit time.Duration // what else ends it
+		limit time.Duration // lingering timeout
 		flood bool
 	}{
 		{"silent", lingerTimeout, false},
@@ -293,35 +295,35 @@
 			select {
 			case <-ended:
 			case <-time.After(20 * time.Second):
-				t.Fatal("lingers on")
+				t.Fatal("still lingering")
 			}
 			<-over
 			if n := p.clients.count(); n != 0 {
-				t.Errorf("%d clients are kept", n)
+				t.Errorf("%d clients are still open", n)
 			}
 		})
 	}
 }
 
-// Where descriptors run short, a connection that lingers gives its own up: clients that do
-// not close keep nobody out.
+// Lingering connections are closed when descriptors are short, so that clients that do
+// not close keep no others out.
 func TestLingeringEndsWhenDescriptorsAreShort(t *testing.T) {
 	p := listenProxy(t, standin.List(1, true, standin.Target("s-1", "127.0.0.1:1")), "127.0.0.1:1")
 	p.descriptors.resize(reservedDescriptors + 8)
 	p.clients.firstRequestTimeout, p.clients.lingerTimeout = 10*time.Millisecond, time.Hour
 	defer startProxy(t, p)()
-	for i := range 40 { // each is accepted, and told to end
+	for i := range 40 { // each is accepted and evicted
 		if got, err := io.ReadAll(dialProxy(t, p)); err != nil || len(got) > 0 {
 			t.Fatalf("client %d: %q, %v", i, got, err)
 		}
 	}
 }
 
-// A new connection has freshLeast to say something also where it is the only one that
-// could make room, or the process is about to end: guards against one that is closed in
-// the moment of its accept, with its request on the way.
+// A new connection gets minFirstRequestWait for its first byte even if no other could be
+// evicted or the process is about to end. Prevents a close at the moment of its accept,
+// with its request on the way.
 func TestNewClientGetsMinimumWait(t *testing.T) {
-	for name, needed := range map[string]func(*Proxy){
+	for name, evict := range map[string]func(*Proxy){
 		"its descriptor is needed": func(p *Proxy) { p.clients.evictOldest(10) },
 		"the drain ends":           func(p *Proxy) { p.clients.shutdown() },
 	} {
@@ -335,7 +337,7 @@
 				defer p.clients.mu.Unlock()
 				return p.clients.awaitingFirst.Len() == 1
 			})
-			needed(p)
+			evict(p)
 			if at.readDeadline.Load().(time.Time).Before(time.Now()) {
 				t.Error("closed at once")
 			}
@@ -348,8 +350,8 @@
 	}
 }
 
-// A drain ends by itself and in time, though its clients never close: what lingers at its
-// end is closed, and nothing that was answered counts as cut off.
+// A drain ends in time although its clients never close: lingering connections are closed
+// at its end, and answered requests do not count as cut off.
 func TestDrainDoesNotLinger(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	var text logBuffer
@@ -374,15 +376,15 @@
 		cancel()
 		waitRunEnd(t, done)
 		if n := p.clients.count(); n != 0 {
-			t.Errorf("%d clients are kept", n)
+			t.Errorf("%d clients are still open", n)
 		}
 	})
 	if bytes.Contains(text.bytes(), []byte("cut_off")) {
-		t.Error("cut off")
+		t.Error("requests were cut off")
 	}
 }
 
-// logged is what has been written to the log.
+// logBuffer collects log output.
 type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
--- a/proxy/local_dial_test.go
+++ b/proxy/local_dial_test.go
@@ -13,9 +13,8 @@
 	"oxbowloft/logic"
 )
 
-// A connection that can't be opened for want of something on this machine says nothing of
-// the backend: it is not counted as a failure of it, nor is it ejected, and the request is
-// tried again.
+// A connection that can't be opened for a local reason does not count as a failure of the
+// backend. The backend is not ejected, and the request is tried again.
 func TestLocalDialErrorIsNoBackendFailure(t *testing.T) {
 	for _, c := range []struct {
 		errno      syscall.Errno
@@ -34,7 +33,7 @@
 			first, second := standin.NewBackend(t, standin.Echo), standin.NewBackend(t, standin.Echo)
 			p := listenProxy(t, standin.List(1, true, standin.Target("s-1", first.Addr()), standin.Target("s-2", second.Addr())),
 				"127.0.0.1:1")
-			p.cfg.Grace = 1 // so that the end takes no time
+			p.cfg.Grace = 1 // keeps the drain short
 			var failures atomic.Int64
 			failures.Store(9)
 			p.driver.opt.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -51,13 +50,13 @@
 			counted := p.stats.attemptResults[logic.NoConnect]
 			p.stats.mu.Unlock()
 			if (counted == 0) != c.localError {
-				t.Errorf("%d attempts are counted against backends", counted)
+				t.Errorf("%d attempts counted against backends", counted)
 			}
 			if _, avoided := p.driver.backendCounts(); c.localError && avoided > 0 {
 				t.Errorf("%d backends are avoided", avoided)
 			}
 			if code, body := sendRequest(t, dialProxy(t, p), "get", 2000); c.localError && code != http.StatusOK {
-				t.Errorf("once connections can be opened again: %d %q", code, body)
+				t.Errorf("after the dial errors: %d %q", code, body)
 			}
 		})
 	}
--- a/proxy/proxy_test.go
+++ b/proxy/proxy_test.go
@@ -29,7 +29,7 @@
 	goleak.VerifyTestMain(m)
 }
 
-// listening is a proxy that listens and does not run yet.
+// listenProxy returns a proxy that listens and does not run yet.
 func listenProxy(t *testing.T, known, discovery string) *Proxy {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -54,14 +54,14 @@
 	return p
 }
 
-// run runs a proxy in this process, before backends known from the start.
+// runProxy runs a proxy with the given list known at start.
 func runProxy(t *testing.T, known, discovery string) (p *Proxy, stop func()) {
 	t.Helper()
 	p = listenProxy(t, known, discovery)
 	return p, startProxy(t, p)
 }
 
-// running runs a proxy until stop is called.
+// startProxy runs a proxy until stop is called.
 func startProxy(t *testing.T, p *Proxy) (stop func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -89,7 +89,7 @@
 		class, ms)
 }
 
-// ask makes one request on a connection of its own, or on c.
+// sendRequest sends one request on c and returns the status and body of its response.
 func sendRequest(t *testing.T, c net.Conn, class string, ms int) (int, string) {
 	t.Helper()
 	if _, err := io.WriteString(c, requestText(class, ms)); err != nil {
@@ -99,7 +99,7 @@
 	return resp.StatusCode, body
 }
 
-// read reads an answer and its body from c.
+// mustReadResponse reads a response and its body from c.
 func mustReadResponse(t *testing.T, c net.Conn) (*http.Response, string) {
 	t.Helper()
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
@@ -133,8 +133,8 @@
 	return len(entries)
 }
 
-// After a life with every kind of end of a request, no goroutine, descriptor or
-// state of a request is left.
+// No goroutine, descriptor or request state is left after requests that end in each
+// possible way.
 func TestNoLeaks(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	before := openDescriptorCount(t)
@@ -169,31 +169,31 @@
 		io.WriteString(left, requestText("pay", 400))
 		eventually(t, "an attempt", func() bool { return b.Calls() > calls })
 		left.Close()
-		dialProxy(t, p) // says nothing
+		dialProxy(t, p) // sends nothing
 		half := dialProxy(t, p)
 		io.WriteString(half, "GET /ap")
-		eventually(t, "the calls' state forgotten", func() bool {
+		eventually(t, "release of request state", func() bool {
 			p.driver.mu.Lock()
 			defer p.driver.mu.Unlock()
 			return len(p.driver.requests) == 0
 		})
 		stop()
 		if used, _ := p.descriptors.inUse(); used != 0 {
-			t.Errorf("%d of the budget in use after the end", used)
+			t.Errorf("%d descriptors of the budget in use after the end", used)
 		}
 	})
 	eventually(t, "as many descriptors as before", func() bool { return openDescriptorCount(t) <= before+1 })
 }
 
-// Guards against times of starts that are held against another clock than the
-// module's: a backend that has just started would pass for a warm one.
+// Prevents start times from being compared with another clock than that of the balancing
+// logic: a backend that has just started would not get a slow start.
 func TestSlowStartUsesWallClock(t *testing.T) {
-	cold, warm := standin.NewBackend(t, standin.Echo), standin.NewBackend(t, standin.Echo)
+	starting, established := standin.NewBackend(t, standin.Echo), standin.NewBackend(t, standin.Echo)
 	now := fmt.Sprintf(`"boot_ms":%d`, time.Now().UnixMilli())
 	long := fmt.Sprintf(`"boot_ms":%d`, time.Now().Add(-time.Hour).UnixMilli())
 	list := standin.List(1, true,
-		strings.Replace(standin.Target("s-1", cold.Addr()), `"boot_ms":0`, now, 1),
-		strings.Replace(standin.Target("s-2", warm.Addr()), `"boot_ms":0`, long, 1))
+		strings.Replace(standin.Target("s-1", starting.Addr()), `"boot_ms":0`, now, 1),
+		strings.Replace(standin.Target("s-2", established.Addr()), `"boot_ms":0`, long, 1))
 	p, stop := runProxy(t, list, standin.NewDiscovery(t, list).Addr())
 	defer stop()
 	c := dialProxy(t, p)
@@ -202,17 +202,17 @@
 			t.Fatalf("got %d", status)
 		}
 	}
-	if n := cold.Calls(); n >= 100 {
-		t.Errorf("the cold backend got %d of 200 calls", n)
+	if n := starting.Calls(); n >= 100 {
+		t.Errorf("the backend in slow start got %d of 200 requests", n)
 	}
-	if n := warm.Calls(); n < 100 {
-		t.Errorf("the warm backend got %d of 200 calls", n)
+	if n := established.Calls(); n < 100 {
+		t.Errorf("the other backend got %d of 200 requests", n)
 	}
 }
 
 func TestClock(t *testing.T) {
 	c := newClock()
-	boot := time.Now().Add(-5 * time.Second).Round(0) // by the wall clock alone
+	boot := time.Now().Add(-5 * time.Second).Round(0) // wall clock alone
 	if age := c.now() - logic.Time(boot.UnixNano()); age < 4*time.Second || age > time.Minute {
 		t.Errorf("5 s ago was %v ago", age)
 	}
@@ -236,16 +236,16 @@
 		{"served", upstream.Answer{Stage: upstream.Answered, Status: 200}, logic.OK},
 		{"error", upstream.Answer{Stage: upstream.Answered, Status: 500}, logic.Error},
 		{"another status", upstream.Answer{Stage: upstream.Answered, Status: 302}, logic.Error},
-		// Guards against healthy backends left out for what their callers send.
-		{"the request's fault", upstream.Answer{Stage: upstream.Answered, Status: 400}, logic.Cancelled},
-		{"too many", upstream.Answer{Stage: upstream.Answered, Status: 429}, logic.Error},
-		{"turned away", upstream.Answer{Stage: upstream.Answered, Status: 503, Header: notProcessed}, logic.Full},
-		{"over already", upstream.Answer{Stage: upstream.Answered, Status: 504, Header: notProcessed}, logic.Full},
+		// Prevents healthy backends from being avoided because of what clients send.
+		{"client error", upstream.Answer{Stage: upstream.Answered, Status: 400}, logic.Cancelled},
+		{"too many requests", upstream.Answer{Stage: upstream.Answered, Status: 429}, logic.Error},
+		{"rejected", upstream.Answer{Stage: upstream.Answered, Status: 503, Header: notProcessed}, logic.Full},
+		{"deadline passed at the backend", upstream.Answer{Stage: upstream.Answered, Status: 504, Header: notProcessed}, logic.Full},
 		{"503 alone", upstream.Answer{Stage: upstream.Answered, Status: 503}, logic.Error},
-		{"500 that says it never ran", upstream.Answer{Stage: upstream.Answered, Status: 500, Header: notProcessed}, logic.Error},
+		{"500 with X-Not-Processed", upstream.Answer{Stage: upstream.Answered, Status: 500, Header: notProcessed}, logic.Error},
 		{"malformed", upstream.Answer{Stage: upstream.Answered, Err: http1.ErrMalformed}, logic.Error},
 		{"not connected", upstream.Answer{Stage: upstream.Unopened, Err: io.EOF}, logic.NoConnect},
-		{"no time to connect", upstream.Answer{Stage: upstream.Unopened, Err: os.ErrDeadlineExceeded}, logic.NoConnect},
+		{"connect timeout", upstream.Answer{Stage: upstream.Unopened, Err: os.ErrDeadlineExceeded}, logic.NoConnect},
 		{"broken", upstream.Answer{Stage: upstream.Written, Err: io.ErrUnexpectedEOF}, logic.Broken},
 		{"timed out", upstream.Answer{Stage: upstream.Written, Err: os.ErrDeadlineExceeded}, logic.TimedOut},
 		{"no descriptor", upstream.Answer{Stage: upstream.Unsent, Err: io.EOF}, logic.NeverSent},
@@ -269,24 +269,24 @@
 		t.Errorf("backends got %d of 16", taken)
 	}
 	if relieved == 0 {
-		t.Error("near the end, idle connections were not closed")
+		t.Error("idle connections were not reclaimed near the limit")
 	}
 	s.acquireForClient()
 	s.acquireForClient()
 	if !s.Full() {
-		t.Error("not full")
+		t.Error("not full at the limit")
 	}
 	got := make(chan bool)
 	go func() { s.acquireForClient(); got <- true }()
 	select {
 	case <-got:
-		t.Error("a client got one over the budget")
+		t.Error("a client got a descriptor over the budget")
 	case <-time.After(20 * time.Millisecond):
 	}
 	s.releaseForClient()
 	<-got
 	if used, most := s.inUse(); used != 16 || most != 16 {
-		t.Errorf("%d in use, %d at most", used, most)
+		t.Errorf("%d in use, peak %d", used, most)
 	}
 }
 
@@ -303,8 +303,8 @@
 	}
 }
 
-// Guards against closing on connections that the kernel had accepted when the
-// drain's grace was over: the requests on them would be lost.
+// Prevents a close of the listener with connections in the kernel's backlog at the end of
+// the drain's grace: the requests on them would be lost.
 func TestBacklogAcceptedAtDrainEnd(t *testing.T) {
 	b := standin.NewBackend(t, standin.Echo)
 	list := standin.List(1, true, standin.Target("s-1", b.Addr()))
@@ -317,12 +317,12 @@
 	}
 	p.listener.SetDeadline(time.Unix(1, 0)) // the grace is over
 	if err := p.acceptLoop(); err == nil {
-		t.Fatal("still accepting")
+		t.Fatal("accept did not stop")
 	}
 	p.acceptBacklog(time.Now().Add(20 * time.Second))
 	p.listener.Close()
 	for i, c := range conns {
-		// An answer, whatever the module says to so many at once.
+		// any response: the balancing logic may refuse some of so many
 		if _, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil {
 			t.Errorf("connection %d: %v", i, err)
 		}
@@ -334,8 +334,8 @@
 	}
 }
 
-// With no descriptor left, an answer says that its connection ends, so that the
-// next request is not sent on one that is about to close.
+// Without a descriptor left, a response announces the end of its connection, so that the
+// next request is not sent on a connection that is about to close.
 func TestConnectionCloseWhenFull(t *testing.T) {
 	b := standin.NewBackend(t, standin.Echo)
 	list := standin.List(1, true, standin.Target("s-1", b.Addr()))
@@ -360,7 +360,7 @@
 	set(func(s *descriptorBudget) { s.used -= before })
 }
 
-// A request that ends in the middle of a backoff takes its timer with it.
+// A request that ends during its backoff stops its timer.
 func TestBackoffTimerStopped(t *testing.T) {
 	list := standin.List(1, true, standin.Target("s-1", "127.0.0.1:1"), standin.Target("s-2", "127.0.0.1:2"))
 	p := listenProxy(t, list, "127.0.0.1:1")
@@ -373,12 +373,12 @@
 	p.driver.clientGone(r)
 	p.driver.forget(r)
 	if r.backoffTimer.Stop() {
-		t.Error("the timer still ran")
+		t.Error("the timer was still running")
 	}
 }
 
-// Guards against a call sent on a connection that the module has just wanted
-// closed: it is out of use before the module says another word.
+// Prevents a request from being sent on a connection that CloseIdle was to close: the
+// connection is out of use before the balancing logic's next action.
 func TestCloseIdleAtOnce(t *testing.T) {
 	b := standin.NewBackend(t, standin.Echo)
 	list := standin.List(1, true, standin.Target("s-1", b.Addr()))
@@ -394,14 +394,14 @@
 	p.driver.withBalancer(func(logic.Time) {
 		p.driver.CloseIdle("s-1")
 		if _, idle := to.Oldest(); idle {
-			t.Error("still in use")
+			t.Error("the connection is still in use")
 		}
 	})
 	eventually(t, "closed", func() bool { _, open := b.Conns(); return open == 0 })
 }
 
-// Guards against a crowd that sends a part of a request each and no more: it
-// would hold all descriptors for as long as a request may take to come.
+// Prevents many clients that each send only a part of a request from holding all
+// descriptors for as long as a request may take to arrive.
 func TestManyPartialRequests(t *testing.T) {
 	b := standin.NewBackend(t, standin.Echo)
 	list := standin.List(1, true, standin.Target("s-1", b.Addr()))
@@ -423,8 +423,8 @@
 	stop()
 }
 
-// What is kept for a backend, a connection, an id or a key has an owner that lets it
-// go: with thousands of each, no more is held in the second half than in the first.
+// All state kept for backends, connections, ids and keys is released: after thousands of
+// each, the second half of the run holds no more than the first.
 func TestChurnLeaksNothing(t *testing.T) {
 	fleet := []*standin.Backend{}
 	for range 4 {
@@ -442,24 +442,24 @@
 		}))
 	}
 	uids := 0
-	line := func() string { // a backend under a new id, at the address of one that has gone
+	newTarget := func() string { // a backend with a new id, at the address of a removed one
 		uids++
 		return standin.Target(fmt.Sprintf("s-%d", uids), fleet[uids%len(fleet)].Addr())
 	}
-	known := standin.List(1, true, line(), line(), line(), line())
+	known := standin.List(1, true, newTarget(), newTarget(), newTarget(), newTarget())
 	p := listenProxy(t, known, standin.NewDiscovery(t, standin.List(1, false)).Addr())
 	p.clients.idleTimeout = 50 * time.Millisecond
 	defer startProxy(t, p)()
 
-	var kept []net.Conn // clients that ask once and stay
+	var kept []net.Conn // clients that send one request and stay connected
 	heap := func() uint64 {
-		eventually(t, "all given back", func() bool {
+		eventually(t, "release of all descriptors", func() bool {
 			used, _ := p.descriptors.inUse()
 			idle := 0
 			for _, b := range p.driver.allBackends() {
 				idle += b.Idle()
 			}
-			return used == idle+1 // one is taken for the next client
+			return used == idle+1 // one is acquired for the next client
 		})
 		for _, c := range kept {
 			c.Close()
@@ -485,8 +485,8 @@
 				}
 				kept = append(kept, c)
 			}
-			gone := fmt.Sprintf(`{"uid":"s-%d","state":"terminated"}`, uids-3)
-			l, err := discovery.Parse([]byte(standin.List(2, false, gone, line())))
+			removed := fmt.Sprintf(`{"uid":"s-%d","state":"terminated"}`, uids-3)
+			l, err := discovery.Parse([]byte(standin.List(2, false, removed, newTarget())))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -496,24 +496,24 @@
 	churn(20)
 	half := heap()
 	churn(120)
-	end := heap()
-	if grown := int64(end) - int64(half); grown > 1<<20 {
+	final := heap()
+	if grown := int64(final) - int64(half); grown > 1<<20 {
 		t.Errorf("the heap has grown by %d KB", grown>>10)
 	}
 	p.driver.mu.Lock()
 	if n := len(p.driver.requests) + len(p.driver.openIDs); n > 0 || len(p.driver.backends) != 4 {
-		t.Errorf("%d requests and %d backends are kept", n, len(p.driver.backends))
+		t.Errorf("%d requests and %d backends are still held", n, len(p.driver.backends))
 	}
 	p.driver.mu.Unlock()
 	p.clients.mu.Lock()
 	if n := p.clients.openCount + p.clients.awaitingFirst.Len() + p.clients.idle.Len(); n > 0 {
-		t.Errorf("%d clients are kept", n)
+		t.Errorf("%d clients are still held", n)
 	}
 	p.clients.mu.Unlock()
 }
 
-// A request that is given up is answered at once, with a time to come back where it
-// may be tried again: guards against answers held back to spare a retry.
+// A request that can't be served is answered at once, with a Retry-After header if it may
+// be retried. Prevents responses from being held back to spare a retry.
 func TestFinalFailureIsAnsweredAtOnce(t *testing.T) {
 	backendDone := make(chan time.Time, 10)
 	reset := standin.NewBackend(t, func(c *standin.Call) {
@@ -527,8 +527,8 @@
 		targets     []string
 		status      int
 	}{
-		{"nobody known", "get", nil, 503},
-		{"nobody there", "pay", []string{standin.Target("s-1", stopped.Addr())}, 503},
+		{"no backend known", "get", nil, 503},
+		{"no backend reachable", "pay", []string{standin.Target("s-1", stopped.Addr())}, 503},
 		{"may have run", "pay", []string{standin.Target("s-1", reset.Addr())}, 502},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -538,7 +538,7 @@
 			done := make(chan error)
 			go func() { done <- p.Run(ctx) }()
 			defer func() { cancel(); <-done }()
-			eventually(t, "a list that may be used", p.readiness.hadUsableList.Load)
+			eventually(t, "a usable list", p.readiness.hadUsableList.Load)
 			began := time.Now()
 			cl := dialProxy(t, p)
 			io.WriteString(cl, requestText(c.class, 2000))
@@ -550,7 +550,7 @@
 			case began = <-backendDone:
 			default:
 			}
-			// Near its deadline would be 2 s; what is given up needs no wait.
+			// Near its deadline would be 2 s; a final failure needs no wait.
 			if elapsed := time.Since(began); elapsed > time.Second {
 				t.Errorf("answered after %v", elapsed)
 			}
@@ -561,29 +561,29 @@
 	}
 }
 
-// A long request that finds all transfers taken for a second is told to come back, and has
-// not run. Guards against memory without a bound, and against one that waits for good; what
-// holds the transfer, and what comes after it, is served.
+// A long request that gets no transfer buffer within a second is refused with
+// Retry-After, and has not run. Prevents unbounded memory use and unbounded waits. The
+// request that holds the buffer, and later ones, are served.
 func TestNoTransferBufferLeft(t *testing.T) {
 	const size = 200_000
 	b := standin.NewBackend(t, func(c *standin.Call) { c.Reply(200, fmt.Sprint(len(c.Text))) })
 	p := listenProxy(t, standin.List(1, true, standin.Target("s", b.Addr())), "127.0.0.1:1")
-	p.transfers = http1.NewTransfers(1) // one
+	p.transfers = http1.NewTransfers(1) // one buffer
 	defer startProxy(t, p)()
 	head := func(id int) string {
 		return fmt.Sprintf("POST /api HTTP/1.1\r\nHost: h\r\nX-Request-ID: %d\r\nX-Priority-Class: pay\r\n"+
 			"X-Timeout-Ms: 2000\r\nContent-Length: %d\r\n\r\n", id, size)
 	}
 	body := strings.Repeat("x", size)
-	send := func(c net.Conn, text string) { // what the proxy stops reading of it is no matter
+	send := func(c net.Conn, text string) { // the proxy may stop reading early: errors do not matter
 		go io.WriteString(c, text)
 	}
 
 	first := dialProxy(t, p)
 	send(first, head(1)+body[:size/2])
-	eventually(t, "under way", func() bool { opened, _ := b.Conns(); return opened == 1 })
+	eventually(t, "first request in transfer", func() bool { opened, _ := b.Conns(); return opened == 1 })
 	served := 0
-	for id := 2; ; id++ { // the first may not have its transfer yet
+	for id := 2; ; id++ { // the first may not have its buffer yet
 		c := dialProxy(t, p)
 		send(c, head(id)+body)
 		resp, text := mustReadResponse(t, c)
@@ -592,7 +592,7 @@
 			continue
 		}
 		if resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") == "" || text != "busy\n" || !resp.Close {
-			t.Errorf("got %d %v %q, want to be told to come back", resp.StatusCode, resp.Header, text)
+			t.Errorf("got %d %v %q, want 503 with Retry-After", resp.StatusCode, resp.Header, text)
 		}
 		break
 	}
@@ -601,9 +601,9 @@
 	}
 	send(first, body[size/2:])
 	if resp, text := mustReadResponse(t, first); resp.StatusCode != http.StatusOK || text != fmt.Sprint(size) {
-		t.Errorf("the first got %d %q", resp.StatusCode, text)
+		t.Errorf("the first request got %d %q", resp.StatusCode, text)
 	}
-	eventually(t, "served again", func() bool {
+	eventually(t, "requests served again", func() bool {
 		c := dialProxy(t, p)
 		send(c, head(100)+body)
 		resp, _ := mustReadResponse(t, c)
--- a/proxy/race_test.go
+++ b/proxy/race_test.go
@@ -19,8 +19,8 @@
 	"oxbowloft/logic"
 )
 
-// randomList is news of up to eight backends, some at other addresses than before, some
-// named twice in one list.
+// randomList returns changes of up to eight backends, some at new addresses, some listed
+// twice.
 func randomList(t *testing.T, r *rand.Rand, rev int) *discovery.List {
 	var lines []string
 	for range 1 + r.IntN(10) {
@@ -34,9 +34,9 @@
 	return l
 }
 
-// Whatever the list, the operators and the end do while requests are under way: a send has
-// a backend, each request gets to an end, none waits for a step that never comes, and what
-// is told of one request at a time never holds up the rest.
+// Whatever changes of the list, detachments and shutdowns happen during requests: a send
+// has a backend, each request ends, none waits for a step that never comes, and events of
+// one request never block the others.
 func TestDriverUnderConcurrentChanges(t *testing.T) {
 	p := listenProxy(t, standin.List(1, true, standin.Target("s-1", "127.0.0.1:1")), "127.0.0.1:1")
 	defer p.listener.Close()
@@ -55,7 +55,7 @@
 					select {
 					case s = <-c.steps:
 					case <-time.After(20 * time.Second):
-						t.Error("no step comes")
+						t.Error("no step arrives")
 						open = false
 						continue
 					}
@@ -66,7 +66,7 @@
 					if s.backend == nil {
 						t.Error("a send without a backend")
 					}
-					if !left && r.IntN(4) == 0 { // at most once, as of a watch
+					if !left && r.IntN(4) == 0 { // at most once, as with a watch
 						left = true
 						leaves.Go(func() {
 							if n%2 == 0 {
@@ -125,12 +125,13 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if len(d.requests)+len(d.openIDs) > 0 {
-		t.Errorf("%d calls and %d ids are left", len(d.requests), len(d.openIDs))
+		t.Errorf("%d requests and %d ids are left", len(d.requests), len(d.openIDs))
 	}
 }
 
-// A step of the module's, its end and its caller's going, all at once and with nobody to
-// take them yet, find room: one that had to wait would hold the driver's lock.
+// The channel of steps has room for a step of the balancing logic, the shutdown and the
+// client's leaving at the same time with no receiver: a blocked send would hold the
+// driver's lock.
 func TestStepsNeverBlock(t *testing.T) {
 	for name, events := range map[string][]func(*driver, *activeRequest){
 		"end, gone":  {func(d *driver, _ *activeRequest) { d.endAll() }, (*driver).clientGone},
@@ -140,7 +141,7 @@
 		p := listenProxy(t, standin.List(1, true, standin.Target("s-1", "127.0.0.1:1")), "127.0.0.1:1")
 		d := p.driver
 		c := d.arrive("1", 0, time.Hour, false, false)
-		s := <-c.steps // the attempt is out: the caller is watched from here on
+		s := <-c.steps // the attempt is in flight: the client is watched from here on
 		done := make(chan bool)
 		go func() {
 			defer close(done)
@@ -153,7 +154,7 @@
 		select {
 		case <-done:
 		case <-time.After(20 * time.Second):
-			t.Fatalf("%s: the driver stands still", name)
+			t.Fatalf("%s: the driver is blocked", name)
 		}
 		if n := len(c.steps); n == 0 || n > 2 {
 			t.Errorf("%s: %d steps", name, n)
@@ -164,9 +165,9 @@
 	}
 }
 
-// The whole proxy under changes of the list and of where it comes from, with callers that
-// leave, send on or say half, until its end in the midst of them: it ends, each answer is
-// that of its request, and nothing is left.
+// A whole proxy while the list and the discovery address change, with clients that leave,
+// send more data or send partial requests, until its shutdown in between. It ends, each
+// response belongs to its request, and nothing leaks.
 func TestListChangesUntilShutdown(t *testing.T) {
 	reply := func(c *standin.Call) {
 		if c.N%7 == 0 {
@@ -239,7 +240,7 @@
 				if c == nil {
 					var err error
 					if c, err = net.Dial("tcp", p.Addr().String()); err != nil {
-						return // it has ended
+						return // the proxy has stopped
 					}
 					c.SetDeadline(time.Now().Add(20 * time.Second))
 				}
@@ -275,13 +276,13 @@
 			}
 		})
 	}
-	eventually(t, "some are served", func() bool { return served.Load() >= 200 })
+	eventually(t, "some requests served", func() bool { return served.Load() >= 200 })
 	cancel()
 	waitRunEnd(t, done)
 	callers.Wait()
 	close(stopNews)
 	changes.Wait()
-	eventually(t, "all given back", func() bool {
+	eventually(t, "release of all state", func() bool {
 		used, _ := p.descriptors.inUse()
 		p.driver.mu.Lock()
 		defer p.driver.mu.Unlock()
--- a/proxy/ready_test.go
+++ b/proxy/ready_test.go
@@ -7,9 +7,9 @@
 	"oxbowloft/internal/standin"
 )
 
-// A proxy is ready with the first list that may be used, or once it has waited for one for
-// long enough: guards against callers that are refused by a process that has just started
-// while another could serve them, and against a start that waits for good.
+// A proxy reports ready with the first usable list, or after waiting long enough for one.
+// Prevents a process that has just started from refusing requests that another could
+// serve, and a start that never finishes.
 func TestReadyWithUsableList(t *testing.T) {
 	b := standin.NewBackend(t, standin.Echo)
 	known := standin.List(1, true, standin.Target("s-1", b.Addr()))
@@ -18,15 +18,15 @@
 	p := listenProxy(t, known, d.Addr())
 	defer startProxy(t, p)()
 	if took := time.Since(p.readiness.start); took < readyTimeout {
-		t.Errorf("ready after %v without a list, want %v", took, readyTimeout)
+		t.Errorf("ready after %v without a list, want at least %v", took, readyTimeout)
 	}
 	d.Down(false)
 	q := listenProxy(t, known, d.Addr())
 	defer startProxy(t, q)()
 	if took := time.Since(q.readiness.start); took >= readyTimeout {
-		t.Errorf("ready after %v though discovery gives a list", took)
+		t.Errorf("ready after %v although discovery provides a list", took)
 	}
 	if !q.readiness.hadUsableList.Load() {
-		t.Error("ready with no list")
+		t.Error("ready without a list")
 	}
 }
--- a/proxy/trouble_test.go
+++ b/proxy/recovery_test.go
@@ -14,7 +14,7 @@
 	"oxbowloft/internal/standin"
 )
 
-// panicking is a connection whose first write panics.
+// panickingConn is a connection whose first write panics.
 type panickingConn struct {
 	*net.TCPConn
 	panicked atomic.Bool
@@ -27,7 +27,7 @@
 	return c.TCPConn.Write(b)
 }
 
-// panickingListener makes the first connection that it accepts a panicking one.
+// panickingListener makes the first accepted connection a panickingConn.
 type panickingListener struct {
 	listener
 	panicked atomic.Bool
@@ -41,8 +41,8 @@
 	return c, err
 }
 
-// A panic on the way of one request is that request's alone: it is answered, counted, and
-// leaves nothing behind; all others are served on.
+// A panic during one request affects that request alone: it is answered, counted, and
+// leaks nothing. All others are still served.
 func TestPanicInRequest(t *testing.T) {
 	b := standin.NewBackend(t, standin.Echo)
 	p := listenProxy(t, standin.List(1, true, standin.Target("s-1", b.Addr())), "127.0.0.1:1")
@@ -55,27 +55,27 @@
 	if code, _ := sendRequest(t, dialProxy(t, p), "get", 2000); code != http.StatusOK {
 		t.Errorf("the next request: %d", code)
 	}
-	eventually(t, "nothing left behind", func() bool {
+	eventually(t, "release of all state", func() bool {
 		p.driver.mu.Lock()
 		defer p.driver.mu.Unlock()
 		return len(p.driver.requests) == 0 && len(p.driver.openIDs) == 0 && p.stats.openRequests.Load() == 0
 	})
 }
 
-// A ban that could not be written is written once it can be, and a process that starts then
-// knows of it.
+// A detachment that could not be written is written once that is possible, and a process
+// that starts afterwards knows of it.
 func TestDetachmentWrittenLater(t *testing.T) {
 	dir := t.TempDir()
 	s := openTestState(t, dir)
-	full := filepath.Join(s.detachedPath, "in the way") // a rename onto it fails
-	if err := os.MkdirAll(full, 0o700); err != nil {
+	blocker := filepath.Join(s.detachedPath, "in the way") // makes the rename fail
+	if err := os.MkdirAll(blocker, 0o700); err != nil {
 		t.Fatal(err)
 	}
 	if err := s.setDetached("s-1", true); err == nil {
 		t.Fatal("written onto a directory")
 	}
-	if out, in := s.refresh(); len(out)+len(in) > 0 || !s.detached["s-1"] {
-		t.Errorf("the ban does not hold here: out %v, in %v", out, in)
+	if detached, attached := s.refresh(); len(detached)+len(attached) > 0 || !s.detached["s-1"] {
+		t.Errorf("the detachment does not apply here: detached %v, attached %v", detached, attached)
 	}
 	if err := os.RemoveAll(s.detachedPath); err != nil {
 		t.Fatal(err)
@@ -85,27 +85,27 @@
 		time.Sleep(20 * time.Millisecond)
 	}
 	if !openTestState(t, dir).isDetached("s-1") {
-		t.Error("a process that starts later does not know of the ban")
+		t.Error("a process that starts later does not know of the detachment")
 	}
 }
 
-// hasBan tells whether a state that has just been opened knows of a ban.
+// isDetached reports whether a state that has just been opened has a backend detached.
 func (s *sharedState) isDetached(id string) bool {
 	s.refresh()
 	defer s.close()
 	return s.detached[id]
 }
 
-// What a process that was killed in the middle of a write left behind is cleared away by
-// the next, and the bans of the last whole write hold.
+// Files of a process that was killed during a write are removed by the next one, and the
+// detachments of the last complete write apply.
 func TestPartialWriteOfDetachments(t *testing.T) {
 	dir := t.TempDir()
 	s := openTestState(t, dir)
 	if err := s.setDetached("s-1", true); err != nil {
 		t.Fatal(err)
 	}
-	half := s.detachedPath + ".new123"
-	if err := os.WriteFile(half, []byte(`["s-1","s-`), 0o600); err != nil {
+	partial := s.detachedPath + ".new123"
+	if err := os.WriteFile(partial, []byte(`["s-1","s-`), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	s.close()
@@ -113,7 +113,7 @@
 	defer next.close()
 	next.refresh()
 	if !next.detached["s-1"] {
-		t.Error("the ban is lost")
+		t.Error("the detachment is lost")
 	}
 	entries, err := os.ReadDir(dir)
 	if err != nil {
@@ -126,8 +126,8 @@
 	}
 }
 
-// The budget of descriptors is no larger than what the process may open, whatever the
-// configuration says: guards against accepts and dials that fail by EMFILE.
+// The descriptor budget is at most what the process may open, whatever the configuration
+// says. Otherwise accepts and dials would fail with EMFILE.
 func TestBudgetWithinRlimit(t *testing.T) {
 	var previous syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &previous); err != nil {
@@ -142,6 +142,6 @@
 	defer p.listener.Close()
 	defer p.shared.close()
 	if limit := p.descriptors.limit; limit > allowed-reservedDescriptors {
-		t.Errorf("%d connections at a time with %d descriptors allowed", limit, allowed)
+		t.Errorf("a budget of %d connections with %d descriptors allowed", limit, allowed)
 	}
 }
--- a/proxy/end_test.go
+++ b/proxy/shutdown_test.go
@@ -47,8 +47,8 @@
 		},
 		"lists": func(_ *testing.T, p *Proxy, _ *Config, _ string) {
 			id := <-ids
-			gone := fmt.Sprintf(`{"uid":"s-%d","state":"terminated"}`, id-1)
-			l, err := discovery.Parse([]byte(standin.List(2, false, gone, standin.Target(fmt.Sprint("s-", id), "127.0.0.1:1"))))
+			removed := fmt.Sprintf(`{"uid":"s-%d","state":"terminated"}`, id-1)
+			l, err := discovery.Parse([]byte(standin.List(2, false, removed, standin.Target(fmt.Sprint("s-", id), "127.0.0.1:1"))))
 			if err != nil {
 				t.Error(err)
 				return
--- a/proxy/sockets_test.go
+++ b/proxy/sockets_test.go
@@ -10,13 +10,13 @@
 	"oxbowloft/internal/standin"
 )
 
-// Neither side can take the other's part, whichever comes first, also where the budget is
-// the least that a process can have.
+// Neither side can take the other's minimum share, whichever comes first, even with the
+// smallest possible budget.
 func TestDescriptorShares(t *testing.T) {
 	for _, c := range []struct{ budget, part int }{{2, 1}, {6, 1}, {16, 2}, {240, 30}} {
 		s := newDescriptorBudget(reservedDescriptors + c.budget)
 		s.reclaim = func(int) {}
-		s.setWaitDeadline(time.Now()) // what can't be had at once can't be had
+		s.setWaitDeadline(time.Now()) // acquire without waiting
 		clients, backends := 0, 0
 		for s.acquireForClient() {
 			clients++
@@ -46,20 +46,20 @@
 	}
 }
 
-// With as many silent clients as there can be and discovery down, a request of one of them
-// gets a connection to a backend and its answer, /healthz answers, and the list is followed
-// in time once discovery is back. Guards against clients that hold every descriptor by doing
-// nothing. (The admin endpoint has descriptors of its own: TestDoorWhileSaturated.)
+// With as many silent clients as possible and discovery down, a request of one of them
+// gets a backend connection and a response, /healthz answers, and the list is followed in
+// time once discovery is back. Prevents idle clients from holding every descriptor. (The
+// admin endpoint has descriptors of its own, and a test in cmd/oxbowloft.)
 func TestIdleCrowdLeavesDescriptors(t *testing.T) {
-	b, moved := standin.NewBackend(t, standin.Echo), standin.NewBackend(t, standin.Echo)
+	b, added := standin.NewBackend(t, standin.Echo), standin.NewBackend(t, standin.Echo)
 	known := standin.List(1, true, standin.Target("s-1", b.Addr()))
 	d := standin.NewDiscovery(t, known)
 	p := listenProxy(t, known, d.Addr())
 	p.descriptors.resize(reservedDescriptors + 8)
-	// None of the crowd makes room.
+	// no client of the crowd is evicted
 	p.clients.minFirstRequestWait, p.clients.firstRequestTimeout, p.clients.idleTimeout = time.Hour, time.Hour, time.Hour
 	defer startProxy(t, p)()
-	d.Down(true) // once there has been a list: that of the start alone may not be used
+	d.Down(true) // only after a list has been received: the one known at start is not usable
 	d.Reset()
 	var crowd []net.Conn
 	for range 12 {
@@ -70,13 +70,13 @@
 			c.Close()
 		}
 	}()
-	eventually(t, "a crowd that takes all it can", p.descriptors.clientIsWaiting)
+	eventually(t, "a crowd that holds its whole share", p.descriptors.clientIsWaiting)
 	io.WriteString(crowd[0], requestText("get", 2000))
 	if resp, _ := mustReadResponse(t, crowd[0]); resp.StatusCode != 200 {
 		t.Errorf("got %d", resp.StatusCode)
 	}
 	crowd[0].Close()
-	eventually(t, "full again", p.descriptors.clientIsWaiting)
+	eventually(t, "a full share again", p.descriptors.clientIsWaiting)
 	io.WriteString(crowd[1], "GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n")
 	if resp, _ := mustReadResponse(t, crowd[1]); resp.StatusCode != 200 {
 		t.Errorf("healthz: got %d", resp.StatusCode)
@@ -85,16 +85,16 @@
 	back := time.Now()
 	d.Down(false)
 	eventually(t, "a new list", func() bool {
-		d.Push(standin.List(2, true, standin.Target("s-1", b.Addr()), standin.Target("s-2", moved.Addr())))
+		d.Push(standin.List(2, true, standin.Target("s-1", b.Addr()), standin.Target("s-2", added.Addr())))
 		return p.driver.backendCount() == 2
 	})
 	if took := time.Since(back); took > discovery.TellWithin {
-		t.Errorf("the list is followed %v after discovery's return", took)
+		t.Errorf("the list is followed %v after the return of discovery", took)
 	}
 }
 
-// A client that becomes idle while another waits for a descriptor makes room for it, also
-// where its answer still said that the connection stays.
+// A client that becomes idle while another waits for a descriptor is evicted, even if its
+// response said that the connection stays open.
 func TestIdleClientFreesDescriptor(t *testing.T) {
 	b := standin.NewBackend(t, standin.Echo)
 	p := listenProxy(t, standin.List(1, true, standin.Target("s-1", b.Addr())), "127.0.0.1:1")
@@ -109,7 +109,7 @@
 		t.Errorf("got %d, close %t", resp.StatusCode, resp.Close)
 	}
 	if n, err := nc.Read(make([]byte, 1)); err != io.EOF {
-		t.Errorf("%d bytes, %v, want the end", n, err)
+		t.Errorf("read %d bytes, %v, want EOF", n, err)
 	}
 	nc.Close()
 	<-ended
--- a/proxy/state_test.go
+++ b/proxy/state_test.go
@@ -21,8 +21,8 @@
 	return s
 }
 
-// Two processes know of each other as long as both are there; a lock is freed with its
-// holder, and another proxy's are no business of theirs.
+// Two processes know of each other while both run. A lock is released with its holder,
+// and proxies on other addresses do not count.
 func TestProcessCount(t *testing.T) {
 	dir := t.TempDir()
 	a := openTestState(t, dir)
@@ -40,45 +40,45 @@
 	}
 	a.lockFile.Close()
 	if n := b.processCount(); n != 1 {
-		t.Errorf("%d processes after the other's end", n)
+		t.Errorf("%d processes after the end of the other", n)
 	}
 	c := openTestState(t, dir)
 	if c.processCount() != 2 || b.processCount() != 2 {
-		t.Error("a second replacement is not seen")
+		t.Error("a second replacement is not counted")
 	}
 }
 
-// Bans made at either process hold in both and in one that starts later, and so does
-// their end.
+// A detachment made by one process applies in all and in those that start later, and so
+// does its end.
 func TestDetachmentsAreShared(t *testing.T) {
 	dir := t.TempDir()
 	a, b := openTestState(t, dir), openTestState(t, dir)
-	change := func(s *sharedState, id string, ban bool) {
+	change := func(s *sharedState, id string, detach bool) {
 		t.Helper()
-		if err := s.setDetached(id, ban); err != nil {
+		if err := s.setDetached(id, detach); err != nil {
 			t.Fatal(err)
 		}
 	}
 	change(a, "s-1", true)
-	change(b, "s-2 \"\n", true) // before b has followed a
-	if out, in := a.refresh(); !slices.Equal(out, []string{"s-2 \"\n"}) || in != nil {
-		t.Errorf("a follows with %q out, %q in", out, in)
+	change(b, "s-2 \"\n", true) // before b has read the change of a
+	if detached, attached := a.refresh(); !slices.Equal(detached, []string{"s-2 \"\n"}) || attached != nil {
+		t.Errorf("a reads %q as detached, %q as attached", detached, attached)
 	}
-	if out, in := a.refresh(); out != nil || in != nil {
-		t.Errorf("a follows again with %q out, %q in", out, in)
+	if detached, attached := a.refresh(); detached != nil || attached != nil {
+		t.Errorf("a reads again %q as detached, %q as attached", detached, attached)
 	}
 	change(b, "s-1", false)
-	if out, in := a.refresh(); out != nil || !slices.Equal(in, []string{"s-1"}) {
-		t.Errorf("a follows with %q out, %q in", out, in)
+	if detached, attached := a.refresh(); detached != nil || !slices.Equal(attached, []string{"s-1"}) {
+		t.Errorf("a reads %q as detached, %q as attached", detached, attached)
 	}
 	c := openTestState(t, dir)
-	if out, _ := c.refresh(); !slices.Equal(out, []string{"s-2 \"\n"}) {
-		t.Errorf("a new process starts with %q", out)
+	if detached, _ := c.refresh(); !slices.Equal(detached, []string{"s-2 \"\n"}) {
+		t.Errorf("a new process starts with %q", detached)
 	}
 }
 
-// Guards against files that a process left behind, or that something spoilt: they are
-// told in one line, the bans that are known hold, and the next change mends them.
+// Corrupt files, or files left by another process, are logged in one line, known
+// detachments stay, and the next change replaces the file.
 func TestCorruptState(t *testing.T) {
 	for _, text := range []string{"", "{", `{"s-1":true}`, "null", `["s-1",2]`, "\x00\xff",
 		`["` + strings.Repeat("x", maxDetachedFileBytes) + `"]`, fmt.Sprintf("[%s]", strings.Repeat(`"a",`, 2*maxDetached)+`"a"`)} {
@@ -90,22 +90,23 @@
 		if err := os.WriteFile(s.detachedPath, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if out, in := s.refresh(); out != nil || in != nil {
-			t.Errorf("%.20q: follows with %q out, %q in", text, out, in)
+		if detached, attached := s.refresh(); detached != nil || attached != nil {
+			t.Errorf("%.20q: reads %q as detached, %q as attached", text, detached, attached)
 		}
-		if out, in := openTestState(t, dir).refresh(); out != nil || in != nil {
-			t.Errorf("%.20q: starts with %q out, %q in", text, out, in)
+		if detached, attached := openTestState(t, dir).refresh(); detached != nil || attached != nil {
+			t.Errorf("%.20q: starts with %q detached, %q attached", text, detached, attached)
 		}
 		if err := s.setDetached("s-8", true); err != nil {
 			t.Fatal(err)
 		}
-		if out, _ := openTestState(t, dir).refresh(); len(out) != 2 {
-			t.Errorf("%.20q: after a change a new process starts with %q", text, out)
+		if detached, _ := openTestState(t, dir).refresh(); len(detached) != 2 {
+			t.Errorf("%.20q: after a change a new process starts with %q", text, detached)
 		}
 	}
 }
 
-// Without a directory, or with one that can't be written to, bans hold here alone.
+// Without a directory, or with one that can't be written to, detachments apply in this
+// process alone.
 func TestNoSharedState(t *testing.T) {
 	s, err := openSharedState("", "127.0.0.1:3000")
 	if err != nil || s.processCount() != 1 || s.setDetached("s-1", true) != nil || !s.detached["s-1"] {
@@ -124,15 +125,15 @@
 		t.Fatal(err)
 	}
 	if err := s.setDetached("s-2", true); err == nil {
-		t.Error("nobody is told of a ban that was not written")
+		t.Error("no error for a detachment that was not written")
 	}
-	if out, in := s.refresh(); out != nil || in != nil || !s.detached["s-1"] || !s.detached["s-2"] {
-		t.Errorf("bans are lost with their directory: %v", s.detached)
+	if detached, attached := s.refresh(); detached != nil || attached != nil || !s.detached["s-1"] || !s.detached["s-2"] {
+		t.Errorf("detachments are lost with their directory: %v", s.detached)
 	}
 }
 
-// Guards against a process that is stopped while it changes bans: another's change
-// does not wait for it.
+// A process that is suspended during a change of the detachments does not block another
+// one's change.
 func TestChangeLockIsHeld(t *testing.T) {
 	dir := t.TempDir()
 	a, b := openTestState(t, dir), openTestState(t, dir)
--- a/proxy/unanswered_test.go
+++ b/proxy/unanswered_test.go
@@ -15,22 +15,22 @@
 	"oxbowloft/internal/standin"
 )
 
-// answerSlack is what an answer may come behind its request's own time, in these tests: the
-// way there and back over loopback, and a machine that is busy with other things. The proxy
-// itself keeps a fiftieth of the time for the way back.
+// answerSlack is how late a response may be in these tests: for the way over loopback and
+// for a busy machine. The proxy itself reserves a fiftieth of the time for the way back.
 const answerSlack = time.Second
 
-// A burst in these tests.
+// Size of a burst.
 const (
 	burstClients  = 150
-	burstRequests = 4 // of each, one after the other
+	burstRequests = 4 // per client, one after the other
 
-	// burstSockets is ample for a connection of each client and of each attempt. Where
-	// descriptors are short, idle connections are closed, and a request may cross that.
+	// burstSockets is ample for a connection of each client and of each attempt. If
+	// descriptors were short, idle connections would be closed, and a request could cross
+	// such a close.
 	burstSockets = 1024
 )
 
-// grant gives a proxy that does not run yet another budget of descriptors.
+// setDescriptorLimit changes the descriptor limit of a proxy that does not run yet.
 func (p *Proxy) setDescriptorLimit(sockets int) {
 	p.limitsMu.Lock()
 	defer p.limitsMu.Unlock()
@@ -38,8 +38,8 @@
 	p.applyLimits()
 }
 
-// burstClient asks on one connection, which it keeps as long as it may, and stays until each
-// answer is there or its time is over.
+// burstClient sends its requests on one connection, which it keeps as long as it can. It
+// waits for each response, or for the end of the request's time.
 type burstClient struct {
 	addr string
 	rng  *rand.Rand
@@ -47,7 +47,7 @@
 	read *bufio.Reader
 }
 
-// connect makes sure that there is a connection.
+// connect opens a connection unless there is one.
 func (c *burstClient) connect() error {
 	if c.conn != nil {
 		return nil
@@ -67,8 +67,8 @@
 	}
 }
 
-// ask makes one request of a class, with a budget, and returns the status of its answer. An
-// error says that there was none in the request's time and the slack.
+// ask makes one request of a class, with a budget, and returns the status of its
+// response. An error means that there was no response within the budget and the slack.
 func (c *burstClient) ask(id, class string, budget time.Duration) (status int, err error) {
 	if err := c.connect(); err != nil {
 		return 0, err
@@ -91,13 +91,13 @@
 	return resp.StatusCode, nil
 }
 
-// badBackend is a way for backends to fail that takes time, or an answer, from a request.
+// badBackend is a kind of backend failure that costs a request time, or its response.
 type badBackend struct {
 	name   string
 	handle func(*standin.Call)
 }
 
-// badBackends hang, break and answer late, at different points of the exchange.
+// badBackends hang, fail and respond late, at different points of the exchange.
 var badBackends = []badBackend{
 	{"hangs", (*standin.Call).Hang},
 	{"hangs in the head", func(c *standin.Call) {
@@ -125,7 +125,7 @@
 	}},
 }
 
-// tally is how the requests of a burst ended.
+// burstResult counts how the requests of a burst ended.
 type burstResult struct {
 	mu         sync.Mutex
 	answered   map[int]int // by status
@@ -142,7 +142,8 @@
 	t.answered[status]++
 }
 
-// burst has all clients ask at once, each with budgets of its own, and waits for the last.
+// runBurst lets all clients send requests concurrently, each with its own budgets, and
+// waits for the last.
 func runBurst(addr string) *burstResult {
 	out := &burstResult{answered: map[int]int{}}
 	var clients sync.WaitGroup
@@ -166,9 +167,10 @@
 	return out
 }
 
-// Whatever backends do, each request whose client stays has a final answer by the time that it
-// named: under a burst, with all backends bad in one way, and with some in each. Guards
-// against attempts without a time-out, and against requests that fall out of all queues.
+// Whatever backends do, each request whose client stays has a final response within its
+// time: during a burst, with all backends failing in the same way, and with one failing
+// in each way. Prevents attempts without a timeout, and requests that are lost between
+// queues.
 func TestNoRequestIsLeftUnanswered(t *testing.T) {
 	threeOf := func(handle func(*standin.Call)) []func(*standin.Call) {
 		return []func(*standin.Call){handle, handle, handle}
@@ -179,7 +181,7 @@
 		cases["each "+bad.name] = threeOf(bad.handle)
 		all = append(all, bad.handle)
 	}
-	cases["one of each kind, and two well"] = append(all, standin.Echo, standin.Echo)
+	cases["one of each kind, and two healthy"] = append(all, standin.Echo, standin.Echo)
 	for name, handles := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -193,9 +195,9 @@
 			p.setDescriptorLimit(burstSockets)
 			defer startProxy(t, p)()
 			result := runBurst(p.Addr().String())
-			t.Logf("answered, by status: %v", result.answered)
+			t.Logf("responses by status: %v", result.answered)
 			if n := len(result.unanswered); n > 0 {
-				t.Errorf("%d of %d are left without an answer: %s", n, burstClients*burstRequests, result.unanswered[0])
+				t.Errorf("%d of %d requests have no response: %s", n, burstClients*burstRequests, result.unanswered[0])
 			}
 		})
 	}
