--- a/proxy/accept.go
+++ b/proxy/accept.go
@@ -87,7 +87,7 @@
 func (p *Proxy) acceptWithDescriptor() error {
 	p.setNonblocking()
 	var nc net.Conn
-	err := faults.Fail("accept")
+	err := faults.Inject("accept")
 	if err == nil {
 		nc, err = p.listener.Accept()
 	}
@@ -127,7 +127,7 @@
 // temporary: they are logged, and followed by a pause where the next accept would fail
 // too.
 func (p *Proxy) acceptEnded(err error) bool {
-	meaning := neterror.Of(neterror.Accept, err)
+	meaning := neterror.Classify(neterror.Accept, err)
 	switch meaning {
 	case neterror.None, neterror.Interrupted:
 		return false
--- a/proxy/actions.go
+++ b/proxy/actions.go
@@ -73,6 +73,6 @@
 func (d *driver) CloseIdle(backend string) {
 	// Detached at once, since the balancing logic may send to it next; closed later.
 	if b, ok := d.backends[backend]; ok {
-		d.deferred = append(d.deferred, b.Detach())
+		d.deferred = append(d.deferred, b.RemoveIdle())
 	}
 }
--- a/proxy/admin.go
+++ b/proxy/admin.go
@@ -37,7 +37,7 @@
 	}
 	listed, avoided := o.p.driver.backendCounts()
 	fmt.Fprintf(&b, "balancer_relayed %d\nbalancer_open_requests %d\nbalancer_registry_entries %d\n"+
-		"balancer_out_of_rotation %d\n", o.p.driver.opt.Relayed.Load(), stats.openRequests.Load(), listed, avoided)
+		"balancer_out_of_rotation %d\n", o.p.driver.opt.RequestsWritten.Load(), stats.openRequests.Load(), listed, avoided)
 	b.WriteString(o.p.driver.violations.metrics())
 	return b.String()
 }
--- a/proxy/clock.go
+++ b/proxy/clock.go
@@ -19,7 +19,7 @@
 
 func newClock() clock {
 	now := time.Now()
-	return clock{start: now, unixStart: logic.Time(now.UnixNano()) + faults.WallOffset()}
+	return clock{start: now, unixStart: logic.Time(now.UnixNano()) + faults.WallClockOffset()}
 }
 
 func (c clock) now() logic.Time { return c.at(time.Now()) }
@@ -47,7 +47,7 @@
 	}
 	earliest := logic.Time(0)
 	if !listBefore.IsZero() {
-		earliest = c.at(listBefore) - discovery.TellWithin
+		earliest = c.at(listBefore) - discovery.MaxAnnounceDelay
 	}
 	// Compared in milliseconds: the timestamp may overflow logic.Time.
 	if stampMs > now.Milliseconds() || stampMs < earliest.Milliseconds() {
--- a/proxy/config.go
+++ b/proxy/config.go
@@ -196,11 +196,11 @@
 	}
 	c.maxPollInterval, c.pollList = c.Settings.ListAsked()
 	if c.maxPollInterval == 0 { // keeps a pause between polls while discovery is down
-		c.maxPollInterval = discovery.TellWithin
+		c.maxPollInterval = discovery.MaxAnnounceDelay
 	}
 	// The pacer derives its waits from this limit. A longer wait would not fit into the
 	// time within which a change of the list has to be picked up.
-	c.maxPollInterval = min(c.maxPollInterval, 2*discovery.TellWithin)
+	c.maxPollInterval = min(c.maxPollInterval, 2*discovery.MaxAnnounceDelay)
 	c.knownList = known // set last: it marks the configuration as checked
 	return nil
 }
@@ -208,11 +208,11 @@
 // parseKnown reads the list known at start. A proxy that has never had a list knows no
 // backend, in whatever form the configuration expresses that.
 func (c *Config) parseKnown() (*discovery.List, error) {
-	none := &discovery.List{All: true}
+	none := &discovery.List{Complete: true}
 	if c.Known == nil {
 		return none, nil
 	}
-	l, err := discovery.Parse(*c.Known)
+	l, err := discovery.ParseList(*c.Known)
 	if err != nil {
 		var in struct {
 			Targets []json.RawMessage `json:"targets"`
@@ -222,7 +222,7 @@
 		}
 		return none, nil
 	}
-	l.All = true
+	l.Complete = true
 	return l, nil
 }
 
@@ -231,9 +231,9 @@
 	const stream = 1 // random stream; another one than the balancing logic's
 	rng := rand.New(rand.NewPCG(c.logicSettings.Seed, stream))
 	if !c.pollList {
-		return pacing.Pushed(rng)
+		return pacing.NewForAgent(rng)
 	}
-	return pacing.Asked(c.maxPollInterval, rng)
+	return pacing.NewForService(c.maxPollInterval, rng)
 }
 
 // heapFraction is the fraction of the memory limit that the heap may use. Stacks, sockets
--- a/proxy/config_test.go
+++ b/proxy/config_test.go
@@ -56,7 +56,7 @@
 			}
 		case err != nil:
 			t.Errorf("%s: %v", c.with, err)
-		case !cfg.knownList.All || cfg.knownList.Rev != c.rev || len(cfg.knownList.Targets) != c.targets:
+		case !cfg.knownList.Complete || cfg.knownList.Rev != c.rev || len(cfg.knownList.Targets) != c.targets:
 			t.Errorf("%s: read as %+v", c.with, cfg.knownList)
 		}
 	}
@@ -66,8 +66,8 @@
 func TestPollIntervalDefault(t *testing.T) {
 	for with, want := range map[string]time.Duration{
 		`"ask-within-ms":4000`: 4 * time.Second,
-		`"ask-within-ms":0`:    discovery.TellWithin,
-		`"else":0`:             discovery.TellWithin,
+		`"ask-within-ms":0`:    discovery.MaxAnnounceDelay,
+		`"else":0`:             discovery.MaxAnnounceDelay,
 	} {
 		if cfg, err := loadReplacing(t, `"ask-within-ms":4000`, with); err != nil || cfg.maxPollInterval != want {
 			t.Errorf("%s: %v, want %v", with, err, want)
--- a/proxy/driver.go
+++ b/proxy/driver.go
@@ -37,7 +37,7 @@
 	current  *activeRequest // request whose result the balancing logic is processing
 
 	violations     *violations
-	statusLog      logging.Limit // rate limit of log lines about backend status
+	statusLog      logging.RateLimiter // rate limit of log lines about backend status
 	staleLog       *staleAttemptLog
 	listFreshUntil logic.Time      // until then the list contains all announced changes; 0: unknown
 	detached       map[string]bool // by operators
@@ -104,11 +104,11 @@
 		backends: map[string]backendEntry{},
 
 		violations: newViolations(),
-		statusLog:  logging.Limit{Every: statusLogInterval, Burst: 20},
+		statusLog:  logging.RateLimiter{Interval: statusLogInterval, Burst: 20},
 		staleLog:   newStaleAttemptLog(),
 		detached:   map[string]bool{},
 	}
-	opt.Unreached = d.unreached
+	opt.OnLateDialFailure = d.unreached
 	d.withBalancer(func(now logic.Time) { d.balancer = logic.New(now, cfg.logicSettings, d) })
 	return d
 }
@@ -205,7 +205,7 @@
 // unreached reports that a connection to a backend could not be opened, when no attempt
 // was waiting for it any more.
 func (d *driver) unreached(b *upstream.Backend, err error) {
-	if neterror.Of(neterror.Dial, err) == neterror.Local {
+	if neterror.Classify(neterror.Dial, err) == neterror.LocalFailure {
 		return
 	}
 	d.withBalancer(func(now logic.Time) {
@@ -308,19 +308,19 @@
 			if t.State == discovery.Terminated {
 				d.removeBackend(t.UID)
 			} else {
-				d.updateBackend(now, t, l.Before)
+				d.updateBackend(now, t, l.PreviousConfirmedAt)
 			}
-			entry := logic.Backend{ID: t.UID, Zone: t.Zone, Cell: t.Cell, Size: t.Size, State: balancerStates[t.State]}
+			entry := logic.Backend{ID: t.UID, Zone: t.Zone, Cell: t.Cell, Size: t.CapacityHint, State: balancerStates[t.State]}
 			entry.Started = d.backends[t.UID].started
 			entries = append(entries, entry)
 			listed[t.UID] = true
 		}
 		for uid := range d.backends {
-			if l.All && !listed[uid] {
+			if l.Complete && !listed[uid] {
 				d.removeBackend(uid)
 			}
 		}
-		d.balancer.List(now, l.All, entries)
+		d.balancer.List(now, l.Complete, entries)
 	})
 }
 
@@ -329,7 +329,7 @@
 // open, and requests sent on them would fail.
 func (d *driver) updateBackend(now logic.Time, t discovery.Target, listBefore time.Time) {
 	entry, ok := d.backends[t.UID]
-	sameProcess := ok && entry.startStamp == t.Boot
+	sameProcess := ok && entry.startStamp == t.BootMs
 	state, leftServiceAt := balancerStates[t.State], entry.leftServiceAt
 	if state != entry.state {
 		leftServiceAt = now
@@ -341,10 +341,10 @@
 	}
 	started := entry.started
 	if !sameProcess {
-		started = d.clock.startTime(now, t.Boot, listBefore)
+		started = d.clock.startTime(now, t.BootMs, listBefore)
 	}
 	d.removeBackend(t.UID)
-	d.backends[t.UID] = backendEntry{upstream.New(t.Endpoint, d.opt), t.Boot, started, state, leftServiceAt}
+	d.backends[t.UID] = backendEntry{upstream.New(t.Endpoint, d.opt), t.BootMs, started, state, leftServiceAt}
 }
 
 // removeBackend removes a backend, if it is known, and closes its connections.
@@ -356,15 +356,15 @@
 }
 
 // listFresh reports how long the list may be used.
-func (d *driver) listFresh(f discovery.Fresh) {
+func (d *driver) listFresh(f discovery.Freshness) {
 	fresh := logic.ListFresh{
 		Until:        d.clock.at(f.Until),
-		UntilServing: d.clock.at(f.UntilServing),
-		Serving:      f.Serving,
-		Known:        d.clock.atOrZero(f.Known),
-		Told:         d.clock.atOrZero(f.Told),
-		TellsLate:    f.TellsLate,
-		Gap:          discovery.Gap,
+		UntilServing: d.clock.at(f.UntilIfServing),
+		Serving:      f.ServingWindow,
+		Known:        d.clock.atOrZero(f.ConfirmedAt),
+		Told:         d.clock.atOrZero(f.ReceivedAt),
+		TellsLate:    f.MayAnnounceLate,
+		Gap:          discovery.MaxUnobservedGap,
 	}
 	d.withBalancer(func(logic.Time) {
 		d.listFreshUntil = fresh.Until
--- a/proxy/endlog.go
+++ b/proxy/endlog.go
@@ -39,10 +39,10 @@
 
 // requestEndLog writes a rate-limited line for each request that did not end with a
 // normal response, with the number of omitted lines.
-type requestEndLog struct{ limit logging.Limit }
+type requestEndLog struct{ limit logging.RateLimiter }
 
 func newRequestEndLog() *requestEndLog {
-	return &requestEndLog{logging.Limit{Every: time.Second / endLogLinesPerSecond, Burst: endLogLinesPerSecond}}
+	return &requestEndLog{logging.RateLimiter{Interval: time.Second / endLogLinesPerSecond, Burst: endLogLinesPerSecond}}
 }
 
 // write logs the end of a request that began at start. cause is empty if end says
--- a/proxy/guard.go
+++ b/proxy/guard.go
@@ -40,11 +40,11 @@
 // prevent, detected.
 type violations struct {
 	counts   [guardCount]atomic.Int64
-	logLimit logging.Limit
+	logLimit logging.RateLimiter
 }
 
 func newViolations() *violations {
-	return &violations{logLimit: logging.Limit{Every: violationLogInterval, Burst: 20}}
+	return &violations{logLimit: logging.RateLimiter{Interval: violationLogInterval, Burst: 20}}
 }
 
 // record counts and logs a violation.
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -76,9 +76,9 @@
 	readiness        readiness
 	stats            *stats
 	listener         listener
-	acceptLog        logging.Limit // rate limit of log lines about failed accepts
+	acceptLog        logging.RateLimiter // rate limit of log lines about failed accepts
 	endLog           *requestEndLog
-	adminEndpoint    *admin.Door // nil: none
+	adminEndpoint    *admin.Server // nil: none
 	tasks            sync.WaitGroup
 
 	detachMu sync.Mutex // held while a backend is detached or attached, in shared and driver
@@ -105,7 +105,7 @@
 		limits:         cfg.Limits,
 		finalWriteTime: finalWriteTime,
 
-		acceptLog: logging.Limit{Every: acceptLogInterval},
+		acceptLog: logging.RateLimiter{Interval: acceptLogInterval},
 		endLog:    newRequestEndLog(),
 	}
 	p.descriptors = newDescriptorBudget(cfg.Limits.Sockets - p.adminDescriptors())
@@ -120,25 +120,25 @@
 	p.transfers = http1.NewTransfers(int64(transferFraction * heapFraction * cfg.Limits.MemoryMB * (1 << 20)))
 	opt := &upstream.Options{
 		DialTimeout: settings.Duration(cfg.Settings.Limits.DialTimeout),
-		IdleLimit:   settings.Duration(cfg.Settings.Limits.ConnIdle),
-		Slots:       p.descriptors,
+		IdleTimeout: settings.Duration(cfg.Settings.Limits.ConnIdle),
+		Descriptors: p.descriptors,
 	}
 	if opt.DialTimeout == 0 {
 		opt.DialTimeout = defaultDialTimeout
 	}
-	if opt.IdleLimit == 0 {
-		opt.IdleLimit = defaultIdleTimeout
+	if opt.IdleTimeout == 0 {
+		opt.IdleTimeout = defaultIdleTimeout
 	}
 	p.list = discovery.New(cfg.Discovery, cfg.knownList.Rev, cfg.pacer())
 	if cfg.pollList {
-		p.list.CheckEvery = cfg.maxPollInterval
+		p.list.MinCheckInterval = cfg.maxPollInterval
 	} else {
-		p.list.Pushed(cfg.logicSettings.Grace/2, cfg.logicSettings.Grace) // the other half is for the send itself
+		p.list.SetPushed(cfg.logicSettings.Grace/2, cfg.logicSettings.Grace) // the other half is for the send itself
 	}
 	p.driver = newDriver(cfg, opt, p.stats)
-	p.driver.askList = p.list.Check
+	p.driver.askList = p.list.RequestCheck
 	p.list.OnEnd = logWatchEnd
-	p.list.OnFresh = func(f discovery.Fresh) {
+	p.list.OnFreshness = func(f discovery.Freshness) {
 		p.driver.listFresh(f)
 		p.readiness.recordList(f)
 	}
@@ -150,10 +150,10 @@
 
 // logWatchEnd logs how a poll or a watch of the list ended, and how long the list may
 // still be used: by its own freshness, and by what backends have served.
-func logWatchEnd(end discovery.End) {
-	log.Printf("event=watch_ended why=%s rev=%d waited_ms=%d fresh_ms=%d serving_ms=%d err=%q", end.Why, end.Rev,
-		end.Waited.Milliseconds(), time.Until(end.Fresh.Until).Milliseconds(),
-		time.Until(end.Fresh.UntilServing).Milliseconds(), end.Err)
+func logWatchEnd(end discovery.CallEnd) {
+	log.Printf("event=watch_ended why=%s rev=%d waited_ms=%d fresh_ms=%d serving_ms=%d err=%q", end.Reason, end.Rev,
+		end.Waited.Milliseconds(), time.Until(end.Freshness.Until).Milliseconds(),
+		time.Until(end.Freshness.UntilIfServing).Milliseconds(), end.Err)
 }
 
 // Reload applies the part of cfg that a running proxy can change: the address of
@@ -167,7 +167,7 @@
 	defer p.limitsMu.Unlock()
 	p.limits = cfg.Limits
 	p.applyLimits()
-	moved := p.list.Move(cfg.Discovery)
+	moved := p.list.SetSource(cfg.Discovery)
 	log.Printf("event=reload discovery=%s moved=%t sockets=%d not_taken=%q",
 		cfg.Discovery, moved, cfg.Limits.Sockets, strings.Join(p.cfg.changedFixedFields(cfg), ","))
 	return nil
@@ -195,7 +195,7 @@
 	if p.cfg.Admin == "" {
 		return 0
 	}
-	return admin.Descriptors
+	return admin.MaxDescriptors
 }
 
 // Listen opens the listener, the shared state and the admin endpoint. Run calls it unless
@@ -218,7 +218,7 @@
 	p.setProcessCount(p.shared.processCount())
 	p.syncDetached()
 	if p.cfg.Admin != "" { // before serving, so that it can report not ready
-		if p.adminEndpoint, err = admin.Open(p.cfg.Admin, adminTarget{p}); err != nil {
+		if p.adminEndpoint, err = admin.Listen(p.cfg.Admin, adminTarget{p}); err != nil {
 			p.listener.Close()
 			p.shared.close()
 			return err
@@ -385,12 +385,12 @@
 	var oldest *upstream.Backend
 	var since time.Time
 	for _, b := range p.driver.allBackends() {
-		if t, ok := b.Oldest(); ok && (oldest == nil || t.Before(since)) {
+		if t, ok := b.OldestIdleSince(); ok && (oldest == nil || t.Before(since)) {
 			oldest, since = b, t
 		}
 	}
 	if oldest != nil {
-		oldest.CloseOldest()
+		oldest.CloseOldestIdle()
 	}
 	p.clients.evictOldest(excess)
 }
@@ -408,7 +408,7 @@
 			return
 		case now := <-reap.C:
 			for _, b := range p.driver.allBackends() {
-				b.Reap(now)
+				b.CloseExpired(now)
 			}
 			age, stale := p.list.Age()
 			if stale && !wasStale {
--- a/proxy/proxy_test.go
+++ b/proxy/proxy_test.go
@@ -230,25 +230,25 @@
 	notProcessed := http.Header{"X-Not-Processed": {"1"}}
 	for _, c := range []struct {
 		name string
-		a    upstream.Answer
+		a    upstream.ExchangeResult
 		want logic.Result
 	}{
-		{"served", upstream.Answer{Stage: upstream.Answered, Status: 200}, logic.OK},
-		{"error", upstream.Answer{Stage: upstream.Answered, Status: 500}, logic.Error},
-		{"another status", upstream.Answer{Stage: upstream.Answered, Status: 302}, logic.Error},
+		{"served", upstream.ExchangeResult{Stage: upstream.Answered, Status: 200}, logic.OK},
+		{"error", upstream.ExchangeResult{Stage: upstream.Answered, Status: 500}, logic.Error},
+		{"another status", upstream.ExchangeResult{Stage: upstream.Answered, Status: 302}, logic.Error},
 		// Prevents healthy backends from being avoided because of what clients send.
-		{"client error", upstream.Answer{Stage: upstream.Answered, Status: 400}, logic.Cancelled},
-		{"too many requests", upstream.Answer{Stage: upstream.Answered, Status: 429}, logic.Error},
-		{"rejected", upstream.Answer{Stage: upstream.Answered, Status: 503, Header: notProcessed}, logic.Full},
-		{"deadline passed at the backend", upstream.Answer{Stage: upstream.Answered, Status: 504, Header: notProcessed}, logic.Full},
-		{"503 alone", upstream.Answer{Stage: upstream.Answered, Status: 503}, logic.Error},
-		{"500 with X-Not-Processed", upstream.Answer{Stage: upstream.Answered, Status: 500, Header: notProcessed}, logic.Error},
-		{"malformed", upstream.Answer{Stage: upstream.Answered, Err: http1.ErrMalformed}, logic.Error},
-		{"not connected", upstream.Answer{Stage: upstream.Unopened, Err: io.EOF}, logic.NoConnect},
-		{"connect timeout", upstream.Answer{Stage: upstream.Unopened, Err: os.ErrDeadlineExceeded}, logic.NoConnect},
-		{"broken", upstream.Answer{Stage: upstream.Written, Err: io.ErrUnexpectedEOF}, logic.Broken},
-		{"timed out", upstream.Answer{Stage: upstream.Written, Err: os.ErrDeadlineExceeded}, logic.TimedOut},
-		{"no descriptor", upstream.Answer{Stage: upstream.Unsent, Err: io.EOF}, logic.NeverSent},
+		{"client error", upstream.ExchangeResult{Stage: upstream.Answered, Status: 400}, logic.Cancelled},
+		{"too many requests", upstream.ExchangeResult{Stage: upstream.Answered, Status: 429}, logic.Error},
+		{"rejected", upstream.ExchangeResult{Stage: upstream.Answered, Status: 503, Header: notProcessed}, logic.Full},
+		{"deadline passed at the backend", upstream.ExchangeResult{Stage: upstream.Answered, Status: 504, Header: notProcessed}, logic.Full},
+		{"503 alone", upstream.ExchangeResult{Stage: upstream.Answered, Status: 503}, logic.Error},
+		{"500 with X-Not-Processed", upstream.ExchangeResult{Stage: upstream.Answered, Status: 500, Header: notProcessed}, logic.Error},
+		{"malformed", upstream.ExchangeResult{Stage: upstream.Answered, Err: http1.ErrMalformed}, logic.Error},
+		{"not connected", upstream.ExchangeResult{Stage: upstream.SendFailed, Err: io.EOF}, logic.NoConnect},
+		{"connect timeout", upstream.ExchangeResult{Stage: upstream.SendFailed, Err: os.ErrDeadlineExceeded}, logic.NoConnect},
+		{"broken", upstream.ExchangeResult{Stage: upstream.Written, Err: io.ErrUnexpectedEOF}, logic.Broken},
+		{"timed out", upstream.ExchangeResult{Stage: upstream.Written, Err: os.ErrDeadlineExceeded}, logic.TimedOut},
+		{"no descriptor", upstream.ExchangeResult{Stage: upstream.Unsent, Err: io.EOF}, logic.NeverSent},
 	} {
 		got, final := attemptOutcome(&c.a)
 		if got != c.want || final != (got == logic.OK || got == logic.Cancelled) {
@@ -262,7 +262,7 @@
 	relieved := 0
 	s.reclaim = func(int) { relieved++ }
 	taken := 0
-	for s.Take() {
+	for s.TryAcquire() {
 		taken++
 	}
 	if taken != 14 {
@@ -273,7 +273,7 @@
 	}
 	s.acquireForClient()
 	s.acquireForClient()
-	if !s.Full() {
+	if !s.Exhausted() {
 		t.Error("not full at the limit")
 	}
 	got := make(chan bool)
@@ -388,12 +388,12 @@
 		t.Fatalf("got %d", status)
 	}
 	to := p.driver.allBackends()[0]
-	if _, idle := to.Oldest(); !idle {
+	if _, idle := to.OldestIdleSince(); !idle {
 		t.Fatal("no idle connection")
 	}
 	p.driver.withBalancer(func(logic.Time) {
 		p.driver.CloseIdle("s-1")
-		if _, idle := to.Oldest(); idle {
+		if _, idle := to.OldestIdleSince(); idle {
 			t.Error("the connection is still in use")
 		}
 	})
@@ -457,7 +457,7 @@
 			used, _ := p.descriptors.inUse()
 			idle := 0
 			for _, b := range p.driver.allBackends() {
-				idle += b.Idle()
+				idle += b.IdleCount()
 			}
 			return used == idle+1 // one is acquired for the next client
 		})
@@ -486,7 +486,7 @@
 				kept = append(kept, c)
 			}
 			removed := fmt.Sprintf(`{"uid":"s-%d","state":"terminated"}`, uids-3)
-			l, err := discovery.Parse([]byte(standin.List(2, false, removed, newTarget())))
+			l, err := discovery.ParseList([]byte(standin.List(2, false, removed, newTarget())))
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/proxy/ready.go
+++ b/proxy/ready.go
@@ -22,7 +22,7 @@
 }
 
 // recordList records how long the list may be used.
-func (r *readiness) recordList(f discovery.Fresh) {
+func (r *readiness) recordList(f discovery.Freshness) {
 	if !time.Now().Before(f.Until) || r.hadUsableList.Swap(true) {
 		return
 	}
--- a/proxy/request.go
+++ b/proxy/request.go
@@ -95,18 +95,18 @@
 		}
 		switch step.kind {
 		case stepSend:
-			upstreamRequest := &upstream.Request{Timeout: step.timeout, Decided: step.sentAt, Rest: rest, Transfers: p.transfers}
-			upstreamRequest.Connected = func() bool {
+			upstreamRequest := &upstream.Request{Timeout: step.timeout, DecidedAt: step.sentAt, BodyRest: rest, Transfers: p.transfers}
+			upstreamRequest.ShouldSend = func() bool {
 				if c.conn.PeerClosed() { // noticed here even behind an unread body
 					p.driver.clientGone(r)
 				}
 				return p.driver.connected(r, step)
 			}
-			upstreamRequest.Text = func(left time.Duration) []byte { return encodeRequest(req, step.backend.Addr, body, rest, left) }
+			upstreamRequest.Render = func(left time.Duration) []byte { return encodeRequest(req, step.backend.Addr, body, rest, left) }
 			if rest == nil {
 				watch()
 			} else {
-				upstreamRequest.Written = func() {
+				upstreamRequest.OnWritten = func() {
 					step.sentAt = time.Now()
 					p.driver.written(r)
 					if c.conn.More() { // already here: no need for a watch to notice it
@@ -132,15 +132,15 @@
 				p.driver.forget(r)
 			}
 			switch {
-			case errors.Is(answer.Source, http1.ErrBusy):
+			case errors.Is(answer.BodyReadErr, http1.ErrBusy):
 				outcomes[throttled].Add(1)
 				logEnd(endBusy, "")
 				req.Close = true // most of the body is unread
 				p.respond(c, req, http.StatusServiceUnavailable, retryAfterHeader(p.cfg.logicSettings.MaxComeBack), "busy")
 				return false
-			case answer.Source != nil:
+			case answer.BodyReadErr != nil:
 				logEnd(endUnreadable, "")
-				p.answerBadRequest(c, readErrorStatus(answer.Source), answer.Source)
+				p.answerBadRequest(c, readErrorStatus(answer.BodyReadErr), answer.BodyReadErr)
 				return false
 			case r.pipelined.Load():
 				answer.Release(false)
@@ -191,19 +191,19 @@
 
 // attemptOutcome converts the end of an exchange with a backend to a result for the
 // balancing logic. It also returns whether the request ends with it.
-func attemptOutcome(answer *upstream.Answer) (result logic.Result, final bool) {
-	if answer.Source != nil { // the client's body failed: the backend never had the whole request, and is not to blame
+func attemptOutcome(answer *upstream.ExchangeResult) (result logic.Result, final bool) {
+	if answer.BodyReadErr != nil { // the client's body failed: the backend never had the whole request, and is not to blame
 		return logic.NeverSent, true
 	}
 	switch answer.Stage {
 	case upstream.Unsent:
 		return logic.NeverSent, false
-	case upstream.Late:
+	case upstream.ConnectTimedOut:
 		return logic.Late, false
-	case upstream.Unopened:
+	case upstream.SendFailed:
 		return logic.NoConnect, false
 	case upstream.Written:
-		if answer.Timeout() {
+		if answer.TimedOut() {
 			return logic.TimedOut, false
 		}
 		return logic.Broken, false
@@ -301,14 +301,14 @@
 // forwardResponse forwards a backend's response and counts the request's outcome: before
 // writing if the response is here completely, so that a client that has read it finds it
 // counted, else after its last byte.
-func (p *Proxy) forwardResponse(c *clientConn, req *http.Request, answer *upstream.Answer, outcomes *[outcomeCount]atomic.Int64) bool {
+func (p *Proxy) forwardResponse(c *clientConn, req *http.Request, answer *upstream.ExchangeResult, outcomes *[outcomeCount]atomic.Int64) bool {
 	var header []string
 	for _, name := range []string{"Content-Type", "Content-Encoding"} {
 		if v := answer.Header.Get(name); v != "" {
 			header = append(header, name, v)
 		}
 	}
-	if answer.Rest == nil {
+	if answer.BodyRest == nil {
 		outcomes[fulfilled].Add(1)
 		return p.writeResponse(c, answer.Status, header, answer.Body, req.Close)
 	}
@@ -333,16 +333,16 @@
 
 // streamResponse writes a response as it arrives from the backend. An HTTP/1.0 client
 // gets a response of unknown length up to the end of the connection.
-func (p *Proxy) streamResponse(c *clientConn, req *http.Request, answer *upstream.Answer, header []string, last bool) (err error) {
+func (p *Proxy) streamResponse(c *clientConn, req *http.Request, answer *upstream.ExchangeResult, header []string, last bool) (err error) {
 	http10, first := !req.ProtoAtLeast(1, 1), answer.Body
 	switch {
-	case answer.Rest.Size >= 0:
-		header = append(header, "Content-Length", strconv.FormatInt(answer.Rest.Size, 10))
+	case answer.BodyRest.Size >= 0:
+		header = append(header, "Content-Length", strconv.FormatInt(answer.BodyRest.Size, 10))
 	case !http10:
 		header = append(header, "Transfer-Encoding", "chunked")
 		first = http1.Chunk(first)
 	}
-	if http10 && answer.Rest.Size < 0 {
+	if http10 && answer.BodyRest.Size < 0 {
 		// The end of the connection is the end of the response. Until the response is
 		// complete, any other close has to be a reset, even one that the kernel makes
 		// when the process dies.
@@ -355,21 +355,21 @@
 			}()
 		}
 	}
-	extendDeadline := upstream.Progress(c.conn.SetWriteDeadline)
+	extendDeadline := upstream.ProgressDeadlines(c.conn.SetWriteDeadline)
 	extendDeadline(0)
 	_, err = c.conn.Write(encodeResponse(answer.Status, header, first, last))
 	c.responseStarted = true
 	if err != nil {
 		return fmt.Errorf("%w: %w", http1.ErrPassed, err)
 	}
-	return p.transfers.Pass(c.conn, answer.Rest, http10, func(passed int64) error {
+	return p.transfers.Pass(c.conn, answer.BodyRest, http10, func(passed int64) error {
 		extendDeadline(passed)
 		return nil
 	})
 }
 
 // keepConnections reports whether client connections stay open after a response.
-func (p *Proxy) keepConnections() bool { return p.Phase() <= Draining && !p.descriptors.Full() }
+func (p *Proxy) keepConnections() bool { return p.Phase() <= Draining && !p.descriptors.Exhausted() }
 
 // respond writes a response of the proxy's own.
 func (p *Proxy) respond(c *clientConn, req *http.Request, status int, header []string, text string) bool {
--- a/proxy/responses_test.go
+++ b/proxy/responses_test.go
@@ -273,7 +273,7 @@
 						t.Fatalf("got %+v, want response %d", a, n+1)
 					}
 					call := <-calls
-					eventually(t, "idle connection", func() bool { return p.driver.allBackends()[0].Idle() == 1 })
+					eventually(t, "idle connection", func() bool { return p.driver.allBackends()[0].IdleCount() == 1 })
 					sendStray(call.Conn)
 					waitDelivered(t, call.Conn)
 				}
--- a/proxy/slow_connection_test.go
+++ b/proxy/slow_connection_test.go
@@ -68,7 +68,7 @@
 			eventually(t, "slow connections established", func() bool {
 				p.driver.mu.Lock()
 				defer p.driver.mu.Unlock()
-				return p.driver.backends["s-1"].Idle() == dialed
+				return p.driver.backends["s-1"].IdleCount() == dialed
 			})
 			eventually(t, "slow connections used", func() bool {
 				sendRequest(t, dialProxy(t, p), class, 2000)
--- a/proxy/sockets.go
+++ b/proxy/sockets.go
@@ -59,8 +59,8 @@
 	s.released.Broadcast()
 }
 
-// Take takes a descriptor for a connection to a backend, if one is available.
-func (s *descriptorBudget) Take() bool {
+// TryAcquire takes a descriptor for a connection to a backend, if one is available.
+func (s *descriptorBudget) TryAcquire() bool {
 	s.reclaimIfNearLimit()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -131,8 +131,8 @@
 	s.peakUsed = max(s.peakUsed, s.used)
 }
 
-// Give releases the descriptor of a backend connection.
-func (s *descriptorBudget) Give() {
+// Release releases the descriptor of a backend connection.
+func (s *descriptorBudget) Release() {
 	s.mu.Lock()
 	s.backendUsed--
 	s.used--
@@ -148,9 +148,9 @@
 	s.released.Signal()
 }
 
-// Full reports whether no descriptor is left; connections that become idle are then
+// Exhausted reports whether no descriptor is left; connections that become idle are then
 // closed.
-func (s *descriptorBudget) Full() bool {
+func (s *descriptorBudget) Exhausted() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.used >= s.limit
--- a/proxy/sockets_test.go
+++ b/proxy/sockets_test.go
@@ -21,7 +21,7 @@
 		for s.acquireForClient() {
 			clients++
 		}
-		for s.Take() {
+		for s.TryAcquire() {
 			backends++
 		}
 		if clients != c.budget-c.part || backends != c.part {
@@ -31,7 +31,7 @@
 		s.reclaim = func(int) {}
 		s.setWaitDeadline(time.Now())
 		clients, backends = 0, 0
-		for s.Take() {
+		for s.TryAcquire() {
 			backends++
 		}
 		for s.acquireForClient() {
@@ -88,7 +88,7 @@
 		d.Push(standin.List(2, true, standin.Target("s-1", b.Addr()), standin.Target("s-2", added.Addr())))
 		return p.driver.backendCount() == 2
 	})
-	if took := time.Since(back); took > discovery.TellWithin {
+	if took := time.Since(back); took > discovery.MaxAnnounceDelay {
 		t.Errorf("the list is followed %v after the return of discovery", took)
 	}
 }
--- a/proxy/stalelog.go
+++ b/proxy/stalelog.go
@@ -16,10 +16,10 @@
 // attempt sent after the time until which the list is known to contain all announced
 // changes. Such an attempt relies on evidence from the backend itself, and its result
 // shows whether that was right.
-type staleAttemptLog struct{ limit logging.Limit }
+type staleAttemptLog struct{ limit logging.RateLimiter }
 
 func newStaleAttemptLog() *staleAttemptLog {
-	return &staleAttemptLog{logging.Limit{Every: time.Second / staleAttemptLogLinesPerSecond, Burst: staleAttemptLogLinesPerSecond}}
+	return &staleAttemptLog{logging.RateLimiter{Interval: time.Second / staleAttemptLogLinesPerSecond, Burst: staleAttemptLogLinesPerSecond}}
 }
 
 // write logs the result of an attempt of r that was sent when the list had been stale for
--- a/proxy/state.go
+++ b/proxy/state.go
@@ -275,7 +275,7 @@
 	if err != nil {
 		return err
 	}
-	if err = faults.Fail("write"); err == nil {
+	if err = faults.Inject("write"); err == nil {
 		_, err = f.Write(text)
 	}
 	if err == nil {
--- a/proxy/stats.go
+++ b/proxy/stats.go
@@ -21,7 +21,7 @@
 	openRequests atomic.Int64                 // accepted and not ended
 	outcomes     [][outcomeCount]atomic.Int64 // by class
 
-	badRequestLog logging.Limit
+	badRequestLog logging.RateLimiter
 
 	mu              sync.Mutex
 	responseLatency *hdrhistogram.Histogram // in microseconds
@@ -41,7 +41,7 @@
 	const maxMicroseconds = int64(time.Minute / time.Microsecond)
 	return &stats{
 		outcomes:        make([][outcomeCount]atomic.Int64, classes),
-		badRequestLog:   logging.Limit{Every: badRequestLogInterval},
+		badRequestLog:   logging.RateLimiter{Interval: badRequestLogInterval},
 		responseLatency: hdrhistogram.New(1, maxMicroseconds, 2),
 		timerDelay:      hdrhistogram.New(1, maxMicroseconds, 2),
 	}
@@ -99,5 +99,5 @@
 		results[logic.OK], s.requestsEnded(throttled), s.requestsEnded(faulted), s.clientsGone.Load(), s.badRequests.Load(), s.writeFailures.Load(), s.truncated.Load(), s.recoveredPanics.Load(),
 		s.responseLatency.ValueAtQuantile(50), s.responseLatency.ValueAtQuantile(99),
 		results[logic.Error], results[logic.Cancelled], results[logic.Full], results[logic.TimedOut], results[logic.NoConnect], results[logic.Broken], results[logic.NeverSent], results[logic.Late],
-		p.driver.opt.Opened.Load(), descriptorsUsed, descriptorsPeak, s.timerDelay.ValueAtQuantile(99), s.timerDelay.Max(), listAge.Seconds())
+		p.driver.opt.ConnsOpened.Load(), descriptorsUsed, descriptorsPeak, s.timerDelay.ValueAtQuantile(99), s.timerDelay.Max(), listAge.Seconds())
 }
