--- a/proxy/accept.go
+++ b/proxy/accept.go
@@ -70,13 +70,13 @@
 // acceptLoop accepts connections until the listener's deadline or its close.
 func (p *Proxy) acceptLoop() error {
 	for {
-		if err := p.acceptOne(); p.acceptEnded(err) {
+		if err := p.acceptWhenAvailable(); p.acceptEnded(err) {
 			return err
 		}
 	}
 }
 
-func (p *Proxy) acceptOne() error {
+func (p *Proxy) acceptWhenAvailable() error {
 	if !p.descriptors.acquireForClient() {
 		return os.ErrDeadlineExceeded
 	}
--- a/proxy/actions.go
+++ b/proxy/actions.go
@@ -64,8 +64,8 @@
 
 // AskList implements logic.Lister.
 func (d *driver) AskList() {
-	if d.askList != nil {
-		d.deferred = append(d.deferred, d.askList)
+	if d.requestListCheck != nil {
+		d.deferred = append(d.deferred, d.requestListCheck)
 	}
 }
 
--- a/proxy/admin.go
+++ b/proxy/admin.go
@@ -10,14 +10,14 @@
 )
 
 // adminTarget is the proxy as the admin endpoint uses it.
-type adminTarget struct{ p *Proxy }
+type adminTarget struct{ proxy *Proxy }
 
 // Ping returns an error unless this process can serve.
 func (o adminTarget) Ping() error {
-	switch phase := o.p.Phase(); {
+	switch phase := o.proxy.Phase(); {
 	case phase != Serving:
 		return errors.New(phase.String())
-	case !o.p.Ready():
+	case !o.proxy.Ready():
 		return errors.New("no backend known")
 	}
 	return nil
@@ -26,19 +26,19 @@
 // Info returns the metrics in the Prometheus text format.
 func (o adminTarget) Info() string {
 	var b strings.Builder
-	stats := o.p.stats
+	stats := o.proxy.stats
 	for _, metric := range []struct {
 		name    string
 		outcome int
 	}{{"fulfilled", fulfilled}, {"throttled", throttled}, {"faulted", faulted}} {
-		for i, c := range o.p.cfg.logicSettings.Classes {
+		for i, c := range o.proxy.cfg.logicSettings.Classes {
 			fmt.Fprintf(&b, "balancer_%s{priority=%q} %d\n", metric.name, c.Name, stats.outcomes[i][metric.outcome].Load())
 		}
 	}
-	listed, avoided := o.p.driver.backendCounts()
+	listed, avoided := o.proxy.driver.backendCounts()
 	fmt.Fprintf(&b, "balancer_relayed %d\nbalancer_open_requests %d\nbalancer_registry_entries %d\n"+
-		"balancer_out_of_rotation %d\n", o.p.driver.opt.RequestsWritten.Load(), stats.openRequests.Load(), listed, avoided)
-	b.WriteString(o.p.driver.violations.metrics())
+		"balancer_out_of_rotation %d\n", o.proxy.driver.upstreamOptions.RequestsWritten.Load(), stats.openRequests.Load(), listed, avoided)
+	b.WriteString(o.proxy.driver.violations.metrics())
 	return b.String()
 }
 
@@ -51,18 +51,18 @@
 func (o adminTarget) Attach(id string) error { return o.setDetached(id, false) }
 
 func (o adminTarget) setDetached(id string, detach bool) error {
-	if !o.p.driver.knows(id) {
+	if !o.proxy.driver.knows(id) {
 		return errUnknownBackend
 	}
-	if detach && o.p.shared.detachedCount() >= maxDetached {
+	if detach && o.proxy.shared.detachedCount() >= maxDetached {
 		return fmt.Errorf("%d backends are out by hand", maxDetached)
 	}
-	o.p.detachMu.Lock()
-	defer o.p.detachMu.Unlock()
-	if err := o.p.shared.setDetached(id, detach); err != nil { // it applies in this process all the same
+	o.proxy.detachMu.Lock()
+	defer o.proxy.detachMu.Unlock()
+	if err := o.proxy.shared.setDetached(id, detach); err != nil { // it applies in this process all the same
 		log.Printf("event=bans_unwritten err=%q", err)
 	}
-	o.p.driver.setDetached(id, detach)
+	o.proxy.driver.setDetached(id, detach)
 	log.Printf("event=by_hand id=%q out=%t", id, detach)
 	return nil
 }
--- a/proxy/clients.go
+++ b/proxy/clients.go
@@ -245,7 +245,7 @@
 }
 
 // evictWaitingSince evicts up to n connections of l that have waited since before the
-// given time. It returns how many are missing to n.
+// given time. It returns n less the number of connections found.
 func (s *clientConns) evictWaitingSince(l *list.List, n int, before time.Time) int {
 	for e := l.Front(); e != nil && n > 0; e = e.Next() {
 		c := e.Value.(*clientConn)
--- a/proxy/connect_test.go
+++ b/proxy/connect_test.go
@@ -24,7 +24,7 @@
 
 func holdDials(p *Proxy) *heldDials {
 	d := &heldDials{started: make(chan string, 100), canceled: make(chan error, 100), release: make(chan struct{})}
-	p.driver.opt.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
+	p.driver.upstreamOptions.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		d.started <- addr
 		select {
 		case <-d.release:
@@ -82,7 +82,9 @@
 			p.applyList(t, standin.List(2, false, again, standin.Target("s-2", other)))
 		}, true},
 		{"detached", func(t *testing.T, p *Proxy, _, _ string) { p.driver.setDetached("s-1", true) }, false},
-		{"the list is stale", func(t *testing.T, p *Proxy, _, _ string) { p.driver.listFresh(discovery.Freshness{Until: time.Now()}) }, false},
+		{"the list is stale", func(t *testing.T, p *Proxy, _, _ string) {
+			p.driver.setListFreshness(discovery.Freshness{Until: time.Now()})
+		}, false},
 	} {
 		for _, class := range []string{"get", "pay"} {
 			t.Run(c.name+" "+class, func(t *testing.T) {
--- a/proxy/driver.go
+++ b/proxy/driver.go
@@ -21,10 +21,10 @@
 // logic is handed to the request that it concerns, or deferred until the lock is
 // released.
 type driver struct {
-	clock   clock
-	opt     *upstream.Options
-	stats   *stats
-	askList func() // requests a check of the list; nil: no checks
+	clock            clock
+	upstreamOptions  *upstream.Options
+	stats            *stats
+	requestListCheck func() // requests a check of the list; nil: no checks
 
 	mu       sync.Mutex
 	balancer *logic.Balancer
@@ -32,7 +32,7 @@
 	requests map[string]*activeRequest
 	openIDs  map[string]bool // clients' ids of requests that have no response yet
 	backends map[string]backendEntry
-	serial   uint64
+	lastID   uint64
 	deferred []func()
 	current  *activeRequest // request whose result the balancing logic is processing
 
@@ -49,7 +49,7 @@
 	startStamp    int64      // start time as announced by discovery
 	started       logic.Time // start time as accepted when it was first announced
 	state         logic.State
-	leftServiceAt logic.Time // when it was last seen to leave service
+	leftServiceAt logic.Time // since when it is not in service
 }
 
 // activeRequest is a request that the balancing logic has not finished.
@@ -63,7 +63,7 @@
 	writeStarted bool       // the latest attempt is being written or has been
 	staleBy      logic.Time // how long the list had been stale when the latest attempt began; 0: it was fresh
 	clientLeft   bool       // the client has left, and the step that says so has been sent
-	steps        chan step  // room for one step and the client's leaving
+	steps        chan step  // room for one step and for the one that reports the client's leaving
 	backoffTimer *time.Timer
 	pipelined    atomic.Bool // the client sent more data before the response
 }
@@ -93,22 +93,22 @@
 	cause      logic.Cause // of a refusal or failure
 }
 
-func newDriver(cfg *Config, opt *upstream.Options, st *stats) *driver {
+func newDriver(cfg *Config, upstreamOptions *upstream.Options, stats *stats) *driver {
 	d := &driver{
-		clock:    newClock(),
-		classes:  cfg.logicSettings.Classes,
-		opt:      opt,
-		stats:    st,
-		requests: map[string]*activeRequest{},
-		openIDs:  map[string]bool{},
-		backends: map[string]backendEntry{},
+		clock:           newClock(),
+		classes:         cfg.logicSettings.Classes,
+		upstreamOptions: upstreamOptions,
+		stats:           stats,
+		requests:        map[string]*activeRequest{},
+		openIDs:         map[string]bool{},
+		backends:        map[string]backendEntry{},
 
 		violations: newViolations(),
 		statusLog:  logging.RateLimiter{Interval: statusLogInterval, Burst: 20},
 		staleLog:   newStaleAttemptLog(),
 		detached:   map[string]bool{},
 	}
-	opt.OnLateDialFailure = d.unreached
+	upstreamOptions.OnLateDialFailure = d.dialFailed
 	d.withBalancer(func(now logic.Time) { d.balancer = logic.New(now, cfg.logicSettings, d) })
 	return d
 }
@@ -125,8 +125,8 @@
 		if !panicked {
 			return
 		}
-		if cause := recover(); cause != nil {
-			panic(decisionPanic{fmt.Sprintf("%v\n%s", cause, debug.Stack())})
+		if value := recover(); value != nil {
+			panic(decisionPanic{fmt.Sprintf("%v\n%s", value, debug.Stack())})
 		}
 	}()
 	f(d.clock.now())
@@ -141,7 +141,7 @@
 
 // arrive passes a new request to the balancing logic; its first step is ready on return.
 // It returns nil if a request with the same id is open already.
-func (d *driver) arrive(clientID string, class int, budget time.Duration, retry, long bool) (r *activeRequest) {
+func (d *driver) arrive(clientID string, class int, budget time.Duration, retry, streamed bool) (r *activeRequest) {
 	d.withBalancer(func(now logic.Time) {
 		if d.openIDs[clientID] {
 			return
@@ -149,11 +149,11 @@
 		d.openIDs[clientID] = true
 		// The balancing logic gets ids of the proxy's own, since clients may reuse
 		// theirs.
-		d.serial++
-		r = &activeRequest{id: strconv.FormatUint(d.serial, 36), clientID: clientID, steps: make(chan step, 2)}
+		d.lastID++
+		r = &activeRequest{id: strconv.FormatUint(d.lastID, 36), clientID: clientID, steps: make(chan step, 2)}
 		r.idempotency = d.classes[class].Repeat
 		d.requests[r.id] = r
-		d.balancer.Arrive(now, logic.Request{ID: r.id, Class: class, Budget: budget, Retry: retry, Long: long})
+		d.balancer.Arrive(now, logic.Request{ID: r.id, Class: class, Budget: budget, Retry: retry, Long: streamed})
 	})
 	return r
 }
@@ -202,15 +202,15 @@
 	}
 }
 
-// unreached reports that a connection to a backend could not be opened, when no attempt
+// dialFailed reports that a connection to a backend could not be opened, when no attempt
 // was waiting for it any more.
-func (d *driver) unreached(b *upstream.Backend, err error) {
+func (d *driver) dialFailed(b *upstream.Backend, err error) {
 	if neterror.Classify(neterror.Dial, err) == neterror.LocalFailure {
 		return
 	}
 	d.withBalancer(func(now logic.Time) {
-		for uid, p := range d.backends {
-			if p.Backend == b {
+		for uid, entry := range d.backends {
+			if entry.Backend == b {
 				d.balancer.Unreached(now, uid)
 			}
 		}
@@ -245,7 +245,7 @@
 
 // endByClient ends a request because of its client, and passes on how. An attempt that
 // has not begun is canceled; for one that has begun, the balancing logic decides.
-func (d *driver) endByClient(r *activeRequest, how stepKind) {
+func (d *driver) endByClient(r *activeRequest, kind stepKind) {
 	d.withBalancer(func(now logic.Time) {
 		if r.clientLeft { // there is room for one such step
 			return
@@ -255,7 +255,7 @@
 		if r.cancel != nil && !r.writeStarted {
 			r.cancel()
 		}
-		r.steps <- step{kind: how}
+		r.steps <- step{kind: kind}
 	})
 }
 
@@ -344,7 +344,7 @@
 		started = d.clock.startTime(now, t.BootMs, listBefore)
 	}
 	d.removeBackend(t.UID)
-	d.backends[t.UID] = backendEntry{upstream.New(t.Endpoint, d.opt), t.BootMs, started, state, leftServiceAt}
+	d.backends[t.UID] = backendEntry{upstream.New(t.Endpoint, d.upstreamOptions), t.BootMs, started, state, leftServiceAt}
 }
 
 // removeBackend removes a backend, if it is known, and closes its connections.
@@ -355,9 +355,9 @@
 	}
 }
 
-// listFresh reports how long the list may be used.
-func (d *driver) listFresh(f discovery.Freshness) {
-	fresh := logic.ListFresh{
+// setListFreshness reports how long the list may be used.
+func (d *driver) setListFreshness(f discovery.Freshness) {
+	freshness := logic.ListFresh{
 		Until:        d.clock.at(f.Until),
 		UntilServing: d.clock.at(f.UntilIfServing),
 		Serving:      f.ServingWindow,
@@ -367,8 +367,8 @@
 		Gap:          discovery.MaxUnobservedGap,
 	}
 	d.withBalancer(func(logic.Time) {
-		d.listFreshUntil = fresh.Until
-		d.balancer.ListFresh(fresh)
+		d.listFreshUntil = freshness.Until
+		d.balancer.ListFresh(freshness)
 	})
 }
 
--- a/proxy/local_dial_test.go
+++ b/proxy/local_dial_test.go
@@ -36,7 +36,7 @@
 			p.cfg.Grace = 1 // keeps the drain short
 			var failures atomic.Int64
 			failures.Store(9)
-			p.driver.opt.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
+			p.driver.upstreamOptions.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 				if failures.Add(-1) >= 0 {
 					return nil, &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("connect", c.errno)}
 				}
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -118,16 +118,16 @@
 	}
 	p.clients = newClientConns()
 	p.transfers = http1.NewTransfers(int64(transferFraction * heapFraction * cfg.Limits.MemoryMB * (1 << 20)))
-	opt := &upstream.Options{
+	upstreamOptions := &upstream.Options{
 		DialTimeout: settings.Duration(cfg.Settings.Limits.DialTimeout),
 		IdleTimeout: settings.Duration(cfg.Settings.Limits.ConnIdle),
 		Descriptors: p.descriptors,
 	}
-	if opt.DialTimeout == 0 {
-		opt.DialTimeout = defaultDialTimeout
+	if upstreamOptions.DialTimeout == 0 {
+		upstreamOptions.DialTimeout = defaultDialTimeout
 	}
-	if opt.IdleTimeout == 0 {
-		opt.IdleTimeout = defaultIdleTimeout
+	if upstreamOptions.IdleTimeout == 0 {
+		upstreamOptions.IdleTimeout = defaultIdleTimeout
 	}
 	p.list = discovery.New(cfg.Discovery, cfg.knownList.Rev, cfg.pacer())
 	if cfg.pollList {
@@ -135,11 +135,11 @@
 	} else {
 		p.list.SetPushed(cfg.logicSettings.Grace/2, cfg.logicSettings.Grace) // the other half is for the send itself
 	}
-	p.driver = newDriver(cfg, opt, p.stats)
-	p.driver.askList = p.list.RequestCheck
+	p.driver = newDriver(cfg, upstreamOptions, p.stats)
+	p.driver.requestListCheck = p.list.RequestCheck
 	p.list.OnEnd = logWatchEnd
 	p.list.OnFreshness = func(f discovery.Freshness) {
-		p.driver.listFresh(f)
+		p.driver.setListFreshness(f)
 		p.readiness.recordList(f)
 	}
 	p.list.OnList = p.driver.updateList
@@ -176,9 +176,9 @@
 // Phase returns the current phase.
 func (p *Proxy) Phase() Phase { return Phase(p.phase.Load()) }
 
-func (p *Proxy) enterPhase(ph Phase) {
-	p.phase.Store(int32(ph))
-	log.Printf("event=phase phase=%s", ph)
+func (p *Proxy) enterPhase(phase Phase) {
+	p.phase.Store(int32(phase))
+	log.Printf("event=phase phase=%s", phase)
 }
 
 // Ready reports whether the proxy can serve: it knows a backend, and has received a
--- a/proxy/race_test.go
+++ b/proxy/race_test.go
@@ -104,9 +104,9 @@
 			d.updateList(randomList(t, r, rev))
 			switch r.IntN(12) {
 			case 0:
-				d.listFresh(discovery.Freshness{Until: time.Now().Add(time.Minute)})
+				d.setListFreshness(discovery.Freshness{Until: time.Now().Add(time.Minute)})
 			case 1:
-				d.listFresh(discovery.Freshness{Until: time.Now().Add(time.Second)})
+				d.setListFreshness(discovery.Freshness{Until: time.Now().Add(time.Second)})
 			case 2:
 				d.setDetached(fmt.Sprintf("s-%d", r.IntN(8)), r.IntN(2) == 0)
 			case 3:
--- a/proxy/request.go
+++ b/proxy/request.go
@@ -118,9 +118,9 @@
 				}
 			}
 			inFlight = &step
-			answer := step.backend.Exchange(step.ctx, upstreamRequest)
-			result, final := attemptOutcome(&answer)
-			if answer.Err != nil && errors.Is(step.ctx.Err(), context.Canceled) {
+			exchanged := step.backend.Exchange(step.ctx, upstreamRequest)
+			result, final := attemptOutcome(&exchanged)
+			if exchanged.Err != nil && errors.Is(step.ctx.Err(), context.Canceled) {
 				result = logic.Cancelled
 			}
 			step.cancel()
@@ -132,21 +132,21 @@
 				p.driver.forget(r)
 			}
 			switch {
-			case errors.Is(answer.BodyReadErr, http1.ErrBusy):
+			case errors.Is(exchanged.BodyReadErr, http1.ErrBusy):
 				outcomes[throttled].Add(1)
 				logEnd(endBusy, "")
 				req.Close = true // most of the body is unread
 				p.respond(c, req, http.StatusServiceUnavailable, retryAfterHeader(p.cfg.logicSettings.MaxComeBack), "busy")
 				return false
-			case answer.BodyReadErr != nil:
+			case exchanged.BodyReadErr != nil:
 				logEnd(endUnreadable, "")
-				p.answerBadRequest(c, readErrorStatus(answer.BodyReadErr), answer.BodyReadErr)
+				p.answerBadRequest(c, readErrorStatus(exchanged.BodyReadErr), exchanged.BodyReadErr)
 				return false
 			case r.pipelined.Load():
-				answer.Release(false)
+				exchanged.Release(false)
 			case result == logic.OK:
 				p.stats.recordLatency(time.Since(start))
-				open := p.forwardResponse(c, req, &answer, outcomes)
+				open := p.forwardResponse(c, req, &exchanged, outcomes)
 				switch {
 				case c.resetOnClose:
 					logEnd(endCutShort, "")
@@ -155,12 +155,12 @@
 				}
 				return keepOpen(open)
 			case final:
-				answer.Release(false)
-				logEnd(endRejected, strconv.Itoa(answer.Status))
+				exchanged.Release(false)
+				logEnd(endRejected, strconv.Itoa(exchanged.Status))
 				outcomes[faulted].Add(1)
-				return keepOpen(p.respond(c, req, answer.Status, nil, "rejected"))
+				return keepOpen(p.respond(c, req, exchanged.Status, nil, "rejected"))
 			default:
-				answer.Release(false)
+				exchanged.Release(false)
 			}
 		case stepRefuse:
 			logEnd(endRefused, step.cause.String())
@@ -191,11 +191,11 @@
 
 // attemptOutcome converts the end of an exchange with a backend to a result for the
 // balancing logic. It also returns whether the request ends with it.
-func attemptOutcome(answer *upstream.ExchangeResult) (result logic.Result, final bool) {
-	if answer.BodyReadErr != nil { // the client's body failed: the backend never had the whole request, and is not to blame
+func attemptOutcome(exchanged *upstream.ExchangeResult) (result logic.Result, final bool) {
+	if exchanged.BodyReadErr != nil { // the client's body failed: the backend never had the whole request, and is not to blame
 		return logic.NeverSent, true
 	}
-	switch answer.Stage {
+	switch exchanged.Stage {
 	case upstream.Unsent:
 		return logic.NeverSent, false
 	case upstream.ConnectTimedOut:
@@ -203,20 +203,20 @@
 	case upstream.SendFailed:
 		return logic.NoConnect, false
 	case upstream.Written:
-		if answer.TimedOut() {
+		if exchanged.TimedOut() {
 			return logic.TimedOut, false
 		}
 		return logic.Broken, false
 	}
-	rejectStatus := answer.Status == http.StatusServiceUnavailable || answer.Status == http.StatusGatewayTimeout
+	rejectStatus := exchanged.Status == http.StatusServiceUnavailable || exchanged.Status == http.StatusGatewayTimeout
 	switch {
-	case answer.Err != nil:
+	case exchanged.Err != nil:
 		return logic.Error, false
-	case answer.Status == http.StatusOK:
+	case exchanged.Status == http.StatusOK:
 		return logic.OK, true
-	case rejectStatus && answer.Header.Get(headerNotProcessed) == "1":
+	case rejectStatus && exchanged.Header.Get(headerNotProcessed) == "1":
 		return logic.Full, false
-	case isClientError(answer.Status):
+	case isClientError(exchanged.Status):
 		return logic.Cancelled, true
 	}
 	return logic.Error, false
@@ -301,20 +301,20 @@
 // forwardResponse forwards a backend's response and counts the request's outcome: before
 // writing if the response is here completely, so that a client that has read it finds it
 // counted, else after its last byte.
-func (p *Proxy) forwardResponse(c *clientConn, req *http.Request, answer *upstream.ExchangeResult, outcomes *[outcomeCount]atomic.Int64) bool {
+func (p *Proxy) forwardResponse(c *clientConn, req *http.Request, response *upstream.ExchangeResult, outcomes *[outcomeCount]atomic.Int64) bool {
 	var header []string
 	for _, name := range []string{"Content-Type", "Content-Encoding"} {
-		if v := answer.Header.Get(name); v != "" {
+		if v := response.Header.Get(name); v != "" {
 			header = append(header, name, v)
 		}
 	}
-	if answer.BodyRest == nil {
+	if response.BodyRest == nil {
 		outcomes[fulfilled].Add(1)
-		return p.writeResponse(c, answer.Status, header, answer.Body, req.Close)
+		return p.writeResponse(c, response.Status, header, response.Body, req.Close)
 	}
 	last := !req.ProtoAtLeast(1, 1) || req.Close || !p.keepConnections() // decided once: the response announces it
-	err := p.streamResponse(c, req, answer, header, last)
-	answer.Release(err == nil)
+	err := p.streamResponse(c, req, response, header, last)
+	response.Release(err == nil)
 	if err == nil || errors.Is(err, http1.ErrPassed) {
 		outcomes[fulfilled].Add(1)
 	} else {
@@ -333,16 +333,16 @@
 
 // streamResponse writes a response as it arrives from the backend. An HTTP/1.0 client
 // gets a response of unknown length up to the end of the connection.
-func (p *Proxy) streamResponse(c *clientConn, req *http.Request, answer *upstream.ExchangeResult, header []string, last bool) (err error) {
-	http10, first := !req.ProtoAtLeast(1, 1), answer.Body
+func (p *Proxy) streamResponse(c *clientConn, req *http.Request, response *upstream.ExchangeResult, header []string, last bool) (err error) {
+	http10, first := !req.ProtoAtLeast(1, 1), response.Body
 	switch {
-	case answer.BodyRest.Size >= 0:
-		header = append(header, "Content-Length", strconv.FormatInt(answer.BodyRest.Size, 10))
+	case response.BodyRest.Size >= 0:
+		header = append(header, "Content-Length", strconv.FormatInt(response.BodyRest.Size, 10))
 	case !http10:
 		header = append(header, "Transfer-Encoding", "chunked")
 		first = http1.Chunk(first)
 	}
-	if http10 && answer.BodyRest.Size < 0 {
+	if http10 && response.BodyRest.Size < 0 {
 		// The end of the connection is the end of the response. Until the response is
 		// complete, any other close has to be a reset, even one that the kernel makes
 		// when the process dies.
@@ -357,12 +357,12 @@
 	}
 	extendDeadline := upstream.ProgressDeadlines(c.conn.SetWriteDeadline)
 	extendDeadline(0)
-	_, err = c.conn.Write(encodeResponse(answer.Status, header, first, last))
+	_, err = c.conn.Write(encodeResponse(response.Status, header, first, last))
 	c.responseStarted = true
 	if err != nil {
 		return fmt.Errorf("%w: %w", http1.ErrPassed, err)
 	}
-	return p.transfers.Pass(c.conn, answer.BodyRest, http10, func(passed int64) error {
+	return p.transfers.Pass(c.conn, response.BodyRest, http10, func(passed int64) error {
 		extendDeadline(passed)
 		return nil
 	})
--- a/proxy/slow_connection_test.go
+++ b/proxy/slow_connection_test.go
@@ -27,8 +27,8 @@
 			defer release()
 			var mu sync.Mutex
 			dialCount := 0
-			p.driver.opt.DialTimeout = 20 * time.Second
-			p.driver.opt.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
+			p.driver.upstreamOptions.DialTimeout = 20 * time.Second
+			p.driver.upstreamOptions.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 				if addr == slow.Addr() {
 					// bounds the dial by the time of the request that started it
 					ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
--- a/proxy/stalelog_test.go
+++ b/proxy/stalelog_test.go
@@ -31,10 +31,10 @@
 	}
 	now := time.Now()
 	fresh := discovery.Freshness{Until: now.Add(time.Hour), UntilIfServing: now.Add(time.Hour), ServingWindow: time.Hour, ConfirmedAt: now, ReceivedAt: now}
-	p.driver.listFresh(fresh)
+	p.driver.setListFreshness(fresh)
 	attempt("in-time", logic.OK)
 	fresh.Until = time.Now()
-	p.driver.listFresh(fresh)
+	p.driver.setListFreshness(fresh)
 	attempt("past", logic.Full)
 	lines := string(text.bytes())
 	if strings.Contains(lines, `id="in-time"`) {
--- a/proxy/stats.go
+++ b/proxy/stats.go
@@ -99,5 +99,5 @@
 		results[logic.OK], s.requestsEnded(throttled), s.requestsEnded(faulted), s.clientsGone.Load(), s.badRequests.Load(), s.writeFailures.Load(), s.truncated.Load(), s.recoveredPanics.Load(),
 		s.responseLatency.ValueAtQuantile(50), s.responseLatency.ValueAtQuantile(99),
 		results[logic.Error], results[logic.Cancelled], results[logic.Full], results[logic.TimedOut], results[logic.NoConnect], results[logic.Broken], results[logic.NeverSent], results[logic.Late],
-		p.driver.opt.ConnsOpened.Load(), descriptorsUsed, descriptorsPeak, s.timerDelay.ValueAtQuantile(99), s.timerDelay.Max(), listAge.Seconds())
+		p.driver.upstreamOptions.ConnsOpened.Load(), descriptorsUsed, descriptorsPeak, s.timerDelay.ValueAtQuantile(99), s.timerDelay.Max(), listAge.Seconds())
 }
