--- a/proxy/clients.go
+++ b/proxy/clients.go
@@ -73,7 +73,7 @@
 
 // minBodyRate bounds the time for request bodies: clients may send at 64 kB/s, and some
 // delay is tolerated on top.
-var minBodyRate = http1.Slowest{Start: 1500 * time.Millisecond, Rate: 48 << 10, Stall: 2 * time.Second}
+var minBodyRate = http1.MinTransferRate{InitialAllowance: 1500 * time.Millisecond, BytesPerSecond: 48 << 10, StallTimeout: 2 * time.Second}
 
 func newClientConns() *clientConns {
 	return &clientConns{
@@ -130,19 +130,19 @@
 // nextRequest waits for the next request on c and reads it. An error before its first
 // byte is io.EOF: the client closed the connection, or it was evicted or timed out while
 // idle.
-func (s *clientConns) nextRequest(c *clientConn) (*http.Request, []byte, *http1.Rest, error) {
+func (s *clientConns) nextRequest(c *clientConn) (*http.Request, []byte, *http1.RemainingBody, error) {
 	s.beginWait(c)
 	defer s.finishRead(c)
-	if err := c.conn.Await(); err != nil {
+	if err := c.conn.AwaitMessage(); err != nil {
 		// A request that arrives just as the timeout or the eviction takes effect is
 		// still served.
-		if !neterror.IsDeadline(err) || c.conn.Quiet() {
+		if !neterror.IsDeadline(err) || c.conn.IsIdle() {
 			return nil, nil, nil, io.EOF
 		}
 	}
 	s.beginRead(c)
 	req, body, rest, err := c.conn.ReadRequest()
-	if err == nil && rest == nil && c.conn.More() {
+	if err == nil && rest == nil && c.conn.HasPipelinedData() {
 		// Clients wait for a response before they send the next request. Bytes behind a
 		// request mean a wrong length or a flood.
 		err = errPipelined
@@ -183,7 +183,7 @@
 		deadline = firstRequestDeadline
 	}
 	c.conn.SetReadDeadline(deadline)
-	c.conn.Pace = func(body int64) { s.setBodyDeadline(c, body) }
+	c.conn.BeforeBodyRead = func(body int64) { s.setBodyDeadline(c, body) }
 }
 
 // setBodyDeadline sets the deadline for the next read of a body, by the number of bytes
@@ -197,7 +197,7 @@
 	if c.bodyStart.IsZero() {
 		c.bodyStart = time.Now()
 	}
-	c.conn.SetReadDeadline(minBodyRate.Until(c.bodyStart, received))
+	c.conn.SetReadDeadline(minBodyRate.Deadline(c.bodyStart, received))
 }
 
 func (s *clientConns) finishRead(c *clientConn) {
@@ -218,7 +218,7 @@
 	case !c.hadRequest: // its first request is most likely on the way
 		c.conn.SetReadDeadline(c.waitStart.Add(s.minFirstRequestWait))
 	default:
-		c.conn.SetReadDeadline(http1.LongAgo)
+		c.conn.SetReadDeadline(http1.ExpiredDeadline)
 	}
 }
 
--- a/proxy/config.go
+++ b/proxy/config.go
@@ -29,7 +29,7 @@
 	Seed      string           `json:"seed"`  // hexadecimal; empty: a random seed
 	Limits    Limits           `json:"limits"`
 	Known     *json.RawMessage `json:"known"`
-	Settings  *settings.Object `json:"settings"`
+	Settings  *settings.Config `json:"settings"`
 
 	// Grace is how long a draining proxy goes on accepting connections; 0: DefaultGrace.
 	Grace time.Duration `json:"-"`
@@ -188,13 +188,13 @@
 	if err != nil {
 		return fmt.Errorf("known: %w", err)
 	}
-	if err := c.Settings.Check(); err != nil {
+	if err := c.Settings.Validate(); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
-	if c.logicSettings, err = c.Settings.Logic(seed); err != nil {
+	if c.logicSettings, err = c.Settings.LogicSettings(seed); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
-	c.maxPollInterval, c.pollList = c.Settings.ListAsked()
+	c.maxPollInterval, c.pollList = c.Settings.ListsOnRequest()
 	if c.maxPollInterval == 0 { // keeps a pause between polls while discovery is down
 		c.maxPollInterval = discovery.MaxAnnounceDelay
 	}
--- a/proxy/connect_test.go
+++ b/proxy/connect_test.go
@@ -178,7 +178,7 @@
 // The close of a client that has sent a long body is hidden behind the unread part of the
 // body. It is noticed all the same before the first byte goes to a backend.
 func TestClientGoneBehindUnreadBody(t *testing.T) {
-	const size = http1.MaxBody + 1 // more than is read at once, less than the socket buffers hold
+	const size = http1.MaxBufferedBodyBytes + 1 // more than is read at once, less than the socket buffers hold
 	b := standin.NewBackend(t, standin.Echo)
 	p := listenProxy(t, standin.List(1, true, standin.Target("s-1", b.Addr())), "127.0.0.1:1")
 	p.cfg.Grace = time.Millisecond
--- a/proxy/drain_test.go
+++ b/proxy/drain_test.go
@@ -152,7 +152,7 @@
 // A request whose body is still arriving when the process is told to end is served if the
 // rest arrives in time, both if it is buffered and if it is streamed.
 func TestDrainDuringRequestBody(t *testing.T) {
-	for _, size := range []int{1000, 2 * http1.MaxBody} {
+	for _, size := range []int{1000, 2 * http1.MaxBufferedBodyBytes} {
 		b := standin.NewBackend(t, func(c *standin.Call) { c.Reply(200, fmt.Sprint(len(c.Text))) })
 		p := listenProxy(t, standin.List(1, true, standin.Target("s-1", b.Addr())), "127.0.0.1:1")
 		p.cfg.Grace, p.longestDeadline, p.finalWriteTime = time.Millisecond, time.Minute, 20*time.Second // ample on any machine
--- a/proxy/linger.go
+++ b/proxy/linger.go
@@ -69,7 +69,7 @@
 	defer s.mu.Unlock()
 	s.lingerDisabled = true
 	for e := s.lingering.Front(); e != nil; e = e.Next() {
-		e.Value.(*clientConn).conn.SetReadDeadline(http1.LongAgo)
+		e.Value.(*clientConn).conn.SetReadDeadline(http1.ExpiredDeadline)
 	}
 	return s.openCount - s.lingering.Len()
 }
--- a/proxy/parse.go
+++ b/proxy/parse.go
@@ -46,7 +46,7 @@
 			return info, code, errors.New("repeated header " + header)
 		}
 		for name := range req.Header {
-			if http1.LooksLike(name, header) {
+			if http1.IsUnderscoreVariant(name, header) {
 				return info, code, fmt.Errorf("header %s resembles %s", name, header)
 			}
 		}
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -70,7 +70,7 @@
 	drainEnd         atomic.Pointer[time.Time] // end of a drain, after which no response is written; nil: not draining
 	descriptors      *descriptorBudget
 	clients          *clientConns
-	transfers        *http1.Transfers
+	transfers        *http1.StreamPool
 	driver           *driver
 	list             *discovery.Client
 	readiness        readiness
@@ -117,10 +117,10 @@
 		}
 	}
 	p.clients = newClientConns()
-	p.transfers = http1.NewTransfers(int64(transferFraction * heapFraction * cfg.Limits.MemoryMB * (1 << 20)))
+	p.transfers = http1.NewStreamPool(int64(transferFraction * heapFraction * cfg.Limits.MemoryMB * (1 << 20)))
 	upstreamOptions := &upstream.Options{
-		DialTimeout: settings.Duration(cfg.Settings.Limits.DialTimeout),
-		IdleTimeout: settings.Duration(cfg.Settings.Limits.ConnIdle),
+		DialTimeout: settings.Duration(cfg.Settings.Limits.DialTimeoutMs),
+		IdleTimeout: settings.Duration(cfg.Settings.Limits.ConnIdleMs),
 		Descriptors: p.descriptors,
 	}
 	if upstreamOptions.DialTimeout == 0 {
@@ -303,7 +303,7 @@
 	p.setDrainEnd(end)
 	p.enterPhase(Draining)
 	if p.cfg.ListenFD != 0 { // another process accepts; the kernel's backlog is left to it
-		p.listener.SetDeadline(http1.LongAgo)
+		p.listener.SetDeadline(http1.ExpiredDeadline)
 		p.descriptors.setWaitDeadline(time.Now())
 		select {
 		case <-accepted:
--- a/proxy/proxy_test.go
+++ b/proxy/proxy_test.go
@@ -568,7 +568,7 @@
 	const size = 200_000
 	b := standin.NewBackend(t, func(c *standin.Call) { c.Reply(200, fmt.Sprint(len(c.Text))) })
 	p := listenProxy(t, standin.List(1, true, standin.Target("s", b.Addr())), "127.0.0.1:1")
-	p.transfers = http1.NewTransfers(1) // one buffer
+	p.transfers = http1.NewStreamPool(1) // one buffer
 	defer startProxy(t, p)()
 	head := func(id int) string {
 		return fmt.Sprintf("POST /api HTTP/1.1\r\nHost: h\r\nX-Request-ID: %d\r\nX-Priority-Class: pay\r\n"+
--- a/proxy/request.go
+++ b/proxy/request.go
@@ -44,7 +44,7 @@
 		return false
 	}
 	if rest != nil {
-		defer rest.Drop()
+		defer rest.Abandon()
 	}
 	if req.Method == http.MethodGet && req.URL.Path == pathReady && rest == nil {
 		return p.serveReadiness(c, req)
@@ -76,10 +76,10 @@
 			inFlight.cancel()
 		}
 	}()
-	defer c.conn.Unwatch()
+	defer c.conn.UnwatchPeer()
 	outcomes := &p.stats.outcomes[info.class]
 	watch := func() {
-		c.conn.Watch(func() { p.driver.clientGone(r) }, func() { p.driver.clientPipelined(r) })
+		c.conn.WatchPeer(func() { p.driver.clientGone(r) }, func() { p.driver.clientPipelined(r) })
 	}
 	var attempts []attemptTrace
 	logEnd := func(end requestEnd, cause string) { p.endLog.write(&info, end, cause, start, attempts) }
@@ -109,7 +109,7 @@
 				upstreamRequest.OnWritten = func() {
 					step.sentAt = time.Now()
 					p.driver.written(r)
-					if c.conn.More() { // already here: no need for a watch to notice it
+					if c.conn.HasPipelinedData() { // already here: no need for a watch to notice it
 						p.driver.clientPipelined(r)
 						return
 					}
@@ -125,14 +125,14 @@
 			}
 			step.cancel()
 			inFlight = nil
-			p.driver.done(r, step, result, final, rest != nil && rest.Begun())
+			p.driver.done(r, step, result, final, rest != nil && rest.ReadStarted())
 			p.stats.recordAttempt(result)
 			attempts = append(attempts, attemptTrace{step.uid, result, time.Since(step.sentAt)})
 			if final {
 				p.driver.forget(r)
 			}
 			switch {
-			case errors.Is(exchanged.BodyReadErr, http1.ErrBusy):
+			case errors.Is(exchanged.BodyReadErr, http1.ErrStreamPoolExhausted):
 				outcomes[throttled].Add(1)
 				logEnd(endBusy, "")
 				req.Close = true // most of the body is unread
@@ -234,7 +234,7 @@
 
 // encodeRequest returns the text of req for a backend, with the time that is left to
 // answer it. It contains the whole body, or the first part of a streamed one.
-func encodeRequest(req *http.Request, host string, body []byte, rest *http1.Rest, left time.Duration) []byte {
+func encodeRequest(req *http.Request, host string, body []byte, rest *http1.RemainingBody, left time.Duration) []byte {
 	b := make([]byte, 0, 512+len(body))
 	b = append(b, req.Method...)
 	b = append(b, ' ')
@@ -263,12 +263,12 @@
 	b = strconv.AppendInt(b, max(1, left.Milliseconds()), 10)
 	size := int64(len(body))
 	if rest != nil {
-		size = rest.Size
+		size = rest.TotalSize
 	}
 	switch {
 	case size < 0:
 		b = append(b, "\r\nTransfer-Encoding: chunked"...)
-		body = http1.Chunk(body)
+		body = http1.EncodeChunk(body)
 	case size > 0 || req.Method != http.MethodGet:
 		b = append(b, "\r\nContent-Length: "...)
 		b = strconv.AppendInt(b, size, 10)
@@ -315,7 +315,7 @@
 	last := !req.ProtoAtLeast(1, 1) || req.Close || !p.keepConnections() // decided once: the response announces it
 	err := p.streamResponse(c, req, response, header, last)
 	response.Release(err == nil)
-	if err == nil || errors.Is(err, http1.ErrPassed) {
+	if err == nil || errors.Is(err, http1.ErrDestination) {
 		outcomes[fulfilled].Add(1)
 	} else {
 		outcomes[faulted].Add(1)
@@ -336,13 +336,13 @@
 func (p *Proxy) streamResponse(c *clientConn, req *http.Request, response *upstream.ExchangeResult, header []string, last bool) (err error) {
 	http10, first := !req.ProtoAtLeast(1, 1), response.Body
 	switch {
-	case response.BodyRest.Size >= 0:
-		header = append(header, "Content-Length", strconv.FormatInt(response.BodyRest.Size, 10))
+	case response.BodyRest.TotalSize >= 0:
+		header = append(header, "Content-Length", strconv.FormatInt(response.BodyRest.TotalSize, 10))
 	case !http10:
 		header = append(header, "Transfer-Encoding", "chunked")
-		first = http1.Chunk(first)
+		first = http1.EncodeChunk(first)
 	}
-	if http10 && response.BodyRest.Size < 0 {
+	if http10 && response.BodyRest.TotalSize < 0 {
 		// The end of the connection is the end of the response. Until the response is
 		// complete, any other close has to be a reset, even one that the kernel makes
 		// when the process dies.
@@ -360,9 +360,9 @@
 	_, err = c.conn.Write(encodeResponse(response.Status, header, first, last))
 	c.responseStarted = true
 	if err != nil {
-		return fmt.Errorf("%w: %w", http1.ErrPassed, err)
+		return fmt.Errorf("%w: %w", http1.ErrDestination, err)
 	}
-	return p.transfers.Pass(c.conn, response.BodyRest, http10, func(passed int64) error {
+	return p.transfers.Forward(c.conn, response.BodyRest, http10, func(passed int64) error {
 		extendDeadline(passed)
 		return nil
 	})
@@ -426,7 +426,7 @@
 	switch {
 	case errors.Is(err, http1.ErrMalformed), errors.Is(err, errPipelined):
 		return http.StatusBadRequest
-	case errors.Is(err, http1.ErrHeadTooLarge):
+	case errors.Is(err, http1.ErrHeaderTooLarge):
 		return http.StatusRequestHeaderFieldsTooLarge
 	case errors.Is(err, http1.ErrBodyTooLarge):
 		return http.StatusRequestEntityTooLarge
--- a/proxy/responses_test.go
+++ b/proxy/responses_test.go
@@ -120,8 +120,8 @@
 		badResponse{"bad chunk size line", chunkedHead + "zz\r\nhalf", nil},
 		badResponse{"3 GB", lengthHead(3<<30) + "half", nil},
 		badResponse{"endless 1xx", strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", 100), nil},
-		badResponse{"endless head", "HTTP/1.1 200 OK\r\n" + strings.Repeat("X: y\r\n", http1.MaxHead), nil},
-		badResponse{"endless trailer", chunkedHead + "4\r\nhalf\r\n0\r\n" + strings.Repeat("X: y\r\n", http1.MaxHead), nil},
+		badResponse{"endless head", "HTTP/1.1 200 OK\r\n" + strings.Repeat("X: y\r\n", http1.MaxHeaderBytes), nil},
+		badResponse{"endless trailer", chunkedHead + "4\r\nhalf\r\n0\r\n" + strings.Repeat("X: y\r\n", http1.MaxHeaderBytes), nil},
 		badResponse{"another protocol", "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n", nil},
 	)
 	for _, s := range cases {
@@ -163,7 +163,7 @@
 // truncated response, whichever way its length is given, and the request is not sent
 // again.
 func TestTruncatedStream(t *testing.T) {
-	long := strings.Repeat("x", http1.MaxBody+50_000)
+	long := strings.Repeat("x", http1.MaxBufferedBodyBytes+50_000)
 	chunk := func(b string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(b), b) }
 	reset, end := (*standin.Call).Reset, (*standin.Call).Close
 	for _, s := range []struct {
@@ -233,7 +233,7 @@
 		p, stop := startBefore(t, b)
 		c := dialProxy(t, p)
 		io.WriteString(c, requestTextVersion("1.1", "get"))
-		if a := readResponse(c, func() {}); a.err == nil || len(a.body) > http1.MaxStream+1<<20 {
+		if a := readResponse(c, func() {}); a.err == nil || len(a.body) > http1.MaxStreamedBodyBytes+1<<20 {
 			t.Errorf("%s: got %d, %d bytes, %v", name, a.status, len(a.body), a.err)
 		}
 		c.Close()
