--- a/proxy/accept.go
+++ b/proxy/accept.go
@@ -17,8 +17,9 @@
 // grace for those that are still in the kernel's backlog.
 
 const (
-	acceptBackoff             = 5 * time.Millisecond
-	acceptLogInterval         = time.Second // at most one line for many failures
+	acceptBackoff     = 5 * time.Millisecond
+	acceptLogInterval = time.Second // at most one line for many failures
+	// Timeouts of one accept from the backlog: until backlogDrainTime has passed, and after it.
 	backlogAcceptTimeout      = 5 * time.Millisecond
 	backlogFinalAcceptTimeout = time.Millisecond
 	backlogDrainTime          = 100 * time.Millisecond
--- a/proxy/connect_test.go
+++ b/proxy/connect_test.go
@@ -159,14 +159,14 @@
 	b := standin.NewBackend(t, standin.Echo)
 	p := listenProxy(t, standin.List(1, true, standin.Target("s-1", b.Addr())), "127.0.0.1:1")
 	p.cfg.Grace = time.Millisecond
-	closed, half := dialProxy(t, p), dialProxy(t, p)
-	for _, c := range []net.Conn{closed, half} { // not accepted yet
+	closed, halfClosed := dialProxy(t, p), dialProxy(t, p)
+	for _, c := range []net.Conn{closed, halfClosed} { // not accepted yet
 		io.WriteString(c, requestText("get", 2000))
 		c.(*net.TCPConn).CloseWrite()
 	}
 	closed.Close()
 	defer startProxy(t, p)()
-	if resp, _ := mustReadResponse(t, half); resp.StatusCode != http.StatusBadGateway {
+	if resp, _ := mustReadResponse(t, halfClosed); resp.StatusCode != http.StatusBadGateway {
 		t.Errorf("got %d", resp.StatusCode)
 	}
 	eventually(t, "the end of both requests", func() bool { return p.stats.clientsGone.Load() == 2 })
--- a/proxy/drain_test.go
+++ b/proxy/drain_test.go
@@ -52,7 +52,7 @@
 			io.WriteString(c, strings.Replace(requestText(class, 60_000), "ID: 1", fmt.Sprint("ID: ", id), 1))
 			return c
 		}
-		asked := []net.Conn{send(1, "get"), send(2, "pay")}
+		clients := []net.Conn{send(1, "get"), send(2, "pay")}
 		eventually(t, "two attempts", func() bool { return b.Calls() == 2 })
 		p.descriptors.mu.Lock()
 		p.descriptors.limit = 4 // two clients and two backend connections
@@ -64,9 +64,9 @@
 			used, _ := p.descriptors.inUse()
 			return used == 4 && p.clients.count() == 2
 		})
-		asked = append(asked, send(3, "get"), send(4, "pay"))
+		clients = append(clients, send(3, "get"), send(4, "pay"))
 		cancel()
-		for i, c := range asked {
+		for i, c := range clients {
 			resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 			if err != nil {
 				t.Errorf("request %d: %v", i, err)
--- a/proxy/linger_test.go
+++ b/proxy/linger_test.go
@@ -116,7 +116,7 @@
 	shutdown := func(p *Proxy) { p.clients.shutdown() }
 	for _, c := range []struct {
 		name, sent, late string
-		before, after    func(*Proxy) // the first response is here
+		before, after    func(*Proxy) // run before and after the first response
 		want             []string     // beginnings of the responses
 	}{
 		{"no request yet", "", request, shortTimeouts, none, nil},
@@ -209,13 +209,13 @@
 	})
 	p := listenProxy(t, standin.List(1, true, standin.Target("s-1", b.Addr())), "127.0.0.1:1")
 	defer p.listener.Close()
-	nc, at, ended := serveHooked(t, p, "")
+	nc, conn, ended := serveHooked(t, p, "")
 	io.WriteString(nc, strings.Replace(requestText("get", 2000), "HTTP/1.1", "HTTP/1.0", 1))
 	if got, err := io.ReadAll(nc); !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("%d bytes, then %v, want a reset", len(got), err)
 	}
 	<-ended
-	if at.writeClosed {
+	if conn.writeClosed {
 		t.Error("the write side was closed cleanly")
 	}
 	for _, b := range p.driver.allBackends() {
@@ -331,14 +331,14 @@
 			p := listenProxy(t, standin.List(1, true), "127.0.0.1:1")
 			defer p.listener.Close()
 			p.clients.minFirstRequestWait = time.Hour
-			nc, at, ended := serveHooked(t, p, "")
+			nc, conn, ended := serveHooked(t, p, "")
 			eventually(t, "waiting", func() bool {
 				p.clients.mu.Lock()
 				defer p.clients.mu.Unlock()
 				return p.clients.awaitingFirst.Len() == 1
 			})
 			evict(p)
-			if at.readDeadline.Load().(time.Time).Before(time.Now()) {
+			if conn.readDeadline.Load().(time.Time).Before(time.Now()) {
 				t.Error("closed at once")
 			}
 			if status, _ := sendRequest(t, nc, "get", 2000); status != 503 {
--- a/proxy/proxy_test.go
+++ b/proxy/proxy_test.go
@@ -138,7 +138,7 @@
 func TestNoLeaks(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	before := openDescriptorCount(t)
-	t.Run("life", func(t *testing.T) {
+	t.Run("run", func(t *testing.T) {
 		b := standin.NewBackend(t, func(c *standin.Call) {
 			switch c.Header.Get("X-Priority-Class") {
 			case "get":
@@ -165,13 +165,13 @@
 			t.Errorf("got %d for an unknown class", status)
 		}
 		calls := b.Calls()
-		left := dialProxy(t, p)
-		io.WriteString(left, requestText("pay", 400))
+		leaving := dialProxy(t, p)
+		io.WriteString(leaving, requestText("pay", 400))
 		eventually(t, "an attempt", func() bool { return b.Calls() > calls })
-		left.Close()
+		leaving.Close()
 		dialProxy(t, p) // sends nothing
-		half := dialProxy(t, p)
-		io.WriteString(half, "GET /ap")
+		partial := dialProxy(t, p)
+		io.WriteString(partial, "GET /ap")
 		eventually(t, "release of request state", func() bool {
 			p.driver.mu.Lock()
 			defer p.driver.mu.Unlock()
@@ -426,9 +426,9 @@
 // All state kept for backends, connections, ids and keys is released: after thousands of
 // each, the second half of the run holds no more than the first.
 func TestChurnLeaksNothing(t *testing.T) {
-	fleet := []*standin.Backend{}
+	backends := []*standin.Backend{}
 	for range 4 {
-		fleet = append(fleet, standin.NewBackend(t, func(c *standin.Call) {
+		backends = append(backends, standin.NewBackend(t, func(c *standin.Call) {
 			switch c.N % 20 {
 			case 3:
 				c.Reset()
@@ -444,7 +444,7 @@
 	uids := 0
 	newTarget := func() string { // a backend with a new id, at the address of a removed one
 		uids++
-		return standin.Target(fmt.Sprintf("s-%d", uids), fleet[uids%len(fleet)].Addr())
+		return standin.Target(fmt.Sprintf("s-%d", uids), backends[uids%len(backends)].Addr())
 	}
 	known := standin.List(1, true, newTarget(), newTarget(), newTarget(), newTarget())
 	p := listenProxy(t, known, standin.NewDiscovery(t, standin.List(1, false)).Addr())
@@ -494,10 +494,10 @@
 		}
 	}
 	churn(20)
-	half := heap()
+	midway := heap()
 	churn(120)
 	final := heap()
-	if grown := int64(final) - int64(half); grown > 1<<20 {
+	if grown := int64(final) - int64(midway); grown > 1<<20 {
 		t.Errorf("the heap has grown by %d KB", grown>>10)
 	}
 	p.driver.mu.Lock()
--- a/proxy/race_test.go
+++ b/proxy/race_test.go
@@ -42,7 +42,7 @@
 	defer p.listener.Close()
 	d := p.driver
 	var callers, changes sync.WaitGroup
-	stopNews := make(chan bool)
+	stopChanges := make(chan bool)
 	for n := range 8 {
 		callers.Go(func() {
 			r := rand.New(rand.NewPCG(1, uint64(n)))
@@ -97,7 +97,7 @@
 		r := rand.New(rand.NewPCG(2, 2))
 		for rev := 2; ; rev++ {
 			select {
-			case <-stopNews:
+			case <-stopChanges:
 				return
 			default:
 			}
@@ -120,7 +120,7 @@
 		}
 	})
 	callers.Wait()
-	close(stopNews)
+	close(stopChanges)
 	changes.Wait()
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -134,9 +134,9 @@
 // driver's lock.
 func TestStepsNeverBlock(t *testing.T) {
 	for name, events := range map[string][]func(*driver, *activeRequest){
-		"end, gone":  {func(d *driver, _ *activeRequest) { d.endAll() }, (*driver).clientGone},
-		"gone, end":  {(*driver).clientGone, func(d *driver, _ *activeRequest) { d.endAll() }},
-		"end, ahead": {func(d *driver, _ *activeRequest) { d.endAll() }, (*driver).clientPipelined},
+		"end, gone":      {func(d *driver, _ *activeRequest) { d.endAll() }, (*driver).clientGone},
+		"gone, end":      {(*driver).clientGone, func(d *driver, _ *activeRequest) { d.endAll() }},
+		"end, pipelined": {func(d *driver, _ *activeRequest) { d.endAll() }, (*driver).clientPipelined},
 	} {
 		p := listenProxy(t, standin.List(1, true, standin.Target("s-1", "127.0.0.1:1")), "127.0.0.1:1")
 		d := p.driver
@@ -176,15 +176,15 @@
 		}
 		c.Reply(200, c.Header.Get("X-Request-Id"))
 	}
-	var fleet []*standin.Backend
+	var backends []*standin.Backend
 	for range 4 {
-		fleet = append(fleet, standin.NewBackend(t, reply))
+		backends = append(backends, standin.NewBackend(t, reply))
 	}
 	target := func(r *rand.Rand) string {
 		state := []string{"in_service", "in_service", "terminating", "terminated"}[r.IntN(4)]
-		return standin.TargetIn(state, fmt.Sprintf("s-%d", r.IntN(6)), fleet[r.IntN(len(fleet))].Addr())
+		return standin.TargetIn(state, fmt.Sprintf("s-%d", r.IntN(6)), backends[r.IntN(len(backends))].Addr())
 	}
-	known := standin.List(1, true, standin.Target("s-0", fleet[0].Addr()), standin.Target("s-1", fleet[1].Addr()))
+	known := standin.List(1, true, standin.Target("s-0", backends[0].Addr()), standin.Target("s-1", backends[1].Addr()))
 	discoveries := []*standin.Discovery{standin.NewDiscovery(t, known), standin.NewDiscovery(t, known)}
 	p := listenProxy(t, known, discoveries[0].Addr())
 	ctx, cancel := context.WithCancel(context.Background())
@@ -194,12 +194,12 @@
 
 	var callers, changes sync.WaitGroup
 	var served atomic.Int64
-	stopNews := make(chan bool)
+	stopChanges := make(chan bool)
 	changes.Go(func() {
 		r := rand.New(rand.NewPCG(3, 3))
 		for rev := 2; ; rev++ {
 			select {
-			case <-stopNews:
+			case <-stopChanges:
 				return
 			case <-time.After(time.Millisecond):
 			}
@@ -216,7 +216,7 @@
 			case 2:
 				p.driver.setDetached("s-0", r.IntN(2) == 0)
 			case 3:
-				fleet[r.IntN(len(fleet))].Cut()
+				backends[r.IntN(len(backends))].Cut()
 			default:
 				l, err := discovery.ParseList([]byte(standin.List(rev, r.IntN(4) == 0, target(r), target(r), target(r))))
 				if err != nil {
@@ -280,7 +280,7 @@
 	cancel()
 	waitRunEnd(t, done)
 	callers.Wait()
-	close(stopNews)
+	close(stopChanges)
 	changes.Wait()
 	eventually(t, "release of all state", func() bool {
 		used, _ := p.descriptors.inUse()
--- a/proxy/responses_test.go
+++ b/proxy/responses_test.go
@@ -74,9 +74,9 @@
 }
 
 const (
-	chunkedHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-	plainHead   = "HTTP/1.1 200 OK\r\n\r\n"
-	oldHead     = "HTTP/1.0 200 OK\r\n\r\n"
+	chunkedHead  = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+	noLengthHead = "HTTP/1.1 200 OK\r\n\r\n"
+	http10Head   = "HTTP/1.0 200 OK\r\n\r\n"
 )
 
 func lengthHead(n int) string {
@@ -97,7 +97,7 @@
 		{"in the status line", "HTTP/1.1 20", nil},
 		{"in the head", "HTTP/1.1 200 OK\r\nContent-Le", nil},
 		{"behind a 1xx", "HTTP/1.1 100 Continue\r\n\r\n", nil},
-		{"no length, no body", plainHead, nil},
+		{"no length, no body", noLengthHead, nil},
 		{"short of its length", lengthHead(9) + "half", nil},
 		{"short of its length by one", lengthHead(5) + "half", nil},
 		{"in a chunk size line", chunkedHead + "4", nil},
@@ -110,8 +110,8 @@
 		cases = append(cases, badResponse{s.name + ", end", s.text, (*standin.Call).Close}, badResponse{s.name + ", reset", s.text, reset})
 	}
 	cases = append(cases,
-		badResponse{"no length, reset", plainHead + "half", reset},
-		badResponse{"no length, 1.0, reset", oldHead + "half", reset},
+		badResponse{"no length, reset", noLengthHead + "half", reset},
+		badResponse{"no length, 1.0, reset", http10Head + "half", reset},
 		badResponse{"no length, an error, reset", "HTTP/1.0 404 Not Found\r\n\r\nhalf", reset},
 		badResponse{"noise", "\x00\x01\xff", nil},
 		badResponse{"bare line ends", "HTTP/1.1 200 OK\nContent-Length: 4\n\nhalf", nil},
@@ -171,12 +171,12 @@
 		end        func(*standin.Call)
 		whole      bool
 	}{
-		{"no length, long, reset", plainHead + long, reset, false},
-		{"no length, 1.0, long, reset", oldHead + long, reset, false},
-		{"no length, long, end", plainHead + long, end, true},
-		{"no length, slow, reset", plainHead + "half", reset, false},
-		{"no length, 1.0, slow, reset", oldHead + "half", reset, false},
-		{"no length, slow, end", oldHead + "half", end, true},
+		{"no length, long, reset", noLengthHead + long, reset, false},
+		{"no length, 1.0, long, reset", http10Head + long, reset, false},
+		{"no length, long, end", noLengthHead + long, end, true},
+		{"no length, slow, reset", noLengthHead + "half", reset, false},
+		{"no length, 1.0, slow, reset", http10Head + "half", reset, false},
+		{"no length, slow, end", http10Head + "half", end, true},
 		{"length, reset", lengthHead(len(long)+1) + long, reset, false},
 		{"length, end", lengthHead(len(long)+1) + long, end, false},
 		{"chunks, reset", chunkedHead + chunk(long), reset, false},
@@ -217,7 +217,7 @@
 
 // An endless response is cut off, and the client can tell.
 func TestEndlessResponse(t *testing.T) {
-	for name, head := range map[string]string{"no length": plainHead, "chunks": chunkedHead} {
+	for name, head := range map[string]string{"no length": noLengthHead, "chunks": chunkedHead} {
 		b := standin.NewBackend(t, func(c *standin.Call) {
 			c.Raw(head)
 			piece := strings.Repeat("x", 16<<10)
@@ -291,7 +291,7 @@
 	for _, text := range []string{
 		"HTTP/1.1 100 Continue\r\n\r\n" + lengthHead(5) + "whole",
 		chunkedHead + "2;a=b\r\nwh\r\n3\r\nole\r\n0\r\nX-Sum: 1\r\n\r\n",
-		oldHead + "whole",
+		http10Head + "whole",
 	} {
 		b := standin.NewBackend(t, func(c *standin.Call) {
 			for i := range text {
--- a/proxy/shutdown_test.go
+++ b/proxy/shutdown_test.go
@@ -55,11 +55,11 @@
 			}
 			p.driver.updateList(l)
 		},
-		"bans": func(_ *testing.T, p *Proxy, _ *Config, _ string) {
+		"detachments": func(_ *testing.T, p *Proxy, _ *Config, _ string) {
 			adminTarget{p}.Detach("s-0")
 			adminTarget{p}.Attach("s-0")
 		},
-		"relief": func(_ *testing.T, p *Proxy, _ *Config, _ string) { p.reclaimDescriptors(3) },
+		"descriptor reclaim": func(_ *testing.T, p *Proxy, _ *Config, _ string) { p.reclaimDescriptors(3) },
 		"clients that leave at once": func(_ *testing.T, p *Proxy, _ *Config, addr string) {
 			if c, err := net.Dial("tcp", addr); err == nil {
 				io.WriteString(c, request("get", 300))
@@ -76,7 +76,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
-			t.Run("life", func(t *testing.T) {
+			t.Run("run", func(t *testing.T) {
 				b := standin.NewBackend(t, func(c *standin.Call) {
 					if c.N%3 == 0 {
 						c.Hang()
@@ -102,10 +102,10 @@
 				done := make(chan error, 1)
 				go func() { done <- p.Run(ctx) }()
 				eventually(t, "ready", p.Ready)
-				open := make([]net.Conn, 4)
-				for i := range open { // accepted before the shutdown
-					open[i] = dialProxy(t, p)
-					io.WriteString(open[i], request("pay", 60_000))
+				accepted := make([]net.Conn, 4)
+				for i := range accepted { // accepted before the shutdown
+					accepted[i] = dialProxy(t, p)
+					io.WriteString(accepted[i], request("pay", 60_000))
 				}
 				eventually(t, "accepted requests", func() bool {
 					return p.stats.openRequests.Load()+p.stats.requestsEnded(fulfilled)+p.stats.requestsEnded(throttled)+p.stats.requestsEnded(faulted) >= 4
@@ -126,7 +126,7 @@
 					})
 				}
 				cancel()
-				for i, c := range open {
+				for i, c := range accepted {
 					if _, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil {
 						t.Errorf("request %d: %v", i, err)
 					}
--- a/proxy/state_test.go
+++ b/proxy/state_test.go
@@ -30,13 +30,13 @@
 		t.Errorf("%d processes alone", n)
 	}
 	b := openTestState(t, dir)
-	other, err := openSharedState(dir, "127.0.0.1:3001")
+	otherProxy, err := openSharedState(dir, "127.0.0.1:3001")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer other.close()
-	if a.processCount() != 2 || b.processCount() != 2 || other.processCount() != 1 {
-		t.Errorf("%d, %d, %d processes", a.processCount(), b.processCount(), other.processCount())
+	defer otherProxy.close()
+	if a.processCount() != 2 || b.processCount() != 2 || otherProxy.processCount() != 1 {
+		t.Errorf("%d, %d, %d processes", a.processCount(), b.processCount(), otherProxy.processCount())
 	}
 	a.lockFile.Close()
 	if n := b.processCount(); n != 1 {
