--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -162,43 +162,43 @@
 // it is new with each start.
 func (o *Config) LogicSettings(seed uint64) (logic.Settings, error) {
 	set := logic.Settings{
-		Seed:      seed,
-		Zone:      o.Zone,
-		Zones:     o.Zones,
-		Tier:      o.Tier,
-		Balancers: o.Balancers,
-		Me:        o.BalancerIndex,
-		Uneven:    o.Topology == TopologyMesh,
-		Cancel:    o.Limits.Cancel && o.Topology == TopologyMesh,
+		Seed:            seed,
+		Zone:            o.Zone,
+		Zones:           o.Zones,
+		Tier:            o.Tier,
+		BalancerCount:   o.Balancers,
+		BalancerIndex:   o.BalancerIndex,
+		UnevenTraffic:   o.Topology == TopologyMesh,
+		CancelAbandoned: o.Limits.Cancel && o.Topology == TopologyMesh,
 		// By worth, the worst-served class is always the same one; where it weighs this much, it must not be.
-		EvenClasses: o.Goal.WorstClass > 0 && o.Goal.WorstClass >= o.Goal.Overall/2,
-		MaxAttempts: o.Limits.MaxAttempts,
-		Grace:       span(o.Rules.DrainGraceMs),
-		ColdShare:   o.Rules.SlowStartInitialShare,
-		WarmWithin:  span(o.Rules.WarmUpMs),
+		EqualClasses:          o.Goal.WorstClass > 0 && o.Goal.WorstClass >= o.Goal.Overall/2,
+		MaxAttempts:           o.Limits.MaxAttempts,
+		DrainGrace:            span(o.Rules.DrainGraceMs),
+		InitialWarmUpFraction: o.Rules.SlowStartInitialShare,
+		WarmUpTime:            span(o.Rules.WarmUpMs),
 	}
 	if o.Limits.RetryAfter {
-		set.MaxComeBack = span(o.Limits.MaxRetryAfterMs)
+		set.MaxRetryAfter = span(o.Limits.MaxRetryAfterMs)
 	}
-	repeats := map[string]logic.Repeat{"free": logic.Safe, "guarded": logic.Keyed, "single_shot": logic.Unsafe}
-	scopes := map[string]logic.Scope{"all": logic.ScopeAll, "zone": logic.ScopeZone, "cell": logic.ScopeCell}
+	repeats := map[string]logic.Idempotency{"free": logic.Idempotent, "guarded": logic.Deduplicated, "single_shot": logic.NonIdempotent}
+	scopes := map[string]logic.DedupScope{"all": logic.ScopeAll, "zone": logic.ScopeZone, "cell": logic.ScopeCell}
 	for _, c := range o.Classes {
 		repeat, ok := repeats[c.Idempotency]
 		if !ok {
 			return set, fmt.Errorf("classes: %q: idempotency: unknown %q", c.Name, c.Idempotency)
 		}
 		scope, ok := scopes[c.DedupScope]
-		if !ok && repeat == logic.Keyed {
+		if !ok && repeat == logic.Deduplicated {
 			return set, fmt.Errorf("classes: %q: group: unknown %q", c.Name, c.DedupScope)
 		}
 		set.Classes = append(set.Classes, logic.Class{
-			Name:     c.Name,
-			Aim:      span(cmp.Or(c.TargetLatencyMs, c.ClientTimeoutMs)), // without an aim any answer in time will do
-			Deadline: span(c.ClientTimeoutMs),
-			Worth:    c.Value,
-			Repeat:   repeat,
-			Scope:    scope,
-			Memory:   span(c.DedupWindowMs),
+			Name:          c.Name,
+			TargetLatency: span(cmp.Or(c.TargetLatencyMs, c.ClientTimeoutMs)), // without an aim any answer in time will do
+			Deadline:      span(c.ClientTimeoutMs),
+			Value:         c.Value,
+			Idempotency:   repeat,
+			DedupScope:    scope,
+			DedupWindow:   span(c.DedupWindowMs),
 		})
 	}
 	return set, nil
--- a/logic/outlier.go
+++ b/logic/outlier.go
@@ -1,89 +1,96 @@
-// Outlier ejection, and the trial calls that end it.
+// Outlier ejection, and the half-open probes that end it.
 
 package logic
 
 import "time"
 
 const (
-	ejectShare    = 0.3  // the failure share from which a backend is ejected
-	ejectFactor   = 2.0  // on top of this multiple of all backends': deaf to what all share
-	failureWeight = 0.2  // of one outcome
-	failingWeight = 0.02 // of one outcome in shares of all: chance apart from trouble
-	ejectMost     = 0.5  // never eject more than this share of the backends
-	ejectPatience = 0.5  // the first ejection, as a share of the longest deadline
-	ejectGrowth   = 3    // doublings by failed trials
+	ejectionThreshold = 0.3 // failure share from which a backend is ejected
+	// Multiple of the overall failure share that is added to it: ignores failures common to all backends.
+	ejectionFactor       = 2.0
+	failureWeight        = 0.2  // of one outcome in a backend's failure share
+	overallFailureWeight = 0.02 // of one outcome in overall shares: low, to tell chance from trouble
+	maxEjectedShare      = 0.5  // maximum share of backends ejected
+	baseEjectionShare    = 0.5  // base ejection time, as a share of the longest deadline
+	maxEjectionDoublings = 3    // maximum number of doublings by failed probes
 
-	fullPause = 0.5 // mean latencies of the class that a full backend is left alone
+	rejectionPause = 0.5 // mean latencies of the class for which a backend that rejected a call is not used
 )
 
-// dueTrial finds an ejected backend whose trial call is due. It may fail, so it is made with a request that
-// can be tried again, and with another when overdue: else, where allowances are long, none would be.
-func (b *Balancer) dueTrial(now Time, q *request) *backend {
+// dueProbe finds an ejected backend whose probe is due. A probe may fail, so it uses a request that can
+// be retried; once overdue, any request, since with long attempt timeouts no retryable one may come.
+func (b *Balancer) dueProbe(now Time, q *request) *backend {
 	c, due := &b.classes[q.Class], now
-	if c.Repeat == Unsafe || 2*c.allowance > float64(q.available(now)) {
-		due -= b.patience
+	if c.Idempotency == NonIdempotent || 2*c.attemptTimeout > float64(q.timeLeft(now)) {
+		due -= b.baseEjectionTime
 	}
-	b.tally(now, &b.all) // so that the ejected ones are those of now
-	for _, m := range b.all.ejected {
-		first := len(q.attempts) == 0 && m.ejected > 0 && !m.trialOut
-		if first && due >= m.trialAt && now >= m.paused && b.allowed(now, q, m) {
+	b.totals(now, &b.listedSummary) // updates the list of ejected backends
+	for _, m := range b.listedSummary.ejected {
+		first := len(q.attempts) == 0 && m.ejections > 0 && !m.probeInFlight
+		if first && due >= m.probeAt && now >= m.pausedUntil && b.allowed(now, q, m) {
 			return m
 		}
 	}
 	return nil
 }
 
-// judge keeps failure shares and ejects outliers, a departure: one that fails fast would draw the most.
-func (b *Balancer) judge(now Time, a *attempt, c *class, r Result) {
-	m, failed := a.to, r != OK
-	m.trialOut = m.trialOut && !a.trial
-	if r == Full || r == Late && a.trial {
-		m.paused = now + b.jitter(time.Duration(fullPause*c.cost)) // else it looks idle; it may drain
+// updateEjection updates failure shares and ejects outliers: a backend that fails fast would otherwise
+// attract the most calls.
+func (b *Balancer) updateEjection(now Time, a *attempt, c *class, r Result) {
+	m, failed := a.backend, r != OK
+	m.probeInFlight = m.probeInFlight && !a.probe
+	if r == Rejected || r == ConnectPending && a.probe {
+		// Otherwise it looks idle; it may be draining.
+		m.pausedUntil = now + b.jitter(time.Duration(rejectionPause*c.meanLatency))
 	}
-	if r == Full || r == Cancelled || r == NeverSent || r == Late {
+	if r == Rejected || r == Cancelled || r == NotSent || r == ConnectPending {
 		return
 	}
-	m.failures += failureWeight * (one(failed) - m.failures)
-	b.failing += failingWeight * one(r != NoConnect) * (one(failed) - b.failing) // no chance makes that
+	m.failureShare += failureWeight * (oneIf(failed) - m.failureShare)
+	// Refused connections don't count: they are no chance failures.
+	b.failureShare += overallFailureWeight * oneIf(r != ConnectFailed) * (oneIf(failed) - b.failureShare)
 	switch {
-	case a.trial && !failed:
-		b.observe(m, InUse)
-		m.ejected, m.failures = 0, 0
-		b.version++
-	case a.trial && m.ejected > 0, !a.trial && failed && m.ejected == 0 && b.outlier(now, m):
+	case a.probe && !failed:
+		b.reportStatus(m, InUse)
+		m.ejections, m.failureShare = 0, 0
+		b.summaryVersion++
+	case a.probe && m.ejections > 0, !a.probe && failed && m.ejections == 0 && b.isOutlier(now, m):
 		b.eject(now, m)
 	}
 }
 
-// Unreached takes that a connection to a backend which was late has not come up at all. A trial of an
-// ejected one has failed with it.
-func (b *Balancer) Unreached(now Time, id string) {
+// ConnectAttemptFailed records that a connection reported as ConnectPending was not established. If the
+// backend is ejected, its probe has failed.
+func (b *Balancer) ConnectAttemptFailed(now Time, id string) {
 	m := b.backends[id]
 	if m != nil {
-		m.presence.missed(now, NoConnect)
+		m.liveness.recordFailure(now, ConnectFailed)
 	}
-	if m != nil && m.ejected > 0 {
+	if m != nil && m.ejections > 0 {
 		b.eject(now, m)
 	} else if m != nil {
-		b.judge(now, &attempt{to: m}, nil, NoConnect)
+		b.updateEjection(now, &attempt{backend: m}, nil, ConnectFailed)
 	}
 }
 
-// observe tells of a backend's standing, if it is another than it was.
-func (b *Balancer) observe(m *backend, s Standing) {
-	if b.observer != nil && (m.ejected > 0) != (s == Ejected) {
-		b.observer.Stands(m.ID, s, m.failures)
+// reportStatus notifies the observer if the backend's status has changed.
+func (b *Balancer) reportStatus(m *backend, s BackendStatus) {
+	if b.observer != nil && (m.ejections > 0) != (s == Ejected) {
+		b.observer.BackendStatusChanged(m.ID, s, m.failureShare)
 	}
 }
 
 func (b *Balancer) eject(now Time, m *backend) {
-	b.observe(m, Ejected)
-	m.trialAt, m.ejected = now+b.jitter(b.patience<<min(m.ejected, ejectGrowth)), m.ejected+1
-	b.version++
+	b.reportStatus(m, Ejected)
+	m.probeAt, m.ejections = now+b.jitter(b.baseEjectionTime<<min(m.ejections, maxEjectionDoublings)),
+		m.ejections+1
+	b.summaryVersion++
 }
 
-// outlier tells whether m fails more than chance makes of what all share: a few in a hundred may anywhere.
-func (b *Balancer) outlier(now Time, m *backend) bool {
-	peers := b.tally(now, &b.all).count - 1
-	return peers >= (1-ejectMost)*float64(len(b.listed)) && m.failures > ejectShare+ejectFactor*b.failing
+// isOutlier reports whether m fails more often than chance and the failures common to all explain: a few
+// failures in a hundred calls occur on any backend.
+func (b *Balancer) isOutlier(now Time, m *backend) bool {
+	peers := b.totals(now, &b.listedSummary).backendCount - 1
+	return peers >= (1-maxEjectedShare)*float64(len(b.listed)) &&
+		m.failureShare > ejectionThreshold+ejectionFactor*b.failureShare
 }
--- a/proxy/connect_test.go
+++ b/proxy/connect_test.go
@@ -66,20 +66,20 @@
 		served bool // by the other backend
 	}{
 		{"drained", func(t *testing.T, p *Proxy, old, _ string) {
-			p.applyList(t, standin.List(2, false, standin.TargetIn("terminating", "s-1", old)))
+			p.applyList(t, standin.ListJSON(2, false, standin.TargetJSONInState("terminating", "s-1", old)))
 		}, false},
 		{"gone", func(t *testing.T, p *Proxy, _, _ string) {
-			p.applyList(t, standin.List(2, false, standin.TargetIn("terminated", "s-1", "")))
+			p.applyList(t, standin.ListJSON(2, false, standin.TargetJSONInState("terminated", "s-1", "")))
 		}, false},
 		{"missing from a complete list with another backend", func(t *testing.T, p *Proxy, _, other string) {
-			p.applyList(t, standin.List(2, true, standin.Target("s-2", other)))
+			p.applyList(t, standin.ListJSON(2, true, standin.TargetJSON("s-2", other)))
 		}, true},
 		{"moved", func(t *testing.T, p *Proxy, _, other string) {
-			p.applyList(t, standin.List(2, false, standin.Target("s-1", other)))
+			p.applyList(t, standin.ListJSON(2, false, standin.TargetJSON("s-1", other)))
 		}, true},
 		{"restarted", func(t *testing.T, p *Proxy, old, other string) {
-			again := strings.Replace(standin.Target("s-1", old), `"boot_ms":0`, fmt.Sprintf(`"boot_ms":%d`, time.Now().UnixMilli()), 1)
-			p.applyList(t, standin.List(2, false, again, standin.Target("s-2", other)))
+			again := strings.Replace(standin.TargetJSON("s-1", old), `"boot_ms":0`, fmt.Sprintf(`"boot_ms":%d`, time.Now().UnixMilli()), 1)
+			p.applyList(t, standin.ListJSON(2, false, again, standin.TargetJSON("s-2", other)))
 		}, true},
 		{"detached", func(t *testing.T, p *Proxy, _, _ string) { p.driver.setDetached("s-1", true) }, false},
 		{"the list is stale", func(t *testing.T, p *Proxy, _, _ string) {
@@ -89,7 +89,7 @@
 		for _, class := range []string{"get", "pay"} {
 			t.Run(c.name+" "+class, func(t *testing.T) {
 				old, other := standin.NewBackend(t, standin.Echo), standin.NewBackend(t, standin.Echo)
-				p := listenProxy(t, standin.List(1, true, standin.Target("s-1", old.Addr())), "127.0.0.1:1")
+				p := listenProxy(t, standin.ListJSON(1, true, standin.TargetJSON("s-1", old.Addr())), "127.0.0.1:1")
 				p.cfg.Grace = time.Millisecond // keeps the drain short
 				d := holdDials(p)
 				defer startProxy(t, p)()
@@ -103,12 +103,12 @@
 				close(d.release)
 				resp, body := mustReadResponse(t, cl)
 				switch {
-				case c.served && (resp.StatusCode != http.StatusOK || other.Calls() != 1):
-					t.Errorf("got %d %q, and the other backend got %d requests", resp.StatusCode, body, other.Calls())
+				case c.served && (resp.StatusCode != http.StatusOK || other.RequestCount() != 1):
+					t.Errorf("got %d %q, and the other backend got %d requests", resp.StatusCode, body, other.RequestCount())
 				case !c.served && (resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") == ""):
 					t.Errorf("got %d %v, want 503 with Retry-After", resp.StatusCode, resp.Header)
 				}
-				if n := old.Calls(); n > 0 {
+				if n := old.RequestCount(); n > 0 {
 					t.Errorf("the backend got %d requests after that", n)
 				}
 			})
@@ -130,7 +130,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b := standin.NewBackend(t, standin.Echo)
-			p := listenProxy(t, standin.List(1, true, standin.Target("s-1", b.Addr())), "127.0.0.1:1")
+			p := listenProxy(t, standin.ListJSON(1, true, standin.TargetJSON("s-1", b.Addr())), "127.0.0.1:1")
 			p.cfg.Grace = time.Millisecond // keeps the drain short
 			d := holdDials(p)
 			defer startProxy(t, p)()
@@ -146,8 +146,8 @@
 				return len(p.driver.requests) == 0
 			})
 			close(d.release)
-			if opened, _ := b.Conns(); opened > 0 || b.Calls() > 0 {
-				t.Errorf("%d connections and %d requests after the client left", opened, b.Calls())
+			if opened, _ := b.ConnCounts(); opened > 0 || b.RequestCount() > 0 {
+				t.Errorf("%d connections and %d requests after the client left", opened, b.RequestCount())
 			}
 		})
 	}
@@ -157,7 +157,7 @@
 // backend. A client that only closed its own side gets a response.
 func TestClientGoneBefore(t *testing.T) {
 	b := standin.NewBackend(t, standin.Echo)
-	p := listenProxy(t, standin.List(1, true, standin.Target("s-1", b.Addr())), "127.0.0.1:1")
+	p := listenProxy(t, standin.ListJSON(1, true, standin.TargetJSON("s-1", b.Addr())), "127.0.0.1:1")
 	p.cfg.Grace = time.Millisecond
 	closed, halfClosed := dialProxy(t, p), dialProxy(t, p)
 	for _, c := range []net.Conn{closed, halfClosed} { // not accepted yet
@@ -170,7 +170,7 @@
 		t.Errorf("got %d", resp.StatusCode)
 	}
 	eventually(t, "the end of both requests", func() bool { return p.stats.clientsGone.Load() == 2 })
-	if n := b.Calls(); n > 0 {
+	if n := b.RequestCount(); n > 0 {
 		t.Errorf("%d requests of clients that had left", n)
 	}
 }
@@ -180,7 +180,7 @@
 func TestClientGoneBehindUnreadBody(t *testing.T) {
 	const size = http1.MaxBufferedBodyBytes + 1 // more than is read at once, less than the socket buffers hold
 	b := standin.NewBackend(t, standin.Echo)
-	p := listenProxy(t, standin.List(1, true, standin.Target("s-1", b.Addr())), "127.0.0.1:1")
+	p := listenProxy(t, standin.ListJSON(1, true, standin.TargetJSON("s-1", b.Addr())), "127.0.0.1:1")
 	p.cfg.Grace = time.Millisecond
 	d := holdDials(p)
 	defer startProxy(t, p)()
@@ -191,7 +191,7 @@
 	cl.Close()
 	close(d.release)
 	eventually(t, "the end of the request", func() bool { return p.stats.clientsGone.Load() == 1 })
-	if n := b.Calls(); n > 0 {
+	if n := b.RequestCount(); n > 0 {
 		t.Errorf("%d requests after the client left", n)
 	}
 }
@@ -211,7 +211,7 @@
 // it.
 func TestRequestIDReusableAfterResponse(t *testing.T) {
 	b := standin.NewBackend(t, standin.Echo)
-	p := listenProxy(t, standin.List(1, true, standin.Target("s-1", b.Addr())), "127.0.0.1:1")
+	p := listenProxy(t, standin.ListJSON(1, true, standin.TargetJSON("s-1", b.Addr())), "127.0.0.1:1")
 	p.cfg.Grace = time.Millisecond
 	defer startProxy(t, p)()
 	for _, detached := range []bool{false, true} {
--- a/proxy/drain_test.go
+++ b/proxy/drain_test.go
@@ -39,7 +39,7 @@
 	defer goleak.VerifyNone(t)
 	t.Run("drain", func(t *testing.T) {
 		b := standin.NewBackend(t, (*standin.Call).Hang)
-		p := listenProxy(t, standin.List(1, true, standin.Target("s-1", b.Addr())), "127.0.0.1:1")
+		p := listenProxy(t, standin.ListJSON(1, true, standin.TargetJSON("s-1", b.Addr())), "127.0.0.1:1")
 		p.cfg.Grace, p.longestDeadline, p.shortestDeadline = time.Millisecond, time.Minute, 300*time.Millisecond
 		p.finalWriteTime = 20 * time.Second // independent of the machine's speed
 		ctx, cancel := context.WithCancel(context.Background())
@@ -53,7 +53,7 @@
 			return c
 		}
 		clients := []net.Conn{send(1, "get"), send(2, "pay")}
-		eventually(t, "two attempts", func() bool { return b.Calls() == 2 })
+		eventually(t, "two attempts", func() bool { return b.RequestCount() == 2 })
 		p.descriptors.mu.Lock()
 		p.descriptors.limit = 4 // two clients and two backend connections
 		p.descriptors.mu.Unlock()
@@ -84,7 +84,7 @@
 
 // A proxy that is told to end before it listens does not start.
 func TestShutdownBeforeListen(t *testing.T) {
-	p := listenProxy(t, standin.List(1, true), "127.0.0.1:1")
+	p := listenProxy(t, standin.ListJSON(1, true), "127.0.0.1:1")
 	p.listener.Close()
 	p.shared.close()
 	p.listener = nil
@@ -129,11 +129,11 @@
 // A request in backoff when the process shuts down is answered at once, and no attempt
 // follows.
 func TestShutdownDuringBackoff(t *testing.T) {
-	list := standin.List(1, true, standin.Target("s-1", "127.0.0.1:1"), standin.Target("s-2", "127.0.0.1:2"))
+	list := standin.ListJSON(1, true, standin.TargetJSON("s-1", "127.0.0.1:1"), standin.TargetJSON("s-2", "127.0.0.1:2"))
 	p := listenProxy(t, list, "127.0.0.1:1")
 	defer p.listener.Close()
 	r := p.driver.arrive("1", 0, time.Hour, false, false)
-	p.driver.done(r, <-r.steps, logic.NoConnect, false, false)
+	p.driver.done(r, <-r.steps, logic.ConnectFailed, false, false)
 	if r.backoffTimer == nil || len(r.steps) > 0 {
 		t.Fatal("no backoff")
 	}
@@ -153,8 +153,8 @@
 // rest arrives in time, both if it is buffered and if it is streamed.
 func TestDrainDuringRequestBody(t *testing.T) {
 	for _, size := range []int{1000, 2 * http1.MaxBufferedBodyBytes} {
-		b := standin.NewBackend(t, func(c *standin.Call) { c.Reply(200, fmt.Sprint(len(c.Text))) })
-		p := listenProxy(t, standin.List(1, true, standin.Target("s-1", b.Addr())), "127.0.0.1:1")
+		b := standin.NewBackend(t, func(c *standin.Call) { c.Reply(200, fmt.Sprint(len(c.BodyText))) })
+		p := listenProxy(t, standin.ListJSON(1, true, standin.TargetJSON("s-1", b.Addr())), "127.0.0.1:1")
 		p.cfg.Grace, p.longestDeadline, p.finalWriteTime = time.Millisecond, time.Minute, 20*time.Second // ample on any machine
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan error, 1)
--- a/proxy/driver.go
+++ b/proxy/driver.go
@@ -55,9 +55,9 @@
 // activeRequest is a request that the balancing logic has not finished.
 type activeRequest struct {
 	id           string
-	clientID     string       // id given by the client
-	idempotency  logic.Repeat // the effect of running it twice
-	mayHaveRun   bool         // an attempt may have run
+	clientID     string            // id given by the client
+	idempotency  logic.Idempotency // the effect of running it twice
+	mayHaveRun   bool              // an attempt may have run
 	attempts     int
 	cancel       func()     // cancels the latest attempt
 	writeStarted bool       // the latest attempt is being written or has been
@@ -151,9 +151,9 @@
 		// theirs.
 		d.lastID++
 		r = &activeRequest{id: strconv.FormatUint(d.lastID, 36), clientID: clientID, steps: make(chan step, 2)}
-		r.idempotency = d.classes[class].Repeat
+		r.idempotency = d.classes[class].Idempotency
 		d.requests[r.id] = r
-		d.balancer.Arrive(now, logic.Request{ID: r.id, Class: class, Budget: budget, Retry: retry, Long: streamed})
+		d.balancer.StartRequest(now, logic.Request{ID: r.id, Class: class, Budget: budget, ClientRetry: retry, Streamed: streamed})
 	})
 	return r
 }
@@ -164,7 +164,7 @@
 	d.withBalancer(func(now logic.Time) {
 		// A backend with a new address is another machine, whatever the balancing logic
 		// knows of it.
-		proceed = d.backends[s.uid].Backend == s.backend && d.balancer.Connected(now, r.id)
+		proceed = d.backends[s.uid].Backend == s.backend && d.balancer.MaySendOnConnect(now, r.id)
 		proceed = proceed && d.checkStart(r) && d.checkSend(r, s) && !s.withheld
 		r.writeStarted = proceed
 		if proceed && d.listFreshUntil != 0 {
@@ -176,7 +176,7 @@
 
 // written reports that the attempt of a streamed request has been written completely.
 func (d *driver) written(r *activeRequest) {
-	d.withBalancer(func(now logic.Time) { d.balancer.Written(now, r.id) })
+	d.withBalancer(func(now logic.Time) { d.balancer.RequestWritten(now, r.id) })
 }
 
 // done reports the result of an attempt, and whether the request body has been consumed,
@@ -188,13 +188,13 @@
 		d.current = r
 		defer func() { d.current = nil }()
 		r.mayHaveRun = r.mayHaveRun || mayHaveRun(result)
-		d.balancer.Done(now, logic.Outcome{
-			Request: r.id,
-			Attempt: s.attempt,
-			Result:  result,
-			Latency: now - d.clock.at(s.sentAt),
-			Final:   final,
-			Spent:   consumed,
+		d.balancer.AttemptDone(now, logic.Outcome{
+			Request:       r.id,
+			Attempt:       s.attempt,
+			Result:        result,
+			Latency:       now - d.clock.at(s.sentAt),
+			Final:         final,
+			NotReplayable: consumed,
 		})
 	})
 	if staleBy > 0 {
@@ -211,7 +211,7 @@
 	d.withBalancer(func(now logic.Time) {
 		for uid, entry := range d.backends {
 			if entry.Backend == b {
-				d.balancer.Unreached(now, uid)
+				d.balancer.ConnectAttemptFailed(now, uid)
 			}
 		}
 	})
@@ -220,7 +220,7 @@
 // mayHaveRun reports whether an attempt with this result may have run at the backend.
 func mayHaveRun(result logic.Result) bool {
 	switch result {
-	case logic.Full, logic.NoConnect, logic.NeverSent, logic.Late:
+	case logic.Rejected, logic.ConnectFailed, logic.NotSent, logic.ConnectPending:
 		return false
 	}
 	return true
@@ -251,7 +251,7 @@
 			return
 		}
 		r.clientLeft = true
-		d.balancer.Gone(now, r.id)
+		d.balancer.ClientGone(now, r.id)
 		if r.cancel != nil && !r.writeStarted {
 			r.cancel()
 		}
@@ -261,7 +261,7 @@
 
 // wake reports the end of a delay that the balancing logic asked for.
 func (d *driver) wake(token uint64) {
-	d.withBalancer(func(now logic.Time) { d.balancer.Wake(now, token) })
+	d.withBalancer(func(now logic.Time) { d.balancer.TimerFired(now, token) })
 }
 
 // endAll ends each open request because the proxy shuts down: each gets its response from
@@ -269,7 +269,7 @@
 func (d *driver) endAll() {
 	d.withBalancer(func(logic.Time) {
 		for id, r := range d.requests {
-			d.balancer.End(id)
+			d.balancer.AbandonRequest(id)
 			if r.cancel != nil {
 				r.cancel()
 			}
@@ -310,8 +310,8 @@
 			} else {
 				d.updateBackend(now, t, l.PreviousConfirmedAt)
 			}
-			entry := logic.Backend{ID: t.UID, Zone: t.Zone, Cell: t.Cell, Size: t.CapacityHint, State: balancerStates[t.State]}
-			entry.Started = d.backends[t.UID].started
+			entry := logic.Backend{ID: t.UID, Zone: t.Zone, Cell: t.Cell, Capacity: t.CapacityHint, State: balancerStates[t.State]}
+			entry.StartedAt = d.backends[t.UID].started
 			entries = append(entries, entry)
 			listed[t.UID] = true
 		}
@@ -320,7 +320,7 @@
 				d.removeBackend(uid)
 			}
 		}
-		d.balancer.List(now, l.Complete, entries)
+		d.balancer.UpdateList(now, l.Complete, entries)
 	})
 }
 
@@ -357,18 +357,18 @@
 
 // setListFreshness reports how long the list may be used.
 func (d *driver) setListFreshness(f discovery.Freshness) {
-	freshness := logic.ListFresh{
-		Until:        d.clock.at(f.Until),
-		UntilServing: d.clock.at(f.UntilIfServing),
-		Serving:      f.ServingWindow,
-		Known:        d.clock.atOrZero(f.ConfirmedAt),
-		Told:         d.clock.atOrZero(f.ReceivedAt),
-		TellsLate:    f.MayAnnounceLate,
-		Gap:          discovery.MaxUnobservedGap,
+	freshness := logic.ListFreshness{
+		FreshUntil:     d.clock.at(f.Until),
+		StaleUntil:     d.clock.at(f.UntilIfServing),
+		EvidenceWindow: f.ServingWindow,
+		ConfirmedAt:    d.clock.atOrZero(f.ConfirmedAt),
+		ReceivedAt:     d.clock.atOrZero(f.ReceivedAt),
+		ChangesMayLag:  f.MayAnnounceLate,
+		MaxUnobserved:  discovery.MaxUnobservedGap,
 	}
 	d.withBalancer(func(logic.Time) {
-		d.listFreshUntil = freshness.Until
-		d.balancer.ListFresh(freshness)
+		d.listFreshUntil = freshness.FreshUntil
+		d.balancer.SetListFreshness(freshness)
 	})
 }
 
@@ -391,13 +391,13 @@
 
 // backendCounts returns how many backends the list has, and how many of them are avoided.
 func (d *driver) backendCounts() (listed, avoided int) {
-	d.withBalancer(func(now logic.Time) { listed, avoided = len(d.backends), d.balancer.Avoided(now) })
+	d.withBalancer(func(now logic.Time) { listed, avoided = len(d.backends), d.balancer.OutOfRotation(now) })
 	return listed, avoided
 }
 
 // knows reports whether a backend is listed or detached.
 func (d *driver) knows(id string) (known bool) {
-	d.withBalancer(func(logic.Time) { known = d.balancer.Knows(id) })
+	d.withBalancer(func(logic.Time) { known = d.balancer.IsKnown(id) })
 	return known
 }
 
--- a/proxy/guard.go
+++ b/proxy/guard.go
@@ -96,7 +96,7 @@
 
 // checkRetry reports whether another attempt may be made. The caller holds mu.
 func (d *driver) checkRetry(r *activeRequest) bool {
-	if r.mayHaveRun && r.idempotency == logic.Unsafe {
+	if r.mayHaveRun && r.idempotency == logic.NonIdempotent {
 		d.violations.record(guardRetry, r.clientID, fmt.Sprintf("attempt %d of a non-idempotent request that may have run", r.attempts))
 		return false
 	}
--- a/proxy/guard_test.go
+++ b/proxy/guard_test.go
@@ -30,13 +30,13 @@
 		{"none", guardCount, func(*driver) {}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			p := listenProxy(t, standin.List(1, true, standin.Target("s-1", b.Addr())), "127.0.0.1:1")
+			p := listenProxy(t, standin.ListJSON(1, true, standin.TargetJSON("s-1", b.Addr())), "127.0.0.1:1")
 			p.cfg.Grace = time.Millisecond
 			defer startProxy(t, p)()
 			p.driver.mu.Lock()
 			c.plant(p.driver)
 			p.driver.mu.Unlock()
-			before := b.Calls()
+			before := b.RequestCount()
 			code, _ := sendRequest(t, dialProxy(t, p), "get", 2000)
 			for g := range guardCount {
 				if n := p.driver.violations.counts[g].Load(); (n > 0) != (g == c.guard) {
@@ -44,7 +44,7 @@
 				}
 			}
 			stopped := c.guard < guardCount
-			if sent := b.Calls() > before; sent == stopped || (code == http.StatusOK) == stopped {
+			if sent := b.RequestCount() > before; sent == stopped || (code == http.StatusOK) == stopped {
 				t.Errorf("answered %d, sent %t", code, sent)
 			}
 			if info := (adminTarget{p}).Info(); !strings.Contains(info, `balancer_invariant_violations{guard="send"}`) {
@@ -56,7 +56,7 @@
 
 // The other guards, each with a step that must not be taken and one that may.
 func TestGuardsOfARequest(t *testing.T) {
-	p := listenProxy(t, standin.List(1, true), "127.0.0.1:1")
+	p := listenProxy(t, standin.ListJSON(1, true), "127.0.0.1:1")
 	defer p.listener.Close()
 	defer p.shared.close()
 	d := p.driver
@@ -70,10 +70,10 @@
 		t.Error("a request that was answered, or whose client left, may start")
 	}
 	for _, c := range []struct {
-		repeat logic.Repeat
+		repeat logic.Idempotency
 		ran    bool
 		may    bool
-	}{{logic.Unsafe, true, false}, {logic.Unsafe, false, true}, {logic.Safe, true, true}, {logic.Keyed, true, true}} {
+	}{{logic.NonIdempotent, true, false}, {logic.NonIdempotent, false, true}, {logic.Idempotent, true, true}, {logic.Deduplicated, true, true}} {
 		if d.checkRetry(&activeRequest{idempotency: c.repeat, mayHaveRun: c.ran}) != c.may {
 			t.Errorf("idempotency %v, may have run %t: retry allowed %t", c.repeat, c.ran, !c.may)
 		}
--- a/proxy/linger_test.go
+++ b/proxy/linger_test.go
@@ -133,7 +133,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b := standin.NewBackend(t, standin.Echo)
-			list := standin.List(1, true, standin.Target("s-1", b.Addr()))
+			list := standin.ListJSON(1, true, standin.TargetJSON("s-1", b.Addr()))
 			p := listenProxy(t, list, "127.0.0.1:1")
 			defer p.listener.Close()
 			c.before(p)
@@ -164,7 +164,7 @@
 			}
 			nc.Close()
 			<-ended
-			if n := b.Calls(); n != calls {
+			if n := b.RequestCount(); n != calls {
 				t.Errorf("%d requests at the backend, want %d", n, calls)
 			}
 			for _, b := range p.driver.allBackends() {
@@ -179,7 +179,7 @@
 func TestLingeringCloseAfterLongResponse(t *testing.T) {
 	body := strings.Repeat("x", 60<<10)
 	b := standin.NewBackend(t, func(c *standin.Call) { c.Reply(200, body) })
-	p := listenProxy(t, standin.List(1, true, standin.Target("s-1", b.Addr())), "127.0.0.1:1")
+	p := listenProxy(t, standin.ListJSON(1, true, standin.TargetJSON("s-1", b.Addr())), "127.0.0.1:1")
 	defer p.listener.Close()
 	p.clients.lingerTimeout = time.Hour
 	nc, _, ended := serveHooked(t, p, "\r\n")
@@ -204,10 +204,10 @@
 // close would mean a complete response.
 func TestTruncatedResponseIsReset(t *testing.T) {
 	b := standin.NewBackend(t, func(c *standin.Call) {
-		c.Raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n20000\r\n" + strings.Repeat("x", 0x20000) + "\r\n")
+		c.WriteRaw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n20000\r\n" + strings.Repeat("x", 0x20000) + "\r\n")
 		c.Reset()
 	})
-	p := listenProxy(t, standin.List(1, true, standin.Target("s-1", b.Addr())), "127.0.0.1:1")
+	p := listenProxy(t, standin.ListJSON(1, true, standin.TargetJSON("s-1", b.Addr())), "127.0.0.1:1")
 	defer p.listener.Close()
 	nc, conn, ended := serveHooked(t, p, "")
 	io.WriteString(nc, strings.Replace(requestText("get", 2000), "HTTP/1.1", "HTTP/1.0", 1))
@@ -229,11 +229,11 @@
 	first, rest := make(chan bool), make(chan bool)
 	b := standin.NewBackend(t, func(c *standin.Call) {
 		<-first
-		c.Raw("HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + strings.Repeat("x", 100_000))
+		c.WriteRaw("HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + strings.Repeat("x", 100_000))
 		<-rest
-		c.Raw(strings.Repeat("x", 100_000))
+		c.WriteRaw(strings.Repeat("x", 100_000))
 	})
-	p := listenProxy(t, standin.List(1, true, standin.Target("s-1", b.Addr())), "127.0.0.1:1")
+	p := listenProxy(t, standin.ListJSON(1, true, standin.TargetJSON("s-1", b.Addr())), "127.0.0.1:1")
 	defer p.listener.Close()
 	nc, _, ended := serveHooked(t, p, requestText("get", 2000))
 	addUsed := func(by int) {
@@ -241,7 +241,7 @@
 		p.descriptors.used += by
 		p.descriptors.mu.Unlock()
 	}
-	oneAttempt := func() bool { return b.Calls() == 1 }
+	oneAttempt := func() bool { return b.RequestCount() == 1 }
 	io.WriteString(nc, requestText("get", 2000))
 	eventually(t, "the attempt", oneAttempt)
 	addUsed(1000)
@@ -278,7 +278,7 @@
 		{"flood", time.Hour, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			p := listenProxy(t, standin.List(1, true), "127.0.0.1:1")
+			p := listenProxy(t, standin.ListJSON(1, true), "127.0.0.1:1")
 			defer p.listener.Close()
 			p.clients.lingerTimeout = c.limit
 			nc, _, ended := serveHooked(t, p, "")
@@ -308,7 +308,7 @@
 // Lingering connections are closed when descriptors are short, so that clients that do
 // not close keep no others out.
 func TestLingeringEndsWhenDescriptorsAreShort(t *testing.T) {
-	p := listenProxy(t, standin.List(1, true, standin.Target("s-1", "127.0.0.1:1")), "127.0.0.1:1")
+	p := listenProxy(t, standin.ListJSON(1, true, standin.TargetJSON("s-1", "127.0.0.1:1")), "127.0.0.1:1")
 	p.descriptors.resize(reservedDescriptors + 8)
 	p.clients.firstRequestTimeout, p.clients.lingerTimeout = 10*time.Millisecond, time.Hour
 	defer startProxy(t, p)()
@@ -328,7 +328,7 @@
 		"the drain ends":           func(p *Proxy) { p.clients.shutdown() },
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := listenProxy(t, standin.List(1, true), "127.0.0.1:1")
+			p := listenProxy(t, standin.ListJSON(1, true), "127.0.0.1:1")
 			defer p.listener.Close()
 			p.clients.minFirstRequestWait = time.Hour
 			nc, conn, ended := serveHooked(t, p, "")
@@ -359,7 +359,7 @@
 	defer log.SetOutput(io.Discard)
 	t.Run("drain", func(t *testing.T) {
 		b := standin.NewBackend(t, standin.Echo)
-		list := standin.List(1, true, standin.Target("s-1", b.Addr()))
+		list := standin.ListJSON(1, true, standin.TargetJSON("s-1", b.Addr()))
 		p := listenProxy(t, list, "127.0.0.1:1")
 		p.clients.lingerTimeout = time.Hour
 		p.cfg.Grace, p.longestDeadline, p.shortestDeadline = time.Millisecond, 300*time.Millisecond, 300*time.Millisecond
--- a/proxy/local_dial_test.go
+++ b/proxy/local_dial_test.go
@@ -31,7 +31,7 @@
 	} {
 		t.Run(c.errno.Error(), func(t *testing.T) {
 			first, second := standin.NewBackend(t, standin.Echo), standin.NewBackend(t, standin.Echo)
-			p := listenProxy(t, standin.List(1, true, standin.Target("s-1", first.Addr()), standin.Target("s-2", second.Addr())),
+			p := listenProxy(t, standin.ListJSON(1, true, standin.TargetJSON("s-1", first.Addr()), standin.TargetJSON("s-2", second.Addr())),
 				"127.0.0.1:1")
 			p.cfg.Grace = 1 // keeps the drain short
 			var failures atomic.Int64
@@ -47,7 +47,7 @@
 				sendRequest(t, dialProxy(t, p), "get", 2000)
 			}
 			p.stats.mu.Lock()
-			counted := p.stats.attemptResults[logic.NoConnect]
+			counted := p.stats.attemptResults[logic.ConnectFailed]
 			p.stats.mu.Unlock()
 			if (counted == 0) != c.localError {
 				t.Errorf("%d attempts counted against backends", counted)
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -133,7 +133,7 @@
 	if cfg.pollList {
 		p.list.MinCheckInterval = cfg.maxPollInterval
 	} else {
-		p.list.SetPushed(cfg.logicSettings.Grace/2, cfg.logicSettings.Grace) // the other half is for the send itself
+		p.list.SetPushed(cfg.logicSettings.DrainGrace/2, cfg.logicSettings.DrainGrace) // the other half is for the send itself
 	}
 	p.driver = newDriver(cfg, upstreamOptions, p.stats)
 	p.driver.requestListCheck = p.list.RequestCheck
--- a/proxy/proxy_test.go
+++ b/proxy/proxy_test.go
@@ -149,7 +149,7 @@
 				c.Hang()
 			}
 		})
-		list := standin.List(1, true, standin.Target("s-1", b.Addr()))
+		list := standin.ListJSON(1, true, standin.TargetJSON("s-1", b.Addr()))
 		p, stop := runProxy(t, list, standin.NewDiscovery(t, list).Addr())
 		c := dialProxy(t, p)
 		if status, _ := sendRequest(t, c, "get", 2000); status != 200 {
@@ -164,10 +164,10 @@
 		if status, _ := sendRequest(t, c, "none", 300); status != 400 {
 			t.Errorf("got %d for an unknown class", status)
 		}
-		calls := b.Calls()
+		calls := b.RequestCount()
 		leaving := dialProxy(t, p)
 		io.WriteString(leaving, requestText("pay", 400))
-		eventually(t, "an attempt", func() bool { return b.Calls() > calls })
+		eventually(t, "an attempt", func() bool { return b.RequestCount() > calls })
 		leaving.Close()
 		dialProxy(t, p) // sends nothing
 		partial := dialProxy(t, p)
@@ -191,9 +191,9 @@
 	starting, established := standin.NewBackend(t, standin.Echo), standin.NewBackend(t, standin.Echo)
 	now := fmt.Sprintf(`"boot_ms":%d`, time.Now().UnixMilli())
 	long := fmt.Sprintf(`"boot_ms":%d`, time.Now().Add(-time.Hour).UnixMilli())
-	list := standin.List(1, true,
-		strings.Replace(standin.Target("s-1", starting.Addr()), `"boot_ms":0`, now, 1),
-		strings.Replace(standin.Target("s-2", established.Addr()), `"boot_ms":0`, long, 1))
+	list := standin.ListJSON(1, true,
+		strings.Replace(standin.TargetJSON("s-1", starting.Addr()), `"boot_ms":0`, now, 1),
+		strings.Replace(standin.TargetJSON("s-2", established.Addr()), `"boot_ms":0`, long, 1))
 	p, stop := runProxy(t, list, standin.NewDiscovery(t, list).Addr())
 	defer stop()
 	c := dialProxy(t, p)
@@ -202,10 +202,10 @@
 			t.Fatalf("got %d", status)
 		}
 	}
-	if n := starting.Calls(); n >= 100 {
+	if n := starting.RequestCount(); n >= 100 {
 		t.Errorf("the backend in slow start got %d of 200 requests", n)
 	}
-	if n := established.Calls(); n < 100 {
+	if n := established.RequestCount(); n < 100 {
 		t.Errorf("the other backend got %d of 200 requests", n)
 	}
 }
@@ -239,16 +239,16 @@
 		// Prevents healthy backends from being avoided because of what clients send.
 		{"client error", upstream.ExchangeResult{Stage: upstream.Answered, Status: 400}, logic.Cancelled},
 		{"too many requests", upstream.ExchangeResult{Stage: upstream.Answered, Status: 429}, logic.Error},
-		{"rejected", upstream.ExchangeResult{Stage: upstream.Answered, Status: 503, Header: notProcessed}, logic.Full},
-		{"deadline passed at the backend", upstream.ExchangeResult{Stage: upstream.Answered, Status: 504, Header: notProcessed}, logic.Full},
+		{"rejected", upstream.ExchangeResult{Stage: upstream.Answered, Status: 503, Header: notProcessed}, logic.Rejected},
+		{"deadline passed at the backend", upstream.ExchangeResult{Stage: upstream.Answered, Status: 504, Header: notProcessed}, logic.Rejected},
 		{"503 alone", upstream.ExchangeResult{Stage: upstream.Answered, Status: 503}, logic.Error},
 		{"500 with X-Not-Processed", upstream.ExchangeResult{Stage: upstream.Answered, Status: 500, Header: notProcessed}, logic.Error},
 		{"malformed", upstream.ExchangeResult{Stage: upstream.Answered, Err: http1.ErrMalformed}, logic.Error},
-		{"not connected", upstream.ExchangeResult{Stage: upstream.SendFailed, Err: io.EOF}, logic.NoConnect},
-		{"connect timeout", upstream.ExchangeResult{Stage: upstream.SendFailed, Err: os.ErrDeadlineExceeded}, logic.NoConnect},
-		{"broken", upstream.ExchangeResult{Stage: upstream.Written, Err: io.ErrUnexpectedEOF}, logic.Broken},
+		{"not connected", upstream.ExchangeResult{Stage: upstream.SendFailed, Err: io.EOF}, logic.ConnectFailed},
+		{"connect timeout", upstream.ExchangeResult{Stage: upstream.SendFailed, Err: os.ErrDeadlineExceeded}, logic.ConnectFailed},
+		{"broken", upstream.ExchangeResult{Stage: upstream.Written, Err: io.ErrUnexpectedEOF}, logic.ConnectionLost},
 		{"timed out", upstream.ExchangeResult{Stage: upstream.Written, Err: os.ErrDeadlineExceeded}, logic.TimedOut},
-		{"no descriptor", upstream.ExchangeResult{Stage: upstream.Unsent, Err: io.EOF}, logic.NeverSent},
+		{"no descriptor", upstream.ExchangeResult{Stage: upstream.Unsent, Err: io.EOF}, logic.NotSent},
 	} {
 		got, final := attemptOutcome(&c.a)
 		if got != c.want || final != (got == logic.OK || got == logic.Cancelled) {
@@ -307,7 +307,7 @@
 // the drain's grace: the requests on them would be lost.
 func TestBacklogAcceptedAtDrainEnd(t *testing.T) {
 	b := standin.NewBackend(t, standin.Echo)
-	list := standin.List(1, true, standin.Target("s-1", b.Addr()))
+	list := standin.ListJSON(1, true, standin.TargetJSON("s-1", b.Addr()))
 	p := listenProxy(t, list, standin.NewDiscovery(t, list).Addr())
 	var conns []net.Conn
 	for range 20 {
@@ -338,7 +338,7 @@
 // next request is not sent on a connection that is about to close.
 func TestConnectionCloseWhenFull(t *testing.T) {
 	b := standin.NewBackend(t, standin.Echo)
-	list := standin.List(1, true, standin.Target("s-1", b.Addr()))
+	list := standin.ListJSON(1, true, standin.TargetJSON("s-1", b.Addr()))
 	p, stop := runProxy(t, list, standin.NewDiscovery(t, list).Addr())
 	defer stop()
 	c := dialProxy(t, p)
@@ -362,11 +362,11 @@
 
 // A request that ends during its backoff stops its timer.
 func TestBackoffTimerStopped(t *testing.T) {
-	list := standin.List(1, true, standin.Target("s-1", "127.0.0.1:1"), standin.Target("s-2", "127.0.0.1:2"))
+	list := standin.ListJSON(1, true, standin.TargetJSON("s-1", "127.0.0.1:1"), standin.TargetJSON("s-2", "127.0.0.1:2"))
 	p := listenProxy(t, list, "127.0.0.1:1")
 	defer p.listener.Close()
 	r := p.driver.arrive("1", 0, time.Hour, false, false)
-	p.driver.done(r, <-r.steps, logic.NoConnect, false, false)
+	p.driver.done(r, <-r.steps, logic.ConnectFailed, false, false)
 	if r.backoffTimer == nil {
 		t.Fatal("no backoff")
 	}
@@ -381,7 +381,7 @@
 // connection is out of use before the balancing logic's next action.
 func TestCloseIdleAtOnce(t *testing.T) {
 	b := standin.NewBackend(t, standin.Echo)
-	list := standin.List(1, true, standin.Target("s-1", b.Addr()))
+	list := standin.ListJSON(1, true, standin.TargetJSON("s-1", b.Addr()))
 	p, stop := runProxy(t, list, standin.NewDiscovery(t, list).Addr())
 	defer stop()
 	if status, _ := sendRequest(t, dialProxy(t, p), "get", 2000); status != 200 {
@@ -397,14 +397,14 @@
 			t.Error("the connection is still in use")
 		}
 	})
-	eventually(t, "closed", func() bool { _, open := b.Conns(); return open == 0 })
+	eventually(t, "closed", func() bool { _, open := b.ConnCounts(); return open == 0 })
 }
 
 // Prevents many clients that each send only a part of a request from holding all
 // descriptors for as long as a request may take to arrive.
 func TestManyPartialRequests(t *testing.T) {
 	b := standin.NewBackend(t, standin.Echo)
-	list := standin.List(1, true, standin.Target("s-1", b.Addr()))
+	list := standin.ListJSON(1, true, standin.TargetJSON("s-1", b.Addr()))
 	p := listenProxy(t, list, standin.NewDiscovery(t, list).Addr())
 	p.clients.headTimeout, p.clients.firstRequestTimeout = time.Hour, time.Hour
 	stop := startProxy(t, p)
@@ -429,11 +429,11 @@
 	backends := []*standin.Backend{}
 	for range 4 {
 		backends = append(backends, standin.NewBackend(t, func(c *standin.Call) {
-			switch c.N % 20 {
+			switch c.Number % 20 {
 			case 3:
 				c.Reset()
 			case 7:
-				c.Raw("noise")
+				c.WriteRaw("noise")
 			case 11:
 				c.Reply(503, "", "X-Not-Processed: 1")
 			default:
@@ -444,10 +444,10 @@
 	uids := 0
 	newTarget := func() string { // a backend with a new id, at the address of a removed one
 		uids++
-		return standin.Target(fmt.Sprintf("s-%d", uids), backends[uids%len(backends)].Addr())
+		return standin.TargetJSON(fmt.Sprintf("s-%d", uids), backends[uids%len(backends)].Addr())
 	}
-	known := standin.List(1, true, newTarget(), newTarget(), newTarget(), newTarget())
-	p := listenProxy(t, known, standin.NewDiscovery(t, standin.List(1, false)).Addr())
+	known := standin.ListJSON(1, true, newTarget(), newTarget(), newTarget(), newTarget())
+	p := listenProxy(t, known, standin.NewDiscovery(t, standin.ListJSON(1, false)).Addr())
 	p.clients.idleTimeout = 50 * time.Millisecond
 	defer startProxy(t, p)()
 
@@ -486,7 +486,7 @@
 				kept = append(kept, c)
 			}
 			removed := fmt.Sprintf(`{"uid":"s-%d","state":"terminated"}`, uids-3)
-			l, err := discovery.ParseList([]byte(standin.List(2, false, removed, newTarget())))
+			l, err := discovery.ParseList([]byte(standin.ListJSON(2, false, removed, newTarget())))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -528,11 +528,11 @@
 		status      int
 	}{
 		{"no backend known", "get", nil, 503},
-		{"no backend reachable", "pay", []string{standin.Target("s-1", stopped.Addr())}, 503},
-		{"may have run", "pay", []string{standin.Target("s-1", reset.Addr())}, 502},
+		{"no backend reachable", "pay", []string{standin.TargetJSON("s-1", stopped.Addr())}, 503},
+		{"may have run", "pay", []string{standin.TargetJSON("s-1", reset.Addr())}, 502},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			list := standin.List(1, true, c.targets...)
+			list := standin.ListJSON(1, true, c.targets...)
 			p := listenProxy(t, list, standin.NewDiscovery(t, list).Addr())
 			ctx, cancel := context.WithCancel(context.Background())
 			done := make(chan error)
@@ -566,8 +566,8 @@
 // request that holds the buffer, and later ones, are served.
 func TestNoTransferBufferLeft(t *testing.T) {
 	const size = 200_000
-	b := standin.NewBackend(t, func(c *standin.Call) { c.Reply(200, fmt.Sprint(len(c.Text))) })
-	p := listenProxy(t, standin.List(1, true, standin.Target("s", b.Addr())), "127.0.0.1:1")
+	b := standin.NewBackend(t, func(c *standin.Call) { c.Reply(200, fmt.Sprint(len(c.BodyText))) })
+	p := listenProxy(t, standin.ListJSON(1, true, standin.TargetJSON("s", b.Addr())), "127.0.0.1:1")
 	p.transfers = http1.NewStreamPool(1) // one buffer
 	defer startProxy(t, p)()
 	head := func(id int) string {
@@ -581,7 +581,7 @@
 
 	first := dialProxy(t, p)
 	send(first, head(1)+body[:size/2])
-	eventually(t, "first request in transfer", func() bool { opened, _ := b.Conns(); return opened == 1 })
+	eventually(t, "first request in transfer", func() bool { opened, _ := b.ConnCounts(); return opened == 1 })
 	served := 0
 	for id := 2; ; id++ { // the first may not have its buffer yet
 		c := dialProxy(t, p)
@@ -596,7 +596,7 @@
 		}
 		break
 	}
-	if n := b.Calls(); n != served {
+	if n := b.RequestCount(); n != served {
 		t.Errorf("%d requests have run, %d were served", n, served)
 	}
 	send(first, body[size/2:])
--- a/proxy/race_test.go
+++ b/proxy/race_test.go
@@ -25,9 +25,9 @@
 	var lines []string
 	for range 1 + r.IntN(10) {
 		state := []string{"in_service", "in_service", "in_service", "terminating", "terminated"}[r.IntN(5)]
-		lines = append(lines, standin.TargetIn(state, fmt.Sprintf("s-%d", r.IntN(8)), fmt.Sprintf("127.0.0.1:%d", 1+r.IntN(3))))
+		lines = append(lines, standin.TargetJSONInState(state, fmt.Sprintf("s-%d", r.IntN(8)), fmt.Sprintf("127.0.0.1:%d", 1+r.IntN(3))))
 	}
-	l, err := discovery.ParseList([]byte(standin.List(rev, r.IntN(3) == 0, lines...)))
+	l, err := discovery.ParseList([]byte(standin.ListJSON(rev, r.IntN(3) == 0, lines...)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,7 +38,7 @@
 // has a backend, each request ends, none waits for a step that never comes, and events of
 // one request never block the others.
 func TestDriverUnderConcurrentChanges(t *testing.T) {
-	p := listenProxy(t, standin.List(1, true, standin.Target("s-1", "127.0.0.1:1")), "127.0.0.1:1")
+	p := listenProxy(t, standin.ListJSON(1, true, standin.TargetJSON("s-1", "127.0.0.1:1")), "127.0.0.1:1")
 	defer p.listener.Close()
 	d := p.driver
 	var callers, changes sync.WaitGroup
@@ -76,8 +76,8 @@
 							}
 						})
 					}
-					results := []logic.Result{logic.OK, logic.OK, logic.OK, logic.Error, logic.Full, logic.NoConnect,
-						logic.Broken, logic.TimedOut, logic.NeverSent, logic.Cancelled}
+					results := []logic.Result{logic.OK, logic.OK, logic.OK, logic.Error, logic.Rejected, logic.ConnectFailed,
+						logic.ConnectionLost, logic.TimedOut, logic.NotSent, logic.Cancelled}
 					result := results[r.IntN(len(results))]
 					if s.ctx.Err() != nil {
 						result = logic.Cancelled
@@ -138,7 +138,7 @@
 		"gone, end":      {(*driver).clientGone, func(d *driver, _ *activeRequest) { d.endAll() }},
 		"end, pipelined": {func(d *driver, _ *activeRequest) { d.endAll() }, (*driver).clientPipelined},
 	} {
-		p := listenProxy(t, standin.List(1, true, standin.Target("s-1", "127.0.0.1:1")), "127.0.0.1:1")
+		p := listenProxy(t, standin.ListJSON(1, true, standin.TargetJSON("s-1", "127.0.0.1:1")), "127.0.0.1:1")
 		d := p.driver
 		c := d.arrive("1", 0, time.Hour, false, false)
 		s := <-c.steps // the attempt is in flight: the client is watched from here on
@@ -148,7 +148,7 @@
 			for _, f := range events {
 				f(d, c)
 			}
-			d.done(c, s, logic.Broken, false, false)
+			d.done(c, s, logic.ConnectionLost, false, false)
 			d.endAll()
 		}()
 		select {
@@ -170,7 +170,7 @@
 // response belongs to its request, and nothing leaks.
 func TestListChangesUntilShutdown(t *testing.T) {
 	reply := func(c *standin.Call) {
-		if c.N%7 == 0 {
+		if c.Number%7 == 0 {
 			c.Reset()
 			return
 		}
@@ -182,9 +182,9 @@
 	}
 	target := func(r *rand.Rand) string {
 		state := []string{"in_service", "in_service", "terminating", "terminated"}[r.IntN(4)]
-		return standin.TargetIn(state, fmt.Sprintf("s-%d", r.IntN(6)), backends[r.IntN(len(backends))].Addr())
+		return standin.TargetJSONInState(state, fmt.Sprintf("s-%d", r.IntN(6)), backends[r.IntN(len(backends))].Addr())
 	}
-	known := standin.List(1, true, standin.Target("s-0", backends[0].Addr()), standin.Target("s-1", backends[1].Addr()))
+	known := standin.ListJSON(1, true, standin.TargetJSON("s-0", backends[0].Addr()), standin.TargetJSON("s-1", backends[1].Addr()))
 	discoveries := []*standin.Discovery{standin.NewDiscovery(t, known), standin.NewDiscovery(t, known)}
 	p := listenProxy(t, known, discoveries[0].Addr())
 	ctx, cancel := context.WithCancel(context.Background())
@@ -212,13 +212,13 @@
 					t.Error(err)
 				}
 			case 1:
-				to.Break()
+				to.AbortWatches()
 			case 2:
 				p.driver.setDetached("s-0", r.IntN(2) == 0)
 			case 3:
-				backends[r.IntN(len(backends))].Cut()
+				backends[r.IntN(len(backends))].CloseConns()
 			default:
-				l, err := discovery.ParseList([]byte(standin.List(rev, r.IntN(4) == 0, target(r), target(r), target(r))))
+				l, err := discovery.ParseList([]byte(standin.ListJSON(rev, r.IntN(4) == 0, target(r), target(r), target(r))))
 				if err != nil {
 					t.Error(err)
 					return
--- a/proxy/ready_test.go
+++ b/proxy/ready_test.go
@@ -12,15 +12,15 @@
 // serve, and a start that never finishes.
 func TestReadyWithUsableList(t *testing.T) {
 	b := standin.NewBackend(t, standin.Echo)
-	known := standin.List(1, true, standin.Target("s-1", b.Addr()))
+	known := standin.ListJSON(1, true, standin.TargetJSON("s-1", b.Addr()))
 	d := standin.NewDiscovery(t, known)
-	d.Down(true)
+	d.SetDown(true)
 	p := listenProxy(t, known, d.Addr())
 	defer startProxy(t, p)()
 	if took := time.Since(p.readiness.start); took < readyTimeout {
 		t.Errorf("ready after %v without a list, want at least %v", took, readyTimeout)
 	}
-	d.Down(false)
+	d.SetDown(false)
 	q := listenProxy(t, known, d.Addr())
 	defer startProxy(t, q)()
 	if took := time.Since(q.readiness.start); took >= readyTimeout {
--- a/proxy/recovery_test.go
+++ b/proxy/recovery_test.go
@@ -45,7 +45,7 @@
 // leaks nothing. All others are still served.
 func TestPanicInRequest(t *testing.T) {
 	b := standin.NewBackend(t, standin.Echo)
-	p := listenProxy(t, standin.List(1, true, standin.Target("s-1", b.Addr())), "127.0.0.1:1")
+	p := listenProxy(t, standin.ListJSON(1, true, standin.TargetJSON("s-1", b.Addr())), "127.0.0.1:1")
 	p.cfg.Grace = time.Millisecond
 	p.listener = &panickingListener{listener: p.listener}
 	defer startProxy(t, p)()
@@ -138,7 +138,7 @@
 		t.Fatal(err)
 	}
 	defer syscall.Setrlimit(syscall.RLIMIT_NOFILE, &previous)
-	p := listenProxy(t, standin.List(1, true), "127.0.0.1:1") // its configuration says 256
+	p := listenProxy(t, standin.ListJSON(1, true), "127.0.0.1:1") // its configuration says 256
 	defer p.listener.Close()
 	defer p.shared.close()
 	if limit := p.descriptors.limit; limit > allowed-reservedDescriptors {
--- a/proxy/request.go
+++ b/proxy/request.go
@@ -136,7 +136,7 @@
 				outcomes[throttled].Add(1)
 				logEnd(endBusy, "")
 				req.Close = true // most of the body is unread
-				p.respond(c, req, http.StatusServiceUnavailable, retryAfterHeader(p.cfg.logicSettings.MaxComeBack), "busy")
+				p.respond(c, req, http.StatusServiceUnavailable, retryAfterHeader(p.cfg.logicSettings.MaxRetryAfter), "busy")
 				return false
 			case exchanged.BodyReadErr != nil:
 				logEnd(endUnreadable, "")
@@ -193,20 +193,20 @@
 // balancing logic. It also returns whether the request ends with it.
 func attemptOutcome(exchanged *upstream.ExchangeResult) (result logic.Result, final bool) {
 	if exchanged.BodyReadErr != nil { // the client's body failed: the backend never had the whole request, and is not to blame
-		return logic.NeverSent, true
+		return logic.NotSent, true
 	}
 	switch exchanged.Stage {
 	case upstream.Unsent:
-		return logic.NeverSent, false
+		return logic.NotSent, false
 	case upstream.ConnectTimedOut:
-		return logic.Late, false
+		return logic.ConnectPending, false
 	case upstream.SendFailed:
-		return logic.NoConnect, false
+		return logic.ConnectFailed, false
 	case upstream.Written:
 		if exchanged.TimedOut() {
 			return logic.TimedOut, false
 		}
-		return logic.Broken, false
+		return logic.ConnectionLost, false
 	}
 	rejectStatus := exchanged.Status == http.StatusServiceUnavailable || exchanged.Status == http.StatusGatewayTimeout
 	switch {
@@ -215,7 +215,7 @@
 	case exchanged.Status == http.StatusOK:
 		return logic.OK, true
 	case rejectStatus && exchanged.Header.Get(headerNotProcessed) == "1":
-		return logic.Full, false
+		return logic.Rejected, false
 	case isClientError(exchanged.Status):
 		return logic.Cancelled, true
 	}
--- a/proxy/responses_test.go
+++ b/proxy/responses_test.go
@@ -27,7 +27,7 @@
 // startBefore starts a proxy with one backend and a minimal drain time.
 func startBefore(t *testing.T, b *standin.Backend) (p *Proxy, stop func()) {
 	t.Helper()
-	p = listenProxy(t, standin.List(1, true, standin.Target("s", b.Addr())), "127.0.0.1:1")
+	p = listenProxy(t, standin.ListJSON(1, true, standin.TargetJSON("s", b.Addr())), "127.0.0.1:1")
 	p.cfg.Grace = time.Millisecond
 	return p, startProxy(t, p)
 }
@@ -137,7 +137,7 @@
 					}
 					conns[c.Conn] = true
 					mu.Unlock()
-					c.Raw(s.text)
+					c.WriteRaw(s.text)
 					if s.end != nil {
 						s.end(c)
 					}
@@ -150,7 +150,7 @@
 				if a.err != nil || a.status != http.StatusBadGateway && a.status != http.StatusServiceUnavailable {
 					t.Errorf("got %+v", a)
 				}
-				if n := b.Calls(); class == "pay" && n > 1 || n == 0 {
+				if n := b.RequestCount(); class == "pay" && n > 1 || n == 0 {
 					t.Errorf("the request ran %d times", n)
 				}
 				c.Close()
@@ -192,7 +192,7 @@
 				begun := make(chan bool)
 				begin := sync.OnceFunc(func() { close(begun) })
 				b := standin.NewBackend(t, func(c *standin.Call) {
-					c.Raw(s.text)
+					c.WriteRaw(s.text)
 					<-begun // a part has reached the client
 					s.end(c)
 				})
@@ -206,7 +206,7 @@
 				if s.whole && (a.err != nil || a.body != want) || !s.whole && a.err == nil {
 					t.Errorf("got %d, %d bytes, %v", a.status, len(a.body), a.err)
 				}
-				if n := b.Calls(); n != 1 {
+				if n := b.RequestCount(); n != 1 {
 					t.Errorf("the request ran %d times", n)
 				}
 				c.Close()
@@ -219,7 +219,7 @@
 func TestEndlessResponse(t *testing.T) {
 	for name, head := range map[string]string{"no length": noLengthHead, "chunks": chunkedHead} {
 		b := standin.NewBackend(t, func(c *standin.Call) {
-			c.Raw(head)
+			c.WriteRaw(head)
 			piece := strings.Repeat("x", 16<<10)
 			if head == chunkedHead {
 				piece = fmt.Sprintf("%x\r\n%s\r\n", len(piece), piece)
@@ -238,7 +238,7 @@
 		}
 		c.Close()
 		stop()
-		if n := b.Calls(); n != 1 {
+		if n := b.RequestCount(); n != 1 {
 			t.Errorf("%s: the request ran %d times", name, n)
 		}
 	}
@@ -261,7 +261,7 @@
 				t.Parallel()
 				calls := make(chan *standin.Call, 10)
 				b := standin.NewBackend(t, func(c *standin.Call) {
-					c.Reply(200, fmt.Sprint(c.N))
+					c.Reply(200, fmt.Sprint(c.Number))
 					calls <- c
 				})
 				p, stop := startBefore(t, b)
@@ -277,7 +277,7 @@
 					sendStray(call.Conn)
 					waitDelivered(t, call.Conn)
 				}
-				if opened, _ := b.Conns(); opened != 3 {
+				if opened, _ := b.ConnCounts(); opened != 3 {
 					t.Errorf("%d connections for 3 requests", opened)
 				}
 				c.Close()
@@ -295,7 +295,7 @@
 	} {
 		b := standin.NewBackend(t, func(c *standin.Call) {
 			for i := range text {
-				c.Raw(text[i : i+1])
+				c.WriteRaw(text[i : i+1])
 				waitDelivered(t, c.Conn)
 			}
 			if strings.HasPrefix(text, "HTTP/1.0") {
--- a/proxy/slow_connection_test.go
+++ b/proxy/slow_connection_test.go
@@ -18,7 +18,7 @@
 	for _, class := range []string{"get", "put", "pay"} {
 		t.Run(class, func(t *testing.T) {
 			slow, other := standin.NewBackend(t, standin.Echo), standin.NewBackend(t, standin.Echo)
-			p := listenProxy(t, standin.List(1, true, standin.Target("s-1", slow.Addr()), standin.Target("s-2", other.Addr())),
+			p := listenProxy(t, standin.ListJSON(1, true, standin.TargetJSON("s-1", slow.Addr()), standin.TargetJSON("s-2", other.Addr())),
 				"127.0.0.1:1")
 			p.cfg.Grace = time.Millisecond // keeps the drain short
 			up := make(chan struct{})
@@ -72,9 +72,9 @@
 			})
 			eventually(t, "slow connections used", func() bool {
 				sendRequest(t, dialProxy(t, p), class, 2000)
-				return slow.Calls() > 0
+				return slow.RequestCount() > 0
 			})
-			if opened, _ := slow.Conns(); opened > dialed {
+			if opened, _ := slow.ConnCounts(); opened > dialed {
 				t.Errorf("%d connections to the slow backend, want at most the %d dialed", opened, dialed)
 			}
 		})
--- a/proxy/sockets_test.go
+++ b/proxy/sockets_test.go
@@ -52,15 +52,15 @@
 // admin endpoint has descriptors of its own, and a test in cmd/oxbowloft.)
 func TestIdleCrowdLeavesDescriptors(t *testing.T) {
 	b, added := standin.NewBackend(t, standin.Echo), standin.NewBackend(t, standin.Echo)
-	known := standin.List(1, true, standin.Target("s-1", b.Addr()))
+	known := standin.ListJSON(1, true, standin.TargetJSON("s-1", b.Addr()))
 	d := standin.NewDiscovery(t, known)
 	p := listenProxy(t, known, d.Addr())
 	p.descriptors.resize(reservedDescriptors + 8)
 	// no client of the crowd is evicted
 	p.clients.minFirstRequestWait, p.clients.firstRequestTimeout, p.clients.idleTimeout = time.Hour, time.Hour, time.Hour
 	defer startProxy(t, p)()
-	d.Down(true) // only after a list has been received: the one known at start is not usable
-	d.Reset()
+	d.SetDown(true) // only after a list has been received: the one known at start is not usable
+	d.ResetWatches()
 	var crowd []net.Conn
 	for range 12 {
 		crowd = append(crowd, dialProxy(t, p))
@@ -83,9 +83,9 @@
 	}
 	crowd[1].Close()
 	back := time.Now()
-	d.Down(false)
+	d.SetDown(false)
 	eventually(t, "a new list", func() bool {
-		d.Push(standin.List(2, true, standin.Target("s-1", b.Addr()), standin.Target("s-2", added.Addr())))
+		d.PushLine(standin.ListJSON(2, true, standin.TargetJSON("s-1", b.Addr()), standin.TargetJSON("s-2", added.Addr())))
 		return p.driver.backendCount() == 2
 	})
 	if took := time.Since(back); took > discovery.MaxAnnounceDelay {
@@ -97,7 +97,7 @@
 // response said that the connection stays open.
 func TestIdleClientFreesDescriptor(t *testing.T) {
 	b := standin.NewBackend(t, standin.Echo)
-	p := listenProxy(t, standin.List(1, true, standin.Target("s-1", b.Addr())), "127.0.0.1:1")
+	p := listenProxy(t, standin.ListJSON(1, true, standin.TargetJSON("s-1", b.Addr())), "127.0.0.1:1")
 	defer p.listener.Close()
 	p.clients.idleTimeout = time.Hour
 	nc, _, ended := serveHooked(t, p, "")
--- a/proxy/stalelog_test.go
+++ b/proxy/stalelog_test.go
@@ -18,7 +18,7 @@
 	var text logBuffer
 	log.SetOutput(&text)
 	defer log.SetOutput(io.Discard)
-	p := listenProxy(t, standin.List(1, true, standin.Target("s-1", "127.0.0.1:1")), "127.0.0.1:1")
+	p := listenProxy(t, standin.ListJSON(1, true, standin.TargetJSON("s-1", "127.0.0.1:1")), "127.0.0.1:1")
 	defer p.listener.Close()
 	attempt := func(id string, result logic.Result) {
 		r := p.driver.arrive(id, 0, time.Second, false, false)
@@ -35,7 +35,7 @@
 	attempt("in-time", logic.OK)
 	fresh.Until = time.Now()
 	p.driver.setListFreshness(fresh)
-	attempt("past", logic.Full)
+	attempt("past", logic.Rejected)
 	lines := string(text.bytes())
 	if strings.Contains(lines, `id="in-time"`) {
 		t.Error("an attempt with a fresh list was logged")
--- a/proxy/starttime_test.go
+++ b/proxy/starttime_test.go
@@ -15,7 +15,7 @@
 
 // targetStartedAt returns a target that discovery announces as started at the given time.
 func targetStartedAt(uid, addr string, at time.Time) string {
-	return strings.Replace(standin.Target(uid, addr), `"boot_ms":0`, fmt.Sprintf(`"boot_ms":%d`, at.UnixMilli()), 1)
+	return strings.Replace(standin.TargetJSON(uid, addr), `"boot_ms":0`, fmt.Sprintf(`"boot_ms":%d`, at.UnixMilli()), 1)
 }
 
 // runWithWarmUp runs a proxy with the given warm-up time of backends.
@@ -60,9 +60,9 @@
 	const warmUp = 300 * time.Millisecond
 	b := standin.NewBackend(t, standin.Echo)
 	target := targetStartedAt("s-1", b.Addr(), time.Now().Add(time.Hour))
-	p := runWithWarmUp(t, standin.List(1, true, target), warmUp)
+	p := runWithWarmUp(t, standin.ListJSON(1, true, target), warmUp)
 	time.Sleep(warmUp)
-	p.applyList(t, standin.List(2, true, target)) // announced again: the same start
+	p.applyList(t, standin.ListJSON(2, true, target)) // announced again: the same start
 	const n = 30
 	if served := requestAll(t, p, n); served < n {
 		t.Errorf("%d of %d requests were served by a backend after its slow start", served, n)
@@ -85,7 +85,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			b := standin.NewBackend(t, standin.Echo)
 			old := time.Now().Add(-24 * time.Hour)
-			p := runWithWarmUp(t, standin.List(1, true, targetStartedAt("s-1", b.Addr(), old)), 20*time.Second)
+			p := runWithWarmUp(t, standin.ListJSON(1, true, targetStartedAt("s-1", b.Addr(), old)), 20*time.Second)
 			if served := requestAll(t, p, n); served < n {
 				t.Fatalf("%d of %d served by a backend after its slow start", served, n)
 			}
@@ -94,7 +94,7 @@
 				if start.uid != "s-1" {
 					lines = append(lines, `{"uid":"s-1","endpoint":"","az":"z1","state":"terminated"}`)
 				}
-				l, err := discovery.ParseList([]byte(standin.List(2, false, lines...)))
+				l, err := discovery.ParseList([]byte(standin.ListJSON(2, false, lines...)))
 				if err != nil {
 					t.Fatal(err)
 				}
--- a/proxy/stats.go
+++ b/proxy/stats.go
@@ -26,7 +26,7 @@
 	mu              sync.Mutex
 	responseLatency *hdrhistogram.Histogram // in microseconds
 	timerDelay      *hdrhistogram.Histogram // how late timers fired, in microseconds
-	attemptResults  [logic.Late + 1]int64
+	attemptResults  [logic.ConnectPending + 1]int64
 }
 
 // Outcomes of a request, as its client sees them.
@@ -98,6 +98,6 @@
 		"timer_p99_us=%d timer_max_us=%d list_age=%.1f",
 		results[logic.OK], s.requestsEnded(throttled), s.requestsEnded(faulted), s.clientsGone.Load(), s.badRequests.Load(), s.writeFailures.Load(), s.truncated.Load(), s.recoveredPanics.Load(),
 		s.responseLatency.ValueAtQuantile(50), s.responseLatency.ValueAtQuantile(99),
-		results[logic.Error], results[logic.Cancelled], results[logic.Full], results[logic.TimedOut], results[logic.NoConnect], results[logic.Broken], results[logic.NeverSent], results[logic.Late],
+		results[logic.Error], results[logic.Cancelled], results[logic.Rejected], results[logic.TimedOut], results[logic.ConnectFailed], results[logic.ConnectionLost], results[logic.NotSent], results[logic.ConnectPending],
 		p.driver.upstreamOptions.ConnsOpened.Load(), descriptorsUsed, descriptorsPeak, s.timerDelay.ValueAtQuantile(99), s.timerDelay.Max(), listAge.Seconds())
 }
