--- a/proxy/actions.go
+++ b/proxy/actions.go
@@ -48,7 +48,7 @@
 	due := time.Now().Add(after)
 	timer := time.AfterFunc(after, func() {
 		d.stats.recordTimerDelay(time.Since(due))
-		d.wake(token)
+		d.timerFired(token)
 	})
 	if d.current != nil {
 		d.current.backoffTimer = timer
--- a/proxy/driver.go
+++ b/proxy/driver.go
@@ -139,9 +139,9 @@
 	}
 }
 
-// arrive passes a new request to the balancing logic; its first step is ready on return.
+// startRequest passes a new request to the balancing logic; its first step is ready on return.
 // It returns nil if a request with the same id is open already.
-func (d *driver) arrive(clientID string, class int, budget time.Duration, retry, streamed bool) (r *activeRequest) {
+func (d *driver) startRequest(clientID string, class int, budget time.Duration, retry, streamed bool) (r *activeRequest) {
 	d.withBalancer(func(now logic.Time) {
 		if d.openIDs[clientID] {
 			return
@@ -174,14 +174,14 @@
 	return proceed
 }
 
-// written reports that the attempt of a streamed request has been written completely.
-func (d *driver) written(r *activeRequest) {
+// requestWritten reports that the attempt of a streamed request has been written completely.
+func (d *driver) requestWritten(r *activeRequest) {
 	d.withBalancer(func(now logic.Time) { d.balancer.RequestWritten(now, r.id) })
 }
 
-// done reports the result of an attempt, and whether the request body has been consumed,
+// attemptDone reports the result of an attempt, and whether the request body has been consumed,
 // so that it can't be replayed. Unless the result is final, a step follows.
-func (d *driver) done(r *activeRequest, s step, result logic.Result, final, consumed bool) {
+func (d *driver) attemptDone(r *activeRequest, s step, result logic.Result, final, notReplayable bool) {
 	var staleBy time.Duration
 	d.withBalancer(func(now logic.Time) {
 		staleBy, r.staleBy = r.staleBy, 0
@@ -194,7 +194,7 @@
 			Result:        result,
 			Latency:       now - d.clock.at(s.sentAt),
 			Final:         final,
-			NotReplayable: consumed,
+			NotReplayable: notReplayable,
 		})
 	})
 	if staleBy > 0 {
@@ -259,8 +259,8 @@
 	})
 }
 
-// wake reports the end of a delay that the balancing logic asked for.
-func (d *driver) wake(token uint64) {
+// timerFired reports the end of a delay that the balancing logic asked for.
+func (d *driver) timerFired(token uint64) {
 	d.withBalancer(func(now logic.Time) { d.balancer.TimerFired(now, token) })
 }
 
--- a/proxy/guard_test.go
+++ b/proxy/guard_test.go
@@ -17,9 +17,9 @@
 func TestGuards(t *testing.T) {
 	b := standin.NewBackend(t, standin.Echo)
 	for _, c := range []struct {
-		name  string
-		guard guard
-		plant func(d *driver)
+		name   string
+		guard  guard
+		inject func(d *driver)
 	}{
 		{"sent to a draining backend", guardSend, func(d *driver) {
 			at := d.backends["s-1"]
@@ -34,9 +34,9 @@
 			p.cfg.Grace = time.Millisecond
 			defer startProxy(t, p)()
 			p.driver.mu.Lock()
-			c.plant(p.driver)
+			c.inject(p.driver)
 			p.driver.mu.Unlock()
-			before := b.RequestCount()
+			sentBefore := b.RequestCount()
 			code, _ := sendRequest(t, dialProxy(t, p), "get", 2000)
 			for g := range guardCount {
 				if n := p.driver.violations.counts[g].Load(); (n > 0) != (g == c.guard) {
@@ -44,7 +44,7 @@
 				}
 			}
 			stopped := c.guard < guardCount
-			if sent := b.RequestCount() > before; sent == stopped || (code == http.StatusOK) == stopped {
+			if sent := b.RequestCount() > sentBefore; sent == stopped || (code == http.StatusOK) == stopped {
 				t.Errorf("answered %d, sent %t", code, sent)
 			}
 			if info := (adminTarget{p}).Info(); !strings.Contains(info, `balancer_invariant_violations{guard="send"}`) {
@@ -70,12 +70,12 @@
 		t.Error("a request that was answered, or whose client left, may start")
 	}
 	for _, c := range []struct {
-		repeat logic.Idempotency
-		ran    bool
-		may    bool
+		idempotency logic.Idempotency
+		mayHaveRun  bool
+		allowed     bool
 	}{{logic.NonIdempotent, true, false}, {logic.NonIdempotent, false, true}, {logic.Idempotent, true, true}, {logic.Deduplicated, true, true}} {
-		if d.checkRetry(&activeRequest{idempotency: c.repeat, mayHaveRun: c.ran}) != c.may {
-			t.Errorf("idempotency %v, may have run %t: retry allowed %t", c.repeat, c.ran, !c.may)
+		if d.checkRetry(&activeRequest{idempotency: c.idempotency, mayHaveRun: c.mayHaveRun}) != c.allowed {
+			t.Errorf("idempotency %v, may have run %t: retry allowed %t", c.idempotency, c.mayHaveRun, !c.allowed)
 		}
 	}
 	if counted(guardRetry) != 1 {
--- a/proxy/race_test.go
+++ b/proxy/race_test.go
@@ -48,7 +48,7 @@
 			r := rand.New(rand.NewPCG(1, uint64(n)))
 			for i := range 150 {
 				var leaves sync.WaitGroup
-				c := d.arrive(fmt.Sprintf("%d-%d", n, i), r.IntN(3), 300*time.Millisecond, false, r.IntN(4) == 0)
+				c := d.startRequest(fmt.Sprintf("%d-%d", n, i), r.IntN(3), 300*time.Millisecond, false, r.IntN(4) == 0)
 				left, open := false, true
 				for open {
 					var s step
@@ -84,8 +84,8 @@
 					}
 					s.cancel()
 					final := result == logic.OK
-					d.written(c)
-					d.done(c, s, result, final, r.IntN(8) == 0)
+					d.requestWritten(c)
+					d.attemptDone(c, s, result, final, r.IntN(8) == 0)
 					open = !final
 				}
 				leaves.Wait()
@@ -140,7 +140,7 @@
 	} {
 		p := listenProxy(t, standin.ListJSON(1, true, standin.TargetJSON("s-1", "127.0.0.1:1")), "127.0.0.1:1")
 		d := p.driver
-		c := d.arrive("1", 0, time.Hour, false, false)
+		c := d.startRequest("1", 0, time.Hour, false, false)
 		s := <-c.steps // the attempt is in flight: the client is watched from here on
 		done := make(chan bool)
 		go func() {
@@ -148,7 +148,7 @@
 			for _, f := range events {
 				f(d, c)
 			}
-			d.done(c, s, logic.ConnectionLost, false, false)
+			d.attemptDone(c, s, logic.ConnectionLost, false, false)
 			d.endAll()
 		}()
 		select {
--- a/proxy/request.go
+++ b/proxy/request.go
@@ -60,7 +60,7 @@
 	}
 
 	// Pass it to the balancing logic.
-	r := p.driver.arrive(info.id, info.class, info.budget, info.retry, rest != nil)
+	r := p.driver.startRequest(info.id, info.class, info.budget, info.retry, rest != nil)
 	if r == nil {
 		p.answerBadRequest(c, http.StatusConflict, errDuplicateID)
 		return false
@@ -72,7 +72,7 @@
 	var inFlight *step // the current attempt
 	defer func() {
 		if inFlight != nil { // a panic is passing through
-			p.driver.done(r, *inFlight, logic.Cancelled, true, false)
+			p.driver.attemptDone(r, *inFlight, logic.Cancelled, true, false)
 			inFlight.cancel()
 		}
 	}()
@@ -108,7 +108,7 @@
 			} else {
 				upstreamRequest.OnWritten = func() {
 					step.sentAt = time.Now()
-					p.driver.written(r)
+					p.driver.requestWritten(r)
 					if c.conn.HasPipelinedData() { // already here: no need for a watch to notice it
 						p.driver.clientPipelined(r)
 						return
@@ -125,7 +125,7 @@
 			}
 			step.cancel()
 			inFlight = nil
-			p.driver.done(r, step, result, final, rest != nil && rest.ReadStarted())
+			p.driver.attemptDone(r, step, result, final, rest != nil && rest.ReadStarted())
 			p.stats.recordAttempt(result)
 			attempts = append(attempts, attemptTrace{step.uid, result, time.Since(step.sentAt)})
 			if final {
--- a/proxy/responses_test.go
+++ b/proxy/responses_test.go
@@ -169,7 +169,7 @@
 	for _, s := range []struct {
 		name, text string
 		end        func(*standin.Call)
-		whole      bool
+		complete   bool
 	}{
 		{"no length, long, reset", noLengthHead + long, reset, false},
 		{"no length, 1.0, long, reset", http10Head + long, reset, false},
@@ -203,7 +203,7 @@
 				a := readResponse(c, begin)
 				begin() // after an early failure nobody waits for it
 				want := s.text[strings.Index(s.text, "\r\n\r\n")+4:]
-				if s.whole && (a.err != nil || a.body != want) || !s.whole && a.err == nil {
+				if s.complete && (a.err != nil || a.body != want) || !s.complete && a.err == nil {
 					t.Errorf("got %d, %d bytes, %v", a.status, len(a.body), a.err)
 				}
 				if n := b.RequestCount(); n != 1 {
--- a/proxy/sockets_test.go
+++ b/proxy/sockets_test.go
@@ -13,7 +13,7 @@
 // Neither side can take the other's minimum share, whichever comes first, even with the
 // smallest possible budget.
 func TestDescriptorShares(t *testing.T) {
-	for _, c := range []struct{ budget, part int }{{2, 1}, {6, 1}, {16, 2}, {240, 30}} {
+	for _, c := range []struct{ budget, share int }{{2, 1}, {6, 1}, {16, 2}, {240, 30}} {
 		s := newDescriptorBudget(reservedDescriptors + c.budget)
 		s.reclaim = func(int) {}
 		s.setWaitDeadline(time.Now()) // acquire without waiting
@@ -24,7 +24,7 @@
 		for s.TryAcquire() {
 			backends++
 		}
-		if clients != c.budget-c.part || backends != c.part {
+		if clients != c.budget-c.share || backends != c.share {
 			t.Errorf("%d: clients first got %d, backends %d", c.budget, clients, backends)
 		}
 		s = newDescriptorBudget(reservedDescriptors + c.budget)
@@ -37,7 +37,7 @@
 		for s.acquireForClient() {
 			clients++
 		}
-		if backends != c.budget-c.part || clients != c.part {
+		if backends != c.budget-c.share || clients != c.share {
 			t.Errorf("%d: backends first got %d, clients %d", c.budget, backends, clients)
 		}
 		if used, _ := s.inUse(); used != c.budget {
--- a/proxy/stalelog_test.go
+++ b/proxy/stalelog_test.go
@@ -21,12 +21,12 @@
 	p := listenProxy(t, standin.ListJSON(1, true, standin.TargetJSON("s-1", "127.0.0.1:1")), "127.0.0.1:1")
 	defer p.listener.Close()
 	attempt := func(id string, result logic.Result) {
-		r := p.driver.arrive(id, 0, time.Second, false, false)
+		r := p.driver.startRequest(id, 0, time.Second, false, false)
 		s := <-r.steps
 		if s.kind != stepSend || !p.driver.connected(r, s) {
 			t.Fatalf("%s was not sent", id)
 		}
-		p.driver.done(r, s, result, true, false)
+		p.driver.attemptDone(r, s, result, true, false)
 		p.driver.forget(r)
 	}
 	now := time.Now()
--- a/proxy/starttime_test.go
+++ b/proxy/starttime_test.go
@@ -75,8 +75,8 @@
 func TestStartTimeLearnedWhileRunning(t *testing.T) {
 	const n = 60
 	for _, c := range []struct {
-		name  string
-		stamp time.Duration // announced minus true start time
+		name        string
+		clockOffset time.Duration // announced minus true start time
 	}{
 		{"true", 0},
 		{"an hour behind", -time.Hour},
@@ -90,7 +90,7 @@
 				t.Fatalf("%d of %d served by a backend after its slow start", served, n)
 			}
 			for _, start := range []struct{ name, uid string }{{"restarted", "s-1"}, {"replaced by a new one", "s-3"}} {
-				lines := []string{targetStartedAt(start.uid, b.Addr(), time.Now().Add(c.stamp))}
+				lines := []string{targetStartedAt(start.uid, b.Addr(), time.Now().Add(c.clockOffset))}
 				if start.uid != "s-1" {
 					lines = append(lines, `{"uid":"s-1","endpoint":"","az":"z1","state":"terminated"}`)
 				}
