--- a/proxy/actions.go
+++ b/proxy/actions.go
@@ -8,37 +8,37 @@
 	"oxbowloft/logic"
 )
 
-// What the module asks for. It calls these while the driver's lock is held: what they do is
-// handed to the request that it is for, or kept until the lock is free.
+// Methods that the balancing logic calls while the driver's lock is held. What they do is
+// handed to the request that it concerns, or deferred until the lock is released.
 
-// standingEvery bounds the lines about backends that are ejected and return.
-const standingEvery = 100 * time.Millisecond
+// statusLogInterval limits the log lines about backends that are ejected or return.
+const statusLogInterval = 100 * time.Millisecond
 
 // Send implements logic.Actions.
 func (d *driver) Send(request, backend string, timeout time.Duration) {
-	r := d.calls[request]
-	s := step{kind: stepSend, attempt: r.sends, uid: backend, to: d.backends[backend].Backend, sent: time.Now()}
+	r := d.requests[request]
+	s := step{kind: stepSend, attempt: r.attempts, uid: backend, backend: d.backends[backend].Backend, sentAt: time.Now()}
 	s.timeout = timeout
-	s.withheld = r.sends > 0 && !d.mayRepeat(r)
+	s.withheld = r.attempts > 0 && !d.checkRetry(r)
 	s.ctx, s.cancel = context.WithCancel(context.Background())
-	r.cancel, r.begun = s.cancel, false
+	r.cancel, r.writeStarted = s.cancel, false
 	r.steps <- s
-	r.sends++
+	r.attempts++
 }
 
 // Refuse implements logic.Actions.
-func (d *driver) Refuse(request string, comeBack time.Duration, why logic.Cause) {
-	d.calls[request].steps <- step{kind: stepRefuse, comeBack: comeBack, why: why}
+func (d *driver) Refuse(request string, retryAfter time.Duration, cause logic.Cause) {
+	d.requests[request].steps <- step{kind: stepRefuse, retryAfter: retryAfter, cause: cause}
 }
 
 // Fail implements logic.Actions.
-func (d *driver) Fail(request string, why logic.Cause) {
-	d.calls[request].steps <- step{kind: stepFail, why: why}
+func (d *driver) Fail(request string, cause logic.Cause) {
+	d.requests[request].steps <- step{kind: stepFail, cause: cause}
 }
 
 // Cancel implements logic.Actions.
 func (d *driver) Cancel(request string, attempt int) {
-	if r := d.calls[request]; r != nil && r.sends == attempt+1 {
+	if r := d.requests[request]; r != nil && r.attempts == attempt+1 {
 		r.cancel()
 	}
 }
@@ -47,32 +47,32 @@
 func (d *driver) StartTimer(token uint64, after time.Duration) {
 	due := time.Now().Add(after)
 	timer := time.AfterFunc(after, func() {
-		d.stats.late(time.Since(due))
-		d.wake(token)
+		d.stats.recordTimerDelay(time.Since(due))
+		d.timerFired(token)
 	})
 	if d.current != nil {
-		d.current.timer = timer
+		d.current.backoffTimer = timer
 	}
 }
 
 // BackendStatusChanged implements logic.Observer.
 func (d *driver) BackendStatusChanged(backend string, s logic.BackendStatus, failures float64) {
-	if leftOut, ok := d.standingLog.Allow(); ok {
-		log.Printf("event=backend uid=%s standing=%s failures=%.2f left_out=%d", backend, s, failures, leftOut)
+	if omitted, ok := d.statusLog.Allow(); ok {
+		log.Printf("event=backend uid=%s standing=%s failures=%.2f left_out=%d", backend, s, failures, omitted)
 	}
 }
 
 // RequestList implements logic.ListRequester.
 func (d *driver) RequestList() {
-	if d.askList != nil {
-		d.later = append(d.later, d.askList)
+	if d.requestListCheck != nil {
+		d.deferred = append(d.deferred, d.requestListCheck)
 	}
 }
 
 // CloseIdle implements logic.Actions.
 func (d *driver) CloseIdle(backend string) {
-	// Out of use at once, since the module may send to it next; closed later.
+	// Detached at once, since the balancing logic may send to it next; closed later.
 	if b, ok := d.backends[backend]; ok {
-		d.later = append(d.later, b.RemoveIdle())
+		d.deferred = append(d.deferred, b.RemoveIdle())
 	}
 }
--- a/proxy/driver.go
+++ b/proxy/driver.go
@@ -16,55 +16,56 @@
 	"oxbowloft/logic"
 )
 
-// driver alone calls the module: one call at a time, each with the time at
-// which it is made. It does no I/O under its lock: what the module asks for is
-// handed to the request it is for, or kept until the lock is free.
+// driver makes all calls to the balancing logic, one at a time, each with the time at
+// which it is made. It does no I/O while it holds its lock: an action of the balancing
+// logic is handed to the request that it concerns, or deferred until the lock is
+// released.
 type driver struct {
-	clock   clock
-	opt     *upstream.Options
-	stats   *stats
-	askList func() // asks for a check of the list; nil: there are none
+	clock            clock
+	upstreamOptions  *upstream.Options
+	stats            *stats
+	requestListCheck func() // requests a check of the list; nil: no checks
 
 	mu       sync.Mutex
 	balancer *logic.Balancer
 	classes  []logic.Class
-	calls    map[string]*call
-	open     map[string]bool // callers' ids of requests in the module's hands
-	backends map[string]place
-	serial   uint64
-	later    []func()
-	current  *call // whose outcome the module is handling
-
-	violations  *violations
-	standingLog logging.RateLimiter // of backends whose standing changes
-	staleLog    *staleAttemptLog
-	listUntil   logic.Time      // the list holds all that counts as told until then; 0: nothing is known of it
-	byHandOut   map[string]bool // detached by operators
+	requests map[string]*activeRequest
+	openIDs  map[string]bool // clients' ids of requests that have no response yet
+	backends map[string]backendEntry
+	lastID   uint64
+	deferred []func()
+	current  *activeRequest // request whose result the balancing logic is processing
+
+	violations     *violations
+	statusLog      logging.RateLimiter // rate limit of log lines about backend status
+	staleLog       *staleAttemptLog
+	listFreshUntil logic.Time      // until then the list contains all announced changes; 0: unknown
+	detached       map[string]bool // by operators
 }
 
-// place is where a backend is, since when.
-type place struct {
+// backendEntry is a listed backend, with its address and state.
+type backendEntry struct {
 	*upstream.Backend
-	boot    int64      // the stamp of its start, as discovery gives it
-	started logic.Time // what that is taken for, from when it was first told
-	state   logic.State
-	leaving logic.Time // since when it is not in service
+	startStamp    int64      // start time as announced by discovery
+	started       logic.Time // start time as accepted when it was first announced
+	state         logic.State
+	leftServiceAt logic.Time // since when it is not in service
 }
 
-// call is one request in the module's hands.
-type call struct {
-	id     string
-	name   string            // its caller's id
-	repeat logic.Idempotency // what a second run of it would do
-	ran    bool              // an attempt may have run
-	sends  int
-	cancel func()      // gives up the attempt sent last
-	begun  bool        // that attempt is being written, or has been
-	past   logic.Time  // how long past the list's time it began; 0: it did not
-	left   bool        // its client has: the step that says so is out
-	steps  chan step   // room for one step and the client's going
-	timer  *time.Timer // of its backoff
-	ahead  atomic.Bool // its caller has sent on before the answer
+// activeRequest is a request that the balancing logic has not finished.
+type activeRequest struct {
+	id           string
+	clientID     string            // id given by the client
+	idempotency  logic.Idempotency // the effect of running it twice
+	mayHaveRun   bool              // an attempt may have run
+	attempts     int
+	cancel       func()     // cancels the latest attempt
+	writeStarted bool       // the latest attempt is being written or has been
+	staleBy      logic.Time // how long the list had been stale when the latest attempt began; 0: it was fresh
+	clientLeft   bool       // the client has left, and the step that says so has been sent
+	steps        chan step  // room for one step and for the one that reports the client's leaving
+	backoffTimer *time.Timer
+	pipelined    atomic.Bool // the client sent more data before the response
 }
 
 type stepKind int
@@ -73,147 +74,150 @@
 	stepSend stepKind = iota
 	stepRefuse
 	stepFail
-	stepGone
-	stepAhead
+	stepClientGone
+	stepPipelined
 )
 
-// step is what the module wants next for a request.
+// step is what the balancing logic decided to do next for a request.
 type step struct {
-	kind     stepKind
-	attempt  int
-	uid      string // of the backend
-	to       *upstream.Backend
-	sent     time.Time
-	timeout  time.Duration
-	ctx      context.Context // over once the attempt is given up
-	cancel   func()
-	withheld bool // it must not be sent
-	comeBack time.Duration
-	why      logic.Cause // of a refusal or failure
+	kind       stepKind
+	attempt    int
+	uid        string // of the backend
+	backend    *upstream.Backend
+	sentAt     time.Time
+	timeout    time.Duration
+	ctx        context.Context // done once the attempt is canceled
+	cancel     func()
+	withheld   bool // the attempt must not be sent
+	retryAfter time.Duration
+	cause      logic.Cause // of a refusal or failure
 }
 
-func newDriver(cfg *Config, opt *upstream.Options, st *stats) *driver {
+func newDriver(cfg *Config, upstreamOptions *upstream.Options, stats *stats) *driver {
 	d := &driver{
-		clock:    newClock(),
-		classes:  cfg.logic.Classes,
-		opt:      opt,
-		stats:    st,
-		calls:    map[string]*call{},
-		open:     map[string]bool{},
-		backends: map[string]place{},
-
-		violations:  newViolations(),
-		standingLog: logging.RateLimiter{Interval: standingEvery, Burst: 20},
-		staleLog:    newStaleAttemptLog(),
-		byHandOut:   map[string]bool{},
+		clock:           newClock(),
+		classes:         cfg.logicSettings.Classes,
+		upstreamOptions: upstreamOptions,
+		stats:           stats,
+		requests:        map[string]*activeRequest{},
+		openIDs:         map[string]bool{},
+		backends:        map[string]backendEntry{},
+
+		violations: newViolations(),
+		statusLog:  logging.RateLimiter{Interval: statusLogInterval, Burst: 20},
+		staleLog:   newStaleAttemptLog(),
+		detached:   map[string]bool{},
 	}
-	opt.OnLateDialFailure = d.unreached
-	d.do(func(now logic.Time) { d.balancer = logic.New(now, cfg.logic, d) })
+	upstreamOptions.OnLateDialFailure = d.dialFailed
+	d.withBalancer(func(now logic.Time) { d.balancer = logic.New(now, cfg.logicSettings, d) })
 	return d
 }
 
-// moduleFault is a panic inside the decision module, or of what it asked for.
-type moduleFault struct{ cause any }
+// decisionPanic is a panic inside the balancing logic, or in an action that it called.
+type decisionPanic struct{ value any }
 
-// do makes one call to the module, then what must wait until the lock is free.
-func (d *driver) do(f func(now logic.Time)) {
+// withBalancer makes one call to the balancing logic, then runs what was deferred until
+// the lock is released.
+func (d *driver) withBalancer(f func(now logic.Time)) {
 	d.mu.Lock()
-	inside := true
+	panicked := true
 	defer func() {
-		if !inside {
+		if !panicked {
 			return
 		}
-		if cause := recover(); cause != nil {
-			panic(moduleFault{fmt.Sprintf("%v\n%s", cause, debug.Stack())})
+		if value := recover(); value != nil {
+			panic(decisionPanic{fmt.Sprintf("%v\n%s", value, debug.Stack())})
 		}
 	}()
 	f(d.clock.now())
-	inside = false
-	later := d.later
-	d.later = nil
+	panicked = false
+	deferred := d.deferred
+	d.deferred = nil
 	d.mu.Unlock()
-	for _, f := range later {
+	for _, f := range deferred {
 		f()
 	}
 }
 
-// arrive hands a request to the module; its first step is ready on return. It
-// returns nil for one whose id is open here already.
-func (d *driver) arrive(name string, class int, budget time.Duration, retry, long bool) (r *call) {
-	d.do(func(now logic.Time) {
-		if d.open[name] {
+// startRequest passes a new request to the balancing logic; its first step is ready on return.
+// It returns nil if a request with the same id is open already.
+func (d *driver) startRequest(clientID string, class int, budget time.Duration, retry, streamed bool) (r *activeRequest) {
+	d.withBalancer(func(now logic.Time) {
+		if d.openIDs[clientID] {
 			return
 		}
-		d.open[name] = true
-		// The module gets ids of our own: a caller's may come again.
-		d.serial++
-		r = &call{id: strconv.FormatUint(d.serial, 36), name: name, steps: make(chan step, 2)}
-		r.repeat = d.classes[class].Idempotency
-		d.calls[r.id] = r
-		d.balancer.StartRequest(now, logic.Request{ID: r.id, Class: class, Budget: budget, ClientRetry: retry, Streamed: long})
+		d.openIDs[clientID] = true
+		// The balancing logic gets ids of the proxy's own, since clients may reuse
+		// theirs.
+		d.lastID++
+		r = &activeRequest{id: strconv.FormatUint(d.lastID, 36), clientID: clientID, steps: make(chan step, 2)}
+		r.idempotency = d.classes[class].Idempotency
+		d.requests[r.id] = r
+		d.balancer.StartRequest(now, logic.Request{ID: r.id, Class: class, Budget: budget, ClientRetry: retry, Streamed: streamed})
 	})
 	return r
 }
 
-// connected reports that the connection for an attempt stands, and tells whether the
-// attempt still is to be written.
-func (d *driver) connected(r *call, s step) (yes bool) {
-	d.do(func(now logic.Time) {
-		// A backend that has moved is another machine, whatever the module knows of it.
-		yes = d.backends[s.uid].Backend == s.to && d.balancer.MaySendOnConnect(now, r.id)
-		yes = yes && d.mayStart(r) && d.maySend(r, s) && !s.withheld
-		r.begun = yes
-		if yes && d.listUntil != 0 {
-			r.past = max(0, now-d.listUntil)
+// connected reports that the connection for an attempt is established. It returns whether
+// the attempt is still to be written.
+func (d *driver) connected(r *activeRequest, s step) (proceed bool) {
+	d.withBalancer(func(now logic.Time) {
+		// A backend with a new address is another machine, whatever the balancing logic
+		// knows of it.
+		proceed = d.backends[s.uid].Backend == s.backend && d.balancer.MaySendOnConnect(now, r.id)
+		proceed = proceed && d.checkStart(r) && d.checkSend(r, s) && !s.withheld
+		r.writeStarted = proceed
+		if proceed && d.listFreshUntil != 0 {
+			r.staleBy = max(0, now-d.listFreshUntil)
 		}
 	})
-	return yes
+	return proceed
 }
 
-// written reports that the attempt of a long request has been written whole.
-func (d *driver) written(r *call) {
-	d.do(func(now logic.Time) { d.balancer.RequestWritten(now, r.id) })
+// requestWritten reports that the attempt of a streamed request has been written completely.
+func (d *driver) requestWritten(r *activeRequest) {
+	d.withBalancer(func(now logic.Time) { d.balancer.RequestWritten(now, r.id) })
 }
 
-// done reports the end of an attempt, and whether the request is spent. Unless it is
-// final, a step follows.
-func (d *driver) done(r *call, s step, result logic.Result, final, spent bool) {
-	var past time.Duration
-	d.do(func(now logic.Time) {
-		past, r.past = r.past, 0
+// attemptDone reports the result of an attempt, and whether the request body has been consumed,
+// so that it can't be replayed. Unless the result is final, a step follows.
+func (d *driver) attemptDone(r *activeRequest, s step, result logic.Result, final, notReplayable bool) {
+	var staleBy time.Duration
+	d.withBalancer(func(now logic.Time) {
+		staleBy, r.staleBy = r.staleBy, 0
 		d.current = r
 		defer func() { d.current = nil }()
-		r.ran = r.ran || mayHaveRun(result)
+		r.mayHaveRun = r.mayHaveRun || mayHaveRun(result)
 		d.balancer.AttemptDone(now, logic.Outcome{
 			Request:       r.id,
 			Attempt:       s.attempt,
 			Result:        result,
-			Latency:       now - d.clock.at(s.sent),
+			Latency:       now - d.clock.at(s.sentAt),
 			Final:         final,
-			NotReplayable: spent,
+			NotReplayable: notReplayable,
 		})
 	})
-	if past > 0 {
-		d.staleLog.write(r, s, past, result)
+	if staleBy > 0 {
+		d.staleLog.write(r, s, staleBy, result)
 	}
 }
 
-// unreached reports that a connection to a backend has not come up at all, which no attempt
-// waited for any longer.
-func (d *driver) unreached(b *upstream.Backend, err error) {
+// dialFailed reports that a connection to a backend could not be opened, when no attempt
+// was waiting for it any more.
+func (d *driver) dialFailed(b *upstream.Backend, err error) {
 	if neterror.Classify(neterror.Dial, err) == neterror.LocalFailure {
 		return
 	}
-	d.do(func(now logic.Time) {
-		for uid, p := range d.backends {
-			if p.Backend == b {
+	d.withBalancer(func(now logic.Time) {
+		for uid, entry := range d.backends {
+			if entry.Backend == b {
 				d.balancer.ConnectAttemptFailed(now, uid)
 			}
 		}
 	})
 }
 
-// mayHaveRun tells whether an attempt that ended so may have run.
+// mayHaveRun reports whether an attempt with this result may have run at the backend.
 func mayHaveRun(result logic.Result) bool {
 	switch result {
 	case logic.Rejected, logic.ConnectFailed, logic.NotSent, logic.ConnectPending:
@@ -222,49 +226,49 @@
 	return true
 }
 
-// hasLeft tells whether a request's client has left.
-func (d *driver) hasLeft(r *call) bool {
+// clientHasLeft reports whether a request's client has left.
+func (d *driver) clientHasLeft(r *activeRequest) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return r.left
+	return r.clientLeft
 }
 
-// gone reports that a request's client has left.
-func (d *driver) gone(r *call) { d.over(r, stepGone) }
+// clientGone reports that a request's client has left.
+func (d *driver) clientGone(r *activeRequest) { d.endByClient(r, stepClientGone) }
 
-// ahead reports that a request's client has sent on before its answer: it is not
-// served.
-func (d *driver) ahead(r *call) {
-	r.ahead.Store(true)
-	d.over(r, stepAhead)
+// clientPipelined reports that a request's client sent more data before the response. The
+// request is not served.
+func (d *driver) clientPipelined(r *activeRequest) {
+	r.pipelined.Store(true)
+	d.endByClient(r, stepPipelined)
 }
 
-// over reports that a request has ended without the module, and hands on how. An attempt
-// that has not begun is given up; whether one that has begun is, the module says.
-func (d *driver) over(r *call, how stepKind) {
-	d.do(func(now logic.Time) {
-		if r.left { // there is room for one such step
+// endByClient ends a request because of its client, and passes on how. An attempt that
+// has not begun is canceled; for one that has begun, the balancing logic decides.
+func (d *driver) endByClient(r *activeRequest, kind stepKind) {
+	d.withBalancer(func(now logic.Time) {
+		if r.clientLeft { // there is room for one such step
 			return
 		}
-		r.left = true
+		r.clientLeft = true
 		d.balancer.ClientGone(now, r.id)
-		if r.cancel != nil && !r.begun {
+		if r.cancel != nil && !r.writeStarted {
 			r.cancel()
 		}
-		r.steps <- step{kind: how}
+		r.steps <- step{kind: kind}
 	})
 }
 
-// wake reports the end of a wait that the module asked for.
-func (d *driver) wake(token uint64) {
-	d.do(func(now logic.Time) { d.balancer.TimerFired(now, token) })
+// timerFired reports the end of a delay that the balancing logic asked for.
+func (d *driver) timerFired(token uint64) {
+	d.withBalancer(func(now logic.Time) { d.balancer.TimerFired(now, token) })
 }
 
-// end reports that the proxy ends, and with it each request that is still open: each
-// gets its answer from the module now, and what is out for it is given up.
-func (d *driver) end() {
-	d.do(func(logic.Time) {
-		for id, r := range d.calls {
+// endAll ends each open request because the proxy shuts down: each gets its response from
+// the balancing logic now, and its attempt is canceled.
+func (d *driver) endAll() {
+	d.withBalancer(func(logic.Time) {
+		for id, r := range d.requests {
 			d.balancer.AbandonRequest(id)
 			if r.cancel != nil {
 				r.cancel()
@@ -273,138 +277,138 @@
 	})
 }
 
-// forget lets go of a request whose answer is known. It comes before the first byte of
-// the answer: who has read that may use the id again at once.
-func (d *driver) forget(r *call) {
+// forget removes a request whose response is decided. It is called before the response's
+// first byte is written: a client that has read it may reuse the id at once.
+func (d *driver) forget(r *activeRequest) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.calls[r.id] != r {
-		return // the id may be another one's by now
+	if d.requests[r.id] != r {
+		return // the id may belong to another request by now
 	}
-	delete(d.calls, r.id)
-	delete(d.open, r.name)
-	if r.timer != nil {
-		r.timer.Stop()
+	delete(d.requests, r.id)
+	delete(d.openIDs, r.clientID)
+	if r.backoffTimer != nil {
+		r.backoffTimer.Stop()
 	}
 }
 
-// states are the module's words for the states of a target.
-var states = map[string]logic.State{
+// balancerStates maps the states of targets to those of the balancing logic.
+var balancerStates = map[string]logic.State{
 	discovery.InService:   logic.Up,
 	discovery.Terminating: logic.Draining,
 	discovery.Terminated:  logic.Removed,
 }
 
-// list hands on news of the backends.
-func (d *driver) list(l *discovery.List) {
-	lines := make([]logic.Backend, 0, len(l.Targets))
-	named := map[string]bool{}
-	d.do(func(now logic.Time) {
+// updateList applies a list, or changes to it.
+func (d *driver) updateList(l *discovery.List) {
+	entries := make([]logic.Backend, 0, len(l.Targets))
+	listed := map[string]bool{}
+	d.withBalancer(func(now logic.Time) {
 		for _, t := range l.Targets {
 			if t.State == discovery.Terminated {
-				d.drop(t.UID)
+				d.removeBackend(t.UID)
 			} else {
-				d.place(now, t, l.PreviousConfirmedAt)
+				d.updateBackend(now, t, l.PreviousConfirmedAt)
 			}
-			line := logic.Backend{ID: t.UID, Zone: t.Zone, Cell: t.Cell, Capacity: t.CapacityHint, State: states[t.State]}
-			line.StartedAt = d.backends[t.UID].started
-			lines = append(lines, line)
-			named[t.UID] = true
+			entry := logic.Backend{ID: t.UID, Zone: t.Zone, Cell: t.Cell, Capacity: t.CapacityHint, State: balancerStates[t.State]}
+			entry.StartedAt = d.backends[t.UID].started
+			entries = append(entries, entry)
+			listed[t.UID] = true
 		}
 		for uid := range d.backends {
-			if l.Complete && !named[uid] {
-				d.drop(uid)
+			if l.Complete && !listed[uid] {
+				d.removeBackend(uid)
 			}
 		}
-		d.balancer.UpdateList(now, l.Complete, lines)
+		d.balancer.UpdateList(now, l.Complete, entries)
 	})
 }
 
-// place makes sure that a backend is reached where the list says. Connections
-// from before it moved or started again are of no use: guards against calls
-// broken on those that a machine left open when it vanished.
-func (d *driver) place(now logic.Time, t discovery.Target, before time.Time) {
-	b, ok := d.backends[t.UID]
-	same := ok && b.boot == t.BootMs
-	state, leaving := states[t.State], b.leaving
-	if state != b.state {
-		leaving = now
+// updateBackend makes sure that a backend has the address in the list. Connections from
+// before it moved or restarted are closed: a machine that vanished leaves its connections
+// open, and requests sent on them would fail.
+func (d *driver) updateBackend(now logic.Time, t discovery.Target, listBefore time.Time) {
+	entry, ok := d.backends[t.UID]
+	sameProcess := ok && entry.startStamp == t.BootMs
+	state, leftServiceAt := balancerStates[t.State], entry.leftServiceAt
+	if state != entry.state {
+		leftServiceAt = now
 	}
-	if same && b.Addr == t.Endpoint {
-		b.state, b.leaving = state, leaving
-		d.backends[t.UID] = b
+	if sameProcess && entry.Addr == t.Endpoint {
+		entry.state, entry.leftServiceAt = state, leftServiceAt
+		d.backends[t.UID] = entry
 		return
 	}
-	started := b.started
-	if !same {
-		started = d.clock.booted(now, t.BootMs, before)
+	started := entry.started
+	if !sameProcess {
+		started = d.clock.startTime(now, t.BootMs, listBefore)
 	}
-	d.drop(t.UID)
-	d.backends[t.UID] = place{upstream.New(t.Endpoint, d.opt), t.BootMs, started, state, leaving}
+	d.removeBackend(t.UID)
+	d.backends[t.UID] = backendEntry{upstream.New(t.Endpoint, d.upstreamOptions), t.BootMs, started, state, leftServiceAt}
 }
 
-// drop lets go of a backend, if it is known, and of the connections to it.
-func (d *driver) drop(uid string) {
+// removeBackend removes a backend, if it is known, and closes its connections.
+func (d *driver) removeBackend(uid string) {
 	if b, ok := d.backends[uid]; ok {
 		delete(d.backends, uid)
-		d.later = append(d.later, b.Close)
+		d.deferred = append(d.deferred, b.Close)
 	}
 }
 
-// listFresh reports for how long the list may be used.
-func (d *driver) listFresh(f discovery.Freshness) {
-	fresh := logic.ListFreshness{
+// setListFreshness reports how long the list may be used.
+func (d *driver) setListFreshness(f discovery.Freshness) {
+	freshness := logic.ListFreshness{
 		FreshUntil:     d.clock.at(f.Until),
 		StaleUntil:     d.clock.at(f.UntilIfServing),
 		EvidenceWindow: f.ServingWindow,
-		ConfirmedAt:    d.clock.ifEver(f.ConfirmedAt),
-		ReceivedAt:     d.clock.ifEver(f.ReceivedAt),
+		ConfirmedAt:    d.clock.atOrZero(f.ConfirmedAt),
+		ReceivedAt:     d.clock.atOrZero(f.ReceivedAt),
 		ChangesMayLag:  f.MayAnnounceLate,
 		MaxUnobserved:  discovery.MaxUnobservedGap,
 	}
-	d.do(func(logic.Time) {
-		d.listUntil = fresh.FreshUntil
-		d.balancer.SetListFreshness(fresh)
+	d.withBalancer(func(logic.Time) {
+		d.listFreshUntil = freshness.FreshUntil
+		d.balancer.SetListFreshness(freshness)
 	})
 }
 
-// all returns the backends there are.
-func (d *driver) all() []*upstream.Backend {
+// allBackends returns the known backends.
+func (d *driver) allBackends() []*upstream.Backend {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	out := make([]*upstream.Backend, 0, len(d.backends))
+	backends := make([]*upstream.Backend, 0, len(d.backends))
 	for _, b := range d.backends {
-		out = append(out, b.Backend)
+		backends = append(backends, b.Backend)
 	}
-	return out
+	return backends
 }
 
-func (d *driver) known() int {
+func (d *driver) backendCount() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(d.backends)
 }
 
-// listed is how many backends the list has, and how many of them are avoided.
-func (d *driver) listed() (all, avoided int) {
-	d.do(func(now logic.Time) { all, avoided = len(d.backends), d.balancer.OutOfRotation(now) })
-	return all, avoided
+// backendCounts returns how many backends the list has, and how many of them are avoided.
+func (d *driver) backendCounts() (listed, avoided int) {
+	d.withBalancer(func(now logic.Time) { listed, avoided = len(d.backends), d.balancer.OutOfRotation(now) })
+	return listed, avoided
 }
 
-// knows tells whether a backend is listed, or out by hand.
-func (d *driver) knows(id string) (yes bool) {
-	d.do(func(logic.Time) { yes = d.balancer.IsKnown(id) })
-	return yes
+// knows reports whether a backend is listed or detached.
+func (d *driver) knows(id string) (known bool) {
+	d.withBalancer(func(logic.Time) { known = d.balancer.IsKnown(id) })
+	return known
 }
 
-// byHand takes a backend out, or in again. It holds on return.
-func (d *driver) byHand(id string, out bool) {
-	d.do(func(now logic.Time) {
-		if out {
-			d.byHandOut[id] = true
+// setDetached detaches or attaches a backend. It has taken effect on return.
+func (d *driver) setDetached(id string, detach bool) {
+	d.withBalancer(func(now logic.Time) {
+		if detach {
+			d.detached[id] = true
 			d.balancer.Detach(id)
 		} else {
-			delete(d.byHandOut, id)
+			delete(d.detached, id)
 			d.balancer.Attach(now, id)
 		}
 	})
--- a/proxy/guard_test.go
+++ b/proxy/guard_test.go
@@ -12,87 +12,87 @@
 	"oxbowloft/logic"
 )
 
-// A violation that is planted between the module and the driver is stopped by its guard,
-// counted and shown; a request that breaks none counts none.
+// A violation injected between the balancing logic and the driver is prevented by its
+// guard, counted and shown. A normal request counts none.
 func TestGuards(t *testing.T) {
 	b := standin.NewBackend(t, standin.Echo)
 	for _, c := range []struct {
-		name  string
-		guard guard
-		plant func(d *driver)
+		name   string
+		guard  guard
+		inject func(d *driver)
 	}{
-		{"sent to one that drains", guardSend, func(d *driver) {
+		{"sent to a draining backend", guardSend, func(d *driver) {
 			at := d.backends["s-1"]
 			at.state = logic.Draining
 			d.backends["s-1"] = at
 		}},
-		{"sent to one that is out by hand", guardSend, func(d *driver) { d.byHandOut["s-1"] = true }},
-		{"none", guards, func(*driver) {}},
+		{"sent to a detached backend", guardSend, func(d *driver) { d.detached["s-1"] = true }},
+		{"none", guardCount, func(*driver) {}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			p := listening(t, standin.ListJSON(1, true, standin.TargetJSON("s-1", b.Addr())), "127.0.0.1:1")
+			p := listenProxy(t, standin.ListJSON(1, true, standin.TargetJSON("s-1", b.Addr())), "127.0.0.1:1")
 			p.cfg.Grace = time.Millisecond
-			defer running(t, p)()
+			defer startProxy(t, p)()
 			p.driver.mu.Lock()
-			c.plant(p.driver)
+			c.inject(p.driver)
 			p.driver.mu.Unlock()
-			before := b.RequestCount()
-			code, _ := ask(t, dial(t, p), "get", 2000)
-			for g := range guards {
+			sentBefore := b.RequestCount()
+			code, _ := sendRequest(t, dialProxy(t, p), "get", 2000)
+			for g := range guardCount {
 				if n := p.driver.violations.counts[g].Load(); (n > 0) != (g == c.guard) {
 					t.Errorf("guard %s counts %d", g, n)
 				}
 			}
-			stopped := c.guard < guards
-			if sent := b.RequestCount() > before; sent == stopped || (code == http.StatusOK) == stopped {
+			stopped := c.guard < guardCount
+			if sent := b.RequestCount() > sentBefore; sent == stopped || (code == http.StatusOK) == stopped {
 				t.Errorf("answered %d, sent %t", code, sent)
 			}
-			if info := (operated{p}).Info(); !strings.Contains(info, `balancer_invariant_violations{guard="send"}`) {
-				t.Errorf("not shown: %s", info)
+			if info := (adminTarget{p}).Info(); !strings.Contains(info, `balancer_invariant_violations{guard="send"}`) {
+				t.Errorf("metrics lack the counter: %s", info)
 			}
 		})
 	}
 }
 
-// The other guards, each asked about a step that must not be taken and one that may.
-func TestGuardsOfACall(t *testing.T) {
-	p := listening(t, standin.ListJSON(1, true), "127.0.0.1:1")
+// The other guards, each with a step that must not be taken and one that may.
+func TestGuardsOfARequest(t *testing.T) {
+	p := listenProxy(t, standin.ListJSON(1, true), "127.0.0.1:1")
 	defer p.listener.Close()
-	defer p.state.close()
+	defer p.shared.close()
 	d := p.driver
 	counted := func(g guard) int64 { return d.violations.counts[g].Load() }
-	open := &call{id: "1", name: "open"}
-	d.calls["1"] = open
-	if !d.mayStart(open) || counted(guardStart) != 0 {
-		t.Error("an open call may not start")
+	open := &activeRequest{id: "1", clientID: "open"}
+	d.requests["1"] = open
+	if !d.checkStart(open) || counted(guardStart) != 0 {
+		t.Error("an open request may not start")
 	}
-	if d.mayStart(&call{id: "2", name: "answered"}) || d.mayStart(&call{id: "1", name: "left", left: true}) || counted(guardStart) != 2 {
-		t.Error("a call that was answered, or whose client left, may start")
+	if d.checkStart(&activeRequest{id: "2", clientID: "answered"}) || d.checkStart(&activeRequest{id: "1", clientID: "left", clientLeft: true}) || counted(guardStart) != 2 {
+		t.Error("a request that was answered, or whose client left, may start")
 	}
 	for _, c := range []struct {
-		repeat logic.Idempotency
-		ran    bool
-		may    bool
+		idempotency logic.Idempotency
+		mayHaveRun  bool
+		allowed     bool
 	}{{logic.NonIdempotent, true, false}, {logic.NonIdempotent, false, true}, {logic.Idempotent, true, true}, {logic.Deduplicated, true, true}} {
-		if d.mayRepeat(&call{repeat: c.repeat, ran: c.ran}) != c.may {
-			t.Errorf("repeat rule %v, ran %t: may be repeated %t", c.repeat, c.ran, !c.may)
+		if d.checkRetry(&activeRequest{idempotency: c.idempotency, mayHaveRun: c.mayHaveRun}) != c.allowed {
+			t.Errorf("idempotency %v, may have run %t: retry allowed %t", c.idempotency, c.mayHaveRun, !c.allowed)
 		}
 	}
-	if counted(guardRepeat) != 1 {
-		t.Errorf("%d repeats counted", counted(guardRepeat))
+	if counted(guardRetry) != 1 {
+		t.Errorf("%d violations counted for retries", counted(guardRetry))
 	}
 	near, far := net.Pipe()
 	defer near.Close()
 	defer far.Close()
-	c := &client{conn: http1.NewConn(near)}
-	p.closed(c, open, "open")
+	c := &clientConn{conn: http1.NewConn(near)}
+	p.checkClosed(c, open, "open")
 	if counted(guardClose) != 1 {
-		t.Error("an end with no answer is not counted")
+		t.Error("an end without a response is not counted")
 	}
-	c.answering = true
-	p.closed(c, open, "open")
-	p.closed(&client{}, &call{left: true}, "left")
+	c.responseStarted = true
+	p.checkClosed(c, open, "open")
+	p.checkClosed(&clientConn{}, &activeRequest{clientLeft: true}, "left")
 	if counted(guardClose) != 1 {
-		t.Error("an end with an answer, or without a client, is counted")
+		t.Error("an end with a response, or after the client left, is counted")
 	}
 }
--- a/proxy/proxy_test.go
+++ b/proxy/proxy_test.go
@@ -29,8 +29,8 @@
 	goleak.VerifyTestMain(m)
 }
 
-// listening is a proxy that listens and does not run yet.
-func listening(t *testing.T, known, discovery string) *Proxy {
+// listenProxy returns a proxy that listens and does not run yet.
+func listenProxy(t *testing.T, known, discovery string) *Proxy {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
 	text := standin.Config("127.0.0.1:0", discovery, 256, known)
@@ -54,15 +54,15 @@
 	return p
 }
 
-// run runs a proxy in this process, before backends known from the start.
-func run(t *testing.T, known, discovery string) (p *Proxy, stop func()) {
+// runProxy runs a proxy with the given list known at start.
+func runProxy(t *testing.T, known, discovery string) (p *Proxy, stop func()) {
 	t.Helper()
-	p = listening(t, known, discovery)
-	return p, running(t, p)
+	p = listenProxy(t, known, discovery)
+	return p, startProxy(t, p)
 }
 
-// running runs a proxy until stop is called.
-func running(t *testing.T, p *Proxy) (stop func()) {
+// startProxy runs a proxy until stop is called.
+func startProxy(t *testing.T, p *Proxy) (stop func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error)
@@ -84,23 +84,23 @@
 	standin.Eventually(t, 20*time.Second, what, f)
 }
 
-func text(class string, ms int) string {
+func requestText(class string, ms int) string {
 	return fmt.Sprintf("GET /api HTTP/1.1\r\nHost: h\r\nX-Request-ID: 1\r\nX-Priority-Class: %s\r\nX-Timeout-Ms: %d\r\n\r\n",
 		class, ms)
 }
 
-// ask makes one request on a connection of its own, or on c.
-func ask(t *testing.T, c net.Conn, class string, ms int) (int, string) {
+// sendRequest sends one request on c and returns the status and body of its response.
+func sendRequest(t *testing.T, c net.Conn, class string, ms int) (int, string) {
 	t.Helper()
-	if _, err := io.WriteString(c, text(class, ms)); err != nil {
+	if _, err := io.WriteString(c, requestText(class, ms)); err != nil {
 		t.Fatal(err)
 	}
-	resp, body := read(t, c)
+	resp, body := mustReadResponse(t, c)
 	return resp.StatusCode, body
 }
 
-// read reads an answer and its body from c.
-func read(t *testing.T, c net.Conn) (*http.Response, string) {
+// mustReadResponse reads a response and its body from c.
+func mustReadResponse(t *testing.T, c net.Conn) (*http.Response, string) {
 	t.Helper()
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
@@ -113,7 +113,7 @@
 	return resp, string(body)
 }
 
-func dial(t *testing.T, p *Proxy) net.Conn {
+func dialProxy(t *testing.T, p *Proxy) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", p.Addr().String())
 	if err != nil {
@@ -124,7 +124,7 @@
 	return c
 }
 
-func descriptors(t *testing.T) int {
+func openDescriptorCount(t *testing.T) int {
 	t.Helper()
 	entries, err := os.ReadDir("/proc/self/fd")
 	if err != nil {
@@ -133,12 +133,12 @@
 	return len(entries)
 }
 
-// After a life with every kind of end of a request, no goroutine, descriptor or
-// state of a request is left.
-func TestNothingIsLeft(t *testing.T) {
+// No goroutine, descriptor or request state is left after requests that end in each
+// possible way.
+func TestNoLeaks(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	before := descriptors(t)
-	t.Run("life", func(t *testing.T) {
+	before := openDescriptorCount(t)
+	t.Run("run", func(t *testing.T) {
 		b := standin.NewBackend(t, func(c *standin.Call) {
 			switch c.Header.Get("X-Priority-Class") {
 			case "get":
@@ -150,69 +150,69 @@
 			}
 		})
 		list := standin.ListJSON(1, true, standin.TargetJSON("s-1", b.Addr()))
-		p, stop := run(t, list, standin.NewDiscovery(t, list).Addr())
-		c := dial(t, p)
-		if status, _ := ask(t, c, "get", 2000); status != 200 {
+		p, stop := runProxy(t, list, standin.NewDiscovery(t, list).Addr())
+		c := dialProxy(t, p)
+		if status, _ := sendRequest(t, c, "get", 2000); status != 200 {
 			t.Errorf("got %d", status)
 		}
-		if status, _ := ask(t, c, "put", 500); status != 503 && status != 502 {
+		if status, _ := sendRequest(t, c, "put", 500); status != 503 && status != 502 {
 			t.Errorf("got %d for one that breaks", status)
 		}
-		if status, _ := ask(t, c, "pay", 300); status != 502 {
+		if status, _ := sendRequest(t, c, "pay", 300); status != 502 {
 			t.Errorf("got %d for one that hangs", status)
 		}
-		if status, _ := ask(t, c, "none", 300); status != 400 {
+		if status, _ := sendRequest(t, c, "none", 300); status != 400 {
 			t.Errorf("got %d for an unknown class", status)
 		}
 		calls := b.RequestCount()
-		left := dial(t, p)
-		io.WriteString(left, text("pay", 400))
+		leaving := dialProxy(t, p)
+		io.WriteString(leaving, requestText("pay", 400))
 		eventually(t, "an attempt", func() bool { return b.RequestCount() > calls })
-		left.Close()
-		dial(t, p) // says nothing
-		half := dial(t, p)
-		io.WriteString(half, "GET /ap")
-		eventually(t, "the calls' state forgotten", func() bool {
+		leaving.Close()
+		dialProxy(t, p) // sends nothing
+		partial := dialProxy(t, p)
+		io.WriteString(partial, "GET /ap")
+		eventually(t, "release of request state", func() bool {
 			p.driver.mu.Lock()
 			defer p.driver.mu.Unlock()
-			return len(p.driver.calls) == 0
+			return len(p.driver.requests) == 0
 		})
 		stop()
-		if used, _ := p.sockets.inUse(); used != 0 {
-			t.Errorf("%d of the budget in use after the end", used)
+		if used, _ := p.descriptors.inUse(); used != 0 {
+			t.Errorf("%d descriptors of the budget in use after the end", used)
 		}
 	})
-	eventually(t, "as many descriptors as before", func() bool { return descriptors(t) <= before+1 })
+	eventually(t, "as many descriptors as before", func() bool { return openDescriptorCount(t) <= before+1 })
 }
 
-// Guards against times of starts that are held against another clock than the
-// module's: a backend that has just started would pass for a warm one.
-func TestColdByTheWallClock(t *testing.T) {
-	cold, warm := standin.NewBackend(t, standin.Echo), standin.NewBackend(t, standin.Echo)
+// Prevents start times from being compared with another clock than that of the balancing
+// logic: a backend that has just started would not get a slow start.
+func TestSlowStartUsesWallClock(t *testing.T) {
+	starting, established := standin.NewBackend(t, standin.Echo), standin.NewBackend(t, standin.Echo)
 	now := fmt.Sprintf(`"boot_ms":%d`, time.Now().UnixMilli())
 	long := fmt.Sprintf(`"boot_ms":%d`, time.Now().Add(-time.Hour).UnixMilli())
 	list := standin.ListJSON(1, true,
-		strings.Replace(standin.TargetJSON("s-1", cold.Addr()), `"boot_ms":0`, now, 1),
-		strings.Replace(standin.TargetJSON("s-2", warm.Addr()), `"boot_ms":0`, long, 1))
-	p, stop := run(t, list, standin.NewDiscovery(t, list).Addr())
+		strings.Replace(standin.TargetJSON("s-1", starting.Addr()), `"boot_ms":0`, now, 1),
+		strings.Replace(standin.TargetJSON("s-2", established.Addr()), `"boot_ms":0`, long, 1))
+	p, stop := runProxy(t, list, standin.NewDiscovery(t, list).Addr())
 	defer stop()
-	c := dial(t, p)
+	c := dialProxy(t, p)
 	for range 200 {
-		if status, _ := ask(t, c, "get", 2000); status != 200 {
+		if status, _ := sendRequest(t, c, "get", 2000); status != 200 {
 			t.Fatalf("got %d", status)
 		}
 	}
-	if n := cold.RequestCount(); n >= 100 {
-		t.Errorf("the cold backend got %d of 200 calls", n)
+	if n := starting.RequestCount(); n >= 100 {
+		t.Errorf("the backend in slow start got %d of 200 requests", n)
 	}
-	if n := warm.RequestCount(); n < 100 {
-		t.Errorf("the warm backend got %d of 200 calls", n)
+	if n := established.RequestCount(); n < 100 {
+		t.Errorf("the other backend got %d of 200 requests", n)
 	}
 }
 
 func TestClock(t *testing.T) {
 	c := newClock()
-	boot := time.Now().Add(-5 * time.Second).Round(0) // by the wall clock alone
+	boot := time.Now().Add(-5 * time.Second).Round(0) // wall clock alone
 	if age := c.now() - logic.Time(boot.UnixNano()); age < 4*time.Second || age > time.Minute {
 		t.Errorf("5 s ago was %v ago", age)
 	}
@@ -226,7 +226,7 @@
 	}
 }
 
-func TestOutcome(t *testing.T) {
+func TestAttemptOutcome(t *testing.T) {
 	notProcessed := http.Header{"X-Not-Processed": {"1"}}
 	for _, c := range []struct {
 		name string
@@ -236,31 +236,31 @@
 		{"served", upstream.ExchangeResult{Stage: upstream.Answered, Status: 200}, logic.OK},
 		{"error", upstream.ExchangeResult{Stage: upstream.Answered, Status: 500}, logic.Error},
 		{"another status", upstream.ExchangeResult{Stage: upstream.Answered, Status: 302}, logic.Error},
-		// Guards against healthy backends left out for what their callers send.
-		{"the request's fault", upstream.ExchangeResult{Stage: upstream.Answered, Status: 400}, logic.Cancelled},
-		{"too many", upstream.ExchangeResult{Stage: upstream.Answered, Status: 429}, logic.Error},
-		{"turned away", upstream.ExchangeResult{Stage: upstream.Answered, Status: 503, Header: notProcessed}, logic.Rejected},
-		{"over already", upstream.ExchangeResult{Stage: upstream.Answered, Status: 504, Header: notProcessed}, logic.Rejected},
+		// Prevents healthy backends from being avoided because of what clients send.
+		{"client error", upstream.ExchangeResult{Stage: upstream.Answered, Status: 400}, logic.Cancelled},
+		{"too many requests", upstream.ExchangeResult{Stage: upstream.Answered, Status: 429}, logic.Error},
+		{"rejected", upstream.ExchangeResult{Stage: upstream.Answered, Status: 503, Header: notProcessed}, logic.Rejected},
+		{"deadline passed at the backend", upstream.ExchangeResult{Stage: upstream.Answered, Status: 504, Header: notProcessed}, logic.Rejected},
 		{"503 alone", upstream.ExchangeResult{Stage: upstream.Answered, Status: 503}, logic.Error},
-		{"500 that says it never ran", upstream.ExchangeResult{Stage: upstream.Answered, Status: 500, Header: notProcessed}, logic.Error},
+		{"500 with X-Not-Processed", upstream.ExchangeResult{Stage: upstream.Answered, Status: 500, Header: notProcessed}, logic.Error},
 		{"malformed", upstream.ExchangeResult{Stage: upstream.Answered, Err: http1.ErrMalformed}, logic.Error},
 		{"not connected", upstream.ExchangeResult{Stage: upstream.SendFailed, Err: io.EOF}, logic.ConnectFailed},
-		{"no time to connect", upstream.ExchangeResult{Stage: upstream.SendFailed, Err: os.ErrDeadlineExceeded}, logic.ConnectFailed},
+		{"connect timeout", upstream.ExchangeResult{Stage: upstream.SendFailed, Err: os.ErrDeadlineExceeded}, logic.ConnectFailed},
 		{"broken", upstream.ExchangeResult{Stage: upstream.Written, Err: io.ErrUnexpectedEOF}, logic.ConnectionLost},
 		{"timed out", upstream.ExchangeResult{Stage: upstream.Written, Err: os.ErrDeadlineExceeded}, logic.TimedOut},
 		{"no descriptor", upstream.ExchangeResult{Stage: upstream.Unsent, Err: io.EOF}, logic.NotSent},
 	} {
-		got, final := outcome(&c.a)
+		got, final := attemptOutcome(&c.a)
 		if got != c.want || final != (got == logic.OK || got == logic.Cancelled) {
 			t.Errorf("%s: got %v, final %t, want %v", c.name, got, final, c.want)
 		}
 	}
 }
 
-func TestSocketsBudget(t *testing.T) {
-	s := newSockets(ownSockets + 16)
+func TestDescriptorBudget(t *testing.T) {
+	s := newDescriptorBudget(reservedDescriptors + 16)
 	relieved := 0
-	s.relieve = func(int) { relieved++ }
+	s.reclaim = func(int) { relieved++ }
 	taken := 0
 	for s.TryAcquire() {
 		taken++
@@ -269,152 +269,152 @@
 		t.Errorf("backends got %d of 16", taken)
 	}
 	if relieved == 0 {
-		t.Error("near the end, idle connections were not closed")
+		t.Error("idle connections were not reclaimed near the limit")
 	}
-	s.wait()
-	s.wait()
+	s.acquireForClient()
+	s.acquireForClient()
 	if !s.Exhausted() {
-		t.Error("not full")
+		t.Error("not full at the limit")
 	}
 	got := make(chan bool)
-	go func() { s.wait(); got <- true }()
+	go func() { s.acquireForClient(); got <- true }()
 	select {
 	case <-got:
-		t.Error("a client got one over the budget")
+		t.Error("a client got a descriptor over the budget")
 	case <-time.After(20 * time.Millisecond):
 	}
-	s.leave()
+	s.releaseForClient()
 	<-got
 	if used, most := s.inUse(); used != 16 || most != 16 {
-		t.Errorf("%d in use, %d at most", used, most)
+		t.Errorf("%d in use, peak %d", used, most)
 	}
 }
 
-func TestForward(t *testing.T) {
+func TestEncodeRequest(t *testing.T) {
 	req, err := http.ReadRequest(bufio.NewReader(strings.NewReader("POST http://h/a?b=%20 HTTP/1.1\r\nHost: h\r\n" +
 		"Connection: keep-alive\r\nX-Timeout-Ms: 480\r\nX-Request-ID: 9f\r\nContent-Length: 2\r\n\r\nhi")))
 	if err != nil {
 		t.Fatal(err)
 	}
-	got := string(forward(req, "backend:1", []byte("hi"), nil, 79900*time.Microsecond))
+	got := string(encodeRequest(req, "backend:1", []byte("hi"), nil, 79900*time.Microsecond))
 	want := "POST /a?b=%20 HTTP/1.1\r\nHost: h\r\nX-Request-Id: 9f\r\nX-Timeout-Ms: 79\r\nContent-Length: 2\r\n\r\nhi"
 	if got != want {
 		t.Errorf("got\n%q, want\n%q", got, want)
 	}
 }
 
-// Guards against closing on connections that the kernel had accepted when the
-// drain's grace was over: the requests on them would be lost.
-func TestAcceptedAtTheEnd(t *testing.T) {
+// Prevents a close of the listener with connections in the kernel's backlog at the end of
+// the drain's grace: the requests on them would be lost.
+func TestBacklogAcceptedAtDrainEnd(t *testing.T) {
 	b := standin.NewBackend(t, standin.Echo)
 	list := standin.ListJSON(1, true, standin.TargetJSON("s-1", b.Addr()))
-	p := listening(t, list, standin.NewDiscovery(t, list).Addr())
+	p := listenProxy(t, list, standin.NewDiscovery(t, list).Addr())
 	var conns []net.Conn
 	for range 20 {
-		c := dial(t, p)
-		io.WriteString(c, text("get", 2000))
+		c := dialProxy(t, p)
+		io.WriteString(c, requestText("get", 2000))
 		conns = append(conns, c)
 	}
 	p.listener.SetDeadline(time.Unix(1, 0)) // the grace is over
-	if err := p.accept(); err == nil {
-		t.Fatal("still accepting")
+	if err := p.acceptLoop(); err == nil {
+		t.Fatal("accept did not stop")
 	}
-	p.acceptRest(time.Now().Add(20 * time.Second))
+	p.acceptBacklog(time.Now().Add(20 * time.Second))
 	p.listener.Close()
 	for i, c := range conns {
-		// An answer, whatever the module says to so many at once.
+		// any response: the balancing logic may refuse some of so many
 		if _, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil {
 			t.Errorf("connection %d: %v", i, err)
 		}
 		c.Close()
 	}
-	<-p.clients.close()
-	for _, b := range p.driver.all() {
+	<-p.clients.shutdown()
+	for _, b := range p.driver.allBackends() {
 		b.Close()
 	}
 }
 
-// With no descriptor left, an answer says that its connection ends, so that the
-// next request is not sent on one that is about to close.
-func TestFullSaysClose(t *testing.T) {
+// Without a descriptor left, a response announces the end of its connection, so that the
+// next request is not sent on a connection that is about to close.
+func TestConnectionCloseWhenFull(t *testing.T) {
 	b := standin.NewBackend(t, standin.Echo)
 	list := standin.ListJSON(1, true, standin.TargetJSON("s-1", b.Addr()))
-	p, stop := run(t, list, standin.NewDiscovery(t, list).Addr())
+	p, stop := runProxy(t, list, standin.NewDiscovery(t, list).Addr())
 	defer stop()
-	c := dial(t, p)
-	if status, _ := ask(t, c, "get", 2000); status != 200 {
+	c := dialProxy(t, p)
+	if status, _ := sendRequest(t, c, "get", 2000); status != 200 {
 		t.Fatalf("got %d", status)
 	}
-	set := func(f func(s *sockets)) {
-		p.sockets.mu.Lock()
-		defer p.sockets.mu.Unlock()
-		f(p.sockets)
+	set := func(f func(s *descriptorBudget)) {
+		p.descriptors.mu.Lock()
+		defer p.descriptors.mu.Unlock()
+		f(p.descriptors)
 	}
 	before := 0
-	set(func(s *sockets) { before, s.used = 2*s.limit-s.used, 2*s.limit })
-	io.WriteString(c, text("get", 2000))
+	set(func(s *descriptorBudget) { before, s.used = 2*s.limit-s.used, 2*s.limit })
+	io.WriteString(c, requestText("get", 2000))
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil || resp.StatusCode != 200 || !resp.Close {
 		t.Errorf("got %+v, %v", resp, err)
 	}
-	set(func(s *sockets) { s.used -= before })
+	set(func(s *descriptorBudget) { s.used -= before })
 }
 
-// A request that ends in the middle of a backoff takes its timer with it.
-func TestBackoffTimerEnds(t *testing.T) {
+// A request that ends during its backoff stops its timer.
+func TestBackoffTimerStopped(t *testing.T) {
 	list := standin.ListJSON(1, true, standin.TargetJSON("s-1", "127.0.0.1:1"), standin.TargetJSON("s-2", "127.0.0.1:2"))
-	p := listening(t, list, "127.0.0.1:1")
+	p := listenProxy(t, list, "127.0.0.1:1")
 	defer p.listener.Close()
-	r := p.driver.arrive("1", 0, time.Hour, false, false)
-	p.driver.done(r, <-r.steps, logic.ConnectFailed, false, false)
-	if r.timer == nil {
+	r := p.driver.startRequest("1", 0, time.Hour, false, false)
+	p.driver.attemptDone(r, <-r.steps, logic.ConnectFailed, false, false)
+	if r.backoffTimer == nil {
 		t.Fatal("no backoff")
 	}
-	p.driver.gone(r)
+	p.driver.clientGone(r)
 	p.driver.forget(r)
-	if r.timer.Stop() {
-		t.Error("the timer still ran")
+	if r.backoffTimer.Stop() {
+		t.Error("the timer was still running")
 	}
 }
 
-// Guards against a call sent on a connection that the module has just wanted
-// closed: it is out of use before the module says another word.
+// Prevents a request from being sent on a connection that CloseIdle was to close: the
+// connection is out of use before the balancing logic's next action.
 func TestCloseIdleAtOnce(t *testing.T) {
 	b := standin.NewBackend(t, standin.Echo)
 	list := standin.ListJSON(1, true, standin.TargetJSON("s-1", b.Addr()))
-	p, stop := run(t, list, standin.NewDiscovery(t, list).Addr())
+	p, stop := runProxy(t, list, standin.NewDiscovery(t, list).Addr())
 	defer stop()
-	if status, _ := ask(t, dial(t, p), "get", 2000); status != 200 {
+	if status, _ := sendRequest(t, dialProxy(t, p), "get", 2000); status != 200 {
 		t.Fatalf("got %d", status)
 	}
-	to := p.driver.all()[0]
+	to := p.driver.allBackends()[0]
 	if _, idle := to.OldestIdleSince(); !idle {
 		t.Fatal("no idle connection")
 	}
-	p.driver.do(func(logic.Time) {
+	p.driver.withBalancer(func(logic.Time) {
 		p.driver.CloseIdle("s-1")
 		if _, idle := to.OldestIdleSince(); idle {
-			t.Error("still in use")
+			t.Error("the connection is still in use")
 		}
 	})
 	eventually(t, "closed", func() bool { _, open := b.ConnCounts(); return open == 0 })
 }
 
-// Guards against a crowd that sends a part of a request each and no more: it
-// would hold all descriptors for as long as a request may take to come.
-func TestCrowdOfParts(t *testing.T) {
+// Prevents many clients that each send only a part of a request from holding all
+// descriptors for as long as a request may take to arrive.
+func TestManyPartialRequests(t *testing.T) {
 	b := standin.NewBackend(t, standin.Echo)
 	list := standin.ListJSON(1, true, standin.TargetJSON("s-1", b.Addr()))
-	p := listening(t, list, standin.NewDiscovery(t, list).Addr())
-	p.clients.partLimit, p.clients.newLimit = time.Hour, time.Hour
-	stop := running(t, p)
+	p := listenProxy(t, list, standin.NewDiscovery(t, list).Addr())
+	p.clients.headTimeout, p.clients.firstRequestTimeout = time.Hour, time.Hour
+	stop := startProxy(t, p)
 	var crowd []net.Conn
 	for range 300 {
-		c := dial(t, p)
+		c := dialProxy(t, p)
 		io.WriteString(c, "POST /api HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\n\r\nhel")
 		crowd = append(crowd, c)
 	}
-	if status, _ := ask(t, dial(t, p), "get", 2000); status != 200 {
+	if status, _ := sendRequest(t, dialProxy(t, p), "get", 2000); status != 200 {
 		t.Errorf("got %d", status)
 	}
 	for _, c := range crowd {
@@ -423,12 +423,12 @@
 	stop()
 }
 
-// What is kept for a backend, a connection, an id or a key has an owner that lets it
-// go: with thousands of each, no more is held in the second half than in the first.
-func TestChurnLeavesNothing(t *testing.T) {
-	fleet := []*standin.Backend{}
+// All state kept for backends, connections, ids and keys is released: after thousands of
+// each, the second half of the run holds no more than the first.
+func TestChurnLeaksNothing(t *testing.T) {
+	backends := []*standin.Backend{}
 	for range 4 {
-		fleet = append(fleet, standin.NewBackend(t, func(c *standin.Call) {
+		backends = append(backends, standin.NewBackend(t, func(c *standin.Call) {
 			switch c.Number % 20 {
 			case 3:
 				c.Reset()
@@ -442,24 +442,24 @@
 		}))
 	}
 	uids := 0
-	line := func() string { // a backend under a new id, at the address of one that has gone
+	newTarget := func() string { // a backend with a new id, at the address of a removed one
 		uids++
-		return standin.TargetJSON(fmt.Sprintf("s-%d", uids), fleet[uids%len(fleet)].Addr())
+		return standin.TargetJSON(fmt.Sprintf("s-%d", uids), backends[uids%len(backends)].Addr())
 	}
-	known := standin.ListJSON(1, true, line(), line(), line(), line())
-	p := listening(t, known, standin.NewDiscovery(t, standin.ListJSON(1, false)).Addr())
-	p.clients.idleLimit = 50 * time.Millisecond
-	defer running(t, p)()
+	known := standin.ListJSON(1, true, newTarget(), newTarget(), newTarget(), newTarget())
+	p := listenProxy(t, known, standin.NewDiscovery(t, standin.ListJSON(1, false)).Addr())
+	p.clients.idleTimeout = 50 * time.Millisecond
+	defer startProxy(t, p)()
 
-	var kept []net.Conn // clients that ask once and stay
+	var kept []net.Conn // clients that send one request and stay connected
 	heap := func() uint64 {
-		eventually(t, "all given back", func() bool {
-			used, _ := p.sockets.inUse()
+		eventually(t, "release of all descriptors", func() bool {
+			used, _ := p.descriptors.inUse()
 			idle := 0
-			for _, b := range p.driver.all() {
+			for _, b := range p.driver.allBackends() {
 				idle += b.IdleCount()
 			}
-			return used == idle+1 // one is taken for the next client
+			return used == idle+1 // one is acquired for the next client
 		})
 		for _, c := range kept {
 			c.Close()
@@ -477,7 +477,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				text := strings.Replace(text([]string{"get", "put", "pay"}[i%3], 2000),
+				text := strings.Replace(requestText([]string{"get", "put", "pay"}[i%3], 2000),
 					"X-Request-ID: 1", fmt.Sprintf("X-Request-ID: %d-%d-%d\r\nX-Route-Key: %d", uids, round, i, uids), 1)
 				io.WriteString(c, text)
 				if _, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil {
@@ -485,74 +485,74 @@
 				}
 				kept = append(kept, c)
 			}
-			gone := fmt.Sprintf(`{"uid":"s-%d","state":"terminated"}`, uids-3)
-			l, err := discovery.ParseList([]byte(standin.ListJSON(2, false, gone, line())))
+			removed := fmt.Sprintf(`{"uid":"s-%d","state":"terminated"}`, uids-3)
+			l, err := discovery.ParseList([]byte(standin.ListJSON(2, false, removed, newTarget())))
 			if err != nil {
 				t.Fatal(err)
 			}
-			p.driver.list(l)
+			p.driver.updateList(l)
 		}
 	}
 	churn(20)
-	half := heap()
+	midway := heap()
 	churn(120)
-	end := heap()
-	if grown := int64(end) - int64(half); grown > 1<<20 {
+	final := heap()
+	if grown := int64(final) - int64(midway); grown > 1<<20 {
 		t.Errorf("the heap has grown by %d KB", grown>>10)
 	}
 	p.driver.mu.Lock()
-	if n := len(p.driver.calls) + len(p.driver.open); n > 0 || len(p.driver.backends) != 4 {
-		t.Errorf("%d requests and %d backends are kept", n, len(p.driver.backends))
+	if n := len(p.driver.requests) + len(p.driver.openIDs); n > 0 || len(p.driver.backends) != 4 {
+		t.Errorf("%d requests and %d backends are still held", n, len(p.driver.backends))
 	}
 	p.driver.mu.Unlock()
 	p.clients.mu.Lock()
-	if n := p.clients.open + p.clients.fresh.Len() + p.clients.waiting.Len(); n > 0 {
-		t.Errorf("%d clients are kept", n)
+	if n := p.clients.openCount + p.clients.awaitingFirst.Len() + p.clients.idle.Len(); n > 0 {
+		t.Errorf("%d clients are still held", n)
 	}
 	p.clients.mu.Unlock()
 }
 
-// A request that is given up is answered at once, with a time to come back where it
-// may be tried again: guards against answers held back to spare a retry.
-func TestGivenUpIsAnsweredAtOnce(t *testing.T) {
-	over := make(chan time.Time, 10)
+// A request that can't be served is answered at once, with a Retry-After header if it may
+// be retried. Prevents responses from being held back to spare a retry.
+func TestFinalFailureIsAnsweredAtOnce(t *testing.T) {
+	backendDone := make(chan time.Time, 10)
 	reset := standin.NewBackend(t, func(c *standin.Call) {
-		over <- time.Now()
+		backendDone <- time.Now()
 		c.Reset()
 	})
-	gone := standin.NewBackend(t, standin.Echo)
-	gone.Stop()
+	stopped := standin.NewBackend(t, standin.Echo)
+	stopped.Stop()
 	for _, c := range []struct {
 		name, class string
 		targets     []string
 		status      int
 	}{
-		{"nobody known", "get", nil, 503},
-		{"nobody there", "pay", []string{standin.TargetJSON("s-1", gone.Addr())}, 503},
+		{"no backend known", "get", nil, 503},
+		{"no backend reachable", "pay", []string{standin.TargetJSON("s-1", stopped.Addr())}, 503},
 		{"may have run", "pay", []string{standin.TargetJSON("s-1", reset.Addr())}, 502},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			list := standin.ListJSON(1, true, c.targets...)
-			p := listening(t, list, standin.NewDiscovery(t, list).Addr())
+			p := listenProxy(t, list, standin.NewDiscovery(t, list).Addr())
 			ctx, cancel := context.WithCancel(context.Background())
 			done := make(chan error)
 			go func() { done <- p.Run(ctx) }()
 			defer func() { cancel(); <-done }()
-			eventually(t, "a list that may be used", p.readiness.had.Load)
+			eventually(t, "a usable list", p.readiness.hadUsableList.Load)
 			began := time.Now()
-			cl := dial(t, p)
-			io.WriteString(cl, text(c.class, 2000))
+			cl := dialProxy(t, p)
+			io.WriteString(cl, requestText(c.class, 2000))
 			resp, err := http.ReadResponse(bufio.NewReader(cl), nil)
 			if err != nil || resp.StatusCode != c.status {
 				t.Fatalf("got %+v, %v", resp, err)
 			}
 			select {
-			case began = <-over:
+			case began = <-backendDone:
 			default:
 			}
-			// Near its deadline would be 2 s; what is given up needs no wait.
-			if took := time.Since(began); took > time.Second {
-				t.Errorf("answered after %v", took)
+			// Near its deadline would be 2 s; a final failure needs no wait.
+			if elapsed := time.Since(began); elapsed > time.Second {
+				t.Errorf("answered after %v", elapsed)
 			}
 			if after := resp.Header.Get("Retry-After"); (after == "") != (c.status == 502) {
 				t.Errorf("Retry-After %q with %d", after, c.status)
@@ -561,38 +561,38 @@
 	}
 }
 
-// A long request that finds all transfers taken for a second is told to come back, and has
-// not run. Guards against memory without a bound, and against one that waits for good; what
-// holds the transfer, and what comes after it, is served.
-func TestNoTransferToSpare(t *testing.T) {
+// A long request that gets no transfer buffer within a second is refused with
+// Retry-After, and has not run. Prevents unbounded memory use and unbounded waits. The
+// request that holds the buffer, and later ones, are served.
+func TestNoTransferBufferLeft(t *testing.T) {
 	const size = 200_000
 	b := standin.NewBackend(t, func(c *standin.Call) { c.Reply(200, fmt.Sprint(len(c.BodyText))) })
-	p := listening(t, standin.ListJSON(1, true, standin.TargetJSON("s", b.Addr())), "127.0.0.1:1")
-	p.transfers = http1.NewStreamPool(1) // one
-	defer running(t, p)()
+	p := listenProxy(t, standin.ListJSON(1, true, standin.TargetJSON("s", b.Addr())), "127.0.0.1:1")
+	p.transfers = http1.NewStreamPool(1) // one buffer
+	defer startProxy(t, p)()
 	head := func(id int) string {
 		return fmt.Sprintf("POST /api HTTP/1.1\r\nHost: h\r\nX-Request-ID: %d\r\nX-Priority-Class: pay\r\n"+
 			"X-Timeout-Ms: 2000\r\nContent-Length: %d\r\n\r\n", id, size)
 	}
 	body := strings.Repeat("x", size)
-	send := func(c net.Conn, text string) { // what the proxy stops reading of it is no matter
+	send := func(c net.Conn, text string) { // the proxy may stop reading early: errors do not matter
 		go io.WriteString(c, text)
 	}
 
-	first := dial(t, p)
+	first := dialProxy(t, p)
 	send(first, head(1)+body[:size/2])
-	eventually(t, "under way", func() bool { opened, _ := b.ConnCounts(); return opened == 1 })
+	eventually(t, "first request in transfer", func() bool { opened, _ := b.ConnCounts(); return opened == 1 })
 	served := 0
-	for id := 2; ; id++ { // the first may not have its transfer yet
-		c := dial(t, p)
+	for id := 2; ; id++ { // the first may not have its buffer yet
+		c := dialProxy(t, p)
 		send(c, head(id)+body)
-		resp, text := read(t, c)
+		resp, text := mustReadResponse(t, c)
 		if resp.StatusCode == http.StatusOK && served < 3 {
 			served++
 			continue
 		}
 		if resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") == "" || text != "busy\n" || !resp.Close {
-			t.Errorf("got %d %v %q, want to be told to come back", resp.StatusCode, resp.Header, text)
+			t.Errorf("got %d %v %q, want 503 with Retry-After", resp.StatusCode, resp.Header, text)
 		}
 		break
 	}
@@ -600,13 +600,13 @@
 		t.Errorf("%d requests have run, %d were served", n, served)
 	}
 	send(first, body[size/2:])
-	if resp, text := read(t, first); resp.StatusCode != http.StatusOK || text != fmt.Sprint(size) {
-		t.Errorf("the first got %d %q", resp.StatusCode, text)
+	if resp, text := mustReadResponse(t, first); resp.StatusCode != http.StatusOK || text != fmt.Sprint(size) {
+		t.Errorf("the first request got %d %q", resp.StatusCode, text)
 	}
-	eventually(t, "served again", func() bool {
-		c := dial(t, p)
+	eventually(t, "requests served again", func() bool {
+		c := dialProxy(t, p)
 		send(c, head(100)+body)
-		resp, _ := read(t, c)
+		resp, _ := mustReadResponse(t, c)
 		return resp.StatusCode == http.StatusOK
 	})
 }
