--- a/fleet/track/api.go
+++ b/fleet/track/api.go
@@ -34,7 +34,7 @@
 const (
 	MaxMessage = 1200 // below the least IPv6 MTU of 1280 less headers
 	MaxKey     = 64
-	MaxWhere   = 64
+	MaxTarget  = 64
 	MaxName    = 64
 )
 
@@ -44,23 +44,23 @@
 	// one costs its place at a backend, nothing else.
 	Keyed bool
 	// Call is the longest that a keyed call may run once it was let go.
-	Call time.Duration
+	MaxCallTime time.Duration
 	// Memory is how long a backend or scope drops repeats, from the first send.
-	Memory time.Duration
+	DedupWindow time.Duration
 	// Idle is how long an open flow lives without activity.
-	Idle time.Duration
+	IdleTimeout time.Duration
 	// Closed is how long a closing or closed flow is remembered.
-	Closed time.Duration
+	ClosedRetention time.Duration
 }
 
 // Settings is what a Table is told at its start. All but Me must be the same at
 // all members. Zero durations and numbers take the defaults named here.
 type Settings struct {
-	Me       string
-	Seed     uint64 // of the key hash; keep it from clients, see Key
-	Replicas int    // of an entry, 1 to 5; default 3
-	Max      int    // entries held here, and as many tombstones; default 1<<20
-	Classes  []Class
+	Self       string
+	Seed       uint64 // of the key hash; keep it from clients, see Key
+	Replicas   int    // of an entry, 1 to 5; default 3
+	MaxEntries int    // entries held here, and as many tombstones; default 1<<20
+	Classes    []Class
 
 	Lag         time.Duration // longest age of a message that is taken; default 1 s
 	AskWithin   time.Duration // time bound of an Open; default 300 ms
@@ -86,7 +86,7 @@
 	Epoch   uint64
 	Members []Member
 	// Before is the roster of Epoch-1, empty in the first.
-	Before []Member
+	Previous []Member
 }
 
 // Kind is what a Verdict says.
@@ -94,12 +94,12 @@
 
 // The verdicts.
 const (
-	Pending   Kind = iota // an Answer with this Ticket follows within AskWithin
-	New                   // go on; report Done with this Gen
-	Mine                  // open at this member already: go only to Where
-	Elsewhere             // open by another member: go only to Where
-	Refused               // don't send; ComeBack says when to try again
-	Gone                  // a flow of this Gen ended for the fleet: Open it anew
+	Pending       Kind = iota // an Answer with this Ticket follows within AskWithin
+	New                       // go on; report Done with this Gen
+	OpenHere                  // open at this member already: go only to Where
+	OpenElsewhere             // open by another member: go only to Where
+	Refused                   // don't send; ComeBack says when to try again
+	FlowEnded                 // a flow of this Gen ended for the fleet: Open it anew
 )
 
 func (k Kind) String() string {
@@ -111,14 +111,14 @@
 
 // The reasons, in rising order of how much they tell.
 const (
-	NoReason   Reason = iota
-	NoQuorum          // no majority of the replicas answered in time
-	Learning          // a replica does not yet know what it has to
-	Stale             // the generation asked for is over
-	Busy              // another member is opening it, or it is just ending
-	TooLate           // a repeat could reach its scope after the scope forgot
-	FullTable         // no room, and nothing that may be given up
-	BadRequest        // key, class or place is not legal
+	NoReason        Reason = iota
+	NoQuorum               // no majority of the replicas answered in time
+	Recovering             // a replica does not yet know what it has to
+	StaleGeneration        // the generation asked for is over
+	Busy                   // another member is opening it, or it is just ending
+	RetryTooLate           // a repeat could reach its scope after the scope forgot
+	TableFull              // no room, and nothing that may be given up
+	BadRequest             // key, class or place is not legal
 )
 
 func (r Reason) String() string {
@@ -127,14 +127,14 @@
 
 // Verdict answers an Open.
 type Verdict struct {
-	Kind     Kind
-	Ticket   uint64
-	Where    string
-	Gen      uint64
-	ComeBack time.Duration
-	Reason   Reason
+	Kind       Kind
+	Ticket     uint64
+	Target     string
+	Generation uint64
+	RetryAfter time.Duration
+	Reason     Reason
 	// Alone marks a flow that is New though no majority noted it.
-	Alone bool
+	Unconfirmed bool
 }
 
 // Answer is a Verdict that came later, for the Ticket that its Open got.
@@ -148,14 +148,14 @@
 
 // The outcomes.
 const (
-	Finished Outcome = iota // it ran, or was turned away; nothing of it runs any more
-	MayRun                  // given up, it may still run
+	Finished    Outcome = iota // it ran, or was turned away; nothing of it runs any more
+	MayStillRun                // given up, it may still run
 )
 
-// Out is a message for a peer.
-type Out struct {
-	To  string
-	Msg []byte
+// OutMessage is a message for a peer.
+type OutMessage struct {
+	To      string
+	Payload []byte
 }
 
 // State is an entry's.
@@ -164,12 +164,12 @@
 // The states. An entry goes through them in this order and may skip some; a
 // keyed one that a repeat has been sent for stays Open until it has aged out.
 const (
-	free    State = iota
-	Noted         // "new": a replica has noted it, its majority is not known here
-	Open          // a majority noted it: it may run
-	Closing       // given up, may still run
-	Closed        // over; a keyed one is still in its scope's memory
-	ended         // a tombstone
+	free     State = iota
+	Prepared       // "new": a replica has noted it, its majority is not known here
+	Open           // a majority noted it: it may run
+	Closing        // given up, may still run
+	Closed         // over; a keyed one is still in its scope's memory
+	ended          // a tombstone
 )
 
 func (s State) String() string {
@@ -178,24 +178,24 @@
 
 // Info describes one entry held here.
 type Info struct {
-	Key     Key
-	Gen     uint64
-	Class   int
-	State   State
-	Where   string
-	Idle    time.Duration // an upper bound
-	Replica bool          // false: held for others until handed over
-	owner   uint64
-	inc     uint32
+	Key        Key
+	Generation uint64
+	Class      int
+	State      State
+	Target     string
+	Idle       time.Duration // an upper bound
+	Replica    bool          // false: held for others until handed over
+	owner      uint64
+	inc        uint32
 }
 
 // Stats counts what a Table has seen since its start.
 type Stats struct {
 	Entries, Tombstones int
 
-	Sent, Taken                                     uint64 // messages
-	BadMessage, OtherVersion, Unknown, OldLife      uint64 // dropped: form, version, sender, incarnation
-	Late, NotMine, BadClock                         uint64 // dropped: age over Lag or not known, not for me, clock
-	Opened, Elsewheres, Refusals, Alone             uint64 // verdicts
-	AgedOut, Forgotten, Evicted, Withdrawn, GoneOwn uint64 // ends
+	Sent, Received                                            uint64 // messages
+	Malformed, VersionMismatch, UnknownSender, OldIncarnation uint64 // dropped: form, version, sender, incarnation
+	TooOld, WrongIncarnation, BadTimestamp                    uint64 // dropped: age over Lag or not known, not for me, clock
+	Opened, OpenedElsewhere, Refusals, Unconfirmed            uint64 // verdicts
+	Expired, Dropped, Evicted, Withdrawn, OwnLost             uint64 // ends
 }
--- a/fleet/track/bench_test.go
+++ b/fleet/track/bench_test.go
@@ -20,20 +20,20 @@
 	p := &pipe{byName: map[string]*Table{}, now: time.Second}
 	r := Roster{Epoch: 1}
 	for i := range n {
-		set := Settings{Me: fmt.Sprintf("m%d", i), Max: most, Lease: 24 * time.Hour, Classes: []Class{
-			{Keyed: true, Call: 30 * time.Second, Memory: 30 * time.Minute},
-			{Idle: time.Hour, Closed: time.Minute},
+		set := Settings{Self: fmt.Sprintf("m%d", i), MaxEntries: most, Lease: 24 * time.Hour, Classes: []Class{
+			{Keyed: true, MaxCallTime: 30 * time.Second, DedupWindow: 30 * time.Minute},
+			{IdleTimeout: time.Hour, ClosedRetention: time.Minute},
 		}}
 		t, err := NewTable(set)
 		if err != nil {
 			tb.Fatal(err)
 		}
 		p.tabs = append(p.tabs, t)
-		p.byName[set.Me] = t
-		r.Members = append(r.Members, Member{Name: set.Me, Zone: fmt.Sprint(i % 3), Incarnation: 1, Alive: true})
+		p.byName[set.Self] = t
+		r.Members = append(r.Members, Member{Name: set.Self, Zone: fmt.Sprint(i % 3), Incarnation: 1, Alive: true})
 	}
 	for _, t := range p.tabs {
-		if err := t.View(p.now, r); err != nil {
+		if err := t.UpdateRoster(p.now, r); err != nil {
 			tb.Fatal(err)
 		}
 	}
@@ -47,11 +47,11 @@
 	for more := true; more; {
 		more = false
 		for _, t := range p.tabs {
-			outs, _ := t.Out()
+			outs, _ := t.Output()
 			for _, o := range outs {
 				p.msgs++
-				p.bytes += len(o.Msg)
-				p.byName[o.To].Take(p.now, t.set.Me, o.Msg)
+				p.bytes += len(o.Payload)
+				p.byName[o.To].Receive(p.now, t.set.Self, o.Payload)
 				more = true
 			}
 		}
@@ -189,7 +189,7 @@
 	t := p.tabs[0]
 	for i := range b.N {
 		k := hashKey(0, fmt.Sprint(i))
-		t.note(p.now, &record{key: k, id: ident{uint64(i) + 1, p.tabs[1].id, 1}, state: Noted, where: "b1"})
+		t.note(p.now, &record{key: k, id: ident{uint64(i) + 1, p.tabs[1].id, 1}, state: Prepared, where: "b1"})
 	}
 }
 
--- a/fleet/track/fuzz_test.go
+++ b/fleet/track/fuzz_test.go
@@ -27,7 +27,7 @@
 		}
 	}
 	f.Fuzz(func(t *testing.T, body []byte) {
-		fl := newFleet(1, 3, 1, func(s *Settings) { s.Max = 64 }, nil)
+		fl := newFleet(1, 3, 1, func(s *Settings) { s.MaxEntries = 64 }, nil)
 		fl.calm = true
 		fl.traffic(50*ms, 10, 2*time.Second)
 		fl.run(2 * time.Second)
@@ -35,13 +35,13 @@
 		p := a.tab.byID[nameID(b.name)]
 		h := header{flags: flagEcho, from: p.id, inc: p.Incarnation, toInc: a.tab.inc, epoch: a.tab.epoch,
 			stamp: p.stamp + 1, echo: uint64(a.tab.now)}
-		a.tab.Take(a.tab.now, b.name, append(putHeader(nil, &h), body...))
+		a.tab.Receive(a.tab.now, b.name, append(putHeader(nil, &h), body...))
 		for range 40 {
 			a.tab.Tick(a.tab.now + 100*ms)
-			outs, _ := a.tab.Out()
+			outs, _ := a.tab.Output()
 			for _, o := range outs {
-				if len(o.Msg) > MaxMessage {
-					t.Fatalf("message of %d bytes", len(o.Msg))
+				if len(o.Payload) > MaxMessage {
+					t.Fatalf("message of %d bytes", len(o.Payload))
 				}
 			}
 		}
--- a/fleet/track/learn.go
+++ b/fleet/track/learn.go
@@ -38,9 +38,9 @@
 const pullsAtOnce = 8
 
 func (t *Table) startLearning(now time.Duration, r Roster, step, wasWhole bool) {
-	t.learn = learning{since: now, wasWhole: wasWhole, before: seatsOf(r.Before)}
-	t.learn.on = len(r.Before) > 0 || r.Epoch > 1
-	t.learn.blind = t.learn.on && (!step || len(r.Before) == 0)
+	t.learn = learning{since: now, wasWhole: wasWhole, before: seatsOf(r.Previous)}
+	t.learn.on = len(r.Previous) > 0 || r.Epoch > 1
+	t.learn.blind = t.learn.on && (!step || len(r.Previous) == 0)
 	t.forgetPulls()
 }
 
@@ -223,7 +223,7 @@
 func (t *Table) learned(now time.Duration, e *record) bool {
 	_, old := t.find(e.key)
 	if old != nil && old.state != ended && old.id != e.id && e.state != ended &&
-		(old.state == Noted || e.state == Noted) {
+		(old.state == Prepared || e.state == Prepared) {
 		return false
 	}
 	fresh := e.idle <= t.timeout(e.class, e.state)-2*t.set.Lag
--- a/fleet/track/model_test.go
+++ b/fleet/track/model_test.go
@@ -22,10 +22,10 @@
 
 func modelSettings(me string) Settings {
 	return Settings{
-		Me: me, Seed: 7, Replicas: 3, Max: 4096,
+		Self: me, Seed: 7, Replicas: 3, MaxEntries: 4096,
 		Classes: []Class{
-			{Keyed: true, Call: 2 * time.Second, Memory: 20 * time.Second},
-			{Idle: 6 * time.Second, Closed: 2 * time.Second},
+			{Keyed: true, MaxCallTime: 2 * time.Second, DedupWindow: 20 * time.Second},
+			{IdleTimeout: 6 * time.Second, ClosedRetention: 2 * time.Second},
 		},
 		Lag: 500 * ms, AskWithin: 300 * ms, Sweep: 400 * ms, Sync: time.Second,
 		TouchEvery: time.Second, Bound: 20 * time.Second, Lease: 4 * time.Second,
@@ -258,8 +258,8 @@
 		}
 		return out
 	}
-	r.Members, r.Before = list(f.members), list(f.before)
-	if err := x.tab.View(x.clock(f.now), r); err != nil && err != ErrNotAMember {
+	r.Members, r.Previous = list(f.members), list(f.before)
+	if err := x.tab.UpdateRoster(x.clock(f.now), r); err != nil && err != ErrNotAMember {
 		panic(err)
 	}
 	f.drain(x)
@@ -290,15 +290,15 @@
 }
 
 func (f *fleet) drain(x *node) {
-	outs, answers := x.tab.Out()
+	outs, answers := x.tab.Output()
 	for _, o := range outs {
-		if len(o.Msg) > MaxMessage {
-			f.failf(0, "%s sends %d bytes", x.name, len(o.Msg))
+		if len(o.Payload) > MaxMessage {
+			f.failf(0, "%s sends %d bytes", x.name, len(o.Payload))
 		}
-		f.post(x, f.byName[o.To], o.Msg)
+		f.post(x, f.byName[o.To], o.Payload)
 	}
 	for _, a := range answers {
-		if a.Kind == Gone {
+		if a.Kind == FlowEnded {
 			continue
 		}
 		do := f.pendings[x.name][a.Ticket]
@@ -336,14 +336,14 @@
 			if to.stopped || f.cut(from, to) {
 				return
 			}
-			to.tab.Take(to.clock(f.now), from.name, msg)
+			to.tab.Receive(to.clock(f.now), from.name, msg)
 			f.drain(to)
 			f.observe(to)
 		})
 	}
 }
 
-func (f *fleet) truth(i Info) *truth { return f.truths[i.Key][ident{i.Gen, i.owner, i.inc}] }
+func (f *fleet) truth(i Info) *truth { return f.truths[i.Key][ident{i.Generation, i.owner, i.inc}] }
 
 // base is the life that is promised for a state, without the slack.
 func (x *node) base(class int, s State) time.Duration {
@@ -357,7 +357,7 @@
 	}
 	now := make(map[Key]Info, len(x.held))
 	x.tab.Each(func(i Info) {
-		if i.State > Noted {
+		if i.State > Prepared {
 			now[i.Key] = i
 		}
 	})
@@ -366,7 +366,7 @@
 	var gone []Info
 	for _, was := range sorted(x.held) {
 		is, ok := now[was.Key]
-		if ok && is.Gen == was.Gen && is.owner == was.owner {
+		if ok && is.Generation == was.Generation && is.owner == was.owner {
 			if is.Idle < was.Idle {
 				x.seenAt[is.Key] = f.now
 			}
@@ -374,16 +374,16 @@
 		}
 		_, e := x.tab.find(was.Key)
 		// A newer generation of a flow takes its place, be it open or over already.
-		reused := ok || e != nil && (e.state == Noted || was.Class == flow && e.id.compare(ident{was.Gen, was.owner, was.inc}) > 0)
+		reused := ok || e != nil && (e.state == Prepared || was.Class == flow && e.id.compare(ident{was.Generation, was.owner, was.inc}) > 0)
 		if !reused {
 			gone = append(gone, was)
 		}
 		if tr := f.truth(was); tr != nil {
-			f.tracef("%s loses %s gen %d %v idle %v, now %v", x.name, tr.key, was.Gen, was.State, was.Idle, is)
+			f.tracef("%s loses %s gen %d %v idle %v, now %v", x.name, tr.key, was.Generation, was.State, was.Idle, is)
 			delete(tr.live, x)
 			// What is given up when full may be on its way to a third replica.
 			// So may be a flow that a newer generation took the place of.
-			aged := was.Class == keyed || x.set.Max > 100 && !reused
+			aged := was.Class == keyed || x.set.MaxEntries > 100 && !reused
 			tr.lost = tr.lost || !aged
 			if len(tr.live) == 0 && !tr.lost && !f.noted(was.Key, tr.id) {
 				tr.dead = true
@@ -392,7 +392,7 @@
 	}
 	for _, is := range sorted(now) {
 		was, had := x.held[is.Key]
-		if !had || was.Gen != is.Gen || was.owner != is.owner {
+		if !had || was.Generation != is.Generation || was.owner != is.owner {
 			x.seenAt[is.Key] = f.now
 			f.appeared(x, is)
 		}
@@ -412,7 +412,7 @@
 // noted says whether some node still has a note of it, which a late word can open.
 func (f *fleet) noted(k Key, id ident) bool {
 	for _, x := range f.nodes {
-		if _, e := x.tab.find(k); e != nil && e.state == Noted && e.id == id {
+		if _, e := x.tab.find(k); e != nil && e.state == Prepared && e.id == id {
 			return true
 		}
 	}
@@ -423,13 +423,13 @@
 	tr := f.truth(is)
 	switch {
 	case tr == nil:
-		f.failf(2, "%s holds %v gen %d, which nobody opened", x.name, is.State, is.Gen)
+		f.failf(2, "%s holds %v gen %d, which nobody opened", x.name, is.State, is.Generation)
 		return
 	case tr.dead:
-		f.failf(2, "%s: %s gen %d comes back", x.name, tr.key, is.Gen)
+		f.failf(2, "%s: %s gen %d comes back", x.name, tr.key, is.Generation)
 	}
 	tr.live[x], tr.ever = true, true
-	f.tracef("%s gets %s gen %d %v idle %v", x.name, tr.key, is.Gen, is.State, is.Idle)
+	f.tracef("%s gets %s gen %d %v idle %v", x.name, tr.key, is.Generation, is.State, is.Idle)
 }
 
 // checkState: a generation has no state that only another one was given.
@@ -439,19 +439,19 @@
 		return
 	}
 	if is.State >= Closing && !tr.done {
-		f.failf(6, "%s: %s gen %d is %v, but was not ended", x.name, tr.key, is.Gen, is.State)
+		f.failf(6, "%s: %s gen %d is %v, but was not ended", x.name, tr.key, is.Generation, is.State)
 	}
 	// Nothing lives long over its bound.
 	set := &x.set
 	most := x.base(is.Class, is.State) + set.Bound + 30*set.Lag
 	if idle := f.now - tr.activity; idle > most {
-		f.failf(4, "%s: %s gen %d %v lives on after %v", x.name, tr.key, is.Gen, is.State, idle)
+		f.failf(4, "%s: %s gen %d %v lives on after %v", x.name, tr.key, is.Generation, is.State, idle)
 	}
 }
 
 func (f *fleet) checkGone(x *node, was Info, old map[Key]Info) {
 	tr := f.truth(was)
-	if tr == nil || f.now-x.bornAt < agreeWithin || x.set.Max < 100 && was.Class == flow {
+	if tr == nil || f.now-x.bornAt < agreeWithin || x.set.MaxEntries < 100 && was.Class == flow {
 		return
 	}
 	base := x.base(was.Class, was.State)
@@ -468,19 +468,19 @@
 			out++
 		}
 		is, ok := y.held[was.Key]
-		if !ok || is.Gen != was.Gen || f.now-y.bornAt < agreeWithin {
+		if !ok || is.Generation != was.Generation || f.now-y.bornAt < agreeWithin {
 			continue
 		}
 		// What y has seen in the last of an agreement's round trips can come too late.
 		if f.link(x, y, true, 5*x.set.Sync) && is.Idle < y.base(is.Class, is.State) &&
 			f.now-y.seenAt[was.Key] > 3*x.set.Lag && is.Replica && was.Replica {
 			f.failf(1, "%s ends %s gen %d %v, which %s holds %v, idle %v",
-				x.name, tr.key, was.Gen, was.State, y.name, is.State, is.Idle)
+				x.name, tr.key, was.Generation, was.State, y.name, is.State, is.Idle)
 		}
 	}
 	if out == n-1 && n > 1 && was.Replica && was.Idle < base+x.set.Bound {
 		f.failf(4, "%s, cut off, ends %s gen %d %v idle %v, bound %v",
-			x.name, tr.key, was.Gen, was.State, was.Idle, base+x.set.Bound)
+			x.name, tr.key, was.Generation, was.State, was.Idle, base+x.set.Bound)
 	}
 }
 
@@ -498,7 +498,7 @@
 	for _, g := range gone {
 		if g.Class == keyed {
 			if g.Idle < x.base(keyed, g.State) {
-				f.failf(5, "%s gives up keyed gen %d %v", x.name, g.Gen, g.State)
+				f.failf(5, "%s gives up keyed gen %d %v", x.name, g.Generation, g.State)
 			}
 			continue
 		}
@@ -506,9 +506,9 @@
 			continue // a message can change more than one entry
 		}
 		for _, l := range sorted(left) {
-			if l.Class != keyed && old[l.Key].Gen == l.Gen && l.Idle > old[l.Key].Idle && order(g, l) > 0 && g.Idle < x.base(flow, g.State) {
+			if l.Class != keyed && old[l.Key].Generation == l.Generation && l.Idle > old[l.Key].Idle && order(g, l) > 0 && g.Idle < x.base(flow, g.State) {
 				f.failf(5, "%s gives up gen %d %v idle %v before gen %d %v idle %v", x.name,
-					g.Gen, g.State, g.Idle, l.Gen, l.State, l.Idle)
+					g.Generation, g.State, g.Idle, l.Generation, l.State, l.Idle)
 			}
 		}
 	}
@@ -532,7 +532,7 @@
 	tab := x.tab
 	then := func(v Verdict) {
 		if v.Kind == Refused || v.Kind == Pending {
-			if v.Reason == FullTable && v.ComeBack <= 0 {
+			if v.Reason == TableFull && v.RetryAfter <= 0 {
 				f.failf(5, "%s: full, and no time to come back", x.name)
 			}
 			return
@@ -563,12 +563,12 @@
 		f.truths[k] = map[ident]*truth{}
 	}
 	if v.Kind == New {
-		id := ident{v.Gen, tab.id, tab.inc}
+		id := ident{v.Generation, tab.id, tab.inc}
 		f.truths[k][id] = &truth{key: key, id: id, class: class, activity: f.now, own: f.now,
 			live: map[*node]bool{}}
 	}
 	for id, tr := range f.truths[k] {
-		if id.gen == v.Gen {
+		if id.gen == v.Generation {
 			tr.activity, tr.own = f.now, f.now
 		}
 	}
@@ -578,17 +578,17 @@
 	}
 	set := x.tab.set.Classes[keyed]
 	f.checkSend(x, key, v, set)
-	long := time.Duration(f.rng.Int64N(int64(set.Call)))
+	long := time.Duration(f.rng.Int64N(int64(set.MaxCallTime)))
 	at := len(f.sends[key])
-	f.sends[key] = append(f.sends[key], send{v.Where, f.now, f.now + long})
+	f.sends[key] = append(f.sends[key], send{v.Target, f.now, f.now + long})
 	how := Finished
 	tell := long
 	if f.rng.IntN(4) == 0 {
 		// Given up before its end.
-		how, tell = MayRun, long/2
-		f.sends[key][at].end = f.now + set.Call
+		how, tell = MayStillRun, long/2
+		f.sends[key][at].end = f.now + set.MaxCallTime
 	}
-	f.after(tell, func() { f.done(x, tab, key, v.Gen, how) })
+	f.after(tell, func() { f.done(x, tab, key, v.Generation, how) })
 }
 
 func (f *fleet) done(x *node, tab *Table, key string, gen uint64, how Outcome) {
@@ -609,14 +609,14 @@
 // checkSend is rule 7: no effect twice.
 func (f *fleet) checkSend(x *node, key string, v Verdict, c Class) {
 	for _, s := range f.sends[key] {
-		over := f.now >= s.end+c.Memory
+		over := f.now >= s.end+c.DedupWindow
 		if over {
 			continue
 		}
-		if s.where != v.Where {
-			f.failf(7, "%s: %s %v at %s, %v after it went to %s", x.name, key, v.Kind, v.Where,
+		if s.where != v.Target {
+			f.failf(7, "%s: %s %v at %s, %v after it went to %s", x.name, key, v.Kind, v.Target,
 				f.now-s.at, s.where)
-		} else if f.now+c.Call > s.at+c.Memory {
+		} else if f.now+c.MaxCallTime > s.at+c.DedupWindow {
 			f.failf(7, "%s: %s %v again %v after the first, too late for its scope", x.name, key,
 				v.Kind, f.now-s.at)
 		}
@@ -630,14 +630,14 @@
 			return
 		}
 		if left == 0 {
-			f.done(x, tab, key, v.Gen, Finished)
+			f.done(x, tab, key, v.Generation, Finished)
 			return
 		}
-		if !tab.Touch(x.clock(f.now), key, v.Gen) {
+		if !tab.Touch(x.clock(f.now), key, v.Generation) {
 			return
 		}
 		for id, tr := range f.truths[hashKey(7, key)] {
-			if id.gen == v.Gen {
+			if id.gen == v.Generation {
 				tr.activity = max(tr.activity, f.now)
 			}
 		}
@@ -768,15 +768,15 @@
 			n := place(a.tab.seats, is.Key, a.set.Replicas, &reps)
 			for _, s := range reps[:n] {
 				b := f.nodeOf(a.tab.seats[s].id)
-				if b.stopped || f.now-b.bornAt < agreeWithin || b.tab.live+b.tab.tombs >= b.set.Max {
+				if b.stopped || f.now-b.bornAt < agreeWithin || b.tab.live+b.tab.tombs >= b.set.MaxEntries {
 					continue
 				}
-				if _, e := b.tab.find(is.Key); e != nil && e.state == Noted {
+				if _, e := b.tab.find(is.Key); e != nil && e.state == Prepared {
 					continue // its owner may be gone: it is refused, not forgotten
 				}
-				if other, ok := b.held[is.Key]; !ok || other.Gen != is.Gen || other.State != is.State {
+				if other, ok := b.held[is.Key]; !ok || other.Generation != is.Generation || other.State != is.State {
 					return fmt.Sprintf("%s holds %v gen %d %v idle %v, %s %v gen %d", a.name,
-						is.Key, is.Gen, is.State, is.Idle, b.name, other.State, other.Gen)
+						is.Key, is.Generation, is.State, is.Idle, b.name, other.State, other.Generation)
 				}
 			}
 		}
--- a/fleet/track/open.go
+++ b/fleet/track/open.go
@@ -55,7 +55,7 @@
 // verdict is followed by an Answer within AskWithin and a tick.
 func (t *Table) Open(now time.Duration, key string, class int, where string) Verdict {
 	now = t.at(now)
-	if key == "" || len(key) > MaxKey || where == "" || len(where) > MaxWhere ||
+	if key == "" || len(key) > MaxKey || where == "" || len(where) > MaxTarget ||
 		class < 0 || class >= len(t.set.Classes) {
 		return t.refusal(BadRequest, 0)
 	}
@@ -66,7 +66,7 @@
 	}
 	if c := t.calls[k]; c != nil && !keyed && c.state < Closing {
 		c.activity = now
-		return Verdict{Kind: Mine, Where: c.where, Gen: c.id.gen}
+		return Verdict{Kind: OpenHere, Target: c.where, Generation: c.id.gen}
 	}
 	if len(t.seats) == 0 && keyed {
 		return t.refusal(NoQuorum, t.set.AskWithin)
@@ -87,7 +87,7 @@
 
 func (t *Table) refusal(why Reason, comeBack time.Duration) Verdict {
 	t.stats.Refusals++
-	return Verdict{Kind: Refused, Reason: why, ComeBack: min(comeBack, t.set.MaxComeBack)}
+	return Verdict{Kind: Refused, Reason: why, RetryAfter: min(comeBack, t.set.MaxComeBack)}
 }
 
 // start asks all replicas under a new generation.
@@ -99,7 +99,7 @@
 	t.sendAsks(now, a)
 	for j, s := range a.reps[:a.n] {
 		if int(s) == t.me {
-			r := &record{key: a.key, id: a.id, class: a.class, state: Noted, where: a.where}
+			r := &record{key: a.key, id: a.id, class: a.class, state: Prepared, where: a.where}
 			v := t.note(now, r)
 			t.voted(now, a, j, t.inc, &v)
 			return
@@ -121,7 +121,7 @@
 
 // voted takes a replica's answer.
 func (t *Table) voted(now time.Duration, a *ask, j int, inc uint32, v *vote) {
-	if v.says == voteNo && v.reason == Stale && a.restarts < maxRestarts {
+	if v.says == voteNo && v.reason == StaleGeneration && a.restarts < maxRestarts {
 		// The voter's clock came with its message and is above what has ended.
 		a.restarts++
 		t.sendWithdraw(a)
@@ -193,21 +193,21 @@
 	t.closeAsk(a)
 	t.stats.Opened++
 	if alone {
-		t.stats.Alone++
+		t.stats.Unconfirmed++
 	}
 	c := t.hold(a, a.id, a.where)
 	c.born, c.activity, c.acked = now, now, a.at
 	t.tell(now, c)
-	t.answer(a, Verdict{Kind: New, Where: a.where, Gen: a.id.gen, Alone: alone})
+	t.answer(a, Verdict{Kind: New, Target: a.where, Generation: a.id.gen, Unconfirmed: alone})
 }
 
 func (t *Table) elsewhere(now time.Duration, a *ask, v *vote) {
 	t.sendWithdraw(a)
 	t.closeAsk(a)
-	t.stats.Elsewheres++
-	kind := Elsewhere
+	t.stats.OpenedElsewhere++
+	kind := OpenElsewhere
 	if v.id.owner == t.id && v.id.inc == t.inc {
-		kind = Mine
+		kind = OpenHere
 	}
 	c := t.calls[a.key]
 	switch {
@@ -219,7 +219,7 @@
 		c.born, c.activity, c.acked = now, now, a.at
 		t.tell(now, c)
 	}
-	t.answer(a, Verdict{Kind: kind, Where: v.where, Gen: v.id.gen})
+	t.answer(a, Verdict{Kind: kind, Target: v.where, Generation: v.id.gen})
 }
 
 func (t *Table) refuse(now time.Duration, a *ask, why Reason, comeBack time.Duration) {
@@ -265,9 +265,9 @@
 // gone gives an own call up: the fleet has ended it, or may have.
 func (t *Table) gone(c *call) {
 	t.release(c)
-	t.stats.GoneOwn++
+	t.stats.OwnLost++
 	if c.state < Closing && !t.set.Classes[c.class].Keyed {
-		t.answers = append(t.answers, Answer{Verdict{Kind: Gone, Where: c.where, Gen: c.id.gen}, c.key})
+		t.answers = append(t.answers, Answer{Verdict{Kind: FlowEnded, Target: c.where, Generation: c.id.gen}, c.key})
 	}
 }
 
@@ -312,7 +312,7 @@
 		return false
 	}
 	c.state, c.activity = Closed, now
-	if how == MayRun {
+	if how == MayStillRun {
 		c.state = Closing
 	}
 	t.tell(now, c)
--- a/fleet/track/replica.go
+++ b/fleet/track/replica.go
@@ -165,7 +165,7 @@
 		return nil
 	}
 	if e == nil {
-		if t.tombs >= t.set.Max {
+		if t.tombs >= t.set.MaxEntries {
 			return nil
 		}
 		if n := len(t.free); n > 0 {
@@ -184,7 +184,7 @@
 	delete(t.props, i)
 	t.change(e, func() {
 		delete(t.under, r.key)
-		if e.state != free && r.state == Noted {
+		if e.state != free && r.state == Prepared {
 			t.under[r.key] = tomb{e.id, now}
 		}
 		if e.state != free && e.state != ended {
@@ -233,10 +233,10 @@
 
 // room makes room for one more entry, giving up flows if it must.
 func (t *Table) room(now time.Duration) bool {
-	if t.live >= t.set.Max {
+	if t.live >= t.set.MaxEntries {
 		t.evict(now)
 	}
-	return t.live < t.set.Max && t.tombs < t.set.Max
+	return t.live < t.set.MaxEntries && t.tombs < t.set.MaxEntries
 }
 
 // idleSteps coarsens idle, so that replicas which saw the same activity at slightly
@@ -256,7 +256,7 @@
 		}
 	}
 	slices.SortFunc(victims, func(a, b uint32) int { return t.lessNeeded(now, t.slot(a), t.slot(b)) })
-	for _, i := range victims[:min(len(victims), max(1, t.set.Max/64))] {
+	for _, i := range victims[:min(len(victims), max(1, t.set.MaxEntries/64))] {
 		e := t.slot(i)
 		t.tellEnd(e, e.id)
 		t.stats.Evicted++
@@ -290,19 +290,19 @@
 	}
 	switch {
 	case !t.ready(now, r.key):
-		v.reason = Learning
+		v.reason = Recovering
 	case e == nil, r.id.compare(e.id) > 0 && (e.state == ended || t.reusable(e)):
 		if t.put(now, r) == nil {
-			v.reason = FullTable
+			v.reason = TableFull
 			v.comeBack = max(t.nextEn, t.set.AskWithin)
 			return v
 		}
 		v.says = voteYes
 	case e.state == ended:
-		v.reason = Stale
+		v.reason = StaleGeneration
 	case e.id == r.id:
 		v.says = voteYes
-	case e.state == Noted || t.agreed(now, i):
+	case e.state == Prepared || t.agreed(now, i):
 		v.reason = Busy
 	default:
 		t.known(now, e, &v)
@@ -319,8 +319,8 @@
 func (t *Table) known(now time.Duration, e *entry, v *vote) {
 	c := t.set.Classes[e.class]
 	// A repeat sent now must reach its scope before the scope forgets.
-	if c.Keyed && now-e.born+c.Call+2*t.set.Lag > c.Memory {
-		v.reason = TooLate
+	if c.Keyed && now-e.born+c.MaxCallTime+2*t.set.Lag > c.DedupWindow {
+		v.reason = RetryTooLate
 		v.comeBack = max(0, t.timeout(e.class, e.state)+t.set.Lag-(now-e.seen))
 		return
 	}
@@ -391,7 +391,7 @@
 		return taken
 	case r.state == ended, c < 0:
 		return older
-	case c > 0 && (r.state == Noted || ending):
+	case c > 0 && (r.state == Prepared || ending):
 		return dropped
 	case c > 0:
 		if t.put(now, r) == nil {
@@ -400,7 +400,7 @@
 		return taken
 	}
 	t.change(e, func() {
-		if e.state == Noted && r.state > Noted {
+		if e.state == Prepared && r.state > Prepared {
 			delete(t.under, r.key)
 		}
 		e.shared = e.shared || r.shared
@@ -424,7 +424,7 @@
 // withdraw undoes a note whose call was never let go.
 func (t *Table) withdraw(k Key, id ident) {
 	i, e := t.find(k)
-	if e == nil || e.state != Noted || e.id != id {
+	if e == nil || e.state != Prepared || e.id != id {
 		return
 	}
 	t.stats.Withdrawn++
@@ -463,7 +463,7 @@
 			t.forget(i)
 		}
 		return
-	case Noted:
+	case Prepared:
 		t.checkNoted(now, e)
 	default:
 		t.list1(e)
@@ -476,7 +476,7 @@
 	me, n, up, before := t.rank(e), e.n(), 0, 0
 	if me < 0 {
 		// Its replicas of now have had all the time of its life to take it over.
-		t.stats.Forgotten++
+		t.stats.Dropped++
 		t.forget(i)
 		return
 	}
@@ -496,10 +496,10 @@
 	case up+1 < majority(n):
 		// Alone there is nobody to agree with. No tombstone: those who
 		// may have seen activity since are right.
-		t.stats.Forgotten++
+		t.stats.Dropped++
 		t.forget(i)
 	case up == 0:
-		t.stats.AgedOut++
+		t.stats.Expired++
 		t.end(now, i, e.id)
 	case idle > limit+time.Duration(2*before)*t.set.Lag:
 		t.propose(now, i, e, me)
@@ -527,7 +527,7 @@
 	i, e := t.find(k)
 	if e != nil && e.state != ended && e.id == id {
 		if now-e.seen <= t.timeout(e.class, e.state)+t.set.Lag {
-			if e.state != Noted {
+			if e.state != Prepared {
 				t.sendEntry(now, p, e)
 			}
 			return
@@ -560,7 +560,7 @@
 	if missing || prop.need&^prop.yes != 0 || onesCount(prop.yes) < majority(e.n()) {
 		return
 	}
-	t.stats.AgedOut++
+	t.stats.Expired++
 	t.tellEnd(e, id)
 	t.end(now, i, id)
 }
--- a/fleet/track/rules_test.go
+++ b/fleet/track/rules_test.go
@@ -28,7 +28,7 @@
 	small := pick(0, 4, "small") == 0 || p.small
 	tune := func(s *Settings) {
 		if small {
-			s.Max = 6
+			s.MaxEntries = 6
 		}
 	}
 	f := newFleet(uint64(pick(0, 1<<40, "seed")), n, zones, tune, p.broken)
@@ -140,9 +140,9 @@
 		}}},
 		{"ends the new generation for the old", 6, plan{meddle: func(x *node) {
 			x.tab.Each(func(i Info) {
-				if i.Gen > 20 && i.Class == flow && i.State == Open {
-					x.tab.join(x.tab.now, &record{key: i.Key, id: ident{i.Gen, i.owner, i.inc},
-						class: flow, state: Closed, where: i.Where})
+				if i.Generation > 20 && i.Class == flow && i.State == Open {
+					x.tab.join(x.tab.now, &record{key: i.Key, id: ident{i.Generation, i.owner, i.inc},
+						class: flow, state: Closed, where: i.Target})
 				}
 			})
 		}}},
--- a/fleet/track/sync.go
+++ b/fleet/track/sync.go
@@ -48,7 +48,7 @@
 	case recLine:
 		t.takeLine(now, p, r)
 	case recWant:
-		if _, e := t.find(r.key()); !r.bad && e != nil && e.state > Noted && e.state < ended {
+		if _, e := t.find(r.key()); !r.bad && e != nil && e.state > Prepared && e.state < ended {
 			t.sendEntry(now, p, e)
 		}
 	case recPull:
@@ -74,14 +74,14 @@
 }
 
 func (t *Table) takeAsk(now time.Duration, p *peer, r *reader) {
-	e := record{key: r.key(), id: ident{r.u64(), p.id, p.Incarnation}, state: Noted}
+	e := record{key: r.key(), id: ident{r.u64(), p.id, p.Incarnation}, state: Prepared}
 	e.class, e.where = r.u8(), r.text()
 	if !t.legal(r, &e) {
 		return
 	}
 	// The asker may send as late as its bound allows after this; Lag is in already.
 	e.idle = 0
-	v := vote{key: e.key, gen: e.id.gen, says: voteNo, reason: Learning, comeBack: t.set.AskWithin}
+	v := vote{key: e.key, gen: e.id.gen, says: voteNo, reason: Recovering, comeBack: t.set.AskWithin}
 	if p.same {
 		v = t.note(now, &e)
 	}
@@ -240,7 +240,7 @@
 	switch {
 	case e != nil && e.state == ended && c >= 0:
 		t.add(p, putID(putKey([]byte{recEnd}, k), e.id))
-	case c > 0 && e.state > Noted:
+	case c > 0 && e.state > Prepared:
 		t.sendEntry(now, p, e)
 	case c < 0, c == 0 && stateByte(e) != state:
 		t.add(p, putKey([]byte{recWant}, k))
--- a/fleet/track/table.go
+++ b/fleet/track/table.go
@@ -43,7 +43,7 @@
 	id   uint64 // of this member
 	inc  uint32
 	now  time.Duration
-	seen bool // View was called
+	seen bool // UpdateRoster was called
 
 	epoch  uint64
 	viewed time.Duration
@@ -78,7 +78,7 @@
 	refused refusedList
 	ticket  uint64
 
-	outs    []Out
+	outs    []OutMessage
 	answers []Answer
 	scratch []byte
 	stats   Stats
@@ -90,10 +90,10 @@
 	mayEvict func(*entry) bool
 }
 
-// NewTable makes an empty Table. It has no peers until View tells of them.
+// NewTable makes an empty Table. It has no peers until UpdateRoster is called.
 func NewTable(set Settings) (*Table, error) {
 	setDefault(&set.Replicas, 3)
-	setDefault(&set.Max, 1<<20)
+	setDefault(&set.MaxEntries, 1<<20)
 	setDefault(&set.Lag, time.Second)
 	setDefault(&set.AskWithin, 300*time.Millisecond)
 	setDefault(&set.Sweep, time.Second)
@@ -106,7 +106,7 @@
 		return nil, err
 	}
 	t := &Table{
-		set: set, id: nameID(set.Me), me: -1,
+		set: set, id: nameID(set.Self), me: -1,
 		byID: map[uint64]*peer{}, index: map[Key]uint32{}, under: map[Key]tomb{},
 		left: map[uint32]time.Duration{}, props: map[uint32]*proposal{},
 		asks: map[Key]*ask{}, calls: map[Key]*call{},
@@ -129,12 +129,12 @@
 
 func (s *Settings) check() error {
 	switch {
-	case s.Me == "" || len(s.Me) > MaxName:
-		return fmt.Errorf("track: settings: Me: %q has not 1 to %d bytes", s.Me, MaxName)
+	case s.Self == "" || len(s.Self) > MaxName:
+		return fmt.Errorf("track: settings: Self: %q is not 1 to %d bytes long", s.Self, MaxName)
 	case s.Replicas < 1 || s.Replicas > maxReplicas:
 		return fmt.Errorf("track: settings: Replicas: %d is not 1 to %d", s.Replicas, maxReplicas)
-	case s.Max < 1 || s.Max > 1<<31:
-		return fmt.Errorf("track: settings: Max: %d is not 1 to 2^31", s.Max)
+	case s.MaxEntries < 1 || s.MaxEntries > 1<<31:
+		return fmt.Errorf("track: settings: MaxEntries: %d is not 1 to 2^31", s.MaxEntries)
 	case len(s.Classes) == 0 || len(s.Classes) > 255:
 		return fmt.Errorf("track: settings: Classes: %d is not 1 to 255", len(s.Classes))
 	}
@@ -154,17 +154,17 @@
 		return fmt.Errorf("track: settings: Sweep: %v is over Lag of %v", s.Sweep, s.Lag)
 	}
 	for i, c := range s.Classes {
-		if c.Keyed && (c.Call <= 0 || c.Memory <= 0 || c.Call+c.Memory > 24*time.Hour) {
-			return fmt.Errorf("track: settings: class %d: Call %v, Memory %v", i, c.Call, c.Memory)
+		if c.Keyed && (c.MaxCallTime <= 0 || c.DedupWindow <= 0 || c.MaxCallTime+c.DedupWindow > 24*time.Hour) {
+			return fmt.Errorf("track: settings: class %d: MaxCallTime %v, DedupWindow %v", i, c.MaxCallTime, c.DedupWindow)
 		}
-		if !c.Keyed && (c.Closed <= 0 || c.Idle < 2*s.TouchEvery || c.Idle+c.Closed > 24*time.Hour) {
-			return fmt.Errorf("track: settings: class %d: Idle %v is under two TouchEvery of %v, "+
-				"or Closed %v", i, c.Idle, s.TouchEvery, c.Closed)
+		if !c.Keyed && (c.ClosedRetention <= 0 || c.IdleTimeout < 2*s.TouchEvery || c.IdleTimeout+c.ClosedRetention > 24*time.Hour) {
+			return fmt.Errorf("track: settings: class %d: IdleTimeout %v is under two TouchEvery of %v, "+
+				"or ClosedRetention %v", i, c.IdleTimeout, s.TouchEvery, c.ClosedRetention)
 		}
 		// An entry must outlive every Open that its votes count in.
-		if c.Keyed && c.Memory < 2*s.AskWithin {
-			return fmt.Errorf("track: settings: class %d: Memory %v is under two AskWithin of %v",
-				i, c.Memory, s.AskWithin)
+		if c.Keyed && c.DedupWindow < 2*s.AskWithin {
+			return fmt.Errorf("track: settings: class %d: DedupWindow %v is under two AskWithin of %v",
+				i, c.DedupWindow, s.AskWithin)
 		}
 	}
 	return nil
@@ -174,14 +174,14 @@
 // what idle is overestimated by on its way.
 func (t *Table) timeout(class uint8, s State) time.Duration {
 	c := &t.set.Classes[class]
-	d := c.Idle
+	d := c.IdleTimeout
 	switch {
 	case c.Keyed && s == Closed:
-		d = c.Memory
+		d = c.DedupWindow
 	case c.Keyed:
-		d = c.Call + c.Memory
+		d = c.MaxCallTime + c.DedupWindow
 	case s >= Closing:
-		d = c.Closed
+		d = c.ClosedRetention
 	}
 	return d + 4*t.set.Lag
 }
@@ -196,7 +196,7 @@
 	return d
 }
 
-// ErrNotAMember says that View's roster does not have this member's name.
+// ErrNotAMember says that the roster of UpdateRoster does not have this member's name.
 var ErrNotAMember = errors.New("track: view: the roster does not have this member")
 
 func (t *Table) at(now time.Duration) time.Duration {
@@ -204,11 +204,11 @@
 	return t.now
 }
 
-// View tells the agreed roster and what this member sees of it. It has to be
+// UpdateRoster takes the agreed roster and what this member sees of it. It has to be
 // called at least once a Lease while the roster is known to hold: a replica that
 // was not told for longer refuses to note calls. A roster of an older epoch than
 // the last is an error and changes nothing.
-func (t *Table) View(now time.Duration, r Roster) error {
+func (t *Table) UpdateRoster(now time.Duration, r Roster) error {
 	now = t.at(now)
 	var own *Member
 	seats := seatsOf(r.Members)
@@ -220,13 +220,13 @@
 		if m.Name == "" || len(m.Name) > MaxName {
 			return fmt.Errorf("track: view: epoch %d: member %d: bad name %q", r.Epoch, i, m.Name)
 		}
-		if m.Name == t.set.Me {
+		if m.Name == t.set.Self {
 			own = m
 		}
 	}
-	for i := range r.Before {
-		if own == nil && r.Before[i].Name == t.set.Me {
-			own = &r.Before[i]
+	for i := range r.Previous {
+		if own == nil && r.Previous[i].Name == t.set.Self {
+			own = &r.Previous[i]
 		}
 	}
 	switch {
@@ -249,7 +249,7 @@
 	for _, m := range r.Members {
 		t.meet(now, m)
 	}
-	for _, m := range r.Before {
+	for _, m := range r.Previous {
 		t.meet(now, m)
 	}
 	if moved {
@@ -295,7 +295,7 @@
 		t.peers = append(t.peers, t.byID[s.id])
 		keep[s.id] = t.byID[s.id]
 	}
-	for _, s := range seatsOf(r.Before) {
+	for _, s := range seatsOf(r.Previous) {
 		if keep[s.id] == nil {
 			t.peers = append(t.peers, t.byID[s.id])
 			keep[s.id] = t.byID[s.id]
@@ -322,7 +322,7 @@
 // reset forgets all that an earlier life held.
 func (t *Table) reset(now time.Duration) {
 	for len(t.asking) > 0 {
-		t.refuse(now, t.asking[0], Learning, t.set.AskWithin)
+		t.refuse(now, t.asking[0], Recovering, t.set.AskWithin)
 	}
 	for len(t.list) > 0 {
 		t.gone(t.list[0])
@@ -347,9 +347,9 @@
 	return p.Alive && p.ever && t.now-p.heard <= 3*t.set.Sync
 }
 
-// Out returns the messages to be sent and the answers to be acted on since the
+// Output returns the messages to be sent and the answers to be acted on since the
 // last call. Messages carry the time of the last event: send them at once.
-func (t *Table) Out() ([]Out, []Answer) {
+func (t *Table) Output() ([]OutMessage, []Answer) {
 	for _, p := range t.peers {
 		if len(p.buf) > 0 || p.say {
 			t.flush(p)
@@ -379,24 +379,24 @@
 		h.flags |= flagWant
 	}
 	msg := putHeader(make([]byte, 0, headerSize+len(p.buf)), &h)
-	t.outs = append(t.outs, Out{p.Name, append(msg, p.buf...)})
+	t.outs = append(t.outs, OutMessage{p.Name, append(msg, p.buf...)})
 	p.buf, p.say = p.buf[:0], false
 	t.stats.Sent++
 }
 
-// Take handles a message from a peer.
-func (t *Table) Take(now time.Duration, from string, msg []byte) {
+// Receive handles a message from a peer.
+func (t *Table) Receive(now time.Duration, from string, msg []byte) {
 	now = t.at(now)
 	p, r := t.open(now, from, msg)
 	if p == nil {
 		return
 	}
-	t.stats.Taken++
+	t.stats.Received++
 	for len(r.b) > 0 && !r.bad {
 		t.takeRecord(now, p, r)
 	}
 	if r.bad {
-		t.stats.BadMessage++
+		t.stats.Malformed++
 	}
 }
 
@@ -404,27 +404,27 @@
 func (t *Table) open(now time.Duration, from string, msg []byte) (*peer, *reader) {
 	r := &reader{b: msg}
 	if len(msg) < headerSize || len(msg) > MaxMessage {
-		t.stats.BadMessage++
+		t.stats.Malformed++
 		return nil, nil
 	}
 	if r.u8() != version {
-		t.stats.OtherVersion++
+		t.stats.VersionMismatch++
 		return nil, nil
 	}
 	h := r.header()
 	p := t.byID[h.from]
 	switch {
 	case p == nil || p.Name != from || h.from == t.id || h.inc > p.Incarnation:
-		t.stats.Unknown++
+		t.stats.UnknownSender++
 		return nil, nil
 	case h.inc < p.Incarnation:
-		t.stats.OldLife++
+		t.stats.OldIncarnation++
 		return nil, nil
 	case h.toInc != t.inc:
-		t.stats.NotMine++
+		t.stats.WrongIncarnation++
 		return nil, nil
 	case h.clock >= 1<<62:
-		t.stats.BadMessage++
+		t.stats.Malformed++
 		return nil, nil
 	}
 	if !p.echo || h.stamp > p.stamp {
@@ -433,11 +433,11 @@
 	age := now - time.Duration(h.echo) - time.Duration(h.hold)
 	switch {
 	case h.flags&flagEcho == 0, age > t.maxAge:
-		t.stats.Late++
+		t.stats.TooOld++
 		t.ping(now, p)
 		return nil, nil
 	case h.echo > uint64(now), h.hold > uint64(now), age < -t.set.Lag/10:
-		t.stats.BadClock++
+		t.stats.BadTimestamp++
 		t.ping(now, p)
 		return nil, nil
 	}
@@ -484,13 +484,13 @@
 	return s
 }
 
-// Whole says that this replica knows all it has to, and that its view is fresh.
-func (t *Table) Whole() bool { return t.whole(t.now) && t.now-t.viewed <= t.set.Lease }
+// CaughtUp reports that this replica knows all it has to, and that its view is fresh.
+func (t *Table) CaughtUp() bool { return t.whole(t.now) && t.now-t.viewed <= t.set.Lease }
 
-// OpenAt counts the tracked calls and flows that may run at a backend or scope, as
+// CountOpen counts the tracked calls and flows that may run at a backend or scope, as
 // far as this member knows: those it is a replica of and its own. Nothing is
 // open there once it is 0 at all members.
-func (t *Table) OpenAt(where string) int {
+func (t *Table) CountOpen(where string) int {
 	n := 0
 	if i, ok := t.places.byName[where]; ok {
 		n = t.places.list[i].open
@@ -511,8 +511,8 @@
 		if e.state == free || e.state == ended {
 			continue
 		}
-		f(Info{Key: e.key, Gen: e.id.gen, Class: int(e.class), State: e.state,
-			Where: t.places.list[e.where].name, Idle: t.now - e.seen,
+		f(Info{Key: e.key, Generation: e.id.gen, Class: int(e.class), State: e.state,
+			Target: t.places.list[e.where].name, Idle: t.now - e.seen,
 			Replica: t.rank(e) >= 0, owner: e.id.owner, inc: e.id.inc})
 	}
 }
--- a/fleet/track/wire.go
+++ b/fleet/track/wire.go
@@ -187,7 +187,7 @@
 
 func (r *reader) text() string {
 	n := int(r.u8())
-	if n > MaxWhere {
+	if n > MaxTarget {
 		r.bad = true
 	}
 	if r.bad {
