--- a/fleet/track/api.go
+++ b/fleet/track/api.go
@@ -164,12 +164,12 @@
 // The states. An entry goes through them in this order and may skip some; a
 // keyed one that a repeat has been sent for stays Open until it has aged out.
 const (
-	free     State = iota
-	Prepared       // "new": a replica has noted it, its majority is not known here
-	Open           // a majority noted it: it may run
-	Closing        // given up, may still run
-	Closed         // over; a keyed one is still in its scope's memory
-	ended          // a tombstone
+	stateFree      State = iota
+	Prepared             // "new": a replica has noted it, its majority is not known here
+	Open                 // a majority noted it: it may run
+	Closing              // given up, may still run
+	Closed               // over; a keyed one is still in its scope's memory
+	stateTombstone       // a tombstone
 )
 
 func (s State) String() string {
@@ -178,15 +178,15 @@
 
 // Info describes one entry held here.
 type Info struct {
-	Key        Key
-	Generation uint64
-	Class      int
-	State      State
-	Target     string
-	Idle       time.Duration // an upper bound
-	Replica    bool          // false: held for others until handed over
-	owner      uint64
-	inc        uint32
+	Key         Key
+	Generation  uint64
+	Class       int
+	State       State
+	Target      string
+	Idle        time.Duration // an upper bound
+	Replica     bool          // false: held for others until handed over
+	ownerID     uint64
+	incarnation uint32
 }
 
 // Stats counts what a Table has seen since its start.
--- a/fleet/track/fuzz_test.go
+++ b/fleet/track/fuzz_test.go
@@ -7,10 +7,10 @@
 
 // FuzzTake gives a table any message from a member it is in touch with. It must
 // neither panic nor send or hold more than its bounds.
-func FuzzTake(f *testing.F) {
+func FuzzReceive(f *testing.F) {
 	fl := newFleet(1, 3, 1, nil, nil)
 	var seen [][]byte
-	fl.hook = func(_, _ *node, msg []byte) []byte {
+	fl.intercept = func(_, _ *node, msg []byte) []byte {
 		seen = append(seen, msg)
 		return msg
 	}
@@ -28,24 +28,24 @@
 	}
 	f.Fuzz(func(t *testing.T, body []byte) {
 		fl := newFleet(1, 3, 1, func(s *Settings) { s.MaxEntries = 64 }, nil)
-		fl.calm = true
+		fl.reliable = true
 		fl.traffic(50*ms, 10, 2*time.Second)
 		fl.run(2 * time.Second)
 		a, b := fl.nodes[0], fl.nodes[1]
-		p := a.tab.byID[nameID(b.name)]
-		h := header{flags: flagEcho, from: p.id, inc: p.Incarnation, toInc: a.tab.inc, epoch: a.tab.epoch,
-			stamp: p.stamp + 1, echo: uint64(a.tab.now)}
-		a.tab.Receive(a.tab.now, b.name, append(putHeader(nil, &h), body...))
+		p := a.table.byID[hashName(b.name)]
+		h := header{flags: flagEcho, senderHash: p.nameHash, senderIncarnation: p.Incarnation, receiverIncarnation: a.table.incarnation, epoch: a.table.epoch,
+			timestamp: p.lastStamp + 1, echoedTimestamp: uint64(a.table.now)}
+		a.table.Receive(a.table.now, b.name, append(appendHeader(nil, &h), body...))
 		for range 40 {
-			a.tab.Tick(a.tab.now + 100*ms)
-			outs, _ := a.tab.Output()
+			a.table.Tick(a.table.now + 100*ms)
+			outs, _ := a.table.Output()
 			for _, o := range outs {
 				if len(o.Payload) > MaxMessage {
 					t.Fatalf("message of %d bytes", len(o.Payload))
 				}
 			}
 		}
-		if s := a.tab.Stats(); s.Entries > 64 || s.Entries+s.Tombstones > 128 {
+		if s := a.table.Stats(); s.Entries > 64 || s.Entries+s.Tombstones > 128 {
 			t.Fatalf("holds %d entries, %d tombstones", s.Entries, s.Tombstones)
 		}
 	})
--- a/fleet/track/open.go
+++ b/fleet/track/open.go
@@ -6,78 +6,78 @@
 )
 
 // ask is an Open that waits for its replicas.
-type ask struct {
-	key      Key
-	id       ident
-	class    uint8
-	where    string
-	ticket   uint64
-	at, sent time.Duration
-	restarts int
-
-	n     int
-	reps  [maxReplicas]uint16
-	votes [maxReplicas]vote
-	inc   [maxReplicas]uint32 // of the voter, with its vote
-	vec   [maxReplicas]uint32 // highest incarnation of the replica that any voter knows
+type pendingOpen struct {
+	key                   Key
+	generation            generationID
+	class                 uint8
+	target                string
+	ticket                uint64
+	startedAt, lastSentAt time.Duration
+	restarts              int
+
+	replicaCount      int
+	replicas          [maxReplicas]uint16
+	votes             [maxReplicas]vote
+	voterIncarnations [maxReplicas]uint32 // of the voter, with its vote
+	knownIncarnations [maxReplicas]uint32 // highest incarnation of the replica that any voter knows
 }
 
 // call is an own call or flow that was let go.
 type call struct {
-	key      Key
-	id       ident
-	class    uint8
-	state    State
-	shared   bool
-	busy     bool
-	where    string
-	n        int
-	reps     [maxReplicas]uint16
-	born     time.Duration
-	activity time.Duration // last
-	told     time.Duration // first send of this round
-	mark     time.Duration // activity at that time
-	sent     time.Duration // last send of this round
-	acked    time.Duration // mark of the last round that a majority has acknowledged
-	round    uint16
-	tries    int
-	acks     uint8
-	index    int // in Table.list
+	key               Key
+	generation        generationID
+	class             uint8
+	state             State
+	retried           bool
+	unacked           bool
+	target            string
+	replicaCount      int
+	replicas          [maxReplicas]uint16
+	firstSent         time.Duration
+	lastActivity      time.Duration // last
+	roundStart        time.Duration // first send of this round
+	roundActivity     time.Duration // activity at that time
+	lastSentAt        time.Duration // last send of this round
+	confirmedActivity time.Duration // mark of the last round that a majority has acknowledged
+	round             uint16
+	attempts          int
+	acks              uint8
+	listIndex         int // in Table.list
 }
 
 const maxRestarts = 3
 
 // maxTries is how often a round is sent; what is missing then comes by comparison.
-const maxTries = 8
+const maxRoundAttempts = 8
 
 // Open asks whether a call or flow with this key may go to where: a backend, or the
 // scope that drops its repeats. class is an index into Settings.Classes. A Pending
 // verdict is followed by an Answer within AskWithin and a tick.
 func (t *Table) Open(now time.Duration, key string, class int, where string) Verdict {
-	now = t.at(now)
+	now = t.advanceClock(now)
 	if key == "" || len(key) > MaxKey || where == "" || len(where) > MaxTarget ||
-		class < 0 || class >= len(t.set.Classes) {
+		class < 0 || class >= len(t.settings.Classes) {
 		return t.refusal(BadRequest, 0)
 	}
-	keyed := t.set.Classes[class].Keyed
-	k := hashKey(t.set.Seed, key)
-	if t.asks[k] != nil {
-		return t.refusal(Busy, t.set.AskWithin)
+	keyed := t.settings.Classes[class].Keyed
+	k := hashKey(t.settings.Seed, key)
+	if t.pendingOpens[k] != nil {
+		return t.refusal(Busy, t.settings.AskWithin)
 	}
 	if c := t.calls[k]; c != nil && !keyed && c.state < Closing {
-		c.activity = now
-		return Verdict{Kind: OpenHere, Target: c.where, Generation: c.id.gen}
+		c.lastActivity = now
+		return Verdict{Kind: OpenHere, Target: c.target, Generation: c.generation.number}
 	}
-	if len(t.seats) == 0 && keyed {
-		return t.refusal(NoQuorum, t.set.AskWithin)
+	if len(t.candidates) == 0 && keyed {
+		return t.refusal(NoQuorum, t.settings.AskWithin)
 	}
-	t.ticket++
-	a := &ask{key: k, class: uint8(class), where: where, ticket: t.ticket, at: now}
-	t.asks[k] = a
-	t.asking = append(t.asking, a)
+	t.lastTicket++
+	a := &pendingOpen{key: k, class: uint8(class), target: where, ticket: t.lastTicket, startedAt: now}
+	t.pendingOpens[k] = a
+	t.pendingOpenList = append(t.pendingOpenList, a)
 	before := len(t.answers)
-	t.start(now, a)
-	if t.asks[k] == a {
+	t.startPrepare(now, a)
+	if t.pendingOpens[k] == a {
 		return Verdict{Kind: Pending, Ticket: a.ticket}
 	}
 	v := t.answers[before].Verdict
@@ -85,196 +85,196 @@
 	return v
 }
 
-func (t *Table) refusal(why Reason, comeBack time.Duration) Verdict {
+func (t *Table) refusal(reason Reason, retryAfter time.Duration) Verdict {
 	t.stats.Refusals++
-	return Verdict{Kind: Refused, Reason: why, RetryAfter: min(comeBack, t.set.MaxComeBack)}
+	return Verdict{Kind: Refused, Reason: reason, RetryAfter: min(retryAfter, t.settings.MaxComeBack)}
 }
 
 // start asks all replicas under a new generation.
-func (t *Table) start(now time.Duration, a *ask) {
-	t.clock++
-	a.id = ident{t.clock, t.id, t.inc}
-	a.votes, a.inc, a.vec = [maxReplicas]vote{}, [maxReplicas]uint32{}, [maxReplicas]uint32{}
-	a.n = place(t.seats, a.key, t.set.Replicas, &a.reps)
-	t.sendAsks(now, a)
-	for j, s := range a.reps[:a.n] {
-		if int(s) == t.me {
-			r := &record{key: a.key, id: a.id, class: a.class, state: Prepared, where: a.where}
-			v := t.note(now, r)
-			t.voted(now, a, j, t.inc, &v)
+func (t *Table) startPrepare(now time.Duration, a *pendingOpen) {
+	t.logicalClock++
+	a.generation = generationID{t.logicalClock, t.selfID, t.incarnation}
+	a.votes, a.voterIncarnations, a.knownIncarnations = [maxReplicas]vote{}, [maxReplicas]uint32{}, [maxReplicas]uint32{}
+	a.replicaCount = selectReplicas(t.candidates, a.key, t.settings.Replicas, &a.replicas)
+	t.sendPrepares(now, a)
+	for j, s := range a.replicas[:a.replicaCount] {
+		if int(s) == t.selfIndex {
+			r := &entryRecord{key: a.key, generation: a.generation, class: a.class, state: Prepared, target: a.target}
+			v := t.prepare(now, r)
+			t.handleReplicaVote(now, a, j, t.incarnation, &v)
 			return
 		}
 	}
 	t.resolve(now, a, false)
 }
 
-func (t *Table) sendAsks(now time.Duration, a *ask) {
-	a.sent = now
-	rec := binary.BigEndian.AppendUint64(putKey([]byte{recAsk}, a.key), a.id.gen)
-	rec = putString(append(rec, a.class), a.where)
-	for j, s := range a.reps[:a.n] {
-		if int(s) != t.me && a.votes[j].says == voteNone {
-			t.add(t.peers[s], rec)
+func (t *Table) sendPrepares(now time.Duration, a *pendingOpen) {
+	a.lastSentAt = now
+	rec := binary.BigEndian.AppendUint64(appendKey([]byte{recPrepare}, a.key), a.generation.number)
+	rec = appendString(append(rec, a.class), a.target)
+	for j, s := range a.replicas[:a.replicaCount] {
+		if int(s) != t.selfIndex && a.votes[j].decision == voteNone {
+			t.enqueue(t.peers[s], rec)
 		}
 	}
 }
 
 // voted takes a replica's answer.
-func (t *Table) voted(now time.Duration, a *ask, j int, inc uint32, v *vote) {
-	if v.says == voteNo && v.reason == StaleGeneration && a.restarts < maxRestarts {
+func (t *Table) handleReplicaVote(now time.Duration, a *pendingOpen, j int, inc uint32, v *vote) {
+	if v.decision == voteNo && v.reason == StaleGeneration && a.restarts < maxRestarts {
 		// The voter's clock came with its message and is above what has ended.
 		a.restarts++
 		t.sendWithdraw(a)
-		t.start(now, a)
+		t.startPrepare(now, a)
 		return
 	}
-	a.votes[j], a.inc[j] = *v, inc
-	for i := range min(v.n, a.n) {
-		a.vec[i] = max(a.vec[i], v.vec[i])
+	a.votes[j], a.voterIncarnations[j] = *v, inc
+	for i := range min(v.replicaCount, a.replicaCount) {
+		a.knownIncarnations[i] = max(a.knownIncarnations[i], v.incarnations[i])
 	}
 	t.resolve(now, a, false)
 }
 
 // resolve ends an ask as soon as its votes allow it, or now if last.
-func (t *Table) resolve(now time.Duration, a *ask, last bool) {
-	keyed, q := t.set.Classes[a.class].Keyed, t.quorum(a.n)
+func (t *Table) resolve(now time.Duration, a *pendingOpen, final bool) {
+	keyed, q := t.settings.Classes[a.class].Keyed, t.quorumSize(a.replicaCount)
 	yes, waiting, best, bestN := 0, 0, -1, 0
-	why, comeBack := NoQuorum, t.set.AskWithin
-	for j := range a.n {
+	reason, retryAfter := NoQuorum, t.settings.AskWithin
+	for j := range a.replicaCount {
 		v := &a.votes[j]
 		// An older life's vote is void: it has forgotten it.
-		if v.says == voteNone || a.inc[j] < a.vec[j] {
+		if v.decision == voteNone || a.voterIncarnations[j] < a.knownIncarnations[j] {
 			waiting++
 			continue
 		}
-		switch v.says {
+		switch v.decision {
 		case voteYes:
 			yes++
 		case voteNo:
-			why, comeBack = max(why, v.reason), max(comeBack, v.comeBack)
-		case voteKnown:
-			why = max(why, Busy)
+			reason, retryAfter = max(reason, v.reason), max(retryAfter, v.retryAfter)
+		case voteExisting:
+			reason = max(reason, Busy)
 			n := 0
 			for i := range j + 1 {
-				if a.votes[i].says == voteKnown && a.votes[i].id == v.id && a.inc[i] >= a.vec[i] {
+				if a.votes[i].decision == voteExisting && a.votes[i].existing == v.existing && a.voterIncarnations[i] >= a.knownIncarnations[i] {
 					n++
 				}
 			}
-			newer := best < 0 || v.id.compare(a.votes[best].id) > 0
+			newer := best < 0 || v.existing.compare(a.votes[best].existing) > 0
 			if n > bestN || !keyed && newer {
 				best, bestN = j, n
 			}
 		}
 	}
-	last = last || waiting == 0
+	final = final || waiting == 0
 	switch {
-	case a.n > 0 && yes >= q:
-		t.letGo(now, a, false)
-	case best >= 0 && (bestN >= q || !keyed && last):
-		t.elsewhere(now, a, &a.votes[best])
-	case !keyed && last:
-		t.letGo(now, a, true)
-	case last, yes+waiting < q && bestN+waiting < q && keyed:
-		t.refuse(now, a, why, comeBack)
+	case a.replicaCount > 0 && yes >= q:
+		t.admit(now, a, false)
+	case best >= 0 && (bestN >= q || !keyed && final):
+		t.answerExisting(now, a, &a.votes[best])
+	case !keyed && final:
+		t.admit(now, a, true)
+	case final, yes+waiting < q && bestN+waiting < q && keyed:
+		t.refuse(now, a, reason, retryAfter)
 	}
 }
 
-func (t *Table) closeAsk(a *ask) {
-	delete(t.asks, a.key)
-	t.asking = remove(t.asking, a)
+func (t *Table) finishOpen(a *pendingOpen) {
+	delete(t.pendingOpens, a.key)
+	t.pendingOpenList = removeFirst(t.pendingOpenList, a)
 }
 
-func (t *Table) answer(a *ask, v Verdict) {
+func (t *Table) queueAnswer(a *pendingOpen, v Verdict) {
 	v.Ticket = a.ticket
 	t.answers = append(t.answers, Answer{v, a.key})
 }
 
-func (t *Table) letGo(now time.Duration, a *ask, alone bool) {
-	t.closeAsk(a)
+func (t *Table) admit(now time.Duration, a *pendingOpen, unconfirmed bool) {
+	t.finishOpen(a)
 	t.stats.Opened++
-	if alone {
+	if unconfirmed {
 		t.stats.Unconfirmed++
 	}
-	c := t.hold(a, a.id, a.where)
-	c.born, c.activity, c.acked = now, now, a.at
-	t.tell(now, c)
-	t.answer(a, Verdict{Kind: New, Target: a.where, Generation: a.id.gen, Unconfirmed: alone})
+	c := t.trackCall(a, a.generation, a.target)
+	c.firstSent, c.lastActivity, c.confirmedActivity = now, now, a.startedAt
+	t.startRound(now, c)
+	t.queueAnswer(a, Verdict{Kind: New, Target: a.target, Generation: a.generation.number, Unconfirmed: unconfirmed})
 }
 
-func (t *Table) elsewhere(now time.Duration, a *ask, v *vote) {
+func (t *Table) answerExisting(now time.Duration, a *pendingOpen, v *vote) {
 	t.sendWithdraw(a)
-	t.closeAsk(a)
+	t.finishOpen(a)
 	t.stats.OpenedElsewhere++
 	kind := OpenElsewhere
-	if v.id.owner == t.id && v.id.inc == t.inc {
+	if v.existing.ownerID == t.selfID && v.existing.ownerIncarnation == t.incarnation {
 		kind = OpenHere
 	}
 	c := t.calls[a.key]
 	switch {
-	case c != nil && c.id == v.id:
-		c.shared = c.shared || t.set.Classes[a.class].Keyed
-		c.activity = now
-	case !t.set.Classes[a.class].Keyed:
-		c = t.hold(a, v.id, v.where)
-		c.born, c.activity, c.acked = now, now, a.at
-		t.tell(now, c)
-	}
-	t.answer(a, Verdict{Kind: kind, Target: v.where, Generation: v.id.gen})
+	case c != nil && c.generation == v.existing:
+		c.retried = c.retried || t.settings.Classes[a.class].Keyed
+		c.lastActivity = now
+	case !t.settings.Classes[a.class].Keyed:
+		c = t.trackCall(a, v.existing, v.target)
+		c.firstSent, c.lastActivity, c.confirmedActivity = now, now, a.startedAt
+		t.startRound(now, c)
+	}
+	t.queueAnswer(a, Verdict{Kind: kind, Target: v.target, Generation: v.existing.number})
 }
 
-func (t *Table) refuse(now time.Duration, a *ask, why Reason, comeBack time.Duration) {
+func (t *Table) refuse(now time.Duration, a *pendingOpen, reason Reason, retryAfter time.Duration) {
 	t.sendWithdraw(a)
-	t.closeAsk(a)
-	t.answer(a, t.refusal(why, comeBack))
+	t.finishOpen(a)
+	t.queueAnswer(a, t.refusal(reason, retryAfter))
 }
 
 // sendWithdraw tells all replicas that the ask's generation was never let go.
-func (t *Table) sendWithdraw(a *ask) {
-	t.refused.add(use{a.key, a.id.gen})
-	rec := binary.BigEndian.AppendUint64(putKey([]byte{recWithdraw}, a.key), a.id.gen)
-	for _, s := range a.reps[:a.n] {
-		if int(s) == t.me {
-			t.withdraw(a.key, a.id)
+func (t *Table) sendWithdraw(a *pendingOpen) {
+	t.withdrawn.add(keyUse{a.key, a.generation.number})
+	rec := binary.BigEndian.AppendUint64(appendKey([]byte{recWithdraw}, a.key), a.generation.number)
+	for _, s := range a.replicas[:a.replicaCount] {
+		if int(s) == t.selfIndex {
+			t.withdraw(a.key, a.generation)
 		} else {
-			t.add(t.peers[s], rec)
+			t.enqueue(t.peers[s], rec)
 		}
 	}
 }
 
 // hold makes the own record of a call that goes on.
-func (t *Table) hold(a *ask, id ident, where string) *call {
+func (t *Table) trackCall(a *pendingOpen, id generationID, where string) *call {
 	if old := t.calls[a.key]; old != nil {
-		t.release(old)
+		t.untrackCall(old)
 	}
-	c := &call{key: a.key, id: id, class: a.class, where: where, state: Open, n: a.n, reps: a.reps}
-	c.index = len(t.list)
+	c := &call{key: a.key, generation: id, class: a.class, target: where, state: Open, replicaCount: a.replicaCount, replicas: a.replicas}
+	c.listIndex = len(t.callList)
 	t.calls[a.key] = c
-	t.list = append(t.list, c)
+	t.callList = append(t.callList, c)
 	return c
 }
 
-func (t *Table) release(c *call) {
+func (t *Table) untrackCall(c *call) {
 	delete(t.calls, c.key)
-	n := len(t.list) - 1
-	t.list[c.index] = t.list[n]
-	t.list[c.index].index = c.index
-	t.list[n] = nil
-	t.list = t.list[:n]
+	n := len(t.callList) - 1
+	t.callList[c.listIndex] = t.callList[n]
+	t.callList[c.listIndex].listIndex = c.listIndex
+	t.callList[n] = nil
+	t.callList = t.callList[:n]
 }
 
 // gone gives an own call up: the fleet has ended it, or may have.
-func (t *Table) gone(c *call) {
-	t.release(c)
+func (t *Table) dropCall(c *call) {
+	t.untrackCall(c)
 	t.stats.OwnLost++
-	if c.state < Closing && !t.set.Classes[c.class].Keyed {
-		t.answers = append(t.answers, Answer{Verdict{Kind: FlowEnded, Target: c.where, Generation: c.id.gen}, c.key})
+	if c.state < Closing && !t.settings.Classes[c.class].Keyed {
+		t.answers = append(t.answers, Answer{Verdict{Kind: FlowEnded, Target: c.target, Generation: c.generation.number}, c.key})
 	}
 }
 
 // own returns the own call with this key and generation, or nil.
-func (t *Table) own(key string, gen uint64) *call {
-	c := t.calls[hashKey(t.set.Seed, key)]
-	if c == nil || c.id.gen != gen {
+func (t *Table) findCall(key string, gen uint64) *call {
+	c := t.calls[hashKey(t.settings.Seed, key)]
+	if c == nil || c.generation.number != gen {
 		return nil
 	}
 	return c
@@ -283,18 +283,18 @@
 // Touch reports activity of an own call or flow. It returns false if this member does
 // not hold that generation any more.
 func (t *Table) Touch(now time.Duration, key string, gen uint64) bool {
-	now = t.at(now)
-	c := t.own(key, gen)
+	now = t.advanceClock(now)
+	c := t.findCall(key, gen)
 	if c == nil || c.state >= Closing {
 		return false
 	}
-	if t.lapsed(now, c) {
-		t.gone(c)
+	if t.mayHaveExpired(now, c) {
+		t.dropCall(c)
 		return false
 	}
-	c.activity = now
-	if now-c.told >= t.set.TouchEvery {
-		t.tell(now, c)
+	c.lastActivity = now
+	if now-c.roundStart >= t.settings.TouchEvery {
+		t.startRound(now, c)
 	}
 	return true
 }
@@ -302,81 +302,81 @@
 // Done reports the end of an own call or flow. After MayRun a Finished may follow. It
 // returns false if this member does not hold that generation any more.
 func (t *Table) Done(now time.Duration, key string, gen uint64, how Outcome) bool {
-	now = t.at(now)
-	c := t.own(key, gen)
+	now = t.advanceClock(now)
+	c := t.findCall(key, gen)
 	if c == nil || c.state == Closed {
 		return false
 	}
-	if t.lapsed(now, c) {
-		t.gone(c)
+	if t.mayHaveExpired(now, c) {
+		t.dropCall(c)
 		return false
 	}
-	c.state, c.activity = Closed, now
+	c.state, c.lastActivity = Closed, now
 	if how == MayStillRun {
 		c.state = Closing
 	}
-	t.tell(now, c)
+	t.startRound(now, c)
 	return true
 }
 
 // lapsed says that the replicas may have ended the call, since no majority has told of
 // keeping it for so long. What is sent of it now could bring it back.
-func (t *Table) lapsed(now time.Duration, c *call) bool {
-	return now-c.acked > t.timeout(c.class, c.state)-2*t.set.Lag
+func (t *Table) mayHaveExpired(now time.Duration, c *call) bool {
+	return now-c.confirmedActivity > t.timeout(c.class, c.state)-2*t.settings.Lag
 }
 
 // tell begins a round: all replicas are told of the call until they say they know.
-func (t *Table) tell(now time.Duration, c *call) {
+func (t *Table) startRound(now time.Duration, c *call) {
 	c.round++
-	c.told, c.mark, c.acks, c.tries = now, c.activity, 0, 0
-	if !c.busy {
-		c.busy = true
-		t.busy = append(t.busy, c)
+	c.roundStart, c.roundActivity, c.acks, c.attempts = now, c.lastActivity, 0, 0
+	if !c.unacked {
+		c.unacked = true
+		t.unackedCalls = append(t.unackedCalls, c)
 	}
 	t.sendRound(now, c)
 }
 
 func (t *Table) sendRound(now time.Duration, c *call) {
-	c.sent = now
-	c.tries++
-	r := &record{key: c.key, id: c.id, class: c.class, state: c.state, shared: c.shared, ack: true,
-		round: c.round, idle: now - c.activity, age: now - c.born, where: c.where}
-	for j, s := range c.reps[:c.n] {
-		if int(s) != t.me || c.acks&(1<<j) != 0 {
+	c.lastSentAt = now
+	c.attempts++
+	r := &entryRecord{key: c.key, generation: c.generation, class: c.class, state: c.state, retried: c.retried, wantAck: true,
+		round: c.round, idle: now - c.lastActivity, age: now - c.firstSent, target: c.target}
+	for j, s := range c.replicas[:c.replicaCount] {
+		if int(s) != t.selfIndex || c.acks&(1<<j) != 0 {
 			continue
 		}
-		switch t.join(now, r) {
-		case taken:
+		switch t.merge(now, r) {
+		case mergeApplied:
 			t.acknowledged(c, j)
-		case over, older:
-			t.gone(c)
+		case mergeBuried, mergeStale:
+			t.dropCall(c)
 			return
 		}
 	}
-	for j, s := range c.reps[:c.n] {
-		if int(s) != t.me && c.acks&(1<<j) == 0 {
-			t.add(t.peers[s], putEntry(t.scratch[:0], r))
+	for j, s := range c.replicas[:c.replicaCount] {
+		if int(s) != t.selfIndex && c.acks&(1<<j) == 0 {
+			t.enqueue(t.peers[s], appendEntry(t.scratch[:0], r))
 		}
 	}
 }
 
 func (t *Table) acknowledged(c *call, j int) {
 	c.acks |= 1 << j
-	if onesCount(c.acks) >= t.quorum(c.n) {
-		c.acked = c.mark
+	if onesCount(c.acks) >= t.quorumSize(c.replicaCount) {
+		c.confirmedActivity = c.roundActivity
 	}
 }
 
-func (t *Table) tickAsks(now time.Duration) {
-	for i := 0; i < len(t.asking); {
-		a := t.asking[i]
+func (t *Table) tickOpens(now time.Duration) {
+	for i := 0; i < len(t.pendingOpenList); {
+		a := t.pendingOpenList[i]
 		switch {
-		case now-a.at >= t.set.AskWithin:
+		case now-a.startedAt >= t.settings.AskWithin:
 			t.resolve(now, a, true)
-		case now-a.sent >= t.set.AskWithin/3:
-			t.sendAsks(now, a)
+		case now-a.lastSentAt >= t.settings.AskWithin/3:
+			t.sendPrepares(now, a)
 		}
-		if i < len(t.asking) && t.asking[i] == a {
+		if i < len(t.pendingOpenList) && t.pendingOpenList[i] == a {
 			i++
 		}
 	}
@@ -385,13 +385,13 @@
 // tickCalls sends again what is not acknowledged, and gives up what the
 // replicas may have ended.
 func (t *Table) tickCalls(now time.Duration) {
-	keep := t.busy[:0]
-	for _, c := range t.busy {
+	keep := t.unackedCalls[:0]
+	for _, c := range t.unackedCalls {
 		if t.calls[c.key] != c {
 			continue
 		}
-		if !t.settled(c) && c.tries < maxTries {
-			if now-c.sent >= t.set.Lag/2 {
+		if !t.allReachableAcked(c) && c.attempts < maxRoundAttempts {
+			if now-c.lastSentAt >= t.settings.Lag/2 {
 				t.sendRound(now, c)
 			}
 			if t.calls[c.key] == c {
@@ -399,37 +399,37 @@
 			}
 			continue
 		}
-		c.busy = false
+		c.unacked = false
 	}
-	clear(t.busy[len(keep):])
-	t.busy = keep
-	if now-t.listAt < t.set.Sweep {
+	clear(t.unackedCalls[len(keep):])
+	t.unackedCalls = keep
+	if now-t.callsCheckedAt < t.settings.Sweep {
 		return
 	}
-	t.listAt = now
-	for i := 0; i < len(t.list); {
-		c := t.list[i]
+	t.callsCheckedAt = now
+	for i := 0; i < len(t.callList); {
+		c := t.callList[i]
 		switch {
-		case c.state == Closed && !c.busy:
-			t.release(c)
+		case c.state == Closed && !c.unacked:
+			t.untrackCall(c)
 			continue
 		case c.state == Closed:
-		case t.lapsed(now, c) && !(c.state == Closing && c.busy):
-			t.gone(c)
+		case t.mayHaveExpired(now, c) && !(c.state == Closing && c.unacked):
+			t.dropCall(c)
 			continue
-		case c.activity > c.told && now-c.told >= t.set.TouchEvery:
-			t.tell(now, c)
+		case c.lastActivity > c.roundStart && now-c.roundStart >= t.settings.TouchEvery:
+			t.startRound(now, c)
 		}
-		if i < len(t.list) && t.list[i] == c {
+		if i < len(t.callList) && t.callList[i] == c {
 			i++
 		}
 	}
 }
 
 // settled says that all replicas in touch have acknowledged this round.
-func (t *Table) settled(c *call) bool {
-	for j, s := range c.reps[:c.n] {
-		if c.acks&(1<<j) == 0 && int(s) != t.me && t.peers[s].Alive {
+func (t *Table) allReachableAcked(c *call) bool {
+	for j, s := range c.replicas[:c.replicaCount] {
+		if c.acks&(1<<j) == 0 && int(s) != t.selfIndex && t.peers[s].Alive {
 			return false
 		}
 	}
@@ -437,28 +437,28 @@
 }
 
 // use is one use of a key by this member.
-type use struct {
-	key Key
-	gen uint64
+type keyUse struct {
+	key        Key
+	generation uint64
 }
 
 // refusedList remembers what was withdrawn, the last 4096.
-type refusedList struct {
-	has  map[use]bool
-	ring []use
-	next int
+type withdrawnSet struct {
+	members map[keyUse]bool
+	ring    []keyUse
+	next    int
 }
 
-func (l *refusedList) add(u use) {
-	if l.has == nil {
-		l.has = map[use]bool{}
+func (l *withdrawnSet) add(u keyUse) {
+	if l.members == nil {
+		l.members = map[keyUse]bool{}
 	}
 	if len(l.ring) < 4096 {
 		l.ring = append(l.ring, u)
 	} else {
-		delete(l.has, l.ring[l.next])
+		delete(l.members, l.ring[l.next])
 		l.ring[l.next] = u
 		l.next = (l.next + 1) % len(l.ring)
 	}
-	l.has[u] = true
+	l.members[u] = true
 }
--- a/fleet/track/place.go
+++ b/fleet/track/place.go
@@ -27,78 +27,78 @@
 }
 
 // ranges is how many ranges of keys are compared and handed over one by one.
-const ranges = 64
+const rangeCount = 64
 
-func (k Key) rng() int { return int(k.hi >> 58) }
+func (k Key) rangeIndex() int { return int(k.hi >> 58) }
 
 const maxReplicas = 5
 
 // none marks an empty place in a list of replicas.
-const none = ^uint16(0)
+const noReplica = ^uint16(0)
 
 // seat is a member as placement sees it.
-type seat struct {
-	id   uint64
-	zone string
+type candidate struct {
+	nameHash uint64
+	zone     string
 }
 
 // place puts the positions in seats of the key's replicas into reps, best first
 // (rendezvous hashing: Thaler and Ravishankar, IEEE/ACM ToN 1998), and returns
 // how many there are. No zone has a second one while another has none.
-func place(seats []seat, k Key, n int, reps *[maxReplicas]uint16) int {
+func selectReplicas(seats []candidate, k Key, want int, reps *[maxReplicas]uint16) int {
 	var buf [16]byte
 	var score [maxReplicas]uint64
 	binary.LittleEndian.PutUint64(buf[:], k.lo)
 	for i := range reps {
-		reps[i] = none
+		reps[i] = noReplica
 	}
-	got := 0
+	selected := 0
 	// First the best of each zone, then the best of the rest.
-	for pass := 0; pass < 2 && got < min(n, len(seats)); pass++ {
-		first := got
+	for pass := 0; pass < 2 && selected < min(want, len(seats)); pass++ {
+		fixed := selected
 		for i := range seats {
-			if slices.Contains(reps[:first], uint16(i)) {
+			if slices.Contains(reps[:fixed], uint16(i)) {
 				continue
 			}
-			binary.LittleEndian.PutUint64(buf[8:], seats[i].id)
+			binary.LittleEndian.PutUint64(buf[8:], seats[i].nameHash)
 			s := xxhash.Sum64(buf[:])
-			at, worse := -1, false
-			for j := first; pass == 0 && j < got; j++ {
+			pos, outranked := -1, false
+			for j := fixed; pass == 0 && j < selected; j++ {
 				if seats[reps[j]].zone == seats[i].zone {
-					at, worse = j, s <= score[j]
+					pos, outranked = j, s <= score[j]
 				}
 			}
-			if worse {
+			if outranked {
 				continue
 			}
-			if at < 0 {
-				if got < n {
-					got++
-				} else if s <= score[n-1] {
+			if pos < 0 {
+				if selected < want {
+					selected++
+				} else if s <= score[want-1] {
 					continue
 				}
-				at = got - 1
+				pos = selected - 1
 			}
 			// Insertion keeps the list sorted by score.
-			for ; at > first && score[at-1] < s; at-- {
-				score[at], reps[at] = score[at-1], reps[at-1]
+			for ; pos > fixed && score[pos-1] < s; pos-- {
+				score[pos], reps[pos] = score[pos-1], reps[pos-1]
 			}
-			score[at], reps[at] = s, uint16(i)
+			score[pos], reps[pos] = s, uint16(i)
 		}
 	}
-	return got
+	return selected
 }
 
 // majority is the least number of n replicas of which any two sets meet.
 func majority(n int) int { return n/2 + 1 }
 
-func nameID(name string) uint64 { return xxhash.Sum64String(name) }
+func hashName(name string) uint64 { return xxhash.Sum64String(name) }
 
-func seatsOf(members []Member) []seat {
-	out := make([]seat, 0, len(members))
+func candidatesOf(members []Member) []candidate {
+	out := make([]candidate, 0, len(members))
 	for _, m := range members {
-		out = append(out, seat{nameID(m.Name), m.Zone})
+		out = append(out, candidate{hashName(m.Name), m.Zone})
 	}
-	slices.SortFunc(out, func(a, b seat) int { return cmp.Compare(a.id, b.id) })
-	return slices.CompactFunc(out, func(a, b seat) bool { return a.id == b.id })
+	slices.SortFunc(out, func(a, b candidate) int { return cmp.Compare(a.nameHash, b.nameHash) })
+	return slices.CompactFunc(out, func(a, b candidate) bool { return a.nameHash == b.nameHash })
 }
--- a/fleet/track/table.go
+++ b/fleet/track/table.go
@@ -9,85 +9,85 @@
 	"time"
 )
 
-const allRanges = ^uint64(0)
+const allRangesMask = ^uint64(0)
 
 // peer is another member of the roster or of the one before, or this one.
 type peer struct {
 	Member
-	id uint64
-
-	stamp   uint64 // its latest time stamp
-	stampAt time.Duration
-	echo    bool // stamp is set
-	heard   time.Duration
-	ever    bool // heard is set
-	pinged  time.Duration
-	buf     []byte
-	say     bool // send a message even if it is empty, for its time stamp
-	same    bool // the message being taken is of this member's epoch
-
-	sums      [ranges]uint64 // of the live entries that both have, by range
-	lines     uint64         // ranges that this pass of the sweep lists to it
-	nextLines uint64
-	turn      int
-	back      bool // has been out of touch: compare all
-	nextSync  time.Duration
-
-	pull pull
+	nameHash uint64
+
+	lastStamp    uint64 // its latest time stamp
+	lastStampAt  time.Duration
+	hasStamp     bool // stamp is set
+	lastReceived time.Duration
+	hasReceived  bool // heard is set
+	lastPing     time.Duration
+	pending      []byte
+	replyDue     bool // send a message even if it is empty, for its time stamp
+	sameEpoch    bool // the message being taken is of this member's epoch
+
+	digests          [rangeCount]uint64 // of the live entries that both have, by range
+	listedRanges     uint64             // ranges that this pass of the sweep lists to it
+	nextListedRanges uint64
+	lastRange        int
+	compareAll       bool // has been out of touch: compare all
+	nextSync         time.Duration
+
+	pull rangePull
 }
 
 // Table is one member's part of the fleet's table. It is not safe for use by
 // several goroutines.
 type Table struct {
-	set  Settings
-	id   uint64 // of this member
-	inc  uint32
-	now  time.Duration
-	seen bool // UpdateRoster was called
-
-	epoch  uint64
-	viewed time.Duration
-	seats  []seat  // who places, by id
-	peers  []*peer // of the seats in their order, then those who have left
-	byID   map[uint64]*peer
-	me     int // own seat, or -1
-	learn  learning
-	clock  uint64 // logical; the last generation given or heard of
-
-	slabs  [][]entry
-	size   int // slots in use or on the free list
-	free   []uint32
-	index  map[Key]uint32
-	live   int
-	tombs  int
-	places places
-	under  map[Key]tomb             // tombstones below a Noted entry
-	left   map[uint32]time.Duration // since when this replica has agreed to an end
-	props  map[uint32]*proposal
-	passAt time.Duration
-	cursor int
-	ending time.Duration // least time until a keyed entry ends, found by the sweep
-	nextEn time.Duration
-
-	asks    map[Key]*ask
-	asking  []*ask
-	calls   map[Key]*call
-	list    []*call // all calls
-	busy    []*call // those with acknowledgements missing
-	listAt  time.Duration
-	refused refusedList
-	ticket  uint64
-
-	outs    []OutMessage
+	settings    Settings
+	selfID      uint64 // of this member
+	incarnation uint32
+	now         time.Duration
+	hasRoster   bool // UpdateRoster was called
+
+	epoch        uint64
+	rosterAt     time.Duration
+	candidates   []candidate // who places, by id
+	peers        []*peer     // of the seats in their order, then those who have left
+	byID         map[uint64]*peer
+	selfIndex    int // own seat, or -1
+	recovery     recoveryState
+	logicalClock uint64 // logical; the last generation given or heard of
+
+	slabs           [][]entry
+	slotCount       int // slots in use or on the free list
+	freeSlots       []uint32
+	index           map[Key]uint32
+	live            int
+	tombstones      int
+	targets         targetTable
+	shadowed        map[Key]tombstone        // tombstones below a Noted entry
+	agreedEnds      map[uint32]time.Duration // since when this replica has agreed to an end
+	proposals       map[uint32]*proposal
+	sweepStart      time.Duration
+	sweepCursor     int
+	sweepNextExpiry time.Duration // least time until a keyed entry ends, found by the sweep
+	nextExpiry      time.Duration
+
+	pendingOpens    map[Key]*pendingOpen
+	pendingOpenList []*pendingOpen
+	calls           map[Key]*call
+	callList        []*call // all calls
+	unackedCalls    []*call // those with acknowledgements missing
+	callsCheckedAt  time.Duration
+	withdrawn       withdrawnSet
+	lastTicket      uint64
+
+	outbox  []OutMessage
 	answers []Answer
 	scratch []byte
 	stats   Stats
 
 	// Derived from the settings; fields so that tests can plant errors.
-	tombKeep time.Duration
-	maxAge   time.Duration // of a message
-	quorum   func(n int) int
-	mayEvict func(*entry) bool
+	tombstoneTTL  time.Duration
+	maxMessageAge time.Duration // of a message
+	quorumSize    func(n int) int
+	mayEvict      func(*entry) bool
 }
 
 // NewTable makes an empty Table. It has no peers until UpdateRoster is called.
@@ -106,17 +106,17 @@
 		return nil, err
 	}
 	t := &Table{
-		set: set, id: nameID(set.Self), me: -1,
-		byID: map[uint64]*peer{}, index: map[Key]uint32{}, under: map[Key]tomb{},
-		left: map[uint32]time.Duration{}, props: map[uint32]*proposal{},
-		asks: map[Key]*ask{}, calls: map[Key]*call{},
-		quorum: majority,
+		settings: set, selfID: hashName(set.Self), selfIndex: -1,
+		byID: map[uint64]*peer{}, index: map[Key]uint32{}, shadowed: map[Key]tombstone{},
+		agreedEnds: map[uint32]time.Duration{}, proposals: map[uint32]*proposal{},
+		pendingOpens: map[Key]*pendingOpen{}, calls: map[Key]*call{},
+		quorumSize: majority,
 	}
-	t.places.byName = map[string]uint32{}
+	t.targets.byName = map[string]uint32{}
 	// A late message lives for Lag; a replica out of touch ends the same entry up
 	// to Bound later than the others.
-	t.tombKeep = set.Bound + 8*set.Lag + 2*set.Sweep
-	t.maxAge = set.Lag
+	t.tombstoneTTL = set.Bound + 8*set.Lag + 2*set.Sweep
+	t.maxMessageAge = set.Lag
 	t.mayEvict = func(e *entry) bool { return !set.Classes[e.class].Keyed }
 	return t, nil
 }
@@ -173,7 +173,7 @@
 // timeout is how long an entry lives after its last activity. Four Lags cover
 // what idle is overestimated by on its way.
 func (t *Table) timeout(class uint8, s State) time.Duration {
-	c := &t.set.Classes[class]
+	c := &t.settings.Classes[class]
 	d := c.IdleTimeout
 	switch {
 	case c.Keyed && s == Closed:
@@ -183,12 +183,12 @@
 	case s >= Closing:
 		d = c.ClosedRetention
 	}
-	return d + 4*t.set.Lag
+	return d + 4*t.settings.Lag
 }
 
 // longest is the longest time-out of a keyed entry.
-func (t *Table) longest() (d time.Duration) {
-	for i, c := range t.set.Classes {
+func (t *Table) longestTimeout() (d time.Duration) {
+	for i, c := range t.settings.Classes {
 		if c.Keyed {
 			d = max(d, t.timeout(uint8(i), Open))
 		}
@@ -199,7 +199,7 @@
 // ErrNotAMember says that the roster of UpdateRoster does not have this member's name.
 var ErrNotAMember = errors.New("track: view: the roster does not have this member")
 
-func (t *Table) at(now time.Duration) time.Duration {
+func (t *Table) advanceClock(now time.Duration) time.Duration {
 	t.now = max(t.now, now)
 	return t.now
 }
@@ -209,10 +209,10 @@
 // was not told for longer refuses to note calls. A roster of an older epoch than
 // the last is an error and changes nothing.
 func (t *Table) UpdateRoster(now time.Duration, r Roster) error {
-	now = t.at(now)
-	var own *Member
-	seats := seatsOf(r.Members)
-	if len(seats) != len(r.Members) || len(seats) >= int(none) {
+	now = t.advanceClock(now)
+	var self *Member
+	seats := candidatesOf(r.Members)
+	if len(seats) != len(r.Members) || len(seats) >= int(noReplica) {
 		return fmt.Errorf("track: view: epoch %d: two members of one name, or too many", r.Epoch)
 	}
 	for i := range r.Members {
@@ -220,59 +220,59 @@
 		if m.Name == "" || len(m.Name) > MaxName {
 			return fmt.Errorf("track: view: epoch %d: member %d: bad name %q", r.Epoch, i, m.Name)
 		}
-		if m.Name == t.set.Self {
-			own = m
+		if m.Name == t.settings.Self {
+			self = m
 		}
 	}
 	for i := range r.Previous {
-		if own == nil && r.Previous[i].Name == t.set.Self {
-			own = &r.Previous[i]
+		if self == nil && r.Previous[i].Name == t.settings.Self {
+			self = &r.Previous[i]
 		}
 	}
 	switch {
-	case own == nil:
+	case self == nil:
 		return ErrNotAMember
-	case t.seen && r.Epoch < t.epoch:
+	case t.hasRoster && r.Epoch < t.epoch:
 		return fmt.Errorf("track: view: epoch %d comes after %d", r.Epoch, t.epoch)
-	case t.seen && own.Incarnation < t.inc:
-		return fmt.Errorf("track: view: own incarnation %d comes after %d", own.Incarnation, t.inc)
-	}
-	t.viewed = now
-	first, reborn := !t.seen, t.seen && own.Incarnation > t.inc
-	moved := first || r.Epoch != t.epoch
-	wasWhole := !first && t.whole(now)
-	step := !first && r.Epoch == t.epoch+1
-	t.seen, t.epoch, t.inc = true, r.Epoch, own.Incarnation
-	if reborn {
+	case t.hasRoster && self.Incarnation < t.incarnation:
+		return fmt.Errorf("track: view: own incarnation %d comes after %d", self.Incarnation, t.incarnation)
+	}
+	t.rosterAt = now
+	first, restarted := !t.hasRoster, t.hasRoster && self.Incarnation > t.incarnation
+	epochChanged := first || r.Epoch != t.epoch
+	wasCaughtUp := !first && t.caughtUp(now)
+	consecutive := !first && r.Epoch == t.epoch+1
+	t.hasRoster, t.epoch, t.incarnation = true, r.Epoch, self.Incarnation
+	if restarted {
 		t.reset(now)
 	}
 	for _, m := range r.Members {
-		t.meet(now, m)
+		t.updatePeer(now, m)
 	}
 	for _, m := range r.Previous {
-		t.meet(now, m)
+		t.updatePeer(now, m)
 	}
-	if moved {
-		t.seat(now, seats, r)
-		t.startLearning(now, r, first || step, wasWhole)
+	if epochChanged {
+		t.applyPlacement(now, seats, r)
+		t.startRecovery(now, r, first || consecutive, wasCaughtUp)
 	}
-	if reborn || first && t.inc > 1 {
-		t.learn = learning{on: true, amnesia: true, since: now}
-		t.forgetPulls()
+	if restarted || first && t.incarnation > 1 {
+		t.recovery = recoveryState{active: true, restarted: true, since: now}
+		t.resetPulls()
 	}
 	return nil
 }
 
 // meet takes what a view says of one member.
-func (t *Table) meet(now time.Duration, m Member) {
-	id := nameID(m.Name)
+func (t *Table) updatePeer(now time.Duration, m Member) {
+	id := hashName(m.Name)
 	p := t.byID[id]
 	if p == nil {
-		p = &peer{Member: m, id: id, back: true, nextSync: now}
+		p = &peer{Member: m, nameHash: id, compareAll: true, nextSync: now}
 		t.byID[id] = p
 	}
 	if m.Incarnation > p.Incarnation {
-		p.echo, p.ever, p.back = false, false, true
+		p.hasStamp, p.hasReceived, p.compareAll = false, false, true
 	}
 	m.Incarnation = max(m.Incarnation, p.Incarnation)
 	m.Zone = cmp.Or(m.Zone, p.Zone)
@@ -281,128 +281,128 @@
 
 // seat makes the roster's members the ones who place, and finds each entry's
 // replicas anew.
-func (t *Table) seat(now time.Duration, seats []seat, r Roster) {
-	for len(t.asking) > 0 {
-		t.refuse(now, t.asking[0], NoQuorum, t.set.AskWithin)
+func (t *Table) applyPlacement(now time.Duration, seats []candidate, r Roster) {
+	for len(t.pendingOpenList) > 0 {
+		t.refuse(now, t.pendingOpenList[0], NoQuorum, t.settings.AskWithin)
 	}
-	t.seats, t.me = seats, -1
+	t.candidates, t.selfIndex = seats, -1
 	t.peers = t.peers[:0]
 	keep := map[uint64]*peer{}
 	for i, s := range seats {
-		if s.id == t.id {
-			t.me = i
+		if s.nameHash == t.selfID {
+			t.selfIndex = i
 		}
-		t.peers = append(t.peers, t.byID[s.id])
-		keep[s.id] = t.byID[s.id]
+		t.peers = append(t.peers, t.byID[s.nameHash])
+		keep[s.nameHash] = t.byID[s.nameHash]
 	}
-	for _, s := range seatsOf(r.Previous) {
-		if keep[s.id] == nil {
-			t.peers = append(t.peers, t.byID[s.id])
-			keep[s.id] = t.byID[s.id]
+	for _, s := range candidatesOf(r.Previous) {
+		if keep[s.nameHash] == nil {
+			t.peers = append(t.peers, t.byID[s.nameHash])
+			keep[s.nameHash] = t.byID[s.nameHash]
 		}
 	}
 	t.byID = keep
 	for _, p := range t.peers {
-		p.sums = [ranges]uint64{}
-		p.lines, p.nextLines, p.back = 0, 0, true
-	}
-	clear(t.props)
-	for i := range t.size {
-		if e := t.slot(uint32(i)); e.state != free {
-			place(seats, e.key, t.set.Replicas, &e.reps)
-			t.toggle(e)
+		p.digests = [rangeCount]uint64{}
+		p.listedRanges, p.nextListedRanges, p.compareAll = 0, 0, true
+	}
+	clear(t.proposals)
+	for i := range t.slotCount {
+		if e := t.entryAt(uint32(i)); e.state != stateFree {
+			selectReplicas(seats, e.key, t.settings.Replicas, &e.replicas)
+			t.toggleDigest(e)
 		}
 	}
-	for _, c := range slices.Clone(t.list) {
-		c.n = place(seats, c.key, t.set.Replicas, &c.reps)
-		t.tell(now, c)
+	for _, c := range slices.Clone(t.callList) {
+		c.replicaCount = selectReplicas(seats, c.key, t.settings.Replicas, &c.replicas)
+		t.startRound(now, c)
 	}
 }
 
 // reset forgets all that an earlier life held.
 func (t *Table) reset(now time.Duration) {
-	for len(t.asking) > 0 {
-		t.refuse(now, t.asking[0], Recovering, t.set.AskWithin)
+	for len(t.pendingOpenList) > 0 {
+		t.refuse(now, t.pendingOpenList[0], Recovering, t.settings.AskWithin)
 	}
-	for len(t.list) > 0 {
-		t.gone(t.list[0])
+	for len(t.callList) > 0 {
+		t.dropCall(t.callList[0])
 	}
-	t.slabs, t.size, t.free, t.live, t.tombs, t.cursor = nil, 0, nil, 0, 0, 0
+	t.slabs, t.slotCount, t.freeSlots, t.live, t.tombstones, t.sweepCursor = nil, 0, nil, 0, 0, 0
 	clear(t.index)
-	clear(t.under)
-	clear(t.left)
-	clear(t.props)
-	t.places = places{byName: map[string]uint32{}}
-	t.refused = refusedList{}
+	clear(t.shadowed)
+	clear(t.agreedEnds)
+	clear(t.proposals)
+	t.targets = targetTable{byName: map[string]uint32{}}
+	t.withdrawn = withdrawnSet{}
 	for _, p := range t.peers {
-		p.sums = [ranges]uint64{}
-		p.echo, p.ever, p.back, p.buf = false, false, true, nil
+		p.digests = [rangeCount]uint64{}
+		p.hasStamp, p.hasReceived, p.compareAll, p.pending = false, false, true, nil
 	}
-	t.outs = nil
+	t.outbox = nil
 }
 
 // inTouch says that messages went both ways lately: a message is taken only
 // with an echo.
-func (t *Table) inTouch(p *peer) bool {
-	return p.Alive && p.ever && t.now-p.heard <= 3*t.set.Sync
+func (t *Table) reachable(p *peer) bool {
+	return p.Alive && p.hasReceived && t.now-p.lastReceived <= 3*t.settings.Sync
 }
 
 // Output returns the messages to be sent and the answers to be acted on since the
 // last call. Messages carry the time of the last event: send them at once.
 func (t *Table) Output() ([]OutMessage, []Answer) {
 	for _, p := range t.peers {
-		if len(p.buf) > 0 || p.say {
+		if len(p.pending) > 0 || p.replyDue {
 			t.flush(p)
 		}
 	}
-	outs, answers := t.outs, t.answers
-	t.outs, t.answers = nil, nil
+	outs, answers := t.outbox, t.answers
+	t.outbox, t.answers = nil, nil
 	return outs, answers
 }
 
 // add puts a record into the next message to p.
-func (t *Table) add(p *peer, rec []byte) {
-	if len(p.buf)+len(rec) > MaxMessage-headerSize {
+func (t *Table) enqueue(p *peer, rec []byte) {
+	if len(p.pending)+len(rec) > MaxMessage-headerSize {
 		t.flush(p)
 	}
-	p.buf = append(p.buf, rec...)
+	p.pending = append(p.pending, rec...)
 }
 
 func (t *Table) flush(p *peer) {
-	h := header{from: t.id, inc: t.inc, toInc: p.Incarnation, epoch: t.epoch,
-		stamp: uint64(t.now), clock: t.clock}
-	if p.echo {
+	h := header{senderHash: t.selfID, senderIncarnation: t.incarnation, receiverIncarnation: p.Incarnation, epoch: t.epoch,
+		timestamp: uint64(t.now), logicalClock: t.logicalClock}
+	if p.hasStamp {
 		h.flags |= flagEcho
-		h.echo, h.hold = p.stamp, uint64(t.now-p.stampAt)
+		h.echoedTimestamp, h.echoHoldTime = p.lastStamp, uint64(t.now-p.lastStampAt)
 	}
-	if !p.echo {
-		h.flags |= flagWant
+	if !p.hasStamp {
+		h.flags |= flagReplyWanted
 	}
-	msg := putHeader(make([]byte, 0, headerSize+len(p.buf)), &h)
-	t.outs = append(t.outs, OutMessage{p.Name, append(msg, p.buf...)})
-	p.buf, p.say = p.buf[:0], false
+	msg := appendHeader(make([]byte, 0, headerSize+len(p.pending)), &h)
+	t.outbox = append(t.outbox, OutMessage{p.Name, append(msg, p.pending...)})
+	p.pending, p.replyDue = p.pending[:0], false
 	t.stats.Sent++
 }
 
 // Receive handles a message from a peer.
 func (t *Table) Receive(now time.Duration, from string, msg []byte) {
-	now = t.at(now)
-	p, r := t.open(now, from, msg)
+	now = t.advanceClock(now)
+	p, r := t.acceptHeader(now, from, msg)
 	if p == nil {
 		return
 	}
 	t.stats.Received++
-	for len(r.b) > 0 && !r.bad {
-		t.takeRecord(now, p, r)
+	for len(r.remaining) > 0 && !r.malformed {
+		t.handleRecord(now, p, r)
 	}
-	if r.bad {
+	if r.malformed {
 		t.stats.Malformed++
 	}
 }
 
 // open checks a message's header. It returns nil for one to be dropped.
-func (t *Table) open(now time.Duration, from string, msg []byte) (*peer, *reader) {
-	r := &reader{b: msg}
+func (t *Table) acceptHeader(now time.Duration, from string, msg []byte) (*peer, *reader) {
+	r := &reader{remaining: msg}
 	if len(msg) < headerSize || len(msg) > MaxMessage {
 		t.stats.Malformed++
 		return nil, nil
@@ -412,91 +412,91 @@
 		return nil, nil
 	}
 	h := r.header()
-	p := t.byID[h.from]
+	p := t.byID[h.senderHash]
 	switch {
-	case p == nil || p.Name != from || h.from == t.id || h.inc > p.Incarnation:
+	case p == nil || p.Name != from || h.senderHash == t.selfID || h.senderIncarnation > p.Incarnation:
 		t.stats.UnknownSender++
 		return nil, nil
-	case h.inc < p.Incarnation:
+	case h.senderIncarnation < p.Incarnation:
 		t.stats.OldIncarnation++
 		return nil, nil
-	case h.toInc != t.inc:
+	case h.receiverIncarnation != t.incarnation:
 		t.stats.WrongIncarnation++
 		return nil, nil
-	case h.clock >= 1<<62:
+	case h.logicalClock >= 1<<62:
 		t.stats.Malformed++
 		return nil, nil
 	}
-	if !p.echo || h.stamp > p.stamp {
-		p.stamp, p.stampAt, p.echo = h.stamp, now, true
+	if !p.hasStamp || h.timestamp > p.lastStamp {
+		p.lastStamp, p.lastStampAt, p.hasStamp = h.timestamp, now, true
 	}
-	age := now - time.Duration(h.echo) - time.Duration(h.hold)
+	messageAge := now - time.Duration(h.echoedTimestamp) - time.Duration(h.echoHoldTime)
 	switch {
-	case h.flags&flagEcho == 0, age > t.maxAge:
+	case h.flags&flagEcho == 0, messageAge > t.maxMessageAge:
 		t.stats.TooOld++
-		t.ping(now, p)
+		t.requestReply(now, p)
 		return nil, nil
-	case h.echo > uint64(now), h.hold > uint64(now), age < -t.set.Lag/10:
+	case h.echoedTimestamp > uint64(now), h.echoHoldTime > uint64(now), messageAge < -t.settings.Lag/10:
 		t.stats.BadTimestamp++
-		t.ping(now, p)
+		t.requestReply(now, p)
 		return nil, nil
 	}
-	t.clock = max(t.clock, h.clock)
-	if !t.inTouch(p) {
-		p.back = true
+	t.logicalClock = max(t.logicalClock, h.logicalClock)
+	if !t.reachable(p) {
+		p.compareAll = true
 		p.nextSync = now
 	}
-	p.heard, p.ever = now, true
-	if h.flags&flagWant != 0 {
-		t.ping(now, p)
+	p.lastReceived, p.hasReceived = now, true
+	if h.flags&flagReplyWanted != 0 {
+		t.requestReply(now, p)
 	}
 	// Asks, votes and pulls speak of one epoch's replicas.
-	p.same = h.epoch == t.epoch
+	p.sameEpoch = h.epoch == t.epoch
 	return p, r
 }
 
 // ping sends p a message, so that it has a fresh time stamp to echo.
-func (t *Table) ping(now time.Duration, p *peer) {
-	if p.pinged != 0 && now-p.pinged < t.set.Lag/8 {
+func (t *Table) requestReply(now time.Duration, p *peer) {
+	if p.lastPing != 0 && now-p.lastPing < t.settings.Lag/8 {
 		return
 	}
-	p.pinged = now
-	p.say = true
+	p.lastPing = now
+	p.replyDue = true
 }
 
 // Tick lets time pass. Call it every few tens of milliseconds.
 func (t *Table) Tick(now time.Duration) {
-	now = t.at(now)
-	if !t.seen {
+	now = t.advanceClock(now)
+	if !t.hasRoster {
 		return
 	}
-	t.tickAsks(now)
+	t.tickOpens(now)
 	t.tickCalls(now)
 	t.sweep(now)
 	t.tickSync(now)
-	t.tickLearning(now)
+	t.tickRecovery(now)
 }
 
 // Stats returns the counts so far.
 func (t *Table) Stats() Stats {
 	s := t.stats
-	s.Entries, s.Tombstones = t.live, t.tombs
+	s.Entries, s.Tombstones = t.live, t.tombstones
 	return s
 }
 
 // CaughtUp reports that this replica knows all it has to, and that its view is fresh.
-func (t *Table) CaughtUp() bool { return t.whole(t.now) && t.now-t.viewed <= t.set.Lease }
+func (t *Table) CaughtUp() bool { return t.caughtUp(t.now) && t.now-t.rosterAt <= t.settings.Lease }
 
 // CountOpen counts the tracked calls and flows that may run at a backend or scope, as
 // far as this member knows: those it is a replica of and its own. Nothing is
 // open there once it is 0 at all members.
 func (t *Table) CountOpen(where string) int {
 	n := 0
-	if i, ok := t.places.byName[where]; ok {
-		n = t.places.list[i].open
+	if i, ok := t.targets.byName[where]; ok {
+		n = t.targets.uses[i].active
 	}
-	for _, c := range t.list {
-		if _, held := t.index[c.key]; !held && c.where == where && c.state < Closed {
+	for _, c := range t.callList {
+		if _, held := t.index[c.key]; !held && c.target == where && c.state < Closed {
 			n++
 		}
 	}
@@ -506,20 +506,20 @@
 // Each calls f for each live entry held here, in no order that means anything,
 // but the same for the same events.
 func (t *Table) Each(f func(Info)) {
-	for i := range t.size {
-		e := t.slot(uint32(i))
-		if e.state == free || e.state == ended {
+	for i := range t.slotCount {
+		e := t.entryAt(uint32(i))
+		if e.state == stateFree || e.state == stateTombstone {
 			continue
 		}
-		f(Info{Key: e.key, Generation: e.id.gen, Class: int(e.class), State: e.state,
-			Target: t.places.list[e.where].name, Idle: t.now - e.seen,
-			Replica: t.rank(e) >= 0, owner: e.id.owner, inc: e.id.inc})
+		f(Info{Key: e.key, Generation: e.generation.number, Class: int(e.class), State: e.state,
+			Target: t.targets.uses[e.target].name, Idle: t.now - e.lastActivity,
+			Replica: t.replicaIndex(e) >= 0, ownerID: e.generation.ownerID, incarnation: e.generation.ownerIncarnation})
 	}
 }
 
 func onesCount(m uint8) int { return bits.OnesCount8(m) }
 
-func remove[T comparable](list []T, v T) []T {
+func removeFirst[T comparable](list []T, v T) []T {
 	if i := slices.Index(list, v); i >= 0 {
 		return slices.Delete(list, i, i+1)
 	}
--- a/fleet/track/wire.go
+++ b/fleet/track/wire.go
@@ -19,51 +19,51 @@
 
 // Bits of the header's flags.
 const (
-	flagWant = 1 << iota // the sender asks for a message back, to get an echo
-	flagEcho             // Echo and Hold are set
+	flagReplyWanted = 1 << iota // the sender asks for a message back, to get an echo
+	flagEcho                    // Echo and Hold are set
 )
 
 type header struct {
-	flags      byte
-	from       uint64 // hash of the sender's name
-	inc, toInc uint32 // incarnations of sender and receiver
-	epoch      uint64
-	stamp      uint64 // sender's clock, ns
-	echo, hold uint64 // the receiver's latest stamp seen, and how long ago, ns
-	clock      uint64 // the sender's logical clock (Lamport, CACM 1978): above all generations it knows
+	flags                                  byte
+	senderHash                             uint64 // hash of the sender's name
+	senderIncarnation, receiverIncarnation uint32 // incarnations of sender and receiver
+	epoch                                  uint64
+	timestamp                              uint64 // sender's clock, ns
+	echoedTimestamp, echoHoldTime          uint64 // the receiver's latest stamp seen, and how long ago, ns
+	logicalClock                           uint64 // the sender's logical clock (Lamport, CACM 1978): above all generations it knows
 }
 
 // The kinds of records.
 const (
-	recAsk byte = iota + 1
+	recPrepare byte = iota + 1
 	recVote
 	recWithdraw
-	recCheck
+	recQueryPrepared
 	recEntry
 	recAck
-	recEndAsk
-	recEndYes
+	recEndProposal
+	recEndAgreement
 	recEnd
-	recSum
-	recRanges
-	recLine
-	recWant
-	recPull
-	recPart
+	recDigest
+	recRangeDigests
+	recEntrySummary
+	recRequestEntry
+	recPullRanges
+	recRangePart
 )
 
 // ident is which use of a key is meant: the generation, and who opened it.
-type ident struct {
-	gen, owner uint64
-	inc        uint32
+type generationID struct {
+	number, ownerID  uint64
+	ownerIncarnation uint32
 }
 
-func (a ident) compare(b ident) int {
+func (a generationID) compare(b generationID) int {
 	switch {
 	case a == b:
 		return 0
-	case a.gen < b.gen, a.gen == b.gen && a.owner < b.owner,
-		a.gen == b.gen && a.owner == b.owner && a.inc < b.inc:
+	case a.number < b.number, a.number == b.number && a.ownerID < b.ownerID,
+		a.number == b.number && a.ownerID == b.ownerID && a.ownerIncarnation < b.ownerIncarnation:
 		return -1
 	}
 	return 1
@@ -73,87 +73,87 @@
 const (
 	voteNone byte = iota
 	voteYes
-	voteKnown
+	voteExisting
 	voteNo // see its reason
 )
 
 type vote struct {
-	key      Key
-	gen      uint64 // that was asked for
-	says     byte
-	reason   Reason
-	comeBack time.Duration
-	id       ident  // of the known entry
-	where    string // of the known entry
-	n        int
-	vec      [maxReplicas]uint32 // incarnations of the replicas, as the voter knows them
+	key          Key
+	requested    uint64 // that was asked for
+	decision     byte
+	reason       Reason
+	retryAfter   time.Duration
+	existing     generationID // of the known entry
+	target       string       // of the known entry
+	replicaCount int
+	incarnations [maxReplicas]uint32 // incarnations of the replicas, as the voter knows them
 }
 
 // record is an entry on its way.
-type record struct {
-	key       Key
-	id        ident
-	class     byte
-	state     State
-	shared    bool
-	ack       bool
-	round     uint16
-	idle, age time.Duration
-	where     string
+type entryRecord struct {
+	key        Key
+	generation generationID
+	class      byte
+	state      State
+	retried    bool
+	wantAck    bool
+	round      uint16
+	idle, age  time.Duration
+	target     string
 }
 
-const bitShared, bitAck = 1, 2
+const bitRetried, bitWantAck = 1, 2
 
-func putKey(b []byte, k Key) []byte {
+func appendKey(b []byte, k Key) []byte {
 	return binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(b, k.hi), k.lo)
 }
 
-func putID(b []byte, id ident) []byte {
-	b = binary.BigEndian.AppendUint64(b, id.gen)
-	b = binary.BigEndian.AppendUint64(b, id.owner)
-	return binary.BigEndian.AppendUint32(b, id.inc)
+func putGeneration(b []byte, id generationID) []byte {
+	b = binary.BigEndian.AppendUint64(b, id.number)
+	b = binary.BigEndian.AppendUint64(b, id.ownerID)
+	return binary.BigEndian.AppendUint32(b, id.ownerIncarnation)
 }
 
 // putDuration writes whole milliseconds, rounded up and held to what fits: an idle
 // of 49 days is over every time-out.
-func putDuration(b []byte, d time.Duration) []byte {
+func appendDuration(b []byte, d time.Duration) []byte {
 	ms := (max(d, 0) + time.Millisecond - 1) / time.Millisecond
 	return binary.BigEndian.AppendUint32(b, uint32(min(ms, 1<<32-1)))
 }
 
-func putString(b []byte, s string) []byte { return append(append(b, byte(len(s))), s...) }
+func appendString(b []byte, s string) []byte { return append(append(b, byte(len(s))), s...) }
 
-func putEntry(b []byte, r *record) []byte {
-	b = putID(putKey(append(b, recEntry), r.key), r.id)
+func appendEntry(b []byte, r *entryRecord) []byte {
+	b = putGeneration(appendKey(append(b, recEntry), r.key), r.generation)
 	flags := byte(0)
-	if r.shared {
-		flags |= bitShared
+	if r.retried {
+		flags |= bitRetried
 	}
-	if r.ack {
-		flags |= bitAck
+	if r.wantAck {
+		flags |= bitWantAck
 	}
 	b = append(b, r.class, byte(r.state), flags)
 	b = binary.BigEndian.AppendUint16(b, r.round)
-	return putString(putDuration(putDuration(b, r.idle), r.age), r.where)
+	return appendString(appendDuration(appendDuration(b, r.idle), r.age), r.target)
 }
 
-func putVote(b []byte, v *vote) []byte {
-	b = binary.BigEndian.AppendUint64(putKey(append(b, recVote), v.key), v.gen)
-	b = putDuration(append(b, v.says, byte(v.reason)), v.comeBack)
-	b = putString(putID(b, v.id), v.where)
-	b = append(b, byte(v.n))
-	for _, inc := range v.vec[:v.n] {
+func appendVote(b []byte, v *vote) []byte {
+	b = binary.BigEndian.AppendUint64(appendKey(append(b, recVote), v.key), v.requested)
+	b = appendDuration(append(b, v.decision, byte(v.reason)), v.retryAfter)
+	b = appendString(putGeneration(b, v.existing), v.target)
+	b = append(b, byte(v.replicaCount))
+	for _, inc := range v.incarnations[:v.replicaCount] {
 		b = binary.BigEndian.AppendUint32(b, inc)
 	}
 	return b
 }
 
-func putHeader(b []byte, h *header) []byte {
+func appendHeader(b []byte, h *header) []byte {
 	b = append(b, version, h.flags)
-	b = binary.BigEndian.AppendUint64(b, h.from)
-	b = binary.BigEndian.AppendUint32(b, h.inc)
-	b = binary.BigEndian.AppendUint32(b, h.toInc)
-	for _, v := range [...]uint64{h.epoch, h.stamp, h.echo, h.hold, h.clock} {
+	b = binary.BigEndian.AppendUint64(b, h.senderHash)
+	b = binary.BigEndian.AppendUint32(b, h.senderIncarnation)
+	b = binary.BigEndian.AppendUint32(b, h.receiverIncarnation)
+	for _, v := range [...]uint64{h.epoch, h.timestamp, h.echoedTimestamp, h.echoHoldTime, h.logicalClock} {
 		b = binary.BigEndian.AppendUint64(b, v)
 	}
 	return b
@@ -162,35 +162,35 @@
 // reader takes numbers off the front of a message. Once one is missing it is bad
 // and gives zeros.
 type reader struct {
-	b   []byte
-	bad bool
+	remaining []byte
+	malformed bool
 }
 
 func (r *reader) take(n int) []byte {
-	if r.bad || len(r.b) < n {
-		r.bad = true
+	if r.malformed || len(r.remaining) < n {
+		r.malformed = true
 		return make([]byte, n)
 	}
-	out := r.b[:n]
-	r.b = r.b[n:]
+	out := r.remaining[:n]
+	r.remaining = r.remaining[n:]
 	return out
 }
 
-func (r *reader) u8() byte    { return r.take(1)[0] }
-func (r *reader) u16() uint16 { return binary.BigEndian.Uint16(r.take(2)) }
-func (r *reader) u32() uint32 { return binary.BigEndian.Uint32(r.take(4)) }
-func (r *reader) u64() uint64 { return binary.BigEndian.Uint64(r.take(8)) }
-func (r *reader) key() Key    { return Key{r.u64(), r.u64()} }
-func (r *reader) id() ident   { return ident{r.u64(), r.u64(), r.u32()} }
+func (r *reader) u8() byte                 { return r.take(1)[0] }
+func (r *reader) u16() uint16              { return binary.BigEndian.Uint16(r.take(2)) }
+func (r *reader) u32() uint32              { return binary.BigEndian.Uint32(r.take(4)) }
+func (r *reader) u64() uint64              { return binary.BigEndian.Uint64(r.take(8)) }
+func (r *reader) key() Key                 { return Key{r.u64(), r.u64()} }
+func (r *reader) generation() generationID { return generationID{r.u64(), r.u64(), r.u32()} }
 
 func (r *reader) duration() time.Duration { return time.Duration(r.u32()) * time.Millisecond }
 
 func (r *reader) text() string {
 	n := int(r.u8())
 	if n > MaxTarget {
-		r.bad = true
+		r.malformed = true
 	}
-	if r.bad {
+	if r.malformed {
 		return ""
 	}
 	return string(r.take(n))
@@ -198,35 +198,35 @@
 
 func (r *reader) header() (h header) {
 	h.flags = r.u8()
-	h.from, h.inc, h.toInc = r.u64(), r.u32(), r.u32()
-	h.epoch, h.stamp, h.echo, h.hold, h.clock = r.u64(), r.u64(), r.u64(), r.u64(), r.u64()
+	h.senderHash, h.senderIncarnation, h.receiverIncarnation = r.u64(), r.u32(), r.u32()
+	h.epoch, h.timestamp, h.echoedTimestamp, h.echoHoldTime, h.logicalClock = r.u64(), r.u64(), r.u64(), r.u64(), r.u64()
 	return h
 }
 
-func (r *reader) entry() (e record) {
-	e.key, e.id = r.key(), r.id()
+func (r *reader) entry() (e entryRecord) {
+	e.key, e.generation = r.key(), r.generation()
 	e.class, e.state = r.u8(), State(r.u8())
 	flags := r.u8()
-	e.shared, e.ack = flags&bitShared != 0, flags&bitAck != 0
+	e.retried, e.wantAck = flags&bitRetried != 0, flags&bitWantAck != 0
 	e.round = r.u16()
 	e.idle, e.age = r.duration(), r.duration()
-	e.where = r.text()
-	if e.state == free || e.state > ended {
-		r.bad = true
+	e.target = r.text()
+	if e.state == stateFree || e.state > stateTombstone {
+		r.malformed = true
 	}
 	return e
 }
 
 func (r *reader) vote() (v vote) {
-	v.key, v.gen, v.says, v.reason = r.key(), r.u64(), r.u8(), Reason(r.u8())
-	v.comeBack, v.id, v.where = r.duration(), r.id(), r.text()
-	v.n = int(r.u8())
-	if v.n > maxReplicas || v.says == voteNone || v.says > voteNo || v.reason > BadRequest {
-		r.bad = true
+	v.key, v.requested, v.decision, v.reason = r.key(), r.u64(), r.u8(), Reason(r.u8())
+	v.retryAfter, v.existing, v.target = r.duration(), r.generation(), r.text()
+	v.replicaCount = int(r.u8())
+	if v.replicaCount > maxReplicas || v.decision == voteNone || v.decision > voteNo || v.reason > BadRequest {
+		r.malformed = true
 		return v
 	}
-	for i := range v.vec[:v.n] {
-		v.vec[i] = r.u32()
+	for i := range v.incarnations[:v.replicaCount] {
+		v.incarnations[i] = r.u32()
 	}
 	return v
 }
