--- a/fleet/track/learn.go
+++ b/fleet/track/learn.go
@@ -5,36 +5,36 @@
 	"time"
 )
 
-// learning is what a replica has to find out before it may note calls: after a
-// change of the roster from the replicas of before, after a restart from the other
-// replicas of now. It does so by pulling ranges of keys. Or it waits until
-// whatever it may have missed is over.
+// recoveryState describes what a replica must learn before it may prepare calls. After
+// a roster change it reads from the replicas of the previous roster, after a restart
+// from the other replicas of the current one, by pulling ranges of keys. Alternatively
+// it waits until everything it may have missed has expired.
 type recoveryState struct {
 	active        bool
-	restarted     bool        // own notes are lost
-	sourceUnknown bool        // it is not known who the replicas of before are: only time helps
-	wasCaughtUp   bool        // knew all before the roster changed
-	previous      []candidate // the roster before
+	restarted     bool        // this replica has lost the entries it had prepared
+	sourceUnknown bool        // the previous replicas are unknown: only waiting helps
+	wasCaughtUp   bool        // had recovered all state before the roster changed
+	previous      []candidate // candidates of the previous roster
 	since         time.Duration
 }
 
-// pull is what this replica has got from one peer.
+// rangePull is the progress of pulling ranges from one peer.
 type rangePull struct {
-	received     uint64 // ranges got whole
-	requested    uint64 // ranges asked for now
+	received     uint64 // ranges received completely
+	requested    uint64 // ranges requested and outstanding
 	nonce        uint32
-	lastProgress time.Duration // last ask or part
+	lastProgress time.Duration // time of the last request or part
 	parts        [rangeCount][]bool
-	incomplete   uint64 // ranges with an entry that found no room
+	incomplete   uint64 // ranges with an entry that could not be stored
 }
 
-// Bits of a part's flags: what the sender knows.
+// Flags of a part: which state the sender holds completely.
 const (
-	partPreviousEpoch = 1 << iota // all that it had to know in the roster before
-	partCurrentEpoch              // all that it has to know in this one
+	partPreviousEpoch = 1 << iota // its share of the previous epoch's entries
+	partCurrentEpoch              // its share of the current epoch's entries
 )
 
-// pullsAtOnce is how many ranges are asked for in one go; it bounds the burst.
+// maxRangesPerPull limits the ranges requested at once, and so the size of the burst.
 const maxRangesPerPull = 8
 
 func (t *Table) startRecovery(now time.Duration, r Roster, consecutive, wasCaughtUp bool) {
@@ -50,13 +50,13 @@
 	}
 }
 
-// waited says that all that was noted before learning began is over: others may
-// have noted by the old roster for a Lease more.
+// recoveryTimeElapsed reports whether everything prepared before recovery began has
+// expired. Other members may have prepared calls under the old roster for one more Lease.
 func (t *Table) recoveryTimeElapsed(now time.Duration) bool {
 	return now-t.recovery.since > t.settings.Lease+t.longestTimeout()+2*t.settings.Lag
 }
 
-// ready says whether this replica knows all it has to about the key.
+// canAnswer reports whether this replica knows enough to vote on the key.
 func (t *Table) canAnswer(now time.Duration, k Key) bool {
 	recovery := &t.recovery
 	switch {
@@ -82,14 +82,14 @@
 		}
 	}
 	if recovery.restarted {
-		// Of a majority that noted a call one, this one, has forgotten. Only a set
-		// that meets every majority less one will do.
+		// A majority that prepared a call may include this replica, which has lost its
+		// entry. Only a set that intersects every majority minus this replica is enough.
 		return known >= n-majority(n)+1
 	}
 	return known >= majority(n)
 }
 
-// whole says whether it is ready for all keys.
+// caughtUp reports whether this replica can vote on all keys.
 func (t *Table) caughtUp(now time.Duration) bool {
 	if !t.recovery.active || t.recoveryTimeElapsed(now) {
 		return true
@@ -103,7 +103,7 @@
 		}
 	}
 	if t.recovery.restarted {
-		return min(t.settings.Replicas, len(t.candidates)) > 1 // else there is nobody to ask
+		return min(t.settings.Replicas, len(t.candidates)) > 1 // a sole replica has no peer to pull from
 	}
 	return t.recovery.wasCaughtUp || !t.wasCandidate()
 }
@@ -153,7 +153,7 @@
 	t.enqueue(p, binary.BigEndian.AppendUint32(b, pull.nonce))
 }
 
-// servePull sends a peer what both are replicas of in the ranges asked for.
+// servePull sends p the entries of the requested ranges that both replicate.
 func (t *Table) servePull(now time.Duration, p *peer, mask uint64, nonce uint32) {
 	peerIndex := -1
 	for i, s := range t.candidates {
@@ -168,7 +168,7 @@
 	if t.caughtUp(now) {
 		knowledge |= partCurrentEpoch
 	}
-	var lists [rangeCount][][]byte // messages' worth of records, by range
+	var lists [rangeCount][][]byte // records by range, split into messages
 	var counts [rangeCount][]byte
 	for i := range t.slotCount {
 		e := t.entryAt(uint32(i))
@@ -216,10 +216,10 @@
 	return false
 }
 
-// learned takes an entry of a part. It returns false if what the entry says is not
-// in the table after: there is no room, or a note and a live use of another generation
-// meet, of which a replica can hold one only. The range is then asked for again until
-// the note's fate is known.
+// mergePulledEntry merges an entry of a range part. It returns false if the table then
+// lacks what the entry states: there is no room, or a prepared entry and a live one of
+// different generations conflict, of which a replica can hold only one. The range is
+// then pulled again until the outcome of the prepared entry is known.
 func (t *Table) mergePulledEntry(now time.Duration, e *entryRecord) bool {
 	_, existing := t.find(e.key)
 	if existing != nil && existing.state != stateTombstone && existing.generation != e.generation && e.state != stateTombstone &&
@@ -230,7 +230,7 @@
 	return t.merge(now, e) != mergeRejected || existing != nil || !notExpiring
 }
 
-// takePart takes a piece of a range.
+// handlePart processes one part of a pulled range.
 func (t *Table) handlePart(now time.Duration, p *peer, r *reader) {
 	rng, flags, nonce := int(r.u8()), r.u8(), r.u32()
 	seq, n, count := int(r.u16()), int(r.u16()), int(r.u8())
@@ -239,7 +239,7 @@
 	}
 	bit := uint64(1) << (rng & 63)
 	pull := &p.pull
-	// Entries are good whenever they come; only the count is for one pull.
+	// Entries are merged from any pull; only completeness is tracked per pull.
 	for range count {
 		if r.malformed || len(r.remaining) == 0 || r.u8() != recEntry {
 			r.malformed = true
--- a/fleet/track/replica.go
+++ b/fleet/track/replica.go
@@ -9,21 +9,21 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// entry is 80 bytes, of which padding has seven; its time-outs are found by a sweep over all entries, which
-// costs less memory than a list of timers would.
+// entry takes 80 bytes, seven of them padding. A sweep over all entries finds expired
+// ones, which takes less memory than a list of timers.
 type entry struct {
 	key          Key
-	generation   generationID  // as received: owner and incarnation make a generation unique
-	lastActivity time.Duration // last activity, or the end of what has ended; own clock, never too late
-	firstSent    time.Duration // first send, own clock, never too late
-	target       uint32        // index in places
+	generation   generationID  // as received: number, owner and owner's incarnation are unique together
+	lastActivity time.Duration // by the local clock, never too late; for a tombstone, when the entry ended
+	firstSent    time.Duration // by the local clock, never too late
+	target       uint32        // index in Table.targets
 	replicas     [maxReplicas]uint16
 	state        State
 	class        uint8
-	retried      bool // a repeat was sent after it
+	retried      bool // a retry was sent after the first attempt
 }
 
-// n is how many replicas the entry has.
+// replicaCount returns how many replicas the entry has.
 func (e *entry) replicaCount() int {
 	for n, s := range e.replicas {
 		if s == noReplica {
@@ -33,20 +33,20 @@
 	return maxReplicas
 }
 
-// tomb remembers an end while its slot is in use for the next generation.
+// tombstone records an ended generation while its slot holds the next one.
 type tombstone struct {
 	generation generationID
 	endedAt    time.Duration
 }
 
-// proposal is an end that this replica has asked the others to agree to.
+// proposal is a proposed end of an entry that waits for the other replicas' agreement.
 type proposal struct {
 	proposedAt time.Duration
-	asked      uint8 // who was asked, by position in reps: one that falls silent meanwhile has not agreed
+	asked      uint8 // bit set by index in replicas; one that becomes unreachable meanwhile has not agreed
 	agreed     uint8
 }
 
-// places gives each backend or scope a small number while entries name it.
+// targetTable numbers the backends and scopes that entries refer to.
 type targetTable struct {
 	byName      map[string]uint32
 	uses        []targetUse
@@ -56,7 +56,7 @@
 type targetUse struct {
 	name    string
 	entries int
-	active  int // entries that may run
+	active  int // entries that may be running
 }
 
 func (p *targetTable) acquire(name string) uint32 {
@@ -96,7 +96,7 @@
 	return i, t.entryAt(i)
 }
 
-// rank is this member's position among the entry's replicas, or -1.
+// replicaIndex returns this member's index among the entry's replicas, or -1.
 func (t *Table) replicaIndex(e *entry) int {
 	if t.selfIndex < 0 {
 		return -1
@@ -104,8 +104,8 @@
 	return slices.Index(e.replicas[:], uint16(t.selfIndex))
 }
 
-// toggle puts an entry into the sums of the ranges that it shares with its other
-// replicas, or takes it out again: call it before and after each change.
+// toggleDigest adds an entry to the range digests shared with its other replicas, or
+// removes it again. Call it before and after each change of an entry.
 func (t *Table) toggleDigest(e *entry) {
 	if e.state < Open || e.state == stateTombstone || t.replicaIndex(e) < 0 {
 		return
@@ -125,7 +125,7 @@
 	}
 }
 
-// stateByte is what replicas compare of an entry's state.
+// digestState encodes the part of an entry's state that replicas compare.
 func digestState(e *entry) byte {
 	b := byte(e.state) << 1
 	if e.retried {
@@ -134,7 +134,7 @@
 	return b
 }
 
-// change lets f change an entry and keeps the counts and sums right.
+// update applies f to an entry and keeps the counts and digests consistent.
 func (t *Table) update(e *entry, f func()) {
 	t.count(e, -1)
 	t.toggleDigest(e)
@@ -157,8 +157,8 @@
 	}
 }
 
-// put makes an entry of r, in the place of the key's earlier one if there is any,
-// which must be older. It returns nil if there is no room.
+// store creates an entry from r, replacing the key's earlier entry, if any, which must
+// be of an older generation. It returns nil if there is no room.
 func (t *Table) store(now time.Duration, r *entryRecord) *entry {
 	slot, e := t.find(r.key)
 	if (e == nil || e.state == stateTombstone) && r.state != stateTombstone && !t.makeRoom(now) {
@@ -202,7 +202,7 @@
 	return e
 }
 
-// end makes an entry a tombstone with the generation id, which is not below its own.
+// bury turns an entry into a tombstone of generation id, which must not be below its own.
 func (t *Table) bury(now time.Duration, i uint32, id generationID) {
 	e := t.entryAt(i)
 	t.update(e, func() {
@@ -214,7 +214,7 @@
 	delete(t.proposals, i)
 }
 
-// forget drops an entry or a tombstone without a trace.
+// remove deletes an entry or a tombstone.
 func (t *Table) remove(i uint32) {
 	e := t.entryAt(i)
 	t.update(e, func() {
@@ -231,7 +231,7 @@
 	t.freeSlots = append(t.freeSlots, i)
 }
 
-// room makes room for one more entry, giving up flows if it must.
+// makeRoom makes room for one more entry, evicting flows if necessary.
 func (t *Table) makeRoom(now time.Duration) bool {
 	if t.live >= t.settings.MaxEntries {
 		t.evict(now)
@@ -239,14 +239,14 @@
 	return t.live < t.settings.MaxEntries && t.tombstones < t.settings.MaxEntries
 }
 
-// idleSteps coarsens idle, so that replicas which saw the same activity at slightly
-// different times order their victims alike.
+// evictionIdleStep is the granularity of idle times in eviction, so that replicas which
+// saw the same activity at slightly different times choose the same entries.
 const evictionIdleStep = 10 * time.Second
 
-// evict ends the least needed flows at all their replicas, a 64th of the table at a
-// time so that its scan is paid for by many: those that are over first, then
-// the longest idle, then by hash. Replicas in touch end the same ones because
-// the end is told to them.
+// evict ends the least valuable flows at all their replicas: closing and closed ones
+// first, then the longest idle, then by hash. It evicts a 64th of the table at a time
+// to amortize the scan. Reachable replicas end the same flows because the ends are
+// announced to them.
 func (t *Table) evict(now time.Duration) {
 	var candidates []uint32
 	for i := range t.slotCount {
@@ -264,7 +264,7 @@
 	}
 }
 
-// lessNeeded orders entries for eviction, the same everywhere.
+// compareForEviction orders entries for eviction, in the same way at all replicas.
 func (t *Table) compareForEviction(now time.Duration, a, b *entry) int {
 	activeRank := func(e *entry) int {
 		if e.state >= Closing {
@@ -277,7 +277,7 @@
 		cmp.Compare(a.key.hi, b.key.hi), cmp.Compare(a.key.lo, b.key.lo))
 }
 
-// note answers an Ask: may owner let a call with this key go?
+// prepare votes on a request to admit a call: yes, no, or which generation is in use.
 func (t *Table) prepare(now time.Duration, r *entryRecord) vote {
 	v := vote{key: r.key, requested: r.generation.number, decision: voteNo, retryAfter: t.settings.AskWithin}
 	i, e := t.find(r.key)
@@ -310,15 +310,15 @@
 	return v
 }
 
-// reusable says that a flow is over, so that its key may be used anew at once.
+// reusable reports whether a flow is over, so that its key may be reused at once.
 func (t *Table) reusable(e *entry) bool {
 	return e.state >= Closing && !t.settings.Classes[e.class].Keyed
 }
 
-// known answers for a key that is in use.
+// voteForExisting votes on a key that is in use.
 func (t *Table) voteForExisting(now time.Duration, e *entry, v *vote) {
 	c := t.settings.Classes[e.class]
-	// A repeat sent now must reach its scope before the scope forgets.
+	// A retry sent now must arrive within its target's deduplication window.
 	if c.Keyed && now-e.firstSent+c.MaxCallTime+2*t.settings.Lag > c.DedupWindow {
 		v.reason = RetryTooLate
 		v.retryAfter = max(0, t.timeout(e.class, e.state)+t.settings.Lag-(now-e.lastActivity))
@@ -328,8 +328,8 @@
 	t.update(e, func() {
 		e.lastActivity = now
 		if c.Keyed {
-			// The repeat may run after the first is over, and be the first to
-			// take effect: from now on the entry only ages.
+			// The retry may run after the first attempt is over and be the first to
+			// take effect. The entry therefore stays Open until it expires.
 			e.retried, e.state = true, Open
 		}
 	})
@@ -344,7 +344,8 @@
 	}
 }
 
-// agreed says that this replica has agreed to the entry's end, which may be on its way.
+// endAgreedRecently reports whether this replica has agreed to an end of the entry that
+// may still be in progress.
 func (t *Table) endAgreedRecently(now time.Duration, i uint32) bool {
 	if p := t.proposals[i]; p != nil && now-p.proposedAt <= 4*t.settings.Lag {
 		return true
@@ -357,24 +358,24 @@
 	return ok
 }
 
-// What join did.
+// mergeResult is the result of Table.merge.
 type mergeResult int
 
 const (
-	mergeRejected mergeResult = iota // not taken: no room, not ours, about to end
-	mergeBuried                      // the key has a tombstone for it
-	mergeStale                       // a newer generation is here
+	mergeRejected mergeResult = iota // not merged: no room, not a replica, or about to expire
+	mergeBuried                      // the key has a tombstone that covers it
+	mergeStale                       // a newer generation is held
 	mergeApplied
 )
 
-// join merges what another says of an entry into ours. Merging is the least upper
-// bound of both (a state-based CRDT, Shapiro et al., SSS 2011): the order
-// and the number of messages make no difference.
+// merge merges a received state of an entry into the local one. The result is the least
+// upper bound of both (a state-based CRDT, Shapiro et al., SSS 2011), so the order and
+// number of messages do not matter.
 func (t *Table) merge(now time.Duration, r *entryRecord) mergeResult {
 	i, e := t.find(r.key)
 	limit := t.timeout(r.class, r.state)
-	// What is about to end is not taken anew: a message lives for Lag, so one that
-	// passes here was sent well before any replica can have ended the entry.
+	// An entry that is about to expire is not created again. Messages are accepted for
+	// up to Lag, so one that passes was sent well before any replica can have ended the entry.
 	ending := r.state != stateTombstone && r.idle > limit-2*t.settings.Lag
 	if e == nil || e.state == stateTombstone {
 		switch {
@@ -421,7 +422,7 @@
 	return t.selfIndex >= 0 && slices.Contains(reps[:n], uint16(t.selfIndex))
 }
 
-// withdraw undoes a note whose call was never let go.
+// withdraw undoes the preparation of a call that was never admitted.
 func (t *Table) withdraw(k Key, id generationID) {
 	i, e := t.find(k)
 	if e == nil || e.state != Prepared || e.generation != id {
@@ -436,7 +437,7 @@
 	t.bury(previous.endedAt, i, previous.generation)
 }
 
-// sweep goes over a part of the entries, all of them once in Settings.Sweep.
+// sweep visits part of the entries on each call, and all of them once per Settings.Sweep.
 func (t *Table) sweep(now time.Duration) {
 	part := min(1, float64(now-t.sweepStart)/float64(t.settings.Sweep))
 	for to := int(part * float64(t.slotCount)); t.sweepCursor < to; t.sweepCursor++ {
@@ -452,7 +453,7 @@
 	}
 }
 
-// age looks after one entry.
+// expireEntry checks one entry for expiry and does the other periodic work on it.
 func (t *Table) expireEntry(now time.Duration, i uint32) {
 	e := t.entryAt(i)
 	switch e.state {
@@ -475,7 +476,7 @@
 	}
 	rank, n, reachablePeers, rankedBefore := t.replicaIndex(e), e.replicaCount(), 0, 0
 	if rank < 0 {
-		// Its replicas of now have had all the time of its life to take it over.
+		// The current replicas have had the entry's whole lifetime to take it over.
 		t.stats.Dropped++
 		t.remove(i)
 		return
@@ -494,8 +495,8 @@
 	switch {
 	case idle <= limit:
 	case reachablePeers+1 < majority(n):
-		// Alone there is nobody to agree with. No tombstone: those who
-		// may have seen activity since are right.
+		// There is no majority to agree with. Leave no tombstone, because replicas that
+		// may have seen later activity take precedence.
 		t.stats.Dropped++
 		t.remove(i)
 	case reachablePeers == 0:
@@ -506,7 +507,7 @@
 	}
 }
 
-// propose asks the other replicas in touch to agree to an end.
+// proposeEnd asks the other reachable replicas to agree to the entry's end.
 func (t *Table) proposeEnd(now time.Duration, i uint32, e *entry, rank int) {
 	if p := t.proposals[i]; p != nil && now-p.proposedAt < 4*t.settings.Lag {
 		return
@@ -522,7 +523,7 @@
 	}
 }
 
-// endAsked answers another replica's proposal.
+// handleEndProposal answers another replica's proposal to end an entry.
 func (t *Table) handleEndProposal(now time.Duration, p *peer, k Key, id generationID) {
 	i, e := t.find(k)
 	if e != nil && e.state != stateTombstone && e.generation == id {
@@ -537,7 +538,7 @@
 	t.enqueue(p, putGeneration(appendKey([]byte{recEndAgreement}, k), id))
 }
 
-// endAgreed counts an agreement; the last one needed ends the entry.
+// handleEndAgreement counts an agreement. The last one needed ends the entry.
 func (t *Table) handleEndAgreement(now time.Duration, p *peer, k Key, id generationID) {
 	i, e := t.find(k)
 	prop := t.proposals[i]
@@ -545,7 +546,7 @@
 		return
 	}
 	if now-e.lastActivity <= t.timeout(e.class, e.state)+t.settings.Lag {
-		delete(t.proposals, i) // activity since
+		delete(t.proposals, i) // there was activity after the proposal
 		return
 	}
 	missing := false
@@ -565,7 +566,7 @@
 	t.bury(now, i, id)
 }
 
-// tellEnd tells the other replicas of an end.
+// announceEnd sends the end of an entry to its other replicas.
 func (t *Table) announceEnd(e *entry, id generationID) {
 	rec := putGeneration(appendKey([]byte{recEnd}, e.key), id)
 	for _, s := range e.replicas[:e.replicaCount()] {
@@ -588,7 +589,8 @@
 	return r
 }
 
-// checkNoted asks the owner of a note that is older than its Open can be what became of it.
+// queryPrepared asks the owner of an entry that has been Prepared for longer than an Open
+// can take whether the call was admitted or withdrawn.
 func (t *Table) queryPrepared(now time.Duration, e *entry) {
 	owner := t.byID[e.generation.ownerID]
 	if now-e.lastActivity < 4*t.settings.Lag || owner == nil || owner.Incarnation != e.generation.ownerIncarnation || !t.reachable(owner) {
--- a/fleet/track/table.go
+++ b/fleet/track/table.go
@@ -11,48 +11,48 @@
 
 const allRangesMask = ^uint64(0)
 
-// peer is another member of the roster or of the one before, or this one.
+// peer is a member of the current or the previous roster, this member included.
 type peer struct {
 	Member
 	nameHash uint64
 
-	lastStamp    uint64 // its latest time stamp
+	lastStamp    uint64 // the latest timestamp received from it
 	lastStampAt  time.Duration
-	hasStamp     bool // stamp is set
+	hasStamp     bool // lastStamp is set
 	lastReceived time.Duration
-	hasReceived  bool // heard is set
+	hasReceived  bool // lastReceived is set
 	lastPing     time.Duration
 	pending      []byte
-	replyDue     bool // send a message even if it is empty, for its time stamp
-	sameEpoch    bool // the message being taken is of this member's epoch
+	replyDue     bool // send a message even without records, for its timestamp
+	sameEpoch    bool // the message being handled has this member's epoch
 
-	digests          [rangeCount]uint64 // of the live entries that both have, by range
-	listedRanges     uint64             // ranges that this pass of the sweep lists to it
+	digests          [rangeCount]uint64 // of the live entries that both replicate, by range
+	listedRanges     uint64             // ranges whose entries this sweep pass summarizes for the peer
 	nextListedRanges uint64
 	lastRange        int
-	compareAll       bool // has been out of touch: compare all
+	compareAll       bool // was unreachable: compare all ranges at once
 	nextSync         time.Duration
 
 	pull rangePull
 }
 
-// Table is one member's part of the fleet's table. It is not safe for use by
-// several goroutines.
+// Table is one member's part of the replicated table. It is not safe for concurrent
+// use.
 type Table struct {
 	settings    Settings
-	selfID      uint64 // of this member
+	selfID      uint64
 	incarnation uint32
 	now         time.Duration
 	hasRoster   bool // UpdateRoster was called
 
 	epoch        uint64
 	rosterAt     time.Duration
-	candidates   []candidate // who places, by id
-	peers        []*peer     // of the seats in their order, then those who have left
+	candidates   []candidate // members eligible as replicas, sorted by name hash
+	peers        []*peer     // in the order of candidates, then those that have left the roster
 	byID         map[uint64]*peer
-	selfIndex    int // own seat, or -1
+	selfIndex    int // index of this member in candidates, or -1
 	recovery     recoveryState
-	logicalClock uint64 // logical; the last generation given or heard of
+	logicalClock uint64 // the highest generation number issued or received
 
 	slabs           [][]entry
 	slotCount       int // slots in use or on the free list
@@ -61,19 +61,19 @@
 	live            int
 	tombstones      int
 	targets         targetTable
-	shadowed        map[Key]tombstone        // tombstones below a Noted entry
-	agreedEnds      map[uint32]time.Duration // since when this replica has agreed to an end
+	shadowed        map[Key]tombstone        // tombstones replaced by a Prepared entry of the same key
+	agreedEnds      map[uint32]time.Duration // when this replica agreed to an end, by slot
 	proposals       map[uint32]*proposal
 	sweepStart      time.Duration
 	sweepCursor     int
-	sweepNextExpiry time.Duration // least time until a keyed entry ends, found by the sweep
+	sweepNextExpiry time.Duration // least time until a keyed entry expires, in the current sweep pass
 	nextExpiry      time.Duration
 
 	pendingOpens    map[Key]*pendingOpen
 	pendingOpenList []*pendingOpen
 	calls           map[Key]*call
 	callList        []*call // all calls
-	unackedCalls    []*call // those with acknowledgements missing
+	unackedCalls    []*call // calls that some replicas have not acknowledged
 	callsCheckedAt  time.Duration
 	withdrawn       withdrawnSet
 	lastTicket      uint64
@@ -83,14 +83,14 @@
 	scratch []byte
 	stats   Stats
 
-	// Derived from the settings; fields so that tests can plant errors.
+	// Derived from the settings; fields so that tests can inject faults.
 	tombstoneTTL  time.Duration
-	maxMessageAge time.Duration // of a message
+	maxMessageAge time.Duration
 	quorumSize    func(n int) int
 	mayEvict      func(*entry) bool
 }
 
-// NewTable makes an empty Table. It has no peers until UpdateRoster is called.
+// NewTable returns an empty Table. It has no peers until UpdateRoster is called.
 func NewTable(set Settings) (*Table, error) {
 	setDefault(&set.Replicas, 3)
 	setDefault(&set.MaxEntries, 1<<20)
@@ -113,8 +113,8 @@
 		quorumSize: majority,
 	}
 	t.targets.byName = map[string]uint32{}
-	// A late message lives for Lag; a replica out of touch ends the same entry up
-	// to Bound later than the others.
+	// A delayed message is accepted for up to Lag, and a replica that was unreachable
+	// ends the same entry up to Bound later than the others.
 	t.tombstoneTTL = set.Bound + 8*set.Lag + 2*set.Sweep
 	t.maxMessageAge = set.Lag
 	t.mayEvict = func(e *entry) bool { return !set.Classes[e.class].Keyed }
@@ -161,7 +161,7 @@
 			return fmt.Errorf("track: settings: class %d: IdleTimeout %v is under two TouchEvery of %v, "+
 				"or ClosedRetention %v", i, c.IdleTimeout, s.TouchEvery, c.ClosedRetention)
 		}
-		// An entry must outlive every Open that its votes count in.
+		// An entry must outlive every Open in which its votes count.
 		if c.Keyed && c.DedupWindow < 2*s.AskWithin {
 			return fmt.Errorf("track: settings: class %d: DedupWindow %v is under two AskWithin of %v",
 				i, c.DedupWindow, s.AskWithin)
@@ -170,8 +170,8 @@
 	return nil
 }
 
-// timeout is how long an entry lives after its last activity. Four Lags cover
-// what idle is overestimated by on its way.
+// timeout returns how long an entry is kept after its last activity. Four Lags cover
+// the error of idle times, which grow by Lag with each hop.
 func (t *Table) timeout(class uint8, s State) time.Duration {
 	c := &t.settings.Classes[class]
 	d := c.IdleTimeout
@@ -186,7 +186,7 @@
 	return d + 4*t.settings.Lag
 }
 
-// longest is the longest time-out of a keyed entry.
+// longestTimeout returns the longest timeout of a keyed entry.
 func (t *Table) longestTimeout() (d time.Duration) {
 	for i, c := range t.settings.Classes {
 		if c.Keyed {
@@ -196,7 +196,7 @@
 	return d
 }
 
-// ErrNotAMember says that the roster of UpdateRoster does not have this member's name.
+// ErrNotAMember is returned by UpdateRoster if the roster lacks this member's name.
 var ErrNotAMember = errors.New("track: view: the roster does not have this member")
 
 func (t *Table) advanceClock(now time.Duration) time.Duration {
@@ -204,10 +204,10 @@
 	return t.now
 }
 
-// UpdateRoster takes the agreed roster and what this member sees of it. It has to be
-// called at least once a Lease while the roster is known to hold: a replica that
-// was not told for longer refuses to note calls. A roster of an older epoch than
-// the last is an error and changes nothing.
+// UpdateRoster sets the agreed roster with this member's view of each member's
+// liveness. It must be called at least once per Lease while the roster is valid: a
+// replica without an update for longer refuses to prepare calls. A roster with an
+// older epoch than the last returns an error and changes nothing.
 func (t *Table) UpdateRoster(now time.Duration, r Roster) error {
 	now = t.advanceClock(now)
 	var self *Member
@@ -263,7 +263,7 @@
 	return nil
 }
 
-// meet takes what a view says of one member.
+// updatePeer applies a roster's data on one member.
 func (t *Table) updatePeer(now time.Duration, m Member) {
 	id := hashName(m.Name)
 	p := t.byID[id]
@@ -279,8 +279,8 @@
 	p.Member = m
 }
 
-// seat makes the roster's members the ones who place, and finds each entry's
-// replicas anew.
+// applyPlacement makes the roster's members the candidates for replicas and selects
+// the replicas of each entry again.
 func (t *Table) applyPlacement(now time.Duration, seats []candidate, r Roster) {
 	for len(t.pendingOpenList) > 0 {
 		t.refuse(now, t.pendingOpenList[0], NoQuorum, t.settings.AskWithin)
@@ -319,7 +319,7 @@
 	}
 }
 
-// reset forgets all that an earlier life held.
+// reset discards the state of an earlier incarnation.
 func (t *Table) reset(now time.Duration) {
 	for len(t.pendingOpenList) > 0 {
 		t.refuse(now, t.pendingOpenList[0], Recovering, t.settings.AskWithin)
@@ -341,14 +341,14 @@
 	t.outbox = nil
 }
 
-// inTouch says that messages went both ways lately: a message is taken only
-// with an echo.
+// reachable reports whether messages were exchanged in both directions recently: a
+// message is accepted only if it echoes one of this member's timestamps.
 func (t *Table) reachable(p *peer) bool {
 	return p.Alive && p.hasReceived && t.now-p.lastReceived <= 3*t.settings.Sync
 }
 
 // Output returns the messages to be sent and the answers to be acted on since the
-// last call. Messages carry the time of the last event: send them at once.
+// last call. Messages carry the time of the last event, so send them immediately.
 func (t *Table) Output() ([]OutMessage, []Answer) {
 	for _, p := range t.peers {
 		if len(p.pending) > 0 || p.replyDue {
@@ -360,7 +360,7 @@
 	return outs, answers
 }
 
-// add puts a record into the next message to p.
+// enqueue adds a record to the next message to p.
 func (t *Table) enqueue(p *peer, rec []byte) {
 	if len(p.pending)+len(rec) > MaxMessage-headerSize {
 		t.flush(p)
@@ -384,7 +384,7 @@
 	t.stats.Sent++
 }
 
-// Receive handles a message from a peer.
+// Receive processes a message from a peer.
 func (t *Table) Receive(now time.Duration, from string, msg []byte) {
 	now = t.advanceClock(now)
 	p, r := t.acceptHeader(now, from, msg)
@@ -400,7 +400,7 @@
 	}
 }
 
-// open checks a message's header. It returns nil for one to be dropped.
+// acceptHeader validates a message's header. It returns nil if the message is dropped.
 func (t *Table) acceptHeader(now time.Duration, from string, msg []byte) (*peer, *reader) {
 	r := &reader{remaining: msg}
 	if len(msg) < headerSize || len(msg) > MaxMessage {
@@ -450,12 +450,12 @@
 	if h.flags&flagReplyWanted != 0 {
 		t.requestReply(now, p)
 	}
-	// Asks, votes and pulls speak of one epoch's replicas.
+	// Prepares, votes and pulls refer to the replicas of one epoch.
 	p.sameEpoch = h.epoch == t.epoch
 	return p, r
 }
 
-// ping sends p a message, so that it has a fresh time stamp to echo.
+// requestReply schedules a message to p, so that p has a fresh timestamp to echo.
 func (t *Table) requestReply(now time.Duration, p *peer) {
 	if p.lastPing != 0 && now-p.lastPing < t.settings.Lag/8 {
 		return
@@ -464,7 +464,7 @@
 	p.replyDue = true
 }
 
-// Tick lets time pass. Call it every few tens of milliseconds.
+// Tick advances time. Call it every few tens of milliseconds.
 func (t *Table) Tick(now time.Duration) {
 	now = t.advanceClock(now)
 	if !t.hasRoster {
@@ -477,19 +477,20 @@
 	t.tickRecovery(now)
 }
 
-// Stats returns the counts so far.
+// Stats returns the current counters.
 func (t *Table) Stats() Stats {
 	s := t.stats
 	s.Entries, s.Tombstones = t.live, t.tombstones
 	return s
 }
 
-// CaughtUp reports that this replica knows all it has to, and that its view is fresh.
+// CaughtUp reports whether this replica has recovered all its state and its roster is
+// within the lease.
 func (t *Table) CaughtUp() bool { return t.caughtUp(t.now) && t.now-t.rosterAt <= t.settings.Lease }
 
-// CountOpen counts the tracked calls and flows that may run at a backend or scope, as
-// far as this member knows: those it is a replica of and its own. Nothing is
-// open there once it is 0 at all members.
+// CountOpen returns the number of tracked calls and flows that may be running at a
+// backend or scope, as far as this member knows: those it replicates and its own.
+// None is running there once all members return 0.
 func (t *Table) CountOpen(where string) int {
 	n := 0
 	if i, ok := t.targets.byName[where]; ok {
@@ -503,8 +504,8 @@
 	return n
 }
 
-// Each calls f for each live entry held here, in no order that means anything,
-// but the same for the same events.
+// Each calls f for each live entry held by this member. The order is unspecified but
+// deterministic: the same events give the same order.
 func (t *Table) Each(f func(Info)) {
 	for i := range t.slotCount {
 		e := t.entryAt(uint32(i))
