--- a/fleet/track/open.go
+++ b/fleet/track/open.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// ask is an Open that waits for its replicas.
+// pendingOpen is an Open that waits for the votes of its replicas.
 type pendingOpen struct {
 	key                   Key
 	generation            generationID
@@ -18,11 +18,11 @@
 	replicaCount      int
 	replicas          [maxReplicas]uint16
 	votes             [maxReplicas]vote
-	voterIncarnations [maxReplicas]uint32 // of the voter, with its vote
-	knownIncarnations [maxReplicas]uint32 // highest incarnation of the replica that any voter knows
+	voterIncarnations [maxReplicas]uint32 // incarnation of each voter when it voted
+	knownIncarnations [maxReplicas]uint32 // highest incarnation of each replica known to any voter
 }
 
-// call is an own call or flow that was let go.
+// call is a call or flow that this member has admitted.
 type call struct {
 	key               Key
 	generation        generationID
@@ -34,25 +34,26 @@
 	replicaCount      int
 	replicas          [maxReplicas]uint16
 	firstSent         time.Duration
-	lastActivity      time.Duration // last
-	roundStart        time.Duration // first send of this round
-	roundActivity     time.Duration // activity at that time
-	lastSentAt        time.Duration // last send of this round
-	confirmedActivity time.Duration // mark of the last round that a majority has acknowledged
+	lastActivity      time.Duration
+	roundStart        time.Duration // first send of the current round
+	roundActivity     time.Duration // lastActivity at roundStart
+	lastSentAt        time.Duration // last send of the current round
+	confirmedActivity time.Duration // roundActivity of the last round that a majority has acknowledged
 	round             uint16
 	attempts          int
 	acks              uint8
-	listIndex         int // in Table.list
+	listIndex         int // in Table.callList
 }
 
 const maxRestarts = 3
 
-// maxTries is how often a round is sent; what is missing then comes by comparison.
+// maxRoundAttempts is how often a round is sent. Replicas that still lack it get it by
+// digest comparison.
 const maxRoundAttempts = 8
 
-// Open asks whether a call or flow with this key may go to where: a backend, or the
-// scope that drops its repeats. class is an index into Settings.Classes. A Pending
-// verdict is followed by an Answer within AskWithin and a tick.
+// Open asks whether a call or flow with this key may be sent to where: a backend, or the
+// scope that deduplicates it. class is an index into Settings.Classes. A Pending verdict
+// is followed by an Answer within AskWithin and one Tick.
 func (t *Table) Open(now time.Duration, key string, class int, where string) Verdict {
 	now = t.advanceClock(now)
 	if key == "" || len(key) > MaxKey || where == "" || len(where) > MaxTarget ||
@@ -90,7 +91,7 @@
 	return Verdict{Kind: Refused, Reason: reason, RetryAfter: min(retryAfter, t.settings.MaxComeBack)}
 }
 
-// start asks all replicas under a new generation.
+// startPrepare asks all replicas to prepare the call under a new generation.
 func (t *Table) startPrepare(now time.Duration, a *pendingOpen) {
 	t.logicalClock++
 	a.generation = generationID{t.logicalClock, t.selfID, t.incarnation}
@@ -119,10 +120,10 @@
 	}
 }
 
-// voted takes a replica's answer.
+// handleReplicaVote records a replica's vote.
 func (t *Table) handleReplicaVote(now time.Duration, a *pendingOpen, j int, inc uint32, v *vote) {
 	if v.decision == voteNo && v.reason == StaleGeneration && a.restarts < maxRestarts {
-		// The voter's clock came with its message and is above what has ended.
+		// The vote's message raised the logical clock above the ended generation.
 		a.restarts++
 		t.sendWithdraw(a)
 		t.startPrepare(now, a)
@@ -135,14 +136,14 @@
 	t.resolve(now, a, false)
 }
 
-// resolve ends an ask as soon as its votes allow it, or now if last.
+// resolve completes a pending Open as soon as its votes decide it, or now if final.
 func (t *Table) resolve(now time.Duration, a *pendingOpen, final bool) {
 	keyed, q := t.settings.Classes[a.class].Keyed, t.quorumSize(a.replicaCount)
 	yes, waiting, best, bestN := 0, 0, -1, 0
 	reason, retryAfter := NoQuorum, t.settings.AskWithin
 	for j := range a.replicaCount {
 		v := &a.votes[j]
-		// An older life's vote is void: it has forgotten it.
+		// A vote from an older incarnation is void: the restarted replica has lost it.
 		if v.decision == voteNone || a.voterIncarnations[j] < a.knownIncarnations[j] {
 			waiting++
 			continue
@@ -228,7 +229,7 @@
 	t.queueAnswer(a, t.refusal(reason, retryAfter))
 }
 
-// sendWithdraw tells all replicas that the ask's generation was never let go.
+// sendWithdraw tells all replicas that the call was never admitted under its generation.
 func (t *Table) sendWithdraw(a *pendingOpen) {
 	t.withdrawn.add(keyUse{a.key, a.generation.number})
 	rec := binary.BigEndian.AppendUint64(appendKey([]byte{recWithdraw}, a.key), a.generation.number)
@@ -241,7 +242,7 @@
 	}
 }
 
-// hold makes the own record of a call that goes on.
+// trackCall creates the local record of an admitted call.
 func (t *Table) trackCall(a *pendingOpen, id generationID, where string) *call {
 	if old := t.calls[a.key]; old != nil {
 		t.untrackCall(old)
@@ -262,7 +263,7 @@
 	t.callList = t.callList[:n]
 }
 
-// gone gives an own call up: the fleet has ended it, or may have.
+// dropCall stops tracking a call that the fleet has ended or may have ended.
 func (t *Table) dropCall(c *call) {
 	t.untrackCall(c)
 	t.stats.OwnLost++
@@ -271,7 +272,7 @@
 	}
 }
 
-// own returns the own call with this key and generation, or nil.
+// findCall returns this member's call with this key and generation, or nil.
 func (t *Table) findCall(key string, gen uint64) *call {
 	c := t.calls[hashKey(t.settings.Seed, key)]
 	if c == nil || c.generation.number != gen {
@@ -280,8 +281,8 @@
 	return c
 }
 
-// Touch reports activity of an own call or flow. It returns false if this member does
-// not hold that generation any more.
+// Touch reports activity of one of this member's calls or flows. It returns false if this
+// member no longer holds that generation.
 func (t *Table) Touch(now time.Duration, key string, gen uint64) bool {
 	now = t.advanceClock(now)
 	c := t.findCall(key, gen)
@@ -299,8 +300,8 @@
 	return true
 }
 
-// Done reports the end of an own call or flow. After MayRun a Finished may follow. It
-// returns false if this member does not hold that generation any more.
+// Done reports the end of one of this member's calls or flows. Finished may follow
+// MayStillRun. It returns false if this member no longer holds that generation.
 func (t *Table) Done(now time.Duration, key string, gen uint64, how Outcome) bool {
 	now = t.advanceClock(now)
 	c := t.findCall(key, gen)
@@ -319,13 +320,14 @@
 	return true
 }
 
-// lapsed says that the replicas may have ended the call, since no majority has told of
-// keeping it for so long. What is sent of it now could bring it back.
+// mayHaveExpired reports whether the replicas may have ended the call because no majority
+// has acknowledged activity for too long. An update sent now could recreate its entry.
 func (t *Table) mayHaveExpired(now time.Duration, c *call) bool {
 	return now-c.confirmedActivity > t.timeout(c.class, c.state)-2*t.settings.Lag
 }
 
-// tell begins a round: all replicas are told of the call until they say they know.
+// startRound starts an update round: the call's state is sent to all replicas until they
+// acknowledge it.
 func (t *Table) startRound(now time.Duration, c *call) {
 	c.round++
 	c.roundStart, c.roundActivity, c.acks, c.attempts = now, c.lastActivity, 0, 0
@@ -382,8 +384,8 @@
 	}
 }
 
-// tickCalls sends again what is not acknowledged, and gives up what the
-// replicas may have ended.
+// tickCalls resends unacknowledged updates and drops calls that the replicas may have
+// ended.
 func (t *Table) tickCalls(now time.Duration) {
 	keep := t.unackedCalls[:0]
 	for _, c := range t.unackedCalls {
@@ -426,7 +428,7 @@
 	}
 }
 
-// settled says that all replicas in touch have acknowledged this round.
+// allReachableAcked reports whether all live replicas have acknowledged this round.
 func (t *Table) allReachableAcked(c *call) bool {
 	for j, s := range c.replicas[:c.replicaCount] {
 		if c.acks&(1<<j) == 0 && int(s) != t.selfIndex && t.peers[s].Alive {
@@ -436,13 +438,13 @@
 	return true
 }
 
-// use is one use of a key by this member.
+// keyUse is one use of a key by this member.
 type keyUse struct {
 	key        Key
 	generation uint64
 }
 
-// refusedList remembers what was withdrawn, the last 4096.
+// withdrawnSet holds the last 4096 withdrawn generations.
 type withdrawnSet struct {
 	members map[keyUse]bool
 	ring    []keyUse
--- a/fleet/track/place.go
+++ b/fleet/track/place.go
@@ -8,15 +8,15 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Key is the 128-bit hash that stands for an opaque key, made of two XXH64 with
-// seeds of the fleet's.
+// Key is the 128-bit hash of an opaque key, made of two XXH64 hashes with different
+// seeds, both derived from Settings.Seed.
 //
-// Two keys with one hash are handled, not only improbable (a million entries
-// have a pair with a chance of 1.5e-27): the second key meets the first one's entry
-// and is refused, or is sent where the first is. The scope there drops repeats by
-// the key itself, so it runs the second as what it is. No effect is doubled or
-// lost. XXH64 does not resist an attacker who knows the seed; all that one gains
-// is that some of its own calls are refused.
+// A hash collision is unlikely (a million entries contain a colliding pair with a
+// probability of 1.5e-27) and handled: the second key meets the entry of the first
+// and is refused, or is sent to the first one's target. That target deduplicates by
+// the key itself, so it runs the second call as a separate one. No effect is
+// duplicated or lost. XXH64 does not resist an attacker who knows the seed, but such
+// an attacker can only cause some of its own calls to be refused.
 type Key struct{ hi, lo uint64 }
 
 func hashKey(seed uint64, key string) Key {
@@ -26,25 +26,25 @@
 	return Key{a.Sum64(), b.Sum64()}
 }
 
-// ranges is how many ranges of keys are compared and handed over one by one.
+// rangeCount is the number of key ranges that are compared and handed over separately.
 const rangeCount = 64
 
 func (k Key) rangeIndex() int { return int(k.hi >> 58) }
 
 const maxReplicas = 5
 
-// none marks an empty place in a list of replicas.
+// noReplica marks an unused element in a list of replicas.
 const noReplica = ^uint16(0)
 
-// seat is a member as placement sees it.
+// candidate is a member eligible as a replica.
 type candidate struct {
 	nameHash uint64
 	zone     string
 }
 
-// place puts the positions in seats of the key's replicas into reps, best first
-// (rendezvous hashing: Thaler and Ravishankar, IEEE/ACM ToN 1998), and returns
-// how many there are. No zone has a second one while another has none.
+// selectReplicas stores the candidate indexes of the key's replicas in reps, highest
+// score first (rendezvous hashing: Thaler and Ravishankar, IEEE/ACM ToN 1998), and
+// returns their number. No zone gets a second replica while another zone has none.
 func selectReplicas(seats []candidate, k Key, want int, reps *[maxReplicas]uint16) int {
 	var buf [16]byte
 	var score [maxReplicas]uint64
@@ -53,7 +53,7 @@
 		reps[i] = noReplica
 	}
 	selected := 0
-	// First the best of each zone, then the best of the rest.
+	// The first pass selects the best candidate of each zone, the second the best of the rest.
 	for pass := 0; pass < 2 && selected < min(want, len(seats)); pass++ {
 		fixed := selected
 		for i := range seats {
@@ -79,7 +79,7 @@
 				}
 				pos = selected - 1
 			}
-			// Insertion keeps the list sorted by score.
+			// Insert so that the list stays sorted by score.
 			for ; pos > fixed && score[pos-1] < s; pos-- {
 				score[pos], reps[pos] = score[pos-1], reps[pos-1]
 			}
@@ -89,7 +89,7 @@
 	return selected
 }
 
-// majority is the least number of n replicas of which any two sets meet.
+// majority returns the smallest size at which any two subsets of n replicas intersect.
 func majority(n int) int { return n/2 + 1 }
 
 func hashName(name string) uint64 { return xxhash.Sum64String(name) }
--- a/fleet/track/sync.go
+++ b/fleet/track/sync.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// takeRecord handles one record of a message from p.
+// handleRecord processes one record of a message from p.
 func (t *Table) handleRecord(now time.Duration, p *peer, r *reader) {
 	switch kind := r.u8(); kind {
 	case recPrepare:
@@ -62,7 +62,7 @@
 	}
 }
 
-// legal says whether a record can be one of ours, and adds Lag to its durations.
+// validateEntry checks a received entry against the settings and adds Lag to its durations.
 func (t *Table) validateEntry(r *reader, e *entryRecord) bool {
 	if int(e.class) >= len(t.settings.Classes) || e.target == "" && e.state != stateTombstone ||
 		e.generation.number >= 1<<62 {
@@ -79,7 +79,8 @@
 	if !t.validateEntry(r, &e) {
 		return
 	}
-	// The asker may send as late as its bound allows after this; Lag is in already.
+	// The sender may admit the call until its Open times out, so the entry's idle time
+	// starts at zero here, without Lag.
 	e.idle = 0
 	v := vote{key: e.key, requested: e.generation.number, decision: voteNo, reason: Recovering, retryAfter: t.settings.AskWithin}
 	if p.sameEpoch {
@@ -109,7 +110,7 @@
 	}
 }
 
-// takeCheck tells a replica what became of a note.
+// handlePreparedQuery tells a replica whether a call that it prepared was admitted.
 func (t *Table) handlePreparedQuery(now time.Duration, p *peer, k Key, gen uint64) {
 	if c := t.calls[k]; c != nil && c.generation.number == gen && c.generation.ownerID == t.selfID {
 		if !t.mayHaveExpired(now, c) && !c.unacked {
@@ -167,8 +168,8 @@
 	return sum
 }
 
-// tickSync compares with each peer once in Settings.Sync. The message also
-// keeps both in touch.
+// tickSync sends each peer a digest once per Settings.Sync. This message also keeps both
+// members reachable for each other.
 func (t *Table) tickSync(now time.Duration) {
 	for _, p := range t.peers {
 		if p.nameHash == t.selfID || now < p.nextSync {
@@ -187,8 +188,8 @@
 	t.enqueue(p, rec)
 }
 
-// rangesAtOnce bounds what a comparison lists while both see changes all the time
-// and so never have equal sums.
+// maxRangesPerCompare limits the ranges that are compared entry by entry at once.
+// Constant changes can keep the digests of two members from ever being equal.
 const maxRangesPerCompare = 8
 
 func (t *Table) handleRangeDigests(p *peer, r *reader) {
@@ -216,7 +217,7 @@
 	}
 }
 
-// list1 lists an entry to the peers that this pass of the sweep compares its range with.
+// sendSummary sends an entry's summary to the peers whose range this sweep pass compares.
 func (t *Table) sendSummary(e *entry) {
 	for _, s := range e.replicas[:e.replicaCount()] {
 		p := t.peers[s]
@@ -226,7 +227,8 @@
 	}
 }
 
-// takeLine finds out which of the two has to tell the other.
+// handleEntrySummary compares a peer's entry with the local one, and sends or requests
+// whichever is newer.
 func (t *Table) handleEntrySummary(now time.Duration, p *peer, r *reader) {
 	k, id, state := r.key(), r.generation(), r.u8()
 	if r.malformed {
--- a/fleet/track/wire.go
+++ b/fleet/track/wire.go
@@ -5,35 +5,35 @@
 	"time"
 )
 
-// The messages are a fixed layout of our own in big-endian order, not CBOR: there
-// are a dozen records of a few numbers each, a member writes and reads some ten thousand
-// a second, the size of a record has to be known before it is added to a message
-// of bounded size, and a reader of fixed fields has nothing to allocate.
+// The messages have a fixed big-endian layout instead of CBOR: there are about a dozen
+// record kinds of a few numbers each, a member writes and reads some ten thousand per
+// second, a record's size must be known before it is added to a message of limited size,
+// and decoding fixed fields needs no allocation.
 //
-// A message is a header and any number of records. A change of a record's
-// layout is a new version; members drop and count the versions they don't speak,
-// so that a fleet with two versions is for tracking two fleets.
+// A message is a header and any number of records. Any change of a record's layout needs
+// a new version. Members drop and count messages of other versions, so during an upgrade
+// members of different versions track calls as if they were two separate fleets.
 const version = 1
 
 const headerSize = 58
 
-// Bits of the header's flags.
+// Flags in the header.
 const (
-	flagReplyWanted = 1 << iota // the sender asks for a message back, to get an echo
-	flagEcho                    // Echo and Hold are set
+	flagReplyWanted = 1 << iota // the sender wants a message in reply, to get an echo
+	flagEcho                    // echoedTimestamp and echoHoldTime are set
 )
 
 type header struct {
 	flags                                  byte
 	senderHash                             uint64 // hash of the sender's name
-	senderIncarnation, receiverIncarnation uint32 // incarnations of sender and receiver
+	senderIncarnation, receiverIncarnation uint32
 	epoch                                  uint64
-	timestamp                              uint64 // sender's clock, ns
-	echoedTimestamp, echoHoldTime          uint64 // the receiver's latest stamp seen, and how long ago, ns
-	logicalClock                           uint64 // the sender's logical clock (Lamport, CACM 1978): above all generations it knows
+	timestamp                              uint64 // by the sender's clock, ns
+	echoedTimestamp, echoHoldTime          uint64 // receiver's latest timestamp as seen by the sender, and time since its arrival, ns
+	logicalClock                           uint64 // sender's logical clock (Lamport, CACM 1978), not below any generation it knows
 }
 
-// The kinds of records.
+// Record kinds.
 const (
 	recPrepare byte = iota + 1
 	recVote
@@ -52,7 +52,7 @@
 	recRangePart
 )
 
-// ident is which use of a key is meant: the generation, and who opened it.
+// generationID identifies one use of a key: its generation number and who opened it.
 type generationID struct {
 	number, ownerID  uint64
 	ownerIncarnation uint32
@@ -69,27 +69,27 @@
 	return 1
 }
 
-// What a vote says.
+// Decisions of a vote.
 const (
 	voteNone byte = iota
 	voteYes
 	voteExisting
-	voteNo // see its reason
+	voteNo // for the vote's reason
 )
 
 type vote struct {
 	key          Key
-	requested    uint64 // that was asked for
+	requested    uint64 // generation number that the vote answers
 	decision     byte
 	reason       Reason
 	retryAfter   time.Duration
-	existing     generationID // of the known entry
-	target       string       // of the known entry
+	existing     generationID // of the entry in use
+	target       string       // of the entry in use
 	replicaCount int
-	incarnations [maxReplicas]uint32 // incarnations of the replicas, as the voter knows them
+	incarnations [maxReplicas]uint32 // of the replicas, as known to the voter
 }
 
-// record is an entry on its way.
+// entryRecord is an entry as sent in a message.
 type entryRecord struct {
 	key        Key
 	generation generationID
@@ -114,8 +114,8 @@
 	return binary.BigEndian.AppendUint32(b, id.ownerIncarnation)
 }
 
-// putDuration writes whole milliseconds, rounded up and held to what fits: an idle
-// of 49 days is over every time-out.
+// appendDuration encodes whole milliseconds, rounded up and capped at the maximum of a
+// uint32: 49 days, longer than every timeout.
 func appendDuration(b []byte, d time.Duration) []byte {
 	ms := (max(d, 0) + time.Millisecond - 1) / time.Millisecond
 	return binary.BigEndian.AppendUint32(b, uint32(min(ms, 1<<32-1)))
@@ -159,8 +159,8 @@
 	return b
 }
 
-// reader takes numbers off the front of a message. Once one is missing it is bad
-// and gives zeros.
+// reader decodes values from the front of a message. When data is missing it sets
+// malformed and returns zeros.
 type reader struct {
 	remaining []byte
 	malformed bool
