--- a/fleet/track/bench_test.go
+++ b/fleet/track/bench_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// pipe is a fleet whose messages arrive at once, for figures.
+// instantFleet is a fleet whose messages arrive without delay, for measurements.
 type instantFleet struct {
 	tables   []*Table
 	byName   map[string]*Table
@@ -42,7 +42,7 @@
 	return p
 }
 
-// deliver carries messages until there are none.
+// deliver passes messages between the tables until none are left.
 func (p *instantFleet) deliver() {
 	for more := true; more; {
 		more = false
@@ -66,7 +66,7 @@
 	p.deliver()
 }
 
-// fill opens n keyed calls and ends them, a batch at a time.
+// fill opens and ends n keyed calls in batches.
 func (p *instantFleet) fill(tb testing.TB, n, batch int) {
 	done := 0
 	for done < n {
@@ -79,7 +79,7 @@
 			key := fmt.Sprintf("key-%d", done)
 			t := p.tables[done%len(p.tables)]
 			if v := t.Open(p.now, key, 0, fmt.Sprintf("b%d", done%100)); v.Kind != Pending && v.Kind != New {
-				tb.Fatalf("%s: %+v", key, v)
+				tb.Fatalf("Open(%s) = %+v", key, v)
 			}
 			list = append(list, opened{t, key})
 		}
@@ -87,7 +87,7 @@
 		for _, o := range list {
 			c := o.t.calls[hashKey(0, o.key)]
 			if c == nil {
-				tb.Fatalf("%s was not opened", o.key)
+				tb.Fatalf("%s: no call after Open", o.key)
 			}
 			o.t.Done(p.now, o.key, c.generation.number, Finished)
 		}
@@ -96,8 +96,8 @@
 	}
 }
 
-// TestMemory measures the heap of an entry as the growth of HeapAlloc after a
-// collection, over three tables that hold the same entries, by entries held.
+// TestMemoryPerEntry measures heap bytes per entry: the growth of HeapAlloc after a
+// garbage collection, over three tables with the same entries, divided by entries held.
 func TestMemoryPerEntry(t *testing.T) {
 	heap := func() uint64 {
 		var m runtime.MemStats
@@ -106,13 +106,13 @@
 		runtime.ReadMemStats(&m)
 		return m.HeapAlloc
 	}
-	// Maps double: the figure swings by where between two doublings it is taken.
+	// Maps grow by doubling, so the result depends on how close the last doubling is.
 	worst := 0.0
 	for _, n := range []int{50_000, 70_000, 100_000} {
 		p := newInstantFleet(t, 3, 1<<20)
 		before := heap()
 		p.fill(t, n, 500)
-		p.step(2 * time.Second) // own records of ended calls go
+		p.step(2 * time.Second) // removes the owners' records of ended calls
 		p.step(2 * time.Second)
 		held := 0
 		for _, tab := range p.tables {
@@ -120,22 +120,22 @@
 		}
 		each := float64(heap()-before) / float64(held)
 		worst = max(worst, each)
-		t.Logf("%d entries on 3 replicas: %.0f bytes each", n, each)
+		t.Logf("%d entries on 3 replicas: %.0f bytes per entry", n, each)
 		runtime.KeepAlive(p)
 	}
 	if worst > 160 {
-		t.Errorf("%.0f bytes an entry", worst)
+		t.Errorf("%.0f bytes per entry, more than 160", worst)
 	}
 }
 
-// TestMessages counts what an entry's life costs: opened, ended and aged out with
-// three replicas of ten members.
+// TestMessagesPerCall counts messages and bytes for opening and ending a call with three
+// replicas among ten members.
 func TestMessagesPerCall(t *testing.T) {
 	p := newInstantFleet(t, 10, 1<<20)
 	for _, batch := range []int{1, 100} {
 		p.messages, p.bytes = 0, 0
 		p.fill(t, 1000, batch)
-		t.Logf("batches of %d: %.1f messages, %.0f bytes a call opened and ended", batch,
+		t.Logf("batches of %d: %.1f messages, %.0f bytes per call opened and ended", batch,
 			float64(p.messages)/1000, float64(p.bytes)/1000)
 		for _, tab := range p.tables {
 			tab.Tick(p.now)
@@ -145,7 +145,7 @@
 	}
 }
 
-// TestMillion holds a million entries over ten members.
+// TestMillionEntries holds a million entries on ten members.
 func TestMillionEntries(t *testing.T) {
 	if testing.Short() || !testing.Verbose() {
 		t.Skip("a million entries take half a minute and 0.5 GB: run with -v")
@@ -159,21 +159,21 @@
 		held += tab.Stats().Entries
 	}
 	if held != 3_000_000 {
-		t.Errorf("%d copies of a million entries", held)
+		t.Errorf("%d copies held of a million entries, want 3 million", held)
 	}
 	start = time.Now()
 	p.step(time.Second)
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&m)
-	t.Logf("filled in %v, %.0f a second over all ten; a pass of all sweeps %v; heap %d MB, %.0f bytes a copy",
+	t.Logf("filled in %v, %.0f calls per second over all ten members; one sweep pass of all members %v; heap %d MB, %.0f bytes per copy",
 		took.Round(time.Millisecond), 1e6/took.Seconds(), time.Since(start).Round(time.Millisecond),
 		m.HeapAlloc>>20, float64(m.HeapAlloc)/float64(held))
 	runtime.KeepAlive(p)
 }
 
-// BenchmarkLife is one keyed call opened at one member, noted by three replicas
-// and ended: the work of all three together. Divide by three for one member's part.
+// BenchmarkCallLifecycle opens a keyed call at one member, prepares it at three replicas
+// and ends it. It measures all three together: divide by three for one member's share.
 func BenchmarkCallLifecycle(b *testing.B) {
 	p := newInstantFleet(b, 3, 1<<24)
 	b.ReportAllocs()
@@ -181,7 +181,7 @@
 	p.fill(b, b.N, 500)
 }
 
-// BenchmarkNote is the work of one replica for one Ask.
+// BenchmarkPrepare is one replica's work for one prepare request.
 func BenchmarkPrepare(b *testing.B) {
 	p := newInstantFleet(b, 3, 1<<24)
 	b.ReportAllocs()
@@ -193,7 +193,7 @@
 	}
 }
 
-// BenchmarkSweep is one entry looked at by the sweep.
+// BenchmarkSweep is the sweep's work for one entry.
 func BenchmarkSweep(b *testing.B) {
 	p := newInstantFleet(b, 3, 1<<24)
 	p.fill(b, 100_000, 500)
@@ -204,20 +204,20 @@
 	}
 }
 
-// BenchmarkPlace is finding the three replicas of a key among 300 members.
+// BenchmarkSelectReplicas selects the three replicas of a key among 300 members.
 func BenchmarkSelectReplicas(b *testing.B) {
 	var members []Member
 	for i := range 300 {
 		members = append(members, Member{Name: fmt.Sprint("m", i), Zone: fmt.Sprint(i % 6)})
 	}
-	seats := candidatesOf(members)
-	var reps [maxReplicas]uint16
+	candidates := candidatesOf(members)
+	var replicas [maxReplicas]uint16
 	for i := range b.N {
-		selectReplicas(seats, Key{uint64(i), uint64(i)}, 3, &reps)
+		selectReplicas(candidates, Key{uint64(i), uint64(i)}, 3, &replicas)
 	}
 }
 
-// TestAgree measures how long replicas take to hold the same again after 30 s apart.
+// TestConvergenceAfterPartition measures how long replicas take to converge after a 30 s partition.
 func TestConvergenceAfterPartition(t *testing.T) {
 	var worst, sum time.Duration
 	const n = 2
@@ -229,11 +229,11 @@
 		f.partition(func(x *node) bool { return x == f.nodes[0] || x == f.nodes[3] }, 30*time.Second)
 		f.run(30 * time.Second)
 		f.quietUntil = f.now + 20*time.Second
-		took := f.waitForConvergence(convergenceLimit)
+		elapsed := f.waitForConvergence(convergenceLimit)
 		if f.violation != nil {
 			t.Fatal(f.violation)
 		}
-		worst, sum = max(worst, took), sum+took
+		worst, sum = max(worst, elapsed), sum+elapsed
 	}
-	t.Logf("after 30 s apart: on average %v, at most %v of virtual time, Sync 1 s, Sweep 400 ms", sum/n, worst)
+	t.Logf("convergence after a 30 s partition: average %v, maximum %v of virtual time, Sync 1 s, Sweep 400 ms", sum/n, worst)
 }
--- a/fleet/track/fuzz_test.go
+++ b/fleet/track/fuzz_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// FuzzTake gives a table any message from a member it is in touch with. It must
-// neither panic nor send or hold more than its bounds.
+// FuzzReceive passes arbitrary messages from a reachable member to a table. The table must
+// not panic and must stay within its limits on message size and entries.
 func FuzzReceive(f *testing.F) {
 	fl := newFleet(1, 3, 1, nil, nil)
 	var seen [][]byte
@@ -41,7 +41,7 @@
 			outs, _ := a.table.Output()
 			for _, o := range outs {
 				if len(o.Payload) > MaxMessage {
-					t.Fatalf("message of %d bytes", len(o.Payload))
+					t.Fatalf("sent a message of %d bytes, over MaxMessage", len(o.Payload))
 				}
 			}
 		}
--- a/fleet/track/rules_test.go
+++ b/fleet/track/invariants_test.go
@@ -10,32 +10,32 @@
 	"pgregory.net/rapid"
 )
 
-// choose picks a number from lo to hi for a schedule.
+// chooser returns a number from lo to hi for a schedule.
 type chooser func(lo, hi int, what string) int
 
-// plan is a fleet with a planted error, or none.
+// faultPlan describes the fault injected into a fleet, if any.
 type faultPlan struct {
-	smallTables bool        // tables are full soon
-	breakTable  func(*node) // breaks a new table
-	interfere   func(*node) // breaks a table now and then
+	smallTables bool        // tables fill up soon
+	breakTable  func(*node) // injects a fault into a new table
+	interfere   func(*node) // injects a fault into a running table, before each tick
 	intercept   func(from, to *node, msg []byte) []byte
-	faults      []int // only these
+	faults      []int // kinds of faults to use; all if empty
 }
 
-// schedule plays one random schedule of faults.
+// runSchedule runs one random schedule of faults.
 func runSchedule(pick chooser, p faultPlan) *fleet {
 	n, zones := pick(1, 6, "members"), pick(1, 3, "zones")
-	small := pick(0, 4, "small") == 0 || p.smallTables
+	smallTables := pick(0, 4, "small") == 0 || p.smallTables
 	tune := func(s *Settings) {
-		if small {
+		if smallTables {
 			s.MaxEntries = 6
 		}
 	}
 	f := newFleet(uint64(pick(0, 1<<40, "seed")), n, zones, tune, p.breakTable)
 	f.interfere, f.intercept = p.interfere, p.intercept
 	f.loss = []float64{0, 0.05, 0.3}[pick(0, 2, "loss")]
-	f.duplicate = []float64{0, 0.1}[pick(0, 1, "double")]
-	f.delayed = []float64{0, 0.05}[pick(0, 1, "late")]
+	f.duplicate = []float64{0, 0.1}[pick(0, 1, "duplicate")]
+	f.delayed = []float64{0, 0.05}[pick(0, 1, "delayed")]
 	steps := pick(1, 4, "steps")
 	f.traffic(200*ms, pick(1, 30, "keys"), time.Duration(steps)*10*time.Second)
 	f.run(3 * time.Second)
@@ -53,7 +53,7 @@
 	return f
 }
 
-// The faults.
+// Kinds of faults.
 const (
 	restart = iota
 	stop
@@ -109,7 +109,8 @@
 	})
 }
 
-// TestRulesCatch plants an error for each rule; some schedule must break just that rule.
+// TestInvariantChecksDetectFaults injects a fault for each invariant and requires that some
+// schedule violates that invariant.
 func TestInvariantChecksDetectFaults(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -125,20 +126,20 @@
 				}
 			}
 		}}},
-		{"takes late messages and keeps no tombstones", 2, faultPlan{breakTable: func(x *node) {
+		{"accepts late messages and keeps no tombstones", 2, faultPlan{breakTable: func(x *node) {
 			x.table.tombstoneTTL, x.table.maxMessageAge = 1, time.Hour
 		}}},
-		{"does not compare", 3, faultPlan{faults: []int{isolate, split}, intercept: func(_, _ *node, msg []byte) []byte {
+		{"does not compare ranges", 3, faultPlan{faults: []int{isolate, split}, intercept: func(_, _ *node, msg []byte) []byte {
 			if len(msg) >= headerSize+8*rangeCount {
 				return nil
 			}
 			return msg
 		}}},
-		{"forgets when cut off", 4, faultPlan{faults: []int{isolate}, breakTable: func(x *node) { x.table.settings.Bound = 1 }}},
-		{"gives up keyed calls when full", 5, faultPlan{smallTables: true, breakTable: func(x *node) {
+		{"drops entries when cut off", 4, faultPlan{faults: []int{isolate}, breakTable: func(x *node) { x.table.settings.Bound = 1 }}},
+		{"evicts keyed calls when full", 5, faultPlan{smallTables: true, breakTable: func(x *node) {
 			x.table.mayEvict = func(*entry) bool { return true }
 		}}},
-		{"ends the new generation for the old", 6, faultPlan{interfere: func(x *node) {
+		{"closes the new generation instead of the old", 6, faultPlan{interfere: func(x *node) {
 			x.table.Each(func(i Info) {
 				if i.Generation > 20 && i.Class == flow && i.State == Open {
 					x.table.merge(x.table.now, &entryRecord{key: i.Key, generation: generationID{i.Generation, i.ownerID, i.incarnation},
@@ -146,10 +147,10 @@
 				}
 			})
 		}}},
-		{"lets go on one note", 7, faultPlan{breakTable: func(x *node) {
+		{"admits a call prepared by one replica", 7, faultPlan{breakTable: func(x *node) {
 			x.table.quorumSize = func(int) int { return 1 }
 		}}},
-		{"answers without having learned", 7, faultPlan{interfere: func(x *node) { x.table.recovery.active = false }}},
+		{"votes without having recovered", 7, faultPlan{interfere: func(x *node) { x.table.recovery.active = false }}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			other := 0
@@ -157,7 +158,7 @@
 				rng := rand.New(rand.NewPCG(seed, 2))
 				f := runSchedule(func(lo, hi int, _ string) int { return lo + rng.IntN(hi-lo+1) }, c.plan)
 				if f.violatedRules[c.rule] {
-					t.Logf("schedule %d: %v (%d broke other rules)", seed, f.violation, other)
+					t.Logf("schedule %d: %v (%d schedules violated other invariants)", seed, f.violation, other)
 					return
 				}
 				if f.violation != nil {
@@ -165,7 +166,7 @@
 					t.Logf("schedule %d: %v", seed, f.violation)
 				}
 			}
-			t.Errorf("not caught; %d schedules broke other rules", other)
+			t.Errorf("not detected; %d schedules violated other invariants", other)
 		})
 	}
 }
--- a/fleet/track/model_test.go
+++ b/fleet/track/model_test.go
@@ -9,9 +9,19 @@
 	"time"
 )
 
-// This file is a fleet in virtual time: members with clocks of their own, a network
-// that delays, loses, doubles, reorders and cuts, and an observer that sees what is
-// opened, sent and held, and checks the rules from outside.
+// This file simulates a fleet in virtual time: members with separate clocks, a network
+// that delays, drops, duplicates, reorders and partitions, and an observer that records
+// what is opened, sent and held and checks the invariants from outside. Invariants are
+// numbered as follows:
+//
+//  0  messages stay within MaxMessage
+//  1  no replica ends an entry that a connected replica still holds as active
+//  2  no entry appears that nobody opened, and no ended one reappears
+//  3  connected replicas converge
+//  4  entries expire in time, and not early at a replica that is cut off
+//  5  a full table evicts no active keyed call, and flows in the order of eviction
+//  6  no entry gets a state that only another generation was given
+//  7  no keyed call can take effect twice
 
 const ms = time.Millisecond
 
@@ -32,8 +42,9 @@
 	}
 }
 
-// The time that replicas back in touch have to agree on the live set: to see
-// each other, to compare all ranges, to list, ask and tell, and to end what is over.
+// convergenceLimit is the time that reconnected replicas have to agree on the live entries:
+// to see each other, compare all ranges, exchange summaries and entries, and end what
+// has expired.
 const convergenceLimit = 8 * time.Second
 
 type node struct {
@@ -41,15 +52,15 @@
 	set         Settings
 	table       *Table
 	incarnation uint32
-	skew        time.Duration // own clock is the fleet's plus this
+	skew        time.Duration // offset of the node's clock from the fleet's
 	stopped     bool
-	rosterCut   bool // hears nothing of the agreed roster
+	rosterCut   bool // does not receive roster updates
 	startedAt   time.Duration
 	rosterAt    time.Duration
 	member      bool
 
 	held       map[Key]Info
-	activityAt map[Key]time.Duration // when its idle was last seen to fall
+	activityAt map[Key]time.Duration // when its idle time was last seen to decrease
 	evicted    uint64
 }
 
@@ -73,19 +84,19 @@
 	return e
 }
 
-// send is a call that went out, as the backends see it.
+// sentCall is a call sent to a target, as the target sees it.
 type sentCall struct {
 	target  string
 	at, end time.Duration
 }
 
-// use is one generation of a key, as the observer knows it.
+// generationRecord is one generation of a key, as the observer knows it.
 type generationRecord struct {
 	key           string
 	id            generationID
 	class         int
-	activity      time.Duration // the last that any replica can have seen
-	ownerActivity time.Duration // the last of its owner's or an other's use
+	activity      time.Duration // the latest that any replica can have seen
+	ownerActivity time.Duration // the latest use by its owner or another member
 	finished      bool
 	holders       map[*node]bool
 	wasHeld       bool
@@ -116,19 +127,19 @@
 	waiting       map[string]map[uint64]func(Verdict)
 	violation     error
 	violatedRules map[int]bool
-	breakTable    func(*node) // breaks a new table
-	interfere     func(*node) // breaks a table now and then
+	breakTable    func(*node) // injects a fault into a new table
+	interfere     func(*node) // injects a fault into a running table, before each tick
 
 	checkLive  bool
 	keys       int
 	quietUntil time.Duration // no traffic until then
-	opening    bool          // what is observed was done by one Open
+	opening    bool          // the change being observed was caused by one Open
 }
 
-func (f *fleet) failf(rule int, format string, args ...any) {
-	f.violatedRules[rule] = true
+func (f *fleet) failf(invariant int, format string, args ...any) {
+	f.violatedRules[invariant] = true
 	if f.violation == nil {
-		f.violation = fmt.Errorf("at %v: rule %d: %w", f.now, rule, fmt.Errorf(format, args...))
+		f.violation = fmt.Errorf("at %v: invariant %d: %w", f.now, invariant, fmt.Errorf(format, args...))
 	}
 }
 
@@ -161,7 +172,7 @@
 	return f
 }
 
-// join adds a node and makes the roster one longer.
+// join adds a node to the fleet and the roster.
 func (f *fleet) join(name, zone string, tune func(*Settings)) *node {
 	set := modelSettings(name)
 	if tune != nil {
@@ -193,7 +204,7 @@
 	}
 }
 
-// lose tells the observer that all a node held is gone with its life.
+// recordLostState records that a node lost all entries of its previous incarnation.
 func (f *fleet) recordLostState(x *node) {
 	for _, info := range sortedByKey(x.held) {
 		if tr := f.generationOf(info); tr != nil && tr.holders[x] {
@@ -267,7 +278,7 @@
 
 func (f *fleet) cut(a, b *node) bool { return f.cutUntil[[2]string{a.name, b.name}] > f.now }
 
-// link says whether both ways have been open, or cut, for at least d.
+// linkFor reports whether both directions have been open, or cut, for at least d.
 func (f *fleet) linkFor(a, b *node, open bool, d time.Duration) bool {
 	for _, k := range [][2]string{{a.name, b.name}, {b.name, a.name}} {
 		until, since := f.cutUntil[k], f.cutSince[k]
@@ -293,7 +304,7 @@
 	outs, answers := x.table.Output()
 	for _, o := range outs {
 		if len(o.Payload) > MaxMessage {
-			f.failf(0, "%s sends %d bytes", x.name, len(o.Payload))
+			f.failf(0, "%s sends a message of %d bytes", x.name, len(o.Payload))
 		}
 		f.deliver(x, f.byName[o.To], o.Payload)
 	}
@@ -347,12 +358,12 @@
 	return f.generations[i.Key][generationID{i.Generation, i.ownerID, i.incarnation}]
 }
 
-// base is the life that is promised for a state, without the slack.
+// nominalTimeout returns the configured timeout of a state, without the slack.
 func (x *node) nominalTimeout(class int, s State) time.Duration {
 	return x.table.timeout(uint8(class), s) - 4*x.set.Lag
 }
 
-// observe compares what a node holds with what it held.
+// observe compares what a node holds with what it held before.
 func (f *fleet) observe(x *node) {
 	if f.violation != nil || !f.checkLive {
 		return
@@ -375,16 +386,16 @@
 			continue
 		}
 		_, e := x.table.find(was.Key)
-		// A newer generation of a flow takes its place, be it open or over already.
+		// A newer generation of a flow replaces it, whether open or over already.
 		reused := ok || e != nil && (e.state == Prepared || was.Class == flow && e.generation.compare(generationID{was.Generation, was.ownerID, was.incarnation}) > 0)
 		if !reused {
 			gone = append(gone, was)
 		}
 		if tr := f.generationOf(was); tr != nil {
-			f.tracef("%s loses %s gen %d %v idle %v, now %v", x.name, tr.key, was.Generation, was.State, was.Idle, is)
+			f.tracef("%s: %s generation %d %v, idle %v, removed; now %v", x.name, tr.key, was.Generation, was.State, was.Idle, is)
 			delete(tr.holders, x)
-			// What is given up when full may be on its way to a third replica.
-			// So may be a flow that a newer generation took the place of.
+			// An eviction may not have reached a third replica yet. The same holds for
+			// the replacement of a flow by a newer generation.
 			aged := was.Class == keyed || x.set.MaxEntries > 100 && !reused
 			tr.holderLost = tr.holderLost || !aged
 			if len(tr.holders) == 0 && !tr.holderLost && !f.isPrepared(was.Key, tr.id) {
@@ -411,7 +422,7 @@
 	}
 }
 
-// noted says whether some node still has a note of it, which a late word can open.
+// isPrepared reports whether a node still has it Prepared: a delayed message can open it.
 func (f *fleet) isPrepared(k Key, id generationID) bool {
 	for _, x := range f.nodes {
 		if _, e := x.table.find(k); e != nil && e.state == Prepared && e.generation == id {
@@ -425,29 +436,29 @@
 	tr := f.generationOf(is)
 	switch {
 	case tr == nil:
-		f.failf(2, "%s holds %v gen %d, which nobody opened", x.name, is.State, is.Generation)
+		f.failf(2, "%s holds %v generation %d, which no member opened", x.name, is.State, is.Generation)
 		return
 	case tr.gone:
-		f.failf(2, "%s: %s gen %d comes back", x.name, tr.key, is.Generation)
+		f.failf(2, "%s: %s generation %d reappears after its end", x.name, tr.key, is.Generation)
 	}
 	tr.holders[x], tr.wasHeld = true, true
-	f.tracef("%s gets %s gen %d %v idle %v", x.name, tr.key, is.Generation, is.State, is.Idle)
+	f.tracef("%s: %s generation %d %v, idle %v, added", x.name, tr.key, is.Generation, is.State, is.Idle)
 }
 
-// checkState: a generation has no state that only another one was given.
+// checkState checks that a generation is in no state that only another one was given.
 func (f *fleet) checkState(x *node, is Info) {
 	tr := f.generationOf(is)
 	if tr == nil {
 		return
 	}
 	if is.State >= Closing && !tr.finished {
-		f.failf(6, "%s: %s gen %d is %v, but was not ended", x.name, tr.key, is.Generation, is.State)
+		f.failf(6, "%s: %s generation %d is %v without Done", x.name, tr.key, is.Generation, is.State)
 	}
-	// Nothing lives long over its bound.
+	// No entry is kept much longer than its limit.
 	set := &x.set
-	most := x.nominalTimeout(is.Class, is.State) + set.Bound + 30*set.Lag
-	if idle := f.now - tr.activity; idle > most {
-		f.failf(4, "%s: %s gen %d %v lives on after %v", x.name, tr.key, is.Generation, is.State, idle)
+	limit := x.nominalTimeout(is.Class, is.State) + set.Bound + 30*set.Lag
+	if idle := f.now - tr.activity; idle > limit {
+		f.failf(4, "%s: %s generation %d %v is still held, idle %v", x.name, tr.key, is.Generation, is.State, idle)
 	}
 }
 
@@ -456,33 +467,33 @@
 	if tr == nil || f.now-x.startedAt < convergenceLimit || x.set.MaxEntries < 100 && was.Class == flow {
 		return
 	}
-	base := x.nominalTimeout(was.Class, was.State)
-	seats := x.table.candidates
-	var reps [maxReplicas]uint16
-	n := selectReplicas(seats, was.Key, x.set.Replicas, &reps)
-	out := 0
-	for _, s := range reps[:n] {
-		y := f.nodeOf(seats[s].nameHash)
+	timeout := x.nominalTimeout(was.Class, was.State)
+	candidates := x.table.candidates
+	var replicas [maxReplicas]uint16
+	n := selectReplicas(candidates, was.Key, x.set.Replicas, &replicas)
+	cutOff := 0
+	for _, s := range replicas[:n] {
+		y := f.nodeOf(candidates[s].nameHash)
 		if y == x || y.stopped {
 			continue
 		}
 		if f.linkFor(x, y, false, 5*x.set.Sync) {
-			out++
+			cutOff++
 		}
 		is, ok := y.held[was.Key]
 		if !ok || is.Generation != was.Generation || f.now-y.startedAt < convergenceLimit {
 			continue
 		}
-		// What y has seen in the last of an agreement's round trips can come too late.
+		// Activity that y saw during the last round trips of the agreement may be too late to prevent the end.
 		if f.linkFor(x, y, true, 5*x.set.Sync) && is.Idle < y.nominalTimeout(is.Class, is.State) &&
 			f.now-y.activityAt[was.Key] > 3*x.set.Lag && is.Replica && was.Replica {
-			f.failf(1, "%s ends %s gen %d %v, which %s holds %v, idle %v",
+			f.failf(1, "%s ends %s generation %d %v, which %s holds as %v, idle %v",
 				x.name, tr.key, was.Generation, was.State, y.name, is.State, is.Idle)
 		}
 	}
-	if out == n-1 && n > 1 && was.Replica && was.Idle < base+x.set.Bound {
-		f.failf(4, "%s, cut off, ends %s gen %d %v idle %v, bound %v",
-			x.name, tr.key, was.Generation, was.State, was.Idle, base+x.set.Bound)
+	if cutOff == n-1 && n > 1 && was.Replica && was.Idle < timeout+x.set.Bound {
+		f.failf(4, "%s, while cut off, ends %s generation %d %v, idle %v, limit %v",
+			x.name, tr.key, was.Generation, was.State, was.Idle, timeout+x.set.Bound)
 	}
 }
 
@@ -500,7 +511,7 @@
 	for _, g := range gone {
 		if g.Class == keyed {
 			if g.Idle < x.nominalTimeout(keyed, g.State) {
-				f.failf(5, "%s gives up keyed gen %d %v", x.name, g.Generation, g.State)
+				f.failf(5, "%s evicts keyed generation %d %v", x.name, g.Generation, g.State)
 			}
 			continue
 		}
@@ -509,7 +520,7 @@
 		}
 		for _, l := range sortedByKey(left) {
 			if l.Class != keyed && old[l.Key].Generation == l.Generation && l.Idle > old[l.Key].Idle && order(g, l) > 0 && g.Idle < x.nominalTimeout(flow, g.State) {
-				f.failf(5, "%s gives up gen %d %v idle %v before gen %d %v idle %v", x.name,
+				f.failf(5, "%s evicts generation %d %v idle %v before generation %d %v idle %v", x.name,
 					g.Generation, g.State, g.Idle, l.Generation, l.State, l.Idle)
 			}
 		}
@@ -525,7 +536,7 @@
 	return nil
 }
 
-// open lets a call or flow arrive at a node.
+// open simulates the arrival of a call or flow at a node.
 func (f *fleet) open(x *node, key string, class int, where string) {
 	if x.stopped {
 		return
@@ -535,7 +546,7 @@
 	then := func(v Verdict) {
 		if v.Kind == Refused || v.Kind == Pending {
 			if v.Reason == TableFull && v.RetryAfter <= 0 {
-				f.failf(5, "%s: full, and no time to come back", x.name)
+				f.failf(5, "%s: table full, but RetryAfter is not positive", x.name)
 			}
 			return
 		}
@@ -543,7 +554,7 @@
 	}
 	k := hashKey(7, key)
 	for _, tr := range f.generations[k] {
-		// Any replica may take the asking for activity until it is too old.
+		// A replica may count the request as activity until the request is too old.
 		tr.activity = max(tr.activity, f.now+x.set.AskWithin+x.set.Lag)
 	}
 	v := x.table.Open(x.clock(f.now), key, class, where)
@@ -580,17 +591,17 @@
 	}
 	set := x.table.settings.Classes[keyed]
 	f.checkSend(x, key, v, set)
-	long := time.Duration(f.rng.Int64N(int64(set.MaxCallTime)))
+	runTime := time.Duration(f.rng.Int64N(int64(set.MaxCallTime)))
 	at := len(f.sentCalls[key])
-	f.sentCalls[key] = append(f.sentCalls[key], sentCall{v.Target, f.now, f.now + long})
+	f.sentCalls[key] = append(f.sentCalls[key], sentCall{v.Target, f.now, f.now + runTime})
 	how := Finished
-	tell := long
+	reportAfter := runTime
 	if f.rng.IntN(4) == 0 {
-		// Given up before its end.
-		how, tell = MayStillRun, long/2
+		// Abandoned before it ends.
+		how, reportAfter = MayStillRun, runTime/2
 		f.sentCalls[key][at].end = f.now + set.MaxCallTime
 	}
-	f.after(tell, func() { f.done(x, tab, key, v.Generation, how) })
+	f.after(reportAfter, func() { f.done(x, tab, key, v.Generation, how) })
 }
 
 func (f *fleet) done(x *node, tab *Table, key string, gen uint64, how Outcome) {
@@ -608,7 +619,7 @@
 	f.observe(x)
 }
 
-// checkSend is rule 7: no effect twice.
+// checkSend checks invariant 7: no call takes effect twice.
 func (f *fleet) checkSend(x *node, key string, v Verdict, c Class) {
 	for _, s := range f.sentCalls[key] {
 		over := f.now >= s.end+c.DedupWindow
@@ -616,16 +627,16 @@
 			continue
 		}
 		if s.target != v.Target {
-			f.failf(7, "%s: %s %v at %s, %v after it went to %s", x.name, key, v.Kind, v.Target,
+			f.failf(7, "%s: %s %v at %s, %v after it was sent to %s", x.name, key, v.Kind, v.Target,
 				f.now-s.at, s.target)
 		} else if f.now+c.MaxCallTime > s.at+c.DedupWindow {
-			f.failf(7, "%s: %s %v again %v after the first, too late for its scope", x.name, key,
+			f.failf(7, "%s: %s %v again %v after the first attempt: may miss the deduplication window", x.name, key,
 				v.Kind, f.now-s.at)
 		}
 	}
 }
 
-// flowLife touches a flow now and then, then ends it.
+// flowLife touches a flow at random intervals, then ends it.
 func (f *fleet) flowLife(x *node, tab *Table, key string, v Verdict, left int) {
 	f.after(time.Duration(300+f.rng.IntN(4500))*ms, func() {
 		if x.stopped || x.table != tab {
@@ -649,14 +660,14 @@
 	})
 }
 
-// traffic opens something every so often.
+// traffic opens calls and flows at random intervals.
 func (f *fleet) traffic(every time.Duration, keys int, until time.Duration) {
 	f.after(time.Duration(f.rng.Int64N(int64(2*every))), func() {
 		if f.now >= until || f.quietUntil > f.now {
 			return
 		}
 		x := f.nodes[f.rng.IntN(len(f.nodes))]
-		// Most keys are new; some come again, at any member.
+		// Most keys are new; some are reused, at any member.
 		f.keys++
 		i := f.keys
 		if f.rng.IntN(3) == 0 {
@@ -668,7 +679,7 @@
 	})
 }
 
-// The faults of a schedule.
+// Faults that a schedule injects.
 
 func (f *fleet) restart(x *node) {
 	if x.stopped {
@@ -678,8 +689,8 @@
 	f.updateRoster(x)
 }
 
-// stop holds a process; frozen says whether its monotonic clock stands as well.
-// It comes back in its next incarnation with all its old state.
+// stop pauses a process. If frozen is set, its monotonic clock stops as well. The process
+// resumes as the next incarnation with all its old state.
 func (f *fleet) stop(x *node, d time.Duration, frozen bool) {
 	if x.stopped {
 		return
@@ -718,7 +729,7 @@
 	}
 }
 
-// leave takes a node out of the roster; it runs on and hands over.
+// leave removes a node from the roster; it keeps running and hands over its entries.
 func (f *fleet) leave(x *node) {
 	if !x.member || len(f.members) < 4 {
 		return
@@ -739,7 +750,8 @@
 	}
 }
 
-// agree waits until all replicas hold the same and says how long it took.
+// waitForConvergence waits until all replicas hold the same entries and returns how long
+// that took.
 func (f *fleet) waitForConvergence(within time.Duration) time.Duration {
 	from := f.now
 	why := ""
@@ -750,34 +762,34 @@
 		f.run(50 * ms)
 	}
 	if f.violation == nil {
-		f.failf(3, "after %v: %s", within, why)
+		f.failf(3, "not converged after %v: %s", within, why)
 	}
 	return within
 }
 
-// differ says what replicas hold unlike, or "".
+// difference describes a difference between replicas, or returns "".
 func (f *fleet) difference() string {
 	for _, a := range f.nodes {
 		if a.stopped || !a.member || f.now-a.startedAt < convergenceLimit {
 			continue
 		}
 		for _, is := range sortedByKey(a.held) {
-			// What is over and only kept for a replica out of touch is not copied.
+			// Expired entries kept only for an unreachable replica are not copied.
 			if !is.Replica || is.Idle > a.nominalTimeout(is.Class, is.State)+2*a.set.Lag {
 				continue
 			}
-			var reps [maxReplicas]uint16
-			n := selectReplicas(a.table.candidates, is.Key, a.set.Replicas, &reps)
-			for _, s := range reps[:n] {
+			var replicas [maxReplicas]uint16
+			n := selectReplicas(a.table.candidates, is.Key, a.set.Replicas, &replicas)
+			for _, s := range replicas[:n] {
 				b := f.nodeOf(a.table.candidates[s].nameHash)
 				if b.stopped || f.now-b.startedAt < convergenceLimit || b.table.live+b.table.tombstones >= b.set.MaxEntries {
 					continue
 				}
 				if _, e := b.table.find(is.Key); e != nil && e.state == Prepared {
-					continue // its owner may be gone: it is refused, not forgotten
+					continue // its owner may be gone; Opens are refused, so nothing is lost
 				}
 				if other, ok := b.held[is.Key]; !ok || other.Generation != is.Generation || other.State != is.State {
-					return fmt.Sprintf("%s holds %v gen %d %v idle %v, %s %v gen %d", a.name,
+					return fmt.Sprintf("%s holds %v generation %d %v idle %v, %s holds %v generation %d", a.name,
 						is.Key, is.Generation, is.State, is.Idle, b.name, other.State, other.Generation)
 				}
 			}
--- a/fleet/track/open.go
+++ b/fleet/track/open.go
@@ -45,18 +45,20 @@
 	listIndex         int // in Table.callList
 }
 
+// maxRestarts is how often an Open starts again under a newer generation after a vote of
+// StaleGeneration.
 const maxRestarts = 3
 
 // maxRoundAttempts is how often a round is sent. Replicas that still lack it get it by
 // digest comparison.
 const maxRoundAttempts = 8
 
-// Open asks whether a call or flow with this key may be sent to where: a backend, or the
+// Open asks whether a call or flow with this key may be sent to target: a backend, or the
 // scope that deduplicates it. class is an index into Settings.Classes. A Pending verdict
 // is followed by an Answer within AskWithin and one Tick.
-func (t *Table) Open(now time.Duration, key string, class int, where string) Verdict {
+func (t *Table) Open(now time.Duration, key string, class int, target string) Verdict {
 	now = t.advanceClock(now)
-	if key == "" || len(key) > MaxKey || where == "" || len(where) > MaxTarget ||
+	if key == "" || len(key) > MaxKey || target == "" || len(target) > MaxTarget ||
 		class < 0 || class >= len(t.settings.Classes) {
 		return t.refusal(BadRequest, 0)
 	}
@@ -73,16 +75,16 @@
 		return t.refusal(NoQuorum, t.settings.AskWithin)
 	}
 	t.lastTicket++
-	a := &pendingOpen{key: k, class: uint8(class), target: where, ticket: t.lastTicket, startedAt: now}
-	t.pendingOpens[k] = a
-	t.pendingOpenList = append(t.pendingOpenList, a)
-	before := len(t.answers)
-	t.startPrepare(now, a)
-	if t.pendingOpens[k] == a {
-		return Verdict{Kind: Pending, Ticket: a.ticket}
-	}
-	v := t.answers[before].Verdict
-	t.answers = append(t.answers[:before], t.answers[before+1:]...)
+	pending := &pendingOpen{key: k, class: uint8(class), target: target, ticket: t.lastTicket, startedAt: now}
+	t.pendingOpens[k] = pending
+	t.pendingOpenList = append(t.pendingOpenList, pending)
+	answersBefore := len(t.answers)
+	t.startPrepare(now, pending)
+	if t.pendingOpens[k] == pending {
+		return Verdict{Kind: Pending, Ticket: pending.ticket}
+	}
+	v := t.answers[answersBefore].Verdict
+	t.answers = append(t.answers[:answersBefore], t.answers[answersBefore+1:]...)
 	return v
 }
 
@@ -92,59 +94,59 @@
 }
 
 // startPrepare asks all replicas to prepare the call under a new generation.
-func (t *Table) startPrepare(now time.Duration, a *pendingOpen) {
+func (t *Table) startPrepare(now time.Duration, pending *pendingOpen) {
 	t.logicalClock++
-	a.generation = generationID{t.logicalClock, t.selfID, t.incarnation}
-	a.votes, a.voterIncarnations, a.knownIncarnations = [maxReplicas]vote{}, [maxReplicas]uint32{}, [maxReplicas]uint32{}
-	a.replicaCount = selectReplicas(t.candidates, a.key, t.settings.Replicas, &a.replicas)
-	t.sendPrepares(now, a)
-	for j, s := range a.replicas[:a.replicaCount] {
+	pending.generation = generationID{t.logicalClock, t.selfID, t.incarnation}
+	pending.votes, pending.voterIncarnations, pending.knownIncarnations = [maxReplicas]vote{}, [maxReplicas]uint32{}, [maxReplicas]uint32{}
+	pending.replicaCount = selectReplicas(t.candidates, pending.key, t.settings.Replicas, &pending.replicas)
+	t.sendPrepares(now, pending)
+	for j, s := range pending.replicas[:pending.replicaCount] {
 		if int(s) == t.selfIndex {
-			r := &entryRecord{key: a.key, generation: a.generation, class: a.class, state: Prepared, target: a.target}
+			r := &entryRecord{key: pending.key, generation: pending.generation, class: pending.class, state: Prepared, target: pending.target}
 			v := t.prepare(now, r)
-			t.handleReplicaVote(now, a, j, t.incarnation, &v)
+			t.handleReplicaVote(now, pending, j, t.incarnation, &v)
 			return
 		}
 	}
-	t.resolve(now, a, false)
+	t.resolve(now, pending, false)
 }
 
-func (t *Table) sendPrepares(now time.Duration, a *pendingOpen) {
-	a.lastSentAt = now
-	rec := binary.BigEndian.AppendUint64(appendKey([]byte{recPrepare}, a.key), a.generation.number)
-	rec = appendString(append(rec, a.class), a.target)
-	for j, s := range a.replicas[:a.replicaCount] {
-		if int(s) != t.selfIndex && a.votes[j].decision == voteNone {
+func (t *Table) sendPrepares(now time.Duration, pending *pendingOpen) {
+	pending.lastSentAt = now
+	rec := binary.BigEndian.AppendUint64(appendKey([]byte{recPrepare}, pending.key), pending.generation.number)
+	rec = appendString(append(rec, pending.class), pending.target)
+	for j, s := range pending.replicas[:pending.replicaCount] {
+		if int(s) != t.selfIndex && pending.votes[j].decision == voteNone {
 			t.enqueue(t.peers[s], rec)
 		}
 	}
 }
 
 // handleReplicaVote records a replica's vote.
-func (t *Table) handleReplicaVote(now time.Duration, a *pendingOpen, j int, inc uint32, v *vote) {
-	if v.decision == voteNo && v.reason == StaleGeneration && a.restarts < maxRestarts {
+func (t *Table) handleReplicaVote(now time.Duration, pending *pendingOpen, index int, voterIncarnation uint32, v *vote) {
+	if v.decision == voteNo && v.reason == StaleGeneration && pending.restarts < maxRestarts {
 		// The vote's message raised the logical clock above the ended generation.
-		a.restarts++
-		t.sendWithdraw(a)
-		t.startPrepare(now, a)
+		pending.restarts++
+		t.sendWithdraw(pending)
+		t.startPrepare(now, pending)
 		return
 	}
-	a.votes[j], a.voterIncarnations[j] = *v, inc
-	for i := range min(v.replicaCount, a.replicaCount) {
-		a.knownIncarnations[i] = max(a.knownIncarnations[i], v.incarnations[i])
+	pending.votes[index], pending.voterIncarnations[index] = *v, voterIncarnation
+	for i := range min(v.replicaCount, pending.replicaCount) {
+		pending.knownIncarnations[i] = max(pending.knownIncarnations[i], v.incarnations[i])
 	}
-	t.resolve(now, a, false)
+	t.resolve(now, pending, false)
 }
 
 // resolve completes a pending Open as soon as its votes decide it, or now if final.
-func (t *Table) resolve(now time.Duration, a *pendingOpen, final bool) {
-	keyed, q := t.settings.Classes[a.class].Keyed, t.quorumSize(a.replicaCount)
+func (t *Table) resolve(now time.Duration, pending *pendingOpen, final bool) {
+	keyed, quorum := t.settings.Classes[pending.class].Keyed, t.quorumSize(pending.replicaCount)
 	yes, waiting, best, bestN := 0, 0, -1, 0
 	reason, retryAfter := NoQuorum, t.settings.AskWithin
-	for j := range a.replicaCount {
-		v := &a.votes[j]
+	for j := range pending.replicaCount {
+		v := &pending.votes[j]
 		// A vote from an older incarnation is void: the restarted replica has lost it.
-		if v.decision == voteNone || a.voterIncarnations[j] < a.knownIncarnations[j] {
+		if v.decision == voteNone || pending.voterIncarnations[j] < pending.knownIncarnations[j] {
 			waiting++
 			continue
 		}
@@ -157,11 +159,11 @@
 			reason = max(reason, Busy)
 			n := 0
 			for i := range j + 1 {
-				if a.votes[i].decision == voteExisting && a.votes[i].existing == v.existing && a.voterIncarnations[i] >= a.knownIncarnations[i] {
+				if pending.votes[i].decision == voteExisting && pending.votes[i].existing == v.existing && pending.voterIncarnations[i] >= pending.knownIncarnations[i] {
 					n++
 				}
 			}
-			newer := best < 0 || v.existing.compare(a.votes[best].existing) > 0
+			newer := best < 0 || v.existing.compare(pending.votes[best].existing) > 0
 			if n > bestN || !keyed && newer {
 				best, bestN = j, n
 			}
@@ -169,73 +171,73 @@
 	}
 	final = final || waiting == 0
 	switch {
-	case a.replicaCount > 0 && yes >= q:
-		t.admit(now, a, false)
-	case best >= 0 && (bestN >= q || !keyed && final):
-		t.answerExisting(now, a, &a.votes[best])
+	case pending.replicaCount > 0 && yes >= quorum:
+		t.admit(now, pending, false)
+	case best >= 0 && (bestN >= quorum || !keyed && final):
+		t.answerExisting(now, pending, &pending.votes[best])
 	case !keyed && final:
-		t.admit(now, a, true)
-	case final, yes+waiting < q && bestN+waiting < q && keyed:
-		t.refuse(now, a, reason, retryAfter)
+		t.admit(now, pending, true)
+	case final, yes+waiting < quorum && bestN+waiting < quorum && keyed:
+		t.refuse(now, pending, reason, retryAfter)
 	}
 }
 
-func (t *Table) finishOpen(a *pendingOpen) {
-	delete(t.pendingOpens, a.key)
-	t.pendingOpenList = removeFirst(t.pendingOpenList, a)
+func (t *Table) finishOpen(pending *pendingOpen) {
+	delete(t.pendingOpens, pending.key)
+	t.pendingOpenList = removeFirst(t.pendingOpenList, pending)
 }
 
-func (t *Table) queueAnswer(a *pendingOpen, v Verdict) {
-	v.Ticket = a.ticket
-	t.answers = append(t.answers, Answer{v, a.key})
+func (t *Table) queueAnswer(pending *pendingOpen, v Verdict) {
+	v.Ticket = pending.ticket
+	t.answers = append(t.answers, Answer{v, pending.key})
 }
 
-func (t *Table) admit(now time.Duration, a *pendingOpen, unconfirmed bool) {
-	t.finishOpen(a)
+func (t *Table) admit(now time.Duration, pending *pendingOpen, unconfirmed bool) {
+	t.finishOpen(pending)
 	t.stats.Opened++
 	if unconfirmed {
 		t.stats.Unconfirmed++
 	}
-	c := t.trackCall(a, a.generation, a.target)
-	c.firstSent, c.lastActivity, c.confirmedActivity = now, now, a.startedAt
+	c := t.trackCall(pending, pending.generation, pending.target)
+	c.firstSent, c.lastActivity, c.confirmedActivity = now, now, pending.startedAt
 	t.startRound(now, c)
-	t.queueAnswer(a, Verdict{Kind: New, Target: a.target, Generation: a.generation.number, Unconfirmed: unconfirmed})
+	t.queueAnswer(pending, Verdict{Kind: New, Target: pending.target, Generation: pending.generation.number, Unconfirmed: unconfirmed})
 }
 
-func (t *Table) answerExisting(now time.Duration, a *pendingOpen, v *vote) {
-	t.sendWithdraw(a)
-	t.finishOpen(a)
+func (t *Table) answerExisting(now time.Duration, pending *pendingOpen, v *vote) {
+	t.sendWithdraw(pending)
+	t.finishOpen(pending)
 	t.stats.OpenedElsewhere++
 	kind := OpenElsewhere
 	if v.existing.ownerID == t.selfID && v.existing.ownerIncarnation == t.incarnation {
 		kind = OpenHere
 	}
-	c := t.calls[a.key]
+	c := t.calls[pending.key]
 	switch {
 	case c != nil && c.generation == v.existing:
-		c.retried = c.retried || t.settings.Classes[a.class].Keyed
+		c.retried = c.retried || t.settings.Classes[pending.class].Keyed
 		c.lastActivity = now
-	case !t.settings.Classes[a.class].Keyed:
-		c = t.trackCall(a, v.existing, v.target)
-		c.firstSent, c.lastActivity, c.confirmedActivity = now, now, a.startedAt
+	case !t.settings.Classes[pending.class].Keyed:
+		c = t.trackCall(pending, v.existing, v.target)
+		c.firstSent, c.lastActivity, c.confirmedActivity = now, now, pending.startedAt
 		t.startRound(now, c)
 	}
-	t.queueAnswer(a, Verdict{Kind: kind, Target: v.target, Generation: v.existing.number})
+	t.queueAnswer(pending, Verdict{Kind: kind, Target: v.target, Generation: v.existing.number})
 }
 
-func (t *Table) refuse(now time.Duration, a *pendingOpen, reason Reason, retryAfter time.Duration) {
-	t.sendWithdraw(a)
-	t.finishOpen(a)
-	t.queueAnswer(a, t.refusal(reason, retryAfter))
+func (t *Table) refuse(now time.Duration, pending *pendingOpen, reason Reason, retryAfter time.Duration) {
+	t.sendWithdraw(pending)
+	t.finishOpen(pending)
+	t.queueAnswer(pending, t.refusal(reason, retryAfter))
 }
 
 // sendWithdraw tells all replicas that the call was never admitted under its generation.
-func (t *Table) sendWithdraw(a *pendingOpen) {
-	t.withdrawn.add(keyUse{a.key, a.generation.number})
-	rec := binary.BigEndian.AppendUint64(appendKey([]byte{recWithdraw}, a.key), a.generation.number)
-	for _, s := range a.replicas[:a.replicaCount] {
+func (t *Table) sendWithdraw(pending *pendingOpen) {
+	t.withdrawn.add(keyUse{pending.key, pending.generation.number})
+	rec := binary.BigEndian.AppendUint64(appendKey([]byte{recWithdraw}, pending.key), pending.generation.number)
+	for _, s := range pending.replicas[:pending.replicaCount] {
 		if int(s) == t.selfIndex {
-			t.withdraw(a.key, a.generation)
+			t.withdraw(pending.key, pending.generation)
 		} else {
 			t.enqueue(t.peers[s], rec)
 		}
@@ -243,13 +245,13 @@
 }
 
 // trackCall creates the local record of an admitted call.
-func (t *Table) trackCall(a *pendingOpen, id generationID, where string) *call {
-	if old := t.calls[a.key]; old != nil {
+func (t *Table) trackCall(pending *pendingOpen, id generationID, where string) *call {
+	if old := t.calls[pending.key]; old != nil {
 		t.untrackCall(old)
 	}
-	c := &call{key: a.key, generation: id, class: a.class, target: where, state: Open, replicaCount: a.replicaCount, replicas: a.replicas}
+	c := &call{key: pending.key, generation: id, class: pending.class, target: where, state: Open, replicaCount: pending.replicaCount, replicas: pending.replicas}
 	c.listIndex = len(t.callList)
-	t.calls[a.key] = c
+	t.calls[pending.key] = c
 	t.callList = append(t.callList, c)
 	return c
 }
@@ -371,14 +373,14 @@
 
 func (t *Table) tickOpens(now time.Duration) {
 	for i := 0; i < len(t.pendingOpenList); {
-		a := t.pendingOpenList[i]
+		pending := t.pendingOpenList[i]
 		switch {
-		case now-a.startedAt >= t.settings.AskWithin:
-			t.resolve(now, a, true)
-		case now-a.lastSentAt >= t.settings.AskWithin/3:
-			t.sendPrepares(now, a)
+		case now-pending.startedAt >= t.settings.AskWithin:
+			t.resolve(now, pending, true)
+		case now-pending.lastSentAt >= t.settings.AskWithin/3:
+			t.sendPrepares(now, pending)
 		}
-		if i < len(t.pendingOpenList) && t.pendingOpenList[i] == a {
+		if i < len(t.pendingOpenList) && t.pendingOpenList[i] == pending {
 			i++
 		}
 	}
--- a/fleet/track/place.go
+++ b/fleet/track/placement.go
@@ -31,6 +31,7 @@
 
 func (k Key) rangeIndex() int { return int(k.hi >> 58) }
 
+// maxReplicas is the largest number of replicas of an entry.
 const maxReplicas = 5
 
 // noReplica marks an unused element in a list of replicas.
@@ -45,26 +46,26 @@
 // selectReplicas stores the candidate indexes of the key's replicas in reps, highest
 // score first (rendezvous hashing: Thaler and Ravishankar, IEEE/ACM ToN 1998), and
 // returns their number. No zone gets a second replica while another zone has none.
-func selectReplicas(seats []candidate, k Key, want int, reps *[maxReplicas]uint16) int {
+func selectReplicas(candidates []candidate, k Key, want int, replicas *[maxReplicas]uint16) int {
 	var buf [16]byte
 	var score [maxReplicas]uint64
 	binary.LittleEndian.PutUint64(buf[:], k.lo)
-	for i := range reps {
-		reps[i] = noReplica
+	for i := range replicas {
+		replicas[i] = noReplica
 	}
 	selected := 0
 	// The first pass selects the best candidate of each zone, the second the best of the rest.
-	for pass := 0; pass < 2 && selected < min(want, len(seats)); pass++ {
+	for pass := 0; pass < 2 && selected < min(want, len(candidates)); pass++ {
 		fixed := selected
-		for i := range seats {
-			if slices.Contains(reps[:fixed], uint16(i)) {
+		for i := range candidates {
+			if slices.Contains(replicas[:fixed], uint16(i)) {
 				continue
 			}
-			binary.LittleEndian.PutUint64(buf[8:], seats[i].nameHash)
+			binary.LittleEndian.PutUint64(buf[8:], candidates[i].nameHash)
 			s := xxhash.Sum64(buf[:])
 			pos, outranked := -1, false
 			for j := fixed; pass == 0 && j < selected; j++ {
-				if seats[reps[j]].zone == seats[i].zone {
+				if candidates[replicas[j]].zone == candidates[i].zone {
 					pos, outranked = j, s <= score[j]
 				}
 			}
@@ -81,9 +82,9 @@
 			}
 			// Insert so that the list stays sorted by score.
 			for ; pos > fixed && score[pos-1] < s; pos-- {
-				score[pos], reps[pos] = score[pos-1], reps[pos-1]
+				score[pos], replicas[pos] = score[pos-1], replicas[pos-1]
 			}
-			score[pos], reps[pos] = s, uint16(i)
+			score[pos], replicas[pos] = s, uint16(i)
 		}
 	}
 	return selected
--- a/fleet/track/learn.go
+++ b/fleet/track/recovery.go
@@ -37,10 +37,10 @@
 // maxRangesPerPull limits the ranges requested at once, and so the size of the burst.
 const maxRangesPerPull = 8
 
-func (t *Table) startRecovery(now time.Duration, r Roster, consecutive, wasCaughtUp bool) {
-	t.recovery = recoveryState{since: now, wasCaughtUp: wasCaughtUp, previous: candidatesOf(r.Previous)}
-	t.recovery.active = len(r.Previous) > 0 || r.Epoch > 1
-	t.recovery.sourceUnknown = t.recovery.active && (!consecutive || len(r.Previous) == 0)
+func (t *Table) startRecovery(now time.Duration, roster Roster, consecutive, wasCaughtUp bool) {
+	t.recovery = recoveryState{since: now, wasCaughtUp: wasCaughtUp, previous: candidatesOf(roster.Previous)}
+	t.recovery.active = len(roster.Previous) > 0 || roster.Epoch > 1
+	t.recovery.sourceUnknown = t.recovery.active && (!consecutive || len(roster.Previous) == 0)
 	t.resetPulls()
 }
 
@@ -67,14 +67,14 @@
 	case recovery.sourceUnknown:
 		return false
 	}
-	seats := recovery.previous
+	candidates := recovery.previous
 	if recovery.restarted {
-		seats = t.candidates
+		candidates = t.candidates
 	}
-	var reps [maxReplicas]uint16
-	n, known := selectReplicas(seats, k, t.settings.Replicas, &reps), 0
-	for _, s := range reps[:n] {
-		id := seats[s].nameHash
+	var replicas [maxReplicas]uint16
+	n, known := selectReplicas(candidates, k, t.settings.Replicas, &replicas), 0
+	for _, s := range replicas[:n] {
+		id := candidates[s].nameHash
 		switch p := t.byID[id]; {
 		case id == t.selfID && (recovery.restarted || !recovery.wasCaughtUp):
 		case id == t.selfID, p != nil && p.pull.received&(1<<k.rangeIndex()) != 0:
@@ -205,11 +205,12 @@
 	}
 }
 
+// partHeaderSize is the size in bytes of a range part without its entries.
 const partHeaderSize = 12
 
-func (e *entry) hasReplica(seat uint16) bool {
+func (e *entry) hasReplica(index uint16) bool {
 	for _, s := range e.replicas[:e.replicaCount()] {
-		if s == seat {
+		if s == index {
 			return true
 		}
 	}
@@ -253,11 +254,11 @@
 			pull.incomplete |= bit
 		}
 	}
-	need := byte(partPreviousEpoch)
+	required := byte(partPreviousEpoch)
 	if t.recovery.restarted {
-		need = partCurrentEpoch
+		required = partCurrentEpoch
 	}
-	if r.malformed || !t.recovery.active || !p.sameEpoch || nonce != pull.nonce || pull.requested&bit == 0 || flags&need == 0 {
+	if r.malformed || !t.recovery.active || !p.sameEpoch || nonce != pull.nonce || pull.requested&bit == 0 || flags&required == 0 {
 		return
 	}
 	pull.lastProgress = now
--- a/fleet/track/replica.go
+++ b/fleet/track/replica.go
@@ -84,6 +84,7 @@
 	}
 }
 
+// slabBits is the binary logarithm of the number of entries per slab.
 const slabBits = 10
 
 func (t *Table) entryAt(i uint32) *entry { return &t.slabs[i>>slabBits][i&(1<<slabBits-1)] }
@@ -282,9 +283,9 @@
 	v := vote{key: r.key, requested: r.generation.number, decision: voteNo, retryAfter: t.settings.AskWithin}
 	i, e := t.find(r.key)
 	if e == nil {
-		var reps [maxReplicas]uint16
-		n := selectReplicas(t.candidates, r.key, t.settings.Replicas, &reps)
-		t.fillIncarnations(&v, reps[:n])
+		var replicas [maxReplicas]uint16
+		n := selectReplicas(t.candidates, r.key, t.settings.Replicas, &replicas)
+		t.fillIncarnations(&v, replicas[:n])
 	} else {
 		t.fillIncarnations(&v, e.replicas[:e.replicaCount()])
 	}
@@ -335,9 +336,9 @@
 	})
 }
 
-func (t *Table) fillIncarnations(v *vote, reps []uint16) {
-	v.replicaCount = len(reps)
-	for j, i := range reps {
+func (t *Table) fillIncarnations(v *vote, replicas []uint16) {
+	v.replicaCount = len(replicas)
+	for j, i := range replicas {
 		if v.incarnations[j] = t.peers[i].Incarnation; int(i) == t.selfIndex {
 			v.incarnations[j] = t.incarnation
 		}
@@ -417,9 +418,9 @@
 }
 
 func (t *Table) isReplica(k Key) bool {
-	var reps [maxReplicas]uint16
-	n := selectReplicas(t.candidates, k, t.settings.Replicas, &reps)
-	return t.selfIndex >= 0 && slices.Contains(reps[:n], uint16(t.selfIndex))
+	var replicas [maxReplicas]uint16
+	n := selectReplicas(t.candidates, k, t.settings.Replicas, &replicas)
+	return t.selfIndex >= 0 && slices.Contains(replicas[:n], uint16(t.selfIndex))
 }
 
 // withdraw undoes the preparation of a call that was never admitted.
@@ -474,14 +475,14 @@
 	if idle <= limit {
 		return
 	}
-	rank, n, reachablePeers, rankedBefore := t.replicaIndex(e), e.replicaCount(), 0, 0
+	rank, replicaCount, reachablePeers, rankedBefore := t.replicaIndex(e), e.replicaCount(), 0, 0
 	if rank < 0 {
 		// The current replicas have had the entry's whole lifetime to take it over.
 		t.stats.Dropped++
 		t.remove(i)
 		return
 	}
-	for j, s := range e.replicas[:n] {
+	for j, s := range e.replicas[:replicaCount] {
 		if j != rank && t.reachable(t.peers[s]) {
 			reachablePeers++
 			if j < rank {
@@ -489,12 +490,12 @@
 			}
 		}
 	}
-	if reachablePeers+1 < n {
+	if reachablePeers+1 < replicaCount {
 		limit += t.settings.Bound
 	}
 	switch {
 	case idle <= limit:
-	case reachablePeers+1 < majority(n):
+	case reachablePeers+1 < majority(replicaCount):
 		// There is no majority to agree with. Leave no tombstone, because replicas that
 		// may have seen later activity take precedence.
 		t.stats.Dropped++
--- a/fleet/track/sync.go
+++ b/fleet/track/sync.go
@@ -79,8 +79,8 @@
 	if !t.validateEntry(r, &e) {
 		return
 	}
-	// The sender may admit the call until its Open times out, so the entry's idle time
-	// starts at zero here, without Lag.
+	// The sender may admit the call at any time until its Open times out, so the activity
+	// has yet to come and idle starts at zero. age already includes Lag.
 	e.idle = 0
 	v := vote{key: e.key, requested: e.generation.number, decision: voteNo, reason: Recovering, retryAfter: t.settings.AskWithin}
 	if p.sameEpoch {
@@ -95,16 +95,16 @@
 		r.malformed = true
 		return
 	}
-	a := t.pendingOpens[v.key]
-	if a == nil || a.generation.number != v.requested {
+	pending := t.pendingOpens[v.key]
+	if pending == nil || pending.generation.number != v.requested {
 		if v.decision == voteYes && t.withdrawn.members[keyUse{v.key, v.requested}] {
 			t.enqueue(p, binary.BigEndian.AppendUint64(appendKey([]byte{recWithdraw}, v.key), v.requested))
 		}
 		return
 	}
-	for j, s := range a.replicas[:a.replicaCount] {
+	for j, s := range pending.replicas[:pending.replicaCount] {
 		if t.peers[s] == p && p.sameEpoch {
-			t.handleReplicaVote(now, a, j, p.Incarnation, &v)
+			t.handleReplicaVote(now, pending, j, p.Incarnation, &v)
 			return
 		}
 	}
@@ -137,6 +137,8 @@
 	}
 }
 
+// bitCallDropped is the flag in an acknowledgement that tells the owner to drop its call
+// because the replica holds a tombstone or a newer generation.
 const bitCallDropped = 1
 
 func appendAck(e *entryRecord, flags byte) []byte {
--- a/fleet/track/table.go
+++ b/fleet/track/table.go
@@ -121,9 +121,9 @@
 	return t, nil
 }
 
-func setDefault[T int | time.Duration](v *T, d T) {
+func setDefault[T int | time.Duration](v *T, fallback T) {
 	if *v == 0 {
-		*v = d
+		*v = fallback
 	}
 }
 
@@ -208,55 +208,55 @@
 // liveness. It must be called at least once per Lease while the roster is valid: a
 // replica without an update for longer refuses to prepare calls. A roster with an
 // older epoch than the last returns an error and changes nothing.
-func (t *Table) UpdateRoster(now time.Duration, r Roster) error {
+func (t *Table) UpdateRoster(now time.Duration, roster Roster) error {
 	now = t.advanceClock(now)
 	var self *Member
-	seats := candidatesOf(r.Members)
-	if len(seats) != len(r.Members) || len(seats) >= int(noReplica) {
-		return fmt.Errorf("track: view: epoch %d: two members of one name, or too many", r.Epoch)
+	seats := candidatesOf(roster.Members)
+	if len(seats) != len(roster.Members) || len(seats) >= int(noReplica) {
+		return fmt.Errorf("track: view: epoch %d: two members of one name, or too many", roster.Epoch)
 	}
-	for i := range r.Members {
-		m := &r.Members[i]
+	for i := range roster.Members {
+		m := &roster.Members[i]
 		if m.Name == "" || len(m.Name) > MaxName {
-			return fmt.Errorf("track: view: epoch %d: member %d: bad name %q", r.Epoch, i, m.Name)
+			return fmt.Errorf("track: view: epoch %d: member %d: bad name %q", roster.Epoch, i, m.Name)
 		}
 		if m.Name == t.settings.Self {
 			self = m
 		}
 	}
-	for i := range r.Previous {
-		if self == nil && r.Previous[i].Name == t.settings.Self {
-			self = &r.Previous[i]
+	for i := range roster.Previous {
+		if self == nil && roster.Previous[i].Name == t.settings.Self {
+			self = &roster.Previous[i]
 		}
 	}
 	switch {
 	case self == nil:
 		return ErrNotAMember
-	case t.hasRoster && r.Epoch < t.epoch:
-		return fmt.Errorf("track: view: epoch %d comes after %d", r.Epoch, t.epoch)
+	case t.hasRoster && roster.Epoch < t.epoch:
+		return fmt.Errorf("track: view: epoch %d comes after %d", roster.Epoch, t.epoch)
 	case t.hasRoster && self.Incarnation < t.incarnation:
 		return fmt.Errorf("track: view: own incarnation %d comes after %d", self.Incarnation, t.incarnation)
 	}
 	t.rosterAt = now
-	first, restarted := !t.hasRoster, t.hasRoster && self.Incarnation > t.incarnation
-	epochChanged := first || r.Epoch != t.epoch
-	wasCaughtUp := !first && t.caughtUp(now)
-	consecutive := !first && r.Epoch == t.epoch+1
-	t.hasRoster, t.epoch, t.incarnation = true, r.Epoch, self.Incarnation
+	firstRoster, restarted := !t.hasRoster, t.hasRoster && self.Incarnation > t.incarnation
+	epochChanged := firstRoster || roster.Epoch != t.epoch
+	wasCaughtUp := !firstRoster && t.caughtUp(now)
+	consecutive := !firstRoster && roster.Epoch == t.epoch+1
+	t.hasRoster, t.epoch, t.incarnation = true, roster.Epoch, self.Incarnation
 	if restarted {
 		t.reset(now)
 	}
-	for _, m := range r.Members {
+	for _, m := range roster.Members {
 		t.updatePeer(now, m)
 	}
-	for _, m := range r.Previous {
+	for _, m := range roster.Previous {
 		t.updatePeer(now, m)
 	}
 	if epochChanged {
-		t.applyPlacement(now, seats, r)
-		t.startRecovery(now, r, first || consecutive, wasCaughtUp)
+		t.applyPlacement(now, seats, roster)
+		t.startRecovery(now, roster, firstRoster || consecutive, wasCaughtUp)
 	}
-	if restarted || first && t.incarnation > 1 {
+	if restarted || firstRoster && t.incarnation > 1 {
 		t.recovery = recoveryState{active: true, restarted: true, since: now}
 		t.resetPulls()
 	}
@@ -281,21 +281,21 @@
 
 // applyPlacement makes the roster's members the candidates for replicas and selects
 // the replicas of each entry again.
-func (t *Table) applyPlacement(now time.Duration, seats []candidate, r Roster) {
+func (t *Table) applyPlacement(now time.Duration, candidates []candidate, roster Roster) {
 	for len(t.pendingOpenList) > 0 {
 		t.refuse(now, t.pendingOpenList[0], NoQuorum, t.settings.AskWithin)
 	}
-	t.candidates, t.selfIndex = seats, -1
+	t.candidates, t.selfIndex = candidates, -1
 	t.peers = t.peers[:0]
 	keep := map[uint64]*peer{}
-	for i, s := range seats {
+	for i, s := range candidates {
 		if s.nameHash == t.selfID {
 			t.selfIndex = i
 		}
 		t.peers = append(t.peers, t.byID[s.nameHash])
 		keep[s.nameHash] = t.byID[s.nameHash]
 	}
-	for _, s := range candidatesOf(r.Previous) {
+	for _, s := range candidatesOf(roster.Previous) {
 		if keep[s.nameHash] == nil {
 			t.peers = append(t.peers, t.byID[s.nameHash])
 			keep[s.nameHash] = t.byID[s.nameHash]
@@ -309,12 +309,12 @@
 	clear(t.proposals)
 	for i := range t.slotCount {
 		if e := t.entryAt(uint32(i)); e.state != stateFree {
-			selectReplicas(seats, e.key, t.settings.Replicas, &e.replicas)
+			selectReplicas(candidates, e.key, t.settings.Replicas, &e.replicas)
 			t.toggleDigest(e)
 		}
 	}
 	for _, c := range slices.Clone(t.callList) {
-		c.replicaCount = selectReplicas(seats, c.key, t.settings.Replicas, &c.replicas)
+		c.replicaCount = selectReplicas(candidates, c.key, t.settings.Replicas, &c.replicas)
 		t.startRound(now, c)
 	}
 }
@@ -491,13 +491,13 @@
 // CountOpen returns the number of tracked calls and flows that may be running at a
 // backend or scope, as far as this member knows: those it replicates and its own.
 // None is running there once all members return 0.
-func (t *Table) CountOpen(where string) int {
+func (t *Table) CountOpen(target string) int {
 	n := 0
-	if i, ok := t.targets.byName[where]; ok {
+	if i, ok := t.targets.byName[target]; ok {
 		n = t.targets.uses[i].active
 	}
 	for _, c := range t.callList {
-		if _, held := t.index[c.key]; !held && c.target == where && c.state < Closed {
+		if _, held := t.index[c.key]; !held && c.target == target && c.state < Closed {
 			n++
 		}
 	}
--- a/fleet/track/wire.go
+++ b/fleet/track/wire.go
@@ -13,8 +13,9 @@
 // A message is a header and any number of records. Any change of a record's layout needs
 // a new version. Members drop and count messages of other versions, so during an upgrade
 // members of different versions track calls as if they were two separate fleets.
-const version = 1
+const version = 1 // of the message format
 
+// headerSize is the encoded size of the header in bytes, version included.
 const headerSize = 58
 
 // Flags in the header.
