--- a/fleet/track/api.go
+++ b/fleet/track/api.go
@@ -197,9 +197,13 @@
 type Stats struct {
 	Entries, Tombstones int
 
-	Sent, Received                                            uint64 // messages
-	Malformed, VersionMismatch, UnknownSender, OldIncarnation uint64 // dropped messages: malformed, protocol version, sender, sender's incarnation
-	TooOld, WrongIncarnation, BadTimestamp                    uint64 // dropped messages: age above Lag or unknown, receiver's incarnation, clock
-	Opened, OpenedElsewhere, Refusals, Unconfirmed            uint64 // verdicts
-	Expired, Dropped, Evicted, Withdrawn, OwnLost             uint64 // how entries and own calls ended
+	Sent, Received uint64 // messages
+	// Dropped messages: malformed, other protocol version, unknown sender, sender restarted since.
+	Malformed, VersionMismatch, UnknownSender, OldIncarnation uint64
+	// Dropped messages: age above Lag or unknown, addressed to another incarnation of this
+	// member, implausible timestamps.
+	TooOld, WrongIncarnation, BadTimestamp uint64
+
+	Opened, OpenedElsewhere, Refusals, Unconfirmed uint64 // verdicts
+	Expired, Dropped, Evicted, Withdrawn, OwnLost  uint64 // how entries and own calls ended
 }
--- a/fleet/track/bench_test.go
+++ b/fleet/track/bench_test.go
@@ -20,17 +20,19 @@
 	p := &instantFleet{byName: map[string]*Table{}, now: time.Second}
 	r := Roster{Epoch: 1}
 	for i := range n {
-		set := Settings{Self: fmt.Sprintf("m%d", i), MaxEntries: maxEntries, Lease: 24 * time.Hour, Classes: []Class{
-			{Keyed: true, MaxCallTime: 30 * time.Second, DedupWindow: 30 * time.Minute},
-			{IdleTimeout: time.Hour, ClosedRetention: time.Minute},
-		}}
+		set := Settings{Self: fmt.Sprintf("m%d", i), MaxEntries: maxEntries, Lease: 24 * time.Hour,
+			Classes: []Class{
+				{Keyed: true, MaxCallTime: 30 * time.Second, DedupWindow: 30 * time.Minute},
+				{IdleTimeout: time.Hour, ClosedRetention: time.Minute},
+			}}
 		t, err := NewTable(set)
 		if err != nil {
 			tb.Fatal(err)
 		}
 		p.tables = append(p.tables, t)
 		p.byName[set.Self] = t
-		r.Members = append(r.Members, Member{Name: set.Self, Zone: fmt.Sprint(i % 3), Incarnation: 1, Alive: true})
+		r.Members = append(r.Members, Member{Name: set.Self, Zone: fmt.Sprint(i % 3), Incarnation: 1,
+			Alive: true})
 	}
 	for _, t := range p.tables {
 		if err := t.UpdateRoster(p.now, r); err != nil {
@@ -189,7 +191,8 @@
 	t := p.tables[0]
 	for i := range b.N {
 		k := hashKey(0, fmt.Sprint(i))
-		t.prepare(p.now, &entryRecord{key: k, generation: generationID{uint64(i) + 1, p.tables[1].selfID, 1}, state: Prepared, target: "b1"})
+		t.prepare(p.now, &entryRecord{key: k, generation: generationID{uint64(i) + 1, p.tables[1].selfID,
+			1}, state: Prepared, target: "b1"})
 	}
 }
 
--- a/fleet/track/fuzz_test.go
+++ b/fleet/track/fuzz_test.go
@@ -32,8 +32,9 @@
 		fl.traffic(50*ms, 10, 2*time.Second)
 		fl.run(2 * time.Second)
 		a, b := fl.nodes[0], fl.nodes[1]
-		p := a.table.byID[hashName(b.name)]
-		h := header{flags: flagEcho, senderHash: p.nameHash, senderIncarnation: p.Incarnation, receiverIncarnation: a.table.incarnation, epoch: a.table.epoch,
+		p := a.table.byNameHash[hashName(b.name)]
+		h := header{flags: flagEcho, senderHash: p.nameHash, senderIncarnation: p.Incarnation,
+			receiverIncarnation: a.table.incarnation, epoch: a.table.epoch,
 			timestamp: p.lastStamp + 1, echoedTimestamp: uint64(a.table.now)}
 		a.table.Receive(a.table.now, b.name, append(appendHeader(nil, &h), body...))
 		for range 40 {
--- a/fleet/track/invariants_test.go
+++ b/fleet/track/invariants_test.go
@@ -102,7 +102,10 @@
 		if os.Getenv("TRACE") != "" {
 			trace = func(s string) { t.Log(s) }
 		}
-		f := runSchedule(func(lo, hi int, what string) int { return rapid.IntRange(lo, hi).Draw(t, what) }, faultPlan{})
+		f := runSchedule(func(lo, hi int, what string) int {
+			return rapid.IntRange(lo, hi).Draw(t,
+				what)
+		}, faultPlan{})
 		if f.violation != nil {
 			t.Fatal(f.violation)
 		}
@@ -129,21 +132,24 @@
 		{"accepts late messages and keeps no tombstones", 2, faultPlan{breakTable: func(x *node) {
 			x.table.tombstoneTTL, x.table.maxMessageAge = 1, time.Hour
 		}}},
-		{"does not compare ranges", 3, faultPlan{faults: []int{isolate, split}, intercept: func(_, _ *node, msg []byte) []byte {
-			if len(msg) >= headerSize+8*rangeCount {
-				return nil
-			}
-			return msg
-		}}},
-		{"drops entries when cut off", 4, faultPlan{faults: []int{isolate}, breakTable: func(x *node) { x.table.settings.Bound = 1 }}},
+		{"does not compare ranges", 3, faultPlan{faults: []int{isolate, split},
+			intercept: func(_, _ *node, msg []byte) []byte {
+				if len(msg) >= headerSize+8*rangeCount {
+					return nil
+				}
+				return msg
+			}}},
+		{"drops entries when cut off", 4, faultPlan{faults: []int{isolate},
+			breakTable: func(x *node) { x.table.settings.Bound = 1 }}},
 		{"evicts keyed calls when full", 5, faultPlan{smallTables: true, breakTable: func(x *node) {
 			x.table.mayEvict = func(*entry) bool { return true }
 		}}},
 		{"closes the new generation instead of the old", 6, faultPlan{interfere: func(x *node) {
 			x.table.Each(func(i Info) {
 				if i.Generation > 20 && i.Class == flow && i.State == Open {
-					x.table.merge(x.table.now, &entryRecord{key: i.Key, generation: generationID{i.Generation, i.ownerID, i.incarnation},
-						class: flow, state: Closed, target: i.Target})
+					x.table.merge(x.table.now, &entryRecord{key: i.Key,
+						generation: generationID{i.Generation, i.ownerID, i.incarnation},
+						class:      flow, state: Closed, target: i.Target})
 				}
 			})
 		}}},
--- a/fleet/track/model_test.go
+++ b/fleet/track/model_test.go
@@ -93,7 +93,7 @@
 // generationRecord is one generation of a key, as the observer knows it.
 type generationRecord struct {
 	key           string
-	id            generationID
+	generation    generationID
 	class         int
 	activity      time.Duration // the latest that any replica can have seen
 	ownerActivity time.Duration // the latest use by its owner or another member
@@ -101,7 +101,7 @@
 	holders       map[*node]bool
 	wasHeld       bool
 	holderLost    bool // its last holder was restarted
-	gone          bool
+	ended         bool
 }
 
 type fleet struct {
@@ -387,19 +387,21 @@
 		}
 		_, e := x.table.find(was.Key)
 		// A newer generation of a flow replaces it, whether open or over already.
-		reused := ok || e != nil && (e.state == Prepared || was.Class == flow && e.generation.compare(generationID{was.Generation, was.ownerID, was.incarnation}) > 0)
+		reused := ok || e != nil && (e.state == Prepared || was.Class == flow &&
+			e.generation.compare(generationID{was.Generation, was.ownerID, was.incarnation}) > 0)
 		if !reused {
 			gone = append(gone, was)
 		}
 		if tr := f.generationOf(was); tr != nil {
-			f.tracef("%s: %s generation %d %v, idle %v, removed; now %v", x.name, tr.key, was.Generation, was.State, was.Idle, is)
+			f.tracef("%s: %s generation %d %v, idle %v, removed; now %v", x.name, tr.key, was.Generation,
+				was.State, was.Idle, is)
 			delete(tr.holders, x)
 			// An eviction may not have reached a third replica yet. The same holds for
 			// the replacement of a flow by a newer generation.
 			aged := was.Class == keyed || x.set.MaxEntries > 100 && !reused
 			tr.holderLost = tr.holderLost || !aged
-			if len(tr.holders) == 0 && !tr.holderLost && !f.isPrepared(was.Key, tr.id) {
-				tr.gone = true
+			if len(tr.holders) == 0 && !tr.holderLost && !f.isPrepared(was.Key, tr.generation) {
+				tr.ended = true
 			}
 		}
 	}
@@ -438,7 +440,7 @@
 	case tr == nil:
 		f.failf(2, "%s holds %v generation %d, which no member opened", x.name, is.State, is.Generation)
 		return
-	case tr.gone:
+	case tr.ended:
 		f.failf(2, "%s: %s generation %d reappears after its end", x.name, tr.key, is.Generation)
 	}
 	tr.holders[x], tr.wasHeld = true, true
@@ -458,7 +460,8 @@
 	set := &x.set
 	limit := x.nominalTimeout(is.Class, is.State) + set.Bound + 30*set.Lag
 	if idle := f.now - tr.activity; idle > limit {
-		f.failf(4, "%s: %s generation %d %v is still held, idle %v", x.name, tr.key, is.Generation, is.State, idle)
+		f.failf(4, "%s: %s generation %d %v is still held, idle %v", x.name, tr.key, is.Generation,
+			is.State, idle)
 	}
 }
 
@@ -505,7 +508,8 @@
 			}
 			return 1
 		}
-		return cmp.Or(cmp.Compare(over(a), over(b)), -cmp.Compare(a.Idle/evictionIdleStep, b.Idle/evictionIdleStep),
+		return cmp.Or(cmp.Compare(over(a), over(b)), -cmp.Compare(a.Idle/evictionIdleStep,
+			b.Idle/evictionIdleStep),
 			cmp.Compare(a.Key.hi, b.Key.hi))
 	}
 	for _, g := range gone {
@@ -519,7 +523,8 @@
 			continue // a message can change more than one entry
 		}
 		for _, l := range sortedByKey(left) {
-			if l.Class != keyed && old[l.Key].Generation == l.Generation && l.Idle > old[l.Key].Idle && order(g, l) > 0 && g.Idle < x.nominalTimeout(flow, g.State) {
+			if l.Class != keyed && old[l.Key].Generation == l.Generation && l.Idle > old[l.Key].Idle &&
+				order(g, l) > 0 && g.Idle < x.nominalTimeout(flow, g.State) {
 				f.failf(5, "%s evicts generation %d %v idle %v before generation %d %v idle %v", x.name,
 					g.Generation, g.State, g.Idle, l.Generation, l.State, l.Idle)
 			}
@@ -577,8 +582,9 @@
 	}
 	if v.Kind == New {
 		id := generationID{v.Generation, tab.selfID, tab.incarnation}
-		f.generations[k][id] = &generationRecord{key: key, id: id, class: class, activity: f.now, ownerActivity: f.now,
-			holders: map[*node]bool{}}
+		f.generations[k][id] = &generationRecord{key: key, generation: id, class: class, activity: f.now,
+			ownerActivity: f.now,
+			holders:       map[*node]bool{}}
 	}
 	for id, tr := range f.generations[k] {
 		if id.number == v.Generation {
@@ -630,7 +636,8 @@
 			f.failf(7, "%s: %s %v at %s, %v after it was sent to %s", x.name, key, v.Kind, v.Target,
 				f.now-s.at, s.target)
 		} else if f.now+c.MaxCallTime > s.at+c.DedupWindow {
-			f.failf(7, "%s: %s %v again %v after the first attempt: may miss the deduplication window", x.name, key,
+			f.failf(7, "%s: %s %v again %v after the first attempt: may miss the deduplication window",
+				x.name, key,
 				v.Kind, f.now-s.at)
 		}
 	}
@@ -782,14 +789,17 @@
 			n := selectReplicas(a.table.candidates, is.Key, a.set.Replicas, &replicas)
 			for _, s := range replicas[:n] {
 				b := f.nodeOf(a.table.candidates[s].nameHash)
-				if b.stopped || f.now-b.startedAt < convergenceLimit || b.table.live+b.table.tombstones >= b.set.MaxEntries {
+				if b.stopped || f.now-b.startedAt < convergenceLimit ||
+					b.table.live+b.table.tombstones >= b.set.MaxEntries {
 					continue
 				}
 				if _, e := b.table.find(is.Key); e != nil && e.state == Prepared {
 					continue // its owner may be gone; Opens are refused, so nothing is lost
 				}
-				if other, ok := b.held[is.Key]; !ok || other.Generation != is.Generation || other.State != is.State {
-					return fmt.Sprintf("%s holds %v generation %d %v idle %v, %s holds %v generation %d", a.name,
+				if other, ok := b.held[is.Key]; !ok || other.Generation != is.Generation ||
+					other.State != is.State {
+					return fmt.Sprintf("%s holds %v generation %d %v idle %v, %s holds %v generation %d",
+						a.name,
 						is.Key, is.Generation, is.State, is.Idle, b.name, other.State, other.Generation)
 				}
 			}
--- a/fleet/track/open.go
+++ b/fleet/track/open.go
@@ -97,12 +97,14 @@
 func (t *Table) startPrepare(now time.Duration, pending *pendingOpen) {
 	t.logicalClock++
 	pending.generation = generationID{t.logicalClock, t.selfID, t.incarnation}
-	pending.votes, pending.voterIncarnations, pending.knownIncarnations = [maxReplicas]vote{}, [maxReplicas]uint32{}, [maxReplicas]uint32{}
+	pending.votes, pending.voterIncarnations, pending.knownIncarnations = [maxReplicas]vote{},
+		[maxReplicas]uint32{}, [maxReplicas]uint32{}
 	pending.replicaCount = selectReplicas(t.candidates, pending.key, t.settings.Replicas, &pending.replicas)
 	t.sendPrepares(now, pending)
 	for j, s := range pending.replicas[:pending.replicaCount] {
 		if int(s) == t.selfIndex {
-			r := &entryRecord{key: pending.key, generation: pending.generation, class: pending.class, state: Prepared, target: pending.target}
+			r := &entryRecord{key: pending.key, generation: pending.generation, class: pending.class,
+				state: Prepared, target: pending.target}
 			v := t.prepare(now, r)
 			t.handleReplicaVote(now, pending, j, t.incarnation, &v)
 			return
@@ -123,7 +125,8 @@
 }
 
 // handleReplicaVote records a replica's vote.
-func (t *Table) handleReplicaVote(now time.Duration, pending *pendingOpen, index int, voterIncarnation uint32, v *vote) {
+func (t *Table) handleReplicaVote(now time.Duration, pending *pendingOpen, index int,
+	voterIncarnation uint32, v *vote) {
 	if v.decision == voteNo && v.reason == StaleGeneration && pending.restarts < maxRestarts {
 		// The vote's message raised the logical clock above the ended generation.
 		pending.restarts++
@@ -159,7 +162,8 @@
 			reason = max(reason, Busy)
 			n := 0
 			for i := range j + 1 {
-				if pending.votes[i].decision == voteExisting && pending.votes[i].existing == v.existing && pending.voterIncarnations[i] >= pending.knownIncarnations[i] {
+				if pending.votes[i].decision == voteExisting && pending.votes[i].existing == v.existing &&
+					pending.voterIncarnations[i] >= pending.knownIncarnations[i] {
 					n++
 				}
 			}
@@ -201,7 +205,8 @@
 	c := t.trackCall(pending, pending.generation, pending.target)
 	c.firstSent, c.lastActivity, c.confirmedActivity = now, now, pending.startedAt
 	t.startRound(now, c)
-	t.queueAnswer(pending, Verdict{Kind: New, Target: pending.target, Generation: pending.generation.number, Unconfirmed: unconfirmed})
+	t.queueAnswer(pending, Verdict{Kind: New, Target: pending.target,
+		Generation: pending.generation.number, Unconfirmed: unconfirmed})
 }
 
 func (t *Table) answerExisting(now time.Duration, pending *pendingOpen, v *vote) {
@@ -235,21 +240,22 @@
 func (t *Table) sendWithdraw(pending *pendingOpen) {
 	t.withdrawn.add(keyUse{pending.key, pending.generation.number})
 	rec := binary.BigEndian.AppendUint64(appendKey([]byte{recWithdraw}, pending.key), pending.generation.number)
-	for _, s := range pending.replicas[:pending.replicaCount] {
-		if int(s) == t.selfIndex {
+	for _, index := range pending.replicas[:pending.replicaCount] {
+		if int(index) == t.selfIndex {
 			t.withdraw(pending.key, pending.generation)
 		} else {
-			t.enqueue(t.peers[s], rec)
+			t.enqueue(t.peers[index], rec)
 		}
 	}
 }
 
 // trackCall creates the local record of an admitted call.
-func (t *Table) trackCall(pending *pendingOpen, id generationID, where string) *call {
+func (t *Table) trackCall(pending *pendingOpen, id generationID, target string) *call {
 	if old := t.calls[pending.key]; old != nil {
 		t.untrackCall(old)
 	}
-	c := &call{key: pending.key, generation: id, class: pending.class, target: where, state: Open, replicaCount: pending.replicaCount, replicas: pending.replicas}
+	c := &call{key: pending.key, generation: id, class: pending.class, target: target, state: Open,
+		replicaCount: pending.replicaCount, replicas: pending.replicas}
 	c.listIndex = len(t.callList)
 	t.calls[pending.key] = c
 	t.callList = append(t.callList, c)
@@ -270,7 +276,8 @@
 	t.untrackCall(c)
 	t.stats.OwnLost++
 	if c.state < Closing && !t.settings.Classes[c.class].Keyed {
-		t.answers = append(t.answers, Answer{Verdict{Kind: FlowEnded, Target: c.target, Generation: c.generation.number}, c.key})
+		t.answers = append(t.answers, Answer{Verdict{Kind: FlowEnded, Target: c.target,
+			Generation: c.generation.number}, c.key})
 	}
 }
 
@@ -343,7 +350,8 @@
 func (t *Table) sendRound(now time.Duration, c *call) {
 	c.lastSentAt = now
 	c.attempts++
-	r := &entryRecord{key: c.key, generation: c.generation, class: c.class, state: c.state, retried: c.retried, wantAck: true,
+	r := &entryRecord{key: c.key, generation: c.generation, class: c.class, state: c.state,
+		retried: c.retried, wantAck: true,
 		round: c.round, idle: now - c.lastActivity, age: now - c.firstSent, target: c.target}
 	for j, s := range c.replicas[:c.replicaCount] {
 		if int(s) != t.selfIndex || c.acks&(1<<j) != 0 {
--- a/fleet/track/recovery.go
+++ b/fleet/track/recovery.go
@@ -75,7 +75,7 @@
 	n, known := selectReplicas(candidates, k, t.settings.Replicas, &replicas), 0
 	for _, s := range replicas[:n] {
 		id := candidates[s].nameHash
-		switch p := t.byID[id]; {
+		switch p := t.byNameHash[id]; {
 		case id == t.selfID && (recovery.restarted || !recovery.wasCaughtUp):
 		case id == t.selfID, p != nil && p.pull.received&(1<<k.rangeIndex()) != 0:
 			known++
@@ -127,7 +127,8 @@
 	}
 	for _, p := range t.peers {
 		pull := &p.pull
-		if p.nameHash == t.selfID || pull.received == allRangesMask || pull.requested != 0 && now-pull.lastProgress <= 2*t.settings.Lag {
+		if p.nameHash == t.selfID || pull.received == allRangesMask || pull.requested != 0 &&
+			now-pull.lastProgress <= 2*t.settings.Lag {
 			continue
 		}
 		t.sendPull(now, p)
@@ -168,39 +169,41 @@
 	if t.caughtUp(now) {
 		knowledge |= partCurrentEpoch
 	}
-	var lists [rangeCount][][]byte // records by range, split into messages
+	var records [rangeCount][][]byte // records by range, split into messages
 	var counts [rangeCount][]byte
 	for i := range t.slotCount {
 		e := t.entryAt(uint32(i))
-		rng := e.key.rangeIndex()
-		if e.state == stateFree || mask&(1<<rng) == 0 || peerIndex < 0 || !e.hasReplica(uint16(peerIndex)) {
+		rangeIndex := e.key.rangeIndex()
+		if e.state == stateFree || mask&(1<<rangeIndex) == 0 || peerIndex < 0 ||
+			!e.hasReplica(uint16(peerIndex)) {
 			continue
 		}
 		rec := appendEntry(t.scratch[:0], t.recordOf(now, e))
-		n := len(lists[rng])
-		if n == 0 || len(lists[rng][n-1])+len(rec) > MaxMessage-headerSize-partHeaderSize || counts[rng][n-1] == 255 {
-			lists[rng] = append(lists[rng], nil)
-			counts[rng] = append(counts[rng], 0)
+		n := len(records[rangeIndex])
+		if n == 0 || len(records[rangeIndex][n-1])+len(rec) > MaxMessage-headerSize-partHeaderSize ||
+			counts[rangeIndex][n-1] == 255 {
+			records[rangeIndex] = append(records[rangeIndex], nil)
+			counts[rangeIndex] = append(counts[rangeIndex], 0)
 			n++
 		}
-		lists[rng][n-1] = append(lists[rng][n-1], rec...)
-		counts[rng][n-1]++
+		records[rangeIndex][n-1] = append(records[rangeIndex][n-1], rec...)
+		counts[rangeIndex][n-1]++
 	}
-	for rng := range rangeCount {
-		if mask&(1<<rng) == 0 {
+	for rangeIndex := range rangeCount {
+		if mask&(1<<rangeIndex) == 0 {
 			continue
 		}
-		n := max(1, len(lists[rng]))
+		n := max(1, len(records[rangeIndex]))
 		for seq := range n {
-			b := append([]byte{recRangePart}, byte(rng), knowledge)
+			b := append([]byte{recRangePart}, byte(rangeIndex), knowledge)
 			b = binary.BigEndian.AppendUint32(b, nonce)
 			b = binary.BigEndian.AppendUint16(b, uint16(seq))
 			b = binary.BigEndian.AppendUint16(b, uint16(min(n, 1<<16-1)))
-			if len(lists[rng]) == 0 {
+			if len(records[rangeIndex]) == 0 {
 				t.enqueue(p, append(b, 0))
 				continue
 			}
-			t.enqueue(p, append(append(b, counts[rng][seq]), lists[rng][seq]...))
+			t.enqueue(p, append(append(b, counts[rangeIndex][seq]), records[rangeIndex][seq]...))
 		}
 	}
 }
@@ -223,7 +226,8 @@
 // then pulled again until the outcome of the prepared entry is known.
 func (t *Table) mergePulledEntry(now time.Duration, e *entryRecord) bool {
 	_, existing := t.find(e.key)
-	if existing != nil && existing.state != stateTombstone && existing.generation != e.generation && e.state != stateTombstone &&
+	if existing != nil && existing.state != stateTombstone && existing.generation != e.generation &&
+		e.state != stateTombstone &&
 		(existing.state == Prepared || e.state == Prepared) {
 		return false
 	}
@@ -233,12 +237,12 @@
 
 // handlePart processes one part of a pulled range.
 func (t *Table) handlePart(now time.Duration, p *peer, r *reader) {
-	rng, flags, nonce := int(r.u8()), r.u8(), r.u32()
-	seq, n, count := int(r.u16()), int(r.u16()), int(r.u8())
-	if rng >= rangeCount || seq >= n {
+	rangeIndex, knowledge, nonce := int(r.u8()), r.u8(), r.u32()
+	part, parts, count := int(r.u16()), int(r.u16()), int(r.u8())
+	if rangeIndex >= rangeCount || part >= parts {
 		r.malformed = true
 	}
-	bit := uint64(1) << (rng & 63)
+	bit := uint64(1) << (rangeIndex & 63)
 	pull := &p.pull
 	// Entries are merged from any pull; only completeness is tracked per pull.
 	for range count {
@@ -258,18 +262,19 @@
 	if t.recovery.restarted {
 		required = partCurrentEpoch
 	}
-	if r.malformed || !t.recovery.active || !p.sameEpoch || nonce != pull.nonce || pull.requested&bit == 0 || flags&required == 0 {
+	if r.malformed || !t.recovery.active || !p.sameEpoch || nonce != pull.nonce ||
+		pull.requested&bit == 0 || knowledge&required == 0 {
 		return
 	}
 	pull.lastProgress = now
-	if pull.parts[rng] == nil {
-		pull.parts[rng] = make([]bool, n)
+	if pull.parts[rangeIndex] == nil {
+		pull.parts[rangeIndex] = make([]bool, parts)
 	}
-	if len(pull.parts[rng]) != n {
+	if len(pull.parts[rangeIndex]) != parts {
 		return
 	}
-	pull.parts[rng][seq] = true
-	for _, ok := range pull.parts[rng] {
+	pull.parts[rangeIndex][part] = true
+	for _, ok := range pull.parts[rangeIndex] {
 		if !ok {
 			return
 		}
--- a/fleet/track/replica.go
+++ b/fleet/track/replica.go
@@ -39,8 +39,8 @@
 	endedAt    time.Duration
 }
 
-// proposal is a proposed end of an entry that waits for the other replicas' agreement.
-type proposal struct {
+// pendingEnd is a proposed end of an entry that waits for the other replicas' agreement.
+type pendingEnd struct {
 	proposedAt time.Duration
 	asked      uint8 // bit set by index in replicas; one that becomes unreachable meanwhile has not agreed
 	agreed     uint8
@@ -249,15 +249,18 @@
 // to amortize the scan. Reachable replicas end the same flows because the ends are
 // announced to them.
 func (t *Table) evict(now time.Duration) {
-	var candidates []uint32
+	var evictable []uint32
 	for i := range t.slotCount {
 		e := t.entryAt(uint32(i))
 		if e.state != stateFree && e.state != stateTombstone && t.mayEvict(e) {
-			candidates = append(candidates, uint32(i))
+			evictable = append(evictable, uint32(i))
 		}
 	}
-	slices.SortFunc(candidates, func(a, b uint32) int { return t.compareForEviction(now, t.entryAt(a), t.entryAt(b)) })
-	for _, i := range candidates[:min(len(candidates), max(1, t.settings.MaxEntries/64))] {
+	slices.SortFunc(evictable, func(a, b uint32) int {
+		return t.compareForEviction(now, t.entryAt(a),
+			t.entryAt(b))
+	})
+	for _, i := range evictable[:min(len(evictable), max(1, t.settings.MaxEntries/64))] {
 		e := t.entryAt(i)
 		t.announceEnd(e, e.generation)
 		t.stats.Evicted++
@@ -513,12 +516,12 @@
 	if p := t.proposals[i]; p != nil && now-p.proposedAt < 4*t.settings.Lag {
 		return
 	}
-	prop := &proposal{proposedAt: now, agreed: 1 << rank}
-	t.proposals[i] = prop
-	rec := putGeneration(appendKey([]byte{recEndProposal}, e.key), e.generation)
+	proposal := &pendingEnd{proposedAt: now, agreed: 1 << rank}
+	t.proposals[i] = proposal
+	rec := appendGeneration(appendKey([]byte{recEndProposal}, e.key), e.generation)
 	for j, s := range e.replicas[:e.replicaCount()] {
 		if j != rank && t.reachable(t.peers[s]) {
-			prop.asked |= 1 << j
+			proposal.asked |= 1 << j
 			t.enqueue(t.peers[s], rec)
 		}
 	}
@@ -536,30 +539,32 @@
 		}
 		t.agreedEnds[i] = now
 	}
-	t.enqueue(p, putGeneration(appendKey([]byte{recEndAgreement}, k), id))
+	t.enqueue(p, appendGeneration(appendKey([]byte{recEndAgreement}, k), id))
 }
 
 // handleEndAgreement counts an agreement. The last one needed ends the entry.
 func (t *Table) handleEndAgreement(now time.Duration, p *peer, k Key, id generationID) {
 	i, e := t.find(k)
-	prop := t.proposals[i]
-	if e == nil || e.state == stateTombstone || e.generation != id || prop == nil || now-prop.proposedAt > 3*t.settings.Lag {
+	proposal := t.proposals[i]
+	if e == nil || e.state == stateTombstone || e.generation != id || proposal == nil ||
+		now-proposal.proposedAt > 3*t.settings.Lag {
 		return
 	}
 	if now-e.lastActivity <= t.timeout(e.class, e.state)+t.settings.Lag {
 		delete(t.proposals, i) // there was activity after the proposal
 		return
 	}
-	missing := false
+	missingAgreement := false
 	for j, s := range e.replicas[:e.replicaCount()] {
 		switch {
 		case t.peers[s] == p:
-			prop.agreed |= 1 << j
-		case t.reachable(t.peers[s]) && prop.agreed&(1<<j) == 0:
-			missing = true
+			proposal.agreed |= 1 << j
+		case t.reachable(t.peers[s]) && proposal.agreed&(1<<j) == 0:
+			missingAgreement = true
 		}
 	}
-	if missing || prop.asked&^prop.agreed != 0 || onesCount(prop.agreed) < majority(e.replicaCount()) {
+	if missingAgreement || proposal.asked&^proposal.agreed != 0 ||
+		onesCount(proposal.agreed) < majority(e.replicaCount()) {
 		return
 	}
 	t.stats.Expired++
@@ -569,7 +574,7 @@
 
 // announceEnd sends the end of an entry to its other replicas.
 func (t *Table) announceEnd(e *entry, id generationID) {
-	rec := putGeneration(appendKey([]byte{recEnd}, e.key), id)
+	rec := appendGeneration(appendKey([]byte{recEnd}, e.key), id)
 	for _, s := range e.replicas[:e.replicaCount()] {
 		if int(s) != t.selfIndex {
 			t.enqueue(t.peers[s], rec)
@@ -593,9 +598,11 @@
 // queryPrepared asks the owner of an entry that has been Prepared for longer than an Open
 // can take whether the call was admitted or withdrawn.
 func (t *Table) queryPrepared(now time.Duration, e *entry) {
-	owner := t.byID[e.generation.ownerID]
-	if now-e.lastActivity < 4*t.settings.Lag || owner == nil || owner.Incarnation != e.generation.ownerIncarnation || !t.reachable(owner) {
+	owner := t.byNameHash[e.generation.ownerID]
+	if now-e.lastActivity < 4*t.settings.Lag || owner == nil ||
+		owner.Incarnation != e.generation.ownerIncarnation || !t.reachable(owner) {
 		return
 	}
-	t.enqueue(owner, binary.BigEndian.AppendUint64(appendKey([]byte{recQueryPrepared}, e.key), e.generation.number))
+	t.enqueue(owner, binary.BigEndian.AppendUint64(appendKey([]byte{recQueryPrepared}, e.key),
+		e.generation.number))
 }
--- a/fleet/track/sync.go
+++ b/fleet/track/sync.go
@@ -74,7 +74,8 @@
 }
 
 func (t *Table) handlePrepare(now time.Duration, p *peer, r *reader) {
-	e := entryRecord{key: r.key(), generation: generationID{r.u64(), p.nameHash, p.Incarnation}, state: Prepared}
+	e := entryRecord{key: r.key(), generation: generationID{r.u64(), p.nameHash, p.Incarnation},
+		state: Prepared}
 	e.class, e.target = r.u8(), r.text()
 	if !t.validateEntry(r, &e) {
 		return
@@ -82,7 +83,8 @@
 	// The sender may admit the call at any time until its Open times out, so the activity
 	// has yet to come and idle starts at zero. age already includes Lag.
 	e.idle = 0
-	v := vote{key: e.key, requested: e.generation.number, decision: voteNo, reason: Recovering, retryAfter: t.settings.AskWithin}
+	v := vote{key: e.key, requested: e.generation.number, decision: voteNo, reason: Recovering,
+		retryAfter: t.settings.AskWithin}
 	if p.sameEpoch {
 		v = t.prepare(now, &e)
 	}
@@ -126,7 +128,7 @@
 	switch {
 	case result == mergeBuried:
 		_, buried := t.find(e.key)
-		t.enqueue(p, putGeneration(appendKey([]byte{recEnd}, e.key), buried.generation))
+		t.enqueue(p, appendGeneration(appendKey([]byte{recEnd}, e.key), buried.generation))
 		if e.wantAck {
 			t.enqueue(p, appendAck(e, bitCallDropped))
 		}
@@ -142,7 +144,7 @@
 const bitCallDropped = 1
 
 func appendAck(e *entryRecord, flags byte) []byte {
-	b := putGeneration(appendKey([]byte{recAck}, e.key), e.generation)
+	b := appendGeneration(appendKey([]byte{recAck}, e.key), e.generation)
 	return append(binary.BigEndian.AppendUint16(b, e.round), flags)
 }
 
@@ -224,7 +226,8 @@
 	for _, s := range e.replicas[:e.replicaCount()] {
 		p := t.peers[s]
 		if p.listedRanges&(1<<e.key.rangeIndex()) != 0 && int(s) != t.selfIndex && t.replicaIndex(e) >= 0 {
-			t.enqueue(p, append(putGeneration(appendKey([]byte{recEntrySummary}, e.key), e.generation), digestState(e)))
+			t.enqueue(p, append(appendGeneration(appendKey([]byte{recEntrySummary}, e.key), e.generation),
+				digestState(e)))
 		}
 	}
 }
@@ -243,7 +246,7 @@
 	}
 	switch {
 	case e != nil && e.state == stateTombstone && c >= 0:
-		t.enqueue(p, putGeneration(appendKey([]byte{recEnd}, k), e.generation))
+		t.enqueue(p, appendGeneration(appendKey([]byte{recEnd}, k), e.generation))
 	case c > 0 && e.state > Prepared:
 		t.sendEntry(now, p, e)
 	case c < 0, c == 0 && digestState(e) != state:
--- a/fleet/track/table.go
+++ b/fleet/track/table.go
@@ -16,15 +16,15 @@
 	Member
 	nameHash uint64
 
-	lastStamp    uint64 // the latest timestamp received from it
-	lastStampAt  time.Duration
-	hasStamp     bool // lastStamp is set
-	lastReceived time.Duration
-	hasReceived  bool // lastReceived is set
-	lastPing     time.Duration
-	pending      []byte
-	replyDue     bool // send a message even without records, for its timestamp
-	sameEpoch    bool // the message being handled has this member's epoch
+	lastStamp        uint64 // the latest timestamp received from it
+	lastStampAt      time.Duration
+	hasStamp         bool // lastStamp is set
+	lastReceived     time.Duration
+	hasReceived      bool // lastReceived is set
+	replyRequestedAt time.Duration
+	outBuffer        []byte
+	replyDue         bool // send a message even without records, for its timestamp
+	sameEpoch        bool // the message being handled has this member's epoch
 
 	digests          [rangeCount]uint64 // of the live entries that both replicate, by range
 	listedRanges     uint64             // ranges whose entries this sweep pass summarizes for the peer
@@ -49,7 +49,7 @@
 	rosterAt     time.Duration
 	candidates   []candidate // members eligible as replicas, sorted by name hash
 	peers        []*peer     // in the order of candidates, then those that have left the roster
-	byID         map[uint64]*peer
+	byNameHash   map[uint64]*peer
 	selfIndex    int // index of this member in candidates, or -1
 	recovery     recoveryState
 	logicalClock uint64 // the highest generation number issued or received
@@ -63,7 +63,7 @@
 	targets         targetTable
 	shadowed        map[Key]tombstone        // tombstones replaced by a Prepared entry of the same key
 	agreedEnds      map[uint32]time.Duration // when this replica agreed to an end, by slot
-	proposals       map[uint32]*proposal
+	proposals       map[uint32]*pendingEnd
 	sweepStart      time.Duration
 	sweepCursor     int
 	sweepNextExpiry time.Duration // least time until a keyed entry expires, in the current sweep pass
@@ -107,8 +107,8 @@
 	}
 	t := &Table{
 		settings: set, selfID: hashName(set.Self), selfIndex: -1,
-		byID: map[uint64]*peer{}, index: map[Key]uint32{}, shadowed: map[Key]tombstone{},
-		agreedEnds: map[uint32]time.Duration{}, proposals: map[uint32]*proposal{},
+		byNameHash: map[uint64]*peer{}, index: map[Key]uint32{}, shadowed: map[Key]tombstone{},
+		agreedEnds: map[uint32]time.Duration{}, proposals: map[uint32]*pendingEnd{},
 		pendingOpens: map[Key]*pendingOpen{}, calls: map[Key]*call{},
 		quorumSize: majority,
 	}
@@ -121,9 +121,9 @@
 	return t, nil
 }
 
-func setDefault[T int | time.Duration](v *T, fallback T) {
-	if *v == 0 {
-		*v = fallback
+func setDefault[T int | time.Duration](value *T, fallback T) {
+	if *value == 0 {
+		*value = fallback
 	}
 }
 
@@ -155,9 +155,11 @@
 	}
 	for i, c := range s.Classes {
 		if c.Keyed && (c.MaxCallTime <= 0 || c.DedupWindow <= 0 || c.MaxCallTime+c.DedupWindow > 24*time.Hour) {
-			return fmt.Errorf("track: settings: class %d: MaxCallTime %v, DedupWindow %v", i, c.MaxCallTime, c.DedupWindow)
+			return fmt.Errorf("track: settings: class %d: MaxCallTime %v, DedupWindow %v", i,
+				c.MaxCallTime, c.DedupWindow)
 		}
-		if !c.Keyed && (c.ClosedRetention <= 0 || c.IdleTimeout < 2*s.TouchEvery || c.IdleTimeout+c.ClosedRetention > 24*time.Hour) {
+		if !c.Keyed && (c.ClosedRetention <= 0 || c.IdleTimeout < 2*s.TouchEvery ||
+			c.IdleTimeout+c.ClosedRetention > 24*time.Hour) {
 			return fmt.Errorf("track: settings: class %d: IdleTimeout %v is under two TouchEvery of %v, "+
 				"or ClosedRetention %v", i, c.IdleTimeout, s.TouchEvery, c.ClosedRetention)
 		}
@@ -266,10 +268,10 @@
 // updatePeer applies a roster's data on one member.
 func (t *Table) updatePeer(now time.Duration, m Member) {
 	id := hashName(m.Name)
-	p := t.byID[id]
+	p := t.byNameHash[id]
 	if p == nil {
 		p = &peer{Member: m, nameHash: id, compareAll: true, nextSync: now}
-		t.byID[id] = p
+		t.byNameHash[id] = p
 	}
 	if m.Incarnation > p.Incarnation {
 		p.hasStamp, p.hasReceived, p.compareAll = false, false, true
@@ -292,16 +294,16 @@
 		if s.nameHash == t.selfID {
 			t.selfIndex = i
 		}
-		t.peers = append(t.peers, t.byID[s.nameHash])
-		keep[s.nameHash] = t.byID[s.nameHash]
+		t.peers = append(t.peers, t.byNameHash[s.nameHash])
+		keep[s.nameHash] = t.byNameHash[s.nameHash]
 	}
 	for _, s := range candidatesOf(roster.Previous) {
 		if keep[s.nameHash] == nil {
-			t.peers = append(t.peers, t.byID[s.nameHash])
-			keep[s.nameHash] = t.byID[s.nameHash]
+			t.peers = append(t.peers, t.byNameHash[s.nameHash])
+			keep[s.nameHash] = t.byNameHash[s.nameHash]
 		}
 	}
-	t.byID = keep
+	t.byNameHash = keep
 	for _, p := range t.peers {
 		p.digests = [rangeCount]uint64{}
 		p.listedRanges, p.nextListedRanges, p.compareAll = 0, 0, true
@@ -336,7 +338,7 @@
 	t.withdrawn = withdrawnSet{}
 	for _, p := range t.peers {
 		p.digests = [rangeCount]uint64{}
-		p.hasStamp, p.hasReceived, p.compareAll, p.pending = false, false, true, nil
+		p.hasStamp, p.hasReceived, p.compareAll, p.outBuffer = false, false, true, nil
 	}
 	t.outbox = nil
 }
@@ -351,7 +353,7 @@
 // last call. Messages carry the time of the last event, so send them immediately.
 func (t *Table) Output() ([]OutMessage, []Answer) {
 	for _, p := range t.peers {
-		if len(p.pending) > 0 || p.replyDue {
+		if len(p.outBuffer) > 0 || p.replyDue {
 			t.flush(p)
 		}
 	}
@@ -362,14 +364,15 @@
 
 // enqueue adds a record to the next message to p.
 func (t *Table) enqueue(p *peer, rec []byte) {
-	if len(p.pending)+len(rec) > MaxMessage-headerSize {
+	if len(p.outBuffer)+len(rec) > MaxMessage-headerSize {
 		t.flush(p)
 	}
-	p.pending = append(p.pending, rec...)
+	p.outBuffer = append(p.outBuffer, rec...)
 }
 
 func (t *Table) flush(p *peer) {
-	h := header{senderHash: t.selfID, senderIncarnation: t.incarnation, receiverIncarnation: p.Incarnation, epoch: t.epoch,
+	h := header{senderHash: t.selfID, senderIncarnation: t.incarnation,
+		receiverIncarnation: p.Incarnation, epoch: t.epoch,
 		timestamp: uint64(t.now), logicalClock: t.logicalClock}
 	if p.hasStamp {
 		h.flags |= flagEcho
@@ -378,9 +381,9 @@
 	if !p.hasStamp {
 		h.flags |= flagReplyWanted
 	}
-	msg := appendHeader(make([]byte, 0, headerSize+len(p.pending)), &h)
-	t.outbox = append(t.outbox, OutMessage{p.Name, append(msg, p.pending...)})
-	p.pending, p.replyDue = p.pending[:0], false
+	msg := appendHeader(make([]byte, 0, headerSize+len(p.outBuffer)), &h)
+	t.outbox = append(t.outbox, OutMessage{p.Name, append(msg, p.outBuffer...)})
+	p.outBuffer, p.replyDue = p.outBuffer[:0], false
 	t.stats.Sent++
 }
 
@@ -412,7 +415,7 @@
 		return nil, nil
 	}
 	h := r.header()
-	p := t.byID[h.senderHash]
+	p := t.byNameHash[h.senderHash]
 	switch {
 	case p == nil || p.Name != from || h.senderHash == t.selfID || h.senderIncarnation > p.Incarnation:
 		t.stats.UnknownSender++
@@ -457,10 +460,10 @@
 
 // requestReply schedules a message to p, so that p has a fresh timestamp to echo.
 func (t *Table) requestReply(now time.Duration, p *peer) {
-	if p.lastPing != 0 && now-p.lastPing < t.settings.Lag/8 {
+	if p.replyRequestedAt != 0 && now-p.replyRequestedAt < t.settings.Lag/8 {
 		return
 	}
-	p.lastPing = now
+	p.replyRequestedAt = now
 	p.replyDue = true
 }
 
@@ -514,7 +517,8 @@
 		}
 		f(Info{Key: e.key, Generation: e.generation.number, Class: int(e.class), State: e.state,
 			Target: t.targets.uses[e.target].name, Idle: t.now - e.lastActivity,
-			Replica: t.replicaIndex(e) >= 0, ownerID: e.generation.ownerID, incarnation: e.generation.ownerIncarnation})
+			Replica: t.replicaIndex(e) >= 0, ownerID: e.generation.ownerID,
+			incarnation: e.generation.ownerIncarnation})
 	}
 }
 
--- a/fleet/track/wire.go
+++ b/fleet/track/wire.go
@@ -30,8 +30,10 @@
 	senderIncarnation, receiverIncarnation uint32
 	epoch                                  uint64
 	timestamp                              uint64 // by the sender's clock, ns
-	echoedTimestamp, echoHoldTime          uint64 // receiver's latest timestamp as seen by the sender, and time since its arrival, ns
-	logicalClock                           uint64 // sender's logical clock (Lamport, CACM 1978), not below any generation it knows
+	// The receiver's latest timestamp as seen by the sender, and the time since its arrival, in ns.
+	echoedTimestamp, echoHoldTime uint64
+	// The sender's logical clock (Lamport, CACM 1978), not below any generation it knows.
+	logicalClock uint64
 }
 
 // Record kinds.
@@ -109,7 +111,7 @@
 	return binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(b, k.hi), k.lo)
 }
 
-func putGeneration(b []byte, id generationID) []byte {
+func appendGeneration(b []byte, id generationID) []byte {
 	b = binary.BigEndian.AppendUint64(b, id.number)
 	b = binary.BigEndian.AppendUint64(b, id.ownerID)
 	return binary.BigEndian.AppendUint32(b, id.ownerIncarnation)
@@ -125,7 +127,7 @@
 func appendString(b []byte, s string) []byte { return append(append(b, byte(len(s))), s...) }
 
 func appendEntry(b []byte, r *entryRecord) []byte {
-	b = putGeneration(appendKey(append(b, recEntry), r.key), r.generation)
+	b = appendGeneration(appendKey(append(b, recEntry), r.key), r.generation)
 	flags := byte(0)
 	if r.retried {
 		flags |= bitRetried
@@ -141,7 +143,7 @@
 func appendVote(b []byte, v *vote) []byte {
 	b = binary.BigEndian.AppendUint64(appendKey(append(b, recVote), v.key), v.requested)
 	b = appendDuration(append(b, v.decision, byte(v.reason)), v.retryAfter)
-	b = appendString(putGeneration(b, v.existing), v.target)
+	b = appendString(appendGeneration(b, v.existing), v.target)
 	b = append(b, byte(v.replicaCount))
 	for _, inc := range v.incarnations[:v.replicaCount] {
 		b = binary.BigEndian.AppendUint32(b, inc)
@@ -200,7 +202,8 @@
 func (r *reader) header() (h header) {
 	h.flags = r.u8()
 	h.senderHash, h.senderIncarnation, h.receiverIncarnation = r.u64(), r.u32(), r.u32()
-	h.epoch, h.timestamp, h.echoedTimestamp, h.echoHoldTime, h.logicalClock = r.u64(), r.u64(), r.u64(), r.u64(), r.u64()
+	h.epoch, h.timestamp, h.echoedTimestamp, h.echoHoldTime, h.logicalClock = r.u64(), r.u64(), r.u64(),
+		r.u64(), r.u64()
 	return h
 }
 
