--- a/logic/admission_test.go
+++ b/logic/admission_test.go
@@ -1,4 +1,4 @@
-// The concurrency limit.
+// Tests of the concurrency limit.
 
 package logic
 
@@ -9,12 +9,12 @@
 	"time"
 )
 
-// Guards against queues that make every answer late: late answers shrink the
-// limit, and what is worth least is refused first.
+// Prevents queues that make every answer late: late answers lower the limit, and the least valuable
+// requests are refused first.
 func TestLimitRefusesLeastValuableFirst(t *testing.T) {
 	refused := func(class int) int {
 		b, f := startBalancer(testSettings(), zoneEntries("b", 4)...)
-		b.setLimit(2) // for each of four
+		b.setLimit(2) // calls for each of four backends
 		for i := range b.classes {
 			b.classes[i].observeBudget(2000*ms, false)
 		}
@@ -23,14 +23,14 @@
 		}
 		for id := range f.answers {
 			if got := f.onlyAnswer(t, id); !got.refused || got.retryAfter <= 0 {
-				t.Errorf("turned away with %+v, want a refusal with a come-back time", got)
+				t.Errorf("answered with %+v, want a refusal with a retry-after time", got)
 			}
 		}
 		return len(f.answers)
 	}
 	high, low := refused(idempotent), refused(deduplicated)
 	if high != 1 || low <= high {
-		t.Errorf("refused %d of the most and %d of the least worthwhile, want 1 and more", high, low)
+		t.Errorf("refused %d of the most and %d of the least valuable requests, want 1 and more", high, low)
 	}
 }
 
@@ -56,14 +56,13 @@
 	}
 }
 
-// Guards against work turned away where latencies are long without any queue, and
-// against a target that follows a queue without end.
+// Prevents refusals where latencies are long without a queue, and a target that follows a growing queue.
 func TestLimitWithoutQueueing(t *testing.T) {
 	finalMultiplier := func(latency func(i int) time.Duration) float64 {
 		b, _ := startBalancer(testSettings(), zoneEntries("b", 4)...)
 		for i := range 3000 {
 			id, now := fmt.Sprint("r", i), Time(i)*20*ms
-			for _, m := range b.listed { // in use all the time
+			for _, m := range b.listed { // keeps the limit in use
 				b.addInFlight(m, int(b.limit())+1-m.inFlight)
 			}
 			b.requests[id] = &request{Request: Request{ID: id, Class: idempotent}, deadline: now + 2000*ms,
@@ -80,18 +79,17 @@
 		return shareOfTarget(0.2 +
 			0.15*float64(i%3))
 	}); got < 1 {
-		t.Errorf("at rest the limit falls to %.2f of the first", got)
+		t.Errorf("without a queue the limit multiplier falls to %.2f", got)
 	}
-	// Quick at first, then a queue.
+	// Low latencies at first, then a queue.
 	if got := finalMultiplier(func(i int) time.Duration {
 		return shareOfTarget(0.05 + min(0.45, float64(i)/1000))
 	}); got > 1 {
-		t.Errorf("with a queue the limit grows to %.2f of the first", got)
+		t.Errorf("with a queue the limit multiplier grows to %.2f", got)
 	}
 }
 
-// Guards against a flood at the start: the first limit is shared by all
-// balancers, however many there are.
+// Prevents a flood at the start: all balancers together start with the same limit, whatever their number.
 func TestInitialLimitIsShared(t *testing.T) {
 	total := func(balancers int) float64 {
 		set := testSettings()
@@ -100,12 +98,12 @@
 		return b.limit() * float64(balancers)
 	}
 	if few, many := total(2), total(8); few != many || few == 0 {
-		t.Errorf("two balancers open with %v calls together, eight with %v", few, many)
+		t.Errorf("two balancers start with a total limit of %v, eight with %v", few, many)
 	}
 }
 
-// Guards against a limit learned with more backends: when half of them vanish,
-// or their successors start cold, the rest would get all the calls and tip.
+// Prevents a limit learned with more backends from staying in force: when half of them disappear, or new
+// ones in slow start replace them, the others would get all calls and be overloaded.
 func TestLimitShrinksWithTheFleet(t *testing.T) {
 	admitted := func(change func(b *Balancer)) int {
 		b, f := startBalancer(testSettings(), zoneEntries("b", 8)...)
@@ -129,8 +127,8 @@
 	}
 }
 
-// Guards against one balancer holding most of the calls in flight while others,
-// who suffer the same queues, are driven to the floor.
+// Prevents one balancer from holding most calls in flight while others, which see the same queues, fall
+// to the lower bound of the limit.
 func TestLimitDecreasesInProportion(t *testing.T) {
 	drop := func(limit float64) float64 {
 		b, _ := startBalancer(testSettings(), zoneEntries("b", 4)...)
@@ -141,12 +139,12 @@
 		return before - b.limit()
 	}
 	if small, large := drop(1), drop(4); large < 3.9*small || small <= 0 {
-		t.Errorf("gave back %v of a limit, %v of one four times as large", small, large)
+		t.Errorf("the limit decreased by %v, a limit four times as large by %v", small, large)
 	}
 }
 
-// meanInFlight plays many balancers, each with a few requests a second that
-// take 200 ms, and gives their summed mean of calls in flight and sum of limits.
+// meanInFlight simulates balancers that each get a few requests a second, each taking 200 ms. It returns
+// the sums over the balancers of their mean calls in flight and of their limits.
 func meanInFlight(balancers, backends int, perSecond float64) (mean, limit float64) {
 	const seconds, latency = 60, 200 * ms
 	for n := range balancers {
@@ -161,7 +159,7 @@
 			now += time.Duration(rng.ExpFloat64() / perSecond * 1000 * float64(ms))
 			for len(out) > 0 && out[0] <= now {
 				id := fmt.Sprint("r", int64(out[0]))
-				// On the target: the limit stays where it is.
+				// Exactly on target, so that the limit does not change.
 				onTarget := time.Duration(maxLatencyRatioTarget *
 					float64(set.Classes[deduplicated].TargetLatency))
 				b.AttemptDone(out[0], Outcome{Request: id, Result: OK, Latency: onTarget, Final: true})
@@ -181,25 +179,27 @@
 	return mean, limit
 }
 
-// Guards against a limit around one call or less, as each of hundreds of
-// balancers has, that refuses by chance what the fleet has room for, or, rounded
-// up to one call each, lets in more than the fleet can do.
+// With hundreds of balancers each one's limit is about one call or less. Prevents refusals by chance
+// while there is capacity, and, if each limit were rounded up to one call, more calls than the backends
+// can execute.
 func TestManyBalancersKeepTheLimitInSum(t *testing.T) {
 	for _, balancers := range []int{1, 20, 300} {
-		limit := initialLimitPerBackend * 15 / float64(balancers) // of one, in calls
+		limit := initialLimitPerBackend * 15 / float64(balancers) // of each balancer, in calls
 		mean, sum := meanInFlight(balancers, 15, 4*limit/0.2)
 		if mean < 0.7*sum || mean > 1.15*sum {
-			t.Errorf("%d balancers with four times the work for %.0f calls hold %.0f", balancers, sum, mean)
+			t.Errorf("%d balancers with four times the load for a limit of %.0f calls have a mean of %.0f in flight",
+				balancers, sum, mean)
 		}
 		mean, sum = meanInFlight(balancers, 15, 0.4*limit/0.2)
 		if mean < 0.38*sum || mean > 0.42*sum {
-			t.Errorf("%d balancers with 0.4 of the work for %.0f calls hold %.0f", balancers, sum, mean)
+			t.Errorf("%d balancers with 0.4 of the load for a limit of %.0f calls have a mean of %.0f in flight",
+				balancers, sum, mean)
 		}
 	}
 }
 
-// Errors that come late are the time-outs of a tier below: where it chokes, the limit comes
-// down. Guards against a front that keeps a choked tier choked, since it hears of no latency.
+// Late errors are the timeouts of a lower tier: where it is overloaded, the limit decreases. Prevents a
+// first tier that sees no latencies from keeping the lower tier overloaded.
 func TestLateErrorsLowerTheLimit(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -211,7 +211,7 @@
 		for i := range 40 {
 			id, now := fmt.Sprint("r", i), Time(i)*100*ms
 			b.StartRequest(now, Request{ID: id, Class: nonIdempotent, Budget: 2000 * ms})
-			if i < 14 { // they keep the limit in use
+			if i < 14 { // these keep the limit in use
 				continue
 			}
 			b.setAttemptTimeout(nonIdempotent, 700*ms)
@@ -223,18 +223,19 @@
 	}
 }
 
-// Guards against the class of least worth that alone pays where the limit is short, and is the worst
-// served: where none is to be worse off, all classes are let in alike.
+// Prevents the least valuable class from bearing all refusals and being served worst: with EqualClasses,
+// all classes are admitted alike.
 func TestEqualClasses(t *testing.T) {
 	for _, equal := range []bool{false, true} {
 		set := unevenSettings()
-		set.UnevenTraffic, set.EqualClasses = false, equal // the limit is set below, not by traffic
+		// The test sets the limit instead of deriving it from traffic.
+		set.UnevenTraffic, set.EqualClasses = false, equal
 		b, f := startBalancer(set, zoneEntries("b", 10)...)
 		b.setAttemptTimeout(idempotent, 700*ms)
-		b.setAttemptTimeout(deduplicated, 700*ms) // a tenth of the worth
+		b.setAttemptTimeout(deduplicated, 700*ms) // a tenth of the value
 		var sent [2]int
 		for i := range 2000 {
-			now := Time(i) * ms                   // far more than fits, held for 100 ms
+			now := Time(i) * ms                   // far more than the limit admits; each call takes 100 ms
 			b.limitMultiplier, b.baseLimit = 1, 1 // ten calls
 			class := i % 2
 			before := len(f.sends)
@@ -247,7 +248,8 @@
 			}
 		}
 		if nearlyEqual := float64(sent[1]) > 0.8*float64(sent[0]); nearlyEqual != equal {
-			t.Errorf("even classes %t: %d of the worthiest sent, %d of the least", equal, sent[0], sent[1])
+			t.Errorf("EqualClasses %t: %d of the most valuable class sent, %d of the least", equal, sent[0],
+				sent[1])
 		}
 	}
 }
--- a/logic/attempt_timeout_test.go
+++ b/logic/attempt_timeout_test.go
@@ -1,4 +1,4 @@
-// The time that an attempt may take.
+// Tests of the attempt timeout.
 
 package logic
 
@@ -12,37 +12,38 @@
 	c := class{Class: Class{Deadline: 1000 * ms}}
 	c.observeBudget(400*ms, false)
 	if c.attemptTimeout != float64(400*ms)*initialAttemptTimeoutShare {
-		t.Errorf("first allowance %v", time.Duration(c.attemptTimeout))
+		t.Errorf("initial attempt timeout %v", time.Duration(c.attemptTimeout))
 	}
 	for i := range 20000 { // latencies spread evenly over 0 to 100 ms
 		c.observeLatency(float64(i*37%100) * float64(ms))
 	}
 	if c.attemptTimeout < float64(85*ms) || c.attemptTimeout > float64(130*ms) {
-		t.Errorf("allowance %v, want near the high percentile of 98 ms", time.Duration(c.attemptTimeout))
+		t.Errorf("attempt timeout %v, want near the high percentile of 98 ms",
+			time.Duration(c.attemptTimeout))
 	}
 	c.usualBudget = float64(1000 * ms)
-	for range 20 { // time-outs count at the allowance, and raise it
+	for range 20 { // timeouts count as the attempt timeout and raise it
 		c.observeLatency(c.attemptTimeout)
 	}
 	if c.attemptTimeout < float64(300*ms) {
-		t.Errorf("allowance %v did not follow the time-outs", time.Duration(c.attemptTimeout))
+		t.Errorf("attempt timeout %v did not follow the timeouts", time.Duration(c.attemptTimeout))
 	}
-	for range 100 { // but not past what usual budgets can hold
+	for range 100 { // but not above what usual time budgets can hold
 		c.observeLatency(c.attemptTimeout)
 	}
 	if c.attemptTimeout != maxAttemptTimeoutShare*c.usualBudget {
-		t.Errorf("allowance %v, want its ceiling", time.Duration(c.attemptTimeout))
+		t.Errorf("attempt timeout %v, want its ceiling", time.Duration(c.attemptTimeout))
 	}
 	for range 100000 {
 		c.observeLatency(0)
 	}
 	if c.attemptTimeout != minAttemptTimeoutShare*float64(c.Deadline) {
-		t.Errorf("allowance %v, want its floor", time.Duration(c.attemptTimeout))
+		t.Errorf("attempt timeout %v, want its floor", time.Duration(c.attemptTimeout))
 	}
 }
 
-// Guards against a spiral: the tier below refuses what runs late, and an
-// allowance that learns from quick answers alone shrinks with each refusal.
+// Prevents a spiral: the lower tier refuses calls that run late, and an attempt timeout that learns only
+// from quick answers shrinks with each refusal.
 func TestLateErrorRaisesAttemptTimeout(t *testing.T) {
 	for _, c := range []struct {
 		latency time.Duration
@@ -58,10 +59,9 @@
 	}
 }
 
-// A balancer that sees a few calls a second learns of the end of a slow spell within
-// some tens of them. Guards against an allowance that comes down by a thousandth with
-// each: for minutes it fits no call's time, and calls that take a tenth of it are turned
-// away unsent.
+// A balancer with a few calls a second adapts to the end of a slow period within some tens of calls.
+// Without this the attempt timeout comes down by a thousandth with each call: for minutes it would exceed
+// every call's time left, and calls that take a tenth of it would be refused unsent.
 func TestAttemptTimeoutRecoversAtLowTraffic(t *testing.T) {
 	const usual, slow, budget = 100 * ms, 900 * ms, 3000 * ms
 	c := class{Class: Class{Deadline: 3000 * ms}}
@@ -71,23 +71,23 @@
 	}
 	for range 15 {
 		c.observeLatency(float64(slow))
-		c.observeLatency(c.attemptTimeout) // one that timed out
+		c.observeLatency(c.attemptTimeout) // an attempt that timed out
 	}
 	if c.attemptTimeout < float64(slow) {
-		t.Fatalf("allowance %v did not follow the slow spell", time.Duration(c.attemptTimeout))
+		t.Fatalf("attempt timeout %v did not follow the slow period", time.Duration(c.attemptTimeout))
 	}
 	for i := range 60 {
 		c.observeLatency(float64(usual) * (0.5 + float64(i%11)/10))
 	}
 	if c.attemptTimeout > initialAttemptTimeoutShare*float64(budget) { // two attempts fit
-		t.Errorf("60 calls after the spell the allowance is %v", time.Duration(c.attemptTimeout))
+		t.Errorf("60 calls after the slow period the attempt timeout is %v", time.Duration(c.attemptTimeout))
 	}
-	if c.attemptTimeout < float64(3*usual) { // nor does it sink to where usual calls time out
-		t.Errorf("allowance %v", time.Duration(c.attemptTimeout))
+	if c.attemptTimeout < float64(3*usual) { // nor does it fall so low that usual calls time out
+		t.Errorf("attempt timeout %v", time.Duration(c.attemptTimeout))
 	}
 }
 
-// Guards against an allowance grown past every budget: it must come down again.
+// Prevents an attempt timeout that has grown beyond every time budget from staying there.
 func TestExcessiveAttemptTimeoutRecovers(t *testing.T) {
 	b, f := startBalancer(testSettings(), entry("b", 1))
 	b.setAttemptTimeout(idempotent, 1900*ms)
@@ -97,13 +97,13 @@
 			return
 		}
 	}
-	t.Error("nothing was ever sent again")
+	t.Error("no request was ever sent again")
 }
 
-// Calls of a lower tier come with what is left of their requests' time: most with the time
-// of a first attempt above, some with that of a last one, which is far more. Guards against
-// the few that raise the allowance's ceiling past all others: after a slow spell these would
-// be turned away unsent for as long as a thin traffic takes to bring the allowance down.
+// Calls to a lower tier have the time left of their requests: most that of a first attempt in the tier
+// above, some the far longer time of a last attempt. Prevents these few from raising the ceiling of the
+// attempt timeout past all others: after a slow period the others would be refused unsent for as long as
+// a balancer with little traffic takes to lower the attempt timeout.
 func TestAttemptTimeoutCeilingWithMixedBudgets(t *testing.T) {
 	set := testSettings()
 	set.Tier = 1
@@ -118,23 +118,23 @@
 		now += 100 * ms
 		before := len(f.sends)
 		b.StartRequest(now, Request{ID: id, Class: idempotent, Budget: budget})
-		if len(f.sends) > before { // all are late
+		if len(f.sends) > before { // all time out
 			b.AttemptDone(now, Outcome{Request: id, Result: TimedOut, Latency: budget, Final: true})
 		}
 	}
 	before := len(f.sends)
 	b.StartRequest(now, Request{ID: "after", Class: idempotent, Budget: usual})
 	if len(f.sends) == before {
-		t.Errorf("turned away: an allowance of %v in %v",
+		t.Errorf("refused: an attempt timeout of %v, a time budget of %v",
 			time.Duration(b.classes[idempotent].attemptTimeout), usual)
 	}
 	if a := b.classes[idempotent].attemptTimeout; a < float64(usual)/2 {
-		t.Errorf("allowance %v: late ones don't count", time.Duration(a))
+		t.Errorf("attempt timeout %v: timeouts don't count", time.Duration(a))
 	}
 }
 
-// Guards against allowances that start so short that each of many balancers must
-// learn by a dozen time-outs. Two attempts and a backoff must fit all the same.
+// Prevents initial attempt timeouts so short that each of many balancers first has to see a dozen
+// timeouts. Two attempts and a backoff must still fit.
 func TestInitialAttemptTimeout(t *testing.T) {
 	b, f := startBalancer(testSettings(), zoneEntries("b", 4)...)
 	b.retryTokens = 1
@@ -149,8 +149,8 @@
 	}
 }
 
-// Guards against a mean latency that starts at the first allowance: with a few
-// requests a second it comes down in minutes, and until then all look fast.
+// Prevents a mean latency that starts at the initial attempt timeout: with a few requests a second it
+// would take minutes to come down, and until then all backends would look fast.
 func TestMeanLatencyStartsFromAnswers(t *testing.T) {
 	b, _ := startBalancer(testSettings(), zoneEntries("b", 4)...)
 	for i := range 3 {
--- a/logic/balancer_test.go
+++ b/logic/balancer_test.go
@@ -1,4 +1,4 @@
-// The life of a request, and its end.
+// Tests of the life of a request and its end.
 
 package logic
 
@@ -19,17 +19,16 @@
 	b.TimerFired(20*ms, token)
 	b.AttemptDone(30*ms, Outcome{Request: "r", Result: OK})
 	b.ClientGone(35*ms, "r")
-	b.ClientGone(35*ms, "never heard of")
+	b.ClientGone(35*ms, "unknown")
 	if len(f.sends) != 1 || len(f.answers) != 0 {
-		t.Errorf("after the client left: %d sends, answers %v", len(f.sends), f.answers)
+		t.Errorf("after the client disconnected: %d sends, answers %v", len(f.sends), f.answers)
 	}
 	if len(b.requests)+len(b.backoffTimers) != 0 {
-		t.Error("an ended request is still held")
+		t.Error("an ended request is still kept")
 	}
 }
 
-// A balancer that ends gives each request its answer, once: guards against requests that
-// are lost with it.
+// A balancer that shuts down answers each request once. Prevents requests from being lost with it.
 func TestAbandonAnswersOpenRequests(t *testing.T) {
 	for _, c := range []struct {
 		class   int
@@ -39,13 +38,13 @@
 		b.StartRequest(0, Request{ID: "r", Class: c.class, Budget: 2000 * ms})
 		b.AbandonRequest("r")
 		b.AbandonRequest("r")
-		b.AbandonRequest("never heard of")
+		b.AbandonRequest("unknown")
 		if got := f.answers["r"]; len(got) != 1 || got[0].refused != c.refused {
 			t.Errorf("class %d: answers %v", c.class, got)
 		}
 		b.AttemptDone(10*ms, Outcome{Request: "r", Result: Cancelled})
 		if len(b.requests) != 0 || len(f.answers) != 1 || len(f.sends) != 1 {
-			t.Errorf("class %d: held %d, answers %v, sends %v", c.class, len(b.requests), f.answers, f.sends)
+			t.Errorf("class %d: kept %d, answers %v, sends %v", c.class, len(b.requests), f.answers, f.sends)
 		}
 	}
 }
@@ -55,25 +54,25 @@
 	b.StartRequest(0, Request{ID: "r", Class: nonIdempotent, Budget: 2000 * ms})
 	b.ClientGone(10*ms, "r")
 	if m := b.backends["b1"]; m.inFlight != 1 {
-		t.Errorf("%d in flight, want 1: the attempt is still out", m.inFlight)
+		t.Errorf("%d in flight, want 1: the attempt is still outstanding", m.inFlight)
 	}
 	b.AttemptDone(20*ms, Outcome{Request: "r", Result: Cancelled})
-	b.AttemptDone(20*ms, Outcome{Request: "r", Result: Cancelled}) // repeated: ignored
+	b.AttemptDone(20*ms, Outcome{Request: "r", Result: Cancelled}) // duplicate: ignored
 	if n := b.backends["b1"].inFlight; n != 0 || len(b.requests) != 0 || len(f.answers) != 0 {
-		t.Errorf("in flight %d, held %d, answers %v", n, len(b.requests), f.answers)
+		t.Errorf("in flight %d, kept %d, answers %v", n, len(b.requests), f.answers)
 	}
 }
 
-// What was decided is looked at again when the connection stands: guards against requests
-// that a slow dial takes to a backend after it was drained, and the like. An attempt that is
-// not written has not run, and says nothing against its backend.
+// The decision is checked again when the connection is established. Prevents requests from reaching a
+// backend after a drain because connecting took long. An attempt that was not written has not been
+// executed and does not count against its backend.
 func TestMaySendOnConnect(t *testing.T) {
 	drained, removed := entry("b", 1), entry("b", 1)
 	drained.State, removed.State = Draining, Removed
 	for _, c := range []struct {
 		name  string
 		class int
-		ran   bool // a first attempt may have run, at b1, just before
+		ran   bool // a first attempt at b1 may just have been executed
 		do    func(b *Balancer)
 		want  bool
 	}{
@@ -81,30 +80,31 @@
 		{"drained", idempotent, false, func(b *Balancer) {
 			b.UpdateList(100*ms, false, []Backend{drained})
 		}, false},
-		{"gone", idempotent, false, func(b *Balancer) {
+		{"removed", idempotent, false, func(b *Balancer) {
 			b.UpdateList(100*ms, false, []Backend{removed})
 		}, false},
-		{"not in a whole list", idempotent, false, func(b *Balancer) {
+		{"not in a full list", idempotent, false, func(b *Balancer) {
 			b.UpdateList(100*ms, true, nil)
 		}, false},
-		{"drained and back", idempotent, false, func(b *Balancer) {
+		{"drained and up again", idempotent, false, func(b *Balancer) {
 			b.UpdateList(100*ms, false, []Backend{drained})
 			b.UpdateList(110*ms, false, []Backend{entry("b", 1)})
 		}, true},
 		{"detached", idempotent, false, func(b *Balancer) { b.Detach("b1") }, false},
-		{"detached and attached, cold", idempotent, false, func(b *Balancer) {
+		{"detached and attached, in slow start", idempotent, false, func(b *Balancer) {
 			b.Detach("b1")
 			b.Attach(110*ms, "b1")
 		}, false},
 		{"the list is stale", idempotent, false, func(b *Balancer) {
 			b.SetListFreshness(ListFreshness{FreshUntil: 150 * ms})
 		}, false},
-		{"the client left", idempotent, false, func(b *Balancer) { b.ClientGone(100*ms, "r") }, false},
-		{"this balancer ends", idempotent, false, func(b *Balancer) { b.AbandonRequest("r") }, false},
-		{"a repeat in time", deduplicated, true, func(*Balancer) {}, true},
-		{"a repeat after the memory for it", deduplicated, true,
+		{"the client disconnected", idempotent, false, func(b *Balancer) { b.ClientGone(100*ms, "r") },
+			false},
+		{"this balancer shuts down", idempotent, false, func(b *Balancer) { b.AbandonRequest("r") }, false},
+		{"a retry within the deduplication window", deduplicated, true, func(*Balancer) {}, true},
+		{"a retry after the deduplication window", deduplicated, true,
 			func(b *Balancer) { b.classes[deduplicated].DedupWindow = 200 * ms }, false},
-		{"a safe repeat has no such end", idempotent, true,
+		{"an idempotent retry has no such window", idempotent, true,
 			func(b *Balancer) { b.classes[idempotent].DedupWindow = 200 * ms }, true},
 	} {
 		b, f := startBalancer(testSettings(), entry("b", 1))
@@ -121,7 +121,7 @@
 		failures := b.backends["b1"].failureShare
 		c.do(b)
 		if got := b.MaySendOnConnect(200*ms, "r"); got != c.want {
-			t.Errorf("%s: still to be sent %t, want %t", c.name, got, c.want)
+			t.Errorf("%s: may be sent: %t, want %t", c.name, got, c.want)
 		}
 		if c.want || len(f.answers["r"]) > 0 {
 			continue
@@ -130,28 +130,28 @@
 		if m := b.backends["b1"]; m != nil && m.failureShare > failures {
 			t.Errorf("%s: it counts against the backend", c.name)
 		}
-		if c.name == "the client left" {
+		if c.name == "the client disconnected" {
 			if len(b.requests) > 0 {
 				t.Errorf("%s: the request is kept", c.name)
 			}
 			continue
 		}
-		if len(f.answers["r"]) == 0 { // it waits for another choice
+		if len(f.answers["r"]) == 0 { // waiting for the backoff to choose again
 			token, wait := f.takeTimer(t)
 			b.TimerFired(200*ms+wait, token)
 		}
-		if strings.HasSuffix(c.name, "cold") { // the one that is back may be the choice
+		if strings.HasSuffix(c.name, "slow start") { // the reattached backend may be chosen
 			if n := len(f.sends); n != 2 || f.sends[1].backend != "b1" {
 				t.Errorf("%s: %d sends", c.name, n)
 			}
 			continue
 		}
 		if a := f.onlyAnswer(t, "r"); !a.refused {
-			t.Errorf("%s: failed, though nothing of it has run or it may run again", c.name)
+			t.Errorf("%s: failed, though it was not executed or may be executed again", c.name)
 		}
 	}
 	if b, _ := startBalancer(testSettings(), entry("b", 1)); b.MaySendOnConnect(0, "none") {
-		t.Error("an unknown request is to be sent")
+		t.Error("an unknown request may be sent")
 	}
 }
 
@@ -171,8 +171,8 @@
 	}
 }
 
-// Guards against work that nobody waits for: where cancelled work stops, what is out is given up when
-// its client leaves, once; elsewhere it runs to its end.
+// Prevents work that nobody waits for: where backends stop cancelled work, the outstanding attempt is
+// cancelled once when its client disconnects; elsewhere it runs to its end.
 func TestCancelWhenClientDisconnects(t *testing.T) {
 	for _, cancel := range []bool{true, false} {
 		set := unevenSettings()
@@ -199,7 +199,7 @@
 	}
 }
 
-// Guards against a limit of nothing for good where requests come before any backend is known.
+// Prevents a limit that stays at zero when requests arrive before any backend is known.
 func TestRequestsBeforeFirstList(t *testing.T) {
 	f := newRecorder()
 	b := New(0, unevenSettings(), f)
@@ -207,11 +207,12 @@
 		b.StartRequest(Time(i)*10*ms, Request{ID: fmt.Sprint(i), Class: idempotent, Budget: 2000 * ms})
 	}
 	if len(f.answers) != 50 {
-		t.Errorf("%d of 50 answered while nobody was known", len(f.answers))
+		t.Errorf("%d of 50 answered before any backend was known", len(f.answers))
 	}
 	b.UpdateList(500*ms, true, zoneEntries("b", 10))
 	if b.limitMultiplier < minLimitMultiplier || b.baseLimit <= 0 {
-		t.Errorf("limit at %v of a base of %v after the first list", b.limitMultiplier, b.baseLimit)
+		t.Errorf("limit multiplier %v of a base limit of %v after the first list", b.limitMultiplier,
+			b.baseLimit)
 	}
 	if refused, _ := feedRequests(b, f, 500*ms, 400, 10*ms, 100*ms, false); refused > 20 {
 		t.Errorf("%d of 200 refused", refused)
--- a/logic/cost_test.go
+++ b/logic/cost_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// answering is Actions that notes the last send.
+// lastSendRecorder implements Actions and records the last send.
 type lastSendRecorder struct {
 	request, backend string
 	sent             bool
@@ -22,8 +22,8 @@
 func (a *lastSendRecorder) CloseIdle(string)                    {}
 func (a *lastSendRecorder) Cancel(string, int)                  {}
 
-// callBalancer is a balancer that knows so many backends, of which one in a hundred is cold,
-// and is one of so many.
+// newCallBalancer returns a balancer with the given number of backends, one in a hundred of them in slow
+// start, that is one of the given number of balancers.
 func newCallBalancer(backends, balancers int) (*Balancer, *lastSendRecorder) {
 	recorder := &lastSendRecorder{}
 	settings := Settings{Zone: "a", Zones: []string{"a", "b", "c"}, BalancerCount: balancers,
@@ -42,7 +42,7 @@
 	return balancer, recorder
 }
 
-// call is the i-th call, 10 ms after the one before, which is served in 5 ms.
+// runCall makes the i-th call, 10 ms after the previous one; it is served in 5 ms.
 func runCall(balancer *Balancer, recorder *lastSendRecorder, i int) {
 	now, id := Time(i)*10*ms, strconv.Itoa(i)
 	recorder.sent = false
@@ -52,8 +52,8 @@
 	}
 }
 
-// BenchmarkCall is a call that is served at once, by how many backends and balancers there
-// are, as the operators' page has them.
+// BenchmarkCall measures a call that is served at once, for the numbers of backends and balancers that
+// the operators' documentation gives.
 func BenchmarkCall(b *testing.B) {
 	for _, c := range []struct{ backends, balancers int }{
 		{6, 6}, {64, 100}, {200, 300}, {800, 900}, {3200, 900},
@@ -68,9 +68,9 @@
 	}
 }
 
-// What a call costs does not grow with the backends that are known: a hundredfold may cost a
-// few times as much, for memory that is met seldom, and no more. Guards against loops over
-// all backends on the way of a call.
+// The cost of a call does not grow with the number of known backends: with a hundred times as many it may
+// be a few times as high because of cache misses, and no more. Prevents loops over all backends for each
+// call.
 func TestCallCost(t *testing.T) {
 	const most = 8
 	least := func(backends int) time.Duration {
@@ -87,6 +87,7 @@
 	}
 	few, many := least(32), least(3200)
 	if many > most*few {
-		t.Errorf("2,000 calls take %v with 32 known backends, %v with 3,200: over %d times", few, many, most)
+		t.Errorf("2,000 calls take %v with 32 backends, %v with 3,200: over %d times as long", few, many,
+			most)
 	}
 }
--- a/logic/detach_test.go
+++ b/logic/detach_test.go
@@ -6,9 +6,8 @@
 	"time"
 )
 
-// served runs n requests of a class, one at a time and each answered in 50 ms, from
-// time at on and 100 ms apart. It returns when each backend got its first, and the time
-// after the last.
+// serveCalls makes n calls of a class from the given time on, one at a time, 100 ms apart and each
+// answered in 50 ms. It returns when each backend got its first call, and the time after the last call.
 func serveCalls(
 	t *testing.T, b *Balancer, f *recorder, at Time, class, n int) (first map[string]Time, end Time) {
 	t.Helper()
@@ -34,8 +33,8 @@
 	return first, at
 }
 
-// Guards against sends to a backend that is out by hand, by any way to choose one and
-// whatever the list says meanwhile.
+// Prevents sends to a detached backend, whichever way backends are chosen and whatever the list says
+// meanwhile.
 func TestDetached(t *testing.T) {
 	entries := append(zoneEntries("b", 2), entry("a", 0))
 	listAll := func(b *Balancer, now Time) { b.UpdateList(now, true, entries) }
@@ -44,11 +43,11 @@
 		then func(b *Balancer, now Time)
 	}{
 		{"nothing", func(*Balancer, Time) {}},
-		{"whole list", listAll},
+		{"full list", listAll},
 		{"removed and listed again", func(b *Balancer, now Time) {
 			b.UpdateList(now, false, []Backend{{ID: "b0", State: Removed}})
 			if !b.IsKnown("b0") {
-				t.Error("a backend that is out by hand is forgotten")
+				t.Error("a detached backend is no longer known")
 			}
 			listAll(b, now+ms)
 		}},
@@ -57,19 +56,19 @@
 			l.StartedAt = now
 			b.UpdateList(now, false, []Backend{l})
 		}},
-		{"a list without it, then with it", func(b *Balancer, now Time) {
+		{"a list without the backend, then one with it", func(b *Balancer, now Time) {
 			b.UpdateList(now, true, entries[1:])
 			listAll(b, now+ms)
 		}},
-		{"ejected, its trial due", func(b *Balancer, now Time) { b.eject(now-time.Hour, b.backends["b0"]) }},
+		{"ejected, its probe due", func(b *Balancer, now Time) { b.eject(now-time.Hour, b.backends["b0"]) }},
 		{"all others ejected", func(b *Balancer, now Time) {
 			b.eject(now, b.backends["b1"])
 			b.eject(now, b.backends["a0"])
 		}},
-		{"all others turn calls away", func(b *Balancer, now Time) {
+		{"all others reject calls", func(b *Balancer, now Time) {
 			b.backends["b1"].pausedUntil, b.backends["a0"].pausedUntil = now+time.Hour, now+time.Hour
 		}},
-		{"taken out twice", func(b *Balancer, now Time) { b.Detach("b0") }},
+		{"detached twice", func(b *Balancer, now Time) { b.Detach("b0") }},
 	} {
 		for class := range testSettings().Classes {
 			b, f := startBalancer(testSettings(), entries...)
@@ -80,14 +79,14 @@
 				t.Errorf("%s, class %d: a send at %v", c.name, class, got["b0"])
 			}
 			if n := b.OutOfRotation(at + 20*time.Second); n < 1 || n > len(entries) {
-				t.Errorf("%s: %d avoided", c.name, n)
+				t.Errorf("%s: %d out of rotation", c.name, n)
 			}
 		}
 	}
 }
 
-// A request whose first attempt failed waits for its backoff; what is detached in the
-// meantime gets no second one.
+// A request whose first attempt failed waits for its backoff; a backend detached meanwhile gets no second
+// attempt.
 func TestDetachedInBackoff(t *testing.T) {
 	b, f := startBalancer(testSettings(), entry("b", 0))
 	b.setAttemptTimeout(idempotent, 100*ms)
@@ -101,7 +100,7 @@
 	}
 }
 
-// With the last usable backend out, requests are refused at once.
+// With the last usable backend detached, requests are refused at once.
 func TestLastDetached(t *testing.T) {
 	b, f := startBalancer(testSettings(), entry("b", 0))
 	b.Detach("b0")
@@ -111,9 +110,9 @@
 	}
 }
 
-// Guards against a backend that is left unused after its return: by the random first
-// wait of cold backends, an ejection from before, or a pace from before. Its second
-// call is spaced as a cold one's, whatever the list knows of its start.
+// Prevents a backend from staying unused after it is attached: because of the random first delay of slow
+// start, or an ejection or latency from before. Its second call is spaced as in slow start, whatever
+// start time the list has.
 func TestAttached(t *testing.T) {
 	entries := append(zoneEntries("b", 8), zoneEntries("a", 8)...)
 	for seed := range uint64(20) {
@@ -131,7 +130,7 @@
 			_, at = serveCalls(t, b, f, at, idempotent, 50)
 			b.Attach(at, "b0")
 			if w := b.backends["b0"].warmUpFraction(at, &set); w > 2*set.InitialWarmUpFraction {
-				t.Fatalf("back with a warmth of %.2f", w)
+				t.Fatalf("attached with a warm-up fraction of %.2f", w)
 			}
 			from := len(f.sends)
 			first, end := serveCalls(t, b, f, at, idempotent, 40)
@@ -145,39 +144,39 @@
 				}
 			}
 			if calls > 2 {
-				t.Errorf("seed %d: %d calls to a cold backend in %v", seed, calls, end-at)
+				t.Errorf("seed %d: %d calls to a backend in slow start in %v", seed, calls, end-at)
 			}
 		}
 	}
 }
 
-// Calls that repeat, come for ids that nobody has, or for a backend that is not out,
-// change nothing; a ban outlives the backend's place in the list.
+// Repeated calls, and calls for unknown IDs or backends that are not detached, change nothing. A
+// detachment persists when the backend leaves the list.
 func TestRepeatedDetachAndAttach(t *testing.T) {
 	b, f := startBalancer(testSettings(), zoneEntries("b", 2)...)
-	if b.IsKnown("nobody") || !b.IsKnown("b0") {
-		t.Error("knows nobody, or not b0")
+	if b.IsKnown("unknown") || !b.IsKnown("b0") {
+		t.Error("an unknown backend is known, or b0 is not")
 	}
 	b.Attach(0, "b0")
 	if m := b.backends["b0"]; m.ejections != 0 || m.attachedAt != 0 {
-		t.Error("a backend that was not out starts cold")
+		t.Error("a backend that was not detached begins a slow start")
 	}
-	b.Attach(0, "nobody")
+	b.Attach(0, "unknown")
 	b.Detach("b0")
 	b.Detach("b0")
 	b.UpdateList(ms, false, []Backend{{ID: "b0", State: Removed}})
 	b.Attach(2*ms, "b0")
 	b.UpdateList(3*ms, false, []Backend{entry("b", 0)})
 	if first, _ := serveCalls(t, b, f, 10*ms, idempotent, 10); first["b0"] == 0 {
-		t.Error("out after the call back")
+		t.Error("still detached after Attach")
 	}
 	if n := b.OutOfRotation(time.Second); n != 0 {
-		t.Errorf("%d avoided", n)
+		t.Errorf("%d out of rotation", n)
 	}
 }
 
-// News of a restart from before the return says nothing new: guards against a first
-// call that is put off by it.
+// A restart reported late, from before the attachment, is no news. Prevents it from delaying the first
+// call.
 func TestRestartBeforeAttachIsIgnored(t *testing.T) {
 	b, _ := startBalancer(testSettings(), zoneEntries("b", 2)...)
 	b.Detach("b0")
@@ -187,12 +186,12 @@
 	l.StartedAt = 900 * ms
 	b.UpdateList(1100*ms, false, []Backend{l})
 	if m := b.backends["b0"]; m.ejections != 1 || m.probeAt != due || m.spacingFactor != 0 {
-		t.Errorf("the trial is gone: %+v", m)
+		t.Errorf("the probe was dropped: %+v", m)
 	}
 }
 
-// What has passed through can't be sent again, even where it never ran; what has not
-// can. Guards against a second attempt with half a body.
+// A streamed request can't be sent again, even if it was never executed. Prevents a second attempt with
+// half of the body.
 func TestNotReplayable(t *testing.T) {
 	for _, c := range []struct {
 		notReplayable bool
@@ -209,13 +208,13 @@
 		}
 		if len(f.sends) != c.sends ||
 			c.notReplayable && (len(f.answers["r"]) != 1 || !f.answers["r"][0].refused) {
-			t.Errorf("spent %t: %d sends, answers %v", c.notReplayable, len(f.sends), f.answers["r"])
+			t.Errorf("not replayable %t: %d sends, answers %v", c.notReplayable, len(f.sends), f.answers["r"])
 		}
 	}
 }
 
-// A long request counts as a call in flight only once it is wholly at its backend:
-// guards against slow uploads that fill the limit. It counts once, and for nothing after.
+// A streamed request counts as a call in flight only once it is written in full: prevents slow uploads
+// from using up the limit. It counts once, and not after its end.
 func TestStreamedRequestInFlight(t *testing.T) {
 	b, _ := startBalancer(testSettings(), zoneEntries("b", 2)...)
 	inFlight := func() (n int) {
@@ -225,7 +224,7 @@
 		return n
 	}
 	for i := range 200 {
-		b.StartRequest(0, Request{ID: fmt.Sprint("long ", i), Class: nonIdempotent, Budget: 2000 * ms,
+		b.StartRequest(0, Request{ID: fmt.Sprint("streamed ", i), Class: nonIdempotent, Budget: 2000 * ms,
 			Streamed: true})
 	}
 	if n := inFlight(); n != 0 {
@@ -233,27 +232,27 @@
 	}
 	b.StartRequest(ms, Request{ID: "r", Class: nonIdempotent, Budget: 2000 * ms})
 	if n := inFlight(); n != 1 {
-		t.Errorf("an ordinary one beside them: %d in flight", n)
+		t.Errorf("with a request that is not streamed: %d in flight", n)
 	}
-	b.RequestWritten(time.Second, "long 0")
-	b.RequestWritten(time.Second, "long 0")
-	b.RequestWritten(time.Second, "nobody")
+	b.RequestWritten(time.Second, "streamed 0")
+	b.RequestWritten(time.Second, "streamed 0")
+	b.RequestWritten(time.Second, "unknown")
 	if n := inFlight(); n != 2 {
-		t.Errorf("one written whole: %d in flight", n)
+		t.Errorf("with one written in full: %d in flight", n)
 	}
 	for i := range 200 {
-		id := fmt.Sprint("long ", i)
+		id := fmt.Sprint("streamed ", i)
 		b.AttemptDone(2*time.Second, Outcome{Request: id, Result: OK, Latency: 50 * ms, Final: true,
 			NotReplayable: true})
 	}
 	b.AttemptDone(2*time.Second, Outcome{Request: "r", Result: OK, Latency: 50 * ms, Final: true})
 	if n := inFlight(); n != 0 || len(b.requests) != 0 {
-		t.Errorf("after all: %d in flight, %d requests", n, len(b.requests))
+		t.Errorf("after all ended: %d in flight, %d requests", n, len(b.requests))
 	}
 }
 
-// Guards against a limit that goes on counting backends that are out by hand: their part
-// of the calls would crowd the rest.
+// Prevents the limit from still counting detached backends: their share of the calls would overload the
+// others.
 func TestDetachedShrinksLimit(t *testing.T) {
 	b, _ := startBalancer(testSettings(), zoneEntries("b", 4)...)
 	before := b.totals(0, &b.listedSummary)
@@ -261,13 +260,13 @@
 	b.Detach("b1")
 	if got := b.totals(0, &b.listedSummary); got.backendCount != before.backendCount-2 ||
 		got.effectiveCapacity != before.effectiveCapacity-2 {
-		t.Errorf("%+v with all, %+v with two out", before, got)
+		t.Errorf("%+v with all, %+v with two detached", before, got)
 	}
 }
 
-// Guards against a return that waits for a request that can be tried again, where none
-// comes: the trial takes any other within two of the first ejection's times, well before
-// the 5 s that the operators allow.
+// Prevents the first call after an attachment from waiting for a retryable request where there is none:
+// the probe uses any request within twice the base ejection time, well before the 5 s that operators
+// allow.
 func TestAttachedWithNonIdempotentCallsOnly(t *testing.T) {
 	for seed := range uint64(20) {
 		set := testSettings()
--- a/logic/harness_test.go
+++ b/logic/harness_test.go
@@ -1,4 +1,4 @@
-// What the tests of the module share: recorded actions, settings, backends.
+// Helpers for the tests of the package: recorded actions, settings, backends.
 
 package logic
 
@@ -10,7 +10,7 @@
 
 const ms = time.Millisecond
 
-// answer is a final answer given through the fake.
+// answer is a final answer that the recorder received.
 type answer struct {
 	refused    bool
 	retryAfter time.Duration
@@ -21,7 +21,7 @@
 	timeout          time.Duration
 }
 
-// fake is Actions that remembers.
+// recorder implements Actions and records what is asked for.
 type recorder struct {
 	sends   []sent
 	answers map[string][]answer
@@ -54,7 +54,7 @@
 	f.cancels = append(f.cancels, fmt.Sprint(request, " ", attempt))
 }
 
-// last is the newest send.
+// last returns the newest send.
 func (f *recorder) last(t *testing.T) sent {
 	t.Helper()
 	if len(f.sends) == 0 {
@@ -63,14 +63,14 @@
 	return f.sends[len(f.sends)-1]
 }
 
-// wait takes the one wake.
+// takeTimer removes and returns the only timer.
 func (f *recorder) takeTimer(t *testing.T) (uint64, time.Duration) {
 	t.Helper()
 	for token, after := range f.timers {
 		delete(f.timers, token)
 		return token, after
 	}
-	t.Fatal("no wake asked for")
+	t.Fatal("no timer started")
 	return 0, 0
 }
 
@@ -83,10 +83,11 @@
 	return Settings{
 		Seed: 7, Zone: "b", Zones: []string{"a", "b", "c"},
 		Classes: []Class{
-			class("safe", Idempotent, ScopeAll, 10), class("keyed", Deduplicated, ScopeAll, 1),
-			class("keyed in zone", Deduplicated, ScopeZone, 1), class("keyed in cell", Deduplicated,
+			class("idempotent", Idempotent, ScopeAll, 10), class("deduplicated", Deduplicated, ScopeAll, 1),
+			class("deduplicated in zone", Deduplicated, ScopeZone, 1), class("deduplicated in cell",
+				Deduplicated,
 				ScopeCell, 1),
-			class("unsafe", NonIdempotent, ScopeAll, 1),
+			class("non-idempotent", NonIdempotent, ScopeAll, 1),
 		},
 		MaxAttempts: 3, MaxRetryAfter: 100 * ms,
 		InitialWarmUpFraction: 0.1, WarmUpTime: 10000 * ms,
@@ -95,7 +96,7 @@
 
 const idempotent, deduplicated, dedupInZone, dedupInCell, nonIdempotent = 0, 1, 2, 3, 4
 
-// oneOfMany is the n-th of many balancers of a lower tier with one zone.
+// oneOfMany returns settings of the n-th of many balancers of a lower tier with one zone.
 func oneOfMany(n, balancers int) Settings {
 	set := testSettings()
 	set.BalancerIndex, set.Seed, set.Tier, set.BalancerCount, set.Zones = n, uint64(n), 1, balancers,
@@ -103,13 +104,13 @@
 	return set
 }
 
-// allow sets a class's allowance, as if learned from requests with long budgets.
+// setAttemptTimeout sets a class's attempt timeout as if learned from requests with long time budgets.
 func (b *Balancer) setAttemptTimeout(class int, d time.Duration) {
 	b.classes[class].observeBudget(2000*ms, false)
 	b.classes[class].attemptTimeout = float64(d)
 }
 
-// line is a backend in a zone; its cell is that of its number.
+// entry returns a list entry of a backend; its cell is its number.
 func entry(zone string, n int) Backend {
 	return Backend{ID: fmt.Sprintf("%s%d", zone, n), Zone: zone, Cell: n, Capacity: 1}
 }
@@ -122,7 +123,7 @@
 	return entries
 }
 
-// start is a balancer at time 0 with the given backends.
+// startBalancer returns a balancer at time 0 with the given backends.
 func startBalancer(settings Settings, entries ...Backend) (*Balancer, *recorder) {
 	f := newRecorder()
 	b := New(0, settings, f)
@@ -130,8 +131,8 @@
 	return b, f
 }
 
-// withOpen makes n calls, one a millisecond, of which as many as open are in flight, and
-// returns where they went. None may be refused.
+// runWithInFlight makes n calls, one each millisecond, keeps the given number of them in flight, and
+// returns the backends they went to. None may be refused.
 func (b *Balancer) runWithInFlight(t *testing.T, f *recorder, n, inFlight int) (to []string) {
 	t.Helper()
 	for i := range n {
@@ -149,7 +150,7 @@
 	return to
 }
 
-// setLimit sets the limit on calls in flight for each unit of size.
+// setLimit sets the limit on calls in flight for each unit of capacity.
 func (b *Balancer) setLimit(calls float64) { b.limitMultiplier = calls / b.baseLimit }
 
 func (f *recorder) onlyAnswer(t *testing.T, id string) answer {
--- a/logic/list_test.go
+++ b/logic/list_test.go
@@ -1,4 +1,4 @@
-// What the list says, and for how long.
+// Tests of the list of backends and its freshness.
 
 package logic
 
@@ -13,7 +13,7 @@
 	b.StartRequest(0, Request{ID: "r", Class: idempotent, Budget: 2000 * ms})
 	b.AttemptDone(10*ms, Outcome{Request: "r", Result: Rejected})
 	token, wait := f.takeTimer(t)
-	for _, id := range []string{"b1", "b2"} { // while the retry waits
+	for _, id := range []string{"b1", "b2"} { // during the retry's backoff
 		l := entry("b", int(id[1]-'0'))
 		l.State = Draining
 		if id == "b2" {
@@ -24,7 +24,7 @@
 	b.TimerFired(10*ms+wait, token)
 	b.StartRequest(200*ms, Request{ID: "s", Class: idempotent, Budget: 2000 * ms})
 	if len(f.sends) != 1 {
-		t.Errorf("sent to %s, which drains or is gone", f.last(t).backend)
+		t.Errorf("sent to %s, which is draining or removed", f.last(t).backend)
 	}
 	f.onlyAnswer(t, "r")
 	f.onlyAnswer(t, "s")
@@ -34,7 +34,7 @@
 		t.Errorf("sent to %s, want b3", f.last(t).backend)
 	}
 	if len(b.backends) != 1 {
-		t.Errorf("%d backends remembered, want 1", len(b.backends))
+		t.Errorf("%d backends kept, want 1", len(b.backends))
 	}
 }
 
@@ -46,23 +46,23 @@
 	}
 }
 
-// From the moment at which the list may lack what counts as told, any backend may be drained.
-// One that has just served a call is used for somewhat longer, where discovery could not be
-// reached; all else is refused at once until the list is fresh. A list by itself, from
-// whatever source, does not move that moment. Incident: docs/incidents/silentwatch.md.
+// From the moment at which the list may lack changes that count as announced, any backend may be
+// draining. If discovery is unreachable, one that has just served a call is used for somewhat longer; all
+// other requests are refused at once until the list is fresh. Receiving a list, from whatever source,
+// does not move that moment. Incident: docs/incidents/silentwatch.md.
 func TestStaleListIsNotUsed(t *testing.T) {
 	set := testSettings()
 	set.DrainGrace = 500 * ms
 	b, f := startBalancer(set, entry("b", 0), entry("b", 1))
 	b.setLimit(10)
 	serial := 0
-	send := func(at Time) string { // the backend that gets it, or ""
+	send := func(at Time) string { // returns the backend that got the call, or ""
 		serial++
 		id, sends := fmt.Sprint(serial), len(f.sends)
 		b.StartRequest(at, Request{ID: id, Class: idempotent, Budget: 2000 * ms})
 		if len(f.sends) == sends {
 			if a := f.onlyAnswer(t, id); !a.refused || a.retryAfter == 0 {
-				t.Errorf("at %v: %+v, want a refusal that says when to come back", at, a)
+				t.Errorf("at %v: %+v, want a refusal with a retry-after time", at, a)
 			}
 			return ""
 		}
@@ -82,12 +82,12 @@
 	b.SetListFreshness(ListFreshness{FreshUntil: 16000 * ms, StaleUntil: 16000 * ms,
 		EvidenceWindow: 6000 * ms})
 	if send(15900*ms) == "" {
-		t.Fatal("refused while the list may be held")
+		t.Fatal("refused while the list is fresh")
 	}
 	answer(15990 * ms)
-	expectRefusals("it may be drained, whatever it has answered", 16000*ms, 16100*ms, 16390*ms, 30000*ms)
+	expectRefusals("it may be draining, whatever it has answered", 16000*ms, 16100*ms, 16390*ms, 30000*ms)
 	b.UpdateList(30100*ms, true, []Backend{entry("b", 0), entry("b", 1)})
-	expectRefusals("the list is no word of now", 30150*ms)
+	expectRefusals("the list received does not make it fresh", 30150*ms)
 	b.SetListFreshness(ListFreshness{FreshUntil: 36100 * ms, StaleUntil: 36100 * ms,
 		EvidenceWindow: 6000 * ms})
 	if send(30200*ms) == "" {
@@ -98,8 +98,8 @@
 	if took == "" {
 		t.Fatal("refused though the list is fresh")
 	}
-	// Discovery can't be reached: what has served a call is used, for as long as it goes on
-	// serving and no longer than the time that is given.
+	// Discovery is unreachable: a backend that has served a call is used while it goes on serving, and no
+	// longer than StaleUntil.
 	b.SetListFreshness(ListFreshness{FreshUntil: 36100 * ms, StaleUntil: 44000 * ms,
 		EvidenceWindow: 1000 * ms,
 		ConfirmedAt:    36000 * ms, MaxUnobserved: 2000 * ms})
@@ -116,7 +116,7 @@
 	}
 	b.AttemptDone(37990*ms, Outcome{Request: fmt.Sprint(serial), Result: Rejected, Latency: 10 * ms,
 		Final: true})
-	expectRefusals("it turned the last call away", 38000*ms)
+	expectRefusals("it rejected the last call", 38000*ms)
 	b.SetListFreshness(ListFreshness{FreshUntil: 50000 * ms, StaleUntil: 50000 * ms,
 		EvidenceWindow: 6000 * ms})
 	if send(49900*ms) == "" {
@@ -125,9 +125,9 @@
 	answer(49950 * ms)
 	b.SetListFreshness(ListFreshness{FreshUntil: 49000 * ms, StaleUntil: 49500 * ms,
 		EvidenceWindow: 6000 * ms})
-	expectRefusals("the time that is given is over, whatever has served since", 49960*ms)
-	b.SetListFreshness(ListFreshness{}) // no clock is kept, as in the simulator
+	expectRefusals("StaleUntil has passed, whatever was served since", 49960*ms)
+	b.SetListFreshness(ListFreshness{}) // no freshness is tracked, as in the simulator
 	if send(60000*ms) == "" {
-		t.Error("refused though no clock is kept")
+		t.Error("refused though no freshness is tracked")
 	}
 }
--- a/logic/liveness_test.go
+++ b/logic/liveness_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// presenceRun is one backend, and what was asked of it.
+// livenessRun is a balancer with one backend, and the actions it asked for.
 type livenessRun struct {
 	t      *testing.T
 	b      *Balancer
@@ -13,7 +13,7 @@
 	serial int
 }
 
-// asker is Actions that counts lists that were asked for.
+// listRequestCounter implements Actions and counts the lists requested.
 type listRequestCounter struct {
 	*recorder
 	requests int
@@ -29,12 +29,12 @@
 	return &livenessRun{t: t, b: b, f: a}, a
 }
 
-// call sends a call at a time, if it is let out, which ends so a moment later.
+// call makes a call at the given time that, if sent, ends with result a moment later.
 func (r *livenessRun) call(at Time, result Result) (sent bool) {
 	return r.longCall(at, 10*ms, result)
 }
 
-// longCall is call with an end that comes later.
+// longCall is call with the given latency.
 func (r *livenessRun) longCall(at, latency Time, result Result) (sent bool) {
 	id, sent := r.begin(at)
 	if sent {
@@ -43,7 +43,7 @@
 	return sent
 }
 
-// begin lets a call arrive at a time, and tells whether it was let out.
+// begin starts a request at the given time and reports whether it was sent.
 func (r *livenessRun) begin(at Time) (id string, sent bool) {
 	r.serial++
 	id, sends := fmt.Sprint(r.serial), len(r.f.sends)
@@ -51,12 +51,12 @@
 	return id, len(r.f.sends) > sends
 }
 
-// end ends a call that was let out.
+// end ends a call that was sent.
 func (r *livenessRun) end(id string, at, latency Time, result Result) {
 	r.b.AttemptDone(at, Outcome{Request: id, Result: result, Latency: latency, Final: true})
 }
 
-// calls makes a call each half second from one time on and before another.
+// calls makes a call every half second from one time until before another.
 func (r *livenessRun) calls(from, to Time, result Result) (sent int) {
 	for at := from; at < to; at += 500 * ms {
 		if r.call(at, result) {
@@ -72,66 +72,67 @@
 		ChangesMayLag: true, MaxUnobserved: 2000 * ms}
 }
 
-// Past the time until which the list holds all that counts, a backend is used that has been
-// there ever since the list was known to be whole, and no other: one that was not seen for a
-// while may have been listed as gone in between, though it serves again.
+// With a stale list only a backend is used that was in service without interruption since the list was
+// confirmed complete. One that was unobserved for a while may have been removed meanwhile, though it
+// serves calls again.
 func TestLivenessWithStaleList(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		do   func(r *livenessRun)
-		used bool // at 17 s; the list was known to be whole at 10 s
+		used bool // at 17 s; the list was confirmed complete at 10 s
 	}{
-		{"seen all the time", func(r *livenessRun) { r.calls(9000*ms, 17000*ms, OK) }, true},
-		{"seen with short breaks", func(r *livenessRun) {
+		{"observed all the time", func(r *livenessRun) { r.calls(9000*ms, 17000*ms, OK) }, true},
+		{"observed with short gaps", func(r *livenessRun) {
 			r.calls(9000*ms, 12000*ms, OK)
 			r.calls(12500*ms, 13500*ms, ConnectionLost)
 			r.calls(13400*ms, 17000*ms, OK)
 		}, true},
-		{"not seen for a while, found away", func(r *livenessRun) {
+		{"unobserved for a while, found unreachable", func(r *livenessRun) {
 			r.calls(9000*ms, 10600*ms, OK)
 			r.calls(10700*ms, 13500*ms, ConnectFailed)
 			r.calls(13500*ms, 17000*ms, OK)
 		}, false},
-		{"found away for a moment", func(r *livenessRun) {
+		{"found unreachable for a moment", func(r *livenessRun) {
 			r.calls(9000*ms, 11000*ms, OK)
 			r.call(11000*ms, ConnectFailed)
 			r.calls(11100*ms, 17000*ms, OK)
 		}, false},
-		{"turned away by the newest call", func(r *livenessRun) {
+		{"rejected the newest call", func(r *livenessRun) {
 			r.calls(9000*ms, 15000*ms, OK)
 			r.call(15000*ms, Rejected)
 		}, false},
-		{"turned away past the list's time", func(r *livenessRun) {
+		{"rejected a call after the list became stale", func(r *livenessRun) {
 			r.calls(9000*ms, 16500*ms, OK)
 			r.call(16500*ms, Rejected)
 		}, false},
-		{"turned away, and served again", func(r *livenessRun) {
+		{"rejected a call, then served again", func(r *livenessRun) {
 			r.calls(9000*ms, 14000*ms, OK)
 			r.call(14000*ms, Rejected)
 			r.calls(14500*ms, 17000*ms, OK)
 		}, true},
-		{"turned away, and a call from before served", func(r *livenessRun) {
+		{"rejected a call, then served an earlier one", func(r *livenessRun) {
 			r.calls(9000*ms, 15000*ms, OK)
 			id, _ := r.begin(15000 * ms)
 			r.call(15200*ms, Rejected)
 			r.end(id, 16000*ms, 1000*ms, OK)
 		}, false},
-		{"a connection broke with the newest call", func(r *livenessRun) {
+		{"the connection of the newest call was lost", func(r *livenessRun) {
 			r.calls(9000*ms, 16500*ms, OK)
 			r.call(16500*ms, ConnectionLost)
 		}, true},
-		{"not seen for a while, nothing sent", func(r *livenessRun) {
+		{"unobserved for a while, nothing sent", func(r *livenessRun) {
 			r.calls(9000*ms, 10600*ms, OK)
 			r.calls(13500*ms, 17000*ms, OK)
 		}, false},
-		{"not seen for a while but by the end of a call from before", func(r *livenessRun) {
+		{"unobserved for a while except by an answer to an earlier call", func(r *livenessRun) {
 			r.calls(9000*ms, 10500*ms, OK)
 			r.longCall(10500*ms, 1500*ms, OK)
 			r.calls(13000*ms, 17000*ms, OK)
 		}, false},
-		{"not seen for a while up to now", func(r *livenessRun) { r.calls(9000*ms, 15000*ms, OK) }, false},
-		{"first seen long after the list", func(r *livenessRun) { r.calls(13500*ms, 17000*ms, OK) }, false},
-		{"not seen since the list", func(r *livenessRun) { r.calls(9000*ms, 9600*ms, OK) }, false},
+		{"unobserved for a while up to now", func(r *livenessRun) { r.calls(9000*ms, 15000*ms, OK) }, false},
+		{"first observed long after the list", func(r *livenessRun) { r.calls(13500*ms, 17000*ms, OK) },
+			false},
+		{"unobserved since the list", func(r *livenessRun) { r.calls(9000*ms, 9600*ms, OK) }, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r, _ := newLivenessRun(t)
@@ -144,70 +145,70 @@
 	}
 }
 
-// While a watch stands a sign of life is no proof that nothing waits to be told. A backend
-// that was found away for a while is used until a change from then counts, and not after it,
-// though it serves again, until there is a list; one that turns all calls away likewise. A
-// list is asked for then.
+// A heartbeat on the watch does not prove that no change waits to be delivered. A backend that was
+// unreachable for a while is used until a change made then would count as announced, and after that not
+// without a new list, though it serves calls again; likewise a backend that rejects all calls. The
+// balancer then requests a list.
 func TestLivenessWithLaggingWatch(t *testing.T) {
-	const late = 17500 * ms // over 6 s after the backend was seen for the last time before its absence
+	const late = 17500 * ms // over 6 s after the last observation of the backend before it became unreachable
 	for _, c := range []struct {
 		name   string
 		do     func(r *livenessRun)
-		pushed bool // nothing waits to be told
+		pushed bool // changes are delivered without delay
 		used   bool
 	}{
-		{"seen all the time", func(r *livenessRun) { r.calls(10000*ms, late, OK) }, false, true},
+		{"observed all the time", func(r *livenessRun) { r.calls(10000*ms, late, OK) }, false, true},
 		{"nothing sent", func(r *livenessRun) {}, false, true},
 		{"nothing sent for a while", func(r *livenessRun) {
 			r.calls(10000*ms, 11000*ms, OK)
 			r.calls(14000*ms, late, OK)
 		}, false, true},
-		{"a short break", func(r *livenessRun) {
+		{"a short gap", func(r *livenessRun) {
 			r.calls(10000*ms, 11000*ms, OK)
 			r.call(11000*ms, ConnectionLost)
 			r.calls(12000*ms, late, OK)
 		}, false, true},
-		{"away for a moment", func(r *livenessRun) {
+		{"unreachable for a moment", func(r *livenessRun) {
 			r.calls(10000*ms, 11000*ms, OK)
 			r.call(11000*ms, ConnectFailed)
 			r.calls(11100*ms, late, OK)
 		}, false, false},
-		{"away for a while", func(r *livenessRun) {
+		{"unreachable for a while", func(r *livenessRun) {
 			r.calls(10000*ms, 11000*ms, OK)
 			r.calls(11000*ms, 14000*ms, ConnectFailed)
 			if r.calls(14000*ms, 16000*ms, OK) == 0 {
-				r.t.Error("not used though no change of it can count yet")
+				r.t.Error("not used though no change can count as announced yet")
 			}
 			if r.f.requests == 0 {
-				r.t.Error("no list asked for with its return")
+				r.t.Error("no list requested when it was reachable again")
 			}
 		}, false, false},
-		{"away for a while, lists pushed", func(r *livenessRun) {
+		{"unreachable for a while, changes pushed", func(r *livenessRun) {
 			r.calls(10000*ms, 11000*ms, OK)
 			r.calls(11000*ms, 14000*ms, ConnectFailed)
 			r.calls(14000*ms, 16000*ms, OK)
 		}, true, true},
-		{"turned away for a while", func(r *livenessRun) {
+		{"rejected calls for a while", func(r *livenessRun) {
 			r.calls(10000*ms, 11000*ms, OK)
 			r.calls(11000*ms, 14000*ms, Rejected)
 		}, false, false},
-		{"turned away, and served again", func(r *livenessRun) {
+		{"rejected a call, then served again", func(r *livenessRun) {
 			r.calls(10000*ms, 11000*ms, OK)
 			r.calls(11000*ms, 14000*ms, Rejected)
 			r.calls(14500*ms, late, OK)
 		}, false, true},
-		{"turned away since a call that ended late", func(r *livenessRun) {
+		{"rejected calls since the start of a call that ended late", func(r *livenessRun) {
 			r.calls(10000*ms, 10500*ms, OK)
 			r.longCall(10500*ms, 1500*ms, OK)
 			r.calls(12000*ms, 14000*ms, Rejected)
 		}, false, false},
-		{"away since a call that ended late", func(r *livenessRun) {
+		{"unreachable since the start of a call that ended late", func(r *livenessRun) {
 			r.calls(10000*ms, 10500*ms, OK)
 			r.longCall(10500*ms, 1500*ms, OK)
 			r.call(12500*ms, ConnectFailed)
 			r.calls(12600*ms, late, OK)
 		}, false, false},
-		{"broken, with no call served for a while but one from before", func(r *livenessRun) {
+		{"connection lost, for a while only an earlier call served", func(r *livenessRun) {
 			r.calls(10000*ms, 10500*ms, OK)
 			r.longCall(10500*ms, 1500*ms, OK)
 			r.call(12500*ms, ConnectionLost)
@@ -225,14 +226,14 @@
 				t.Errorf("used %t, want %t", used, c.used)
 			}
 			if (counter.requests > 0) == c.used {
-				t.Errorf("a list asked for %d times", counter.requests)
+				t.Errorf("a list requested %d times", counter.requests)
 			}
-			// A list tells that it is in service.
+			// A list confirms that the backend is in service.
 			fresh.ReceivedAt = late + 100*ms
 			r.b.UpdateList(late+100*ms, false, nil)
 			r.b.SetListFreshness(fresh)
 			if !r.call(late+1000*ms, OK) {
-				t.Error("not used though a list says that it is in service")
+				t.Error("not used though a list confirms it in service")
 			}
 		})
 	}
--- a/logic/outlier_test.go
+++ b/logic/outlier_test.go
@@ -1,4 +1,4 @@
-// Outlier ejection, and the trial calls that end it.
+// Tests of outlier ejection and the probes that end it.
 
 package logic
 
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// Guards against a backend that fails fast: it looks idle and draws the calls.
+// Prevents a backend that fails fast from attracting calls because it looks idle.
 func TestEjectionAndProbe(t *testing.T) {
 	b, f := startBalancer(testSettings(), zoneEntries("b", 4)...)
 	b.settings.Tier = 1
@@ -37,21 +37,21 @@
 	}
 	later := b.backends["b2"].probeAt
 	if call(later, true) != "b2" {
-		t.Fatal("no trial call when it is due")
+		t.Fatal("no probe when it is due")
 	}
 	if call(later+2*ms, true) == "b2" {
-		t.Fatal("in use again after a failed trial")
+		t.Fatal("in use again after a failed probe")
 	}
 	if next := b.backends["b2"].probeAt; next-later <= b.baseEjectionTime {
 		t.Errorf("second ejection lasts %v, want longer than the first", next-later)
 	}
 	later = b.backends["b2"].probeAt
 	if call(later, false) != "b2" || b.backends["b2"].ejections != 0 {
-		t.Error("a good trial did not bring the backend back")
+		t.Error("a successful probe did not bring the backend back")
 	}
 }
 
-// Failures that all backends share are no reason to eject any of them.
+// Failures common to all backends are no reason to eject any of them.
 func TestSharedFailureEjectsNobody(t *testing.T) {
 	b, f := startBalancer(testSettings(), zoneEntries("b", 4)...)
 	b.settings.Tier = 1
@@ -66,12 +66,12 @@
 		}
 	}
 	if len(f.sends) != 100 {
-		t.Errorf("%d sends, want 100: with all failing traffic stays", len(f.sends))
+		t.Errorf("%d sends, want 100: with all failing, none is avoided", len(f.sends))
 	}
 }
 
-// Guards against backends that are full or drain unheard: turning calls away at
-// once, they look the idlest of all.
+// Prevents calls from going to backends that are full, or draining before the list says so: since they
+// reject calls at once, they look the idlest of all.
 func TestRejectingBackendIsPaused(t *testing.T) {
 	b, f := startBalancer(testSettings(), zoneEntries("b", 3)...)
 	b.settings.Tier = 1
@@ -88,12 +88,12 @@
 		b.AttemptDone(now+40*ms, Outcome{Request: id, Result: OK, Latency: 40 * ms, Final: true})
 	}
 	if rejected == 0 || rejected > 15 { // a pause is about half the mean latency, 20 ms
-		t.Errorf("%d calls to the full backend, want a few of 300", rejected)
+		t.Errorf("%d calls to the rejecting backend, want a few of 300", rejected)
 	}
 }
 
-// Guards against all traffic on one backend when every group fails, and against
-// calls at backends that are full where no other is left.
+// Prevents all traffic from going to one backend when every group fails, and calls to backends that just
+// rejected calls when no other is left.
 func TestAllFailing(t *testing.T) {
 	b, f := startBalancer(testSettings(), zoneEntries("b", 8)...)
 	b.settings.Tier = 1
@@ -114,12 +114,12 @@
 	}
 	b.StartRequest(ms, Request{ID: "full", Class: nonIdempotent, Budget: 2000 * ms})
 	if !f.onlyAnswer(t, "full").refused {
-		t.Error("not refused, though every backend was full just now")
+		t.Error("not refused, though every backend has just rejected a call")
 	}
 }
 
-// Guards against healthy backends left out where a few in a hundred answers are spoilt,
-// on any backend alike: two such in a row are chance.
+// Prevents the ejection of healthy backends where a few in a hundred answers are malformed on any
+// backend: two such answers in a row are chance.
 func TestOccasionalFailuresEjectNobody(t *testing.T) {
 	b, f := startBalancer(testSettings(), zoneEntries("b", 4)...)
 	b.settings.Tier = 1
@@ -142,18 +142,18 @@
 		}
 	}
 	if share := float64(out) / float64(calls*len(b.listed)); share > 0.03 {
-		t.Errorf("%.2f of the healthy fleet is left out", share)
+		t.Errorf("%.2f of the healthy fleet is ejected", share)
 	}
 }
 
-// Guards against a backend that is left out for good where allowances are long: no
-// request could then be tried again after a trial, so none was made.
+// Prevents a backend from staying ejected forever where attempt timeouts are long: no request could be
+// retried after a probe, so no probe was sent.
 func TestOverdueProbe(t *testing.T) {
 	for _, class := range []int{idempotent, nonIdempotent} {
 		b, f := startBalancer(testSettings(), zoneEntries("b", 4)...)
 		b.settings.Tier = 1
 		for i := range b.classes {
-			b.setAttemptTimeout(i, 1300*ms) // twice that fits no budget
+			b.setAttemptTimeout(i, 1300*ms) // twice that exceeds every time budget
 		}
 		b.eject(0, b.backends["b2"])
 		due := b.backends["b2"].probeAt
@@ -165,15 +165,15 @@
 			return to == "b2"
 		}
 		if tried(due) || tried(due+b.baseEjectionTime-1) {
-			t.Error("a trial with a request that can't be tried again, before it is overdue")
+			t.Error("a probe with a request that can't be retried, before it is overdue")
 		}
 		if !tried(due+b.baseEjectionTime) || b.backends["b2"].ejections != 0 {
-			t.Error("no trial when overdue")
+			t.Error("no probe when overdue")
 		}
 	}
 }
 
-// observed is Actions that observes.
+// statusRecorder implements Actions and Observer.
 type statusRecorder struct {
 	*recorder
 	changes []string
@@ -183,16 +183,16 @@
 	o.changes = append(o.changes, backend+" "+s.String())
 }
 
-// Each change of a backend's standing is told once: not again while it stays ejected.
+// Each change of a backend's status is reported once, and not again while it stays ejected.
 func TestStatusChangesAreReported(t *testing.T) {
 	o := &statusRecorder{recorder: newRecorder()}
 	b := New(0, testSettings(), o)
 	b.UpdateList(0, true, zoneEntries("b", 4))
 	m := b.backends["b0"]
 	b.eject(0, m)
-	b.eject(0, m) // a trial has failed
+	b.eject(0, m) // a failed probe
 	b.updateEjection(0, &attempt{backend: m, probe: true}, &b.classes[idempotent], OK)
 	if want := []string{"b0 ejected", "b0 in_use"}; !slices.Equal(o.changes, want) {
-		t.Errorf("told %v, want %v", o.changes, want)
+		t.Errorf("reported %v, want %v", o.changes, want)
 	}
 }
--- a/logic/ramp_test.go
+++ b/logic/ramp_test.go
@@ -9,34 +9,34 @@
 	"time"
 )
 
-// The slow start ramp has to hold for a fleet: cold servers fall under the sum of what all
-// proxies send. Here the real module runs in many instances, in virtual time, before modelled
-// servers whose capacity the test knows and the module does not.
+// Slow start has to hold for the whole fleet: a server in slow start is overloaded by the sum of what all
+// proxies send. These tests run many instances of the real balancer in virtual time against simulated
+// servers whose capacity the test knows and the balancers do not.
 
-// coldRules are what the operators' settings say of cold servers. The module reads the first
-// two only.
+// slowStartRules are the operators' rules for servers in slow start. The balancers know the first two
+// values only.
 type slowStartRules struct {
-	initialFraction float64       // of the capacity, at the start
-	warmUpTime      time.Duration // it has all of it after this
-	multiple        float64       // of its capacity at the time, that a server stands
-	window          time.Duration // for so long
+	initialFraction float64       // share of the capacity at the start
+	warmUpTime      time.Duration // time until the full capacity
+	multiple        float64       // multiple of the present capacity that a server withstands
+	window          time.Duration // over which multiple is measured
 }
 
-// warmth is the share of its capacity that a server has at an age.
+// warmUpFraction is the share of its capacity that a server has at the given age.
 func (r slowStartRules) warmUpFraction(age time.Duration) float64 {
 	return min(1, r.initialFraction+(1-r.initialFraction)*max(0, float64(age)/float64(r.warmUpTime)))
 }
 
-// most is how many calls a server may be sent in a window that begins at an age: the budget N,
-// and what is put down to chance.
+// maxCalls is how many calls a server may be sent in a window that begins at the given age: the budget N
+// and a margin for chance.
 func (r slowStartRules) maxCalls(capacity float64, age time.Duration) float64 {
 	n := r.multiple * r.warmUpFraction(age) * capacity * r.window.Seconds()
 	return n + 2*math.Sqrt(n) + 2
 }
 
-// fullest looks at all windows that begin while a server that started at 0 is cold, and returns
-// the one that comes nearest to its bound or goes furthest over: the sum and the bound. The worst
-// windows begin with a call. The capacity is that of the window's first moment, its least.
+// worstWindow examines all windows that begin during the slow start of a server that started at 0. It
+// returns the number of calls and the bound of the window that is closest to its bound or exceeds it
+// most. The worst windows begin with a call. The capacity is that at the window's begin, its lowest.
 func (r slowStartRules) worstWindow(capacity float64, sent []Time) (sum int, bound float64) {
 	slices.Sort(sent)
 	bound = r.maxCalls(capacity, 0)
@@ -45,7 +45,8 @@
 		if at >= r.warmUpTime {
 			break
 		}
-		for end < len(sent) && sent[end] < min(at+r.window, r.warmUpTime) { // a warm one does not fall
+		// A warmed-up server is not overloaded.
+		for end < len(sent) && sent[end] < min(at+r.window, r.warmUpTime) {
 			end++
 		}
 		if limit := r.maxCalls(capacity, at); float64(end-i)*bound > float64(sum)*limit {
@@ -55,7 +56,7 @@
 	return sum, bound
 }
 
-// A check that can't fail says nothing: made-up histories on either side of the bound.
+// Checks the check itself: call histories on either side of the bound.
 func TestRampCheckDetectsViolation(t *testing.T) {
 	r := slowStartRules{0.2, 10 * time.Second, 2.5, 2 * time.Second}
 	const capacity = 16.0 // N = 16 at the start: 26 calls are the most
@@ -77,16 +78,18 @@
 		holds bool
 	}{
 		{"nothing", nil, true},
-		{"all that is let", burst(26, 0), true},
+		{"as many as allowed", burst(26, 0), true},
 		{"one more", burst(27, 0), false},
-		{"one more in a later window, after quiet", append(spread(4, 10*ms), burst(46, 2500*ms)...), false},
-		{"as much where it is warmer", burst(40, 5*time.Second), true},
-		{"two windows' worth, apart", append(burst(26, 0), burst(26, 2*time.Second)...), true},
-		{"two windows' worth, across one's end", append(burst(14, 1500*ms), burst(26, 2500*ms)...), false},
-		{"a warm one's even rate", spread(200, 62500*time.Microsecond), false},
-		{"a cold one's even rate", spread(40, 250*ms), true},
-		{"any number once warm", burst(1000, 10*time.Second), true},
-		{"too many just before", burst(400, 9*time.Second), false},
+		{"one more in a later window, after few calls", append(spread(4, 10*ms), burst(46, 2500*ms)...),
+			false},
+		{"as many as allowed later in the slow start", burst(40, 5*time.Second), true},
+		{"two windows' worth, in separate windows", append(burst(26, 0), burst(26, 2*time.Second)...), true},
+		{"two windows' worth, across a window's end", append(burst(14, 1500*ms), burst(26, 2500*ms)...),
+			false},
+		{"the even rate of a warmed-up server", spread(200, 62500*time.Microsecond), false},
+		{"the even rate of a server in slow start", spread(40, 250*ms), true},
+		{"any number after the slow start", burst(1000, 10*time.Second), true},
+		{"too many just before its end", burst(400, 9*time.Second), false},
 	} {
 		if sum, bound := r.worstWindow(capacity, c.sent); float64(sum) <= bound != c.holds {
 			t.Errorf("%s: %d calls, bound %.1f, want it to hold: %v", c.name, sum, bound, c.holds)
@@ -94,30 +97,32 @@
 	}
 }
 
-// server is a backend as it is: some calls at a time, a queue, and what is over is turned away.
+// server simulates a backend: it executes some calls at a time, queues some, and rejects the rest.
 type server struct {
 	Backend
-	capacity   float64 // calls a second, warm
+	capacity   float64 // calls a second after slow start
 	errorShare float64 // share of calls that it answers with an error at once
-	dead       bool    // nobody there
+	dead       bool    // no connection is possible
 	executing  int
 	queue      []func()
-	sent       []Time  // since its start, by instances that knew of it: no module can hold back others
-	fairShare  float64 // what a ramp in step with its warmth would have got of all calls since then
+	// Since its start, by instances that knew of it: a balancer can't take others' calls into account.
+	sent      []Time
+	fairShare float64 // calls since then that a ramp proportional to its warm-up fraction would have got
 }
 
-const slotTime = 0.1 // seconds a call takes on a warm server, where it takes more than one at a time
+// Seconds that a call takes after slow start, where the server executes more than one at a time.
+const slotTime = 0.1
 
 func (s *server) slots() int { return max(1, int(math.Round(s.capacity*slotTime))) }
 
-// instance is one proxy: the module, and Actions that lead to the servers.
+// instance is one proxy: a balancer, and Actions that lead to the simulated servers.
 type instance struct {
 	*Balancer
 	fleet          *simulatedFleet
 	callsPerSecond float64
 	stopped        bool
 	attempts       map[string]int
-	knownStarts    map[string]Time // the last start of each backend that it heard of
+	knownStarts    map[string]Time // latest start of each backend that it was informed of
 }
 
 type event struct {
@@ -128,7 +133,7 @@
 
 func (e event) before(o event) bool { return e.at < o.at || e.at == o.at && e.seq < o.seq }
 
-// eventQueue is a heap; the one of the library boxes each event, which shows in the test's time.
+// eventQueue is a heap; container/heap would box each event, which slows the test noticeably.
 type eventQueue []event
 
 func (q *eventQueue) push(e event) {
@@ -163,7 +168,7 @@
 	return first
 }
 
-// fleetWorld is all instances and servers in virtual time.
+// simulatedFleet is all instances and servers in virtual time.
 type simulatedFleet struct {
 	now            Time
 	seq            int
@@ -171,13 +176,13 @@
 	rng            *rand.Rand
 	rules          slowStartRules
 	settings       Settings
-	classes        int // in use
-	plannedServers int // servers the fleet is laid out for
+	classes        int // number in use
+	plannedServers int // number that the load is meant for
 	capacity       float64
-	callsPerSecond float64 // calls a second, over all instances
+	callsPerSecond float64 // over all instances
 	servers        []*server
 	instances      []*instance
-	endedStarts    []*server // cold starts that another one has ended
+	endedStarts    []*server // slow starts that were ended by another start
 	calls          int
 }
 
@@ -207,7 +212,7 @@
 	return s
 }
 
-// starts takes that a server starts cold now; the ramp of an earlier start is kept for the check.
+// restart records that a server begins a slow start now; an earlier one is kept for the check.
 func (w *simulatedFleet) restart(s *server) {
 	if s.StartedAt > 0 {
 		old := *s
@@ -227,7 +232,7 @@
 	i.scheduleNextCall()
 }
 
-// tell gives an instance changed lines, or the whole list.
+// updateList gives an instance changed entries or the full list.
 func (i *instance) updateList(full bool, servers ...*server) {
 	var list []Backend
 	for _, s := range servers {
@@ -237,7 +242,7 @@
 	i.UpdateList(i.fleet.now, full, list)
 }
 
-// next lets the next call arrive: Poisson.
+// scheduleNextCall lets the next call arrive, as a Poisson process.
 func (i *instance) scheduleNextCall() {
 	w := i.fleet
 	w.at(w.now+Time(w.rng.ExpFloat64()/i.callsPerSecond*float64(time.Second)), func() {
@@ -246,7 +251,7 @@
 		}
 		w.calls++
 		id := strconv.Itoa(w.calls)
-		for _, s := range w.servers { // what each would get of it with all of them warm
+		for _, s := range w.servers { // what each would get if all had warmed up
 			if s.StartedAt > 0 && w.now < s.StartedAt+w.rules.warmUpTime {
 				s.fairShare += w.rules.warmUpFraction(w.now-s.StartedAt) / float64(w.plannedServers)
 			}
@@ -288,7 +293,7 @@
 	w.executeQueued(s)
 }
 
-// work begins what waits at a server and fits.
+// executeQueued starts the next queued call if the server has a free slot.
 func (w *simulatedFleet) executeQueued(s *server) {
 	if len(s.queue) == 0 || s.executing >= s.slots() {
 		return
@@ -320,7 +325,7 @@
 	})
 }
 
-// tellAll gives all instances changed lines, each at a time of its own within apart.
+// updateAll gives all instances changed entries, each at its own random time within spread.
 func (w *simulatedFleet) updateAll(spread time.Duration, servers ...*server) {
 	for _, i := range w.instances {
 		at := w.now + Time(w.rng.Float64()*float64(spread))
@@ -332,7 +337,7 @@
 	}
 }
 
-// replace ends an instance, and begins another one in its place that is told of lines.
+// replaceInstance stops an instance and starts another one in its place with the given list.
 func (w *simulatedFleet) replaceInstance(n int, servers ...*server) {
 	old := w.instances[n]
 	old.stopped = true
@@ -346,7 +351,7 @@
 	return slices.DeleteFunc(slices.Clone(w.servers), func(s *server) bool { return s.State != Up })
 }
 
-// leave takes servers out of service: draining at first, or gone at once.
+// takeOutOfService changes the state of servers to Draining or Removed and informs all instances.
 func (w *simulatedFleet) takeOutOfService(state State, spread time.Duration, servers ...*server) {
 	for _, s := range servers {
 		s.State = state
@@ -354,31 +359,31 @@
 	w.updateAll(spread, servers...)
 }
 
-// newcomer starts a server that nobody knew, and tells all of it.
+// startNewServer starts a server that was unknown and informs all instances.
 func (w *simulatedFleet) startNewServer(zone string, n int, spread time.Duration) {
 	s := w.add(zone, n)
 	w.restart(s)
 	w.updateAll(spread, s)
 }
 
-// rampTraffic is what the instances are sent, as parts of what the servers can do.
+// rampTraffic is the load on the instances, relative to the capacity of the servers.
 type rampTraffic struct {
 	name        string
 	capacity    float64
 	load        float64
 	deadline    time.Duration
-	eventsAt    Time    // when the troubles begin: own traffic is known by then
-	playedShare float64 // how much of the warm-up is played, for the time that it takes
+	eventsAt    Time    // when the case's events begin: own traffic is known by then
+	playedShare float64 // share of the warm-up time that is simulated, to limit the test's duration
 }
 
 var rampTraffics = []rampTraffic{
-	// At 10 servers and 30 instances: a call every 3 s at each.
-	{"thin", 1.7, 0.6, 6 * time.Second, 60 * time.Second, 1},
+	// With 10 servers and 30 instances: a call every 3 s at each instance.
+	{"low", 1.7, 0.6, 6 * time.Second, 60 * time.Second, 1},
 	{"busy", 12, 0.6, 2 * time.Second, 5 * time.Second, 0.6},
 	{"full", 25, 0.9, 2 * time.Second, 4 * time.Second, 0.15},
 }
 
-// rampCase is what happens to a fleet of ten servers.
+// rampCase is a sequence of events in a fleet of ten servers.
 type rampCase struct {
 	name    string
 	zones   int // 0: one
@@ -386,7 +391,7 @@
 	do      func(w *simulatedFleet)
 }
 
-// attach brings a server back by hand at all instances, each at a time of its own within apart.
+// attach attaches a server again at all instances, each at its own random time within spread.
 func (w *simulatedFleet) attach(s *server, spread time.Duration) {
 	w.restart(s)
 	for _, i := range w.instances {
@@ -398,11 +403,11 @@
 }
 
 var rampCases = []rampCase{
-	{name: "one newcomer", do: func(w *simulatedFleet) { w.startNewServer("b", 99, 0) }},
-	{name: "one newcomer, heard of within 6 s", do: func(w *simulatedFleet) {
+	{name: "one new server", do: func(w *simulatedFleet) { w.startNewServer("b", 99, 0) }},
+	{name: "one new server, announced within 6 s", do: func(w *simulatedFleet) {
 		w.startNewServer("b", 99, 6*time.Second)
 	}},
-	{name: "restarted, heard of within 6 s", do: func(w *simulatedFleet) {
+	{name: "restarted, announced within 6 s", do: func(w *simulatedFleet) {
 		w.restart(w.servers[0])
 		w.updateAll(6*time.Second, w.servers[0])
 	}},
@@ -425,7 +430,7 @@
 			w.startNewServer("b", 90+n, 500*ms)
 		}
 	}},
-	{name: "zone returns cold", zones: 2, do: func(w *simulatedFleet) {
+	{name: "zone returns in slow start", zones: 2, do: func(w *simulatedFleet) {
 		zone := slices.DeleteFunc(slices.Clone(w.servers), func(s *server) bool { return s.Zone != "b" })
 		w.takeOutOfService(Removed, 0, zone...)
 		w.at(w.now+5*time.Second, func() {
@@ -435,21 +440,22 @@
 			w.takeOutOfService(Up, 500*ms, zone...)
 		})
 	}},
-	{name: "zone returns cold, the other goes", zones: 2, do: func(w *simulatedFleet) {
-		for _, s := range w.servers {
-			if s.Zone == "b" {
-				w.restart(s)
-			}
-		}
-		w.updateAll(500*ms, w.servers...)
-		w.at(w.now+time.Second, func() {
+	{name: "zone returns in slow start, the other becomes unreachable", zones: 2,
+		do: func(w *simulatedFleet) {
 			for _, s := range w.servers {
-				if s.Zone == "a" {
-					s.dead = true
+				if s.Zone == "b" {
+					w.restart(s)
 				}
 			}
-		})
-	}},
+			w.updateAll(500*ms, w.servers...)
+			w.at(w.now+time.Second, func() {
+				for _, s := range w.servers {
+					if s.Zone == "a" {
+						s.dead = true
+					}
+				}
+			})
+		}},
 	{name: "proxies restart at once", do: func(w *simulatedFleet) {
 		w.startNewServer("b", 99, 0)
 		for n := range w.instances {
@@ -463,7 +469,7 @@
 			w.at(at, func() { w.replaceInstance(n, w.up()...) })
 		}
 	}},
-	{name: "short list at new proxies, a fifth of them", do: func(w *simulatedFleet) {
+	{name: "a fifth of the proxies new, with a short list", do: func(w *simulatedFleet) {
 		w.startNewServer("b", 99, 0)
 		for n := range w.instances {
 			if n%5 == 0 {
@@ -475,30 +481,30 @@
 		w.takeOutOfService(Draining, 500*ms, w.servers[:7]...)
 		w.startNewServer("b", 99, 500*ms)
 	}},
-	{name: "seven in ten gone", do: func(w *simulatedFleet) {
+	{name: "seven in ten removed", do: func(w *simulatedFleet) {
 		w.takeOutOfService(Removed, 500*ms, w.servers[:7]...)
 		w.startNewServer("b", 99, 500*ms)
 	}},
-	{name: "half dead and ejected", do: func(w *simulatedFleet) {
+	{name: "half unreachable and ejected", do: func(w *simulatedFleet) {
 		for _, s := range w.servers[:5] {
 			s.dead = true
 		}
 		w.startNewServer("b", 99, 500*ms)
 	}},
-	{name: "nine in ten dead", do: func(w *simulatedFleet) {
+	{name: "nine in ten unreachable", do: func(w *simulatedFleet) {
 		for _, s := range w.servers[:9] {
 			s.dead = true
 		}
 		w.startNewServer("b", 99, 500*ms)
 	}},
-	{name: "it fails half of its calls, others one in five", do: func(w *simulatedFleet) {
+	{name: "half of its calls fail, one in five on the others", do: func(w *simulatedFleet) {
 		for _, s := range w.servers {
 			s.errorShare = 0.2
 		}
 		w.startNewServer("b", 99, 0)
 		w.servers[10].errorShare = 0.5
 	}},
-	{name: "spill-over on top", zones: 2, do: func(w *simulatedFleet) {
+	{name: "spill-over in addition", zones: 2, do: func(w *simulatedFleet) {
 		for _, s := range w.servers[:6] {
 			if s.Zone == "a" {
 				w.takeOutOfService(Draining, 500*ms, s)
@@ -506,10 +512,10 @@
 		}
 		w.startNewServer("b", 99, 500*ms)
 	}},
-	{name: "attached by hand at all", prepare: detachFirstServer, do: func(w *simulatedFleet) {
+	{name: "attached at all instances", prepare: detachFirstServer, do: func(w *simulatedFleet) {
 		w.attach(w.servers[0], 0)
 	}},
-	{name: "attached by hand at all, after each other", prepare: detachFirstServer,
+	{name: "attached at all instances, one after the other", prepare: detachFirstServer,
 		do: func(w *simulatedFleet) {
 			w.attach(w.servers[0], 3*time.Second)
 		}},
@@ -521,7 +527,7 @@
 	}
 }
 
-// rampWorst is the worst of the cold starts of a run, and what they got of their fair ramp.
+// rampResult is the worst window of all slow starts of a run, and the share of calls they got.
 type rampResult struct {
 	sum       int
 	bound     float64
@@ -556,7 +562,7 @@
 	}
 	w.callsPerSecond = traffic.load * float64(w.plannedServers) * traffic.capacity
 	weights, sum := make([]float64, instances), 0.0
-	for n := range weights { // unlike: a few carry most
+	for n := range weights { // uneven: a few instances get most of the calls
 		weights[n] = 1
 		if unevenTraffic {
 			weights[n] = math.Exp(1.2 * w.rng.NormFloat64())
@@ -591,9 +597,9 @@
 	{30, slowStartRules{0.13, 24 * time.Second, 2.5, 1500 * ms}},
 }
 
-const rampSeeds = 3 // of each case: fixed, so that the verdict is the same each time
+const rampSeeds = 3 // for each case; fixed, so that the result is the same each time
 
-// Guards against a sum of calls, over all proxies, that a cold server falls under.
+// Prevents the sum of the calls of all proxies from overloading a server in slow start.
 func TestRampHoldsForTheFleet(t *testing.T) {
 	for _, c := range rampCases {
 		for _, traffic := range rampTraffics {
@@ -612,7 +618,7 @@
 	}
 }
 
-// The same where each client process has a balancer of its own, and a few carry most of the calls.
+// The same where each client process has its own balancer and a few get most of the calls.
 func TestRampHoldsForAMesh(t *testing.T) {
 	for _, c := range rampCases {
 		var worst rampResult
@@ -636,7 +642,7 @@
 	t.Helper()
 	share := float64(r.received) / r.fairShare
 	t.Logf("%v: worst %d of %.1f, share %.2f", what, r.sum, r.bound, share)
-	if share < 0.25 { // a bound that is kept by sending nothing is none
-		t.Errorf("%v: cold servers got %.2f of their fair ramp", what, share)
+	if share < 0.25 { // a bound kept by sending nothing proves nothing
+		t.Errorf("%v: servers in slow start got %.2f of their fair share", what, share)
 	}
 }
--- a/logic/recovery_test.go
+++ b/logic/recovery_test.go
@@ -11,28 +11,28 @@
 	"oxbowloft/logic"
 )
 
-// These tests play one balancer in virtual time before backends that are all bad for a spell
-// and then well again, with thin traffic. What they look for is a balancer that has learned
-// so much ill of its backends that it makes no attempt by which it could learn better.
+// These tests run one balancer with little traffic in virtual time against backends that all fail for a
+// while and then recover. They look for a balancer that, because of what it learned from the failures,
+// makes no attempt from which it could learn of the recovery.
 
-// health is how a backend answers.
+// behavior is how the backends answer.
 type behavior int
 
 const (
 	healthy     behavior = iota
-	failing              // with an error, at once
-	rejecting            // away, unseen
-	unreachable          // nobody there
+	failing              // error at once
+	rejecting            // rejects calls without executing them
+	unreachable          // no connection is possible
 	hanging              // no answer
-	slow                 // later than any attempt waits
-	lateAnswers          // within an attempt's time, most of them, and past the aim
+	slow                 // later than any attempt timeout
+	lateAnswers          // mostly within the attempt timeout, but beyond the target latency
 )
 
 func (h behavior) String() string {
-	return [...]string{"well", "failing", "turning away", "gone", "hanging", "slow", "sluggish"}[h]
+	return [...]string{"healthy", "failing", "rejecting", "unreachable", "hanging", "slow", "late"}[h]
 }
 
-// reply draws how a call ends at a backend, and after how long.
+// drawReply draws the result and latency of a call.
 func (h behavior) drawReply(rng *rand.Rand) (logic.Result, time.Duration) {
 	between := func(least, most time.Duration) time.Duration {
 		return least + time.Duration(rng.Int64N(int64(most-least)))
@@ -54,14 +54,14 @@
 	return logic.OK, between(50*time.Millisecond, 150*time.Millisecond)
 }
 
-// timer is something due in virtual time.
+// timer is an event due in virtual time.
 type timer struct {
 	at       logic.Time
-	sequence int // of those due together, the one set first goes first
+	sequence int // orders timers due at the same time as they were set
 	do       func()
 }
 
-// timers is a heap of them.
+// timers is a heap of timers.
 type timers []timer
 
 func (t timers) Len() int      { return len(t) }
@@ -77,14 +77,14 @@
 	return last
 }
 
-// stall is a stretch of time in which requests came and none was attempted.
+// stall is a period in which requests arrived and none was attempted.
 type stall struct {
 	began, ended logic.Time
 	requests     int
 }
 
-// What counts as a balancer that turns away all it gets: the operators call it a fault on a
-// calm day.
+// A balancer that refuses all requests for so long and so many of them counts as faulty: with healthy
+// backends, operators treat it as a fault.
 const (
 	stallTime     = 4 * time.Second
 	stallRequests = 15
@@ -94,19 +94,19 @@
 	return s.ended-s.began >= stallTime && s.requests >= stallRequests
 }
 
-// play is one balancer, its requests and its backends. It carries out the balancer's Actions.
+// simulation is one balancer, its requests and its backends. It implements logic.Actions.
 type simulation struct {
 	balancer  *logic.Balancer
 	rng       *rand.Rand
 	now       logic.Time
 	timers    timers
-	timersSet int // timers ever
+	timersSet int // over the whole run
 	behavior  behavior
-	requests  int // ever
+	requests  int // over the whole run
 	attempts  map[string]int
 	served    int
 
-	recording bool // the spell is over
+	recording bool // the failure is over
 	current   stall
 	worst     stall
 }
@@ -116,7 +116,7 @@
 	heap.Push(&p.timers, timer{p.now + wait, p.timersSet, do})
 }
 
-// run plays until end.
+// run simulates until end.
 func (p *simulation) run(end logic.Time) {
 	for len(p.timers) > 0 && p.timers[0].at <= end {
 		next := heap.Pop(&p.timers).(timer)
@@ -126,7 +126,7 @@
 	p.now = end
 }
 
-// ask makes a request with a gap to the next one of mean length, until the gap is changed.
+// sendRequests sends a request and schedules the next one after a random time around *gap.
 func (p *simulation) sendRequests(gap *time.Duration) {
 	p.requests++
 	id := "request-" + strconv.Itoa(p.requests)
@@ -139,8 +139,8 @@
 	p.after(time.Duration((0.5+p.rng.Float64())*float64(*gap)), func() { p.sendRequests(gap) })
 }
 
-// note keeps the worst stretch without an attempt: a faulty one, or else the one with the most
-// requests.
+// recordStall keeps the worst period without an attempt: the first that exceeds the bounds, or else the
+// one with the most requests.
 func (p *simulation) recordStall() {
 	p.current.ended = p.now
 	if p.recording && !p.worst.exceedsBounds() &&
@@ -179,7 +179,7 @@
 // Fail implements logic.Actions.
 func (p *simulation) Fail(string, logic.Cause) {}
 
-// Cancel implements logic.Actions. No client leaves here.
+// Cancel implements logic.Actions. No client disconnects here.
 func (p *simulation) Cancel(string, int) {}
 
 // Wake implements logic.Actions.
@@ -190,7 +190,7 @@
 // CloseIdle implements logic.Actions.
 func (p *simulation) CloseIdle(string) {}
 
-// WatchList implements logic.Actions. The list does not change here.
+// WatchList does nothing: the list does not change here.
 func (p *simulation) WatchList() {}
 
 var classes = []logic.Class{
@@ -202,7 +202,7 @@
 		Idempotency: logic.NonIdempotent},
 }
 
-// shape is where the balancer stands.
+// deployment is the environment of the balancer.
 type deployment struct {
 	name      string
 	balancers int
@@ -236,18 +236,18 @@
 	return p
 }
 
-// The parts of a play, and how dense requests are in them.
+// The phases of a run, and the mean time between requests in them.
 const (
 	calmBefore    = 20 * time.Second
 	calmAfter     = 60 * time.Second
-	recoveredTime = 20 * time.Second // at the end of it, in which requests must be served again
+	recoveredTime = 20 * time.Second // at the end of calmAfter, when requests must be served again
 
-	lowTrafficGap  = 200 * time.Millisecond // 20 requests in the time of a stall
+	lowTrafficGap  = 200 * time.Millisecond // 20 requests in stallTime
 	highTrafficGap = 10 * time.Millisecond
 )
 
-// recover plays a spell and the calm after it. It returns the worst stall of that calm, and
-// the share of requests served at its end.
+// failAndRecover simulates a failure and the time after it. It returns the worst stall after the failure,
+// and the share of requests served at the end.
 func (p *simulation) failAndRecover(
 	failure behavior, duration, gap time.Duration) (worst stall, served float64) {
 	currentGap := lowTrafficGap
@@ -264,13 +264,13 @@
 	return p.worst, float64(p.served-before) / float64(p.requests-requests)
 }
 
-// leastServed is the share of requests that a balancer before healthy backends must serve
-// once the calm has lasted for a while.
+// minServedShare is the share of requests that a balancer must serve some time after the backends have
+// recovered.
 const minServedShare = 0.9
 
-// Once backends are well again, thin traffic alone brings a balancer back: no 4 s on end in
-// which it turns all of 15 requests or more away without an attempt, and soon they are served.
-// Guards against ejections and limits that only an attempt could lift, and that allow none.
+// Once the backends have recovered, little traffic is enough for the balancer to recover: it never
+// refuses 15 or more requests over 4 s without an attempt, and soon serves requests again. Prevents
+// ejections and limits that only an attempt could lift but that permit none.
 func TestLowTrafficRecovers(t *testing.T) {
 	deployments := []deployment{
 		{"one balancer", 1, 0, false, 10},
@@ -289,7 +289,7 @@
 			for failure := failing; failure <= lateAnswers; failure++ {
 				for _, duration := range durations {
 					for _, gap := range []time.Duration{lowTrafficGap, highTrafficGap} {
-						what := fmt.Sprintf("%s for %v, a request each %v", failure, duration, gap)
+						what := fmt.Sprintf("%s for %v, a request every %v", failure, duration, gap)
 						worst, served := newSimulation(s, 1).failAndRecover(failure, duration, gap)
 						longest = max(longest, worst.requests)
 						if worst.exceedsBounds() {
@@ -297,17 +297,17 @@
 								what, worst.began, worst.ended-worst.began, worst.requests)
 						}
 						if served < minServedShare {
-							t.Errorf("%s: at the end %.0f%% are served", what, 100*served)
+							t.Errorf("%s: at the end %.0f%% of requests are served", what, 100*served)
 						}
 					}
 				}
 			}
-			t.Logf("at most %d requests on end without an attempt", longest)
+			t.Logf("at most %d requests in a row without an attempt", longest)
 		})
 	}
 }
 
-// A check that can't fail says nothing: stretches on either side of its bounds.
+// Checks the check itself: periods on either side of the bounds.
 func TestStallBounds(t *testing.T) {
 	for _, c := range []struct {
 		length   time.Duration
--- a/logic/retry_test.go
+++ b/logic/retry_test.go
@@ -1,4 +1,4 @@
-// Attempts: whether one goes out, and what their ends teach.
+// Tests of attempts: whether one is sent, and what is learned from its outcome.
 
 package logic
 
@@ -18,7 +18,7 @@
 	}{
 		{"fits more than once", 1000 * ms, 1, 100 * ms},
 		{"fits once: all that is left", 150 * ms, 1, 147 * ms},
-		{"fits but for the reserve", 101 * ms, 0, 0},
+		{"fits only without the reserve", 101 * ms, 0, 0},
 		{"does not fit", 50 * ms, 0, 0},
 		{"no time at all", 0, 0, 0},
 	} {
@@ -30,7 +30,7 @@
 				t.Fatalf("%d sends, want %d", len(f.sends), c.sends)
 			}
 			if c.sends == 1 && f.sends[0].timeout != c.timeout {
-				t.Errorf("time-out %v, want %v", f.sends[0].timeout, c.timeout)
+				t.Errorf("timeout %v, want %v", f.sends[0].timeout, c.timeout)
 			}
 			if c.sends == 0 && !f.onlyAnswer(t, "r").refused {
 				t.Error("nothing was sent, yet the answer is not a refusal")
@@ -44,21 +44,21 @@
 		name    string
 		class   int
 		result  Result
-		after   time.Duration // of the outcome
+		after   time.Duration // latency of the outcome
 		retried bool
 		refused bool // if not retried
 	}{
-		{"safe after an error", idempotent, Error, 50 * ms, true, false},
-		{"safe after a time-out", idempotent, TimedOut, 100 * ms, true, false},
-		{"safe, but nothing fits", idempotent, TimedOut, 1900 * ms, false, true},
-		{"keyed after a time-out", deduplicated, TimedOut, 100 * ms, true, false},
-		{"keyed, forgotten by the backends", deduplicated, TimedOut, 950 * ms, false, true},
-		{"keyed in a zone, forgotten there", dedupInZone, TimedOut, 950 * ms, false, false},
-		{"unsafe, proven not run", nonIdempotent, Rejected, 10 * ms, true, false},
-		{"unsafe, no connection", nonIdempotent, ConnectFailed, 10 * ms, true, false},
-		{"unsafe after an error", nonIdempotent, Error, 10 * ms, false, false},
-		{"unsafe after a broken connection", nonIdempotent, ConnectionLost, 10 * ms, false, false},
-		{"unsafe after a time-out", nonIdempotent, TimedOut, 10 * ms, false, false},
+		{"idempotent after an error", idempotent, Error, 50 * ms, true, false},
+		{"idempotent after a timeout", idempotent, TimedOut, 100 * ms, true, false},
+		{"idempotent, but nothing fits", idempotent, TimedOut, 1900 * ms, false, true},
+		{"deduplicated after a timeout", deduplicated, TimedOut, 100 * ms, true, false},
+		{"deduplicated, window expired", deduplicated, TimedOut, 950 * ms, false, true},
+		{"deduplicated in a zone, window expired", dedupInZone, TimedOut, 950 * ms, false, false},
+		{"non-idempotent, proven not executed", nonIdempotent, Rejected, 10 * ms, true, false},
+		{"non-idempotent, no connection", nonIdempotent, ConnectFailed, 10 * ms, true, false},
+		{"non-idempotent after an error", nonIdempotent, Error, 10 * ms, false, false},
+		{"non-idempotent after a lost connection", nonIdempotent, ConnectionLost, 10 * ms, false, false},
+		{"non-idempotent after a timeout", nonIdempotent, TimedOut, 10 * ms, false, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b, f := startBalancer(testSettings(), entry("b", 1), entry("b", 2))
@@ -71,7 +71,7 @@
 					t.Errorf("refused = %v, want %v", got.refused, c.refused)
 				}
 				if len(b.requests) != 0 {
-					t.Error("an answered request is still held")
+					t.Error("an answered request is still kept")
 				}
 				return
 			}
@@ -86,13 +86,13 @@
 			end := c.after + wait + 10*ms
 			b.AttemptDone(end, Outcome{Request: "r", Attempt: 1, Result: OK, Latency: 10 * ms, Final: true})
 			if len(f.answers["r"]) != 0 || len(b.requests) != 0 {
-				t.Error("a served request was answered again or is still held")
+				t.Error("a served request was answered again or is still kept")
 			}
 		})
 	}
 }
 
-// The fit is tested again when the backoff is over: timers may run late.
+// Whether the attempt fits is checked again after the backoff: timers may run late.
 func TestRetryMustFitAfterBackoff(t *testing.T) {
 	b, f := startBalancer(testSettings(), entry("b", 1))
 	b.retryTokens = 5
@@ -102,11 +102,11 @@
 	token, _ := f.takeTimer(t)
 	b.TimerFired(900*ms, token)
 	if len(f.sends) != 1 || !f.onlyAnswer(t, "r").refused {
-		t.Error("sent though the allowance no longer fits")
+		t.Error("sent though the attempt timeout no longer fits")
 	}
 }
 
-// An attempt that none may follow gains nothing from an early time-out.
+// If no attempt can follow, a shorter timeout gains nothing.
 func TestLastAttemptGetsAllTimeLeft(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -114,16 +114,16 @@
 		attempts int
 		want     time.Duration
 	}{
-		{"more may follow", idempotent, 3, 100 * ms},
-		{"must not run twice", nonIdempotent, 3, 980 * ms},
-		{"the ceiling is reached", idempotent, 1, 980 * ms},
+		{"retries may follow", idempotent, 3, 100 * ms},
+		{"must not be executed twice", nonIdempotent, 3, 980 * ms},
+		{"the maximum of attempts is reached", idempotent, 1, 980 * ms},
 	} {
 		b, f := startBalancer(testSettings(), entry("b", 1))
 		b.settings.MaxAttempts = c.attempts
 		b.setAttemptTimeout(c.class, 100*ms)
 		b.StartRequest(0, Request{ID: "r", Class: c.class, Budget: 1000 * ms})
 		if got := f.last(t).timeout; got != c.want {
-			t.Errorf("%s: time-out %v, want %v", c.name, got, c.want)
+			t.Errorf("%s: timeout %v, want %v", c.name, got, c.want)
 		}
 	}
 }
@@ -162,11 +162,11 @@
 		}
 	}
 	if len(f.sends) != 3 || !f.onlyAnswer(t, "r").refused {
-		t.Errorf("%d sends, want the ceiling of 3 and a refusal", len(f.sends))
+		t.Errorf("%d sends, want the maximum of 3 and a refusal", len(f.sends))
 	}
 }
 
-// A keyed request that may have run goes only to backends that drop its repeat.
+// A deduplicated request that may have been executed goes only to backends that drop the duplicate.
 func TestDeduplicatedStaysInScope(t *testing.T) {
 	lines := []Backend{entry("b", 1), entry("b", 2), entry("a", 1), entry("c", 2)}
 	for _, c := range []struct {
@@ -207,14 +207,14 @@
 	}
 }
 
-// Repeats saved up are what own traffic earns in the first ejection's time. Guards against
-// hundreds of balancers of thin traffic that each have ten to spend when a tier slows down:
-// in sum they add a fifth to what it already can't do.
+// Saved retry tokens are limited to what own traffic earns in the base ejection time. Without this, each
+// of hundreds of balancers with little traffic would have ten retries to spend when a tier slows down: in
+// sum a fifth more load on a tier already overloaded.
 func TestRetryTokensAtLowTraffic(t *testing.T) {
 	for _, c := range []struct {
 		perSecond, most int
 	}{{10, 3}, {400, 12}} {
-		set := testSettings() // a tenth of the calls of a second may be repeated
+		set := testSettings() // retries of up to a tenth of the calls of a second are allowed
 		set.Tier = 1
 		b, f := startBalancer(set, zoneEntries("b", 4)...)
 		now, gap := Time(0), 1000*ms/Time(c.perSecond)
@@ -231,12 +231,12 @@
 			call(300+i, Error)
 		}
 		if n := len(f.timers); n > c.most || n == 0 {
-			t.Errorf("%d calls a second: %d repeats of 15 calls, want up to %d", c.perSecond, n, c.most)
+			t.Errorf("%d calls a second: %d retries of 15 calls, want up to %d", c.perSecond, n, c.most)
 		}
 	}
 }
 
-// Guards against retries that burn what is left when all slow together.
+// Prevents retries from using up the remaining capacity when all backends slow down together.
 func TestRetryBudget(t *testing.T) {
 	b, f := startBalancer(testSettings(), zoneEntries("b", 4)...)
 	b.settings.Tier = 1
@@ -250,9 +250,9 @@
 	}
 }
 
-// Connections that are reset now and then, a few in a thousand calls, say nothing of
-// those that are idle. Guards against hundreds of balancers that each answer one break
-// with some twenty new connections, to backends that hold few.
+// Occasional connection resets, a few in a thousand calls, say nothing about idle connections. Prevents
+// hundreds of balancers from each answering one lost connection with some twenty new ones, to backends
+// that accept few.
 func TestFewLostConnectionsCauseNoReconnects(t *testing.T) {
 	closed, broken := 0, 0
 	for n := range 100 {
@@ -272,12 +272,12 @@
 		closed += f.closed
 	}
 	if closed > 10*broken {
-		t.Errorf("%d calls on new connections for %d breaks", closed, broken)
+		t.Errorf("%d calls on new connections for %d lost ones", closed, broken)
 	}
 }
 
-// Guards against connections dropped while idle: while many calls break, each
-// goes on a new connection, and no longer than that.
+// Connections may be dropped while idle: while many are lost, each call uses a new connection, and no
+// longer than that.
 func TestIdleConnectionsClosedAfterLosses(t *testing.T) {
 	b, f := startBalancer(testSettings(), zoneEntries("b", 4)...)
 	b.settings.Tier = 1
@@ -290,13 +290,13 @@
 	}
 	call(OK)
 	if f.closed != 0 {
-		t.Error("connections closed though none broke")
+		t.Error("connections closed though none was lost")
 	}
 	for range 20 {
 		call(ConnectionLost)
 	}
 	if f.closed < 15 {
-		t.Errorf("closed %d times in 20 breaks", f.closed)
+		t.Errorf("closed %d times for 20 lost connections", f.closed)
 	}
 	for range 200 {
 		call(OK)
@@ -304,15 +304,15 @@
 	before := f.closed
 	call(OK)
 	if f.closed != before {
-		t.Error("still closing connections long after the last break")
+		t.Error("still closing connections long after the last loss")
 	}
 }
 
-// Guards against clients of little patience that are all turned away though an answer is
-// likely: where no allowance fits what they give, the mean latency has to. That holds for a
-// first attempt of what may be repeated, and in a lower tier of any: turned away there, the
-// work above is lost. Its time-out tells of the client, and neither raises the allowance nor
-// speaks against the backend.
+// Prevents clients with short timeouts from being refused throughout although an answer is likely: where
+// their time does not hold the attempt timeout, it has to hold the mean latency. This applies to the
+// first attempt of idempotent requests, and in a lower tier of all requests, since a refusal there wastes
+// the work above. A timeout of such an attempt depends on the client: it neither raises the attempt
+// timeout nor counts against the backend.
 func TestShortClientTimeouts(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -322,13 +322,13 @@
 		patient time.Duration
 		sent    bool
 	}{
-		{"over the mean", idempotent, 0, false, 250 * ms, true},
-		{"under the mean", idempotent, 0, false, 90 * ms, false},
-		{"must not run twice", nonIdempotent, 0, false, 250 * ms, false},
+		{"above the mean latency", idempotent, 0, false, 250 * ms, true},
+		{"below the mean latency", idempotent, 0, false, 90 * ms, false},
+		{"must not be executed twice", nonIdempotent, 0, false, 250 * ms, false},
 		{"a lower tier", idempotent, 1, false, 250 * ms, true},
-		{"a lower tier, must not run twice", nonIdempotent, 1, false, 250 * ms, true},
-		{"a lower tier, under the mean", idempotent, 1, false, 90 * ms, false},
-		{"unlike traffic", idempotent, 0, true, 250 * ms, false},
+		{"a lower tier, must not be executed twice", nonIdempotent, 1, false, 250 * ms, true},
+		{"a lower tier, below the mean latency", idempotent, 1, false, 90 * ms, false},
+		{"uneven traffic", idempotent, 0, true, 250 * ms, false},
 	} {
 		set := testSettings()
 		set.Tier, set.UnevenTraffic = c.tier, c.unlike
@@ -354,23 +354,23 @@
 			b.classes[c.class].attemptTimeout, to.relativeLatency, to.failureShare
 		b.AttemptDone(c.patient, Outcome{Request: "r", Result: TimedOut, Latency: f.last(t).timeout})
 		if f.onlyAnswer(t, "r").refused != (c.class == idempotent) {
-			t.Errorf("%s: refused only where another try is harmless", c.name)
+			t.Errorf("%s: want a refusal only if a retry is harmless", c.name)
 		}
 		if b.classes[c.class].attemptTimeout > attemptTimeout || to.relativeLatency != relativeLatency ||
 			to.failureShare != failureShare {
-			t.Errorf("%s: the time-out was learned from", c.name)
+			t.Errorf("%s: the timeout changed what is learned", c.name)
 		}
 	}
 }
 
-// Guards against backends that lose a part of their answers and are taken for slow: all would go
-// to the few that lose none. A time-out counts for no more than two mean latencies, also for the limit.
+// Prevents backends that lose some of their answers from being taken for slow, which would move all calls
+// to the few that lose none. A timeout counts as at most twice the mean latency, also for the limit.
 func TestLostAnswersDontCountAsSlow(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		uneven bool
 		slow   bool
-	}{{"unlike", true, false}, {"alike", false, true}} {
+	}{{"uneven", true, false}, {"even", false, true}} {
 		set := unevenSettings()
 		set.UnevenTraffic = c.uneven
 		b, _ := startBalancer(set, zoneEntries("b", 10)...)
@@ -388,38 +388,38 @@
 			m.ejections = 0
 		}
 		if slow := m.relativeLatency > 1.5; slow != c.slow {
-			t.Errorf("%s: slowness %v", c.name, m.relativeLatency)
+			t.Errorf("%s: relative latency %v", c.name, m.relativeLatency)
 		}
 	}
 }
 
-// Guards against idle connections that are dropped unseen: calls on them have no answer, where a
-// new connection has one. Busy ones stay open, since a new one is dear.
+// Idle connections may be dropped without notice: calls on them get no answer, while new connections
+// work. Connections in use stay open, since new ones are expensive.
 func TestIdleConnectionsDroppedSilently(t *testing.T) {
 	b, f := startBalancer(unevenSettings(), zoneEntries("b", 1)...)
-	now := runRequest(b, f, 0, OK) // a connection is made
+	now := runRequest(b, f, 0, OK) // a connection is established
 	for range 8 {
 		now = runRequest(b, f, now+3*time.Second, TimedOut)
 	}
 	if f.closed == 0 {
-		t.Fatal("nothing was closed while all calls on idle connections had no answer")
+		t.Fatal("nothing was closed while all calls on idle connections got no answer")
 	}
 	closed := f.closed
 	for range 10 {
 		now = runRequest(b, f, now+50*ms, OK)
 	}
-	if n := f.closed - closed; n > 1 { // the first may have been idle
+	if n := f.closed - closed; n > 1 { // the first one may have been idle
 		t.Errorf("connections in use were closed %d times", n)
 	}
 	for range 200 {
 		now = runRequest(b, f, now+50*ms, OK)
 	}
 	if b.idleTimeoutShare > idleTimeoutThreshold {
-		t.Errorf("after 200 answers %v of calls still count as lost", b.idleTimeoutShare)
+		t.Errorf("after 200 answers the idle timeout share is still %v", b.idleTimeoutShare)
 	}
 }
 
-// feedOne is one request whose attempts all end with r; it returns when the last one did.
+// runRequest runs a request whose attempts all end with r, and returns when the last one ended.
 func runRequest(b *Balancer, f *recorder, now Time, r Result) Time {
 	id := fmt.Sprint("one", now)
 	b.StartRequest(now, Request{ID: id, Class: idempotent, Budget: 2000 * ms})
--- a/logic/rules_test.go
+++ b/logic/rules_test.go
@@ -7,17 +7,19 @@
 	"time"
 )
 
-// This file drives the module through long seeded sequences of legal events and
-// checks after each step what one balancer can see of the four rules.
+// These tests run the balancer through long seeded sequences of valid events. After each step they check
+// those of its four basic rules that can be seen at one balancer: only backends in service get calls, no
+// request is executed twice, attempts and timeouts stay within their limits, and each request has exactly
+// one final answer.
 
-// world is a fake that plays backends and checks every action.
+// randomWorld implements Actions, simulates the backends and checks every action.
 type randomWorld struct {
 	rng      *rand.Rand
 	settings Settings
 	balancer *Balancer
 	now      Time
 	open     map[string]*openRequest
-	ids      []string // of open requests and of those with attempts out, in order
+	ids      []string // open requests and those with outstanding attempts, in order
 	backends map[string]Backend
 	timers   []pendingTimer
 	fault    error
@@ -36,7 +38,7 @@
 	sentAt  Time
 	timeout time.Duration
 	done    bool
-	mayRun  bool // while out, and after any outcome that proves nothing
+	mayRun  bool // true while outstanding, and after any outcome that doesn't prove the opposite
 }
 
 type pendingTimer struct {
@@ -55,21 +57,21 @@
 
 	switch {
 	case q == nil:
-		w.failf("%s: sent, but it is over", request)
+		w.failf("%s: sent after its end", request)
 		return
 	case q.answered:
 		w.failf("%s: sent after its answer", request)
 	case to.ID == "" || to.State != Up:
-		w.failf("%s: sent to %s, which drains or is gone", request, backend)
+		w.failf("%s: sent to %s, which is draining or removed", request, backend)
 	case len(q.attempts) >= w.settings.MaxAttempts:
 		w.failf("%s: more attempts than allowed", request)
 	case timeout <= 0 || w.now+timeout > q.deadline:
-		w.failf("%s: time-out %v passes the deadline", request, timeout)
+		w.failf("%s: timeout %v exceeds the deadline", request, timeout)
 	}
 	c := w.settings.Classes[q.class]
 	for _, t := range q.attempts {
 		if !t.done {
-			w.failf("%s: two attempts out together", request)
+			w.failf("%s: two attempts outstanding", request)
 		}
 		if !t.mayRun {
 			continue
@@ -78,11 +80,11 @@
 			c.DedupScope == ScopeCell && t.backend.Cell == to.Cell
 		switch {
 		case c.Idempotency == NonIdempotent:
-			w.failf("%s: unsafe, sent again after it may have run", request)
+			w.failf("%s: non-idempotent, sent again after it may have been executed", request)
 		case c.Idempotency == Deduplicated && !same:
-			w.failf("%s: keyed, sent from %s to %s outside its group", request, t.backend.ID, to.ID)
+			w.failf("%s: deduplicated, sent from %s to %s outside its scope", request, t.backend.ID, to.ID)
 		case c.Idempotency == Deduplicated && w.now-t.sentAt > c.DedupWindow:
-			w.failf("%s: keyed, sent again after it was forgotten", request)
+			w.failf("%s: deduplicated, sent again after the deduplication window", request)
 		}
 	}
 	q.attempts = append(q.attempts, &attemptState{backend: to, sentAt: w.now, timeout: timeout, mayRun: true})
@@ -97,11 +99,11 @@
 	for _, t := range q.attempts {
 		if t.mayRun && (c.Idempotency == NonIdempotent ||
 			c.Idempotency == Deduplicated && c.DedupScope != ScopeAll) {
-			w.failf("%s: refused, though it may have run", request)
+			w.failf("%s: refused, though it may have been executed", request)
 		}
 	}
 	if retryAfter < 0 || retryAfter > w.settings.MaxRetryAfter {
-		w.failf("%s: come back after %v", request, retryAfter)
+		w.failf("%s: retry after %v", request, retryAfter)
 	}
 }
 
@@ -127,11 +129,11 @@
 	q := w.open[request]
 	if !w.settings.CancelAbandoned || q == nil || attempt < 0 || attempt >= len(q.attempts) ||
 		q.attempts[attempt].done {
-		w.failf("%s: attempt %d cancelled, which is not out", request, attempt)
+		w.failf("%s: attempt %d cancelled, which is not outstanding", request, attempt)
 	}
 }
 
-// step lets some time pass and one thing happen.
+// step advances time and makes one random event happen.
 func (w *randomWorld) step() {
 	w.now += time.Duration(w.rng.IntN(int(8 * ms)))
 	w.fireTimers()
@@ -162,7 +164,7 @@
 	w.balancer.StartRequest(w.now, Request{ID: id, Class: class, Budget: budget, ClientRetry: retry})
 }
 
-// due fires wakes and time-outs whose time has come, in order.
+// fireTimers fires timers and timeouts that are due, in order.
 func (w *randomWorld) fireTimers() {
 	for i := 0; i < len(w.timers); i++ {
 		if p := w.timers[i]; p.at <= w.now {
@@ -230,7 +232,7 @@
 		return
 	}
 	var entries []Backend
-	for i := range 12 { // a full list names what is not removed
+	for i := range 12 { // a full list has all entries that are not removed
 		if l, ok := w.backends[fmt.Sprint("b", i)]; ok && l.State != Removed {
 			entries = append(entries, l)
 		}
@@ -238,7 +240,7 @@
 	w.balancer.UpdateList(w.now, true, entries)
 }
 
-// check looks at what must hold between events.
+// check verifies what must hold between events.
 func (w *randomWorld) check() {
 	kept := w.ids[:0]
 	for _, id := range w.ids {
@@ -260,22 +262,23 @@
 	}
 	w.ids = kept
 	if len(w.balancer.requests) > len(w.ids) {
-		w.failf("the module holds %d requests, %d are open", len(w.balancer.requests), len(w.ids))
+		w.failf("the balancer keeps %d requests, %d are open", len(w.balancer.requests), len(w.ids))
 	}
 	if len(w.balancer.backends) > 12 || len(w.balancer.backoffTimers) > len(w.ids) {
-		w.failf("the module remembers %d backends and %d waits",
+		w.failf("the balancer keeps %d backends and %d timers",
 			len(w.balancer.backends), len(w.balancer.backoffTimers))
 	}
 }
 
-// play runs a world; spoil may break the module, to show that checks catch it.
+// runRandomEvents runs a simulation; breakBalancer may break the balancer to show that the checks detect
+// it.
 func runRandomEvents(seed uint64, steps int, breakBalancer func(*Balancer)) error {
 	set := testSettings()
 	set.Seed, set.BalancerCount = seed, []int{1, 3, 30, 400}[seed/2%4] // in either tier
 	set.BalancerIndex = int(seed % uint64(set.BalancerCount))
 	set.Tier = int(seed % 2)
 	for i := range set.Classes {
-		set.Classes[i].DedupWindow = 200 * ms // short enough to run out between attempts
+		set.Classes[i].DedupWindow = 200 * ms // short enough to expire between attempts
 	}
 	set.UnevenTraffic, set.CancelAbandoned, set.EqualClasses = seed%4 > 1, seed%8 > 3, seed%5 > 2
 	w := &randomWorld{
@@ -303,7 +306,7 @@
 	}
 }
 
-// Each check must be able to fail: a module told wrong things breaks the rules.
+// Each check must be able to fail: a balancer with wrong settings violates the rules.
 func TestRuleChecksDetectViolations(t *testing.T) {
 	classes := func(change func(*Class)) func(*Balancer) {
 		return func(b *Balancer) {
@@ -317,11 +320,11 @@
 		name  string
 		spoil func(*Balancer)
 	}{
-		{"unsafe taken for safe", classes(func(c *Class) { c.Idempotency = Idempotent })},
-		{"zones taken for all", classes(func(c *Class) { c.DedupScope = ScopeAll })},
-		{"memory taken for longer", classes(func(c *Class) { c.DedupWindow = time.Hour })},
+		{"non-idempotent taken for idempotent", classes(func(c *Class) { c.Idempotency = Idempotent })},
+		{"zone scope taken for all backends", classes(func(c *Class) { c.DedupScope = ScopeAll })},
+		{"longer deduplication window", classes(func(c *Class) { c.DedupWindow = time.Hour })},
 		{"more attempts than allowed", func(b *Balancer) { b.settings.MaxAttempts = 50 }},
-		{"come-back times too long", func(b *Balancer) { b.settings.MaxRetryAfter = time.Hour }},
+		{"retry-after times too long", func(b *Balancer) { b.settings.MaxRetryAfter = time.Hour }},
 	} {
 		caught := false
 		for seed := uint64(0); seed < 200 && !caught; seed++ {
@@ -344,8 +347,8 @@
 	})
 }
 
-// What is kept for a request, a wait or a backend goes with it: after thousands of
-// each, with every end that there is, nothing of them is left.
+// State kept for a request, timer or backend is released with it: nothing is left after thousands of
+// each, with every kind of outcome.
 func TestChurnLeavesNoState(t *testing.T) {
 	b, f := startBalancer(testSettings(), zoneEntries("b", 4)...)
 	rng := rand.New(rand.NewPCG(11, 0))
@@ -377,7 +380,7 @@
 				b.TimerFired(now+60*ms, token)
 			}
 		}
-		if i%5 == 0 { // another one in the place of the oldest
+		if i%5 == 0 { // another backend replaces the oldest
 			gone := entry("b", 0)
 			gone.ID, gone.State = names[0], Removed
 			come := entry("b", next)
@@ -388,7 +391,7 @@
 		}
 	}
 	if len(b.requests) != 0 || len(b.backoffTimers) != 0 {
-		t.Errorf("%d requests and %d waits are kept", len(b.requests), len(b.backoffTimers))
+		t.Errorf("%d requests and %d timers are kept", len(b.requests), len(b.backoffTimers))
 	}
 	if len(b.backends) != 4 || len(b.listed) != 4 || len(b.zoneGroups[0].members) != 4 {
 		t.Errorf("%d backends are kept, %d listed", len(b.backends), len(b.listed))
--- a/logic/selection_test.go
+++ b/logic/selection_test.go
@@ -1,4 +1,4 @@
-// Which backend gets a call.
+// Tests of backend selection.
 
 package logic
 
@@ -24,7 +24,7 @@
 		zones[zone]++
 	}
 	if zones['c'] == 0 || zones['c'] >= zones['b'] {
-		t.Errorf("calls by zone %v, want most at home and some next door", zones)
+		t.Errorf("calls by zone %v, want most in the own zone and some in the next", zones)
 	}
 }
 
@@ -45,13 +45,13 @@
 	for i := range 6 {
 		b.StartRequest(0, Request{ID: fmt.Sprint("s", i), Class: idempotent, Budget: 2000 * ms})
 		if f.last(t).backend == "b2" {
-			t.Error("sent to the backend well above the mean")
+			t.Error("sent to the backend well above the mean load")
 		}
 	}
 }
 
-// Guards against slow and choked backends: an equal part of the calls in flight
-// keeps them choked and makes most of those calls late. They are tried again.
+// Prevents slow and overloaded backends from staying overloaded: with an equal share of the calls in
+// flight they would, and most of those calls would be late. They are still tried.
 func TestSlowBackendGetsFewerCalls(t *testing.T) {
 	b, f := startBalancer(testSettings(), zoneEntries("b", 4)...)
 	b.settings.Tier = 1
@@ -79,12 +79,12 @@
 		out = append(out, call{id, f.last(t).backend, now + 40*ms})
 	}
 	if counts["b1"] == 0 || 3*counts["b1"] > counts["b0"] {
-		t.Errorf("calls %v, want few but some at b1, four times slower", counts)
+		t.Errorf("calls %v, want few but some at b1, which is four times slower", counts)
 	}
 }
 
-// Guards against small backends that no call reaches while few are in flight:
-// one call there always looked well above the mean.
+// Prevents small backends from getting no calls while few calls are in flight: with one call they always
+// seemed well above the mean load.
 func TestTurnsAreWeightedByCapacity(t *testing.T) {
 	lines := zoneEntries("b", 4)
 	lines[0].Capacity, lines[1].Capacity = 0.5, 2.5
@@ -100,14 +100,15 @@
 	}
 	for i, want := range []int{65, 325, 130, 130} {
 		if id := lines[i].ID; got[id] < want*9/10 || got[id] > want*11/10 {
-			t.Errorf("%s of size %v got %d of 650 calls, want about %d", id, lines[i].Capacity, got[id], want)
+			t.Errorf("%s of capacity %v got %d of 650 calls, want about %d", id, lines[i].Capacity, got[id],
+				want)
 		}
 	}
 }
 
-// Guards against balancers that meet each backend too seldom to tell that it is
-// slow: many balancers each go round a part of the group, few round all of it,
-// and in sum all backends are reached by their size.
+// Prevents balancers from calling each backend too rarely to detect a slow one: with many balancers each
+// uses a subset of the group, with few all of it, and in sum all backends are covered according to their
+// capacity.
 func TestSubsetsCoverBackendsEvenly(t *testing.T) {
 	for _, balancers := range []int{1, 4, 60, 300} {
 		reached := map[string]float64{}
@@ -121,7 +122,8 @@
 			b, _ := startBalancer(set, lines...)
 			for _, m := range b.listed {
 				if balancers <= 4 && m.subsetCapacity < 0.999*m.Capacity {
-					t.Errorf("one of %d balancers reaches %v of %v", balancers, m.subsetCapacity, m.Capacity)
+					t.Errorf("one of %d balancers has %v of a capacity of %v in its subset", balancers,
+						m.subsetCapacity, m.Capacity)
 				}
 				reached[m.ID] += m.subsetCapacity / m.Capacity
 			}
@@ -131,13 +133,14 @@
 			least, most = min(least, r), max(most, r)
 		}
 		if most > 1.3*least || balancers == 300 && most > 40 {
-			t.Errorf("%d balancers: backends are reached by %.1f to %.1f of them", balancers, least, most)
+			t.Errorf("%d balancers: backends are in the subsets of %.1f to %.1f of them", balancers, least,
+				most)
 		}
 	}
 }
 
-// Guards against a slow backend that keeps an equal part of the calls of many
-// balancers, each of which meets it so seldom that it has forgotten.
+// Prevents a slow backend from keeping an equal share of the calls of many balancers, each of which calls
+// it so rarely that its latency has been forgotten.
 func TestManyBalancersAvoidSlowBackend(t *testing.T) {
 	got := map[string]int{}
 	const balancers, perSecond = 100, 5
@@ -164,29 +167,30 @@
 	}
 }
 
-// Where all of their arcs is busy, many balancers spread over the rest of the group.
-// Guards against turns lost together, which are next in the order of the ids: a few calls
-// of each balancer go past its arc, and in sum they would choke the first backends.
+// When their whole subset is busy, many balancers spread over the rest of the group. Prevents them from
+// resuming in the order of the IDs: a few calls of each balancer leave its subset, and in sum they would
+// overload the first backends.
 func TestManyBalancersSpreadBeyondSubsets(t *testing.T) {
 	const balancers, backends, each, open = 200, 40, 50, 8
 	got := map[string]int{}
 	for n := range balancers {
 		b, f := startBalancer(oneOfMany(n, balancers), zoneEntries("b", backends)...)
-		for _, to := range b.runWithInFlight(t, f, each, open) { // more in flight than its arc has backends
+		// More in flight than the subset has backends.
+		for _, to := range b.runWithInFlight(t, f, each, open) {
 			got[to]++
 		}
 	}
 	const mean = balancers * each / backends
 	for _, l := range zoneEntries("b", backends) {
 		if n := got[l.ID]; n < mean/2 || n > 3*mean/2 {
-			t.Errorf("%s got %d calls, %d on the mean", l.ID, n, mean)
+			t.Errorf("%s got %d calls, the mean is %d", l.ID, n, mean)
 		}
 	}
 }
 
-// What goes past its arc goes to the few next on the ring. Guards against a slow spell in
-// which each of hundreds of balancers calls each of the choked backends, and has to learn of
-// it by a time-out of its own: in sum these keep it choked.
+// Calls beyond the subset go to the few next backends on the ring. Prevents a slow period in which each
+// of hundreds of balancers calls each overloaded backend and has to see a timeout of its own: in sum
+// these calls keep the backends overloaded.
 func TestFewBackendsUsedBeyondSubset(t *testing.T) {
 	const balancers, backends, each, open = 50, 40, 200, 8
 	for n := range balancers {
@@ -196,14 +200,15 @@
 			met[to] = true
 		}
 		if len(met) > 2*open {
-			t.Fatalf("balancer %d, of %d calls in flight, met %d of %d", n, open, len(met), backends)
+			t.Fatalf("balancer %d, with %d calls in flight, used %d of %d backends", n, open, len(met),
+				backends)
 		}
 	}
 }
 
-// Balancers that see a call a second or two keep off backends that answer nothing. Guards
-// against a time-out that counts a fifth, where the next call there is as far away as the
-// time for which anything is remembered.
+// Balancers with a call every second or two avoid backends that never answer. Prevents a timeout from
+// counting only a fifth where the next call to the backend is as far away as the time for which outcomes
+// are remembered.
 func TestLowTrafficAvoidsOverloadedBackends(t *testing.T) {
 	const balancers, backends, choked, perSecond = 60, 12, 4, 2
 	calls, lost := 0, 0
@@ -232,15 +237,15 @@
 		}
 	}
 	share := float64(lost) / float64(calls)
-	t.Logf("%.3f of the calls went to choked backends", share)
+	t.Logf("%.3f of the calls went to overloaded backends", share)
 	if share > 0.1 {
-		t.Errorf("%.2f of the calls went to backends that answer nothing, a third of all", share)
+		t.Errorf("%.2f of the calls went to backends that never answer, a third of all", share)
 	}
 }
 
-// A zone whose backends are all gone is left after some calls, long before the list knows.
-// Guards against calls that no backend can take being seen as what all backends share: the
-// balancers of that zone, which call no other, would turn nothing away from it.
+// A zone whose backends are all unreachable is avoided after a few calls, long before the list is
+// updated. Prevents failed connections from counting as failures common to all backends: the balancers of
+// that zone, which call no other, would then never leave it.
 func TestUnreachableZoneIsAvoided(t *testing.T) {
 	const each, perSecond = 10, 20
 	set := testSettings()
@@ -259,13 +264,13 @@
 		}
 		b.AttemptDone(now+ms, Outcome{Request: id, Result: r, Latency: ms, Final: true})
 	}
-	if away < 130 { // the rest are trials
+	if away < 130 { // the rest are probes
 		t.Errorf("%d of the last 150 calls left the zone", away)
 	}
 }
 
-// Guards against requests that use up their attempts in a zone that is lost: a repeat of a
-// call that no backend took goes to another zone, where there is one.
+// Prevents requests from using up their attempts in an unreachable zone: the retry of a call without a
+// connection goes to another zone if there is one.
 func TestRetryLeavesUnreachableZone(t *testing.T) {
 	for _, zones := range []string{"b", "bc"} {
 		var lines []Backend
@@ -284,14 +289,14 @@
 			t.Fatalf("zones %s: %d attempts", zones, len(f.sends))
 		}
 		if to := f.last(t).backend; to[:1] != zones[len(zones)-1:] {
-			t.Errorf("zones %s: repeated at %s", zones, to)
+			t.Errorf("zones %s: retried at %s", zones, to)
 		}
 	}
 }
 
-// Where a zone is lost, its balancers spread over all that are left. Guards against all of
-// them meeting in the next zone, which chokes under twice its traffic while others idle: a
-// balancer's own calls alone never make that zone look busy.
+// When a zone is unreachable, its balancers spread over all the others. Prevents all of them from moving
+// to the next zone, which would be overloaded with twice its traffic while others are idle: a balancer's
+// own calls alone never make that zone look busy.
 func TestTrafficOfUnreachableZoneSpreads(t *testing.T) {
 	const balancers, each, open = 20, 10, 6
 	got := map[string]int{}
@@ -310,13 +315,13 @@
 	}
 	for _, zone := range []string{"a", "c", "d", "e"} {
 		if mean := balancers * 60 / 4; got[zone] < mean/2 || got[zone] > 3*mean/2 {
-			t.Errorf("zone %s got %d calls, %d on the mean: %v", zone, got[zone], mean, got)
+			t.Errorf("zone %s got %d calls, the mean is %d: %v", zone, got[zone], mean, got)
 		}
 	}
 }
 
-// Guards against zones of a few backends each, loaded in steps from one to the next,
-// with the last one idle while the own one queues.
+// Prevents zones of a few backends each from filling one after the other, with the last one idle while
+// the own zone queues.
 func TestLastZoneIsUsed(t *testing.T) {
 	set := testSettings()
 	set.Zones = []string{"a", "b", "c", "d"}
@@ -329,7 +334,7 @@
 	}
 	for _, z := range set.Zones {
 		if n := zones[z[0]]; n < 2 || n > 5 {
-			t.Errorf("calls by zone %v, want all used and most at home", zones)
+			t.Errorf("calls by zone %v, want all used and most in the own zone", zones)
 		}
 	}
 }
--- a/logic/slowstart_test.go
+++ b/logic/slowstart_test.go
@@ -1,4 +1,4 @@
-// What cold backends get.
+// Tests of slow start.
 
 package logic
 
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// Guards against pushing a cold backend over: whatever its warm peers are doing,
-// it gets no more than its part, and that spread out.
+// Prevents the overload of a backend in slow start: whatever the other backends' load, it gets no more
+// than its share, spread over time.
 func TestSlowStartShare(t *testing.T) {
 	cold := entry("b", 9)
 	cold.StartedAt = 1
@@ -29,7 +29,7 @@
 	}
 	warm := float64(counts["b0"]+counts["b1"]+counts["b2"]+counts["b3"]) / 4
 	if share := float64(counts["b9"]) / warm; share == 0 || share > 0.3 {
-		t.Errorf("the cold backend got %.2f of a warm one's calls, want its small part", share)
+		t.Errorf("the backend in slow start got %.2f of another one's calls, want its small share", share)
 	}
 }
 
@@ -42,7 +42,7 @@
 		b.StartRequest(Time(i+1)*ms, Request{ID: fmt.Sprint("r", i), Class: idempotent, Budget: 2000 * ms})
 	}
 	if len(f.sends) > 1 {
-		t.Errorf("a burst of %d calls at a cold backend, want 1 at most", len(f.sends))
+		t.Errorf("a burst of %d calls to a backend in slow start, want 1 at most", len(f.sends))
 	}
 	for i := range 200 {
 		id := fmt.Sprint("s", i)
@@ -51,12 +51,12 @@
 		b.AttemptDone(now+5*ms, Outcome{Request: id, Result: OK, Latency: 5 * ms, Final: true})
 	}
 	if len(f.sends) < 10 {
-		t.Errorf("%d calls in 4 s at the only backend, a cold one", len(f.sends))
+		t.Errorf("%d calls in 4 s to the only backend, in slow start", len(f.sends))
 	}
 }
 
-// Guards against hundreds of balancers that learn of a cold backend, in one tick
-// or apart, and each send it a call at once: together they would push it over.
+// Prevents hundreds of balancers that learn of a new backend, together or one after the other, from each
+// sending it a call at once: in sum they would overload it.
 func TestManyBalancersSlowStart(t *testing.T) {
 	const balancers, perSecond, window = 400, 20, 1500 * ms
 	for _, apart := range []time.Duration{0, 2000 * ms} {
@@ -83,7 +83,8 @@
 			}
 		}
 		slices.Sort(got)
-		warm := float64(balancers*perSecond) / 15 * window.Seconds() // a warm one's calls in a window
+		// Calls to a warmed-up backend in a window.
+		warm := float64(balancers*perSecond) / 15 * window.Seconds()
 		first := 0
 		for i, at := range got {
 			for got[first] <= at-window {
@@ -95,22 +96,21 @@
 			}
 		}
 		if len(got) < 200 {
-			t.Errorf("apart %v: the newcomer got %d calls in its first 10 s", apart, len(got))
+			t.Errorf("apart %v: the new backend got %d calls in its first 10 s", apart, len(got))
 		}
 	}
 }
 
-// A zone that returns cold all at once, before balancers of all zones with unlike
-// traffic, gets no more of it than its backends can do: the cold part of what each
-// carries when warm, whole fleet counted. Guards against parts that are reckoned among
-// cold ones alone and sum to all of a zone's traffic, and against spill from the others
-// on top of it.
+// A whole zone that returns in slow start, with balancers of all zones and uneven traffic, gets no more
+// than its backends can execute: the warm-up fraction of what each carries normally, counted over the
+// whole fleet. Prevents shares computed among backends in slow start only, which sum up to the whole
+// traffic of a zone, and spill-over from other zones in addition.
 func TestZoneReturnsInSlowStart(t *testing.T) {
 	const each, perSecond, window, serve = 10, 20, 1500 * ms, 60 * ms
-	const back, end, busy = 4000 * ms, 9000 * ms, 0.9 // of what warm backends can do
+	const back, end, busy = 4000 * ms, 9000 * ms, 0.9 // share of the capacity of all warmed-up backends
 	for _, c := range []struct {
 		name string
-		lost string // zones that return cold
+		lost string // zones that return in slow start
 	}{{"own zone", "b"}, {"two of three zones", "bc"}} {
 		sends := map[string][]Time{}
 		total := 0.0
@@ -125,7 +125,7 @@
 				rate *= 7
 			}
 			total += rate
-			for i := range lines { // it was gone, and is back
+			for i := range lines { // it was removed and has returned
 				if !strings.Contains(c.lost, lines[i].Zone) {
 					lines[i].State = Removed
 				} else {
@@ -162,7 +162,8 @@
 				}
 			}
 		}
-		warm := total / (3 * each) / busy * window.Seconds() // what a warm one can do in a window
+		// What a warmed-up backend can execute in a window.
+		warm := total / (3 * each) / busy * window.Seconds()
 		worst, got := 0.0, 0
 		for _, at := range sends {
 			slices.Sort(at)
@@ -172,23 +173,23 @@
 				for at[first] <= at[i]-window {
 					first++
 				}
-				// Capacity at the window's end; a window that is not full yet counts by its length.
+				// Capacity at the window's end; a window that is not complete counts by its length.
 				age := float64(at[i]-back) / float64(10000*ms)
 				worst = max(worst, float64(i-first+1)/((0.1+0.9*age)*warm))
 			}
 		}
 		t.Logf("%s: worst %.2f, got %d", c.name, worst, got)
 		if worst > 1.6 {
-			t.Errorf("%s: a cold backend got %.2f times what it could do", c.name, worst)
+			t.Errorf("%s: a backend in slow start got %.2f times its capacity", c.name, worst)
 		}
 		if got < 500 {
-			t.Errorf("%s: cold backends got %d calls", c.name, got)
+			t.Errorf("%s: backends in slow start got %d calls", c.name, got)
 		}
 	}
 }
 
-// Guards against many cold newcomers that stand idle while few warm ones tip:
-// their part goes by what a warm one gets, not by the mean of all.
+// Prevents many new backends from being idle while the few others are overloaded: their share follows the
+// load of a warmed-up backend, not the mean of all.
 func TestManyBackendsInSlowStart(t *testing.T) {
 	lines := zoneEntries("b", 12)
 	for i := range lines[:10] {
@@ -197,7 +198,7 @@
 	b, f := startBalancer(testSettings(), lines...)
 	b.settings.Tier = 1
 	cold := 0
-	at := 5000 * ms // halfway to warm
+	at := 5000 * ms // half of the warm-up time
 	for i := range 2000 {
 		now := at + Time(i)*ms
 		id := fmt.Sprint("r", i)
@@ -208,6 +209,6 @@
 		b.AttemptDone(now, Outcome{Request: id, Result: OK, Latency: ms, Final: true})
 	}
 	if share := float64(cold) / 2000; share < 0.35 || share > 0.8 {
-		t.Errorf("the ten cold backends got %.2f of the calls, want about half", share)
+		t.Errorf("the ten backends in slow start got %.2f of the calls, want about half", share)
 	}
 }
--- a/logic/totals_test.go
+++ b/logic/totals_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// walked is the tally of members, added up one by one.
+// recomputeTotals adds up the totals of the members.
 func recomputeTotals(b *Balancer, now Time, members []*backend) (t totals) {
 	for _, m := range members {
 		part, warmth := m.subsetCapacity*oneIf(m.State == Up), m.warmUpFraction(now, &b.settings)
@@ -31,8 +31,8 @@
 		near(t.subsetCapacity, u.subsetCapacity) && near(t.effectiveSubsetCapacity, u.effectiveSubsetCapacity)
 }
 
-// Sums that are kept up to date are those that a walk over all members gives, whatever has
-// happened: lists, bans, ejections, calls that end in all ways, and time.
+// The incrementally maintained totals equal those recomputed over all members, whatever has happened:
+// lists, detachments, ejections, calls with every outcome, and the passage of time.
 func TestTotalsStayCurrent(t *testing.T) {
 	for seed := range uint64(40) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -79,16 +79,16 @@
 			}
 			if got, want := b.totals(now, &b.listedSummary),
 				recomputeTotals(b, now, b.listed); !got.approxEqual(want) {
-				t.Fatalf("seed %d, step %d: all: kept %+v, walked %+v", seed, step, got, want)
+				t.Fatalf("seed %d, step %d: all: kept %+v, recomputed %+v", seed, step, got, want)
 			}
 			for _, g := range b.zoneGroups {
 				if got, want := b.totals(now, &g.memberSummary),
 					recomputeTotals(b, now, g.members); !got.approxEqual(want) {
-					t.Fatalf("seed %d, step %d: group: kept %+v, walked %+v", seed, step, got, want)
+					t.Fatalf("seed %d, step %d: group: kept %+v, recomputed %+v", seed, step, got, want)
 				}
 				if got, want := b.totals(now, &g.peerSummary),
 					recomputeTotals(b, now, g.peerSummary.members); !got.approxEqual(want) {
-					t.Fatalf("seed %d, step %d: near: kept %+v, walked %+v", seed, step, got, want)
+					t.Fatalf("seed %d, step %d: peers: kept %+v, recomputed %+v", seed, step, got, want)
 				}
 			}
 		}
--- a/logic/uneven_traffic_test.go
+++ b/logic/uneven_traffic_test.go
@@ -1,4 +1,5 @@
-// Where each client process has a balancer of its own: limit and subset by own traffic.
+// Tests with uneven traffic, as when each client process has its own balancer: the limit and the subset
+// follow own traffic.
 
 package logic
 
@@ -8,7 +9,7 @@
 	"time"
 )
 
-// uneven is settings of balancers whose traffic is unlike: 100 before ten backends.
+// unevenSettings returns settings of one of 100 balancers with uneven traffic and ten backends.
 func unevenSettings() Settings {
 	set := testSettings()
 	set.Zones, set.Zone = []string{"b"}, "b"
@@ -16,8 +17,8 @@
 	return set
 }
 
-// feed lets requests arrive, gap apart, each answered after latency while it is in flight; it
-// returns how many of the last half were refused and the time.
+// feedRequests starts requests, one after each gap, each answered after latency while in flight. It
+// returns how many of the second half were refused, and the time.
 func feedRequests(
 	b *Balancer, f *recorder, now Time, n int, gap, latency time.Duration, retry bool) (int, Time) {
 	type out struct {
@@ -47,13 +48,13 @@
 	return refused, now
 }
 
-// Guards against balancers that carry most of the traffic and are held to a like part: at 100
-// requests a second of 100 ms each, 10 calls are in flight, where a like part is half a call.
+// Prevents balancers with most of the traffic from being limited to an equal share: at 100 requests a
+// second of 100 ms each, 10 calls are in flight, where an equal share is half a call.
 func TestLimitFollowsOwnTraffic(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		uneven      bool
-		least, most float64 // calls of the base
+		least, most float64 // base limit in calls
 		refused     int
 	}{{"unlike", true, 11, 14, 0}, {"alike", false, 0.5, 0.5, 500}} {
 		set := unevenSettings()
@@ -61,19 +62,21 @@
 		b, f := startBalancer(set, zoneEntries("b", 10)...)
 		refused, _ := feedRequests(b, f, 0, 1000, 10*ms, 100*ms, false)
 		if base := b.baseLimit * 10; base < c.least || base > c.most || refused > c.refused {
-			t.Errorf("%s: base %v calls, want %v to %v; %d refused", c.name, base, c.least, c.most, refused)
+			t.Errorf("%s: base limit of %v calls, want %v to %v; %d refused", c.name, base, c.least, c.most,
+				refused)
 		}
 	}
 }
 
-// Guards against a limit and an arc that grow with retries: the more is refused, the more would be let in.
+// Prevents a limit and a subset that grow with retries: the more requests are refused, the more would be
+// admitted.
 func TestClientRetriesDontRaiseTheLimit(t *testing.T) {
 	b, f := startBalancer(unevenSettings(), zoneEntries("b", 10)...)
 	_, now := feedRequests(b, f, 0, 300, 100*ms, 100*ms, false)
 	base, arc, near := b.baseLimit, b.minSubsetCapacity, len(b.zoneGroups[0].peerSummary.members)
 	refused, _ := feedRequests(b, f, now, 300, 5*ms, 100*ms, true)
 	if b.baseLimit != base || b.minSubsetCapacity != arc || len(b.zoneGroups[0].peerSummary.members) != near {
-		t.Errorf("base %v, arc %v, %d near; before the retries %v, %v, %d",
+		t.Errorf("base limit %v, subset %v, %d peers; before the retries %v, %v, %d",
 			b.baseLimit, b.minSubsetCapacity, len(b.zoneGroups[0].peerSummary.members), base, arc, near)
 	}
 	if refused == 0 {
@@ -81,8 +84,8 @@
 	}
 }
 
-// Guards against a flood at the start, before the traffic is known: no more than a like part and what may be
-// saved up goes out.
+// Prevents a flood at the start, before the traffic is known: no more is sent than an equal share and the
+// token bucket.
 func TestInitialLimitIsAnEqualShare(t *testing.T) {
 	b, f := startBalancer(unevenSettings(), zoneEntries("b", 10)...)
 	for i := range 20 {
@@ -93,8 +96,8 @@
 	}
 }
 
-// Guards against few backends under all that a busy balancer carries, and against connections to
-// all of them from balancers that are quiet.
+// Prevents a busy balancer from sending all its calls to a few backends, and an idle one from connecting
+// to all of them.
 func TestSubsetFollowsOwnTraffic(t *testing.T) {
 	for _, c := range []struct {
 		name        string
@@ -113,7 +116,7 @@
 	}
 }
 
-// Guards against credit of three calls for each of many balancers: together they choke the
+// Prevents a token bucket of three calls for each of many balancers: together they would overload the
 // backends at the start.
 func TestTokensOfIdleBalancers(t *testing.T) {
 	b, f := startBalancer(unevenSettings(), zoneEntries("b", 10)...)
@@ -127,13 +130,13 @@
 	}
 }
 
-// Guards against a balancer that has long been quiet, and whose limit has grown to a hundred times
-// the little that it needs: the burst that follows would all be let in.
+// Prevents the limit of a balancer with little traffic from growing to a hundred times its need: the
+// burst that follows would be admitted in full.
 func TestLimitOfIdleBalancer(t *testing.T) {
 	b, f := startBalancer(unevenSettings(), zoneEntries("b", 10)...)
 	_, now := feedRequests(b, f, 0, 200, 10*time.Second, 50*ms, false)
 	before := len(f.sends)
-	for i := range 300 { // none is answered yet
+	for i := range 300 { // none has been answered yet
 		b.StartRequest(now+Time(i)*ms, Request{ID: fmt.Sprint("burst", i), Class: idempotent,
 			Budget: 2000 * ms})
 	}
