--- a/logic/admission_test.go
+++ b/logic/admission_test.go
@@ -187,12 +187,12 @@
 		limit := initialLimitPerBackend * 15 / float64(balancers) // of each balancer, in calls
 		mean, sum := meanInFlight(balancers, 15, 4*limit/0.2)
 		if mean < 0.7*sum || mean > 1.15*sum {
-			t.Errorf("%d balancers with four times the load for a limit of %.0f calls have a mean of %.0f in flight",
+			t.Errorf("%d balancers, four times the load for a limit of %.0f calls: mean of %.0f in flight",
 				balancers, sum, mean)
 		}
 		mean, sum = meanInFlight(balancers, 15, 0.4*limit/0.2)
 		if mean < 0.38*sum || mean > 0.42*sum {
-			t.Errorf("%d balancers with 0.4 of the load for a limit of %.0f calls have a mean of %.0f in flight",
+			t.Errorf("%d balancers, 0.4 of the load for a limit of %.0f calls: mean of %.0f in flight",
 				balancers, sum, mean)
 		}
 	}
--- a/logic/api.go
+++ b/logic/api.go
@@ -155,20 +155,20 @@
 	Avoided          // ejected, or has just rejected a call
 )
 
-var causes = [...]string{
+var causeNames = [...]string{
 	"over_limit", "no_time", "no_attempts", "retry_budget", "may_have_run", "balancer_ends",
 	"no_backend", "drained", "list_stale", "slow_start", "avoided",
 }
 
 // String is the cause's name in the log.
-func (c Cause) String() string { return causes[c] }
+func (c Cause) String() string { return causeNames[c] }
 
-var results = [...]string{
+var resultNames = [...]string{
 	"ok", "error", "full", "timed_out", "no_connect", "broken", "cancelled", "never_sent", "late",
 }
 
 // String is the result's name in the log.
-func (r Result) String() string { return results[r] }
+func (r Result) String() string { return resultNames[r] }
 
 // BackendStatus says whether a backend is in use.
 type BackendStatus int
@@ -179,15 +179,15 @@
 	Ejected               // not used because of its failures, until a probe succeeds
 )
 
-var standings = [...]string{"in_use", "ejected"}
+var backendStatusNames = [...]string{"in_use", "ejected"}
 
 // String is the status's name in the log.
-func (s BackendStatus) String() string { return standings[s] }
+func (s BackendStatus) String() string { return backendStatusNames[s] }
 
 // Observer is notified of changes that need no action. Actions may implement it.
 type Observer interface {
 	// BackendStatusChanged reports a backend's new status and its share of recent failures.
-	BackendStatusChanged(backend string, s BackendStatus, failures float64)
+	BackendStatusChanged(backend string, status BackendStatus, failureShare float64)
 }
 
 // ListRequester requests the list of backends. Actions may implement it.
@@ -201,9 +201,9 @@
 	// Send starts an attempt that times out after timeout.
 	Send(request, backend string, timeout time.Duration)
 	// Refuse answers that the request had no effect and may be retried.
-	Refuse(request string, comeBack time.Duration, why Cause)
+	Refuse(request string, retryAfter time.Duration, cause Cause)
 	// Fail answers that the request failed, without a statement about its effect.
-	Fail(request string, why Cause)
+	Fail(request string, cause Cause)
 	// Cancel cancels an outstanding attempt; its outcome is still reported.
 	Cancel(request string, attempt int)
 	// StartTimer requests a TimerFired event with token after the given time.
--- a/logic/balancer.go
+++ b/logic/balancer.go
@@ -126,19 +126,19 @@
 }
 
 // New returns a balancer that calls actions.
-func New(now Time, set Settings, act Actions) *Balancer {
+func New(now Time, settings Settings, actions Actions) *Balancer {
 	b := &Balancer{
-		settings: set, actions: act,
-		rng:           rand.New(rand.NewPCG(set.Seed, 0)),
+		settings: settings, actions: actions,
+		rng:           rand.New(rand.NewPCG(settings.Seed, 0)),
 		backends:      map[string]*backend{},
 		detached:      map[string]bool{},
 		requests:      map[string]*request{},
 		backoffTimers: map[uint64]*request{},
 		lastAdmitted:  now, lastArrival: now,
 	}
-	b.observer, _ = act.(Observer)
-	b.listRequester, _ = act.(ListRequester)
-	for _, c := range set.Classes {
+	b.observer, _ = actions.(Observer)
+	b.listRequester, _ = actions.(ListRequester)
+	for _, c := range settings.Classes {
 		b.classes = append(b.classes, class{Class: c})
 		b.baseEjectionTime = max(b.baseEjectionTime, time.Duration(baseEjectionShare*float64(c.Deadline)))
 	}
@@ -255,14 +255,14 @@
 
 // refuseOrFail is the only place that answers a request: once, and with a refusal if the client may
 // safely retry.
-func (b *Balancer) refuseOrFail(q *request, why Cause) {
+func (b *Balancer) refuseOrFail(q *request, cause Cause) {
 	c := &b.classes[q.Class]
 	q.ended = true
-	if c.Idempotency == Idempotent || q.firstPossiblyRun() == nil || c.Idempotency == Deduplicated &&
-		c.DedupScope == ScopeAll {
-		b.actions.Refuse(q.ID, min(b.settings.MaxRetryAfter, c.TargetLatency/retryAfterDivisor), why)
+	if c.Idempotency == Idempotent || q.firstPossiblyRun() == nil ||
+		c.Idempotency == Deduplicated && c.DedupScope == ScopeAll {
+		b.actions.Refuse(q.ID, min(b.settings.MaxRetryAfter, c.TargetLatency/retryAfterDivisor), cause)
 	} else {
-		b.actions.Fail(q.ID, why)
+		b.actions.Fail(q.ID, cause)
 	}
 	b.releaseIfEnded(q)
 }
--- a/logic/list.go
+++ b/logic/list.go
@@ -38,8 +38,8 @@
 	for _, m := range b.listed {
 		m.removed = full
 	}
-	for _, l := range entries {
-		b.updateBackend(now, l)
+	for _, entry := range entries {
+		b.updateBackend(now, entry)
 	}
 	b.rebuildGroups()
 	if t := b.totals(now, &b.listedSummary); b.baseLimit == 0 && t.capacity > 0 {
@@ -48,19 +48,19 @@
 	}
 }
 
-func (b *Balancer) updateBackend(now Time, l Backend) {
-	l.Capacity = cmp.Or(max(l.Capacity, 0), 1)
-	m := b.backends[l.ID]
+func (b *Balancer) updateBackend(now Time, entry Backend) {
+	entry.Capacity = cmp.Or(max(entry.Capacity, 0), 1)
+	m := b.backends[entry.ID]
 	if m == nil {
 		m = &backend{lastSent: now, spacingFactor: b.rng.Float64(), relativeLatency: 1}
-		b.backends[l.ID] = m
+		b.backends[entry.ID] = m
 		b.listed = append(b.listed, m)
-		// Restarted: discard what was learned.
-	} else if max(l.StartedAt, m.attachedAt) != max(m.StartedAt, m.attachedAt) {
-		m.failureShare, m.ejections, m.relativeLatency, m.lastSent, m.spacingFactor = 0, 0, 1, now,
-			b.rng.Float64()
+	} else if max(entry.StartedAt, m.attachedAt) != max(m.StartedAt, m.attachedAt) {
+		// The backend was restarted: nothing learned about it holds.
+		m.failureShare, m.ejections, m.relativeLatency, m.lastSent, m.spacingFactor =
+			0, 0, 1, now, b.rng.Float64()
 	}
-	m.Backend, m.removed = l, l.State == Removed
+	m.Backend, m.removed = entry, entry.State == Removed
 }
 
 // Detach takes a backend out of service until Attach, whatever the list says meanwhile.
@@ -77,8 +77,8 @@
 	if m := b.backends[id]; m != nil && b.detached[id] {
 		m.attachedAt, m.lastSent, m.failureShare, m.relativeLatency, m.pausedUntil = now, now, 0, 1, 0
 		m.spacingFactor = b.rng.Float64() * oneIf(b.rng.Float64()*float64(b.settings.BalancerCount) >= 1)
-		m.ejections, m.probeAt = int(oneIf(m.spacingFactor == 0)),
-			now+b.jitter(b.baseEjectionTime)-b.baseEjectionTime/2
+		m.ejections, m.probeAt =
+			int(oneIf(m.spacingFactor == 0)), now+b.jitter(b.baseEjectionTime)-b.baseEjectionTime/2
 	}
 	delete(b.detached, id)
 	b.summaryVersion++
@@ -91,8 +91,7 @@
 // a rejection.
 func (b *Balancer) OutOfRotation(now Time) int {
 	outOfRotation := func(m *backend) bool {
-		return b.detached[m.ID] || m.ejections > 0 ||
-			now < m.pausedUntil
+		return b.detached[m.ID] || m.ejections > 0 || now < m.pausedUntil
 	}
 	return len(filter(b.listed, outOfRotation))
 }
--- a/logic/liveness.go
+++ b/logic/liveness.go
@@ -36,49 +36,49 @@
 // recordServed records that a call sent at the given time was served, and reports whether the backend had
 // been unreachable before. A draining backend finishes outstanding calls, so an answer proves nothing of
 // the time after its call was sent, and does not cancel the failure of a call that ended since then.
-func (p *liveness) recordServed(f *ListFreshness, now, sent Time) (wasUnreachable bool) {
-	if p.lastFailed > 0 && sent <= p.lastFailed {
-		p.lastServed = max(p.lastServed, sent)
+func (l *liveness) recordServed(f *ListFreshness, now, sent Time) (wasUnreachable bool) {
+	if l.lastFailed > 0 && sent <= l.lastFailed {
+		l.lastServed = max(l.lastServed, sent)
 		return false
 	}
-	wasUnreachable = p.unreachable || p.connectionLost && sent > p.lastServed+f.MaxUnobserved
+	wasUnreachable = l.unreachable || l.connectionLost && sent > l.lastServed+f.MaxUnobserved
 	if wasUnreachable {
-		p.unreachableGap.extend(f.ReceivedAt, p.lastServed, now)
+		l.unreachableGap.extend(f.ReceivedAt, l.lastServed, now)
 	}
-	if lastSeen := max(p.lastServed, f.ConfirmedAt); p.unreachable || sent > lastSeen+f.MaxUnobserved {
-		p.anyGap.extend(f.ConfirmedAt, lastSeen, now)
+	if lastSeen := max(l.lastServed, f.ConfirmedAt); l.unreachable || sent > lastSeen+f.MaxUnobserved {
+		l.anyGap.extend(f.ConfirmedAt, lastSeen, now)
 	}
-	p.lastServed, p.lastFailed = max(p.lastServed, sent), 0
-	p.connectionLost, p.unreachable, p.rejected = false, false, false
+	l.lastServed, l.lastFailed = max(l.lastServed, sent), 0
+	l.connectionLost, l.unreachable, l.rejected = false, false, false
 	return wasUnreachable
 }
 
 // recordFailure records that a call was not served: the connection was not established or was lost, or
 // the call was rejected.
-func (p *liveness) recordFailure(now Time, result Result) {
-	p.lastFailed = now
-	p.unreachable = p.unreachable || result == ConnectFailed
-	p.connectionLost = p.connectionLost || result == ConnectionLost
-	p.rejected = p.rejected || result == Rejected
+func (l *liveness) recordFailure(now Time, result Result) {
+	l.lastFailed = now
+	l.unreachable = l.unreachable || result == ConnectFailed
+	l.connectionLost = l.connectionLost || result == ConnectionLost
+	l.rejected = l.rejected || result == Rejected
 }
 
 // provenInService reports whether the backend was in service without interruption since the list was
 // confirmed, or was observed so recently that a change can't count as announced yet. A draining backend
 // may answer for some seconds and then reject calls: once it has rejected one, or was unobserved long
 // enough to have begun draining, the calls it served prove nothing.
-func (p *liveness) provenInService(f *ListFreshness, now Time) bool {
-	if p.rejected || now >= p.lastServed+min(f.MaxUnobserved, f.EvidenceWindow) {
+func (l *liveness) provenInService(f *ListFreshness, now Time) bool {
+	if l.rejected || now >= l.lastServed+min(f.MaxUnobserved, f.EvidenceWindow) {
 		return false
 	}
-	return p.anyGap.end <= f.ConfirmedAt || now < p.anyGap.start+f.EvidenceWindow
+	return l.anyGap.end <= f.ConfirmedAt || now < l.anyGap.start+f.EvidenceWindow
 }
 
 // mayHaveBeenRemoved reports whether the backend may have been removed from the list after the last one
 // received, so long ago that the removal counts as announced. A watch that is connected does not prove
 // that it has delivered all changes.
-func (p *liveness) mayHaveBeenRemoved(f *ListFreshness, now Time) bool {
-	if p.lastFailed > f.ReceivedAt && now >= max(p.lastServed, f.ReceivedAt)+f.EvidenceWindow {
+func (l *liveness) mayHaveBeenRemoved(f *ListFreshness, now Time) bool {
+	if l.lastFailed > f.ReceivedAt && now >= max(l.lastServed, f.ReceivedAt)+f.EvidenceWindow {
 		return true
 	}
-	return p.unreachableGap.end > f.ReceivedAt && now >= p.unreachableGap.start+f.EvidenceWindow
+	return l.unreachableGap.end > f.ReceivedAt && now >= l.unreachableGap.start+f.EvidenceWindow
 }
--- a/logic/outlier.go
+++ b/logic/outlier.go
@@ -40,14 +40,14 @@
 	m, failed := a.backend, r != OK
 	m.probeInFlight = m.probeInFlight && !a.probe
 	if r == Rejected || r == ConnectPending && a.probe {
-		// Otherwise it looks idle; it may be draining.
+		// Without the pause it would look idle and attract calls; it may be draining.
 		m.pausedUntil = now + b.jitter(time.Duration(rejectionPause*c.meanLatency))
 	}
 	if r == Rejected || r == Cancelled || r == NotSent || r == ConnectPending {
 		return
 	}
 	m.failureShare += failureWeight * (oneIf(failed) - m.failureShare)
-	// Refused connections don't count: they are no chance failures.
+	// Failed connections don't count: they are not chance failures.
 	b.failureShare += overallFailureWeight * oneIf(r != ConnectFailed) * (oneIf(failed) - b.failureShare)
 	switch {
 	case a.probe && !failed:
@@ -82,8 +82,8 @@
 
 func (b *Balancer) eject(now Time, m *backend) {
 	b.reportStatus(m, Ejected)
-	m.probeAt, m.ejections = now+b.jitter(b.baseEjectionTime<<min(m.ejections, maxEjectionDoublings)),
-		m.ejections+1
+	m.probeAt, m.ejections =
+		now+b.jitter(b.baseEjectionTime<<min(m.ejections, maxEjectionDoublings)), m.ejections+1
 	b.summaryVersion++
 }
 
--- a/logic/retry.go
+++ b/logic/retry.go
@@ -39,7 +39,8 @@
 	idleTimeoutWeight    = 0.2  // of one such outcome: high, since a balancer may see few of them
 	idleTimeoutDecay     = 0.02 // decay for each other answer
 	idleConnectionShare  = 0.4  // of the base ejection time: a connection unused for longer is idle
-	// Share of outcomes from which idle connections count as stale; a single loss adds no more.
+	// Share of lost connections among outcomes above which idle connections count as stale; a single loss
+	// does not exceed it.
 	connectionLossThreshold = 0.02
 )
 
@@ -55,7 +56,7 @@
 	required := c.attemptTimeout
 	if len(q.attempts) == 0 && !b.settings.UnevenTraffic &&
 		(b.settings.Tier > 0 || c.Idempotency == Idempotent) {
-		// Otherwise clients with short timeouts would get nothing.
+		// If the whole attempt timeout were required, clients with short timeouts would get nothing.
 		required = max(1, min(required, c.meanLatency))
 	}
 	switch admitted := len(q.attempts) > 0 || b.admit(now, q); {
@@ -167,8 +168,8 @@
 // recordOutcome updates latencies, the backend's health and the concurrency limit from an outcome.
 func (b *Balancer) recordOutcome(now Time, q *request, a *attempt, o Outcome) {
 	c, latency := &b.classes[q.Class], float64(o.Latency)
-	// Idle connections may have been dropped by a middlebox: while many connections are lost, new ones
-	// are used.
+	// Something on the path may drop idle connections: while many connections are lost, calls use new
+	// ones.
 	b.connectionLossShare += overallFailureWeight *
 		(oneIf(o.Result == ConnectionLost) - b.connectionLossShare)
 	// Dropped connections may also show as missing answers. Only idle connections are closed, and the
@@ -202,8 +203,9 @@
 		}
 	}
 	if o.Result == OK || o.Result == TimedOut {
-		if o.Result == TimedOut && b.settings.UnevenTraffic { // a healthy backend may lose some answers;
-			// Without the cap all calls would go to the few backends that lose none.
+		if o.Result == TimedOut && b.settings.UnevenTraffic {
+			// Healthy backends may lose some answers. Without the cap all calls would go to the few that
+			// lose none.
 			latency = min(latency, timeoutLatencyFactor*c.meanLatency)
 		}
 		b.meanLatency += meanWeight * (latency - b.meanLatency)
@@ -246,7 +248,8 @@
 }
 
 // clampAttemptTimeout bounds the attempt timeout by the usual time budget, and by the tracked percentile
-// of an exponential distribution with the observed mean: with little traffic it would come down slowly.
+// of an exponential distribution with the observed mean, since with little traffic the attempt timeout
+// alone comes down slowly.
 func (c *class) clampAttemptTimeout() {
 	ceiling := min(maxAttemptTimeoutShare*c.usualBudget,
 		max(initialAttemptTimeoutShare*c.usualBudget,
--- a/logic/selection.go
+++ b/logic/selection.go
@@ -41,7 +41,7 @@
 		return slices.ContainsFunc(g.members, func(m *backend) bool { return b.usable(now, q, m) })
 	})
 	healthy := filter(candidates, func(g *zoneGroup) bool {
-		// The whole zone may be unreachable.
+		// After a failed connection in a zone, the whole zone may be unreachable.
 		connectFailedHere := func(a attempt) bool { return a.connectFailed && a.backend.zoneGroup == g }
 		return unavailableShare(g) <= 0.5 && !slices.ContainsFunc(q.attempts, connectFailedHere)
 	})
@@ -57,8 +57,8 @@
 			return cmp.Compare(x.failureShare, y.failureShare)
 		})
 	case len(healthy) == 0: // spread over the group: a single backend would be overloaded
-		choice := func(x, y *zoneGroup) int { return cmp.Compare(unavailableShare(x), unavailableShare(y)) }
-		return b.pickFromGroup(now, q, slices.MinFunc(candidates, choice))
+		compare := func(x, y *zoneGroup) int { return cmp.Compare(unavailableShare(x), unavailableShare(y)) }
+		return b.pickFromGroup(now, q, slices.MinFunc(candidates, compare))
 	}
 	// The least loaded group is taken instead of the next one, so that no zone stays idle and the
 	// balancers of a lost zone do not all move to the same one.
@@ -215,11 +215,11 @@
 }
 
 // assignSubsets places each group's capacities end to end on a ring and gives each balancer a segment of
-// it. Where balancers far outnumber backends, a balancer that rotated over all would call each too seldom
+// it. Where balancers far outnumber backends, a balancer that rotated over all would call each too rarely
 // to detect a slow one. Segments have equal length and start at positions given by the balancer's index,
 // so that together they cover the ring evenly.
 func (b *Balancer) assignSubsets() {
-	const goldenRatio = 0.6180339887 // golden ratio: spreads consecutive integers most evenly over a ring
+	const goldenRatio = 0.6180339887 // spreads consecutive integers most evenly over a ring
 	share := balancersPerBackend * float64(len(b.settings.Zones)) / float64(max(1, b.settings.BalancerCount))
 	for _, g := range b.zoneGroups {
 		subset := max(b.minSubsetCapacity, g.capacity*max(share, minSubsetBackends/float64(len(g.members))))
