--- a/logic/admission.go
+++ b/logic/admission.go
@@ -27,7 +27,7 @@
 	arrivalWeight       = 0.02 // of one arrival in the mean of own traffic: bursts must not dominate it
 	initialArrivalCount = 5.0  // arrivals that the initial estimate counts as
 	equalClassValue     = 0.3  // relative value of each class if EqualClasses is set
-	maxLimitTokens      = 3.0  // calls of credit or debt at most: absorbs chance, not a flood
+	maxLimitTokens      = 3.0  // bound of the limit tokens, also negative: absorbs chance, not a flood
 	// Lower bound of the same for uneven traffic: calls of many balancers meet at each backend.
 	minLimitTokensUneven = 1.0
 	// The same as a share of the limit: the more traffic, the larger its bursts.
@@ -96,7 +96,7 @@
 	return t
 }
 
-// limitTokenBurst is the size of the token bucket: how many calls may be in credit or debt.
+// limitTokenBurst bounds the limit tokens: calls that may be saved up for, or made beyond, the limit.
 func (b *Balancer) limitTokenBurst(t totals) float64 {
 	if b.settings.UnevenTraffic {
 		return max(minLimitTokensUneven, limitTokenShare*b.limit()*t.effectiveCapacity)
--- a/logic/admission_test.go
+++ b/logic/admission_test.go
@@ -13,7 +13,7 @@
 // requests are refused first.
 func TestLimitRefusesLeastValuableFirst(t *testing.T) {
 	refused := func(class int) int {
-		b, f := startBalancer(testSettings(), zoneEntries("b", 4)...)
+		b, rec := startBalancer(testSettings(), zoneEntries("b", 4)...)
 		b.setLimit(2) // calls for each of four backends
 		for i := range b.classes {
 			b.classes[i].observeBudget(2000*ms, false)
@@ -21,12 +21,12 @@
 		for i := range 12 {
 			b.StartRequest(0, Request{ID: fmt.Sprint("r", i), Class: class, Budget: 2000 * ms})
 		}
-		for id := range f.answers {
-			if got := f.onlyAnswer(t, id); !got.refused || got.retryAfter <= 0 {
+		for id := range rec.answers {
+			if got := rec.onlyAnswer(t, id); !got.refused || got.retryAfter <= 0 {
 				t.Errorf("answered with %+v, want a refusal with a retry-after time", got)
 			}
 		}
-		return len(f.answers)
+		return len(rec.answers)
 	}
 	high, low := refused(idempotent), refused(deduplicated)
 	if high != 1 || low <= high {
@@ -106,13 +106,13 @@
 // ones in slow start replace them, the others would get all calls and be overloaded.
 func TestLimitShrinksWithTheFleet(t *testing.T) {
 	admitted := func(change func(b *Balancer)) int {
-		b, f := startBalancer(testSettings(), zoneEntries("b", 8)...)
+		b, rec := startBalancer(testSettings(), zoneEntries("b", 8)...)
 		b.setLimit(4)
 		change(b)
 		for i := range 60 {
 			b.StartRequest(0, Request{ID: fmt.Sprint("r", i), Class: idempotent, Budget: 2000 * ms})
 		}
-		return len(f.sends)
+		return len(rec.sends)
 	}
 	all := admitted(func(*Balancer) {})
 	half := admitted(func(b *Balancer) { b.UpdateList(0, true, zoneEntries("b", 4)) })
@@ -150,27 +150,27 @@
 	for n := range balancers {
 		set := testSettings()
 		set.BalancerCount, set.Seed = balancers, uint64(n)
-		b, f := startBalancer(set, zoneEntries("b", backends)...)
+		b, rec := startBalancer(set, zoneEntries("b", backends)...)
 		b.classes[deduplicated].observeBudget(2000*ms, false)
 		b.meanLatency, b.classes[deduplicated].meanLatency = float64(latency), float64(latency)
 		rng := rand.New(rand.NewPCG(uint64(n), 1))
-		var out []Time
+		var pending []Time
 		for now := Time(0); now < seconds*1000*ms; {
 			now += time.Duration(rng.ExpFloat64() / perSecond * 1000 * float64(ms))
-			for len(out) > 0 && out[0] <= now {
-				id := fmt.Sprint("r", int64(out[0]))
+			for len(pending) > 0 && pending[0] <= now {
+				id := fmt.Sprint("r", int64(pending[0]))
 				// Exactly on target, so that the limit does not change.
 				onTarget := time.Duration(maxLatencyRatioTarget *
 					float64(set.Classes[deduplicated].TargetLatency))
-				b.AttemptDone(out[0], Outcome{Request: id, Result: OK, Latency: onTarget, Final: true})
+				b.AttemptDone(pending[0], Outcome{Request: id, Result: OK, Latency: onTarget, Final: true})
 				b.meanLatency, b.classes[deduplicated].meanLatency = float64(latency), float64(latency)
-				out = out[1:]
+				pending = pending[1:]
 			}
-			sends := len(f.sends)
+			sends := len(rec.sends)
 			b.StartRequest(now, Request{ID: fmt.Sprint("r", int64(now+latency)), Class: deduplicated,
 				Budget: 2000 * ms})
-			if len(f.sends) > sends {
-				out = append(out, now+latency)
+			if len(rec.sends) > sends {
+				pending = append(pending, now+latency)
 				mean += float64(latency) / float64(seconds*1000*ms)
 			}
 		}
@@ -230,7 +230,7 @@
 		set := unevenSettings()
 		// The test sets the limit instead of deriving it from traffic.
 		set.UnevenTraffic, set.EqualClasses = false, equal
-		b, f := startBalancer(set, zoneEntries("b", 10)...)
+		b, rec := startBalancer(set, zoneEntries("b", 10)...)
 		b.setAttemptTimeout(idempotent, 700*ms)
 		b.setAttemptTimeout(deduplicated, 700*ms) // a tenth of the value
 		var sent [2]int
@@ -238,10 +238,10 @@
 			now := Time(i) * ms                   // far more than the limit admits; each call takes 100 ms
 			b.limitMultiplier, b.baseLimit = 1, 1 // ten calls
 			class := i % 2
-			before := len(f.sends)
+			before := len(rec.sends)
 			id := fmt.Sprint(equal, i)
 			b.StartRequest(now, Request{ID: id, Class: class, Budget: 2000 * ms})
-			sent[class] += len(f.sends) - before
+			sent[class] += len(rec.sends) - before
 			if i >= 100 {
 				done := fmt.Sprint(equal, i-100)
 				b.AttemptDone(now, Outcome{Request: done, Result: OK, Latency: 100 * ms, Final: true})
--- a/logic/attempt_timeout_test.go
+++ b/logic/attempt_timeout_test.go
@@ -89,11 +89,11 @@
 
 // Prevents an attempt timeout that has grown beyond every time budget from staying there.
 func TestExcessiveAttemptTimeoutRecovers(t *testing.T) {
-	b, f := startBalancer(testSettings(), entry("b", 1))
+	b, rec := startBalancer(testSettings(), entry("b", 1))
 	b.setAttemptTimeout(idempotent, 1900*ms)
 	for i := range 2000 {
 		b.StartRequest(0, Request{ID: fmt.Sprint("r", i), Class: idempotent, Budget: 500 * ms})
-		if len(f.sends) > 0 {
+		if len(rec.sends) > 0 {
 			return
 		}
 	}
@@ -107,7 +107,7 @@
 func TestAttemptTimeoutCeilingWithMixedBudgets(t *testing.T) {
 	set := testSettings()
 	set.Tier = 1
-	b, f := startBalancer(set, zoneEntries("b", 4)...)
+	b, rec := startBalancer(set, zoneEntries("b", 4)...)
 	const usual, large = 600 * ms, 2000 * ms
 	now := Time(0)
 	for i := range 60 {
@@ -116,15 +116,15 @@
 			budget = large
 		}
 		now += 100 * ms
-		before := len(f.sends)
+		before := len(rec.sends)
 		b.StartRequest(now, Request{ID: id, Class: idempotent, Budget: budget})
-		if len(f.sends) > before { // all time out
+		if len(rec.sends) > before { // all time out
 			b.AttemptDone(now, Outcome{Request: id, Result: TimedOut, Latency: budget, Final: true})
 		}
 	}
-	before := len(f.sends)
+	before := len(rec.sends)
 	b.StartRequest(now, Request{ID: "after", Class: idempotent, Budget: usual})
-	if len(f.sends) == before {
+	if len(rec.sends) == before {
 		t.Errorf("refused: an attempt timeout of %v, a time budget of %v",
 			time.Duration(b.classes[idempotent].attemptTimeout), usual)
 	}
@@ -136,15 +136,15 @@
 // Prevents initial attempt timeouts so short that each of many balancers first has to see a dozen
 // timeouts. Two attempts and a backoff must still fit.
 func TestInitialAttemptTimeout(t *testing.T) {
-	b, f := startBalancer(testSettings(), zoneEntries("b", 4)...)
+	b, rec := startBalancer(testSettings(), zoneEntries("b", 4)...)
 	b.retryTokens = 1
 	b.StartRequest(0, Request{ID: "r", Class: idempotent, Budget: 1000 * ms})
-	first := f.last(t).timeout
+	first := rec.last(t).timeout
 	if first < 300*ms {
 		t.Errorf("the first attempt with 1 s left may take %v", first)
 	}
 	b.AttemptDone(first, Outcome{Request: "r", Result: TimedOut, Latency: first})
-	if _, wait := f.takeTimer(t); first+wait > 600*ms {
+	if _, wait := rec.takeTimer(t); first+wait > 600*ms {
 		t.Errorf("no time left for a second attempt after %v and a wait of %v", first, wait)
 	}
 }
--- a/logic/balancer_test.go
+++ b/logic/balancer_test.go
@@ -9,19 +9,19 @@
 )
 
 func TestNoActionAfterRequestEnds(t *testing.T) {
-	b, f := startBalancer(testSettings(), entry("b", 1))
+	b, rec := startBalancer(testSettings(), entry("b", 1))
 	b.setAttemptTimeout(idempotent, 100*ms)
 	b.retryTokens = 5
 	b.StartRequest(0, Request{ID: "r", Class: idempotent, Budget: 2000 * ms})
 	b.AttemptDone(10*ms, Outcome{Request: "r", Result: Error})
-	token, _ := f.takeTimer(t)
+	token, _ := rec.takeTimer(t)
 	b.ClientGone(15*ms, "r")
 	b.TimerFired(20*ms, token)
 	b.AttemptDone(30*ms, Outcome{Request: "r", Result: OK})
 	b.ClientGone(35*ms, "r")
 	b.ClientGone(35*ms, "unknown")
-	if len(f.sends) != 1 || len(f.answers) != 0 {
-		t.Errorf("after the client disconnected: %d sends, answers %v", len(f.sends), f.answers)
+	if len(rec.sends) != 1 || len(rec.answers) != 0 {
+		t.Errorf("after the client disconnected: %d sends, answers %v", len(rec.sends), rec.answers)
 	}
 	if len(b.requests)+len(b.backoffTimers) != 0 {
 		t.Error("an ended request is still kept")
@@ -34,23 +34,24 @@
 		class   int
 		refused bool
 	}{{idempotent, true}, {deduplicated, true}, {dedupInZone, false}, {nonIdempotent, false}} {
-		b, f := startBalancer(testSettings(), entry("b", 1))
+		b, rec := startBalancer(testSettings(), entry("b", 1))
 		b.StartRequest(0, Request{ID: "r", Class: c.class, Budget: 2000 * ms})
 		b.AbandonRequest("r")
 		b.AbandonRequest("r")
 		b.AbandonRequest("unknown")
-		if got := f.answers["r"]; len(got) != 1 || got[0].refused != c.refused {
+		if got := rec.answers["r"]; len(got) != 1 || got[0].refused != c.refused {
 			t.Errorf("class %d: answers %v", c.class, got)
 		}
 		b.AttemptDone(10*ms, Outcome{Request: "r", Result: Cancelled})
-		if len(b.requests) != 0 || len(f.answers) != 1 || len(f.sends) != 1 {
-			t.Errorf("class %d: kept %d, answers %v, sends %v", c.class, len(b.requests), f.answers, f.sends)
+		if len(b.requests) != 0 || len(rec.answers) != 1 || len(rec.sends) != 1 {
+			t.Errorf("class %d: kept %d, answers %v, sends %v", c.class, len(b.requests), rec.answers,
+				rec.sends)
 		}
 	}
 }
 
 func TestLateOutcomeOfEndedRequest(t *testing.T) {
-	b, f := startBalancer(testSettings(), entry("b", 1))
+	b, rec := startBalancer(testSettings(), entry("b", 1))
 	b.StartRequest(0, Request{ID: "r", Class: nonIdempotent, Budget: 2000 * ms})
 	b.ClientGone(10*ms, "r")
 	if m := b.backends["b1"]; m.inFlight != 1 {
@@ -58,8 +59,8 @@
 	}
 	b.AttemptDone(20*ms, Outcome{Request: "r", Result: Cancelled})
 	b.AttemptDone(20*ms, Outcome{Request: "r", Result: Cancelled}) // duplicate: ignored
-	if n := b.backends["b1"].inFlight; n != 0 || len(b.requests) != 0 || len(f.answers) != 0 {
-		t.Errorf("in flight %d, kept %d, answers %v", n, len(b.requests), f.answers)
+	if n := b.backends["b1"].inFlight; n != 0 || len(b.requests) != 0 || len(rec.answers) != 0 {
+		t.Errorf("in flight %d, kept %d, answers %v", n, len(b.requests), rec.answers)
 	}
 }
 
@@ -70,11 +71,11 @@
 	drained, removed := entry("b", 1), entry("b", 1)
 	drained.State, removed.State = Draining, Removed
 	for _, c := range []struct {
-		name  string
-		class int
-		ran   bool // a first attempt at b1 may just have been executed
-		do    func(b *Balancer)
-		want  bool
+		name       string
+		class      int
+		mayHaveRun bool // a first attempt at b1 may just have been executed
+		do         func(b *Balancer)
+		want       bool
 	}{
 		{"nothing happened", nonIdempotent, false, func(*Balancer) {}, true},
 		{"drained", idempotent, false, func(b *Balancer) {
@@ -107,14 +108,14 @@
 		{"an idempotent retry has no such window", idempotent, true,
 			func(b *Balancer) { b.classes[idempotent].DedupWindow = 200 * ms }, true},
 	} {
-		b, f := startBalancer(testSettings(), entry("b", 1))
+		b, rec := startBalancer(testSettings(), entry("b", 1))
 		b.setAttemptTimeout(c.class, 100*ms)
 		b.retryTokens = 5
 		b.StartRequest(0, Request{ID: "r", Class: c.class, Budget: 2000 * ms})
 		attempt := 0
-		if c.ran {
+		if c.mayHaveRun {
 			b.AttemptDone(10*ms, Outcome{Request: "r", Result: ConnectionLost, Latency: 10 * ms})
-			token, wait := f.takeTimer(t)
+			token, wait := rec.takeTimer(t)
 			b.TimerFired(10*ms+wait, token)
 			attempt = 1
 		}
@@ -123,7 +124,7 @@
 		if got := b.MaySendOnConnect(200*ms, "r"); got != c.want {
 			t.Errorf("%s: may be sent: %t, want %t", c.name, got, c.want)
 		}
-		if c.want || len(f.answers["r"]) > 0 {
+		if c.want || len(rec.answers["r"]) > 0 {
 			continue
 		}
 		b.AttemptDone(200*ms, Outcome{Request: "r", Attempt: attempt, Result: NotSent, Latency: 200 * ms})
@@ -136,17 +137,17 @@
 			}
 			continue
 		}
-		if len(f.answers["r"]) == 0 { // waiting for the backoff to choose again
-			token, wait := f.takeTimer(t)
+		if len(rec.answers["r"]) == 0 { // waiting for the backoff to choose again
+			token, wait := rec.takeTimer(t)
 			b.TimerFired(200*ms+wait, token)
 		}
 		if strings.HasSuffix(c.name, "slow start") { // the reattached backend may be chosen
-			if n := len(f.sends); n != 2 || f.sends[1].backend != "b1" {
+			if n := len(rec.sends); n != 2 || rec.sends[1].backend != "b1" {
 				t.Errorf("%s: %d sends", c.name, n)
 			}
 			continue
 		}
-		if a := f.onlyAnswer(t, "r"); !a.refused {
+		if a := rec.onlyAnswer(t, "r"); !a.refused {
 			t.Errorf("%s: failed, though it was not executed or may be executed again", c.name)
 		}
 	}
@@ -157,14 +158,14 @@
 
 func TestSameEventsGiveSameActions(t *testing.T) {
 	run := func() string {
-		b, f := startBalancer(testSettings(), append(zoneEntries("a", 3), zoneEntries("b", 3)...)...)
+		b, rec := startBalancer(testSettings(), append(zoneEntries("a", 3), zoneEntries("b", 3)...)...)
 		for i := range 200 {
 			id := fmt.Sprint("r", i)
 			b.StartRequest(Time(i)*ms, Request{ID: id, Class: i % 5, Budget: 2000 * ms})
 			b.AttemptDone(Time(i)*ms, Outcome{Request: id, Result: Result(i % 4), Latency: ms,
 				Final: i%4 == 0})
 		}
-		return fmt.Sprint(f.sends, f.answers, f.timers)
+		return fmt.Sprint(rec.sends, rec.answers, rec.timers)
 	}
 	if first, second := run(), run(); first != second {
 		t.Error("two runs of the same events differ")
@@ -177,44 +178,44 @@
 	for _, cancel := range []bool{true, false} {
 		set := unevenSettings()
 		set.CancelAbandoned = cancel
-		b, f := startBalancer(set, zoneEntries("b", 3)...)
+		b, rec := startBalancer(set, zoneEntries("b", 3)...)
 		b.StartRequest(0, Request{ID: "r", Class: idempotent, Budget: 2000 * ms})
 		b.ClientGone(ms, "r")
 		b.ClientGone(2*ms, "r")
-		if want := map[bool]string{true: "[r 0]", false: "[]"}[cancel]; fmt.Sprint(f.cancels) != want {
-			t.Errorf("cancel %t: cancelled %v, want %v", cancel, f.cancels, want)
+		if want := map[bool]string{true: "[r 0]", false: "[]"}[cancel]; fmt.Sprint(rec.cancels) != want {
+			t.Errorf("cancel %t: cancelled %v, want %v", cancel, rec.cancels, want)
 		}
-		m := b.backends[f.sends[0].backend]
+		m := b.backends[rec.sends[0].backend]
 		b.AttemptDone(3*ms, Outcome{Request: "r", Result: Cancelled, Latency: 3 * ms, Final: true})
-		if m.inFlight != 0 || m.failureShare != 0 || len(b.requests) != 0 || len(f.answers) != 0 {
+		if m.inFlight != 0 || m.failureShare != 0 || len(b.requests) != 0 || len(rec.answers) != 0 {
 			t.Errorf("cancel %t: %d in flight, failures %v, %d requests, answers %v",
-				cancel, m.inFlight, m.failureShare, len(b.requests), f.answers)
+				cancel, m.inFlight, m.failureShare, len(b.requests), rec.answers)
 		}
 		b.StartRequest(4*ms, Request{ID: "served", Class: idempotent, Budget: 2000 * ms})
 		b.AttemptDone(5*ms, Outcome{Request: "served", Result: OK, Latency: ms, Final: true})
 		b.ClientGone(6*ms, "served")
-		if len(f.cancels) > 1 {
-			t.Errorf("cancelled %v", f.cancels)
+		if len(rec.cancels) > 1 {
+			t.Errorf("cancelled %v", rec.cancels)
 		}
 	}
 }
 
 // Prevents a limit that stays at zero when requests arrive before any backend is known.
 func TestRequestsBeforeFirstList(t *testing.T) {
-	f := newRecorder()
-	b := New(0, unevenSettings(), f)
+	rec := newRecorder()
+	b := New(0, unevenSettings(), rec)
 	for i := range 50 {
 		b.StartRequest(Time(i)*10*ms, Request{ID: fmt.Sprint(i), Class: idempotent, Budget: 2000 * ms})
 	}
-	if len(f.answers) != 50 {
-		t.Errorf("%d of 50 answered before any backend was known", len(f.answers))
+	if len(rec.answers) != 50 {
+		t.Errorf("%d of 50 answered before any backend was known", len(rec.answers))
 	}
 	b.UpdateList(500*ms, true, zoneEntries("b", 10))
 	if b.limitMultiplier < minLimitMultiplier || b.baseLimit <= 0 {
 		t.Errorf("limit multiplier %v of a base limit of %v after the first list", b.limitMultiplier,
 			b.baseLimit)
 	}
-	if refused, _ := feedRequests(b, f, 500*ms, 400, 10*ms, 100*ms, false); refused > 20 {
+	if refused, _ := feedRequests(b, rec, 500*ms, 400, 10*ms, 100*ms, false); refused > 20 {
 		t.Errorf("%d of 200 refused", refused)
 	}
 }
--- a/logic/cost_test.go
+++ b/logic/cost_test.go
@@ -59,10 +59,10 @@
 		{6, 6}, {64, 100}, {200, 300}, {800, 900}, {3200, 900},
 	} {
 		b.Run(fmt.Sprintf("backends=%d", c.backends), func(b *testing.B) {
-			balancer, act := newCallBalancer(c.backends, c.balancers)
+			balancer, recorder := newCallBalancer(c.backends, c.balancers)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				runCall(balancer, act, i)
+				runCall(balancer, recorder, i)
 			}
 		})
 	}
@@ -72,22 +72,22 @@
 // be a few times as high because of cache misses, and no more. Prevents loops over all backends for each
 // call.
 func TestCallCost(t *testing.T) {
-	const most = 8
-	least := func(backends int) time.Duration {
+	const maxRatio = 8
+	minTime := func(backends int) time.Duration {
 		best := time.Hour
 		for range 5 {
-			balancer, act := newCallBalancer(backends, 900)
+			balancer, recorder := newCallBalancer(backends, 900)
 			began := time.Now()
 			for i := range 2000 {
-				runCall(balancer, act, i)
+				runCall(balancer, recorder, i)
 			}
 			best = min(best, time.Since(began))
 		}
 		return best
 	}
-	few, many := least(32), least(3200)
-	if many > most*few {
+	few, many := minTime(32), minTime(3200)
+	if many > maxRatio*few {
 		t.Errorf("2,000 calls take %v with 32 backends, %v with 3,200: over %d times as long", few, many,
-			most)
+			maxRatio)
 	}
 }
--- a/logic/detach_test.go
+++ b/logic/detach_test.go
@@ -9,21 +9,21 @@
 // serveCalls makes n calls of a class from the given time on, one at a time, 100 ms apart and each
 // answered in 50 ms. It returns when each backend got its first call, and the time after the last call.
 func serveCalls(
-	t *testing.T, b *Balancer, f *recorder, at Time, class, n int) (first map[string]Time, end Time) {
+	t *testing.T, b *Balancer, rec *recorder, at Time, class, n int) (first map[string]Time, end Time) {
 	t.Helper()
 	first = map[string]Time{}
 	for i := range n {
 		id := fmt.Sprint(at, " ", i)
-		from := len(f.sends)
+		from := len(rec.sends)
 		b.StartRequest(at, Request{ID: id, Class: class, Budget: 2000 * ms})
-		if len(f.sends) == from {
-			if len(f.answers[id]) != 1 {
+		if len(rec.sends) == from {
+			if len(rec.answers[id]) != 1 {
 				t.Fatalf("%s has neither a send nor one answer", id)
 			}
 			at += 100 * ms
 			continue
 		}
-		to := f.last(t).backend
+		to := rec.last(t).backend
 		if _, ok := first[to]; !ok {
 			first[to] = at
 		}
@@ -71,11 +71,11 @@
 		{"detached twice", func(b *Balancer, now Time) { b.Detach("b0") }},
 	} {
 		for class := range testSettings().Classes {
-			b, f := startBalancer(testSettings(), entries...)
-			_, at := serveCalls(t, b, f, 0, class, 20)
+			b, rec := startBalancer(testSettings(), entries...)
+			_, at := serveCalls(t, b, rec, 0, class, 20)
 			b.Detach("b0")
 			c.then(b, at)
-			if got, _ := serveCalls(t, b, f, at+10*ms, class, 60); got["b0"] != 0 {
+			if got, _ := serveCalls(t, b, rec, at+10*ms, class, 60); got["b0"] != 0 {
 				t.Errorf("%s, class %d: a send at %v", c.name, class, got["b0"])
 			}
 			if n := b.OutOfRotation(at + 20*time.Second); n < 1 || n > len(entries) {
@@ -88,25 +88,25 @@
 // A request whose first attempt failed waits for its backoff; a backend detached meanwhile gets no second
 // attempt.
 func TestDetachedInBackoff(t *testing.T) {
-	b, f := startBalancer(testSettings(), entry("b", 0))
+	b, rec := startBalancer(testSettings(), entry("b", 0))
 	b.setAttemptTimeout(idempotent, 100*ms)
 	b.StartRequest(0, Request{ID: "r", Class: idempotent, Budget: 2000 * ms})
 	b.AttemptDone(10*ms, Outcome{Request: "r", Result: ConnectFailed, Latency: 10 * ms})
-	token, wait := f.takeTimer(t)
+	token, wait := rec.takeTimer(t)
 	b.Detach("b0")
 	b.TimerFired(10*ms+wait, token)
-	if len(f.sends) != 1 || len(f.answers["r"]) != 1 || !f.answers["r"][0].refused {
-		t.Errorf("%d sends, answers %v", len(f.sends), f.answers["r"])
+	if len(rec.sends) != 1 || len(rec.answers["r"]) != 1 || !rec.answers["r"][0].refused {
+		t.Errorf("%d sends, answers %v", len(rec.sends), rec.answers["r"])
 	}
 }
 
 // With the last usable backend detached, requests are refused at once.
 func TestLastDetached(t *testing.T) {
-	b, f := startBalancer(testSettings(), entry("b", 0))
+	b, rec := startBalancer(testSettings(), entry("b", 0))
 	b.Detach("b0")
 	b.StartRequest(0, Request{ID: "r", Class: nonIdempotent, Budget: 2000 * ms})
-	if len(f.sends) != 0 || len(f.answers["r"]) != 1 || !f.answers["r"][0].refused {
-		t.Errorf("%d sends, answers %v", len(f.sends), f.answers["r"])
+	if len(rec.sends) != 0 || len(rec.answers["r"]) != 1 || !rec.answers["r"][0].refused {
+		t.Errorf("%d sends, answers %v", len(rec.sends), rec.answers["r"])
 	}
 }
 
@@ -123,22 +123,22 @@
 		} {
 			set := testSettings()
 			set.Seed = seed
-			b, f := startBalancer(set, entries...)
-			_, at := serveCalls(t, b, f, 0, idempotent, 50)
+			b, rec := startBalancer(set, entries...)
+			_, at := serveCalls(t, b, rec, 0, idempotent, 50)
 			before(b, at)
 			b.Detach("b0")
-			_, at = serveCalls(t, b, f, at, idempotent, 50)
+			_, at = serveCalls(t, b, rec, at, idempotent, 50)
 			b.Attach(at, "b0")
 			if w := b.backends["b0"].warmUpFraction(at, &set); w > 2*set.InitialWarmUpFraction {
 				t.Fatalf("attached with a warm-up fraction of %.2f", w)
 			}
-			from := len(f.sends)
-			first, end := serveCalls(t, b, f, at, idempotent, 40)
+			from := len(rec.sends)
+			first, end := serveCalls(t, b, rec, at, idempotent, 40)
 			if got, ok := first["b0"]; !ok || got-at > 2*b.baseEjectionTime+200*ms {
 				t.Errorf("seed %d: first call after %v", seed, got-at)
 			}
 			calls := 0
-			for _, s := range f.sends[from:] {
+			for _, s := range rec.sends[from:] {
 				if s.backend == "b0" {
 					calls++
 				}
@@ -153,7 +153,7 @@
 // Repeated calls, and calls for unknown IDs or backends that are not detached, change nothing. A
 // detachment persists when the backend leaves the list.
 func TestRepeatedDetachAndAttach(t *testing.T) {
-	b, f := startBalancer(testSettings(), zoneEntries("b", 2)...)
+	b, rec := startBalancer(testSettings(), zoneEntries("b", 2)...)
 	if b.IsKnown("unknown") || !b.IsKnown("b0") {
 		t.Error("an unknown backend is known, or b0 is not")
 	}
@@ -167,7 +167,7 @@
 	b.UpdateList(ms, false, []Backend{{ID: "b0", State: Removed}})
 	b.Attach(2*ms, "b0")
 	b.UpdateList(3*ms, false, []Backend{entry("b", 0)})
-	if first, _ := serveCalls(t, b, f, 10*ms, idempotent, 10); first["b0"] == 0 {
+	if first, _ := serveCalls(t, b, rec, 10*ms, idempotent, 10); first["b0"] == 0 {
 		t.Error("still detached after Attach")
 	}
 	if n := b.OutOfRotation(time.Second); n != 0 {
@@ -197,18 +197,19 @@
 		notReplayable bool
 		sends         int
 	}{{true, 1}, {false, 2}} {
-		b, f := startBalancer(testSettings(), zoneEntries("b", 2)...)
+		b, rec := startBalancer(testSettings(), zoneEntries("b", 2)...)
 		b.setAttemptTimeout(idempotent, 100*ms)
 		b.StartRequest(0, Request{ID: "r", Class: idempotent, Budget: 2000 * ms})
 		b.AttemptDone(10*ms, Outcome{Request: "r", Result: ConnectFailed, Latency: 10 * ms,
 			NotReplayable: c.notReplayable})
 		if !c.notReplayable {
-			token, wait := f.takeTimer(t)
+			token, wait := rec.takeTimer(t)
 			b.TimerFired(10*ms+wait, token)
 		}
-		if len(f.sends) != c.sends ||
-			c.notReplayable && (len(f.answers["r"]) != 1 || !f.answers["r"][0].refused) {
-			t.Errorf("not replayable %t: %d sends, answers %v", c.notReplayable, len(f.sends), f.answers["r"])
+		if len(rec.sends) != c.sends ||
+			c.notReplayable && (len(rec.answers["r"]) != 1 || !rec.answers["r"][0].refused) {
+			t.Errorf("not replayable %t: %d sends, answers %v", c.notReplayable, len(rec.sends),
+				rec.answers["r"])
 		}
 	}
 }
@@ -271,12 +272,12 @@
 	for seed := range uint64(20) {
 		set := testSettings()
 		set.Seed = seed
-		b, f := startBalancer(set, append(zoneEntries("b", 4), zoneEntries("a", 4)...)...)
-		_, at := serveCalls(t, b, f, 0, nonIdempotent, 50)
+		b, rec := startBalancer(set, append(zoneEntries("b", 4), zoneEntries("a", 4)...)...)
+		_, at := serveCalls(t, b, rec, 0, nonIdempotent, 50)
 		b.Detach("b0")
-		_, at = serveCalls(t, b, f, at, nonIdempotent, 20)
+		_, at = serveCalls(t, b, rec, at, nonIdempotent, 20)
 		b.Attach(at, "b0")
-		first, _ := serveCalls(t, b, f, at, nonIdempotent, 50)
+		first, _ := serveCalls(t, b, rec, at, nonIdempotent, 50)
 		if got, ok := first["b0"]; !ok || got-at > 2*b.baseEjectionTime+200*ms {
 			t.Errorf("seed %d: first call after %v", seed, got-at)
 		}
--- a/logic/harness_test.go
+++ b/logic/harness_test.go
@@ -34,40 +34,40 @@
 	return &recorder{answers: map[string][]answer{}, timers: map[uint64]time.Duration{}}
 }
 
-func (f *recorder) Send(request, backend string, timeout time.Duration) {
-	f.sends = append(f.sends, sent{request, backend, timeout})
+func (rec *recorder) Send(request, backend string, timeout time.Duration) {
+	rec.sends = append(rec.sends, sent{request, backend, timeout})
 }
 
-func (f *recorder) Refuse(request string, retryAfter time.Duration, _ Cause) {
-	f.answers[request] = append(f.answers[request], answer{true, retryAfter})
+func (rec *recorder) Refuse(request string, retryAfter time.Duration, _ Cause) {
+	rec.answers[request] = append(rec.answers[request], answer{true, retryAfter})
 }
 
-func (f *recorder) Fail(request string, _ Cause) {
-	f.answers[request] = append(f.answers[request], answer{})
+func (rec *recorder) Fail(request string, _ Cause) {
+	rec.answers[request] = append(rec.answers[request], answer{})
 }
 
-func (f *recorder) StartTimer(token uint64, after time.Duration) { f.timers[token] = after }
+func (rec *recorder) StartTimer(token uint64, after time.Duration) { rec.timers[token] = after }
 
-func (f *recorder) CloseIdle(backend string) { f.closed++ }
+func (rec *recorder) CloseIdle(backend string) { rec.closed++ }
 
-func (f *recorder) Cancel(request string, attempt int) {
-	f.cancels = append(f.cancels, fmt.Sprint(request, " ", attempt))
+func (rec *recorder) Cancel(request string, attempt int) {
+	rec.cancels = append(rec.cancels, fmt.Sprint(request, " ", attempt))
 }
 
 // last returns the newest send.
-func (f *recorder) last(t *testing.T) sent {
+func (rec *recorder) last(t *testing.T) sent {
 	t.Helper()
-	if len(f.sends) == 0 {
+	if len(rec.sends) == 0 {
 		t.Fatal("nothing sent")
 	}
-	return f.sends[len(f.sends)-1]
+	return rec.sends[len(rec.sends)-1]
 }
 
 // takeTimer removes and returns the only timer.
-func (f *recorder) takeTimer(t *testing.T) (uint64, time.Duration) {
+func (rec *recorder) takeTimer(t *testing.T) (uint64, time.Duration) {
 	t.Helper()
-	for token, after := range f.timers {
-		delete(f.timers, token)
+	for token, after := range rec.timers {
+		delete(rec.timers, token)
 		return token, after
 	}
 	t.Fatal("no timer started")
@@ -76,17 +76,15 @@
 
 func testSettings() Settings {
 	class := func(name string, r Idempotency, s DedupScope, value float64) Class {
-		return Class{Name: name, TargetLatency: 500 * ms, Deadline: 2000 * ms, Value: value, Idempotency: r,
-			DedupScope:  s,
-			DedupWindow: 1000 * ms}
+		return Class{Name: name, TargetLatency: 500 * ms, Deadline: 2000 * ms, Value: value,
+			Idempotency: r, DedupScope: s, DedupWindow: 1000 * ms}
 	}
 	return Settings{
 		Seed: 7, Zone: "b", Zones: []string{"a", "b", "c"},
 		Classes: []Class{
 			class("idempotent", Idempotent, ScopeAll, 10), class("deduplicated", Deduplicated, ScopeAll, 1),
-			class("deduplicated in zone", Deduplicated, ScopeZone, 1), class("deduplicated in cell",
-				Deduplicated,
-				ScopeCell, 1),
+			class("deduplicated in zone", Deduplicated, ScopeZone, 1),
+			class("deduplicated in cell", Deduplicated, ScopeCell, 1),
 			class("non-idempotent", NonIdempotent, ScopeAll, 1),
 		},
 		MaxAttempts: 3, MaxRetryAfter: 100 * ms,
@@ -99,8 +97,8 @@
 // oneOfMany returns settings of the n-th of many balancers of a lower tier with one zone.
 func oneOfMany(n, balancers int) Settings {
 	set := testSettings()
-	set.BalancerIndex, set.Seed, set.Tier, set.BalancerCount, set.Zones = n, uint64(n), 1, balancers,
-		[]string{"b"}
+	set.BalancerIndex, set.Seed, set.Tier, set.BalancerCount, set.Zones =
+		n, uint64(n), 1, balancers, []string{"b"}
 	return set
 }
 
@@ -125,22 +123,22 @@
 
 // startBalancer returns a balancer at time 0 with the given backends.
 func startBalancer(settings Settings, entries ...Backend) (*Balancer, *recorder) {
-	f := newRecorder()
-	b := New(0, settings, f)
+	rec := newRecorder()
+	b := New(0, settings, rec)
 	b.UpdateList(0, true, entries)
-	return b, f
+	return b, rec
 }
 
 // runWithInFlight makes n calls, one each millisecond, keeps the given number of them in flight, and
 // returns the backends they went to. None may be refused.
-func (b *Balancer) runWithInFlight(t *testing.T, f *recorder, n, inFlight int) (to []string) {
+func (b *Balancer) runWithInFlight(t *testing.T, rec *recorder, n, inFlight int) (to []string) {
 	t.Helper()
 	for i := range n {
 		b.StartRequest(Time(i)*ms, Request{ID: fmt.Sprint(i), Class: nonIdempotent, Budget: 2000 * ms})
-		if len(f.answers) > 0 {
+		if len(rec.answers) > 0 {
 			t.Fatal("refused")
 		}
-		to = append(to, f.last(t).backend)
+		to = append(to, rec.last(t).backend)
 		if i >= inFlight {
 			o := Outcome{Request: fmt.Sprint(i - inFlight), Result: OK, Latency: Time(inFlight) * ms,
 				Final: true}
@@ -153,10 +151,10 @@
 // setLimit sets the limit on calls in flight for each unit of capacity.
 func (b *Balancer) setLimit(calls float64) { b.limitMultiplier = calls / b.baseLimit }
 
-func (f *recorder) onlyAnswer(t *testing.T, id string) answer {
+func (rec *recorder) onlyAnswer(t *testing.T, id string) answer {
 	t.Helper()
-	if len(f.answers[id]) != 1 {
-		t.Fatalf("%s has %d answers, want 1", id, len(f.answers[id]))
+	if len(rec.answers[id]) != 1 {
+		t.Fatalf("%s has %d answers, want 1", id, len(rec.answers[id]))
 	}
-	return f.answers[id][0]
+	return rec.answers[id][0]
 }
--- a/logic/list_test.go
+++ b/logic/list_test.go
@@ -8,11 +8,11 @@
 )
 
 func TestDrain(t *testing.T) {
-	b, f := startBalancer(testSettings(), entry("b", 1), entry("b", 2))
+	b, rec := startBalancer(testSettings(), entry("b", 1), entry("b", 2))
 	b.setAttemptTimeout(idempotent, 100*ms)
 	b.StartRequest(0, Request{ID: "r", Class: idempotent, Budget: 2000 * ms})
 	b.AttemptDone(10*ms, Outcome{Request: "r", Result: Rejected})
-	token, wait := f.takeTimer(t)
+	token, wait := rec.takeTimer(t)
 	for _, id := range []string{"b1", "b2"} { // during the retry's backoff
 		l := entry("b", int(id[1]-'0'))
 		l.State = Draining
@@ -23,15 +23,15 @@
 	}
 	b.TimerFired(10*ms+wait, token)
 	b.StartRequest(200*ms, Request{ID: "s", Class: idempotent, Budget: 2000 * ms})
-	if len(f.sends) != 1 {
-		t.Errorf("sent to %s, which is draining or removed", f.last(t).backend)
+	if len(rec.sends) != 1 {
+		t.Errorf("sent to %s, which is draining or removed", rec.last(t).backend)
 	}
-	f.onlyAnswer(t, "r")
-	f.onlyAnswer(t, "s")
+	rec.onlyAnswer(t, "r")
+	rec.onlyAnswer(t, "s")
 	b.UpdateList(300*ms, true, []Backend{entry("b", 3)}) // a full list without b1 and b2
 	b.StartRequest(300*ms, Request{ID: "u", Class: idempotent, Budget: 2000 * ms})
-	if f.last(t).backend != "b3" {
-		t.Errorf("sent to %s, want b3", f.last(t).backend)
+	if rec.last(t).backend != "b3" {
+		t.Errorf("sent to %s, want b3", rec.last(t).backend)
 	}
 	if len(b.backends) != 1 {
 		t.Errorf("%d backends kept, want 1", len(b.backends))
@@ -39,9 +39,9 @@
 }
 
 func TestEmptyList(t *testing.T) {
-	b, f := startBalancer(testSettings())
+	b, rec := startBalancer(testSettings())
 	b.StartRequest(0, Request{ID: "r", Class: nonIdempotent, Budget: 2000 * ms})
-	if !f.onlyAnswer(t, "r").refused {
+	if !rec.onlyAnswer(t, "r").refused {
 		t.Error("nothing was sent, yet the answer is not a refusal")
 	}
 }
@@ -53,20 +53,20 @@
 func TestStaleListIsNotUsed(t *testing.T) {
 	set := testSettings()
 	set.DrainGrace = 500 * ms
-	b, f := startBalancer(set, entry("b", 0), entry("b", 1))
+	b, rec := startBalancer(set, entry("b", 0), entry("b", 1))
 	b.setLimit(10)
 	serial := 0
 	send := func(at Time) string { // returns the backend that got the call, or ""
 		serial++
-		id, sends := fmt.Sprint(serial), len(f.sends)
+		id, sends := fmt.Sprint(serial), len(rec.sends)
 		b.StartRequest(at, Request{ID: id, Class: idempotent, Budget: 2000 * ms})
-		if len(f.sends) == sends {
-			if a := f.onlyAnswer(t, id); !a.refused || a.retryAfter == 0 {
+		if len(rec.sends) == sends {
+			if a := rec.onlyAnswer(t, id); !a.refused || a.retryAfter == 0 {
 				t.Errorf("at %v: %+v, want a refusal with a retry-after time", at, a)
 			}
 			return ""
 		}
-		return f.last(t).backend
+		return rec.last(t).backend
 	}
 	answer := func(at Time) {
 		b.AttemptDone(at, Outcome{Request: fmt.Sprint(serial), Result: OK, Latency: 100 * ms, Final: true})
--- a/logic/liveness_test.go
+++ b/logic/liveness_test.go
@@ -7,10 +7,10 @@
 
 // livenessRun is a balancer with one backend, and the actions it asked for.
 type livenessRun struct {
-	t      *testing.T
-	b      *Balancer
-	f      *listRequestCounter
-	serial int
+	t        *testing.T
+	balancer *Balancer
+	actions  *listRequestCounter
+	serial   int
 }
 
 // listRequestCounter implements Actions and counts the lists requested.
@@ -19,14 +19,14 @@
 	requests int
 }
 
-func (a *listRequestCounter) RequestList() { a.requests++ }
+func (counter *listRequestCounter) RequestList() { counter.requests++ }
 
 func newLivenessRun(t *testing.T) (*livenessRun, *listRequestCounter) {
-	a := &listRequestCounter{recorder: newRecorder()}
-	b := New(0, testSettings(), a)
+	counter := &listRequestCounter{recorder: newRecorder()}
+	b := New(0, testSettings(), counter)
 	b.UpdateList(0, true, []Backend{entry("b", 0)})
 	b.setLimit(10)
-	return &livenessRun{t: t, b: b, f: a}, a
+	return &livenessRun{t: t, balancer: b, actions: counter}, counter
 }
 
 // call makes a call at the given time that, if sent, ends with result a moment later.
@@ -46,14 +46,14 @@
 // begin starts a request at the given time and reports whether it was sent.
 func (r *livenessRun) begin(at Time) (id string, sent bool) {
 	r.serial++
-	id, sends := fmt.Sprint(r.serial), len(r.f.sends)
-	r.b.StartRequest(at, Request{ID: id, Class: nonIdempotent, Budget: 2000 * ms})
-	return id, len(r.f.sends) > sends
+	id, sends := fmt.Sprint(r.serial), len(r.actions.sends)
+	r.balancer.StartRequest(at, Request{ID: id, Class: nonIdempotent, Budget: 2000 * ms})
+	return id, len(r.actions.sends) > sends
 }
 
 // end ends a call that was sent.
 func (r *livenessRun) end(id string, at, latency Time, result Result) {
-	r.b.AttemptDone(at, Outcome{Request: id, Result: result, Latency: latency, Final: true})
+	r.balancer.AttemptDone(at, Outcome{Request: id, Result: result, Latency: latency, Final: true})
 }
 
 // calls makes a call every half second from one time until before another.
@@ -136,7 +136,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r, _ := newLivenessRun(t)
-			r.b.SetListFreshness(freshness(10000*ms, 10000*ms, 16000*ms, 30000*ms))
+			r.balancer.SetListFreshness(freshness(10000*ms, 10000*ms, 16000*ms, 30000*ms))
 			c.do(r)
 			if used := r.call(17000*ms, OK); used != c.used {
 				t.Errorf("used %t, want %t", used, c.used)
@@ -179,7 +179,7 @@
 			if r.calls(14000*ms, 16000*ms, OK) == 0 {
 				r.t.Error("not used though no change can count as announced yet")
 			}
-			if r.f.requests == 0 {
+			if r.actions.requests == 0 {
 				r.t.Error("no list requested when it was reachable again")
 			}
 		}, false, false},
@@ -219,7 +219,7 @@
 			r, counter := newLivenessRun(t)
 			fresh := freshness(1000*ms, 17000*ms, 23000*ms, 23000*ms)
 			fresh.ChangesMayLag = !c.pushed
-			r.b.SetListFreshness(fresh)
+			r.balancer.SetListFreshness(fresh)
 			c.do(r)
 			counter.requests = 0
 			if used := r.call(late, OK); used != c.used {
@@ -230,8 +230,8 @@
 			}
 			// A list confirms that the backend is in service.
 			fresh.ReceivedAt = late + 100*ms
-			r.b.UpdateList(late+100*ms, false, nil)
-			r.b.SetListFreshness(fresh)
+			r.balancer.UpdateList(late+100*ms, false, nil)
+			r.balancer.SetListFreshness(fresh)
 			if !r.call(late+1000*ms, OK) {
 				t.Error("not used though a list confirms it in service")
 			}
--- a/logic/outlier_test.go
+++ b/logic/outlier_test.go
@@ -11,16 +11,16 @@
 
 // Prevents a backend that fails fast from attracting calls because it looks idle.
 func TestEjectionAndProbe(t *testing.T) {
-	b, f := startBalancer(testSettings(), zoneEntries("b", 4)...)
+	b, rec := startBalancer(testSettings(), zoneEntries("b", 4)...)
 	b.settings.Tier = 1
 	n := 0
-	call := func(now Time, bad bool) string {
+	call := func(now Time, fail bool) string {
 		id := fmt.Sprint("r", n)
 		n++
 		b.retryTokens = 0
 		b.StartRequest(now, Request{ID: id, Class: idempotent, Budget: 2000 * ms})
-		to := f.last(t).backend
-		if bad && to == "b2" {
+		to := rec.last(t).backend
+		if fail && to == "b2" {
 			b.AttemptDone(now+ms, Outcome{Request: id, Result: Error, Latency: ms})
 		} else {
 			b.AttemptDone(now+ms, Outcome{Request: id, Result: OK, Latency: ms, Final: true})
@@ -53,7 +53,7 @@
 
 // Failures common to all backends are no reason to eject any of them.
 func TestSharedFailureEjectsNobody(t *testing.T) {
-	b, f := startBalancer(testSettings(), zoneEntries("b", 4)...)
+	b, rec := startBalancer(testSettings(), zoneEntries("b", 4)...)
 	b.settings.Tier = 1
 	for i := range 100 {
 		id := fmt.Sprint("r", i)
@@ -65,22 +65,22 @@
 			t.Errorf("%s was ejected", id)
 		}
 	}
-	if len(f.sends) != 100 {
-		t.Errorf("%d sends, want 100: with all failing, none is avoided", len(f.sends))
+	if len(rec.sends) != 100 {
+		t.Errorf("%d sends, want 100: with all failing, none is avoided", len(rec.sends))
 	}
 }
 
 // Prevents calls from going to backends that are full, or draining before the list says so: since they
 // reject calls at once, they look the idlest of all.
 func TestRejectingBackendIsPaused(t *testing.T) {
-	b, f := startBalancer(testSettings(), zoneEntries("b", 3)...)
+	b, rec := startBalancer(testSettings(), zoneEntries("b", 3)...)
 	b.settings.Tier = 1
 	rejected := 0
 	for i := range 300 {
 		id := fmt.Sprint("r", i)
 		now := Time(i) * ms
 		b.StartRequest(now, Request{ID: id, Class: idempotent, Budget: 2000 * ms})
-		if f.last(t).backend == "b1" {
+		if rec.last(t).backend == "b1" {
 			rejected++
 			b.AttemptDone(now, Outcome{Request: id, Result: Rejected})
 			continue
@@ -95,7 +95,7 @@
 // Prevents all traffic from going to one backend when every group fails, and calls to backends that just
 // rejected calls when no other is left.
 func TestAllFailing(t *testing.T) {
-	b, f := startBalancer(testSettings(), zoneEntries("b", 8)...)
+	b, rec := startBalancer(testSettings(), zoneEntries("b", 8)...)
 	b.settings.Tier = 1
 	for _, m := range b.listed[:5] {
 		b.summaryVersion++
@@ -104,7 +104,7 @@
 	got := map[string]int{}
 	for i := range 9 {
 		b.StartRequest(0, Request{ID: fmt.Sprint("r", i), Class: idempotent, Budget: 2000 * ms})
-		got[f.last(t).backend]++
+		got[rec.last(t).backend]++
 	}
 	if len(got) != 3 {
 		t.Errorf("calls %v, want them spread over the three in use", got)
@@ -113,7 +113,7 @@
 		m.pausedUntil = 50 * ms
 	}
 	b.StartRequest(ms, Request{ID: "full", Class: nonIdempotent, Budget: 2000 * ms})
-	if !f.onlyAnswer(t, "full").refused {
+	if !rec.onlyAnswer(t, "full").refused {
 		t.Error("not refused, though every backend has just rejected a call")
 	}
 }
@@ -121,15 +121,15 @@
 // Prevents the ejection of healthy backends where a few in a hundred answers are malformed on any
 // backend: two such answers in a row are chance.
 func TestOccasionalFailuresEjectNobody(t *testing.T) {
-	b, f := startBalancer(testSettings(), zoneEntries("b", 4)...)
+	b, rec := startBalancer(testSettings(), zoneEntries("b", 4)...)
 	b.settings.Tier = 1
 	rng := rand.New(rand.NewPCG(3, 0))
-	out, calls := 0, 4000
+	ejected, calls := 0, 4000
 	for i := range calls {
 		id, now := fmt.Sprint("r", i), Time(i)*10*ms
 		b.retryTokens = 0
 		b.StartRequest(now, Request{ID: id, Class: idempotent, Budget: 2000 * ms})
-		f.last(t)
+		rec.last(t)
 		if rng.Float64() < 0.08 {
 			b.AttemptDone(now+5*ms, Outcome{Request: id, Result: Error, Latency: 5 * ms})
 		} else {
@@ -137,11 +137,11 @@
 		}
 		for _, m := range b.listed {
 			if m.ejections > 0 {
-				out++
+				ejected++
 			}
 		}
 	}
-	if share := float64(out) / float64(calls*len(b.listed)); share > 0.03 {
+	if share := float64(ejected) / float64(calls*len(b.listed)); share > 0.03 {
 		t.Errorf("%.2f of the healthy fleet is ejected", share)
 	}
 }
@@ -150,24 +150,24 @@
 // retried after a probe, so no probe was sent.
 func TestOverdueProbe(t *testing.T) {
 	for _, class := range []int{idempotent, nonIdempotent} {
-		b, f := startBalancer(testSettings(), zoneEntries("b", 4)...)
+		b, rec := startBalancer(testSettings(), zoneEntries("b", 4)...)
 		b.settings.Tier = 1
 		for i := range b.classes {
 			b.setAttemptTimeout(i, 1300*ms) // twice that exceeds every time budget
 		}
 		b.eject(0, b.backends["b2"])
 		due := b.backends["b2"].probeAt
-		tried := func(now Time) bool {
+		probed := func(now Time) bool {
 			id := fmt.Sprint("r", now)
 			b.StartRequest(now, Request{ID: id, Class: class, Budget: 2000 * ms})
-			to := f.last(t).backend
+			to := rec.last(t).backend
 			b.AttemptDone(now, Outcome{Request: id, Result: OK, Latency: 100 * ms, Final: true})
 			return to == "b2"
 		}
-		if tried(due) || tried(due+b.baseEjectionTime-1) {
+		if probed(due) || probed(due+b.baseEjectionTime-1) {
 			t.Error("a probe with a request that can't be retried, before it is overdue")
 		}
-		if !tried(due+b.baseEjectionTime) || b.backends["b2"].ejections != 0 {
+		if !probed(due+b.baseEjectionTime) || b.backends["b2"].ejections != 0 {
 			t.Error("no probe when overdue")
 		}
 	}
@@ -179,20 +179,20 @@
 	changes []string
 }
 
-func (o *statusRecorder) BackendStatusChanged(backend string, s BackendStatus, _ float64) {
-	o.changes = append(o.changes, backend+" "+s.String())
+func (rec *statusRecorder) BackendStatusChanged(backend string, s BackendStatus, _ float64) {
+	rec.changes = append(rec.changes, backend+" "+s.String())
 }
 
 // Each change of a backend's status is reported once, and not again while it stays ejected.
 func TestStatusChangesAreReported(t *testing.T) {
-	o := &statusRecorder{recorder: newRecorder()}
-	b := New(0, testSettings(), o)
+	rec := &statusRecorder{recorder: newRecorder()}
+	b := New(0, testSettings(), rec)
 	b.UpdateList(0, true, zoneEntries("b", 4))
 	m := b.backends["b0"]
 	b.eject(0, m)
 	b.eject(0, m) // a failed probe
 	b.updateEjection(0, &attempt{backend: m, probe: true}, &b.classes[idempotent], OK)
-	if want := []string{"b0 ejected", "b0 in_use"}; !slices.Equal(o.changes, want) {
-		t.Errorf("reported %v, want %v", o.changes, want)
+	if want := []string{"b0 ejected", "b0 in_use"}; !slices.Equal(rec.changes, want) {
+		t.Errorf("reported %v, want %v", rec.changes, want)
 	}
 }
--- a/logic/retry_test.go
+++ b/logic/retry_test.go
@@ -23,16 +23,16 @@
 		{"no time at all", 0, 0, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			b, f := startBalancer(testSettings(), entry("b", 1))
+			b, rec := startBalancer(testSettings(), entry("b", 1))
 			b.setAttemptTimeout(idempotent, 100*ms)
 			b.StartRequest(0, Request{ID: "r", Class: idempotent, Budget: c.budget})
-			if len(f.sends) != c.sends {
-				t.Fatalf("%d sends, want %d", len(f.sends), c.sends)
+			if len(rec.sends) != c.sends {
+				t.Fatalf("%d sends, want %d", len(rec.sends), c.sends)
 			}
-			if c.sends == 1 && f.sends[0].timeout != c.timeout {
-				t.Errorf("timeout %v, want %v", f.sends[0].timeout, c.timeout)
+			if c.sends == 1 && rec.sends[0].timeout != c.timeout {
+				t.Errorf("timeout %v, want %v", rec.sends[0].timeout, c.timeout)
 			}
-			if c.sends == 0 && !f.onlyAnswer(t, "r").refused {
+			if c.sends == 0 && !rec.onlyAnswer(t, "r").refused {
 				t.Error("nothing was sent, yet the answer is not a refusal")
 			}
 		})
@@ -61,13 +61,13 @@
 		{"non-idempotent after a timeout", nonIdempotent, TimedOut, 10 * ms, false, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			b, f := startBalancer(testSettings(), entry("b", 1), entry("b", 2))
+			b, rec := startBalancer(testSettings(), entry("b", 1), entry("b", 2))
 			b.retryTokens = 5
 			b.setAttemptTimeout(c.class, 100*ms)
 			b.StartRequest(0, Request{ID: "r", Class: c.class, Budget: 2000 * ms})
 			b.AttemptDone(c.after, Outcome{Request: "r", Result: c.result, Latency: c.after})
 			if !c.retried {
-				if got := f.onlyAnswer(t, "r"); got.refused != c.refused {
+				if got := rec.onlyAnswer(t, "r"); got.refused != c.refused {
 					t.Errorf("refused = %v, want %v", got.refused, c.refused)
 				}
 				if len(b.requests) != 0 {
@@ -75,17 +75,17 @@
 				}
 				return
 			}
-			token, wait := f.takeTimer(t)
+			token, wait := rec.takeTimer(t)
 			if wait <= 0 {
 				t.Error("no backoff")
 			}
 			b.TimerFired(c.after+wait, token)
-			if len(f.sends) != 2 {
-				t.Fatalf("%d sends, want 2", len(f.sends))
+			if len(rec.sends) != 2 {
+				t.Fatalf("%d sends, want 2", len(rec.sends))
 			}
 			end := c.after + wait + 10*ms
 			b.AttemptDone(end, Outcome{Request: "r", Attempt: 1, Result: OK, Latency: 10 * ms, Final: true})
-			if len(f.answers["r"]) != 0 || len(b.requests) != 0 {
+			if len(rec.answers["r"]) != 0 || len(b.requests) != 0 {
 				t.Error("a served request was answered again or is still kept")
 			}
 		})
@@ -94,14 +94,14 @@
 
 // Whether the attempt fits is checked again after the backoff: timers may run late.
 func TestRetryMustFitAfterBackoff(t *testing.T) {
-	b, f := startBalancer(testSettings(), entry("b", 1))
+	b, rec := startBalancer(testSettings(), entry("b", 1))
 	b.retryTokens = 5
 	b.setAttemptTimeout(idempotent, 100*ms)
 	b.StartRequest(0, Request{ID: "r", Class: idempotent, Budget: 1000 * ms})
 	b.AttemptDone(100*ms, Outcome{Request: "r", Result: Error, Latency: 100 * ms})
-	token, _ := f.takeTimer(t)
+	token, _ := rec.takeTimer(t)
 	b.TimerFired(900*ms, token)
-	if len(f.sends) != 1 || !f.onlyAnswer(t, "r").refused {
+	if len(rec.sends) != 1 || !rec.onlyAnswer(t, "r").refused {
 		t.Error("sent though the attempt timeout no longer fits")
 	}
 }
@@ -118,18 +118,18 @@
 		{"must not be executed twice", nonIdempotent, 3, 980 * ms},
 		{"the maximum of attempts is reached", idempotent, 1, 980 * ms},
 	} {
-		b, f := startBalancer(testSettings(), entry("b", 1))
+		b, rec := startBalancer(testSettings(), entry("b", 1))
 		b.settings.MaxAttempts = c.attempts
 		b.setAttemptTimeout(c.class, 100*ms)
 		b.StartRequest(0, Request{ID: "r", Class: c.class, Budget: 1000 * ms})
-		if got := f.last(t).timeout; got != c.want {
+		if got := rec.last(t).timeout; got != c.want {
 			t.Errorf("%s: timeout %v, want %v", c.name, got, c.want)
 		}
 	}
 }
 
 func TestBackoffGrows(t *testing.T) {
-	b, f := startBalancer(testSettings(), entry("b", 1))
+	b, rec := startBalancer(testSettings(), entry("b", 1))
 	b.settings.MaxAttempts = 10
 	b.setAttemptTimeout(idempotent, 100*ms)
 	now := Time(0)
@@ -137,7 +137,7 @@
 	var waits []time.Duration
 	for i := range 4 {
 		b.AttemptDone(now, Outcome{Request: "r", Attempt: i, Result: ConnectFailed})
-		token, wait := f.takeTimer(t)
+		token, wait := rec.takeTimer(t)
 		waits = append(waits, wait)
 		now += wait
 		b.TimerFired(now, token)
@@ -151,24 +151,24 @@
 }
 
 func TestMaxAttempts(t *testing.T) {
-	b, f := startBalancer(testSettings(), entry("b", 1))
+	b, rec := startBalancer(testSettings(), entry("b", 1))
 	b.setAttemptTimeout(idempotent, 10*ms)
 	b.StartRequest(0, Request{ID: "r", Class: idempotent, Budget: 2000 * ms})
 	for i := range 3 {
 		b.AttemptDone(Time(i)*20*ms, Outcome{Request: "r", Attempt: i, Result: ConnectFailed})
 		if i < 2 {
-			token, _ := f.takeTimer(t)
+			token, _ := rec.takeTimer(t)
 			b.TimerFired(Time(i)*20*ms+10*ms, token)
 		}
 	}
-	if len(f.sends) != 3 || !f.onlyAnswer(t, "r").refused {
-		t.Errorf("%d sends, want the maximum of 3 and a refusal", len(f.sends))
+	if len(rec.sends) != 3 || !rec.onlyAnswer(t, "r").refused {
+		t.Errorf("%d sends, want the maximum of 3 and a refusal", len(rec.sends))
 	}
 }
 
 // A deduplicated request that may have been executed goes only to backends that drop the duplicate.
 func TestDeduplicatedStaysInScope(t *testing.T) {
-	lines := []Backend{entry("b", 1), entry("b", 2), entry("a", 1), entry("c", 2)}
+	entries := []Backend{entry("b", 1), entry("b", 2), entry("a", 1), entry("c", 2)}
 	for _, c := range []struct {
 		class int
 		same  func(x, y Backend) bool
@@ -176,9 +176,9 @@
 		{dedupInZone, func(x, y Backend) bool { return x.Zone == y.Zone }},
 		{dedupInCell, func(x, y Backend) bool { return x.Cell == y.Cell }},
 	} {
-		b, f := startBalancer(testSettings(), lines...)
+		b, rec := startBalancer(testSettings(), entries...)
 		byID := map[string]Backend{}
-		for _, l := range lines {
+		for _, l := range entries {
 			byID[l.ID] = l
 		}
 		for i := range 40 {
@@ -187,19 +187,19 @@
 			b.retryTokens = 5
 			b.setAttemptTimeout(c.class, 100*ms)
 			b.StartRequest(now, Request{ID: id, Class: c.class, Budget: 2000 * ms})
-			first := byID[f.last(t).backend]
+			first := byID[rec.last(t).backend]
 			b.AttemptDone(now+50*ms, Outcome{Request: id, Result: ConnectionLost, Latency: 50 * ms})
-			if len(f.answers[id]) > 0 {
+			if len(rec.answers[id]) > 0 {
 				continue
 			}
-			token, wait := f.takeTimer(t)
-			sends := len(f.sends)
+			token, wait := rec.takeTimer(t)
+			sends := len(rec.sends)
 			b.TimerFired(now+50*ms+wait, token)
-			if len(f.sends) == sends {
-				f.onlyAnswer(t, id)
+			if len(rec.sends) == sends {
+				rec.onlyAnswer(t, id)
 				continue
 			}
-			if second := byID[f.last(t).backend]; !c.same(first, second) {
+			if second := byID[rec.last(t).backend]; !c.same(first, second) {
 				t.Fatalf("class %d: %s, then %s", c.class, first.ID, second.ID)
 			}
 			b.AttemptDone(now+90*ms, Outcome{Request: id, Attempt: 1, Result: OK, Final: true})
@@ -216,7 +216,7 @@
 	}{{10, 3}, {400, 12}} {
 		set := testSettings() // retries of up to a tenth of the calls of a second are allowed
 		set.Tier = 1
-		b, f := startBalancer(set, zoneEntries("b", 4)...)
+		b, rec := startBalancer(set, zoneEntries("b", 4)...)
 		now, gap := Time(0), 1000*ms/Time(c.perSecond)
 		call := func(i int, r Result) {
 			now += gap
@@ -230,7 +230,7 @@
 		for i := range 15 {
 			call(300+i, Error)
 		}
-		if n := len(f.timers); n > c.most || n == 0 {
+		if n := len(rec.timers); n > c.most || n == 0 {
 			t.Errorf("%d calls a second: %d retries of 15 calls, want up to %d", c.perSecond, n, c.most)
 		}
 	}
@@ -238,14 +238,14 @@
 
 // Prevents retries from using up the remaining capacity when all backends slow down together.
 func TestRetryBudget(t *testing.T) {
-	b, f := startBalancer(testSettings(), zoneEntries("b", 4)...)
+	b, rec := startBalancer(testSettings(), zoneEntries("b", 4)...)
 	b.settings.Tier = 1
 	for i := range 200 {
 		id := fmt.Sprint("r", i)
 		b.StartRequest(0, Request{ID: id, Class: idempotent, Budget: 2000 * ms})
 		b.AttemptDone(0, Outcome{Request: id, Result: Error})
 	}
-	if retries := len(f.timers); retries > 21 || retries < 15 {
+	if retries := len(rec.timers); retries > 21 || retries < 15 {
 		t.Errorf("%d retries of 200 failed calls, want about a tenth", retries)
 	}
 }
@@ -254,32 +254,32 @@
 // hundreds of balancers from each answering one lost connection with some twenty new ones, to backends
 // that accept few.
 func TestFewLostConnectionsCauseNoReconnects(t *testing.T) {
-	closed, broken := 0, 0
+	closed, lost := 0, 0
 	for n := range 100 {
 		set := testSettings()
 		set.Seed, set.Tier, set.BalancerCount, set.BalancerIndex = uint64(n), 1, 100, n
-		b, f := startBalancer(set, zoneEntries("b", 20)...)
+		b, rec := startBalancer(set, zoneEntries("b", 20)...)
 		rng := rand.New(rand.NewPCG(uint64(n), 4))
 		for i := range 400 {
 			now, id, r := Time(i)*50*ms, fmt.Sprint("r", i), OK
 			if rng.Float64() < 0.005 {
 				r = ConnectionLost
-				broken++
+				lost++
 			}
 			b.StartRequest(now, Request{ID: id, Class: nonIdempotent, Budget: 2000 * ms})
 			b.AttemptDone(now+ms, Outcome{Request: id, Result: r, Latency: ms, Final: r == OK})
 		}
-		closed += f.closed
+		closed += rec.closed
 	}
-	if closed > 10*broken {
-		t.Errorf("%d calls on new connections for %d lost ones", closed, broken)
+	if closed > 10*lost {
+		t.Errorf("%d calls on new connections for %d lost ones", closed, lost)
 	}
 }
 
 // Connections may be dropped while idle: while many are lost, each call uses a new connection, and no
 // longer than that.
 func TestIdleConnectionsClosedAfterLosses(t *testing.T) {
-	b, f := startBalancer(testSettings(), zoneEntries("b", 4)...)
+	b, rec := startBalancer(testSettings(), zoneEntries("b", 4)...)
 	b.settings.Tier = 1
 	n := 0
 	call := func(r Result) {
@@ -289,21 +289,21 @@
 		b.AttemptDone(Time(n)*ms, Outcome{Request: id, Result: r, Latency: ms, Final: r == OK})
 	}
 	call(OK)
-	if f.closed != 0 {
+	if rec.closed != 0 {
 		t.Error("connections closed though none was lost")
 	}
 	for range 20 {
 		call(ConnectionLost)
 	}
-	if f.closed < 15 {
-		t.Errorf("closed %d times for 20 lost connections", f.closed)
+	if rec.closed < 15 {
+		t.Errorf("closed %d times for 20 lost connections", rec.closed)
 	}
 	for range 200 {
 		call(OK)
 	}
-	before := f.closed
+	before := rec.closed
 	call(OK)
-	if f.closed != before {
+	if rec.closed != before {
 		t.Error("still closing connections long after the last loss")
 	}
 }
@@ -315,12 +315,12 @@
 // timeout nor counts against the backend.
 func TestShortClientTimeouts(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		class   int
-		tier    int
-		unlike  bool
-		patient time.Duration
-		sent    bool
+		name   string
+		class  int
+		tier   int
+		uneven bool
+		budget time.Duration
+		sent   bool
 	}{
 		{"above the mean latency", idempotent, 0, false, 250 * ms, true},
 		{"below the mean latency", idempotent, 0, false, 90 * ms, false},
@@ -331,29 +331,29 @@
 		{"uneven traffic", idempotent, 0, true, 250 * ms, false},
 	} {
 		set := testSettings()
-		set.Tier, set.UnevenTraffic = c.tier, c.unlike
-		b, f := startBalancer(set, zoneEntries("b", 4)...)
+		set.Tier, set.UnevenTraffic = c.tier, c.uneven
+		b, rec := startBalancer(set, zoneEntries("b", 4)...)
 		for i := range 20 {
 			id := fmt.Sprint("before", i)
 			b.StartRequest(0, Request{ID: id, Class: c.class, Budget: 2000 * ms})
 			b.AttemptDone(0, Outcome{Request: id, Result: OK, Latency: 100 * ms, Final: true})
 		}
 		b.setAttemptTimeout(c.class, 600*ms)
-		before := len(f.sends)
-		b.StartRequest(ms, Request{ID: "r", Class: c.class, Budget: c.patient})
-		if got := len(f.sends) > before; got != c.sent {
+		before := len(rec.sends)
+		b.StartRequest(ms, Request{ID: "r", Class: c.class, Budget: c.budget})
+		if got := len(rec.sends) > before; got != c.sent {
 			t.Errorf("%s: sent %t", c.name, got)
 			continue
 		}
 		if !c.sent {
-			f.onlyAnswer(t, "r")
+			rec.onlyAnswer(t, "r")
 			continue
 		}
-		to := b.backends[f.last(t).backend]
+		to := b.backends[rec.last(t).backend]
 		attemptTimeout, relativeLatency, failureShare :=
 			b.classes[c.class].attemptTimeout, to.relativeLatency, to.failureShare
-		b.AttemptDone(c.patient, Outcome{Request: "r", Result: TimedOut, Latency: f.last(t).timeout})
-		if f.onlyAnswer(t, "r").refused != (c.class == idempotent) {
+		b.AttemptDone(c.budget, Outcome{Request: "r", Result: TimedOut, Latency: rec.last(t).timeout})
+		if rec.onlyAnswer(t, "r").refused != (c.class == idempotent) {
 			t.Errorf("%s: want a refusal only if a retry is harmless", c.name)
 		}
 		if b.classes[c.class].attemptTimeout > attemptTimeout || to.relativeLatency != relativeLatency ||
@@ -396,23 +396,23 @@
 // Idle connections may be dropped without notice: calls on them get no answer, while new connections
 // work. Connections in use stay open, since new ones are expensive.
 func TestIdleConnectionsDroppedSilently(t *testing.T) {
-	b, f := startBalancer(unevenSettings(), zoneEntries("b", 1)...)
-	now := runRequest(b, f, 0, OK) // a connection is established
+	b, rec := startBalancer(unevenSettings(), zoneEntries("b", 1)...)
+	now := runRequest(b, rec, 0, OK) // a connection is established
 	for range 8 {
-		now = runRequest(b, f, now+3*time.Second, TimedOut)
+		now = runRequest(b, rec, now+3*time.Second, TimedOut)
 	}
-	if f.closed == 0 {
+	if rec.closed == 0 {
 		t.Fatal("nothing was closed while all calls on idle connections got no answer")
 	}
-	closed := f.closed
+	closed := rec.closed
 	for range 10 {
-		now = runRequest(b, f, now+50*ms, OK)
+		now = runRequest(b, rec, now+50*ms, OK)
 	}
-	if n := f.closed - closed; n > 1 { // the first one may have been idle
+	if n := rec.closed - closed; n > 1 { // the first one may have been idle
 		t.Errorf("connections in use were closed %d times", n)
 	}
 	for range 200 {
-		now = runRequest(b, f, now+50*ms, OK)
+		now = runRequest(b, rec, now+50*ms, OK)
 	}
 	if b.idleTimeoutShare > idleTimeoutThreshold {
 		t.Errorf("after 200 answers the idle timeout share is still %v", b.idleTimeoutShare)
@@ -420,22 +420,22 @@
 }
 
 // runRequest runs a request whose attempts all end with r, and returns when the last one ended.
-func runRequest(b *Balancer, f *recorder, now Time, r Result) Time {
+func runRequest(b *Balancer, rec *recorder, now Time, r Result) Time {
 	id := fmt.Sprint("one", now)
 	b.StartRequest(now, Request{ID: id, Class: idempotent, Budget: 2000 * ms})
-	for n := 0; len(f.sends) > 0 && f.sends[len(f.sends)-1].request == id; n++ {
+	for n := 0; len(rec.sends) > 0 && rec.sends[len(rec.sends)-1].request == id; n++ {
 		took := 100 * ms
 		if r == TimedOut {
-			took = f.sends[len(f.sends)-1].timeout
+			took = rec.sends[len(rec.sends)-1].timeout
 		}
 		now += took
-		before := len(f.sends)
+		before := len(rec.sends)
 		b.AttemptDone(now, Outcome{Request: id, Attempt: n, Result: r, Latency: took, Final: r == OK})
-		for token, wait := range f.timers {
-			delete(f.timers, token)
+		for token, wait := range rec.timers {
+			delete(rec.timers, token)
 			b.TimerFired(now+wait, token)
 		}
-		if len(f.sends) == before {
+		if len(rec.sends) == before {
 			break
 		}
 	}
--- a/logic/rules_test.go
+++ b/logic/rules_test.go
@@ -14,16 +14,16 @@
 
 // randomWorld implements Actions, simulates the backends and checks every action.
 type randomWorld struct {
-	rng      *rand.Rand
-	settings Settings
-	balancer *Balancer
-	now      Time
-	open     map[string]*openRequest
-	ids      []string // open requests and those with outstanding attempts, in order
-	backends map[string]Backend
-	timers   []pendingTimer
-	fault    error
-	serial   int
+	rng          *rand.Rand
+	settings     Settings
+	balancer     *Balancer
+	now          Time
+	openRequests map[string]*openRequest
+	ids          []string // open requests and those with outstanding attempts, in order
+	backends     map[string]Backend
+	timers       []pendingTimer
+	violation    error
+	serial       int
 }
 
 type openRequest struct {
@@ -47,13 +47,13 @@
 }
 
 func (w *randomWorld) failf(format string, args ...any) {
-	if w.fault == nil {
-		w.fault = fmt.Errorf("at %v: %w", w.now, fmt.Errorf(format, args...))
+	if w.violation == nil {
+		w.violation = fmt.Errorf("at %v: %w", w.now, fmt.Errorf(format, args...))
 	}
 }
 
 func (w *randomWorld) Send(request, backend string, timeout time.Duration) {
-	q, to := w.open[request], w.backends[backend]
+	q, to := w.openRequests[request], w.backends[backend]
 
 	switch {
 	case q == nil:
@@ -110,7 +110,7 @@
 func (w *randomWorld) Fail(request string, _ Cause) { w.answer(request) }
 
 func (w *randomWorld) answer(request string) *openRequest {
-	q := w.open[request]
+	q := w.openRequests[request]
 	if q == nil || q.answered {
 		w.failf("%s: a second answer", request)
 		return nil
@@ -126,7 +126,7 @@
 func (w *randomWorld) CloseIdle(string) {}
 
 func (w *randomWorld) Cancel(request string, attempt int) {
-	q := w.open[request]
+	q := w.openRequests[request]
 	if !w.settings.CancelAbandoned || q == nil || attempt < 0 || attempt >= len(q.attempts) ||
 		q.attempts[attempt].done {
 		w.failf("%s: attempt %d cancelled, which is not outstanding", request, attempt)
@@ -158,7 +158,7 @@
 		budget = 0
 	}
 	class := w.rng.IntN(len(w.settings.Classes))
-	w.open[id] = &openRequest{class: class, deadline: w.now + budget}
+	w.openRequests[id] = &openRequest{class: class, deadline: w.now + budget}
 	w.ids = append(w.ids, id)
 	retry := w.settings.UnevenTraffic && w.rng.IntN(4) == 0
 	w.balancer.StartRequest(w.now, Request{ID: id, Class: class, Budget: budget, ClientRetry: retry})
@@ -174,7 +174,7 @@
 		}
 	}
 	for _, id := range append([]string(nil), w.ids...) {
-		for n, t := range w.open[id].attempts {
+		for n, t := range w.openRequests[id].attempts {
 			if !t.done && w.now >= t.sentAt+t.timeout {
 				w.finish(id, n, TimedOut)
 			}
@@ -187,7 +187,7 @@
 		return
 	}
 	id := w.ids[w.rng.IntN(len(w.ids))]
-	for n, t := range w.open[id].attempts {
+	for n, t := range w.openRequests[id].attempts {
 		if !t.done {
 			w.finish(id, n, Result(w.rng.IntN(int(NotSent)+1)))
 			return
@@ -196,7 +196,7 @@
 }
 
 func (w *randomWorld) finish(id string, n int, r Result) {
-	q := w.open[id]
+	q := w.openRequests[id]
 	t := q.attempts[n]
 	t.done = true
 	t.mayRun = r != Rejected && r != ConnectFailed && r != NotSent
@@ -211,7 +211,7 @@
 		return
 	}
 	id := w.ids[w.rng.IntN(len(w.ids))]
-	if q := w.open[id]; !q.answered {
+	if q := w.openRequests[id]; !q.answered {
 		q.answered = true
 		w.balancer.ClientGone(w.now, id)
 	}
@@ -244,7 +244,7 @@
 func (w *randomWorld) check() {
 	kept := w.ids[:0]
 	for _, id := range w.ids {
-		q := w.open[id]
+		q := w.openRequests[id]
 		out := 0
 		for _, t := range q.attempts {
 			if !t.done {
@@ -255,7 +255,7 @@
 			w.failf("%s: unanswered past its deadline", id)
 		}
 		if q.answered && out == 0 {
-			delete(w.open, id)
+			delete(w.openRequests, id)
 			continue
 		}
 		kept = append(kept, id)
@@ -283,7 +283,7 @@
 	set.UnevenTraffic, set.CancelAbandoned, set.EqualClasses = seed%4 > 1, seed%8 > 3, seed%5 > 2
 	w := &randomWorld{
 		rng: rand.New(rand.NewPCG(seed, 1)), settings: set,
-		open: map[string]*openRequest{}, backends: map[string]Backend{},
+		openRequests: map[string]*openRequest{}, backends: map[string]Backend{},
 	}
 	w.balancer = New(0, set, w)
 	if breakBalancer != nil {
@@ -292,10 +292,10 @@
 	for range 6 {
 		w.changeList()
 	}
-	for i := 0; i < steps && w.fault == nil; i++ {
+	for i := 0; i < steps && w.violation == nil; i++ {
 		w.step()
 	}
-	return w.fault
+	return w.violation
 }
 
 func TestRulesHoldThroughRandomEvents(t *testing.T) {
@@ -317,8 +317,8 @@
 		}
 	}
 	for _, c := range []struct {
-		name  string
-		spoil func(*Balancer)
+		name          string
+		breakBalancer func(*Balancer)
 	}{
 		{"non-idempotent taken for idempotent", classes(func(c *Class) { c.Idempotency = Idempotent })},
 		{"zone scope taken for all backends", classes(func(c *Class) { c.DedupScope = ScopeAll })},
@@ -326,11 +326,11 @@
 		{"more attempts than allowed", func(b *Balancer) { b.settings.MaxAttempts = 50 }},
 		{"retry-after times too long", func(b *Balancer) { b.settings.MaxRetryAfter = time.Hour }},
 	} {
-		caught := false
-		for seed := uint64(0); seed < 200 && !caught; seed++ {
-			caught = runRandomEvents(seed, 3000, c.spoil) != nil
+		detected := false
+		for seed := uint64(0); seed < 200 && !detected; seed++ {
+			detected = runRandomEvents(seed, 3000, c.breakBalancer) != nil
 		}
-		if !caught {
+		if !detected {
 			t.Errorf("%s: no check fails", c.name)
 		}
 	}
@@ -350,7 +350,7 @@
 // State kept for a request, timer or backend is released with it: nothing is left after thousands of
 // each, with every kind of outcome.
 func TestChurnLeavesNoState(t *testing.T) {
-	b, f := startBalancer(testSettings(), zoneEntries("b", 4)...)
+	b, rec := startBalancer(testSettings(), zoneEntries("b", 4)...)
 	rng := rand.New(rand.NewPCG(11, 0))
 	now, next := Time(0), 4
 	names := []string{"b0", "b1", "b2", "b3"}
@@ -358,7 +358,7 @@
 		now += Time(rng.IntN(20)) * ms
 		id := fmt.Sprint("r", i)
 		b.StartRequest(now, Request{ID: id, Class: rng.IntN(5), Budget: 2000 * ms})
-		for n := 0; len(f.answers[id]) == 0; n++ {
+		for n := 0; len(rec.answers[id]) == 0; n++ {
 			result := Result(rng.IntN(int(NotSent) + 1))
 			if rng.IntN(4) > 0 {
 				result = OK
@@ -381,12 +381,12 @@
 			}
 		}
 		if i%5 == 0 { // another backend replaces the oldest
-			gone := entry("b", 0)
-			gone.ID, gone.State = names[0], Removed
-			come := entry("b", next)
-			come.StartedAt = now
-			b.UpdateList(now, false, []Backend{gone, come})
-			names = append(names[1:], come.ID)
+			removed := entry("b", 0)
+			removed.ID, removed.State = names[0], Removed
+			added := entry("b", next)
+			added.StartedAt = now
+			b.UpdateList(now, false, []Backend{removed, added})
+			names = append(names[1:], added.ID)
 			next++
 		}
 	}
--- a/logic/selection_test.go
+++ b/logic/selection_test.go
@@ -12,12 +12,12 @@
 )
 
 func TestOwnZoneFirstThenSpill(t *testing.T) {
-	b, f := startBalancer(testSettings(), append(zoneEntries("b", 2), zoneEntries("c", 2)...)...)
+	b, rec := startBalancer(testSettings(), append(zoneEntries("b", 2), zoneEntries("c", 2)...)...)
 	b.settings.Tier = 1
 	zones := map[byte]int{}
 	for i := range 12 {
 		b.StartRequest(0, Request{ID: fmt.Sprint("r", i), Class: idempotent, Budget: 2000 * ms})
-		zone := f.last(t).backend[0]
+		zone := rec.last(t).backend[0]
 		if i < 2 && zone != 'b' {
 			t.Errorf("call %d left the own zone while it was idle", i)
 		}
@@ -29,12 +29,12 @@
 }
 
 func TestRotationSkipsBusyBackends(t *testing.T) {
-	b, f := startBalancer(testSettings(), zoneEntries("b", 4)...)
+	b, rec := startBalancer(testSettings(), zoneEntries("b", 4)...)
 	b.settings.Tier = 1
 	seen := map[string]int{}
 	for i := range 8 {
 		b.StartRequest(0, Request{ID: fmt.Sprint("r", i), Class: idempotent, Budget: 2000 * ms})
-		seen[f.last(t).backend]++
+		seen[rec.last(t).backend]++
 	}
 	for id, n := range seen {
 		if n != 2 {
@@ -44,7 +44,7 @@
 	b.addInFlight(b.backends["b2"], 20)
 	for i := range 6 {
 		b.StartRequest(0, Request{ID: fmt.Sprint("s", i), Class: idempotent, Budget: 2000 * ms})
-		if f.last(t).backend == "b2" {
+		if rec.last(t).backend == "b2" {
 			t.Error("sent to the backend well above the mean load")
 		}
 	}
@@ -53,7 +53,7 @@
 // Prevents slow and overloaded backends from staying overloaded: with an equal share of the calls in
 // flight they would, and most of those calls would be late. They are still tried.
 func TestSlowBackendGetsFewerCalls(t *testing.T) {
-	b, f := startBalancer(testSettings(), zoneEntries("b", 4)...)
+	b, rec := startBalancer(testSettings(), zoneEntries("b", 4)...)
 	b.settings.Tier = 1
 	type call struct {
 		id string
@@ -61,22 +61,22 @@
 		at Time
 	}
 	counts := map[string]int{}
-	var out []call
+	var pending []call
 	for i := range 2000 {
 		now := Time(i) * 5 * ms
-		for len(out) > 0 && out[0].at <= now {
-			c := out[0]
+		for len(pending) > 0 && pending[0].at <= now {
+			c := pending[0]
 			latency := 40 * ms
 			if c.to == "b1" {
 				latency = 160 * ms
 			}
 			b.AttemptDone(now, Outcome{Request: c.id, Result: OK, Latency: latency, Final: true})
-			out = out[1:]
+			pending = pending[1:]
 		}
 		id := fmt.Sprint("r", i)
 		b.StartRequest(now, Request{ID: id, Class: idempotent, Budget: 2000 * ms})
-		counts[f.last(t).backend]++
-		out = append(out, call{id, f.last(t).backend, now + 40*ms})
+		counts[rec.last(t).backend]++
+		pending = append(pending, call{id, rec.last(t).backend, now + 40*ms})
 	}
 	if counts["b1"] == 0 || 3*counts["b1"] > counts["b0"] {
 		t.Errorf("calls %v, want few but some at b1, which is four times slower", counts)
@@ -86,21 +86,21 @@
 // Prevents small backends from getting no calls while few calls are in flight: with one call they always
 // seemed well above the mean load.
 func TestTurnsAreWeightedByCapacity(t *testing.T) {
-	lines := zoneEntries("b", 4)
-	lines[0].Capacity, lines[1].Capacity = 0.5, 2.5
-	b, f := startBalancer(testSettings(), lines...)
+	entries := zoneEntries("b", 4)
+	entries[0].Capacity, entries[1].Capacity = 0.5, 2.5
+	b, rec := startBalancer(testSettings(), entries...)
 	b.settings.Tier = 1
 	got := map[string]int{}
 	for i := range 650 {
 		id := fmt.Sprint("r", i)
 		now := Time(i) * 100 * ms
 		b.StartRequest(now, Request{ID: id, Class: nonIdempotent, Budget: 2000 * ms})
-		got[f.last(t).backend]++
+		got[rec.last(t).backend]++
 		b.AttemptDone(now+10*ms, Outcome{Request: id, Result: OK, Latency: 10 * ms, Final: true})
 	}
 	for i, want := range []int{65, 325, 130, 130} {
-		if id := lines[i].ID; got[id] < want*9/10 || got[id] > want*11/10 {
-			t.Errorf("%s of capacity %v got %d of 650 calls, want about %d", id, lines[i].Capacity, got[id],
+		if id := entries[i].ID; got[id] < want*9/10 || got[id] > want*11/10 {
+			t.Errorf("%s of capacity %v got %d of 650 calls, want about %d", id, entries[i].Capacity, got[id],
 				want)
 		}
 	}
@@ -111,25 +111,25 @@
 // capacity.
 func TestSubsetsCoverBackendsEvenly(t *testing.T) {
 	for _, balancers := range []int{1, 4, 60, 300} {
-		reached := map[string]float64{}
+		coverage := map[string]float64{}
 		for n := range balancers {
 			set := testSettings()
 			set.BalancerIndex, set.BalancerCount = n, balancers
-			lines := zoneEntries("b", 30)
-			for i := range lines {
-				lines[i].Capacity = float64(1 + i%3)
+			entries := zoneEntries("b", 30)
+			for i := range entries {
+				entries[i].Capacity = float64(1 + i%3)
 			}
-			b, _ := startBalancer(set, lines...)
+			b, _ := startBalancer(set, entries...)
 			for _, m := range b.listed {
 				if balancers <= 4 && m.subsetCapacity < 0.999*m.Capacity {
 					t.Errorf("one of %d balancers has %v of a capacity of %v in its subset", balancers,
 						m.subsetCapacity, m.Capacity)
 				}
-				reached[m.ID] += m.subsetCapacity / m.Capacity
+				coverage[m.ID] += m.subsetCapacity / m.Capacity
 			}
 		}
 		least, most := math.Inf(1), 0.0
-		for _, r := range reached {
+		for _, r := range coverage {
 			least, most = min(least, r), max(most, r)
 		}
 		if most > 1.3*least || balancers == 300 && most > 40 {
@@ -146,13 +146,13 @@
 	const balancers, perSecond = 100, 5
 	for n := range balancers {
 		set := oneOfMany(n, balancers)
-		b, f := startBalancer(set, zoneEntries("b", 20)...)
+		b, rec := startBalancer(set, zoneEntries("b", 20)...)
 		rng := rand.New(rand.NewPCG(uint64(n), 3))
 		for now := Time(0); now < 20*1000*ms; {
 			now += time.Duration(rng.ExpFloat64() / perSecond * float64(1000*ms))
 			id := fmt.Sprint("r", int64(now))
 			b.StartRequest(now, Request{ID: id, Class: nonIdempotent, Budget: 2000 * ms})
-			to, latency := f.last(t).backend, 50*ms
+			to, latency := rec.last(t).backend, 50*ms
 			if to == "b3" {
 				latency = 200 * ms
 			}
@@ -171,12 +171,12 @@
 // resuming in the order of the IDs: a few calls of each balancer leave its subset, and in sum they would
 // overload the first backends.
 func TestManyBalancersSpreadBeyondSubsets(t *testing.T) {
-	const balancers, backends, each, open = 200, 40, 50, 8
+	const balancers, backends, each, inFlight = 200, 40, 50, 8
 	got := map[string]int{}
 	for n := range balancers {
-		b, f := startBalancer(oneOfMany(n, balancers), zoneEntries("b", backends)...)
+		b, rec := startBalancer(oneOfMany(n, balancers), zoneEntries("b", backends)...)
 		// More in flight than the subset has backends.
-		for _, to := range b.runWithInFlight(t, f, each, open) {
+		for _, to := range b.runWithInFlight(t, rec, each, inFlight) {
 			got[to]++
 		}
 	}
@@ -192,15 +192,15 @@
 // of hundreds of balancers calls each overloaded backend and has to see a timeout of its own: in sum
 // these calls keep the backends overloaded.
 func TestFewBackendsUsedBeyondSubset(t *testing.T) {
-	const balancers, backends, each, open = 50, 40, 200, 8
+	const balancers, backends, each, inFlight = 50, 40, 200, 8
 	for n := range balancers {
-		b, f := startBalancer(oneOfMany(n, 200), zoneEntries("b", backends)...)
-		met := map[string]bool{}
-		for _, to := range b.runWithInFlight(t, f, each, open) {
-			met[to] = true
+		b, rec := startBalancer(oneOfMany(n, 200), zoneEntries("b", backends)...)
+		used := map[string]bool{}
+		for _, to := range b.runWithInFlight(t, rec, each, inFlight) {
+			used[to] = true
 		}
-		if len(met) > 2*open {
-			t.Fatalf("balancer %d, with %d calls in flight, used %d of %d backends", n, open, len(met),
+		if len(used) > 2*inFlight {
+			t.Fatalf("balancer %d, with %d calls in flight, used %d of %d backends", n, inFlight, len(used),
 				backends)
 		}
 	}
@@ -210,25 +210,25 @@
 // counting only a fifth where the next call to the backend is as far away as the time for which outcomes
 // are remembered.
 func TestLowTrafficAvoidsOverloadedBackends(t *testing.T) {
-	const balancers, backends, choked, perSecond = 60, 12, 4, 2
-	calls, lost := 0, 0
+	const balancers, backends, overloaded, perSecond = 60, 12, 4, 2
+	calls, timedOut := 0, 0
 	silent := map[string]bool{}
-	for _, l := range zoneEntries("b", choked) {
+	for _, l := range zoneEntries("b", overloaded) {
 		silent[l.ID] = true
 	}
 	for n := range balancers {
 		set := oneOfMany(n, balancers)
-		b, f := startBalancer(set, zoneEntries("b", backends)...)
+		b, rec := startBalancer(set, zoneEntries("b", backends)...)
 		rng := rand.New(rand.NewPCG(uint64(n), 3))
 		for now, i := Time(0), 0; now < 30*1000*ms; i++ {
 			now += time.Duration(rng.ExpFloat64() / perSecond * float64(1000*ms))
 			id := fmt.Sprint("r", i)
 			b.StartRequest(now, Request{ID: id, Class: idempotent, Budget: 2000 * ms})
 			calls++
-			if silent[f.last(t).backend] {
-				lost++
-				now += f.last(t).timeout
-				b.AttemptDone(now, Outcome{Request: id, Result: TimedOut, Latency: f.last(t).timeout,
+			if silent[rec.last(t).backend] {
+				timedOut++
+				now += rec.last(t).timeout
+				b.AttemptDone(now, Outcome{Request: id, Result: TimedOut, Latency: rec.last(t).timeout,
 					Final: true})
 			} else {
 				now += 50 * ms
@@ -236,7 +236,7 @@
 			}
 		}
 	}
-	share := float64(lost) / float64(calls)
+	share := float64(timedOut) / float64(calls)
 	t.Logf("%.3f of the calls went to overloaded backends", share)
 	if share > 0.1 {
 		t.Errorf("%.2f of the calls went to backends that never answer, a third of all", share)
@@ -249,23 +249,23 @@
 func TestUnreachableZoneIsAvoided(t *testing.T) {
 	const each, perSecond = 10, 20
 	set := testSettings()
-	b, f := startBalancer(set, slices.Concat(
+	b, rec := startBalancer(set, slices.Concat(
 		zoneEntries("a", each), zoneEntries("b", each), zoneEntries("c", each))...)
-	away, now := 0, Time(0)
+	elsewhere, now := 0, Time(0)
 	for i := range 200 {
 		now += 1000 * ms / perSecond
 		id := fmt.Sprint("r", i)
 		b.StartRequest(now, Request{ID: id, Class: nonIdempotent, Budget: 2000 * ms})
 		r := OK
-		if f.last(t).backend[:1] == "b" {
+		if rec.last(t).backend[:1] == "b" {
 			r = ConnectFailed
 		} else if i >= 50 {
-			away++
+			elsewhere++
 		}
 		b.AttemptDone(now+ms, Outcome{Request: id, Result: r, Latency: ms, Final: true})
 	}
-	if away < 130 { // the rest are probes
-		t.Errorf("%d of the last 150 calls left the zone", away)
+	if elsewhere < 130 { // the rest are probes
+		t.Errorf("%d of the last 150 calls left the zone", elsewhere)
 	}
 }
 
@@ -273,22 +273,22 @@
 // connection goes to another zone if there is one.
 func TestRetryLeavesUnreachableZone(t *testing.T) {
 	for _, zones := range []string{"b", "bc"} {
-		var lines []Backend
+		var entries []Backend
 		for _, z := range zones {
-			lines = append(lines, zoneEntries(string(z), 6)...)
+			entries = append(entries, zoneEntries(string(z), 6)...)
 		}
-		b, f := startBalancer(testSettings(), lines...)
+		b, rec := startBalancer(testSettings(), entries...)
 		b.StartRequest(0, Request{ID: "r", Class: nonIdempotent, Budget: 2000 * ms})
-		if to := f.last(t).backend; to[:1] != "b" {
+		if to := rec.last(t).backend; to[:1] != "b" {
 			t.Fatalf("sent to %s first", to)
 		}
 		b.AttemptDone(ms, Outcome{Request: "r", Result: ConnectFailed, Latency: ms})
-		token, after := f.takeTimer(t)
+		token, after := rec.takeTimer(t)
 		b.TimerFired(ms+after, token)
-		if len(f.sends) != 2 {
-			t.Fatalf("zones %s: %d attempts", zones, len(f.sends))
+		if len(rec.sends) != 2 {
+			t.Fatalf("zones %s: %d attempts", zones, len(rec.sends))
 		}
-		if to := f.last(t).backend; to[:1] != zones[len(zones)-1:] {
+		if to := rec.last(t).backend; to[:1] != zones[len(zones)-1:] {
 			t.Errorf("zones %s: retried at %s", zones, to)
 		}
 	}
@@ -298,18 +298,18 @@
 // to the next zone, which would be overloaded with twice its traffic while others are idle: a balancer's
 // own calls alone never make that zone look busy.
 func TestTrafficOfUnreachableZoneSpreads(t *testing.T) {
-	const balancers, each, open = 20, 10, 6
+	const balancers, each, inFlight = 20, 10, 6
 	got := map[string]int{}
 	for n := range balancers {
 		set := testSettings()
 		set.BalancerIndex, set.Seed, set.BalancerCount = n, uint64(n), 3*balancers
 		set.Zones = []string{"a", "b", "c", "d", "e"}
-		var left []Backend
+		var remaining []Backend
 		for _, zone := range []string{"a", "c", "d", "e"} {
-			left = append(left, zoneEntries(zone, each)...)
+			remaining = append(remaining, zoneEntries(zone, each)...)
 		}
-		b, f := startBalancer(set, left...)
-		for _, to := range b.runWithInFlight(t, f, 60, open) {
+		b, rec := startBalancer(set, remaining...)
+		for _, to := range b.runWithInFlight(t, rec, 60, inFlight) {
 			got[to[:1]]++
 		}
 	}
@@ -325,12 +325,12 @@
 func TestLastZoneIsUsed(t *testing.T) {
 	set := testSettings()
 	set.Zones = []string{"a", "b", "c", "d"}
-	b, f := startBalancer(set, entry("a", 0), entry("b", 0), entry("c", 0), entry("d", 0))
+	b, rec := startBalancer(set, entry("a", 0), entry("b", 0), entry("c", 0), entry("d", 0))
 	b.settings.Tier = 1
 	zones := map[byte]int{}
 	for i := range 14 {
 		b.StartRequest(0, Request{ID: fmt.Sprint("r", i), Class: idempotent, Budget: 2000 * ms})
-		zones[f.last(t).backend[0]]++
+		zones[rec.last(t).backend[0]]++
 	}
 	for _, z := range set.Zones {
 		if n := zones[z[0]]; n < 2 || n > 5 {
--- a/logic/totals_test.go
+++ b/logic/totals_test.go
@@ -11,24 +11,25 @@
 // recomputeTotals adds up the totals of the members.
 func recomputeTotals(b *Balancer, now Time, members []*backend) (t totals) {
 	for _, m := range members {
-		part, warmth := m.subsetCapacity*oneIf(m.State == Up), m.warmUpFraction(now, &b.settings)
-		t.subsetCapacity += part
-		t.effectiveSubsetCapacity += part * warmth
+		subsetCapacity, fraction := m.subsetCapacity*oneIf(m.State == Up), m.warmUpFraction(now, &b.settings)
+		t.subsetCapacity += subsetCapacity
+		t.effectiveSubsetCapacity += subsetCapacity * fraction
 		if m.ejections == 0 && b.inService(m) {
 			t.backendCount++
 			t.inFlight += float64(m.inFlight)
 			t.capacity += m.Capacity
-			t.effectiveCapacity += m.Capacity * warmth
+			t.effectiveCapacity += m.Capacity * fraction
 		}
 	}
 	return t
 }
 
-func (t totals) approxEqual(u totals) bool {
-	near := func(x, y float64) bool { return math.Abs(x-y) <= 1e-9*max(1, math.Abs(x)) }
-	return near(t.backendCount, u.backendCount) && near(t.inFlight, u.inFlight) &&
-		near(t.capacity, u.capacity) && near(t.effectiveCapacity, u.effectiveCapacity) &&
-		near(t.subsetCapacity, u.subsetCapacity) && near(t.effectiveSubsetCapacity, u.effectiveSubsetCapacity)
+func (t totals) approxEqual(other totals) bool {
+	closeTo := func(x, y float64) bool { return math.Abs(x-y) <= 1e-9*max(1, math.Abs(x)) }
+	return closeTo(t.backendCount, other.backendCount) && closeTo(t.inFlight, other.inFlight) &&
+		closeTo(t.capacity, other.capacity) && closeTo(t.effectiveCapacity, other.effectiveCapacity) &&
+		closeTo(t.subsetCapacity, other.subsetCapacity) &&
+		closeTo(t.effectiveSubsetCapacity, other.effectiveSubsetCapacity)
 }
 
 // The incrementally maintained totals equal those recomputed over all members, whatever has happened:
@@ -39,9 +40,9 @@
 		set := testSettings()
 		set.BalancerCount, set.UnevenTraffic = 1+rng.IntN(60), seed%2 == 1
 		set.WarmUpTime, set.InitialWarmUpFraction = 2*time.Second, 0.2
-		f := newRecorder()
-		b := New(0, set, f)
-		line := func(now Time) Backend {
+		rec := newRecorder()
+		b := New(0, set, rec)
+		randomEntry := func(now Time) Backend {
 			l := Backend{ID: fmt.Sprint("s", rng.IntN(30)), Capacity: 0.5 + rng.Float64()}
 			l.Zone, l.State = set.Zones[rng.IntN(3)], State(rng.IntN(3)*rng.IntN(2))
 			if rng.IntN(3) == 0 {
@@ -54,11 +55,11 @@
 			now += Time(rng.Int64N(int64(30 * ms)))
 			switch rng.IntN(12) {
 			case 0:
-				lines := make([]Backend, 1+rng.IntN(8))
-				for i := range lines {
-					lines[i] = line(now)
+				entries := make([]Backend, 1+rng.IntN(8))
+				for i := range entries {
+					entries[i] = randomEntry(now)
 				}
-				b.UpdateList(now, rng.IntN(5) == 0, lines)
+				b.UpdateList(now, rng.IntN(5) == 0, entries)
 			case 1:
 				b.Detach(fmt.Sprint("s", rng.IntN(30)))
 			case 2:
@@ -66,14 +67,13 @@
 			case 3, 4, 5, 6:
 				b.StartRequest(now, Request{ID: fmt.Sprint("r", step), Class: idempotent, Budget: 2000 * ms})
 			default:
-				if answered < len(f.sends) {
-					s := f.sends[answered]
+				if answered < len(rec.sends) {
+					s := rec.sends[answered]
 					answered++
 					if q := b.requests[s.request]; q != nil {
 						result := Result(rng.IntN(int(ConnectPending) + 1))
 						b.AttemptDone(now, Outcome{Request: s.request, Attempt: len(q.attempts) - 1,
-							Result:  result,
-							Latency: 20 * ms, Final: result == OK})
+							Result: result, Latency: 20 * ms, Final: result == OK})
 					}
 				}
 			}
--- a/logic/uneven_traffic_test.go
+++ b/logic/uneven_traffic_test.go
@@ -20,29 +20,30 @@
 // feedRequests starts requests, one after each gap, each answered after latency while in flight. It
 // returns how many of the second half were refused, and the time.
 func feedRequests(
-	b *Balancer, f *recorder, now Time, n int, gap, latency time.Duration, retry bool) (int, Time) {
-	type out struct {
+	b *Balancer, rec *recorder, now Time, n int, gap, latency time.Duration, retry bool) (int, Time) {
+	type pendingCall struct {
 		id string
 		at Time
 	}
-	var open []out
+	var pending []pendingCall
 	refused := 0
 	for i := range n {
 		now += gap
-		for len(open) > 0 && open[0].at <= now {
-			b.AttemptDone(open[0].at, Outcome{Request: open[0].id, Result: OK, Latency: latency, Final: true})
-			open = open[1:]
+		for len(pending) > 0 && pending[0].at <= now {
+			b.AttemptDone(pending[0].at, Outcome{Request: pending[0].id, Result: OK, Latency: latency,
+				Final: true})
+			pending = pending[1:]
 		}
 		id := fmt.Sprint(now, i, retry)
-		before := len(f.sends)
+		before := len(rec.sends)
 		b.StartRequest(now, Request{ID: id, Class: idempotent, Budget: 2000 * ms, ClientRetry: retry})
-		if len(f.sends) > before {
-			open = append(open, out{id, now + latency})
+		if len(rec.sends) > before {
+			pending = append(pending, pendingCall{id, now + latency})
 		} else if i >= n/2 {
 			refused++
 		}
 	}
-	for _, o := range open {
+	for _, o := range pending {
 		b.AttemptDone(max(now, o.at), Outcome{Request: o.id, Result: OK, Latency: latency, Final: true})
 	}
 	return refused, now
@@ -56,11 +57,11 @@
 		uneven      bool
 		least, most float64 // base limit in calls
 		refused     int
-	}{{"unlike", true, 11, 14, 0}, {"alike", false, 0.5, 0.5, 500}} {
+	}{{"uneven", true, 11, 14, 0}, {"even", false, 0.5, 0.5, 500}} {
 		set := unevenSettings()
 		set.UnevenTraffic = c.uneven
-		b, f := startBalancer(set, zoneEntries("b", 10)...)
-		refused, _ := feedRequests(b, f, 0, 1000, 10*ms, 100*ms, false)
+		b, rec := startBalancer(set, zoneEntries("b", 10)...)
+		refused, _ := feedRequests(b, rec, 0, 1000, 10*ms, 100*ms, false)
 		if base := b.baseLimit * 10; base < c.least || base > c.most || refused > c.refused {
 			t.Errorf("%s: base limit of %v calls, want %v to %v; %d refused", c.name, base, c.least, c.most,
 				refused)
@@ -71,13 +72,15 @@
 // Prevents a limit and a subset that grow with retries: the more requests are refused, the more would be
 // admitted.
 func TestClientRetriesDontRaiseTheLimit(t *testing.T) {
-	b, f := startBalancer(unevenSettings(), zoneEntries("b", 10)...)
-	_, now := feedRequests(b, f, 0, 300, 100*ms, 100*ms, false)
-	base, arc, near := b.baseLimit, b.minSubsetCapacity, len(b.zoneGroups[0].peerSummary.members)
-	refused, _ := feedRequests(b, f, now, 300, 5*ms, 100*ms, true)
-	if b.baseLimit != base || b.minSubsetCapacity != arc || len(b.zoneGroups[0].peerSummary.members) != near {
+	b, rec := startBalancer(unevenSettings(), zoneEntries("b", 10)...)
+	_, now := feedRequests(b, rec, 0, 300, 100*ms, 100*ms, false)
+	baseLimit, subset, peers := b.baseLimit, b.minSubsetCapacity, len(b.zoneGroups[0].peerSummary.members)
+	refused, _ := feedRequests(b, rec, now, 300, 5*ms, 100*ms, true)
+	if b.baseLimit != baseLimit || b.minSubsetCapacity != subset ||
+		len(b.zoneGroups[0].peerSummary.members) != peers {
 		t.Errorf("base limit %v, subset %v, %d peers; before the retries %v, %v, %d",
-			b.baseLimit, b.minSubsetCapacity, len(b.zoneGroups[0].peerSummary.members), base, arc, near)
+			b.baseLimit, b.minSubsetCapacity, len(b.zoneGroups[0].peerSummary.members), baseLimit, subset,
+			peers)
 	}
 	if refused == 0 {
 		t.Error("no retry of a flood was refused")
@@ -87,12 +90,12 @@
 // Prevents a flood at the start, before the traffic is known: no more is sent than an equal share and the
 // token bucket.
 func TestInitialLimitIsAnEqualShare(t *testing.T) {
-	b, f := startBalancer(unevenSettings(), zoneEntries("b", 10)...)
+	b, rec := startBalancer(unevenSettings(), zoneEntries("b", 10)...)
 	for i := range 20 {
 		b.StartRequest(ms, Request{ID: fmt.Sprint(i), Class: idempotent, Budget: 2000 * ms})
 	}
-	if len(f.sends) > 2*maxLimitTokens+4 {
-		t.Errorf("%d of 20 sent at once", len(f.sends))
+	if len(rec.sends) > 2*maxLimitTokens+4 {
+		t.Errorf("%d of 20 sent at once", len(rec.sends))
 	}
 }
 
@@ -104,10 +107,10 @@
 		gap         time.Duration
 		least, most int
 	}{{"quiet", 500 * ms, 3, 4}, {"busy", 10 * ms, 8, 14}} {
-		b, f := startBalancer(unevenSettings(), zoneEntries("b", 30)...)
-		feedRequests(b, f, 0, 1000, c.gap, 100*ms, false)
+		b, rec := startBalancer(unevenSettings(), zoneEntries("b", 30)...)
+		feedRequests(b, rec, 0, 1000, c.gap, 100*ms, false)
 		to := map[string]bool{}
-		for _, s := range f.sends[len(f.sends)-100:] {
+		for _, s := range rec.sends[len(rec.sends)-100:] {
 			to[s.backend] = true
 		}
 		if len(to) < c.least || len(to) > c.most {
@@ -119,13 +122,13 @@
 // Prevents a token bucket of three calls for each of many balancers: together they would overload the
 // backends at the start.
 func TestTokensOfIdleBalancers(t *testing.T) {
-	b, f := startBalancer(unevenSettings(), zoneEntries("b", 10)...)
-	feedRequests(b, f, 0, 100, 500*ms, 100*ms, false)
-	now, before := 60*time.Second, len(f.sends)
+	b, rec := startBalancer(unevenSettings(), zoneEntries("b", 10)...)
+	feedRequests(b, rec, 0, 100, 500*ms, 100*ms, false)
+	now, before := 60*time.Second, len(rec.sends)
 	for i := range 10 {
 		b.StartRequest(now, Request{ID: fmt.Sprint("burst", i), Class: idempotent, Budget: 2000 * ms})
 	}
-	if n := len(f.sends) - before; n < 1 || n > 4 {
+	if n := len(rec.sends) - before; n < 1 || n > 4 {
 		t.Errorf("%d of 10 at once were sent, want 1 to 4", n)
 	}
 }
@@ -133,14 +136,14 @@
 // Prevents the limit of a balancer with little traffic from growing to a hundred times its need: the
 // burst that follows would be admitted in full.
 func TestLimitOfIdleBalancer(t *testing.T) {
-	b, f := startBalancer(unevenSettings(), zoneEntries("b", 10)...)
-	_, now := feedRequests(b, f, 0, 200, 10*time.Second, 50*ms, false)
-	before := len(f.sends)
+	b, rec := startBalancer(unevenSettings(), zoneEntries("b", 10)...)
+	_, now := feedRequests(b, rec, 0, 200, 10*time.Second, 50*ms, false)
+	before := len(rec.sends)
 	for i := range 300 { // none has been answered yet
 		b.StartRequest(now+Time(i)*ms, Request{ID: fmt.Sprint("burst", i), Class: idempotent,
 			Budget: 2000 * ms})
 	}
-	if n := len(f.sends) - before; n > 100 {
+	if n := len(rec.sends) - before; n > 100 {
 		t.Errorf("%d of 300 at once were sent", n)
 	}
 }
