--- /dev/null
+++ b/proxy/admin.go
@@ -0,0 +1,122 @@
+package proxy
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"log"
+	"strings"
+	"time"
+)
+
+// adminTarget is the proxy as the admin endpoint uses it.
+type adminTarget struct{ proxy *Proxy }
+
+// Ping returns an error unless this process can serve.
+func (o adminTarget) Ping() error {
+	switch phase := o.proxy.Phase(); {
+	case phase != Serving:
+		return errors.New(phase.String())
+	case !o.proxy.Ready():
+		return errors.New("no backend known")
+	}
+	return nil
+}
+
+// Info returns the metrics in the Prometheus text format.
+func (o adminTarget) Info() string {
+	var b strings.Builder
+	stats := o.proxy.stats
+	for _, metric := range []struct {
+		name    string
+		outcome int
+	}{{"fulfilled", fulfilled}, {"throttled", throttled}, {"faulted", faulted}} {
+		for i, c := range o.proxy.cfg.logicSettings.Classes {
+			fmt.Fprintf(&b, "balancer_%s{priority=%q} %d\n", metric.name, c.Name, stats.outcomes[i][metric.outcome].Load())
+		}
+	}
+	listed, avoided := o.proxy.driver.backendCounts()
+	fmt.Fprintf(&b, "balancer_relayed %d\nbalancer_open_requests %d\nbalancer_registry_entries %d\n"+
+		"balancer_out_of_rotation %d\n", o.proxy.driver.upstreamOptions.RequestsWritten.Load(), stats.openRequests.Load(), listed, avoided)
+	b.WriteString(o.proxy.driver.violations.metrics())
+	return b.String()
+}
+
+var errUnknownBackend = errors.New("nobody has this id")
+
+// Detach takes a backend out of service, in this process and in the one that replaces it.
+func (o adminTarget) Detach(id string) error { return o.setDetached(id, true) }
+
+// Attach ends a detachment.
+func (o adminTarget) Attach(id string) error { return o.setDetached(id, false) }
+
+func (o adminTarget) setDetached(id string, detach bool) error {
+	if !o.proxy.driver.knows(id) {
+		return errUnknownBackend
+	}
+	if detach && o.proxy.shared.detachedCount() >= maxDetached {
+		return fmt.Errorf("%d backends are out by hand", maxDetached)
+	}
+	o.proxy.detachMu.Lock()
+	defer o.proxy.detachMu.Unlock()
+	if err := o.proxy.shared.setDetached(id, detach); err != nil { // it applies in this process all the same
+		log.Printf("event=bans_unwritten err=%q", err)
+	}
+	o.proxy.driver.setDetached(id, detach)
+	log.Printf("event=by_hand id=%q out=%t", id, detach)
+	return nil
+}
+
+// followSharedState follows the other processes that serve the same clients, until ctx is
+// done: they share the limits, and a detachment applies in all of them.
+func (p *Proxy) followSharedState(ctx context.Context) {
+	tick := time.NewTicker(sharedStatePollInterval)
+	defer tick.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-tick.C:
+		}
+		p.setNonblocking()
+		p.setProcessCount(p.shared.processCount())
+		p.syncDetached()
+	}
+}
+
+func (p *Proxy) syncDetached() {
+	p.detachMu.Lock()
+	defer p.detachMu.Unlock()
+	detached, attached := p.shared.refresh()
+	for _, id := range detached {
+		p.driver.setDetached(id, true)
+		log.Printf("event=by_hand id=%q out=true from=state", id)
+	}
+	for _, id := range attached {
+		p.driver.setDetached(id, false)
+		log.Printf("event=by_hand id=%q out=false from=state", id)
+	}
+}
+
+// setProcessCount sets the number of processes that share the limits.
+func (p *Proxy) setProcessCount(processes int) {
+	p.limitsMu.Lock()
+	defer p.limitsMu.Unlock()
+	if processes == p.processCount {
+		return
+	}
+	if max(processes, p.processCount) > 1 {
+		log.Printf("event=processes count=%d", processes)
+	}
+	p.processCount = processes
+	p.applyLimits()
+}
+
+// applyLimits applies the configured limits, divided by the number of processes. The
+// caller holds limitsMu.
+func (p *Proxy) applyLimits() {
+	p.descriptors.resize(max(reservedDescriptors+minSharedSockets, p.limits.Sockets/max(1, p.processCount)-p.adminDescriptors()))
+	if p.OnLimits != nil {
+		p.OnLimits(p.limits, max(1, p.processCount))
+	}
+}
--- a/proxy/config.go
+++ b/proxy/config.go
@@ -20,65 +20,65 @@
 	"oxbowloft/logic"
 )
 
-// Config is all that a proxy is told at its start.
+// Config is the configuration that a proxy is started with.
 type Config struct {
 	Name      string           `json:"name"`
 	Listen    string           `json:"listen"`
 	Discovery string           `json:"discovery"`
-	Admin     string           `json:"admin"` // the operators' address; empty: none
-	Seed      string           `json:"seed"`  // hex; empty: a random one
+	Admin     string           `json:"admin"` // address of the admin endpoint; empty: none
+	Seed      string           `json:"seed"`  // hexadecimal; empty: a random seed
 	Limits    Limits           `json:"limits"`
 	Known     *json.RawMessage `json:"known"`
 	Settings  *settings.Config `json:"settings"`
 
-	// Grace is how long a drain goes on accepting; 0: DefaultGrace.
+	// Grace is how long a draining proxy goes on accepting connections; 0: DefaultGrace.
 	Grace time.Duration `json:"-"`
 
-	// ListenFD is the descriptor of a listening socket that the platform holds, to be
-	// taken in place of a socket of our own; 0: none.
+	// ListenFD is the descriptor of a listening socket held by the platform, which is
+	// used instead of opening one; 0: none.
 	ListenFD int `json:"-"`
-	// StateDir is shared by a process and the one that replaces it; empty: none.
+	// StateDir is a directory shared with the process that replaces this one; empty:
+	// none.
 	StateDir string `json:"-"`
 
-	known     *discovery.List
-	logic     logic.Settings
-	listAsked bool          // lists come only once asked for
-	askWithin time.Duration // the longest wait between calls for the list
+	knownList       *discovery.List
+	logicSettings   logic.Settings
+	pollList        bool          // the list has to be polled
+	maxPollInterval time.Duration // longest time between two polls of the list
 }
 
-// Limits are the machine's.
+// Limits are the resources that the machine grants.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB float64 `json:"memory_mb"`
 	Sockets  int     `json:"sockets"`
 }
 
-// DefaultGrace is for callers that hear of a proxy's end within a part of a
+// DefaultGrace fits callers that learn of a proxy's shutdown within a fraction of a
 // second after it begins.
 const DefaultGrace = 550 * time.Millisecond
 
-// What a configuration without limits is taken to say, and the least that a
-// proxy can work with.
+// Defaults for missing limits, and the minimum that a proxy can work with.
 const (
-	defaultMemoryMB = 192
-	defaultSockets  = 1024
-	mostMemoryMB    = 1 << 16 // more is of no use, and places for long messages are made by it
-	leastSockets    = 32
-	leastShared     = 2 // descriptors for requests, however many processes share few
+	defaultMemoryMB  = 192
+	defaultSockets   = 1024
+	maxMemoryMB      = 1 << 16 // no use for more; the number of transfer buffers depends on it
+	minSockets       = 32
+	minSharedSockets = 2 // descriptors left for requests, however many processes share the limit
 )
 
-// listenFD is the variable that names an inherited listener, which comes after the
-// standard streams.
+// listenFDVariable is the environment variable that names an inherited listener. Its
+// descriptor comes after the standard streams.
 const (
-	listenFD = "BALANCER_LISTEN_FD"
-	firstFD  = 3
-	lastFD   = 1 << 20
+	listenFDVariable = "BALANCER_LISTEN_FD"
+	minFD            = 3
+	maxFD            = 1 << 20
 )
 
-// Load reads the configuration file at path. What it lacks of name and
-// addresses comes from env, by the names BALANCER_NAME, BALANCER_LISTEN,
-// BALANCER_DISCOVERY and BALANCER_ADMIN. BALANCER_LISTEN_FD names a listening socket,
-// TMPDIR the directory that is shared with a process that replaces this one.
+// Load reads the configuration file at path. Missing names and addresses come from the
+// environment variables BALANCER_NAME, BALANCER_LISTEN, BALANCER_DISCOVERY and
+// BALANCER_ADMIN, read with env. BALANCER_LISTEN_FD names an inherited listening socket,
+// and TMPDIR the directory shared with a process that replaces this one.
 func Load(path string, env func(string) string) (*Config, error) {
 	if path == "" {
 		return nil, errors.New("no configuration: BALANCER_CONFIG is not set")
@@ -100,38 +100,39 @@
 		}
 	}
 	c.StateDir = env("TMPDIR")
-	if fd := env(listenFD); fd != "" {
-		if c.ListenFD, err = strconv.Atoi(fd); err != nil || c.ListenFD < firstFD || c.ListenFD > lastFD {
-			return nil, fmt.Errorf("%s: %q is no descriptor from %d on", listenFD, fd, firstFD)
+	if fd := env(listenFDVariable); fd != "" {
+		if c.ListenFD, err = strconv.Atoi(fd); err != nil || c.ListenFD < minFD || c.ListenFD > maxFD {
+			return nil, fmt.Errorf("%s: %q is not a descriptor number of at least %d", listenFDVariable, fd, minFD)
 		}
 	}
-	if err := c.check(); err != nil {
+	if err := c.checkAndSetDefaults(); err != nil {
 		return nil, fmt.Errorf("configuration %s: %w", path, err)
 	}
 	return c, nil
 }
 
-// ensure checks a configuration that does not come from Load.
-func (c *Config) ensure() error {
-	if c.known != nil {
+// ensureChecked checks a configuration that does not come from Load.
+func (c *Config) ensureChecked() error {
+	if c.knownList != nil {
 		return nil
 	}
-	if err := c.check(); err != nil {
+	if err := c.checkAndSetDefaults(); err != nil {
 		return fmt.Errorf("configuration: %w", err)
 	}
 	return nil
 }
 
-// fixed names the fields that a running proxy does not take and that differ in to.
-func (c *Config) fixed(to *Config) (names []string) {
+// changedFixedFields names the fields that differ in updated but need a restart to
+// change.
+func (c *Config) changedFixedFields(updated *Config) (names []string) {
 	for _, f := range []struct {
 		name string
 		same bool
 	}{
-		{"name", c.Name == to.Name},
-		{"listen", c.Listen == to.Listen},
-		{"admin", c.Admin == to.Admin},
-		{"settings", reflect.DeepEqual(c.Settings, to.Settings)},
+		{"name", c.Name == updated.Name},
+		{"listen", c.Listen == updated.Listen},
+		{"admin", c.Admin == updated.Admin},
+		{"settings", reflect.DeepEqual(c.Settings, updated.Settings)},
 	} {
 		if !f.same {
 			names = append(names, f.name)
@@ -140,8 +141,8 @@
 	return names
 }
 
-// check fills in defaults and tells what is wrong.
-func (c *Config) check() error {
+// checkAndSetDefaults fills in defaults and returns an error for invalid fields.
+func (c *Config) checkAndSetDefaults() error {
 	if c.Admin != "" {
 		if _, port, err := net.SplitHostPort(c.Admin); err != nil {
 			return fmt.Errorf("admin: %w", err)
@@ -160,19 +161,19 @@
 	if c.Limits.Sockets == 0 {
 		c.Limits.Sockets = defaultSockets
 	}
-	c.Limits.MemoryMB = min(c.Limits.MemoryMB, mostMemoryMB)
+	c.Limits.MemoryMB = min(c.Limits.MemoryMB, maxMemoryMB)
 	if c.Grace == 0 {
 		c.Grace = DefaultGrace
 	}
 	switch {
 	case c.Grace < 0:
-		return errors.New("grace below zero")
+		return errors.New("grace is negative")
 	case !(c.Limits.Cores >= 0):
-		return errors.New("limits: cores below zero")
+		return errors.New("limits: cores is negative")
 	case !(c.Limits.MemoryMB >= 0):
-		return errors.New("limits: memory_mb below zero")
-	case c.Limits.Sockets < leastSockets:
-		return fmt.Errorf("limits: %d sockets, %d at least", c.Limits.Sockets, leastSockets)
+		return errors.New("limits: memory_mb is negative")
+	case c.Limits.Sockets < minSockets:
+		return fmt.Errorf("limits: %d sockets, need at least %d", c.Limits.Sockets, minSockets)
 	case c.Settings == nil:
 		return errors.New("no settings")
 	}
@@ -190,22 +191,22 @@
 	if err := c.Settings.Validate(); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
-	if c.logic, err = c.Settings.LogicSettings(seed); err != nil {
+	if c.logicSettings, err = c.Settings.LogicSettings(seed); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
-	c.askWithin, c.listAsked = c.Settings.ListsOnRequest()
-	if c.askWithin == 0 { // guards against calls with no pause between them while discovery is down
-		c.askWithin = discovery.MaxAnnounceDelay
+	c.maxPollInterval, c.pollList = c.Settings.ListsOnRequest()
+	if c.maxPollInterval == 0 { // keeps a pause between polls while discovery is down
+		c.maxPollInterval = discovery.MaxAnnounceDelay
 	}
-	// Guards against waits between calls for the list that don't fit into the time after
-	// which what it misses counts as told: the pacer takes its waits from this one.
-	c.askWithin = min(c.askWithin, 2*discovery.MaxAnnounceDelay)
-	c.known = known // last: what has it has been checked
+	// The pacer derives its waits from this limit. A longer wait would not fit into the
+	// time within which a change of the list has to be picked up.
+	c.maxPollInterval = min(c.maxPollInterval, 2*discovery.MaxAnnounceDelay)
+	c.knownList = known // set last: it marks the configuration as checked
 	return nil
 }
 
-// parseKnown reads the list known at the start. A proxy that has had none yet knows no
-// backend, in whatever form it is told that.
+// parseKnown reads the list known at start. A proxy that has never had a list knows no
+// backend, in whatever form the configuration expresses that.
 func (c *Config) parseKnown() (*discovery.List, error) {
 	none := &discovery.List{Complete: true}
 	if c.Known == nil {
@@ -225,23 +226,25 @@
 	return l, nil
 }
 
-// pacer paces the calls for the list.
+// pacer returns the pacer for polls of the list.
 func (c *Config) pacer() *pacing.Pacer {
-	const stream = 1 // of random numbers, beside the module's
-	rng := rand.New(rand.NewPCG(c.logic.Seed, stream))
-	if !c.listAsked {
+	const stream = 1 // random stream; another one than the balancing logic's
+	rng := rand.New(rand.NewPCG(c.logicSettings.Seed, stream))
+	if !c.pollList {
 		return pacing.NewForAgent(rng)
 	}
-	return pacing.NewForService(c.askWithin, rng)
+	return pacing.NewForService(c.maxPollInterval, rng)
 }
 
-// heapShare is the heap's part of the memory; the rest is stacks, sockets and files.
-const heapShare = 0.6
+// heapFraction is the fraction of the memory limit that the heap may use. Stacks, sockets
+// and files take the rest.
+const heapFraction = 0.6
 
-// Tune sets the process up for the limits, of which it has a part where several
-// processes share them. It is for programs that are a proxy and nothing else.
+// Tune sets the Go runtime's memory limit and GOMAXPROCS to the limits, or to this
+// process's share if several processes share them. It is meant for programs that run
+// nothing but a proxy.
 func (l Limits) Tune(processes int) {
-	debug.SetMemoryLimit(int64(heapShare * l.MemoryMB / float64(processes) * (1 << 20)))
+	debug.SetMemoryLimit(int64(heapFraction * l.MemoryMB / float64(processes) * (1 << 20)))
 	if l.Cores > 0 {
 		runtime.GOMAXPROCS(min(runtime.GOMAXPROCS(0), int(math.Ceil(l.Cores))))
 	}
--- a/proxy/local_dial_test.go
+++ b/proxy/local_dial_test.go
@@ -13,13 +13,12 @@
 	"oxbowloft/logic"
 )
 
-// A connection that can't be opened for want of something on this machine says nothing of
-// the backend: it is not counted as a failure of it, nor is it ejected, and the request is
-// tried again.
-func TestLocalDialBlamesNobody(t *testing.T) {
+// A connection that can't be opened for a local reason does not count as a failure of the
+// backend. The backend is not ejected, and the request is tried again.
+func TestLocalDialErrorIsNoBackendFailure(t *testing.T) {
 	for _, c := range []struct {
-		errno syscall.Errno
-		local bool
+		errno      syscall.Errno
+		localError bool
 	}{
 		{syscall.EADDRNOTAVAIL, true},
 		{syscall.EAGAIN, true},
@@ -32,32 +31,32 @@
 	} {
 		t.Run(c.errno.Error(), func(t *testing.T) {
 			first, second := standin.NewBackend(t, standin.Echo), standin.NewBackend(t, standin.Echo)
-			p := listening(t, standin.ListJSON(1, true, standin.TargetJSON("s-1", first.Addr()), standin.TargetJSON("s-2", second.Addr())),
+			p := listenProxy(t, standin.ListJSON(1, true, standin.TargetJSON("s-1", first.Addr()), standin.TargetJSON("s-2", second.Addr())),
 				"127.0.0.1:1")
-			p.cfg.Grace = 1 // so that the end takes no time
+			p.cfg.Grace = 1 // keeps the drain short
 			var failures atomic.Int64
 			failures.Store(9)
-			p.driver.opt.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
+			p.driver.upstreamOptions.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 				if failures.Add(-1) >= 0 {
 					return nil, &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("connect", c.errno)}
 				}
 				return (&net.Dialer{}).DialContext(ctx, network, addr)
 			}
-			defer running(t, p)()
+			defer startProxy(t, p)()
 			for failures.Load() > 0 {
-				ask(t, dial(t, p), "get", 2000)
+				sendRequest(t, dialProxy(t, p), "get", 2000)
 			}
 			p.stats.mu.Lock()
-			blamed := p.stats.results[logic.ConnectFailed]
+			counted := p.stats.attemptResults[logic.ConnectFailed]
 			p.stats.mu.Unlock()
-			if (blamed == 0) != c.local {
-				t.Errorf("%d attempts are counted against backends", blamed)
+			if (counted == 0) != c.localError {
+				t.Errorf("%d attempts counted against backends", counted)
 			}
-			if _, avoided := p.driver.listed(); c.local && avoided > 0 {
+			if _, avoided := p.driver.backendCounts(); c.localError && avoided > 0 {
 				t.Errorf("%d backends are avoided", avoided)
 			}
-			if code, body := ask(t, dial(t, p), "get", 2000); c.local && code != http.StatusOK {
-				t.Errorf("once connections can be opened again: %d %q", code, body)
+			if code, body := sendRequest(t, dialProxy(t, p), "get", 2000); c.localError && code != http.StatusOK {
+				t.Errorf("after the dial errors: %d %q", code, body)
 			}
 		})
 	}
--- a/proxy/state_test.go
+++ b/proxy/state_test.go
@@ -11,9 +11,9 @@
 	"time"
 )
 
-func opened(t *testing.T, dir string) *state {
+func openTestState(t *testing.T, dir string) *sharedState {
 	t.Helper()
-	s, err := openState(dir, "127.0.0.1:3000")
+	s, err := openSharedState(dir, "127.0.0.1:3000")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -21,129 +21,130 @@
 	return s
 }
 
-// Two processes know of each other as long as both are there; a lock is freed with its
-// holder, and another proxy's are no business of theirs.
-func TestProcesses(t *testing.T) {
+// Two processes know of each other while both run. A lock is released with its holder,
+// and proxies on other addresses do not count.
+func TestProcessCount(t *testing.T) {
 	dir := t.TempDir()
-	a := opened(t, dir)
-	if n := a.processes(); n != 1 {
+	a := openTestState(t, dir)
+	if n := a.processCount(); n != 1 {
 		t.Errorf("%d processes alone", n)
 	}
-	b := opened(t, dir)
-	other, err := openState(dir, "127.0.0.1:3001")
+	b := openTestState(t, dir)
+	otherProxy, err := openSharedState(dir, "127.0.0.1:3001")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer other.close()
-	if a.processes() != 2 || b.processes() != 2 || other.processes() != 1 {
-		t.Errorf("%d, %d, %d processes", a.processes(), b.processes(), other.processes())
+	defer otherProxy.close()
+	if a.processCount() != 2 || b.processCount() != 2 || otherProxy.processCount() != 1 {
+		t.Errorf("%d, %d, %d processes", a.processCount(), b.processCount(), otherProxy.processCount())
 	}
-	a.locks.Close()
-	if n := b.processes(); n != 1 {
-		t.Errorf("%d processes after the other's end", n)
+	a.lockFile.Close()
+	if n := b.processCount(); n != 1 {
+		t.Errorf("%d processes after the end of the other", n)
 	}
-	c := opened(t, dir)
-	if c.processes() != 2 || b.processes() != 2 {
-		t.Error("a second replacement is not seen")
+	c := openTestState(t, dir)
+	if c.processCount() != 2 || b.processCount() != 2 {
+		t.Error("a second replacement is not counted")
 	}
 }
 
-// Bans made at either process hold in both and in one that starts later, and so does
-// their end.
-func TestBansAreShared(t *testing.T) {
+// A detachment made by one process applies in all and in those that start later, and so
+// does its end.
+func TestDetachmentsAreShared(t *testing.T) {
 	dir := t.TempDir()
-	a, b := opened(t, dir), opened(t, dir)
-	change := func(s *state, id string, ban bool) {
+	a, b := openTestState(t, dir), openTestState(t, dir)
+	change := func(s *sharedState, id string, detach bool) {
 		t.Helper()
-		if err := s.change(id, ban); err != nil {
+		if err := s.setDetached(id, detach); err != nil {
 			t.Fatal(err)
 		}
 	}
 	change(a, "s-1", true)
-	change(b, "s-2 \"\n", true) // before b has followed a
-	if out, in := a.follow(); !slices.Equal(out, []string{"s-2 \"\n"}) || in != nil {
-		t.Errorf("a follows with %q out, %q in", out, in)
+	change(b, "s-2 \"\n", true) // before b has read the change of a
+	if detached, attached := a.refresh(); !slices.Equal(detached, []string{"s-2 \"\n"}) || attached != nil {
+		t.Errorf("a reads %q as detached, %q as attached", detached, attached)
 	}
-	if out, in := a.follow(); out != nil || in != nil {
-		t.Errorf("a follows again with %q out, %q in", out, in)
+	if detached, attached := a.refresh(); detached != nil || attached != nil {
+		t.Errorf("a reads again %q as detached, %q as attached", detached, attached)
 	}
 	change(b, "s-1", false)
-	if out, in := a.follow(); out != nil || !slices.Equal(in, []string{"s-1"}) {
-		t.Errorf("a follows with %q out, %q in", out, in)
+	if detached, attached := a.refresh(); detached != nil || !slices.Equal(attached, []string{"s-1"}) {
+		t.Errorf("a reads %q as detached, %q as attached", detached, attached)
 	}
-	c := opened(t, dir)
-	if out, _ := c.follow(); !slices.Equal(out, []string{"s-2 \"\n"}) {
-		t.Errorf("a new process starts with %q", out)
+	c := openTestState(t, dir)
+	if detached, _ := c.refresh(); !slices.Equal(detached, []string{"s-2 \"\n"}) {
+		t.Errorf("a new process starts with %q", detached)
 	}
 }
 
-// Guards against files that a process left behind, or that something spoilt: they are
-// told in one line, the bans that are known hold, and the next change mends them.
-func TestSpoiltState(t *testing.T) {
+// Corrupt files, or files left by another process, are logged in one line, known
+// detachments stay, and the next change replaces the file.
+func TestCorruptState(t *testing.T) {
 	for _, text := range []string{"", "{", `{"s-1":true}`, "null", `["s-1",2]`, "\x00\xff",
-		`["` + strings.Repeat("x", maxBansFile) + `"]`, fmt.Sprintf("[%s]", strings.Repeat(`"a",`, 2*maxBans)+`"a"`)} {
+		`["` + strings.Repeat("x", maxDetachedFileBytes) + `"]`, fmt.Sprintf("[%s]", strings.Repeat(`"a",`, 2*maxDetached)+`"a"`)} {
 		dir := t.TempDir()
-		s := opened(t, dir)
-		if err := s.change("s-9", true); err != nil {
+		s := openTestState(t, dir)
+		if err := s.setDetached("s-9", true); err != nil {
 			t.Fatal(err)
 		}
-		if err := os.WriteFile(s.bansPath, []byte(text), 0o600); err != nil {
+		if err := os.WriteFile(s.detachedPath, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if out, in := s.follow(); out != nil || in != nil {
-			t.Errorf("%.20q: follows with %q out, %q in", text, out, in)
+		if detached, attached := s.refresh(); detached != nil || attached != nil {
+			t.Errorf("%.20q: reads %q as detached, %q as attached", text, detached, attached)
 		}
-		if out, in := opened(t, dir).follow(); out != nil || in != nil {
-			t.Errorf("%.20q: starts with %q out, %q in", text, out, in)
+		if detached, attached := openTestState(t, dir).refresh(); detached != nil || attached != nil {
+			t.Errorf("%.20q: starts with %q detached, %q attached", text, detached, attached)
 		}
-		if err := s.change("s-8", true); err != nil {
+		if err := s.setDetached("s-8", true); err != nil {
 			t.Fatal(err)
 		}
-		if out, _ := opened(t, dir).follow(); len(out) != 2 {
-			t.Errorf("%.20q: after a change a new process starts with %q", text, out)
+		if detached, _ := openTestState(t, dir).refresh(); len(detached) != 2 {
+			t.Errorf("%.20q: after a change a new process starts with %q", text, detached)
 		}
 	}
 }
 
-// Without a directory, or with one that can't be written to, bans hold here alone.
-func TestNoState(t *testing.T) {
-	s, err := openState("", "127.0.0.1:3000")
-	if err != nil || s.processes() != 1 || s.change("s-1", true) != nil || !s.bans["s-1"] {
-		t.Errorf("without a directory: %v, %v", err, s.bans)
+// Without a directory, or with one that can't be written to, detachments apply in this
+// process alone.
+func TestNoSharedState(t *testing.T) {
+	s, err := openSharedState("", "127.0.0.1:3000")
+	if err != nil || s.processCount() != 1 || s.setDetached("s-1", true) != nil || !s.detached["s-1"] {
+		t.Errorf("without a directory: %v, %v", err, s.detached)
 	}
-	s, err = openState(filepath.Join(t.TempDir(), "missing"), "127.0.0.1:3000")
-	if err == nil || s.processes() != 1 || s.change("s-1", true) != nil || !s.bans["s-1"] {
-		t.Errorf("in a missing directory: %v, %v", err, s.bans)
+	s, err = openSharedState(filepath.Join(t.TempDir(), "missing"), "127.0.0.1:3000")
+	if err == nil || s.processCount() != 1 || s.setDetached("s-1", true) != nil || !s.detached["s-1"] {
+		t.Errorf("in a missing directory: %v, %v", err, s.detached)
 	}
 	dir := t.TempDir()
-	s = opened(t, dir)
-	if err := s.change("s-1", true); err != nil {
+	s = openTestState(t, dir)
+	if err := s.setDetached("s-1", true); err != nil {
 		t.Fatal(err)
 	}
 	if err := os.RemoveAll(dir); err != nil {
 		t.Fatal(err)
 	}
-	if err := s.change("s-2", true); err == nil {
-		t.Error("nobody is told of a ban that was not written")
+	if err := s.setDetached("s-2", true); err == nil {
+		t.Error("no error for a detachment that was not written")
 	}
-	if out, in := s.follow(); out != nil || in != nil || !s.bans["s-1"] || !s.bans["s-2"] {
-		t.Errorf("bans are lost with their directory: %v", s.bans)
+	if detached, attached := s.refresh(); detached != nil || attached != nil || !s.detached["s-1"] || !s.detached["s-2"] {
+		t.Errorf("detachments are lost with their directory: %v", s.detached)
 	}
 }
 
-// Guards against a process that is stopped while it changes bans: another's change
-// does not wait for it.
+// A process that is suspended during a change of the detachments does not block another
+// one's change.
 func TestChangeLockIsHeld(t *testing.T) {
 	dir := t.TempDir()
-	a, b := opened(t, dir), opened(t, dir)
-	if err := a.lock(ofdSet, syscall.F_WRLCK, changeLock); err != nil {
+	a, b := openTestState(t, dir), openTestState(t, dir)
+	if err := a.lockByte(fcntlOFDSetLock, syscall.F_WRLCK, changeLockOffset); err != nil {
 		t.Fatal(err)
 	}
 	start := time.Now()
-	if err := b.change("s-1", true); err != nil {
+	if err := b.setDetached("s-1", true); err != nil {
 		t.Error(err)
 	}
-	if took := time.Since(start); took > 10*time.Second {
-		t.Errorf("took %v", took)
+	if elapsed := time.Since(start); elapsed > 10*time.Second {
+		t.Errorf("took %v", elapsed)
 	}
 }
