--- a/logic/list_test.go
+++ b/logic/list_test.go
@@ -101,8 +101,7 @@
 	// Discovery is unreachable: a backend that has served a call is used while it goes on serving, and no
 	// longer than StaleUntil.
 	b.SetListFreshness(ListFreshness{FreshUntil: 36100 * ms, StaleUntil: 44000 * ms,
-		EvidenceWindow: 1000 * ms,
-		ConfirmedAt:    36000 * ms, MaxUnobserved: 2000 * ms})
+		EvidenceWindow: 1000 * ms, ConfirmedAt: 36000 * ms, MaxUnobserved: 2000 * ms})
 	expectRefusals("it has served nothing yet", 36150*ms)
 	b.AttemptDone(36200*ms, Outcome{Request: first, Result: OK, Latency: 100 * ms, Final: true})
 	for _, at := range []Time{36300 * ms, 36990 * ms} {
--- a/logic/ramp_test.go
+++ b/logic/ramp_test.go
@@ -36,7 +36,7 @@
 
 // worstWindow examines all windows that begin during the slow start of a server that started at 0. It
 // returns the number of calls and the bound of the window that is closest to its bound or exceeds it
-// most. The worst windows begin with a call. The capacity is that at the window's begin, its lowest.
+// most. The worst windows begin with a call. The capacity is that at the start of the window, its lowest.
 func (r slowStartRules) worstWindow(capacity float64, sent []Time) (sum int, bound float64) {
 	slices.Sort(sent)
 	bound = r.maxCalls(capacity, 0)
@@ -110,10 +110,10 @@
 	fairShare float64 // calls since then that a ramp proportional to its warm-up fraction would have got
 }
 
-// Seconds that a call takes after slow start, where the server executes more than one at a time.
-const slotTime = 0.1
+// slotSeconds is how long a call takes after slow start, if the server executes more than one at a time.
+const slotSeconds = 0.1
 
-func (s *server) slots() int { return max(1, int(math.Round(s.capacity*slotTime))) }
+func (s *server) slots() int { return max(1, int(math.Round(s.capacity*slotSeconds))) }
 
 // instance is one proxy: a balancer, and Actions that lead to the simulated servers.
 type instance struct {
