--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -24,11 +24,11 @@
 
 // instance is one balancer with its Actions.
 type instance struct {
-	number   int
-	host     *Host
-	balancer *logic.Balancer
-	classes  map[string]int
-	lists    *listCalls // nil: lists are pushed
+	id         int
+	host       *Host
+	balancer   *logic.Balancer
+	classes    map[string]int
+	listClient *listRequests // nil: lists are pushed
 }
 
 // New returns a host without instances.
@@ -84,9 +84,9 @@
 	}
 	switch e.Type {
 	case "retire":
-		delete(h.instances, in.number)
+		delete(h.instances, in.id)
 	case "backends-changed":
-		return in.list(now, e)
+		return in.backendsChanged(now, e)
 	case "job-in":
 		class, ok := in.classes[*e.Kind]
 		if !ok {
@@ -99,8 +99,8 @@
 	case "lapsed":
 		in.balancer.ClientGone(now, *e.RequestID)
 	case "elapsed":
-		if *e.TimerToken >= listNonces {
-			in.listDue(now, *e.TimerToken)
+		if *e.TimerToken >= firstListToken {
+			in.listTimerFired(now, *e.TimerToken)
 		} else {
 			in.balancer.TimerFired(now, *e.TimerToken)
 		}
@@ -116,22 +116,22 @@
 	if err != nil {
 		return err
 	}
-	in := &instance{number: *e.Instance, host: h, classes: map[string]int{}}
+	in := &instance{id: *e.Instance, host: h, classes: map[string]int{}}
 	for i, c := range set.Classes {
 		in.classes[c.Name] = i
 	}
-	h.instances[in.number] = in
+	h.instances[in.id] = in
 	in.balancer = logic.New(now, set, in)
 	if within, asked := e.Settings.ListsOnRequest(); asked {
-		in.lists = newListCalls(within, set.Seed)
-		in.callForList(in.lists.pacer.FirstWait())
+		in.listClient = newListRequests(within, set.Seed)
+		in.scheduleListRequest(in.listClient.pacer.FirstWait())
 	}
 	return nil
 }
 
-func (in *instance) list(now logic.Time, e *wire.Event) error {
+func (in *instance) backendsChanged(now logic.Time, e *wire.Event) error {
 	if *e.Kind == "FAILED" {
-		in.listFailed(now)
+		in.listRequestFailed(now)
 		return nil
 	}
 	if !slices.Contains([]string{"SAVED", "FULL", "INCREMENTAL"}, *e.Kind) {
@@ -157,7 +157,7 @@
 		}
 		lines = append(lines, line)
 	}
-	in.listTold()
+	in.listReceived()
 	in.balancer.UpdateList(now, *e.Kind != "INCREMENTAL", lines)
 	return nil
 }
@@ -178,37 +178,37 @@
 	return nil
 }
 
-func (in *instance) act(a wire.Action) {
-	a.Instance = in.number
+func (in *instance) emit(a wire.Action) {
+	a.Instance = in.id
 	in.host.actions = append(in.host.actions, a)
 }
 
 // Send implements logic.Actions.
 func (in *instance) Send(request, backend string, timeout time.Duration) {
-	in.act(wire.Action{Type: "pass-on", RequestID: request, Backend: backend, TimeoutMs: settings.Milliseconds(timeout)})
+	in.emit(wire.Action{Type: "pass-on", RequestID: request, Backend: backend, TimeoutMs: settings.Milliseconds(timeout)})
 }
 
 // Refuse implements logic.Actions.
 func (in *instance) Refuse(request string, comeBack time.Duration, _ logic.Cause) {
-	in.act(wire.Action{Type: "reject", RequestID: request, RetryAfterMs: settings.Milliseconds(comeBack)})
+	in.emit(wire.Action{Type: "reject", RequestID: request, RetryAfterMs: settings.Milliseconds(comeBack)})
 }
 
 // Fail implements logic.Actions.
 func (in *instance) Fail(request string, _ logic.Cause) {
-	in.act(wire.Action{Type: "fail", RequestID: request})
+	in.emit(wire.Action{Type: "fail", RequestID: request})
 }
 
 // Cancel implements logic.Actions.
 func (in *instance) Cancel(request string, attempt int) {
-	in.act(wire.Action{Type: "stop-attempt", RequestID: request, Attempt: &attempt})
+	in.emit(wire.Action{Type: "stop-attempt", RequestID: request, Attempt: &attempt})
 }
 
 // StartTimer implements logic.Actions.
 func (in *instance) StartTimer(token uint64, after time.Duration) {
-	in.act(wire.Action{Type: "schedule", TimerToken: &token, WaitMs: settings.Milliseconds(after)})
+	in.emit(wire.Action{Type: "schedule", TimerToken: &token, WaitMs: settings.Milliseconds(after)})
 }
 
 // CloseIdle implements logic.Actions.
 func (in *instance) CloseIdle(backend string) {
-	in.act(wire.Action{Type: "free-links", Backend: backend})
+	in.emit(wire.Action{Type: "free-links", Backend: backend})
 }
--- a/internal/host/host_test.go
+++ b/internal/host/host_test.go
@@ -106,7 +106,7 @@
 
 // Where each client process has a balancer: of requests at one time the marked retry goes without, the first
 // tries get through, and what is out when its client leaves is cancelled.
-func TestMeshOnTheWire(t *testing.T) {
+func TestMeshExchange(t *testing.T) {
 	setup := `{"type":"enlist","i":1,"init-seed":7,"setup":{"az":"z1","zones":["z1"],"kind-of-service":"mesh","balancers":2,` +
 		`"discovery":"pushed","stage":0,"classes":[{"name":"get","aim-ms":500,"give-up-ms":1000,"group":"all",` +
 		`"idempotency":"free","worth":1}],"limits":{"max-attempts":3,"cancel":true}}}`
--- a/internal/host/lists_test.go
+++ b/internal/host/lists_test.go
@@ -10,7 +10,7 @@
 
 // Where lists are asked for, each instance asks once its wait is over, again after each
 // failure, and at the end of no wait that another has replaced.
-func TestCallsForTheList(t *testing.T) {
+func TestListRequests(t *testing.T) {
 	h := New()
 	serial := 0
 	play := func(time float64, events ...string) []wire.Action {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,6 @@
-// Package settings reads the settings object of a balancer, which the bench's
-// first message and a proxy's configuration share, into the module's Settings.
+// Package settings defines the settings object of a balancer and converts it into the
+// settings of the decision module. The simulator's first message and the configuration of a
+// proxy have the same object.
 package settings
 
 import (
@@ -11,8 +12,7 @@
 	"oxbowloft/logic"
 )
 
-// Config is the part of the settings object that the project uses. Times are
-// in milliseconds; fields that it does not know are skipped.
+// Config is the part of the settings object that the project uses. Unknown keys are ignored.
 type Config struct {
 	Zone    string   `json:"az"`
 	Zones   []string `json:"zones"`
@@ -50,7 +50,7 @@
 	Rules struct {
 		ListRequestWithinMs   float64 `json:"ask-within-ms"`
 		DrainGraceMs          float64 `json:"stop-sending-within-ms"`
-		SlowStartInitialShare float64 `json:"cold-from"`
+		InitialWarmUpFraction float64 `json:"cold-from"`
 		WarmUpMs              float64 `json:"warm-within-ms"`
 	} `json:"rules"`
 	Topology      string   `json:"kind-of-service"`
@@ -60,165 +60,169 @@
 	BalancerIndex int      `json:"me"`
 }
 
-// The shapes of a deployment, as kind-of-service names them.
+// Values of kind-of-service.
 const (
-	TopologyChain = "chain" // tiers, each behind a few proxies with like traffic; also where nothing is said
-	TopologyProxy = "proxy" // one such tier
-	TopologyMesh  = "mesh"  // each client process has a proxy of its own, with unlike traffic
+	TopologyChain = "chain" // tiers, each behind a few proxies with similar traffic; the default
+	TopologyProxy = "proxy" // a single tier of that kind
+	TopologyMesh  = "mesh"  // one proxy per client process, each with different traffic
 )
 
-// The ways of discovery.
+// Values of discovery.
 const (
-	discoveryAsked  = "on_request"
-	discoveryPushed = "pushed" // also where nothing is said
+	discoveryOnRequest = "on_request"
+	discoveryPushed    = "pushed" // the default
 )
 
-// Validate tells which key can't be served safely. What a deployment permits and the
-// program does not use is no reason to refuse, nor is a limit that it stays under:
-// guards against an operator whose settings are right and whose proxy does not start.
-func (o *Config) Validate() error {
-	mesh := o.Topology == TopologyMesh
+// Validate returns an error that names the first key whose value can't be served safely. It
+// accepts permissions that the program does not use and limits that it never reaches, so
+// that a proxy with correct settings always starts.
+func (cfg *Config) Validate() error {
+	mesh := cfg.Topology == TopologyMesh
 	for _, c := range []struct {
-		key   string
-		wrong bool
-		why   string
+		key     string
+		invalid bool
+		reason  string
 	}{
-		// Another shape's numbers would be the wrong ones.
-		{"kind-of-service", !mesh && o.Topology != TopologyChain && o.Topology != TopologyProxy && o.Topology != "", "none of chain, proxy, mesh"},
-		{"discovery", o.Discovery != discoveryAsked && o.Discovery != discoveryPushed && o.Discovery != "",
-			"neither on_request nor pushed"},
-		{"limits: streams-per-conn", o.Limits.StreamsPerConn < 0, "below zero"},
-		{"limits: max-attempts", o.Limits.MaxAttempts < 1, "below 1"},
-		{"limits: conn-idle-ms", !amount(o.Limits.ConnIdleMs), badAmount},
-		{"limits: dial-timeout-ms", !amount(o.Limits.DialTimeoutMs), badAmount},
-		{"limits: max-retry-after-ms", !amount(o.Limits.MaxRetryAfterMs), badAmount},
-		{"rules: ask-within-ms", !amount(o.Rules.ListRequestWithinMs), badAmount},
-		{"rules: stop-sending-within-ms", !amount(o.Rules.DrainGraceMs), badAmount},
-		{"rules: warm-within-ms", !amount(o.Rules.WarmUpMs), badAmount},
-		{"rules: cold-from", !amount(o.Rules.SlowStartInitialShare) || o.Rules.SlowStartInitialShare > 1, "no share from 0 to 1"},
-		{"goal: whole", !amount(o.Goal.Overall), badAmount},
-		{"goal: worst-class", !amount(o.Goal.WorstClass), badAmount},
-		{"stage", o.Tier < 0, "below zero"},
-		// A client process calls one tier, the first.
-		{"stage", mesh && o.Tier > 0, "over 0 where kind-of-service is mesh"},
-		{"tiers", mesh && len(o.Tiers) > 1, "more than one where kind-of-service is mesh"},
-		{"balancers", o.Balancers < 0, "below zero"},
-		// Each takes its part by these: without them all would meet at the same cold backends.
-		{"balancers", mesh && o.Balancers == 0, "missing, and needed where kind-of-service is mesh"},
-		{"me", o.BalancerIndex < 0, "below zero"},
-		{"me", mesh && o.BalancerIndex >= max(1, o.Balancers), "not below balancers"},
-		{"classes", len(o.Classes) == 0, "none"},
+		// The decision module's parameters depend on the topology.
+		{"kind-of-service", !mesh && cfg.Topology != TopologyChain && cfg.Topology != TopologyProxy && cfg.Topology != "", "must be chain, proxy or mesh"},
+		{"discovery", cfg.Discovery != discoveryOnRequest && cfg.Discovery != discoveryPushed && cfg.Discovery != "",
+			"must be on_request or pushed"},
+		{"limits: streams-per-conn", cfg.Limits.StreamsPerConn < 0, "below zero"},
+		{"limits: max-attempts", cfg.Limits.MaxAttempts < 1, "below 1"},
+		{"limits: conn-idle-ms", !isAmount(cfg.Limits.ConnIdleMs), invalidAmount},
+		{"limits: dial-timeout-ms", !isAmount(cfg.Limits.DialTimeoutMs), invalidAmount},
+		{"limits: max-retry-after-ms", !isAmount(cfg.Limits.MaxRetryAfterMs), invalidAmount},
+		{"rules: ask-within-ms", !isAmount(cfg.Rules.ListRequestWithinMs), invalidAmount},
+		{"rules: stop-sending-within-ms", !isAmount(cfg.Rules.DrainGraceMs), invalidAmount},
+		{"rules: warm-within-ms", !isAmount(cfg.Rules.WarmUpMs), invalidAmount},
+		{"rules: cold-from", !isAmount(cfg.Rules.InitialWarmUpFraction) || cfg.Rules.InitialWarmUpFraction > 1, "not a fraction from 0 to 1"},
+		{"goal: whole", !isAmount(cfg.Goal.Overall), invalidAmount},
+		{"goal: worst-class", !isAmount(cfg.Goal.WorstClass), invalidAmount},
+		{"stage", cfg.Tier < 0, "below zero"},
+		// In a mesh, client processes call only the first tier.
+		{"stage", mesh && cfg.Tier > 0, "must be 0 if kind-of-service is mesh"},
+		{"tiers", mesh && len(cfg.Tiers) > 1, "must be at most one if kind-of-service is mesh"},
+		{"balancers", cfg.Balancers < 0, "below zero"},
+		// Each balancer selects its subset of the backends by balancers and me. Without them
+		// all would send to the same backends in slow start.
+		{"balancers", mesh && cfg.Balancers == 0, "missing; required if kind-of-service is mesh"},
+		{"me", cfg.BalancerIndex < 0, "below zero"},
+		{"me", mesh && cfg.BalancerIndex >= max(1, cfg.Balancers), "must be less than balancers"},
+		{"classes", len(cfg.Classes) == 0, "missing"},
 	} {
-		if c.wrong {
-			return fmt.Errorf("%s: %s", c.key, c.why)
+		if c.invalid {
+			return fmt.Errorf("%s: %s", c.key, c.reason)
 		}
 	}
-	return o.checkClasses()
+	return cfg.validateClasses()
 }
 
-// checkClasses tells which class can't be served safely. Idempotency and group are
-// Logic's to read.
-func (o *Config) checkClasses() error {
+// validateClasses checks the classes apart from idempotency and group, which LogicSettings
+// checks.
+func (cfg *Config) validateClasses() error {
 	seen := map[string]bool{}
-	for i, c := range o.Classes {
-		if c.Name == "" { // guards against requests that name no class, and would be of this one
+	for i, c := range cfg.Classes {
+		if c.Name == "" { // requests without a class would belong to it
 			return fmt.Errorf("classes: number %d: name: missing", i)
 		}
-		if seen[c.Name] { // the two may differ in what a repeat does
+		if seen[c.Name] { // the two might differ in idempotency
 			return fmt.Errorf("classes: %q: name: given twice", c.Name)
 		}
 		seen[c.Name] = true
 		for _, n := range []struct {
-			key   string
-			wrong bool
-			why   string
+			key     string
+			invalid bool
+			reason  string
 		}{
-			{"aim-ms", !amount(c.TargetLatencyMs), badAmount},
-			{"give-up-ms", !amount(c.ClientTimeoutMs), badAmount},
-			{"give-up-ms", c.ClientTimeoutMs == 0, "missing or 0"}, // nothing could be served in it
-			{"memory-span-ms", !amount(c.DedupWindowMs), badAmount},
-			{"worth", !amount(c.Value), badAmount},
+			{"aim-ms", !isAmount(c.TargetLatencyMs), invalidAmount},
+			{"give-up-ms", !isAmount(c.ClientTimeoutMs), invalidAmount},
+			{"give-up-ms", c.ClientTimeoutMs == 0, "missing or 0"}, // no request could be served in time
+			{"memory-span-ms", !isAmount(c.DedupWindowMs), invalidAmount},
+			{"worth", !isAmount(c.Value), invalidAmount},
 		} {
-			if n.wrong {
-				return fmt.Errorf("classes: %q: %s: %s", c.Name, n.key, n.why)
+			if n.invalid {
+				return fmt.Errorf("classes: %q: %s: %s", c.Name, n.key, n.reason)
 			}
 		}
 	}
 	return nil
 }
 
-const badAmount = "below zero or not finite"
+const invalidAmount = "below zero or not finite"
 
-// amount tells whether v is a number that a time, a weight or a worth can be.
-func amount(v float64) bool { return v >= 0 && v <= math.MaxFloat64 }
+// isAmount reports whether v is valid as a time, a weight or a value of a class.
+func isAmount(v float64) bool { return v >= 0 && v <= math.MaxFloat64 }
 
-// ListsOnRequest tells whether lists come only once asked for, and within what time to ask again
-// then; 0: the settings do not say. Where they are pushed it returns false.
-func (o *Config) ListsOnRequest() (within time.Duration, asked bool) {
-	return span(o.Rules.ListRequestWithinMs), o.Discovery == discoveryAsked
+// ListsOnRequest reports whether lists have to be requested from discovery, and the time
+// within which a lost watch has to be requested again, 0 if it is not configured. onRequest
+// is false if lists are pushed.
+func (cfg *Config) ListsOnRequest() (within time.Duration, onRequest bool) {
+	return boundedDuration(cfg.Rules.ListRequestWithinMs), cfg.Discovery == discoveryOnRequest
 }
 
-// LogicSettings returns the module's settings. The seed comes beside the object, since
-// it is new with each start.
-func (o *Config) LogicSettings(seed uint64) (logic.Settings, error) {
+// LogicSettings returns the settings of the decision module. The seed is not part of the
+// object, since it differs from start to start.
+func (cfg *Config) LogicSettings(seed uint64) (logic.Settings, error) {
 	set := logic.Settings{
 		Seed:            seed,
-		Zone:            o.Zone,
-		Zones:           o.Zones,
-		Tier:            o.Tier,
-		BalancerCount:   o.Balancers,
-		BalancerIndex:   o.BalancerIndex,
-		UnevenTraffic:   o.Topology == TopologyMesh,
-		CancelAbandoned: o.Limits.Cancel && o.Topology == TopologyMesh,
-		// By worth, the worst-served class is always the same one; where it weighs this much, it must not be.
-		EqualClasses:          o.Goal.WorstClass > 0 && o.Goal.WorstClass >= o.Goal.Overall/2,
-		MaxAttempts:           o.Limits.MaxAttempts,
-		DrainGrace:            span(o.Rules.DrainGraceMs),
-		InitialWarmUpFraction: o.Rules.SlowStartInitialShare,
-		WarmUpTime:            span(o.Rules.WarmUpMs),
+		Zone:            cfg.Zone,
+		Zones:           cfg.Zones,
+		Tier:            cfg.Tier,
+		BalancerCount:   cfg.Balancers,
+		BalancerIndex:   cfg.BalancerIndex,
+		UnevenTraffic:   cfg.Topology == TopologyMesh,
+		CancelAbandoned: cfg.Limits.Cancel && cfg.Topology == TopologyMesh,
+		// Shedding load by value always hits the class of the least value. If the goal gives
+		// the worst-served class this much weight, all classes have to be treated equally.
+		EqualClasses:          cfg.Goal.WorstClass > 0 && cfg.Goal.WorstClass >= cfg.Goal.Overall/2,
+		MaxAttempts:           cfg.Limits.MaxAttempts,
+		DrainGrace:            boundedDuration(cfg.Rules.DrainGraceMs),
+		InitialWarmUpFraction: cfg.Rules.InitialWarmUpFraction,
+		WarmUpTime:            boundedDuration(cfg.Rules.WarmUpMs),
 	}
-	if o.Limits.RetryAfter {
-		set.MaxRetryAfter = span(o.Limits.MaxRetryAfterMs)
+	if cfg.Limits.RetryAfter {
+		set.MaxRetryAfter = boundedDuration(cfg.Limits.MaxRetryAfterMs)
 	}
-	repeats := map[string]logic.Idempotency{"free": logic.Idempotent, "guarded": logic.Deduplicated, "single_shot": logic.NonIdempotent}
+	idempotencies := map[string]logic.Idempotency{"free": logic.Idempotent, "guarded": logic.Deduplicated, "single_shot": logic.NonIdempotent}
 	scopes := map[string]logic.DedupScope{"all": logic.ScopeAll, "zone": logic.ScopeZone, "cell": logic.ScopeCell}
-	for _, c := range o.Classes {
-		repeat, ok := repeats[c.Idempotency]
+	for _, c := range cfg.Classes {
+		idempotency, ok := idempotencies[c.Idempotency]
 		if !ok {
 			return set, fmt.Errorf("classes: %q: idempotency: unknown %q", c.Name, c.Idempotency)
 		}
 		scope, ok := scopes[c.DedupScope]
-		if !ok && repeat == logic.Deduplicated {
+		if !ok && idempotency == logic.Deduplicated {
 			return set, fmt.Errorf("classes: %q: group: unknown %q", c.Name, c.DedupScope)
 		}
 		set.Classes = append(set.Classes, logic.Class{
 			Name:          c.Name,
-			TargetLatency: span(cmp.Or(c.TargetLatencyMs, c.ClientTimeoutMs)), // without an aim any answer in time will do
-			Deadline:      span(c.ClientTimeoutMs),
+			TargetLatency: boundedDuration(cmp.Or(c.TargetLatencyMs, c.ClientTimeoutMs)), // without a target, any response before the client timeout counts
+			Deadline:      boundedDuration(c.ClientTimeoutMs),
 			Value:         c.Value,
-			Idempotency:   repeat,
+			Idempotency:   idempotency,
 			DedupScope:    scope,
-			DedupWindow:   span(c.DedupWindowMs),
+			DedupWindow:   boundedDuration(c.DedupWindowMs),
 		})
 	}
 	return set, nil
 }
 
-// longest is how long a time of the settings can be: some say "for ever" by a number that
-// the module's sums would overflow by.
-const longest = 365 * 24 * time.Hour
+// maxSettingsDuration bounds the times of the settings. Some files express "forever" by a
+// number so large that sums of times in the decision module would overflow.
+const maxSettingsDuration = 365 * 24 * time.Hour
 
-// span turns a time of the settings into a duration.
-func span(ms float64) time.Duration { return min(Duration(ms), longest) }
+// boundedDuration converts a time of the settings, in milliseconds, into a duration of at
+// most maxSettingsDuration.
+func boundedDuration(ms float64) time.Duration { return min(Duration(ms), maxSettingsDuration) }
 
-// Duration turns milliseconds into a duration; what is too much for one is as much as
-// still leaves room for sums.
+// Duration converts milliseconds into a duration. Times out of range are clamped to half the
+// largest duration, so that two of them can be added.
 func Duration(ms float64) time.Duration {
-	const most = 1 << 62
-	return time.Duration(max(-most, min(ms*float64(time.Millisecond), most)))
+	const maxNanoseconds = 1 << 62
+	return time.Duration(max(-maxNanoseconds, min(ms*float64(time.Millisecond), maxNanoseconds)))
 }
 
-// Milliseconds turns a duration into milliseconds.
+// Milliseconds converts a duration into milliseconds.
 func Milliseconds(d time.Duration) float64 {
 	return float64(d) / float64(time.Millisecond)
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// A configuration that names no shape is the old one: the module's settings are what
-// they were. One build serves both.
-func TestShape(t *testing.T) {
+// The module's settings follow the topology. A configuration without kind-of-service, as
+// older ones are, gets the settings of a chain.
+func TestTopology(t *testing.T) {
 	for _, c := range []struct {
-		name, text string
-		uneven     bool
-		even       bool
+		name, text    string
+		unevenTraffic bool
+		equalClasses  bool
 	}{
-		{"nothing said", ``, false, false},
+		{"default", ``, false, false},
 		{"chain", `"kind-of-service":"chain","stage":1,"tiers":["a","b"],"zones":["x","y"],
 			"limits":{"streams-per-conn":1,"probing":true},"report":{"how":"on_probe"},
 			"goal":{"whole":0.6,"worst-class":0.2}`, false, false},
@@ -28,21 +28,21 @@
 		if err := o.Validate(); err != nil {
 			t.Errorf("%s: %v", c.name, err)
 		}
-		if set, err := o.LogicSettings(1); err != nil || set.UnevenTraffic != c.uneven || set.EqualClasses != c.even {
-			t.Errorf("%s: uneven %t, even classes %t, %v", c.name, set.UnevenTraffic, set.EqualClasses, err)
+		if set, err := o.LogicSettings(1); err != nil || set.UnevenTraffic != c.unevenTraffic || set.EqualClasses != c.equalClasses {
+			t.Errorf("%s: uneven traffic %t, equal classes %t, %v", c.name, set.UnevenTraffic, set.EqualClasses, err)
 		}
 	}
 }
 
-// parse reads an object whose classes and attempts are sound unless text has its own.
+// parse parses text with valid classes and attempts added, unless text has its own.
 func parse(t *testing.T, text string) *Config {
 	t.Helper()
-	sound := `"limits":{"max-attempts":2}`
+	base := `"limits":{"max-attempts":2}`
 	if !strings.Contains(text, `"classes"`) {
-		sound += `,"classes":[{"name":"get","idempotency":"free","give-up-ms":1000}]`
+		base += `,"classes":[{"name":"get","idempotency":"free","give-up-ms":1000}]`
 	}
 	o := &Config{}
-	for _, part := range []string{sound, text} {
+	for _, part := range []string{base, text} {
 		if err := json.Unmarshal([]byte("{"+part+"}"), o); err != nil {
 			t.Fatal(err)
 		}
@@ -50,9 +50,9 @@
 	return o
 }
 
-// Guards against a proxy that does not start where all that it is told can be served:
-// permissions that it does not use, and limits that it stays under.
-func TestServed(t *testing.T) {
+// Settings that can be served are accepted, also permissions that the program does not use
+// and limits that it never reaches: otherwise a proxy with correct settings would not start.
+func TestAcceptedSettings(t *testing.T) {
 	const mesh = `"kind-of-service":"mesh","balancers":3`
 	for _, text := range []string{
 		``,
@@ -93,8 +93,8 @@
 	}
 }
 
-// What can't be served safely is refused in one line that names the key.
-func TestRefused(t *testing.T) {
+// Settings that can't be served safely are rejected with a single line that names the key.
+func TestRejectedSettings(t *testing.T) {
 	const mesh = `"kind-of-service":"mesh","balancers":3`
 	class := func(text string) string {
 		return `"classes":[{"name":"first","idempotency":"free","give-up-ms":1},` + text + `]`
@@ -145,14 +145,15 @@
 			_, err = o.LogicSettings(1)
 		}
 		if err == nil || !strings.HasPrefix(err.Error(), c.key+":") || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v, want %s named", c.text, err, c.key)
+			t.Errorf("%s: got %v, want an error that names %s", c.text, err, c.key)
 		}
 	}
 }
 
-// JSON has no such numbers, but who embeds the proxy fills in the object otherwise.
-func TestNotFinite(t *testing.T) {
-	for _, bad := range []float64{math.NaN(), math.Inf(1), math.Inf(-1)} {
+// JSON has no such numbers, but a program that embeds the proxy may fill in the object by
+// other means.
+func TestNonFiniteNumbersAreRejected(t *testing.T) {
+	for _, number := range []float64{math.NaN(), math.Inf(1), math.Inf(-1)} {
 		for key, field := range map[string]func(*Config) *float64{
 			"limits: conn-idle-ms":           func(o *Config) *float64 { return &o.Limits.ConnIdleMs },
 			"limits: dial-timeout-ms":        func(o *Config) *float64 { return &o.Limits.DialTimeoutMs },
@@ -160,7 +161,7 @@
 			"rules: ask-within-ms":           func(o *Config) *float64 { return &o.Rules.ListRequestWithinMs },
 			"rules: stop-sending-within-ms":  func(o *Config) *float64 { return &o.Rules.DrainGraceMs },
 			"rules: warm-within-ms":          func(o *Config) *float64 { return &o.Rules.WarmUpMs },
-			"rules: cold-from":               func(o *Config) *float64 { return &o.Rules.SlowStartInitialShare },
+			"rules: cold-from":               func(o *Config) *float64 { return &o.Rules.InitialWarmUpFraction },
 			"goal: whole":                    func(o *Config) *float64 { return &o.Goal.Overall },
 			"goal: worst-class":              func(o *Config) *float64 { return &o.Goal.WorstClass },
 			`classes: "get": aim-ms`:         func(o *Config) *float64 { return &o.Classes[0].TargetLatencyMs },
@@ -169,17 +170,17 @@
 			`classes: "get": worth`:          func(o *Config) *float64 { return &o.Classes[0].Value },
 		} {
 			o := parse(t, ``)
-			*field(o) = bad
+			*field(o) = number
 			if err := o.Validate(); err == nil || !strings.HasPrefix(err.Error(), key+":") {
-				t.Errorf("%s is %v: %v", key, bad, err)
+				t.Errorf("%s is %v: got %v", key, number, err)
 			}
 		}
 	}
 }
 
-// Guards against sums that overflow where a file says "for ever" by a huge number, and
-// against an aim of no time at all, by which every answer is late.
-func TestEdges(t *testing.T) {
+// Prevents overflow of sums where a file expresses "forever" by a huge number, and a target
+// latency of 0 where none is given, by which every response would be late.
+func TestExtremeDurations(t *testing.T) {
 	o := parse(t, `"classes":[{"name":"put","idempotency":"guarded","group":"all","give-up-ms":1e300,"memory-span-ms":1e15}],
 		"rules":{"ask-within-ms":1e18,"stop-sending-within-ms":1e18,"warm-within-ms":1e18},
 		"limits":{"retry-after":true,"max-retry-after-ms":1e18}`)
@@ -188,18 +189,19 @@
 		t.Fatal(err)
 	}
 	c := set.Classes[0]
-	askWithin, _ := o.ListsOnRequest()
-	for i, d := range []time.Duration{c.TargetLatency, c.Deadline, c.DedupWindow, askWithin, set.DrainGrace, set.WarmUpTime, set.MaxRetryAfter} {
-		if d != longest {
-			t.Errorf("time %d is %v", i, d)
+	requestWithin, _ := o.ListsOnRequest()
+	for i, d := range []time.Duration{c.TargetLatency, c.Deadline, c.DedupWindow, requestWithin, set.DrainGrace, set.WarmUpTime, set.MaxRetryAfter} {
+		if d != maxSettingsDuration {
+			t.Errorf("duration %d is %v", i, d)
 		}
 	}
 	if set, err := parse(t, ``).LogicSettings(1); err != nil || set.Classes[0].TargetLatency != time.Second {
-		t.Errorf("without an aim it is %v, %v", set.Classes[0].TargetLatency, err)
+		t.Errorf("default target latency is %v, %v", set.Classes[0].TargetLatency, err)
 	}
 	for _, ms := range []float64{1e300, math.Inf(1)} {
-		if up, down := Duration(ms), Duration(-ms); up < longest || time.Duration(time.Now().UnixNano())+up < up || down != -up {
-			t.Errorf("%g ms are %v, and less as much %v", ms, up, down)
+		if positive, negative := Duration(ms), Duration(-ms); positive < maxSettingsDuration ||
+			time.Duration(time.Now().UnixNano())+positive < positive || negative != -positive {
+			t.Errorf("%g ms are %v, and their negative is %v", ms, positive, negative)
 		}
 	}
 	if d := Duration(1.5); d != 1500*time.Microsecond {
--- a/internal/sourcecheck/wallclock_test.go
+++ b/internal/sourcecheck/wallclock_test.go
@@ -12,17 +12,17 @@
 	"testing"
 )
 
-// wallReadings are functions and methods that read the wall clock of a time, or take its
+// wallClockCalls are functions and methods that read the wall clock of a time, or take its
 // monotonic reading away. A span that is measured with one changes when the clock is
 // stepped.
-var wallReadings = map[string]bool{
+var wallClockCalls = map[string]bool{
 	"Unix": true, "UnixMilli": true, "UnixMicro": true, "UnixNano": true,
 	"UTC": true, "Local": true, "AddDate": true, "Date": true, "ModTime": true,
 	"Gettimeofday": true, "ClockGettime": true,
 }
 
-// allowed are the places that may read the wall clock, with the reason.
-var allowed = map[string]string{
+// allowedCalls are the places that may read the wall clock, with the reason.
+var allowedCalls = map[string]string{
 	"internal/soak/registry.go: UnixMilli":   "the stamps of starts that the stand-in for discovery gives",
 	"proxy/clock.go: UnixNano":               "the stamps of starts that discovery gives are Unix time; read once, at the start",
 	"internal/scale/report/markdown.go: UTC": "the date of a run in its report",
@@ -48,7 +48,7 @@
 			}
 			return checkFile(path, func(line int, reading string) {
 				key := fmt.Sprintf("%s: %s", filepath.ToSlash(name), reading)
-				if allowed[key] == "" {
+				if allowedCalls[key] == "" {
 					t.Errorf("%s:%d: %s reads the wall clock", name, line, reading)
 				}
 				used[key] = true
@@ -58,7 +58,7 @@
 			t.Fatal(err)
 		}
 	}
-	for key := range allowed {
+	for key := range allowedCalls {
 		if !used[key] {
 			t.Errorf("%s is allowed and not used", key)
 		}
@@ -82,7 +82,7 @@
 			return true
 		}
 		name := function.Sel.Name
-		if wallReadings[name] || roundsToZero(name, call.Args) {
+		if wallClockCalls[name] || stripsMonotonicReading(name, call.Args) {
 			found(files.Position(call.Pos()).Line, name)
 		}
 		return true
@@ -90,8 +90,8 @@
 	return nil
 }
 
-// roundsToZero tells whether a call is the idiom that takes a time's monotonic reading away.
-func roundsToZero(name string, args []ast.Expr) bool {
+// stripsMonotonicReading tells whether a call is the idiom that takes a time's monotonic reading away.
+func stripsMonotonicReading(name string, args []ast.Expr) bool {
 	if name != "Round" && name != "Truncate" || len(args) != 1 {
 		return false
 	}
@@ -100,7 +100,7 @@
 }
 
 // A planted reading of each kind is found.
-func TestWallClockIsFound(t *testing.T) {
+func TestWallClockCallsAreFound(t *testing.T) {
 	for _, reading := range []string{"t.UnixNano()", "time.Unix(0, 1)", "t.Round(0)", "t.UTC()", "info.ModTime()"} {
 		path := filepath.Join(t.TempDir(), "planted.go")
 		text := "package p\nfunc f() { _ = " + reading + " }\n"
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -73,9 +73,9 @@
 
 // Reader reads batches.
 type Reader struct {
-	in   *bufio.Reader
-	long []byte
-	line int
+	in         *bufio.Reader
+	lineBuf    []byte
+	lineNumber int
 }
 
 // NewReader returns a Reader on r.
@@ -85,68 +85,68 @@
 
 // Read returns the next batch, or io.EOF where the input ends between batches.
 func (r *Reader) Read() (*Batch, error) {
-	head, err := r.event()
+	head, err := r.readEvent()
 	if err != nil {
 		return nil, err
 	}
 	if head.Type != "batch" {
-		return nil, fmt.Errorf("line %d: %q outside a batch", r.line, head.Type)
+		return nil, fmt.Errorf("line %d: %q outside a batch", r.lineNumber, head.Type)
 	}
 	b := &Batch{TimeMs: *head.TimeMs, Serial: *head.Serial}
 	for {
-		e, err := r.event()
+		e, err := r.readEvent()
 		switch {
 		case errors.Is(err, io.EOF):
-			return nil, fmt.Errorf("line %d: input ends inside a batch", r.line)
+			return nil, fmt.Errorf("line %d: input ends inside a batch", r.lineNumber)
 		case err != nil:
 			return nil, err
 		case e.Type == "flush":
 			return b, nil
 		case e.Type == "batch":
-			return nil, fmt.Errorf("line %d: batch inside a batch", r.line)
+			return nil, fmt.Errorf("line %d: batch inside a batch", r.lineNumber)
 		}
 		b.Events = append(b.Events, e)
 	}
 }
 
-func (r *Reader) event() (Event, error) {
+func (r *Reader) readEvent() (Event, error) {
 	var e Event
-	text, err := r.next()
+	text, err := r.readLine()
 	if err != nil {
 		return e, err
 	}
 	if err := json.Unmarshal(text, &e); err != nil {
-		return e, fmt.Errorf("line %d: %w", r.line, err)
+		return e, fmt.Errorf("line %d: %w", r.lineNumber, err)
 	}
-	if err := e.check(); err != nil {
-		return e, fmt.Errorf("line %d: %w", r.line, err)
+	if err := e.checkRequired(); err != nil {
+		return e, fmt.Errorf("line %d: %w", r.lineNumber, err)
 	}
 	return e, nil
 }
 
-// next returns the next line; it is good until the call after.
-func (r *Reader) next() ([]byte, error) {
-	r.long = r.long[:0]
+// readLine returns the readLine line; it is good until the call after.
+func (r *Reader) readLine() ([]byte, error) {
+	r.lineBuf = r.lineBuf[:0]
 	for {
 		part, err := r.in.ReadSlice('\n')
-		if err == nil && len(r.long) == 0 {
-			r.line++
+		if err == nil && len(r.lineBuf) == 0 {
+			r.lineNumber++
 			return part, nil
 		}
-		r.long = append(r.long, part...)
+		r.lineBuf = append(r.lineBuf, part...)
 		switch {
 		case errors.Is(err, bufio.ErrBufferFull):
-		case err == nil, errors.Is(err, io.EOF) && len(r.long) > 0:
-			r.line++
-			return r.long, nil
+		case err == nil, errors.Is(err, io.EOF) && len(r.lineBuf) > 0:
+			r.lineNumber++
+			return r.lineBuf, nil
 		default:
 			return nil, err
 		}
 	}
 }
 
-// check tells whether the fields that the event's type needs are there.
-func (e *Event) check() error {
+// checkRequired tells whether the fields that the event's type needs are there.
+func (e *Event) checkRequired() error {
 	type need struct {
 		name string
 		here bool
