--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,6 +1,6 @@
-// Package wire reads and writes the bench's wire: batches of events in, one
-// reply of actions a batch out, one JSON value a line. It knows the form of
-// the messages and nothing of what they are for.
+// Package wire reads and writes the simulator's protocol: it reads batches of events and
+// writes one reply with actions per batch, with one JSON value per line. It checks the form
+// of the messages only.
 package wire
 
 import (
@@ -13,8 +13,8 @@
 	"oxbowloft/internal/settings"
 )
 
-// An Event is one line of a batch. Which fields are set depends on Type; Read
-// makes sure that those its type needs are there. Unknown fields are skipped.
+// Event is one line of a batch. Which fields are set depends on Type; Reader.Read ensures
+// that those which the type requires are set. Unknown fields are ignored.
 type Event struct {
 	Type      string   `json:"type"`
 	Instance  *int     `json:"i"`
@@ -37,10 +37,10 @@
 	Serial     *int64           `json:"serial"`
 }
 
-// RetryBit marks a client's retry in an event's Bits.
+// RetryBit is set in an event's StateBits if the request is a client's retry.
 const RetryBit = 2
 
-// PoolEntry is one line of a list of backends.
+// PoolEntry is one backend of a list.
 type PoolEntry struct {
 	Backend       string   `json:"backend"`
 	Zone          string   `json:"dc"`
@@ -50,7 +50,7 @@
 	ReadyAtMs     float64  `json:"ready-at-ms"`
 }
 
-// An Action is one line of a reply.
+// Action is one line of a reply.
 type Action struct {
 	Type         string  `json:"type"`
 	Instance     int     `json:"i"`
@@ -64,9 +64,9 @@
 	Enable       bool    `json:"enable,omitempty"`
 }
 
-// A Batch is what happened at one time.
+// Batch holds the events that happened at the same time.
 type Batch struct {
-	TimeMs float64 // milliseconds
+	TimeMs float64
 	Serial int64
 	Events []Event
 }
@@ -83,7 +83,7 @@
 	return &Reader{in: bufio.NewReaderSize(r, 1<<16)}
 }
 
-// Read returns the next batch, or io.EOF where the input ends between batches.
+// Read returns the next batch, or io.EOF if the input ends between batches.
 func (r *Reader) Read() (*Batch, error) {
 	head, err := r.readEvent()
 	if err != nil {
@@ -124,7 +124,7 @@
 	return e, nil
 }
 
-// readLine returns the readLine line; it is good until the call after.
+// readLine returns the next line, which is valid until the next call.
 func (r *Reader) readLine() ([]byte, error) {
 	r.lineBuf = r.lineBuf[:0]
 	for {
@@ -145,45 +145,45 @@
 	}
 }
 
-// checkRequired tells whether the fields that the event's type needs are there.
+// checkRequired returns an error if a field is missing that the event's type requires.
 func (e *Event) checkRequired() error {
-	type need struct {
-		name string
-		here bool
+	type field struct {
+		name    string
+		present bool
 	}
-	i := need{"i", e.Instance != nil}
-	txn := need{"txn", e.RequestID != nil}
-	kind := need{"kind", e.Kind != nil}
-	code := need{"code", e.Code != nil}
-	var needs []need
+	instance := field{"i", e.Instance != nil}
+	requestID := field{"txn", e.RequestID != nil}
+	kind := field{"kind", e.Kind != nil}
+	code := field{"code", e.Code != nil}
+	var required []field
 	switch e.Type {
 	case "batch":
-		needs = []need{{"time-ms", e.TimeMs != nil}, {"serial", e.Serial != nil}}
+		required = []field{{"time-ms", e.TimeMs != nil}, {"serial", e.Serial != nil}}
 	case "flush":
 	case "enlist":
-		needs = []need{i, {"init-seed", e.Seed != nil}, {"setup", e.Settings != nil}}
+		required = []field{instance, {"init-seed", e.Seed != nil}, {"setup", e.Settings != nil}}
 	case "pool":
-		needs = []need{{"ref", e.PoolID != nil}}
+		required = []field{{"ref", e.PoolID != nil}}
 	case "backends-changed":
-		needs = []need{i, kind}
+		required = []field{instance, kind}
 	case "job-in":
-		needs = []need{i, txn, kind, {"budget-ms", e.BudgetMs != nil}}
+		required = []field{instance, requestID, kind, {"budget-ms", e.BudgetMs != nil}}
 	case "resolved":
-		needs = []need{i, txn, code}
+		required = []field{instance, requestID, code}
 	case "lapsed", "first":
-		needs = []need{i, txn}
+		required = []field{instance, requestID}
 	case "elapsed":
-		needs = []need{i, {"nonce", e.TimerToken != nil}}
+		required = []field{instance, {"nonce", e.TimerToken != nil}}
 	case "status-back", "retire", "neighbour-says":
-		needs = []need{i}
+		required = []field{instance}
 	case "":
 		return errors.New("message without a type")
 	default:
 		return fmt.Errorf("unknown message type %q", e.Type)
 	}
-	for _, n := range needs {
-		if !n.here {
-			return fmt.Errorf("%s without %s", e.Type, n.name)
+	for _, f := range required {
+		if !f.present {
+			return fmt.Errorf("%s without %s", e.Type, f.name)
 		}
 	}
 	return nil
@@ -203,7 +203,7 @@
 	return &Writer{out: out, enc: enc}
 }
 
-// Write sends the reply to the batch with that serial number.
+// Write writes the reply to the batch with the given serial number.
 func (w *Writer) Write(serial int64, actions []Action) error {
 	for i := range actions {
 		if err := w.enc.Encode(&actions[i]); err != nil {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -35,7 +35,7 @@
 		t.Errorf("empty batch: %v, %v", b, err)
 	}
 	if _, err := r.Read(); !errors.Is(err, io.EOF) {
-		t.Errorf("after the last batch: %v, want io.EOF", err)
+		t.Errorf("after the last batch: got %v, want io.EOF", err)
 	}
 }
 
@@ -44,7 +44,7 @@
 	r := NewReader(strings.NewReader(head + `{"type":"lapsed","i":1,"txn":"` + id + `"}` + "\n" + tail))
 	b, err := r.Read()
 	if err != nil || *b.Events[0].RequestID != id {
-		t.Fatalf("a line longer than the buffer: %v", err)
+		t.Fatalf("line longer than the buffer: %v", err)
 	}
 }
 
@@ -54,22 +54,22 @@
 		{"wrong type", head + `{"type":"lapsed","i":"one","txn":"a"}` + "\n", "line 2: json"},
 		{"unknown message", head + `{"type":"surprise","i":1}` + "\n", `unknown message type "surprise"`},
 		{"no type", head + `{"i":1}` + "\n", "message without a type"},
-		{"no instance", head + `{"type":"lapsed","txn":"a"}` + "\n", "lapsed without i"},
-		{"no id", head + `{"type":"job-in","i":1,"kind":"k","budget-ms":1}` + "\n", "job-in without txn"},
+		{"missing instance", head + `{"type":"lapsed","txn":"a"}` + "\n", "lapsed without i"},
+		{"missing request id", head + `{"type":"job-in","i":1,"kind":"k","budget-ms":1}` + "\n", "job-in without txn"},
 		{"no budget", head + `{"type":"job-in","i":1,"txn":"a","kind":"k"}` + "\n", "job-in without budget-ms"},
 		{"no code", head + `{"type":"resolved","i":1,"txn":"a"}` + "\n", "resolved without code"},
 		{"no token", head + `{"type":"elapsed","i":1}` + "\n", "elapsed without nonce"},
 		{"no settings", head + `{"type":"enlist","i":1,"init-seed":1}` + "\n", "enlist without setup"},
-		{"no clock", `{"type":"batch","serial":1}` + "\n", "batch without time-ms"},
+		{"missing time", `{"type":"batch","serial":1}` + "\n", "batch without time-ms"},
 		{"event outside a batch", `{"type":"lapsed","i":1,"txn":"a"}` + "\n", "outside a batch"},
 		{"batch in a batch", head + head, "batch inside a batch"},
-		{"cut short", head + `{"type":"lapsed","i":1,"txn":"a"}` + "\n", "input ends inside a batch"},
-		{"cut within a line", head + `{"type":"lap`, "line 2"},
+		{"truncated batch", head + `{"type":"lapsed","i":1,"txn":"a"}` + "\n", "input ends inside a batch"},
+		{"truncated line", head + `{"type":"lap`, "line 2"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			_, err := NewReader(strings.NewReader(c.in)).Read()
 			if err == nil || !strings.Contains(err.Error(), c.want) {
-				t.Errorf("error %v, want one with %q", err, c.want)
+				t.Errorf("got error %v, want one that contains %q", err, c.want)
 			}
 		})
 	}
@@ -90,7 +90,7 @@
 	}
 }
 
-// No input may make the reader panic or read without end.
+// FuzzRead checks that no input makes the reader panic or read without end.
 func FuzzRead(f *testing.F) {
 	f.Add([]byte(head + tail))
 	f.Add([]byte(head + `{"type":"pool","ref":1,"elements":[{"backend":"h:1","units":null}]}` + "\n" + tail))
