--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -1,6 +1,6 @@
-// Package host runs many instances of the decision module in one process, each
-// on its own: it turns the wire's events into the module's and the module's
-// actions into the wire's. It decides nothing.
+// Package host runs many independent instances of the decision module in one process for
+// the simulator. It converts the events of the wire protocol into calls of the module, and
+// the module's actions into actions of the protocol. It takes no decisions of its own.
 package host
 
 import (
@@ -15,32 +15,32 @@
 	"oxbowloft/logic"
 )
 
-// Host holds the instances of one process.
+// Host holds the instances of a process.
 type Host struct {
 	instances map[int]*instance
 	pools     map[int][]wire.PoolEntry
 	actions   []wire.Action
 }
 
-// instance is one balancer with its Actions.
+// instance is a balancer and the implementation of its logic.Actions.
 type instance struct {
-	id         int
-	host       *Host
-	balancer   *logic.Balancer
-	classes    map[string]int
-	listClient *listRequests // nil: lists are pushed
+	id           int
+	host         *Host
+	balancer     *logic.Balancer
+	classes      map[string]int
+	listRequests *listRequests // nil if lists are pushed
 }
 
-// New returns a host without instances.
+// New returns a Host without instances.
 func New() *Host {
 	return &Host{instances: map[int]*instance{}, pools: map[int][]wire.PoolEntry{}}
 }
 
-// Run answers batches from r on w until r ends.
+// Run reads batches from r and writes the replies to w until r ends.
 func Run(r io.Reader, w io.Writer) error {
-	in, out, h := wire.NewReader(r), wire.NewWriter(w), New()
+	reader, writer, h := wire.NewReader(r), wire.NewWriter(w), New()
 	for {
-		batch, err := in.Read()
+		batch, err := reader.Read()
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
@@ -51,26 +51,27 @@
 		if err != nil {
 			return fmt.Errorf("batch %d: %w", batch.Serial, err)
 		}
-		if err := out.Write(batch.Serial, actions); err != nil {
+		if err := writer.Write(batch.Serial, actions); err != nil {
 			return err
 		}
 	}
 }
 
-// HandleBatch handles the events of b in order and returns the actions they led to,
-// good until the next call.
+// HandleBatch handles the events of b in order and returns the resulting actions, which are
+// valid until the next call.
 func (h *Host) HandleBatch(b *wire.Batch) ([]wire.Action, error) {
 	h.actions = h.actions[:0]
 	now := settings.Duration(b.TimeMs)
 	for i := range b.Events {
-		if err := h.event(now, &b.Events[i]); err != nil {
+		if err := h.handleEvent(now, &b.Events[i]); err != nil {
 			return nil, fmt.Errorf("%s: %w", b.Events[i].Type, err)
 		}
 	}
 	return h.actions, nil
 }
 
-func (h *Host) event(now logic.Time, e *wire.Event) error {
+// handleEvent passes an event to the instance that it belongs to.
+func (h *Host) handleEvent(now logic.Time, e *wire.Event) error {
 	switch e.Type {
 	case "pool":
 		h.pools[*e.PoolID] = e.Entries
@@ -105,12 +106,13 @@
 			in.balancer.TimerFired(now, *e.TimerToken)
 		}
 	case "status-back", "neighbour-says", "first":
-		// The module probes nobody, talks to no peer, and waits for an answer's
-		// end whether or not it has begun.
+		// Ignored: the module sends no probes, does not communicate with peers and does not
+		// use the start of a response.
 	}
 	return nil
 }
 
+// enlist starts an instance. It replaces one of the same number.
 func (h *Host) enlist(now logic.Time, e *wire.Event) error {
 	set, err := e.Settings.LogicSettings(*e.Seed)
 	if err != nil {
@@ -122,13 +124,15 @@
 	}
 	h.instances[in.id] = in
 	in.balancer = logic.New(now, set, in)
-	if within, asked := e.Settings.ListsOnRequest(); asked {
-		in.listClient = newListRequests(within, set.Seed)
-		in.scheduleListRequest(in.listClient.pacer.FirstWait())
+	if within, onRequest := e.Settings.ListsOnRequest(); onRequest {
+		in.listRequests = newListRequests(within, set.Seed)
+		in.scheduleListRequest(in.listRequests.pacer.FirstWait())
 	}
 	return nil
 }
 
+// backendsChanged passes a new list of backends to the module, or handles the failure of a
+// list request.
 func (in *instance) backendsChanged(now logic.Time, e *wire.Event) error {
 	if *e.Kind == "FAILED" {
 		in.listRequestFailed(now)
@@ -140,28 +144,30 @@
 	if e.PoolID == nil {
 		return errors.New("no ref")
 	}
-	elements, ok := in.host.pools[*e.PoolID]
+	entries, ok := in.host.pools[*e.PoolID]
 	if !ok {
 		return fmt.Errorf("unknown pool %d", *e.PoolID)
 	}
 	states := map[string]logic.State{"up": logic.Up, "draining": logic.Draining, "removed": logic.Removed}
-	lines := make([]logic.Backend, 0, len(elements))
-	for _, l := range elements {
-		state, ok := states[l.Health]
+	backends := make([]logic.Backend, 0, len(entries))
+	for _, entry := range entries {
+		state, ok := states[entry.Health]
 		if !ok {
-			return fmt.Errorf("backend %s: unknown health %q", l.Backend, l.Health)
+			return fmt.Errorf("backend %s: unknown health %q", entry.Backend, entry.Health)
 		}
-		line := logic.Backend{ID: l.Backend, Zone: l.Zone, Cell: l.Cell, State: state, StartedAt: settings.Duration(l.ReadyAtMs)}
-		if l.CapacityUnits != nil {
-			line.Capacity = *l.CapacityUnits
+		backend := logic.Backend{ID: entry.Backend, Zone: entry.Zone, Cell: entry.Cell, State: state,
+			StartedAt: settings.Duration(entry.ReadyAtMs)}
+		if entry.CapacityUnits != nil {
+			backend.Capacity = *entry.CapacityUnits
 		}
-		lines = append(lines, line)
+		backends = append(backends, backend)
 	}
 	in.listReceived()
-	in.balancer.UpdateList(now, *e.Kind != "INCREMENTAL", lines)
+	in.balancer.UpdateList(now, *e.Kind != "INCREMENTAL", backends)
 	return nil
 }
 
+// resolved reports the outcome of an attempt to the module.
 func (in *instance) resolved(now logic.Time, e *wire.Event) error {
 	results := [...]logic.Result{1: logic.OK, 2: logic.Error, 3: logic.Rejected, 4: logic.TimedOut,
 		5: logic.ConnectFailed, 6: logic.ConnectionLost, 7: logic.Cancelled, 8: logic.NotSent}
@@ -178,9 +184,10 @@
 	return nil
 }
 
-func (in *instance) emit(a wire.Action) {
-	a.Instance = in.id
-	in.host.actions = append(in.host.actions, a)
+// emit adds an action of the instance to the reply.
+func (in *instance) emit(action wire.Action) {
+	action.Instance = in.id
+	in.host.actions = append(in.host.actions, action)
 }
 
 // Send implements logic.Actions.
@@ -189,8 +196,8 @@
 }
 
 // Refuse implements logic.Actions.
-func (in *instance) Refuse(request string, comeBack time.Duration, _ logic.Cause) {
-	in.emit(wire.Action{Type: "reject", RequestID: request, RetryAfterMs: settings.Milliseconds(comeBack)})
+func (in *instance) Refuse(request string, retryAfter time.Duration, _ logic.Cause) {
+	in.emit(wire.Action{Type: "reject", RequestID: request, RetryAfterMs: settings.Milliseconds(retryAfter)})
 }
 
 // Fail implements logic.Actions.
--- a/internal/host/host_test.go
+++ b/internal/host/host_test.go
@@ -40,7 +40,7 @@
 
 func TestExchange(t *testing.T) {
 	in := batch(0, 1) +
-		// List number 0 changes hands within the batch.
+		// Pool 0 is defined twice within the batch, with a different list for each instance.
 		batch(5, 2, enlist(1), pool(0, "a:1"), list(1, 0), enlist(2), pool(0, "b:1"), list(2, 0)) +
 		batch(10, 3, job(1, "r1", "get"), job(2, "r2", "pay")) +
 		batch(20, 4,
@@ -62,7 +62,7 @@
 {"type":"ok","serial":4}
 `
 	if out.String() != want {
-		t.Errorf("got\n%s\nwant\n%s", out.String(), want)
+		t.Errorf("wrote\n%s\nwant\n%s", out.String(), want)
 	}
 }
 
@@ -83,19 +83,19 @@
 func TestMalformed(t *testing.T) {
 	for _, c := range []struct{ name, in, want string }{
 		{"unknown instance", batch(0, 1, job(4, "r", "get")), "unknown instance 4"},
-		{"killed instance", batch(0, 1, enlist(1), `{"type":"retire","i":1}`, job(1, "r", "get")), "unknown instance 1"},
+		{"retired instance", batch(0, 1, enlist(1), `{"type":"retire","i":1}`, job(1, "r", "get")), "unknown instance 1"},
 		{"unknown class", batch(0, 1, enlist(1), job(1, "r", "put")), `unknown class "put"`},
 		{"unknown pool", batch(0, 1, enlist(1), list(1, 5)), "unknown pool 5"},
 		{"unknown code", batch(0, 1, enlist(1), `{"type":"resolved","i":1,"txn":"r","code":9}`), "unknown code 9"},
 		{"unknown health", batch(0, 1, enlist(1), `{"type":"pool","ref":0,"elements":[{"backend":"a:1","health":"well"}]}`,
 			list(1, 0)), `unknown health "well"`},
-		{"cut short", strings.TrimSuffix(batch(0, 1), `{"type":"flush"}`+"\n"), "input ends inside a batch"},
+		{"truncated batch", strings.TrimSuffix(batch(0, 1), `{"type":"flush"}`+"\n"), "input ends inside a batch"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var out bytes.Buffer
 			err := Run(strings.NewReader(c.in), &out)
 			if err == nil || !strings.Contains(err.Error(), c.want) {
-				t.Errorf("error %v, want one with %q", err, c.want)
+				t.Errorf("got error %v, want one that contains %q", err, c.want)
 			}
 			if out.Len() > 0 {
 				t.Errorf("wrote %q after malformed input", out.String())
@@ -104,8 +104,8 @@
 	}
 }
 
-// Where each client process has a balancer: of requests at one time the marked retry goes without, the first
-// tries get through, and what is out when its client leaves is cancelled.
+// In a mesh, of simultaneous requests those marked as a client's retry are refused and the
+// first attempts are sent. An attempt whose client disconnects is cancelled.
 func TestMeshExchange(t *testing.T) {
 	setup := `{"type":"enlist","i":1,"init-seed":7,"setup":{"az":"z1","zones":["z1"],"kind-of-service":"mesh","balancers":2,` +
 		`"discovery":"pushed","stage":0,"classes":[{"name":"get","aim-ms":500,"give-up-ms":1000,"group":"all",` +
--- a/internal/host/lists.go
+++ b/internal/host/lists.go
@@ -10,60 +10,61 @@
 	"oxbowloft/logic"
 )
 
-// firstListToken are the nonces of the waits before calls for the list: from here on, one each.
-// The module's are counted from 1.
+// firstListToken is the base of the tokens of list request timers, which count up from it.
+// The tokens of the module's timers count up from 1.
 const firstListToken = 1 << 52
 
-// listRequests are the calls of one instance for the list.
+// listRequests is the state of the list requests of an instance.
 type listRequests struct {
 	pacer      *pacing.Pacer
-	timerToken uint64     // nonce of the wait under way, or of the last one
-	startedAt  logic.Time // when the call under way began
-	answered   bool       // it has brought a list
+	timerToken uint64     // of the latest timer
+	startedAt  logic.Time // of the latest request
+	answered   bool       // the latest request has brought a list or failed
 }
 
 func newListRequests(within time.Duration, seed uint64) *listRequests {
-	const stream = 1 // of random numbers, beside the module's
+	const stream = 1 // separate from the module's stream of random numbers
 	return &listRequests{
 		pacer:      pacing.NewForService(within, rand.New(rand.NewPCG(seed, stream))),
 		timerToken: firstListToken,
-		answered:   true, // none is under way
+		answered:   true, // no request is outstanding
 	}
 }
 
-// scheduleListRequest makes a call due after a wait, in place of any that was due.
+// scheduleListRequest starts a timer for the next list request. It replaces any earlier timer.
 func (in *instance) scheduleListRequest(wait time.Duration) {
-	in.listClient.timerToken++
-	nonce := in.listClient.timerToken
-	in.emit(wire.Action{Type: "schedule", TimerToken: &nonce, WaitMs: settings.Milliseconds(wait)})
+	in.listRequests.timerToken++
+	token := in.listRequests.timerToken
+	in.emit(wire.Action{Type: "schedule", TimerToken: &token, WaitMs: settings.Milliseconds(wait)})
 }
 
-// listTimerFired takes the end of a wait; one that another has replaced means nothing.
-func (in *instance) listTimerFired(now logic.Time, nonce uint64) {
-	if in.listClient == nil || nonce != in.listClient.timerToken {
+// listTimerFired sends a list request. It ignores timers that have been replaced.
+func (in *instance) listTimerFired(now logic.Time, token uint64) {
+	if in.listRequests == nil || token != in.listRequests.timerToken {
 		return
 	}
-	in.listClient.startedAt, in.listClient.answered = now, false
+	in.listRequests.startedAt, in.listRequests.answered = now, false
 	in.emit(wire.Action{Type: "observe", Enable: true})
 }
 
-// listReceived takes that a list has come.
+// listReceived records that a list has arrived.
 func (in *instance) listReceived() {
-	if in.listClient != nil {
-		in.listClient.answered = true
-		in.listClient.pacer.Succeeded()
+	if in.listRequests != nil {
+		in.listRequests.answered = true
+		in.listRequests.pacer.Succeeded()
 	}
 }
 
-// listRequestFailed takes that a call failed or a watch ended. The wire does not say how.
+// listRequestFailed schedules the next request after a request failed or its watch ended. The
+// simulator's protocol does not report how it failed.
 func (in *instance) listRequestFailed(now logic.Time) {
-	if in.listClient == nil {
+	if in.listRequests == nil {
 		return
 	}
 	var waited time.Duration
-	if !in.listClient.answered {
-		waited = now - in.listClient.startedAt
+	if !in.listRequests.answered {
+		waited = now - in.listRequests.startedAt
 	}
-	in.listClient.answered = true
-	in.scheduleListRequest(in.listClient.pacer.Failed(waited, false))
+	in.listRequests.answered = true
+	in.scheduleListRequest(in.listRequests.pacer.Failed(waited, false))
 }
--- a/internal/host/lists_test.go
+++ b/internal/host/lists_test.go
@@ -8,8 +8,8 @@
 	"oxbowloft/internal/wire"
 )
 
-// Where lists are asked for, each instance asks once its wait is over, again after each
-// failure, and at the end of no wait that another has replaced.
+// If lists have to be requested, an instance requests one when its timer fires and again
+// after each failure. A timer that has been replaced has no effect.
 func TestListRequests(t *testing.T) {
 	h := New()
 	serial := 0
@@ -26,46 +26,46 @@
 		}
 		return append([]wire.Action(nil), actions...)
 	}
-	// wait is the one wait that was asked for.
-	wait := func(actions []wire.Action) (nonce uint64, milliseconds float64) {
+	// wait returns the only action, which has to be a timer.
+	wait := func(actions []wire.Action) (token uint64, milliseconds float64) {
 		t.Helper()
 		if len(actions) != 1 || actions[0].Type != "schedule" {
-			t.Fatalf("got %+v, want one wait", actions)
+			t.Fatalf("got %+v, want one timer", actions)
 		}
 		return *actions[0].TimerToken, actions[0].WaitMs
 	}
-	elapsed := func(nonce uint64) string { return fmt.Sprintf(`{"type":"elapsed","i":1,"nonce":%d}`, nonce) }
+	elapsed := func(token uint64) string { return fmt.Sprintf(`{"type":"elapsed","i":1,"nonce":%d}`, token) }
 	failed := `{"type":"backends-changed","i":1,"kind":"FAILED","seq-no":1}`
 
-	asked := strings.Replace(enlist(1), `"discovery":"pushed"`, `"discovery":"on_request"`, 1)
-	nonce, milliseconds := wait(play(0, asked))
+	onRequest := strings.Replace(enlist(1), `"discovery":"pushed"`, `"discovery":"on_request"`, 1)
+	token, milliseconds := wait(play(0, onRequest))
 	if milliseconds < 250 || milliseconds > 750 {
 		t.Errorf("the first wait is %v ms", milliseconds)
 	}
-	if got := play(500, elapsed(nonce)); len(got) != 1 || got[0].Type != "observe" || !got[0].Enable {
-		t.Errorf("at the end of the wait got %+v", got)
+	if got := play(500, elapsed(token)); len(got) != 1 || got[0].Type != "observe" || !got[0].Enable {
+		t.Errorf("after the first timer got %+v", got)
 	}
-	first, milliseconds := wait(play(2500, failed)) // after 2 s in vain
+	first, milliseconds := wait(play(2500, failed)) // 2 s after the request
 	if milliseconds < 2000 || milliseconds > 6000 {
-		t.Errorf("after a call that waited 2 s the wait is %v ms", milliseconds)
+		t.Errorf("after a request that failed after 2 s the wait is %v ms", milliseconds)
 	}
 	second, _ := wait(play(2600, failed))
 	if got := play(9000, elapsed(first)); len(got) != 0 {
-		t.Errorf("at the end of a wait that another has replaced got %+v", got)
+		t.Errorf("after a timer that has been replaced got %+v", got)
 	}
 	if got := play(9500, elapsed(second)); len(got) != 1 || got[0].Type != "observe" {
-		t.Errorf("at the end of the wait got %+v", got)
+		t.Errorf("after the second timer got %+v", got)
 	}
-	if got := play(9600, elapsed(nonce)); len(got) != 0 {
-		t.Errorf("at the end of an old wait got %+v", got)
+	if got := play(9600, elapsed(token)); len(got) != 0 {
+		t.Errorf("after an old timer got %+v", got)
 	}
 	play(9700, pool(0, "a:1"), list(1, 0))
-	_, milliseconds = wait(play(70000, failed)) // the watch had told a list
+	_, milliseconds = wait(play(70000, failed)) // the watch had brought a list
 	if milliseconds > 750 {
-		t.Errorf("after a watch that told a list the wait is %v ms", milliseconds)
+		t.Errorf("after a watch that brought a list the wait is %v ms", milliseconds)
 	}
-	// Where lists are pushed, none is asked for.
+	// If lists are pushed, none is requested.
 	if got := play(71000, enlist(2)); len(got) != 0 {
-		t.Errorf("where lists are pushed got %+v", got)
+		t.Errorf("with pushed lists got %+v", got)
 	}
 }
