--- a/internal/sourcecheck/sourcecheck.go
+++ b/internal/sourcecheck/sourcecheck.go
@@ -1,3 +1,3 @@
-// Package sourcecheck has tests over the project's own source: what a compiler can't see
-// and a reader forgets. It has no code of its own.
+// Package sourcecheck has tests that check the project's own source for rules that the
+// compiler can't enforce. It has no code of its own.
 package sourcecheck
--- a/internal/sourcecheck/wallclock_test.go
+++ b/internal/sourcecheck/wallclock_test.go
@@ -12,28 +12,27 @@
 	"testing"
 )
 
-// wallClockCalls are functions and methods that read the wall clock of a time, or take its
-// monotonic reading away. A span that is measured with one changes when the clock is
-// stepped.
+// wallClockCalls are functions and methods that read the wall clock or strip the monotonic
+// clock reading of a time. A duration measured with them is wrong if the clock is stepped.
 var wallClockCalls = map[string]bool{
 	"Unix": true, "UnixMilli": true, "UnixMicro": true, "UnixNano": true,
 	"UTC": true, "Local": true, "AddDate": true, "Date": true, "ModTime": true,
 	"Gettimeofday": true, "ClockGettime": true,
 }
 
-// allowedCalls are the places that may read the wall clock, with the reason.
+// allowedCalls are the files and calls that may read the wall clock, with the reason.
 var allowedCalls = map[string]string{
-	"internal/soak/registry.go: UnixMilli":   "the stamps of starts that the stand-in for discovery gives",
-	"proxy/clock.go: UnixNano":               "the stamps of starts that discovery gives are Unix time; read once, at the start",
-	"internal/scale/report/markdown.go: UTC": "the date of a run in its report",
-	"proxy/state.go: ModTime":                "compared for equality with itself alone, to see that a file is another",
-	"internal/http1/conn.go: Unix":           "a moment long past, for a deadline that is over whatever the clock says",
-	"fleet/agree/store_record.go: Unix":      "stored beside an entry of the log, as the library wants; nothing is decided by it",
+	"internal/soak/registry.go: UnixMilli":   "start timestamps that the discovery test server reports",
+	"proxy/clock.go: UnixNano":               "start timestamps from discovery are Unix time; read once, at the start",
+	"internal/scale/report/markdown.go: UTC": "date of a run in its report",
+	"proxy/state.go: ModTime":                "only compared for equality, to detect that a file has changed",
+	"internal/http1/conn.go: Unix":           "constant time in the past, for a deadline that has expired whatever the clock says",
+	"fleet/agree/store_record.go: Unix":      "stored with a log entry, as the library requires; no decision depends on it",
 	"fleet/agree/store_record.go: UnixNano":  "the same",
 }
 
-// No decision, wait or deadline reads the wall clock, which may be stepped: spans are of
-// monotonic time.
+// No decision, wait or deadline may read the wall clock, which may be stepped: durations are
+// measured in monotonic time.
 func TestNoWallClock(t *testing.T) {
 	root := filepath.Join("..", "..")
 	used := map[string]bool{}
@@ -46,10 +45,10 @@
 			if err != nil {
 				return err
 			}
-			return checkFile(path, func(line int, reading string) {
-				key := fmt.Sprintf("%s: %s", filepath.ToSlash(name), reading)
+			return checkFile(path, func(line int, function string) {
+				key := fmt.Sprintf("%s: %s", filepath.ToSlash(name), function)
 				if allowedCalls[key] == "" {
-					t.Errorf("%s:%d: %s reads the wall clock", name, line, reading)
+					t.Errorf("%s:%d: %s reads the wall clock", name, line, function)
 				}
 				used[key] = true
 			})
@@ -60,13 +59,13 @@
 	}
 	for key := range allowedCalls {
 		if !used[key] {
-			t.Errorf("%s is allowed and not used", key)
+			t.Errorf("%s is allowed but does not occur", key)
 		}
 	}
 }
 
-// checkFile tells found of each reading of the wall clock in a file.
-func checkFile(path string, found func(line int, reading string)) error {
+// checkFile calls report for each call in a file that reads the wall clock.
+func checkFile(path string, report func(line int, function string)) error {
 	files := token.NewFileSet()
 	file, err := parser.ParseFile(files, path, nil, 0)
 	if err != nil {
@@ -83,14 +82,15 @@
 		}
 		name := function.Sel.Name
 		if wallClockCalls[name] || stripsMonotonicReading(name, call.Args) {
-			found(files.Position(call.Pos()).Line, name)
+			report(files.Position(call.Pos()).Line, name)
 		}
 		return true
 	})
 	return nil
 }
 
-// stripsMonotonicReading tells whether a call is the idiom that takes a time's monotonic reading away.
+// stripsMonotonicReading reports whether a call is Round(0) or Truncate(0), the idiom that strips the
+// monotonic clock reading of a time.
 func stripsMonotonicReading(name string, args []ast.Expr) bool {
 	if name != "Round" && name != "Truncate" || len(args) != 1 {
 		return false
@@ -99,17 +99,17 @@
 	return ok && literal.Value == "0"
 }
 
-// A planted reading of each kind is found.
+// checkFile finds each kind of wall clock call in a generated file.
 func TestWallClockCallsAreFound(t *testing.T) {
-	for _, reading := range []string{"t.UnixNano()", "time.Unix(0, 1)", "t.Round(0)", "t.UTC()", "info.ModTime()"} {
-		path := filepath.Join(t.TempDir(), "planted.go")
-		text := "package p\nfunc f() { _ = " + reading + " }\n"
+	for _, call := range []string{"t.UnixNano()", "time.Unix(0, 1)", "t.Round(0)", "t.UTC()", "info.ModTime()"} {
+		path := filepath.Join(t.TempDir(), "generated.go")
+		text := "package p\nfunc f() { _ = " + call + " }\n"
 		if err := writeFile(path, text); err != nil {
 			t.Fatal(err)
 		}
 		count := 0
 		if err := checkFile(path, func(int, string) { count++ }); err != nil || count != 1 {
-			t.Errorf("%s: found %d times, %v", reading, count, err)
+			t.Errorf("%s: found %d times, %v", call, count, err)
 		}
 	}
 }
