--- a/internal/http1/conn.go
+++ b/internal/http1/conn.go
@@ -310,8 +310,8 @@
 
 // ReadRequest reads a request with its body, or with the first part of a long body, whose
 // remainder it returns. The error is io.EOF if the connection ended between messages.
-func (c *Conn) ReadRequest() (req *http.Request, body []byte, rest *RemainingBody, err error) {
-	body, rest, err = c.parseMessage(true, func(br *bufio.Reader) (parsedBody, error) {
+func (c *Conn) ReadRequest() (req *http.Request, body []byte, remaining *RemainingBody, err error) {
+	body, remaining, err = c.parseMessage(true, func(br *bufio.Reader) (parsedBody, error) {
 		if req, err = http.ReadRequest(br); err != nil {
 			return parsedBody{}, err
 		}
@@ -323,7 +323,7 @@
 		}
 		return c.readBody(context.Background(), br, req.Body, req.ContentLength, time.Time{})
 	})
-	return req, body, rest, err
+	return req, body, remaining, err
 }
 
 // maxInterimResponses is how many 1xx responses may precede the final one.
@@ -341,12 +341,12 @@
 //
 // To abort the call, cancel ctx first and then set an expired deadline on the connection:
 // ReadResponse or its caller may overwrite the deadline, but not the cancellation.
-func (c *Conn) ReadResponse(ctx context.Context, deadline time.Time) (resp *http.Response, body []byte, rest *RemainingBody, err error) {
+func (c *Conn) ReadResponse(ctx context.Context, deadline time.Time) (resp *http.Response, body []byte, remaining *RemainingBody, err error) {
 	if err := ctx.Err(); err != nil {
 		return nil, nil, nil, err
 	}
 	for range maxInterimResponses {
-		body, rest, err = c.parseMessage(false, func(br *bufio.Reader) (parsedBody, error) {
+		body, remaining, err = c.parseMessage(false, func(br *bufio.Reader) (parsedBody, error) {
 			if resp, err = http.ReadResponse(br, nil); err != nil {
 				return parsedBody{}, err
 			}
@@ -366,7 +366,7 @@
 			return parsed, err
 		})
 		if err != nil || resp.StatusCode >= 200 {
-			return resp, body, rest, err
+			return resp, body, remaining, err
 		}
 	}
 	return nil, nil, nil, malformed("too many interim responses")
--- a/internal/http1/conn_test.go
+++ b/internal/http1/conn_test.go
@@ -89,12 +89,12 @@
 }
 
 func TestRequestErrors(t *testing.T) {
-	post := func(head, body string) string { return "POST / HTTP/1.1\r\nHost: h\r\n" + head + "\r\n\r\n" + body }
+	post := func(header, body string) string { return "POST / HTTP/1.1\r\nHost: h\r\n" + header + "\r\n\r\n" + body }
 	for _, c := range []struct {
 		name, text string
 		want       error
 	}{
-		{"nothing", "", io.EOF},
+		{"no bytes", "", io.EOF},
 		{"empty lines only", "\r\n\r\n", io.EOF},
 		{"incomplete header", "GET / HT", io.ErrUnexpectedEOF},
 		{"incomplete body", post("Content-Length: 5", "abc"), io.ErrUnexpectedEOF},
@@ -138,7 +138,7 @@
 // would otherwise exceed the memory limit.
 func TestBufferIsBounded(t *testing.T) {
 	c := NewConn(splitAt("POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n" + strings.Repeat("1\r\nx\r\n", 70000)))
-	if _, body, rest, err := c.ReadRequest(); err != nil || len(body) <= MaxBufferedBodyBytes || rest == nil {
+	if _, body, remaining, err := c.ReadRequest(); err != nil || len(body) <= MaxBufferedBodyBytes || remaining == nil {
 		t.Fatal(err)
 	}
 	if len(c.buf) > MaxHeaderBytes+MaxBufferedBodyBytes+20<<10 {
@@ -147,8 +147,8 @@
 }
 
 func TestExpectContinue(t *testing.T) {
-	head := "POST / HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n"
-	p := splitAt(head+"hi", len(head))
+	header := "POST / HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n"
+	p := splitAt(header+"hi", len(header))
 	if _, body, _, err := NewConn(p).ReadRequest(); err != nil || string(body) != "hi" {
 		t.Fatalf("got %q, %v", body, err)
 	}
@@ -176,7 +176,7 @@
 		{"neither length nor body", "HTTP/1.1 200 OK\r\n\r\n", "", 0, false, io.ErrUnexpectedEOF},
 		{"Connection: close", "HTTP/1.1 500 X\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", "", 500, true, nil},
 		{"after a 100", "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", "ok", 200, false, nil},
-		{"nothing", "", "", 0, false, io.EOF},
+		{"no bytes", "", "", 0, false, io.EOF},
 		{"connection ends in the body", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nok", "", 0, false, io.ErrUnexpectedEOF},
 		{"garbage", "SSH-2.0-x\r\n\r\n", "", 0, false, ErrMalformed},
 	} {
@@ -234,14 +234,14 @@
 			t.Fatal(err)
 		}
 	}
-	for _, ahead := range []struct {
+	for _, unread := range []struct {
 		name   string
 		bytes  string
 		before func(*Conn)
 	}{
 		{"nothing unread", "", func(*Conn) {}},
-		{"unread in the kernel", "half a line", func(*Conn) {}},
-		{"unread in the buffer", "half a line", read},
+		{"unread in the kernel", "incomplete line", func(*Conn) {}},
+		{"unread in the buffer", "incomplete line", read},
 	} {
 		for name, end := range map[string]func(*net.TCPConn){
 			"open":       nil,
@@ -253,23 +253,23 @@
 			},
 		} {
 			c, far := tcpPair(t)
-			io.WriteString(far, ahead.bytes)
-			ahead.before(c)
+			io.WriteString(far, unread.bytes)
+			unread.before(c)
 			if c.PeerClosed() {
-				t.Errorf("%s, %s: reported as closed while open", name, ahead.name)
+				t.Errorf("%s, %s: reported as closed while open", name, unread.name)
 			}
 			if end == nil {
 				continue
 			}
 			end(far.(*net.TCPConn))
-			eventually(t, name+", "+ahead.name+": detected", c.PeerClosed)
+			eventually(t, name+", "+unread.name+": detected", c.PeerClosed)
 			// PeerClosed consumes nothing: all bytes can be read, and the close stays visible.
 			got, _ := io.ReadAll(c)
-			if all := string(c.buf[c.bufStart:c.bufEnd]) + string(got); all != ahead.bytes {
-				t.Errorf("%s, %s: then read %q, want %q", name, ahead.name, all, ahead.bytes)
+			if all := string(c.buf[c.bufStart:c.bufEnd]) + string(got); all != unread.bytes {
+				t.Errorf("%s, %s: then read %q, want %q", name, unread.name, all, unread.bytes)
 			}
 			if !c.PeerClosed() {
-				t.Errorf("%s, %s: reported as open after the bytes were read", name, ahead.name)
+				t.Errorf("%s, %s: reported as open after the bytes were read", name, unread.name)
 			}
 		}
 	}
@@ -326,18 +326,18 @@
 		if at < 0 || at > len(text) {
 			at = len(text)
 		}
-		whole, cut := NewConn(splitAt(string(text))), NewConn(splitAt(string(text), at))
+		whole, split := NewConn(splitAt(string(text))), NewConn(splitAt(string(text), at))
 		for range len(text) + 1 {
 			r1, b1, _, err1 := whole.ReadRequest()
-			r2, b2, _, err2 := cut.ReadRequest()
+			r2, b2, _, err2 := split.ReadRequest()
 			if (err1 == nil) != (err2 == nil) || !bytes.Equal(b1, b2) {
-				t.Fatalf("whole: %q %v, cut at %d: %q %v", b1, err1, at, b2, err2)
+				t.Fatalf("whole: %q %v, split at %d: %q %v", b1, err1, at, b2, err2)
 			}
 			if err1 != nil {
 				return
 			}
 			if r1.RequestURI != r2.RequestURI || len(b1) > MaxBufferedBodyBytes {
-				t.Fatalf("whole: %s, cut: %s, body of %d", r1.RequestURI, r2.RequestURI, len(b1))
+				t.Fatalf("whole: %s, split: %s, body of %d", r1.RequestURI, r2.RequestURI, len(b1))
 			}
 		}
 		t.Fatal("more messages than bytes")
@@ -356,10 +356,10 @@
 		r1, b1, _, err1 := NewConn(splitAt(string(text))).ReadResponse(context.Background(), time.Time{})
 		r2, b2, _, err2 := NewConn(splitAt(string(text), at)).ReadResponse(context.Background(), time.Time{})
 		if (err1 == nil) != (err2 == nil) || !bytes.Equal(b1, b2) {
-			t.Fatalf("whole: %q %v, cut at %d: %q %v", b1, err1, at, b2, err2)
+			t.Fatalf("whole: %q %v, split at %d: %q %v", b1, err1, at, b2, err2)
 		}
 		if err1 == nil && r1.StatusCode != r2.StatusCode {
-			t.Fatalf("whole: %d, cut: %d", r1.StatusCode, r2.StatusCode)
+			t.Fatalf("whole: %d, split: %d", r1.StatusCode, r2.StatusCode)
 		}
 	})
 }
@@ -389,27 +389,27 @@
 func TestRemainingBody(t *testing.T) {
 	body := patternedBody(300_000)
 	next := "GET /next HTTP/1.1\r\nHost: h\r\n\r\n"
-	head := "POST /long HTTP/1.1\r\nHost: h\r\n"
+	header := "POST /long HTTP/1.1\r\nHost: h\r\n"
 	for _, c := range []struct {
 		name, text string
 		size       int64
 	}{
-		{"with a length", head + "Content-Length: 300000\r\n\r\n" + string(body), 300_000},
-		{"one chunk", head + "Transfer-Encoding: chunked\r\n\r\n" + encodeChunks(body, len(body)), -1},
-		{"chunks of 1000", head + "Transfer-Encoding: chunked\r\n\r\n" + encodeChunks(body, 1000), -1},
-		{"chunks of 11", head + "Transfer-Encoding: chunked\r\n\r\n" + encodeChunks(body, 11), -1},
+		{"with a length", header + "Content-Length: 300000\r\n\r\n" + string(body), 300_000},
+		{"one chunk", header + "Transfer-Encoding: chunked\r\n\r\n" + encodeChunks(body, len(body)), -1},
+		{"chunks of 1000", header + "Transfer-Encoding: chunked\r\n\r\n" + encodeChunks(body, 1000), -1},
+		{"chunks of 11", header + "Transfer-Encoding: chunked\r\n\r\n" + encodeChunks(body, 11), -1},
 	} {
 		for _, at := range [][]int{{}, {60}, {100, 101, 102, 70_000}, {len(c.text) - 1}, {len(c.text) + 3}} {
 			conn := NewConn(splitAt(c.text+next, at...))
-			req, first, rest, err := conn.ReadRequest()
-			if err != nil || rest == nil || rest.TotalSize != c.size || req.RequestURI != "/long" {
-				t.Fatalf("%s, split at %v: remaining body %v, %v", c.name, at, rest, err)
+			req, first, remaining, err := conn.ReadRequest()
+			if err != nil || remaining == nil || remaining.TotalSize != c.size || req.RequestURI != "/long" {
+				t.Fatalf("%s, split at %v: remaining body %v, %v", c.name, at, remaining, err)
 			}
-			if rest.ReadStarted() {
+			if remaining.ReadStarted() {
 				t.Errorf("%s: started before it is read", c.name)
 			}
 			sink := &scriptedConn{}
-			err = NewStreamPool(1).Forward(NewConn(sink), rest, true, func(int64) error { return nil })
+			err = NewStreamPool(1).Forward(NewConn(sink), remaining, true, func(int64) error { return nil })
 			if got := append(first, sink.out.Bytes()...); err != nil || !bytes.Equal(got, body) {
 				t.Fatalf("%s, split at %v: %d bytes of %d, %v", c.name, at, len(got), len(body), err)
 			}
@@ -426,39 +426,39 @@
 // A remaining body that is truncated, malformed or too long is reported as such, and a
 // chunked one is forwarded in chunks with the same content.
 func TestRemainingBodyErrors(t *testing.T) {
-	head := "POST /long HTTP/1.1\r\nHost: h\r\n"
+	header := "POST /long HTTP/1.1\r\nHost: h\r\n"
 	long := strings.Repeat("x", 100_000)
 	for _, c := range []struct {
 		name, text string
 		want       error
 	}{
-		{"truncated", head + "Content-Length: 200000\r\n\r\n" + long, io.ErrUnexpectedEOF},
-		{"truncated inside a chunk", head + "Transfer-Encoding: chunked\r\n\r\n20000\r\n" + long, io.ErrUnexpectedEOF},
-		{"malformed chunk", head + "Transfer-Encoding: chunked\r\n\r\n186a0\r\n" + long + "\r\nzz\r\n", ErrMalformed},
-		{"too long, chunked", head + "Transfer-Encoding: chunked\r\n\r\n" +
+		{"truncated", header + "Content-Length: 200000\r\n\r\n" + long, io.ErrUnexpectedEOF},
+		{"truncated inside a chunk", header + "Transfer-Encoding: chunked\r\n\r\n20000\r\n" + long, io.ErrUnexpectedEOF},
+		{"malformed chunk", header + "Transfer-Encoding: chunked\r\n\r\n186a0\r\n" + long + "\r\nzz\r\n", ErrMalformed},
+		{"too long, chunked", header + "Transfer-Encoding: chunked\r\n\r\n" +
 			strings.Repeat("186a0\r\n"+long+"\r\n", MaxStreamedBodyBytes/100_000+1), ErrBodyTooLarge},
 	} {
 		conn := NewConn(splitAt(c.text, 50))
-		_, _, rest, err := conn.ReadRequest()
-		if err != nil || rest == nil {
-			t.Fatalf("%s: %v, %v", c.name, rest, err)
+		_, _, remaining, err := conn.ReadRequest()
+		if err != nil || remaining == nil {
+			t.Fatalf("%s: %v, %v", c.name, remaining, err)
 		}
-		if err := rest.Discard(NewStreamPool(1)); !errors.Is(err, c.want) {
+		if err := remaining.Discard(NewStreamPool(1)); !errors.Is(err, c.want) {
 			t.Errorf("%s: got %v, want %v", c.name, err, c.want)
 		}
-		rest.Abandon()
+		remaining.Abandon()
 	}
 
 	body := patternedBody(200_000)
-	conn := NewConn(splitAt(head+"Transfer-Encoding: chunked\r\n\r\n"+encodeChunks(body, 999), 77))
-	_, first, rest, err := conn.ReadRequest()
+	conn := NewConn(splitAt(header+"Transfer-Encoding: chunked\r\n\r\n"+encodeChunks(body, 999), 77))
+	_, first, remaining, err := conn.ReadRequest()
 	if err != nil {
 		t.Fatal(err)
 	}
 	sink := &scriptedConn{}
 	sink.out.WriteString("POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n")
 	sink.Write(EncodeChunk(first))
-	err = NewStreamPool(1).Forward(NewConn(sink), rest, false, func(int64) error { return nil })
+	err = NewStreamPool(1).Forward(NewConn(sink), remaining, false, func(int64) error { return nil })
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/http1/errno_test.go
+++ b/internal/http1/errno_test.go
@@ -52,9 +52,9 @@
 			plain, _ := tcpPair(t)
 			socket := plain.Conn.(*net.TCPConn)
 			broken := &brokenConn{TCPConn: socket, received: "HTTP/1.1 200 OK\r\n\r\nhalf an ans", errno: errno}
-			_, body, rest, err := NewConn(broken).ReadResponse(context.Background(), time.Now().Add(10*time.Second))
+			_, body, remaining, err := NewConn(broken).ReadResponse(context.Background(), time.Now().Add(10*time.Second))
 			if err == nil {
-				t.Errorf("a broken response was read as complete or as a first part: %q, remaining body %v", body, rest != nil)
+				t.Errorf("a broken response was read as complete or as a first part: %q, remaining body %v", body, remaining != nil)
 			}
 
 			closed := make(chan bool, 2)
--- a/internal/http1/pipelining_test.go
+++ b/internal/http1/pipelining_test.go
@@ -17,8 +17,8 @@
 
 // paddedRequest returns a request of n bytes with a body of 10 bytes.
 func paddedRequest(n int) string {
-	const head, body = "POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: 10\r\nX: ", "\r\n\r\n0123456789"
-	return head + strings.Repeat("x", n-len(head)-len(body)) + body
+	const header, body = "POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: 10\r\nX: ", "\r\n\r\n0123456789"
+	return header + strings.Repeat("x", n-len(header)-len(body)) + body
 }
 
 // awaitUnread waits until the kernel holds n unread bytes.
@@ -73,7 +73,7 @@
 	for name, flood := range map[string]string{
 		"requests":    strings.Repeat("GET /x HTTP/1.1\r\nHost: h\r\n\r\n", 20_000),
 		"empty lines": strings.Repeat("\r\n", 200_000),
-		"noise":       strings.Repeat("\x00", 200_000),
+		"binary data": strings.Repeat("\x00", 200_000),
 	} {
 		for _, watched := range []bool{false, true} {
 			near, far := tcpPair(t)
@@ -115,7 +115,7 @@
 		name, text string
 		malformed  error // nil: only truncated
 	}{
-		{"nothing", "", nil},
+		{"no bytes", "", nil},
 		{"empty lines", "\r\n\r\n", nil},
 		{"in the method", "PO", nil},
 		{"in a header", post + "Content-Le", nil},
@@ -127,7 +127,7 @@
 		{"after a chunk", post + "Transfer-Encoding: chunked\r\n\r\n3\r\nabc", nil},
 		{"in the trailer", post + "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\nX: y\r\n", nil},
 		{"in a long chunk", post + "Transfer-Encoding: chunked\r\n\r\n30000\r\n" + long, nil},
-		{"noise", "\x16\x03\x01", ErrMalformed},
+		{"binary data", "\x16\x03\x01", ErrMalformed},
 		{"invalid size line", post + "Transfer-Encoding: chunked\r\n\r\nzz\r\n", ErrMalformed},
 		{"no line end after a chunk", post + "Transfer-Encoding: chunked\r\n\r\n3\r\nabcdef", ErrMalformed},
 		{"a long header", post + "X: " + long, ErrHeaderTooLarge},
@@ -143,9 +143,9 @@
 					reset(far.(*net.TCPConn))
 				}
 			}()
-			_, _, rest, err := c.ReadRequest()
-			if err == nil && rest != nil {
-				err = rest.Discard(NewStreamPool(1))
+			_, _, remaining, err := c.ReadRequest()
+			if err == nil && remaining != nil {
+				err = remaining.Discard(NewStreamPool(1))
 			}
 			want := r.malformed
 			switch {
--- a/internal/http1/truncation_test.go
+++ b/internal/http1/truncation_test.go
@@ -52,12 +52,12 @@
 
 // readResponse reads a response to its end and reports whether it was streamed.
 func readResponse(c *Conn, deadline time.Time) (body []byte, streamed bool, err error) {
-	_, body, rest, err := c.ReadResponse(context.Background(), deadline)
-	if err != nil || rest == nil {
+	_, body, remaining, err := c.ReadResponse(context.Background(), deadline)
+	if err != nil || remaining == nil {
 		return body, false, err
 	}
 	for buf := make([]byte, 5000); ; {
-		n, err := rest.Read(buf)
+		n, err := remaining.Read(buf)
 		body = append(body, buf[:n]...)
 		if err == io.EOF {
 			return body, true, nil
@@ -108,13 +108,13 @@
 // complete. A reset does not complete a close-delimited response either.
 func TestTruncatedResponseIsNotComplete(t *testing.T) {
 	for _, a := range truncatedResponses() {
-		head := strings.LastIndex(a.text, "\r\n\r\n")
+		headerEnd := strings.LastIndex(a.text, "\r\n\r\n")
 		if !a.framed || strings.HasPrefix(a.name, "length") {
-			head = strings.Index(a.text, "\r\n\r\n")
+			headerEnd = strings.Index(a.text, "\r\n\r\n")
 		}
 		for _, at := range a.cutPositions() {
 			for _, by := range []string{"close", "reset"} {
-				complete := by == "close" && !a.framed && at > head+4
+				complete := by == "close" && !a.framed && at > headerEnd+4
 				for _, deadline := range []time.Time{{}, time.Now().Add(time.Minute)} {
 					c, _, far := newScriptedSocket(t)
 					go func() {
@@ -126,7 +126,7 @@
 						}
 					}()
 					body, _, err := readResponse(c, deadline)
-					if complete && (err != nil || string(body) != a.text[head+4:at]) || !complete && err == nil {
+					if complete && (err != nil || string(body) != a.text[headerEnd+4:at]) || !complete && err == nil {
 						t.Errorf("%s, %s at %d of %d: got %d bytes, %v", a.name, by, at, len(a.text), len(body), err)
 					}
 					c.Close()
@@ -139,7 +139,7 @@
 // The same if the reset or the close has arrived before the read, and if it arrives only
 // after all bytes before it have been read.
 func TestResetDoesNotCompleteResponse(t *testing.T) {
-	const head = "HTTP/1.0 200 OK\r\n\r\n"
+	const header = "HTTP/1.0 200 OK\r\n\r\n"
 	long := string(patternedBody(MaxBufferedBodyBytes + 10_000))
 	for _, order := range []string{"with the header", "after the header", "with the body", "after the body", "after the first part", "after a long first part"} {
 		for _, by := range []string{"close", "reset"} {
@@ -158,13 +158,13 @@
 				want, wantStreamed := "body", false
 				switch order {
 				case "with the header":
-					s.steps, want = []func(){both(send(head), closePeer)}, ""
+					s.steps, want = []func(){both(send(header), closePeer)}, ""
 				case "after the header":
-					s.steps, want = []func(){send(head), closePeer}, ""
+					s.steps, want = []func(){send(header), closePeer}, ""
 				case "with the body":
-					s.steps = []func(){both(send(head+want), closePeer)}
+					s.steps = []func(){both(send(header+want), closePeer)}
 				case "after the body":
-					s.steps = []func(){send(head + "bo"), send("dy"), closePeer}
+					s.steps = []func(){send(header + "bo"), send("dy"), closePeer}
 				case "after the first part":
 					if deadline.IsZero() {
 						continue // the body is not streamed
@@ -177,28 +177,28 @@
 							s.steps = []func(){func() {}, closePeer} // the read that times out, then the next
 						}
 					}
-					s.steps = []func(){send(head + "body")}
+					s.steps = []func(){send(header + "body")}
 				case "after a long first part":
 					wantStreamed, want = true, long
-					go io.WriteString(far, head+long)
+					go io.WriteString(far, header+long)
 					s.onReadDeadline = nil
 				}
 				if order == "after a long first part" {
-					_, body, rest, err := c.ReadResponse(context.Background(), deadline)
-					if err != nil || rest == nil {
-						t.Fatalf("%s: %v, %v", order, rest, err)
+					_, body, remaining, err := c.ReadResponse(context.Background(), deadline)
+					if err != nil || remaining == nil {
+						t.Fatalf("%s: %v, %v", order, remaining, err)
 					}
 					for len(body) < len(long) {
 						buf := make([]byte, len(long)-len(body))
-						n, err := rest.Read(buf)
+						n, err := remaining.Read(buf)
 						if err != nil {
 							t.Fatal(err)
 						}
 						body = append(body, buf[:n]...)
 					}
 					closePeer()
-					n, err := rest.Read(make([]byte, 10))
-					if secondN, secondErr := rest.Read(make([]byte, 10)); secondN != 0 || (secondErr == io.EOF) != (by == "close") {
+					n, err := remaining.Read(make([]byte, 10))
+					if secondN, secondErr := remaining.Read(make([]byte, 10)); secondN != 0 || (secondErr == io.EOF) != (by == "close") {
 						t.Errorf("%s, %s: the second read returned %d, %v", order, by, secondN, secondErr)
 					}
 					if n != 0 || (err == io.EOF) != (by == "close") || string(body) != long {
@@ -240,9 +240,9 @@
 			eventually(t, "the peer's close is detected", c.PeerClosed)
 			time.Sleep(time.Until(at)) // delays the reader until its deadline for the first part is over
 		}
-		_, body, rest, err := c.ReadResponse(context.Background(), deadline)
-		if rest != nil || (err == nil) != (by == "close") || err == nil && string(body) != "half" {
-			t.Errorf("%s: got %q, remaining body %v, %v", by, body, rest, err)
+		_, body, remaining, err := c.ReadResponse(context.Background(), deadline)
+		if remaining != nil || (err == nil) != (by == "close") || err == nil && string(body) != "half" {
+			t.Errorf("%s: got %q, remaining body %v, %v", by, body, remaining, err)
 		}
 	}
 }
@@ -310,9 +310,9 @@
 			abort()
 			s.TCPConn.SetReadDeadline(deadline)
 		}
-		_, body, rest, err := c.ReadResponse(ctx, deadline)
-		if !errors.Is(err, context.Canceled) || rest != nil {
-			t.Errorf("%s: got %q, remaining body %v, %v", when, body, rest, err)
+		_, body, remaining, err := c.ReadResponse(ctx, deadline)
+		if !errors.Is(err, context.Canceled) || remaining != nil {
+			t.Errorf("%s: got %q, remaining body %v, %v", when, body, remaining, err)
 		}
 		cancel()
 	}
@@ -336,7 +336,7 @@
 		{"a trailer without end", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n", "X: y\r\n", ErrMalformed},
 		{"a body without end", "HTTP/1.1 200 OK\r\n\r\n", strings.Repeat("x", 4096), ErrBodyTooLarge},
 		{"chunks without end", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", "1000\r\n" + strings.Repeat("x", 4096) + "\r\n", ErrBodyTooLarge},
-		{"noise", "\x00\xff\x16\x03", "", ErrMalformed},
+		{"binary data", "\x00\xff\x16\x03", "", ErrMalformed},
 	} {
 		c, _, far := newScriptedSocket(t)
 		done := make(chan bool)
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -85,14 +85,14 @@
 
 // Read returns the next batch, or io.EOF if the input ends between batches.
 func (r *Reader) Read() (*Batch, error) {
-	head, err := r.readEvent()
+	first, err := r.readEvent()
 	if err != nil {
 		return nil, err
 	}
-	if head.Type != "batch" {
-		return nil, fmt.Errorf("line %d: %q outside a batch", r.lineNumber, head.Type)
+	if first.Type != "batch" {
+		return nil, fmt.Errorf("line %d: %q outside a batch", r.lineNumber, first.Type)
 	}
-	b := &Batch{TimeMs: *head.TimeMs, Serial: *head.Serial}
+	b := &Batch{TimeMs: *first.TimeMs, Serial: *first.Serial}
 	for {
 		e, err := r.readEvent()
 		switch {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	head = `{"type":"batch","time-ms":10.5,"serial":3}` + "\n"
-	tail = `{"type":"flush"}` + "\n"
+	batchStart = `{"type":"batch","time-ms":10.5,"serial":3}` + "\n"
+	batchEnd   = `{"type":"flush"}` + "\n"
 )
 
 func TestRead(t *testing.T) {
-	r := NewReader(strings.NewReader(head +
+	r := NewReader(strings.NewReader(batchStart +
 		`{"type":"job-in","i":0,"txn":"a","kind":"k","budget-ms":240.0,"some-new-field":{"x":[1]}}` + "\n" +
 		`{"type":"resolved","i":0,"txn":"a","shot":1,"backend":"h:1","code":4,"latency-ms":1.5,"pressure":[1,2]}` +
-		"\n" + tail + head + tail))
+		"\n" + batchEnd + batchStart + batchEnd))
 	b, err := r.Read()
 	if err != nil {
 		t.Fatal(err)
@@ -41,7 +41,7 @@
 
 func TestLongLine(t *testing.T) {
 	id := strings.Repeat("x", 1<<18)
-	r := NewReader(strings.NewReader(head + `{"type":"lapsed","i":1,"txn":"` + id + `"}` + "\n" + tail))
+	r := NewReader(strings.NewReader(batchStart + `{"type":"lapsed","i":1,"txn":"` + id + `"}` + "\n" + batchEnd))
 	b, err := r.Read()
 	if err != nil || *b.Events[0].RequestID != id {
 		t.Fatalf("line longer than the buffer: %v", err)
@@ -50,21 +50,21 @@
 
 func TestMalformed(t *testing.T) {
 	for _, c := range []struct{ name, in, want string }{
-		{"not JSON", head + "hello\n" + tail, "line 2: invalid character"},
-		{"wrong type", head + `{"type":"lapsed","i":"one","txn":"a"}` + "\n", "line 2: json"},
-		{"unknown message", head + `{"type":"surprise","i":1}` + "\n", `unknown message type "surprise"`},
-		{"no type", head + `{"i":1}` + "\n", "message without a type"},
-		{"missing instance", head + `{"type":"lapsed","txn":"a"}` + "\n", "lapsed without i"},
-		{"missing request id", head + `{"type":"job-in","i":1,"kind":"k","budget-ms":1}` + "\n", "job-in without txn"},
-		{"no budget", head + `{"type":"job-in","i":1,"txn":"a","kind":"k"}` + "\n", "job-in without budget-ms"},
-		{"no code", head + `{"type":"resolved","i":1,"txn":"a"}` + "\n", "resolved without code"},
-		{"no token", head + `{"type":"elapsed","i":1}` + "\n", "elapsed without nonce"},
-		{"no settings", head + `{"type":"enlist","i":1,"init-seed":1}` + "\n", "enlist without setup"},
+		{"not JSON", batchStart + "hello\n" + batchEnd, "line 2: invalid character"},
+		{"wrong type", batchStart + `{"type":"lapsed","i":"one","txn":"a"}` + "\n", "line 2: json"},
+		{"unknown message", batchStart + `{"type":"surprise","i":1}` + "\n", `unknown message type "surprise"`},
+		{"no type", batchStart + `{"i":1}` + "\n", "message without a type"},
+		{"missing instance", batchStart + `{"type":"lapsed","txn":"a"}` + "\n", "lapsed without i"},
+		{"missing request id", batchStart + `{"type":"job-in","i":1,"kind":"k","budget-ms":1}` + "\n", "job-in without txn"},
+		{"no budget", batchStart + `{"type":"job-in","i":1,"txn":"a","kind":"k"}` + "\n", "job-in without budget-ms"},
+		{"no code", batchStart + `{"type":"resolved","i":1,"txn":"a"}` + "\n", "resolved without code"},
+		{"no token", batchStart + `{"type":"elapsed","i":1}` + "\n", "elapsed without nonce"},
+		{"no settings", batchStart + `{"type":"enlist","i":1,"init-seed":1}` + "\n", "enlist without setup"},
 		{"missing time", `{"type":"batch","serial":1}` + "\n", "batch without time-ms"},
 		{"event outside a batch", `{"type":"lapsed","i":1,"txn":"a"}` + "\n", "outside a batch"},
-		{"batch in a batch", head + head, "batch inside a batch"},
-		{"truncated batch", head + `{"type":"lapsed","i":1,"txn":"a"}` + "\n", "input ends inside a batch"},
-		{"truncated line", head + `{"type":"lap`, "line 2"},
+		{"batch in a batch", batchStart + batchStart, "batch inside a batch"},
+		{"truncated batch", batchStart + `{"type":"lapsed","i":1,"txn":"a"}` + "\n", "input ends inside a batch"},
+		{"truncated line", batchStart + `{"type":"lap`, "line 2"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			_, err := NewReader(strings.NewReader(c.in)).Read()
@@ -92,9 +92,9 @@
 
 // FuzzRead checks that no input makes the reader panic or read without end.
 func FuzzRead(f *testing.F) {
-	f.Add([]byte(head + tail))
-	f.Add([]byte(head + `{"type":"pool","ref":1,"elements":[{"backend":"h:1","units":null}]}` + "\n" + tail))
-	f.Add([]byte(head + `{"type":"enlist","i":1,"init-seed":1,"setup":{"classes":[{}]}}` + "\n" + tail))
+	f.Add([]byte(batchStart + batchEnd))
+	f.Add([]byte(batchStart + `{"type":"pool","ref":1,"elements":[{"backend":"h:1","units":null}]}` + "\n" + batchEnd))
+	f.Add([]byte(batchStart + `{"type":"enlist","i":1,"init-seed":1,"setup":{"classes":[{}]}}` + "\n" + batchEnd))
 	f.Add([]byte("\n\n{}"))
 	f.Fuzz(func(t *testing.T, in []byte) {
 		r := NewReader(bytes.NewReader(in))
