--- a/internal/http1/conn_test.go
+++ b/internal/http1/conn_test.go
@@ -20,32 +20,32 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// scriptedConn is a connection that returns one element of in per read, then io.EOF.
+// scriptedConn is a connection that returns one element of reads per Read, then io.EOF.
 type scriptedConn struct {
 	net.Conn
-	in  [][]byte
-	out bytes.Buffer
+	reads   [][]byte
+	written bytes.Buffer
 }
 
 func (p *scriptedConn) Read(b []byte) (int, error) {
-	if len(p.in) == 0 {
+	if len(p.reads) == 0 {
 		return 0, io.EOF
 	}
-	n := copy(b, p.in[0])
-	if p.in[0] = p.in[0][n:]; len(p.in[0]) == 0 {
-		p.in = p.in[1:]
+	n := copy(b, p.reads[0])
+	if p.reads[0] = p.reads[0][n:]; len(p.reads[0]) == 0 {
+		p.reads = p.reads[1:]
 	}
 	return n, nil
 }
 
-func (p *scriptedConn) Write(b []byte) (int, error) { return p.out.Write(b) }
+func (p *scriptedConn) Write(b []byte) (int, error) { return p.written.Write(b) }
 
 // splitAt returns a connection that delivers text in reads that are split at the given offsets.
 func splitAt(text string, at ...int) *scriptedConn {
 	p, from := &scriptedConn{}, 0
 	for _, i := range append(at, len(text)) {
 		if i > from {
-			p.in = append(p.in, []byte(text[from:i]))
+			p.reads = append(p.reads, []byte(text[from:i]))
 			from = i
 		}
 	}
@@ -152,13 +152,13 @@
 	if _, body, _, err := NewConn(p).ReadRequest(); err != nil || string(body) != "hi" {
 		t.Fatalf("got %q, %v", body, err)
 	}
-	if got := p.out.String(); got != "HTTP/1.1 100 Continue\r\n\r\n" {
+	if got := p.written.String(); got != "HTTP/1.1 100 Continue\r\n\r\n" {
 		t.Errorf("wrote %q", got)
 	}
 	// A body that is too large is refused without 100 Continue.
 	p = splitAt("POST / HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 33554433\r\n\r\n")
-	if _, _, _, err := NewConn(p).ReadRequest(); !errors.Is(err, ErrBodyTooLarge) || p.out.Len() > 0 {
-		t.Errorf("got %v, wrote %q", err, p.out.String())
+	if _, _, _, err := NewConn(p).ReadRequest(); !errors.Is(err, ErrBodyTooLarge) || p.written.Len() > 0 {
+		t.Errorf("got %v, wrote %q", err, p.written.String())
 	}
 }
 
@@ -410,7 +410,7 @@
 			}
 			sink := &scriptedConn{}
 			err = NewStreamPool(1).Forward(NewConn(sink), remaining, true, func(int64) error { return nil })
-			if got := append(first, sink.out.Bytes()...); err != nil || !bytes.Equal(got, body) {
+			if got := append(first, sink.written.Bytes()...); err != nil || !bytes.Equal(got, body) {
 				t.Fatalf("%s, split at %v: %d bytes of %d, %v", c.name, at, len(got), len(body), err)
 			}
 			if len(conn.buf) > maxBufferBytes+1 {
@@ -456,13 +456,13 @@
 		t.Fatal(err)
 	}
 	sink := &scriptedConn{}
-	sink.out.WriteString("POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n")
+	sink.written.WriteString("POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n")
 	sink.Write(EncodeChunk(first))
 	err = NewStreamPool(1).Forward(NewConn(sink), remaining, false, func(int64) error { return nil })
 	if err != nil {
 		t.Fatal(err)
 	}
-	req, err := http.ReadRequest(bufio.NewReader(&sink.out))
+	req, err := http.ReadRequest(bufio.NewReader(&sink.written))
 	if err != nil {
 		t.Fatal(err)
 	}
