--- a/proxy/request.go
+++ b/proxy/request.go
@@ -21,181 +21,181 @@
 	headerID           = "X-Request-ID"
 	headerClass        = "X-Priority-Class"
 	headerTimeout      = "X-Timeout-Ms"
-	headerRetry        = "X-Retried" // where the settings say that clients mark retries
+	headerRetry        = "X-Retried" // if the settings say that clients mark retries
 	headerNotProcessed = "X-Not-Processed"
 
 	pathReady = "/healthz"
 )
 
 const (
-	writeLimit = 5 * time.Second
-	// maxTimeout is the longest time-out taken for one, in milliseconds.
-	maxTimeout = 24 * 3600 * 1000
-	maxID      = 256 // bytes of a request's id
+	writeTimeout = 5 * time.Second
+	// maxTimeoutMs is the longest timeout that is accepted, in milliseconds.
+	maxTimeoutMs = 24 * 3600 * 1000
+	maxIDBytes   = 256 // length of a request id
 )
 
-// exchange is the life of one request, from the wait for it to its answer. It
-// returns whether the connection can carry another.
-func (p *Proxy) exchange(c *client) bool {
-	// Read.
-	req, body, rest, err := p.clients.next(c)
+// exchange handles one request, from the wait for it to its response. It returns whether
+// the connection can carry another one.
+func (p *Proxy) exchange(c *clientConn) bool {
+	// Read the request.
+	req, body, rest, err := p.clients.nextRequest(c)
 	if err != nil {
-		p.turnAway(c, unreadable(err), err)
+		p.answerBadRequest(c, readErrorStatus(err), err)
 		return false
 	}
 	if rest != nil {
 		defer rest.Abandon()
 	}
 	if req.Method == http.MethodGet && req.URL.Path == pathReady && rest == nil {
-		return p.ready(c, req)
+		return p.serveReadiness(c, req)
 	}
-	in, code, err := p.parse(req, len(body) > 0 || rest != nil)
+	info, code, err := p.parseRequest(req, len(body) > 0 || rest != nil)
 	if err != nil {
-		p.turnAway(c, code, err)
+		p.answerBadRequest(c, code, err)
 		return false
 	}
 	start := time.Now()
-	if c.conn.PeerClosed() { // while it waited to be read: nobody is to be asked for it
+	if c.conn.PeerClosed() { // left while the request waited to be read: do not send it
 		return p.clientGone(c, req)
 	}
 
-	// Arrive.
-	call := p.driver.arrive(in.id, in.class, in.budget, in.retry, rest != nil)
-	if call == nil {
-		p.turnAway(c, http.StatusConflict, errOpen)
+	// Pass it to the balancing logic.
+	r := p.driver.startRequest(info.id, info.class, info.budget, info.retry, rest != nil)
+	if r == nil {
+		p.answerBadRequest(c, http.StatusConflict, errDuplicateID)
 		return false
 	}
-	p.stats.open.Add(1)
-	defer p.stats.open.Add(-1)
-	defer p.driver.forget(call)
-	defer func() { p.closed(c, call, in.id) }()
-	var out *step // the attempt that is out
+	p.stats.openRequests.Add(1)
+	defer p.stats.openRequests.Add(-1)
+	defer p.driver.forget(r)
+	defer func() { p.checkClosed(c, r, info.id) }()
+	var inFlight *step // the current attempt
 	defer func() {
-		if out != nil { // a panic went by
-			p.driver.done(call, *out, logic.Cancelled, true, false)
-			out.cancel()
+		if inFlight != nil { // a panic is passing through
+			p.driver.attemptDone(r, *inFlight, logic.Cancelled, true, false)
+			inFlight.cancel()
 		}
 	}()
 	defer c.conn.UnwatchPeer()
-	ends := &p.stats.ends[in.class]
+	outcomes := &p.stats.outcomes[info.class]
 	watch := func() {
-		c.conn.WatchPeer(func() { p.driver.gone(call) }, func() { p.driver.ahead(call) })
+		c.conn.WatchPeer(func() { p.driver.clientGone(r) }, func() { p.driver.clientPipelined(r) })
 	}
 	var attempts []attemptTrace
-	ended := func(end requestEnd, cause string) { p.endLog.write(&in, end, cause, start, attempts) }
-	stays := func(open bool) bool { // what still comes of a request that has its answer is read
+	logEnd := func(end requestEnd, cause string) { p.endLog.write(&info, end, cause, start, attempts) }
+	keepOpen := func(open bool) bool { // reads the rest of a request that has been answered
 		return open && (rest == nil || rest.Discard(p.transfers) == nil)
 	}
 
-	// Step, attempt, outcome, until there is an answer.
+	// Execute steps until the request is answered.
 	for {
-		step := <-call.steps
+		step := <-r.steps
 		if step.kind != stepSend {
-			p.driver.forget(call)
+			p.driver.forget(r)
 		}
 		switch step.kind {
 		case stepSend:
-			sending := &upstream.Request{Timeout: step.timeout, DecidedAt: step.sent, BodyRest: rest, Transfers: p.transfers}
-			sending.ShouldSend = func() bool {
-				if c.conn.PeerClosed() { // also behind a body that nobody has read to its end
-					p.driver.gone(call)
+			upstreamRequest := &upstream.Request{Timeout: step.timeout, DecidedAt: step.sentAt, BodyRest: rest, Transfers: p.transfers}
+			upstreamRequest.ShouldSend = func() bool {
+				if c.conn.PeerClosed() { // noticed here even behind an unread body
+					p.driver.clientGone(r)
 				}
-				return p.driver.connected(call, step)
+				return p.driver.connected(r, step)
 			}
-			sending.Render = func(left time.Duration) []byte { return forward(req, step.to.Addr, body, rest, left) }
+			upstreamRequest.Render = func(left time.Duration) []byte { return encodeRequest(req, step.backend.Addr, body, rest, left) }
 			if rest == nil {
 				watch()
 			} else {
-				sending.OnWritten = func() {
-					step.sent = time.Now()
-					p.driver.written(call)
-					if c.conn.HasPipelinedData() { // it is here already: no need to wait for a watch to see it
-						p.driver.ahead(call)
+				upstreamRequest.OnWritten = func() {
+					step.sentAt = time.Now()
+					p.driver.requestWritten(r)
+					if c.conn.HasPipelinedData() { // already here: no need for a watch to notice it
+						p.driver.clientPipelined(r)
 						return
 					}
-					c.conn.SetReadDeadline(time.Time{}) // of the rest
+					c.conn.SetReadDeadline(time.Time{}) // of the rest of the body
 					watch()
 				}
 			}
-			out = &step
-			got := step.to.Exchange(step.ctx, sending)
-			result, final := outcome(&got)
-			if got.Err != nil && errors.Is(step.ctx.Err(), context.Canceled) {
+			inFlight = &step
+			exchanged := step.backend.Exchange(step.ctx, upstreamRequest)
+			result, final := attemptOutcome(&exchanged)
+			if exchanged.Err != nil && errors.Is(step.ctx.Err(), context.Canceled) {
 				result = logic.Cancelled
 			}
 			step.cancel()
-			out = nil
-			p.driver.done(call, step, result, final, rest != nil && rest.ReadStarted())
-			p.stats.attempt(result)
-			attempts = append(attempts, attemptTrace{step.uid, result, time.Since(step.sent)})
+			inFlight = nil
+			p.driver.attemptDone(r, step, result, final, rest != nil && rest.ReadStarted())
+			p.stats.recordAttempt(result)
+			attempts = append(attempts, attemptTrace{step.uid, result, time.Since(step.sentAt)})
 			if final {
-				p.driver.forget(call)
+				p.driver.forget(r)
 			}
 			switch {
-			case errors.Is(got.BodyReadErr, http1.ErrStreamPoolExhausted):
-				ends[throttled].Add(1)
-				ended(endBusy, "")
-				req.Close = true // most of it has not been read
-				p.answer(c, req, http.StatusServiceUnavailable, comeBack(p.cfg.logic.MaxRetryAfter), "busy")
+			case errors.Is(exchanged.BodyReadErr, http1.ErrStreamPoolExhausted):
+				outcomes[throttled].Add(1)
+				logEnd(endBusy, "")
+				req.Close = true // most of the body is unread
+				p.respond(c, req, http.StatusServiceUnavailable, retryAfterHeader(p.cfg.logicSettings.MaxRetryAfter), "busy")
 				return false
-			case got.BodyReadErr != nil:
-				ended(endUnreadable, "")
-				p.turnAway(c, unreadable(got.BodyReadErr), got.BodyReadErr)
+			case exchanged.BodyReadErr != nil:
+				logEnd(endUnreadable, "")
+				p.answerBadRequest(c, readErrorStatus(exchanged.BodyReadErr), exchanged.BodyReadErr)
 				return false
-			case call.ahead.Load():
-				got.Release(false)
+			case r.pipelined.Load():
+				exchanged.Release(false)
 			case result == logic.OK:
-				p.stats.served(time.Since(start))
-				open := p.pass(c, req, &got, ends)
+				p.stats.recordLatency(time.Since(start))
+				open := p.forwardResponse(c, req, &exchanged, outcomes)
 				switch {
-				case c.reset:
-					ended(endCutShort, "")
-				case time.Since(start) > in.budget:
-					ended(endLate, "")
+				case c.resetOnClose:
+					logEnd(endCutShort, "")
+				case time.Since(start) > info.budget:
+					logEnd(endLate, "")
 				}
-				return stays(open)
+				return keepOpen(open)
 			case final:
-				got.Release(false)
-				ended(endRejected, strconv.Itoa(got.Status))
-				ends[faulted].Add(1)
-				return stays(p.answer(c, req, got.Status, nil, "rejected"))
+				exchanged.Release(false)
+				logEnd(endRejected, strconv.Itoa(exchanged.Status))
+				outcomes[faulted].Add(1)
+				return keepOpen(p.respond(c, req, exchanged.Status, nil, "rejected"))
 			default:
-				got.Release(false)
+				exchanged.Release(false)
 			}
 		case stepRefuse:
-			ended(endRefused, step.why.String())
-			ends[throttled].Add(1)
-			return stays(p.answer(c, req, http.StatusServiceUnavailable, comeBack(step.comeBack), "refused"))
+			logEnd(endRefused, step.cause.String())
+			outcomes[throttled].Add(1)
+			return keepOpen(p.respond(c, req, http.StatusServiceUnavailable, retryAfterHeader(step.retryAfter), "refused"))
 		case stepFail:
-			ended(endFailed, step.why.String())
-			ends[faulted].Add(1)
-			return stays(p.answer(c, req, http.StatusBadGateway, nil, "failed"))
-		case stepAhead:
-			ended(endAhead, "")
-			p.turnAway(c, http.StatusBadRequest, errAhead)
+			logEnd(endFailed, step.cause.String())
+			outcomes[faulted].Add(1)
+			return keepOpen(p.respond(c, req, http.StatusBadGateway, nil, "failed"))
+		case stepPipelined:
+			logEnd(endPipelined, "")
+			p.answerBadRequest(c, http.StatusBadRequest, errPipelined)
 			return false
-		case stepGone:
-			ended(endClientGone, "")
+		case stepClientGone:
+			logEnd(endClientGone, "")
 			return p.clientGone(c, req)
 		}
 	}
 }
 
-// clientGone ends a request whose client has left. It may have ended its own side alone,
-// and still read.
-func (p *Proxy) clientGone(c *client, req *http.Request) bool {
-	p.stats.gone.Add(1)
-	p.answer(c, req, http.StatusBadGateway, nil, "client left")
+// clientGone ends a request whose client has left. The client may have closed only its
+// own side, and still read.
+func (p *Proxy) clientGone(c *clientConn, req *http.Request) bool {
+	p.stats.clientsGone.Add(1)
+	p.respond(c, req, http.StatusBadGateway, nil, "client left")
 	return false
 }
 
-// outcome names what an exchange came to in the module's terms, and tells whether
-// the request is over with it.
-func outcome(a *upstream.ExchangeResult) (r logic.Result, final bool) {
-	if a.BodyReadErr != nil { // never whole at the backend, and no fault of its own
+// attemptOutcome converts the end of an exchange with a backend to a result for the
+// balancing logic. It also returns whether the request ends with it.
+func attemptOutcome(exchanged *upstream.ExchangeResult) (result logic.Result, final bool) {
+	if exchanged.BodyReadErr != nil { // the client's body failed: the backend never had the whole request, and is not to blame
 		return logic.NotSent, true
 	}
-	switch a.Stage {
+	switch exchanged.Stage {
 	case upstream.Unsent:
 		return logic.NotSent, false
 	case upstream.ConnectTimedOut:
@@ -203,28 +203,28 @@
 	case upstream.SendFailed:
 		return logic.ConnectFailed, false
 	case upstream.Written:
-		if a.TimedOut() {
+		if exchanged.TimedOut() {
 			return logic.TimedOut, false
 		}
 		return logic.ConnectionLost, false
 	}
-	turnedAway := a.Status == http.StatusServiceUnavailable || a.Status == http.StatusGatewayTimeout
+	rejectStatus := exchanged.Status == http.StatusServiceUnavailable || exchanged.Status == http.StatusGatewayTimeout
 	switch {
-	case a.Err != nil:
+	case exchanged.Err != nil:
 		return logic.Error, false
-	case a.Status == http.StatusOK:
+	case exchanged.Status == http.StatusOK:
 		return logic.OK, true
-	case turnedAway && a.Header.Get(headerNotProcessed) == "1":
+	case rejectStatus && exchanged.Header.Get(headerNotProcessed) == "1":
 		return logic.Rejected, false
-	case callersFault(a.Status):
+	case isClientError(exchanged.Status):
 		return logic.Cancelled, true
 	}
 	return logic.Error, false
 }
 
-// callersFault tells whether a status says that the request itself is at fault, and
-// would be anywhere. It says nothing against the backend, and is not tried again.
-func callersFault(status int) bool {
+// isClientError reports whether a status means that the request itself is at fault, at
+// any backend. It does not count against the backend and is not retried.
+func isClientError(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusTooEarly, http.StatusTooManyRequests:
 		return false
@@ -232,9 +232,9 @@
 	return status >= 400 && status < 500
 }
 
-// forward is the text of req for a backend that has left to answer it: with all of its
-// body, or the first part of it where there is a rest.
-func forward(req *http.Request, host string, body []byte, rest *http1.RemainingBody, left time.Duration) []byte {
+// encodeRequest returns the text of req for a backend, with the time that is left to
+// answer it. It contains the whole body, or the first part of a streamed one.
+func encodeRequest(req *http.Request, host string, body []byte, rest *http1.RemainingBody, left time.Duration) []byte {
 	b := make([]byte, 0, 512+len(body))
 	b = append(b, req.Method...)
 	b = append(b, ' ')
@@ -249,7 +249,7 @@
 	}
 	b = append(b, host...)
 	for name, values := range req.Header {
-		if hopByHop[name] {
+		if hopByHopHeaders[name] {
 			continue
 		}
 		for _, v := range values {
@@ -277,8 +277,8 @@
 	return append(b, body...)
 }
 
-// hopByHop are the headers that a message's sender sets anew.
-var hopByHop = map[string]bool{
+// hopByHopHeaders are headers that each sender of a message sets anew.
+var hopByHopHeaders = map[string]bool{
 	"Connection":                           true,
 	"Content-Length":                       true,
 	"Expect":                               true,
@@ -291,37 +291,38 @@
 	http.CanonicalHeaderKey(headerTimeout): true,
 }
 
-func comeBack(d time.Duration) []string {
+func retryAfterHeader(d time.Duration) []string {
 	if d <= 0 {
 		return nil
 	}
 	return []string{"Retry-After", strconv.FormatFloat(d.Seconds(), 'f', 3, 64)}
 }
 
-// pass hands on a backend's answer, and counts how the request ended: with one that is
-// here whole at once, so that who has read it finds it counted; else with its last byte.
-func (p *Proxy) pass(c *client, req *http.Request, got *upstream.ExchangeResult, ends *[endings]atomic.Int64) bool {
+// forwardResponse forwards a backend's response and counts the request's outcome: before
+// writing if the response is here completely, so that a client that has read it finds it
+// counted, else after its last byte.
+func (p *Proxy) forwardResponse(c *clientConn, req *http.Request, response *upstream.ExchangeResult, outcomes *[outcomeCount]atomic.Int64) bool {
 	var header []string
 	for _, name := range []string{"Content-Type", "Content-Encoding"} {
-		if v := got.Header.Get(name); v != "" {
+		if v := response.Header.Get(name); v != "" {
 			header = append(header, name, v)
 		}
 	}
-	if got.BodyRest == nil {
-		ends[fulfilled].Add(1)
-		return p.write(c, got.Status, header, got.Body, req.Close)
+	if response.BodyRest == nil {
+		outcomes[fulfilled].Add(1)
+		return p.writeResponse(c, response.Status, header, response.Body, req.Close)
 	}
-	last := !req.ProtoAtLeast(1, 1) || req.Close || !p.stays() // said once, and kept to
-	err := p.passLong(c, req, got, header, last)
-	got.Release(err == nil)
+	last := !req.ProtoAtLeast(1, 1) || req.Close || !p.keepConnections() // decided once: the response announces it
+	err := p.streamResponse(c, req, response, header, last)
+	response.Release(err == nil)
 	if err == nil || errors.Is(err, http1.ErrDestination) {
-		ends[fulfilled].Add(1)
+		outcomes[fulfilled].Add(1)
 	} else {
-		ends[faulted].Add(1)
+		outcomes[faulted].Add(1)
 	}
-	if err != nil { // the client must be able to tell: no end, and no clean close
-		p.stats.cutShort.Add(1)
-		c.reset = true
+	if err != nil { // the client must notice: neither an end of the message nor a clean close
+		p.stats.truncated.Add(1)
+		c.resetOnClose = true
 		if t, ok := c.conn.Conn.(interface{ SetLinger(int) error }); ok {
 			t.SetLinger(0)
 		}
@@ -330,20 +331,21 @@
 	return !last
 }
 
-// passLong writes an answer with a rest, as it comes. A client that reads HTTP/1.0 gets
-// one of unknown size until the connection's end.
-func (p *Proxy) passLong(c *client, req *http.Request, got *upstream.ExchangeResult, header []string, last bool) (err error) {
-	old, first := !req.ProtoAtLeast(1, 1), got.Body
+// streamResponse writes a response as it arrives from the backend. An HTTP/1.0 client
+// gets a response of unknown length up to the end of the connection.
+func (p *Proxy) streamResponse(c *clientConn, req *http.Request, response *upstream.ExchangeResult, header []string, last bool) (err error) {
+	http10, first := !req.ProtoAtLeast(1, 1), response.Body
 	switch {
-	case got.BodyRest.TotalSize >= 0:
-		header = append(header, "Content-Length", strconv.FormatInt(got.BodyRest.TotalSize, 10))
-	case !old:
+	case response.BodyRest.TotalSize >= 0:
+		header = append(header, "Content-Length", strconv.FormatInt(response.BodyRest.TotalSize, 10))
+	case !http10:
 		header = append(header, "Transfer-Encoding", "chunked")
 		first = http1.EncodeChunk(first)
 	}
-	if old && got.BodyRest.TotalSize < 0 {
-		// The connection's end is the answer's: until that is here, any other end is a
-		// reset, also the one that the kernel makes of ours.
+	if http10 && response.BodyRest.TotalSize < 0 {
+		// The end of the connection is the end of the response. Until the response is
+		// complete, any other close has to be a reset, even one that the kernel makes
+		// when the process dies.
 		if t, ok := c.conn.Conn.(interface{ SetLinger(int) error }); ok {
 			t.SetLinger(0)
 			defer func() {
@@ -353,53 +355,53 @@
 			}()
 		}
 	}
-	within := upstream.ProgressDeadlines(c.conn.SetWriteDeadline)
-	within(0)
-	_, err = c.conn.Write(answerText(got.Status, header, first, last))
-	c.answering = true
+	extendDeadline := upstream.ProgressDeadlines(c.conn.SetWriteDeadline)
+	extendDeadline(0)
+	_, err = c.conn.Write(encodeResponse(response.Status, header, first, last))
+	c.responseStarted = true
 	if err != nil {
 		return fmt.Errorf("%w: %w", http1.ErrDestination, err)
 	}
-	return p.transfers.Forward(c.conn, got.BodyRest, old, func(passed int64) error {
-		within(passed)
+	return p.transfers.Forward(c.conn, response.BodyRest, http10, func(passed int64) error {
+		extendDeadline(passed)
 		return nil
 	})
 }
 
-// stays tells whether connections of clients are kept after an answer.
-func (p *Proxy) stays() bool { return p.Phase() <= Draining && !p.sockets.Exhausted() }
+// keepConnections reports whether client connections stay open after a response.
+func (p *Proxy) keepConnections() bool { return p.Phase() <= Draining && !p.descriptors.Exhausted() }
 
-// answer answers a request ourselves.
-func (p *Proxy) answer(c *client, req *http.Request, status int, header []string, text string) bool {
+// respond writes a response of the proxy's own.
+func (p *Proxy) respond(c *clientConn, req *http.Request, status int, header []string, text string) bool {
 	header = append(header, "Content-Type", "text/plain")
-	return p.write(c, status, header, []byte(text+"\n"), req.Close)
+	return p.writeResponse(c, status, header, []byte(text+"\n"), req.Close)
 }
 
-// ready answers whether the proxy can serve.
-func (p *Proxy) ready(c *client, req *http.Request) bool {
+// serveReadiness answers whether the proxy can serve.
+func (p *Proxy) serveReadiness(c *clientConn, req *http.Request) bool {
 	if p.Ready() {
-		return p.answer(c, req, http.StatusOK, nil, "ok")
+		return p.respond(c, req, http.StatusOK, nil, "ok")
 	}
-	return p.answer(c, req, http.StatusServiceUnavailable, nil, "not ready")
+	return p.respond(c, req, http.StatusServiceUnavailable, nil, "not ready")
 }
 
-// write writes an answer and returns whether the connection stays.
-func (p *Proxy) write(c *client, status int, header []string, body []byte, last bool) bool {
-	last = last || !p.stays()
+// writeResponse writes a response and returns whether the connection stays open.
+func (p *Proxy) writeResponse(c *clientConn, status int, header []string, body []byte, last bool) bool {
+	last = last || !p.keepConnections()
 	header = append(header, "Content-Length", strconv.Itoa(len(body)))
-	c.conn.SetWriteDeadline(time.Now().Add(writeLimit))
-	_, err := c.conn.Write(answerText(status, header, body, last))
-	c.answering = true
+	c.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
+	_, err := c.conn.Write(encodeResponse(status, header, body, last))
+	c.responseStarted = true
 	if err != nil {
-		p.stats.unwritten.Add(1)
-		c.reset = true // nobody takes what it would linger for
+		p.stats.writeFailures.Add(1)
+		c.resetOnClose = true // the client reads nothing any more: lingering is of no use
 		return false
 	}
 	return !last
 }
 
-// answerText is an answer's head, and what is here of its body.
-func answerText(status int, header []string, body []byte, last bool) []byte {
+// encodeResponse returns a response's head and the part of its body that is available.
+func encodeResponse(status int, header []string, body []byte, last bool) []byte {
 	b := make([]byte, 0, 256+len(body))
 	b = append(b, "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(status), 10)
@@ -418,11 +420,11 @@
 	return append(b, body...)
 }
 
-// unreadable is the status that answers what could not be read as a request; 0
-// where nobody waits for an answer.
-func unreadable(err error) int {
+// readErrorStatus returns the status for data that could not be read as a request; 0 if
+// no client waits for a response.
+func readErrorStatus(err error) int {
 	switch {
-	case errors.Is(err, http1.ErrMalformed), errors.Is(err, errAhead):
+	case errors.Is(err, http1.ErrMalformed), errors.Is(err, errPipelined):
 		return http.StatusBadRequest
 	case errors.Is(err, http1.ErrHeaderTooLarge):
 		return http.StatusRequestHeaderFieldsTooLarge
@@ -431,15 +433,15 @@
 	case neterror.IsDeadline(err):
 		return http.StatusRequestTimeout
 	}
-	return 0 // the client ended it inside the message
+	return 0 // the client closed the connection inside the message
 }
 
-// turnAway answers what is no request of ours, so that its connection can be closed.
-func (p *Proxy) turnAway(c *client, code int, err error) {
+// answerBadRequest answers an invalid request, after which its connection is closed.
+func (p *Proxy) answerBadRequest(c *clientConn, code int, err error) {
 	if code == 0 {
-		c.departed = true
+		c.closedMidMessage = true
 		return
 	}
-	p.stats.turnedAway(code, c.conn.RemoteAddr(), err)
-	p.write(c, code, nil, []byte(http.StatusText(code)+"\n"), true)
+	p.stats.recordBadRequest(code, c.conn.RemoteAddr(), err)
+	p.writeResponse(c, code, nil, []byte(http.StatusText(code)+"\n"), true)
 }
--- a/proxy/sockets_test.go
+++ b/proxy/sockets_test.go
@@ -10,34 +10,34 @@
 	"oxbowloft/internal/standin"
 )
 
-// Neither side can take the other's part, whichever comes first, also where the budget is
-// the least that a process can have.
-func TestSocketsParts(t *testing.T) {
-	for _, c := range []struct{ budget, part int }{{2, 1}, {6, 1}, {16, 2}, {240, 30}} {
-		s := newSockets(ownSockets + c.budget)
-		s.relieve = func(int) {}
-		s.waitUntil(time.Now()) // what can't be had at once can't be had
+// Neither side can take the other's minimum share, whichever comes first, even with the
+// smallest possible budget.
+func TestDescriptorShares(t *testing.T) {
+	for _, c := range []struct{ budget, share int }{{2, 1}, {6, 1}, {16, 2}, {240, 30}} {
+		s := newDescriptorBudget(reservedDescriptors + c.budget)
+		s.reclaim = func(int) {}
+		s.setWaitDeadline(time.Now()) // acquire without waiting
 		clients, backends := 0, 0
-		for s.wait() {
+		for s.acquireForClient() {
 			clients++
 		}
 		for s.TryAcquire() {
 			backends++
 		}
-		if clients != c.budget-c.part || backends != c.part {
+		if clients != c.budget-c.share || backends != c.share {
 			t.Errorf("%d: clients first got %d, backends %d", c.budget, clients, backends)
 		}
-		s = newSockets(ownSockets + c.budget)
-		s.relieve = func(int) {}
-		s.waitUntil(time.Now())
+		s = newDescriptorBudget(reservedDescriptors + c.budget)
+		s.reclaim = func(int) {}
+		s.setWaitDeadline(time.Now())
 		clients, backends = 0, 0
 		for s.TryAcquire() {
 			backends++
 		}
-		for s.wait() {
+		for s.acquireForClient() {
 			clients++
 		}
-		if backends != c.budget-c.part || clients != c.part {
+		if backends != c.budget-c.share || clients != c.share {
 			t.Errorf("%d: backends first got %d, clients %d", c.budget, backends, clients)
 		}
 		if used, _ := s.inUse(); used != c.budget {
@@ -46,74 +46,74 @@
 	}
 }
 
-// With as many silent clients as there can be and discovery down, a request of one of them
-// gets a connection to a backend and its answer, /healthz answers, and the list is followed
-// in time once discovery is back. Guards against clients that hold every descriptor by doing
-// nothing. (The admin endpoint has descriptors of its own: TestDoorWhileSaturated.)
-func TestCrowdLeavesRoom(t *testing.T) {
-	b, moved := standin.NewBackend(t, standin.Echo), standin.NewBackend(t, standin.Echo)
+// With as many silent clients as possible and discovery down, a request of one of them
+// gets a backend connection and a response, /healthz answers, and the list is followed in
+// time once discovery is back. Prevents idle clients from holding every descriptor. (The
+// admin endpoint has descriptors of its own, and a test in cmd/oxbowloft.)
+func TestIdleCrowdLeavesDescriptors(t *testing.T) {
+	b, added := standin.NewBackend(t, standin.Echo), standin.NewBackend(t, standin.Echo)
 	known := standin.ListJSON(1, true, standin.TargetJSON("s-1", b.Addr()))
 	d := standin.NewDiscovery(t, known)
-	p := listening(t, known, d.Addr())
-	p.sockets.resize(ownSockets + 8)
-	// None of the crowd makes room.
-	p.clients.freshLeast, p.clients.newLimit, p.clients.idleLimit = time.Hour, time.Hour, time.Hour
-	defer running(t, p)()
-	d.SetDown(true) // once there has been a list: that of the start alone may not be used
+	p := listenProxy(t, known, d.Addr())
+	p.descriptors.resize(reservedDescriptors + 8)
+	// no client of the crowd is evicted
+	p.clients.minFirstRequestWait, p.clients.firstRequestTimeout, p.clients.idleTimeout = time.Hour, time.Hour, time.Hour
+	defer startProxy(t, p)()
+	d.SetDown(true) // only after a list has been received: the one known at start is not usable
 	d.ResetWatches()
 	var crowd []net.Conn
 	for range 12 {
-		crowd = append(crowd, dial(t, p))
+		crowd = append(crowd, dialProxy(t, p))
 	}
 	defer func() {
 		for _, c := range crowd {
 			c.Close()
 		}
 	}()
-	eventually(t, "a crowd that takes all it can", p.sockets.wanted)
-	io.WriteString(crowd[0], text("get", 2000))
-	if resp, _ := read(t, crowd[0]); resp.StatusCode != 200 {
+	eventually(t, "a crowd that holds its whole share", p.descriptors.clientIsWaiting)
+	io.WriteString(crowd[0], requestText("get", 2000))
+	if resp, _ := mustReadResponse(t, crowd[0]); resp.StatusCode != 200 {
 		t.Errorf("got %d", resp.StatusCode)
 	}
 	crowd[0].Close()
-	eventually(t, "full again", p.sockets.wanted)
+	eventually(t, "a full share again", p.descriptors.clientIsWaiting)
 	io.WriteString(crowd[1], "GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n")
-	if resp, _ := read(t, crowd[1]); resp.StatusCode != 200 {
+	if resp, _ := mustReadResponse(t, crowd[1]); resp.StatusCode != 200 {
 		t.Errorf("healthz: got %d", resp.StatusCode)
 	}
 	crowd[1].Close()
 	back := time.Now()
 	d.SetDown(false)
 	eventually(t, "a new list", func() bool {
-		d.PushLine(standin.ListJSON(2, true, standin.TargetJSON("s-1", b.Addr()), standin.TargetJSON("s-2", moved.Addr())))
-		return p.driver.known() == 2
+		d.PushLine(standin.ListJSON(2, true, standin.TargetJSON("s-1", b.Addr()), standin.TargetJSON("s-2", added.Addr())))
+		return p.driver.backendCount() == 2
 	})
 	if took := time.Since(back); took > discovery.MaxAnnounceDelay {
-		t.Errorf("the list is followed %v after discovery's return", took)
+		t.Errorf("the list is followed %v after the return of discovery", took)
 	}
 }
 
-// A client that becomes idle while another waits for a descriptor makes room for it, also
-// where its answer still said that the connection stays.
-func TestIdleMakesRoom(t *testing.T) {
+// A client that becomes idle while another waits for a descriptor is evicted, even if its
+// response said that the connection stays open.
+func TestIdleClientFreesDescriptor(t *testing.T) {
 	b := standin.NewBackend(t, standin.Echo)
-	p := listening(t, standin.ListJSON(1, true, standin.TargetJSON("s-1", b.Addr())), "127.0.0.1:1")
+	p := listenProxy(t, standin.ListJSON(1, true, standin.TargetJSON("s-1", b.Addr())), "127.0.0.1:1")
 	defer p.listener.Close()
-	p.clients.idleLimit = time.Hour
-	nc, _, ended := crossing(t, p, "")
+	p.clients.idleTimeout = time.Hour
+	nc, _, ended := serveHooked(t, p, "")
 	p.clients.mu.Lock()
-	p.clients.wanted = func() bool { return true } // from now on
+	p.clients.descriptorWanted = func() bool { return true } // from now on
 	p.clients.mu.Unlock()
-	io.WriteString(nc, text("get", 2000))
-	if resp, _ := read(t, nc); resp.StatusCode != 200 || resp.Close {
+	io.WriteString(nc, requestText("get", 2000))
+	if resp, _ := mustReadResponse(t, nc); resp.StatusCode != 200 || resp.Close {
 		t.Errorf("got %d, close %t", resp.StatusCode, resp.Close)
 	}
 	if n, err := nc.Read(make([]byte, 1)); err != io.EOF {
-		t.Errorf("%d bytes, %v, want the end", n, err)
+		t.Errorf("read %d bytes, %v, want EOF", n, err)
 	}
 	nc.Close()
 	<-ended
-	for _, b := range p.driver.all() {
+	for _, b := range p.driver.allBackends() {
 		b.Close()
 	}
 }
--- a/proxy/stats.go
+++ b/proxy/stats.go
@@ -13,90 +13,91 @@
 	"oxbowloft/logic"
 )
 
-// stats count what a proxy does, for its log.
+// stats counts what a proxy does, for its log and metrics.
 type stats struct {
-	gone, bad, unwritten, cutShort atomic.Int64
-	recovered                      atomic.Int64 // panics on the way of a request
+	clientsGone, badRequests, writeFailures, truncated atomic.Int64
+	recoveredPanics                                    atomic.Int64 // panics recovered while a request was handled
 
-	open atomic.Int64            // requests taken and not ended
-	ends [][endings]atomic.Int64 // of requests, by class
+	openRequests atomic.Int64                 // accepted and not ended
+	outcomes     [][outcomeCount]atomic.Int64 // by class
 
-	badLog logging.RateLimiter // of bad requests
+	badRequestLog logging.RateLimiter
 
-	mu       sync.Mutex
-	latency  *hdrhistogram.Histogram // of answers, in microseconds
-	lateness *hdrhistogram.Histogram // of timers, in microseconds
-	results  [logic.ConnectPending + 1]int64
+	mu              sync.Mutex
+	responseLatency *hdrhistogram.Histogram // in microseconds
+	timerDelay      *hdrhistogram.Histogram // how late timers fired, in microseconds
+	attemptResults  [logic.ConnectPending + 1]int64
 }
 
-// How a request can end for its client.
+// Outcomes of a request, as its client sees them.
 const (
 	fulfilled = iota // a backend's 200 was written
 	throttled        // refused
-	faulted          // any other answer
-	endings
+	faulted          // any other response
+	outcomeCount
 )
 
 func newStats(classes int) *stats {
-	const longest = int64(time.Minute / time.Microsecond)
+	const maxMicroseconds = int64(time.Minute / time.Microsecond)
 	return &stats{
-		ends:     make([][endings]atomic.Int64, classes),
-		badLog:   logging.RateLimiter{Interval: badEvery},
-		latency:  hdrhistogram.New(1, longest, 2),
-		lateness: hdrhistogram.New(1, longest, 2),
+		outcomes:        make([][outcomeCount]atomic.Int64, classes),
+		badRequestLog:   logging.RateLimiter{Interval: badRequestLogInterval},
+		responseLatency: hdrhistogram.New(1, maxMicroseconds, 2),
+		timerDelay:      hdrhistogram.New(1, maxMicroseconds, 2),
 	}
 }
 
-func (s *stats) served(d time.Duration) {
+func (s *stats) recordLatency(d time.Duration) {
 	s.mu.Lock()
-	s.latency.RecordValue(d.Microseconds())
+	s.responseLatency.RecordValue(d.Microseconds())
 	s.mu.Unlock()
 }
 
-func (s *stats) late(d time.Duration) {
+func (s *stats) recordTimerDelay(d time.Duration) {
 	s.mu.Lock()
-	s.lateness.RecordValue(max(0, d.Microseconds()))
+	s.timerDelay.RecordValue(max(0, d.Microseconds()))
 	s.mu.Unlock()
 }
 
-// badEvery is the time between bad requests that are logged: a flood of them must
-// not cost a line each.
-const badEvery = 100 * time.Millisecond
+// badRequestLogInterval is the minimum time between log lines about bad requests, so that
+// a flood of them does not flood the log.
+const badRequestLogInterval = 100 * time.Millisecond
 
-// turnedAway counts a request that is answered with a 4xx, and logs it now and then.
-func (s *stats) turnedAway(code int, from net.Addr, err error) {
-	n := s.bad.Add(1)
-	if _, ok := s.badLog.Allow(); ok { // count says how many were left out
+// recordBadRequest counts a request answered with a 4xx status, and logs some of them.
+func (s *stats) recordBadRequest(code int, from net.Addr, err error) {
+	n := s.badRequests.Add(1)
+	if _, ok := s.badRequestLog.Allow(); ok { // count shows how many lines were omitted
 		log.Printf("event=bad_request status=%d client=%s count=%d err=%q", code, from, n, err)
 	}
 }
 
-func (s *stats) attempt(r logic.Result) {
+func (s *stats) recordAttempt(r logic.Result) {
 	s.mu.Lock()
-	s.results[r]++
+	s.attemptResults[r]++
 	s.mu.Unlock()
 }
 
-// ended is how many requests of all classes ended in one way.
-func (s *stats) ended(how int) (n int64) {
-	for i := range s.ends {
-		n += s.ends[i][how].Load()
+// requestsEnded returns the number of requests of all classes that ended with one
+// outcome.
+func (s *stats) requestsEnded(outcome int) (n int64) {
+	for i := range s.outcomes {
+		n += s.outcomes[i][outcome].Load()
 	}
 	return n
 }
 
 // log writes the counts so far.
 func (s *stats) log(p *Proxy) {
-	used, most := p.sockets.inUse()
-	age, _ := p.list.Age()
+	descriptorsUsed, descriptorsPeak := p.descriptors.inUse()
+	listAge, _ := p.list.Age()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	r := s.results
+	results := s.attemptResults
 	log.Printf("event=stats served=%d refused=%d failed=%d gone=%d bad=%d unwritten=%d cut_short=%d recovered=%d p50_us=%d p99_us=%d "+
 		"error=%d cancelled=%d full=%d timed_out=%d no_connect=%d broken=%d never_sent=%d late=%d opened=%d sockets=%d sockets_most=%d "+
 		"timer_p99_us=%d timer_max_us=%d list_age=%.1f",
-		r[logic.OK], s.ended(throttled), s.ended(faulted), s.gone.Load(), s.bad.Load(), s.unwritten.Load(), s.cutShort.Load(), s.recovered.Load(),
-		s.latency.ValueAtQuantile(50), s.latency.ValueAtQuantile(99),
-		r[logic.Error], r[logic.Cancelled], r[logic.Rejected], r[logic.TimedOut], r[logic.ConnectFailed], r[logic.ConnectionLost], r[logic.NotSent], r[logic.ConnectPending],
-		p.driver.opt.ConnsOpened.Load(), used, most, s.lateness.ValueAtQuantile(99), s.lateness.Max(), age.Seconds())
+		results[logic.OK], s.requestsEnded(throttled), s.requestsEnded(faulted), s.clientsGone.Load(), s.badRequests.Load(), s.writeFailures.Load(), s.truncated.Load(), s.recoveredPanics.Load(),
+		s.responseLatency.ValueAtQuantile(50), s.responseLatency.ValueAtQuantile(99),
+		results[logic.Error], results[logic.Cancelled], results[logic.Rejected], results[logic.TimedOut], results[logic.ConnectFailed], results[logic.ConnectionLost], results[logic.NotSent], results[logic.ConnectPending],
+		p.driver.upstreamOptions.ConnsOpened.Load(), descriptorsUsed, descriptorsPeak, s.timerDelay.ValueAtQuantile(99), s.timerDelay.Max(), listAge.Seconds())
 }
