--- a/internal/upstream/dial_test.go
+++ b/internal/upstream/dial_test.go
@@ -11,16 +11,17 @@
 	"oxbowloft/internal/standin"
 )
 
-// blockedDial is a dial that waits until it is let through, ends with an error, or is given up.
+// blockedDial is a dial function that blocks until the test releases it, with or without an
+// error, or until its context ends.
 type blockedDial struct {
 	begun   atomic.Int64
-	release chan error // nil lets one through
+	release chan error // nil lets one dial through
 }
 
-func (h *blockedDial) dial(ctx context.Context, network, addr string) (net.Conn, error) {
-	h.begun.Add(1)
+func (b *blockedDial) dial(ctx context.Context, network, addr string) (net.Conn, error) {
+	b.begun.Add(1)
 	select {
-	case err := <-h.release:
+	case err := <-b.release:
 		if err != nil {
 			return nil, err
 		}
@@ -35,20 +36,21 @@
 	standin.Eventually(t, 10*time.Second, what, f)
 }
 
-// newBlockedBackend is a backend whose connections are held, and what it takes from.
+// newBlockedBackend returns a backend whose dials block, the dial function, the descriptor budget,
+// and the server behind it.
 func newBlockedBackend(t *testing.T) (*Backend, *blockedDial, *descriptors, *standin.Backend) {
 	t.Helper()
-	behind := standin.NewBackend(t, standin.Echo)
-	opt, taken := options(100)
-	held := &blockedDial{release: make(chan error, 10)}
-	opt.Dial, opt.DialTimeout = held.dial, time.Minute
-	return New(behind.Addr(), opt), held, taken, behind
+	server := standin.NewBackend(t, standin.Echo)
+	opt, budget := options(100)
+	blocked := &blockedDial{release: make(chan error, 10)}
+	opt.Dial, opt.DialTimeout = blocked.dial, time.Minute
+	return New(server.Addr(), opt), blocked, budget, server
 }
 
-// An attempt leaves a late connection to others, and no more than mostLate are on their
-// way with nobody waiting.
-func TestLate(t *testing.T) {
-	b, held, _, behind := newBlockedBackend(t)
+// An attempt abandons a slow dial, whose connection later serves others, and no more than
+// maxAbandonedDials are in progress with no attempt waiting.
+func TestAbandonedDials(t *testing.T) {
+	b, blocked, _, server := newBlockedBackend(t)
 	defer b.Close()
 	request := &Request{Render: get, Timeout: 200 * time.Millisecond}
 	for range maxAbandonedDials {
@@ -61,67 +63,67 @@
 			t.Fatalf("ended in stage %d: %v", a.Stage, a.Err)
 		}
 	}
-	if n := held.begun.Load(); n != maxAbandonedDials {
+	if n := blocked.begun.Load(); n != maxAbandonedDials {
 		t.Errorf("%d connections begun, want %d", n, maxAbandonedDials)
 	}
 	for range maxAbandonedDials {
-		held.release <- nil
+		blocked.release <- nil
 	}
-	eventually(t, "both up", func() bool { return b.IdleCount() == maxAbandonedDials })
+	eventually(t, "both connections established", func() bool { return b.IdleCount() == maxAbandonedDials })
 	request.Timeout = 10 * time.Second
 	if a := b.Exchange(context.Background(), request); a.Stage != Answered || a.Err != nil {
 		t.Fatalf("ended in stage %d: %v", a.Stage, a.Err)
 	}
-	if opened, _ := behind.ConnCounts(); opened != maxAbandonedDials || held.begun.Load() != maxAbandonedDials {
-		t.Errorf("%d connections opened and %d begun, want %d", opened, held.begun.Load(), maxAbandonedDials)
+	if opened, _ := server.ConnCounts(); opened != maxAbandonedDials || blocked.begun.Load() != maxAbandonedDials {
+		t.Errorf("%d connections opened and %d begun, want %d", opened, blocked.begun.Load(), maxAbandonedDials)
 	}
 }
 
-// A late connection that never comes up is told, and gives its descriptor back. One that is
-// given up because its backend is gone is not told.
-func TestLateNeverUp(t *testing.T) {
-	for _, gone := range []bool{false, true} {
-		b, held, taken, _ := newBlockedBackend(t)
-		told := make(chan error, 10)
-		b.opt.OnLateDialFailure = func(_ *Backend, err error) { told <- err }
+// An abandoned dial that fails is reported and releases its descriptor. One that is cancelled
+// because its backend is closed is not reported.
+func TestAbandonedDialFails(t *testing.T) {
+	for _, closed := range []bool{false, true} {
+		b, blocked, budget, _ := newBlockedBackend(t)
+		reported := make(chan error, 10)
+		b.opt.OnLateDialFailure = func(_ *Backend, err error) { reported <- err }
 		if a := b.Exchange(context.Background(), &Request{Render: get, Timeout: 100 * time.Millisecond}); a.Stage != ConnectTimedOut {
 			t.Fatalf("ended in stage %d: %v", a.Stage, a.Err)
 		}
-		wrong := errors.New("no way")
-		if gone {
+		dialErr := errors.New("no route")
+		if closed {
 			b.Close()
 		} else {
-			held.release <- wrong
-			if err := <-told; err != wrong {
-				t.Errorf("told %v", err)
+			blocked.release <- dialErr
+			if err := <-reported; err != dialErr {
+				t.Errorf("reported %v", err)
 			}
 		}
-		eventually(t, "the descriptor given back", func() bool { return taken.free.Load() == 100 })
-		if len(told) > 0 {
-			t.Errorf("told %v", <-told)
+		eventually(t, "the descriptor is released", func() bool { return budget.free.Load() == 100 })
+		if len(reported) > 0 {
+			t.Errorf("reported %v", <-reported)
 		}
 		b.Close()
 	}
 }
 
-// How long an attempt waits for its connection: a part of its time, less where connections
-// come up quickly, and more where most take longer than that.
-func TestConnectPatience(t *testing.T) {
+// The connect timeout is a fraction of the attempt's timeout, less if connections are usually
+// established quickly, and more if most take longer than that.
+func TestConnectTimeout(t *testing.T) {
 	const timeout = 400 * time.Millisecond
-	for _, c := range []struct{ usual, want time.Duration }{
+	for _, c := range []struct{ median, want time.Duration }{
 		{0, 100 * time.Millisecond},
 		{100 * time.Microsecond, 8 * time.Millisecond},
 		{time.Millisecond, 10 * time.Millisecond},
 		{50 * time.Millisecond, 100 * time.Millisecond},
 		{80 * time.Millisecond, 160 * time.Millisecond},
 	} {
-		o := &Options{connectMedian: c.usual}
+		o := &Options{connectMedian: c.median}
 		if got := o.connectTimeout(timeout); got != c.want {
-			t.Errorf("usual %v: %v, want %v", c.usual, got, c.want)
+			t.Errorf("median %v: connect timeout %v, want %v", c.median, got, c.want)
 		}
 	}
 	o := &Options{}
-	for i := range 300 { // a third are late by far
+	for i := range 300 { // a third are slow by far
 		took := time.Millisecond
 		if i%3 == 0 {
 			took = time.Second
@@ -129,25 +131,25 @@
 		o.recordConnectTime(took)
 	}
 	if o.connectMedian < time.Millisecond/2 || o.connectMedian > 2*time.Millisecond {
-		t.Errorf("the usual time is %v, want some 1 ms", o.connectMedian)
+		t.Errorf("the estimated median is %v, want about 1 ms", o.connectMedian)
 	}
 }
 
-// The time that a backend is told counts from the decision to make the attempt: a process
-// that is held up between the two tells less.
+// The time that a request announces to the backend counts from the decision to make the attempt,
+// so a process that is delayed in between announces less.
 func TestTimeFromDecision(t *testing.T) {
 	b := standin.NewBackend(t, standin.Echo)
 	opt, _ := options(10)
-	up := New(b.Addr(), opt)
-	defer up.Close()
-	var told time.Duration
+	backend := New(b.Addr(), opt)
+	defer backend.Close()
+	var announced time.Duration
 	text := func(left time.Duration) []byte {
-		told = left
+		announced = left
 		return get(left)
 	}
-	held := 600 * time.Millisecond
-	a := up.Exchange(context.Background(), &Request{Render: text, Timeout: time.Second, DecidedAt: time.Now().Add(-held)})
-	if a.Err != nil || told > time.Second-held {
-		t.Errorf("told %v of 1 s, %v after the decision: %v", told, held, a.Err)
+	delay := 600 * time.Millisecond
+	a := backend.Exchange(context.Background(), &Request{Render: text, Timeout: time.Second, DecidedAt: time.Now().Add(-delay)})
+	if a.Err != nil || announced > time.Second-delay {
+		t.Errorf("announced %v of 1 s, %v after the decision: %v", announced, delay, a.Err)
 	}
 }
--- a/internal/upstream/ends_test.go
+++ b/internal/upstream/ends_test.go
@@ -16,12 +16,12 @@
 	"oxbowloft/internal/standin"
 )
 
-// uploadConn is a client's connection with a long request. Of its body it gives so much,
-// then waits for more or for the end of its time, and tells of each interruption.
+// uploadConn is a client's connection that sends a long request. It delivers a part of the body
+// and then blocks, or sends on without end. interrupted is closed when the reader interrupts it.
 type uploadConn struct {
 	net.Conn
-	pending     string // what is left to give
-	endless     bool   // gives x without end after it
+	pending     string // not delivered yet
+	endless     bool   // sends x without end after pending
 	interrupted chan bool
 	once        sync.Once
 }
@@ -46,7 +46,7 @@
 	return nil
 }
 
-// newUpload is an exchange's request with a rest that comes from u.
+// newUpload returns an exchange's request whose body is streamed from the returned connection.
 func newUpload(t *testing.T, endless bool) (*uploadConn, *Request) {
 	t.Helper()
 	u := &uploadConn{endless: endless, interrupted: make(chan bool),
@@ -64,7 +64,7 @@
 	}
 }
 
-// exchangeInTime is what an exchange comes to; it fails the test where that takes for ever.
+// exchangeInTime returns the result of an exchange, and fails the test if it does not end.
 func exchangeInTime(t *testing.T, b *Backend, ctx context.Context, req *Request) ExchangeResult {
 	t.Helper()
 	done := make(chan ExchangeResult, 1)
@@ -73,21 +73,21 @@
 	case a := <-done:
 		return a
 	case <-time.After(20 * time.Second):
-		t.Fatal("goes on")
+		t.Fatal("the exchange does not end")
 		return ExchangeResult{}
 	}
 }
 
-// writeIsBlocked tells whether a write in this process waits for its reader.
+// writeIsBlocked reports whether a write in this process waits for its reader.
 func writeIsBlocked() bool {
 	stacks := make([]byte, 1<<20)
 	return strings.Contains(string(stacks[:runtime.Stack(stacks, true)]), "internal/poll.(*pollDesc).waitWrite")
 }
 
-// Guards against an answer without a length that is served though it was cut off: its
-// reset is told once, here to the write of the request that was still coming, and the
-// reader then sees an end.
-func TestResetToldToTheWrite(t *testing.T) {
+// An answer without a length that was cut off by a reset must not be served. The system reports
+// the reset once, here to the write of the request that is still being sent, and the reader
+// then sees an orderly end.
+func TestResetReportedToTheWrite(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -95,7 +95,7 @@
 	defer ln.Close()
 	for _, c := range []struct {
 		name, text string
-		status     int // 0: it is no answer
+		status     int // 0: not a usable answer
 	}{
 		{"no length", "HTTP/1.1 200 OK\r\n\r\nhalf of an ans", 0},
 		{"no length, 1.0", "HTTP/1.0 200 OK\r\n\r\nhalf of an ans", 0},
@@ -105,23 +105,23 @@
 	} {
 		opt, s := options(5)
 		var a ExchangeResult
-		for { // until the answer has found a write that stands still
+		for { // until the answer comes while a write is blocked
 			u, req := newUpload(t, true)
-			var far sync.WaitGroup
-			far.Go(func() {
+			var server sync.WaitGroup
+			server.Go(func() {
 				nc, err := ln.Accept()
 				if err != nil {
 					t.Error(err)
 					return
 				}
-				standin.Eventually(t, 10*time.Second, "the write stands still", writeIsBlocked)
+				standin.Eventually(t, 10*time.Second, "the write is blocked", writeIsBlocked)
 				io.WriteString(nc, c.text)
-				<-u.interrupted // the answer has been seen; the reset has not
+				<-u.interrupted // the answer has been noticed, the reset not yet
 				nc.(*net.TCPConn).SetLinger(0)
 				nc.Close()
 			})
 			a = exchangeInTime(t, New(ln.Addr().String(), opt), shortContext(t), req)
-			far.Wait()
+			server.Wait()
 			if !errors.Is(a.Err, errEarlyAnswer) {
 				break
 			}
@@ -136,9 +136,9 @@
 	}
 }
 
-// Guards against what is late of an older answer taken for one to a request that is
-// still being sent: on a connection that has carried another, a 200 that comes ahead of
-// the request's end is not ours. A new connection has no older answer.
+// A late answer to an older request must not be taken for the answer to a request that is still
+// being sent: on a reused connection, a 200 before the end of the request is rejected. A new
+// connection has no older answer.
 func TestStaleAnswerDuringAnUpload(t *testing.T) {
 	for _, reused := range []bool{true, false} {
 		_, req := newUpload(t, false)
@@ -146,8 +146,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var far sync.WaitGroup
-		far.Go(func() {
+		var server sync.WaitGroup
+		server.Go(func() {
 			nc, err := ln.Accept()
 			if err != nil {
 				t.Error(err)
@@ -159,7 +159,7 @@
 				nc.Read(buf)
 				io.WriteString(nc, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst")
 			}
-			nc.Read(buf) // the first part is here
+			nc.Read(buf) // the first part has arrived
 			io.WriteString(nc, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst")
 			io.Copy(io.Discard, nc)
 		})
@@ -180,16 +180,16 @@
 		}
 		b.Close()
 		ln.Close()
-		far.Wait()
+		server.Wait()
 		if n := s.free.Load(); n != 5 {
-			t.Errorf("%d of 5 descriptors given back", n)
+			t.Errorf("%d of 5 descriptors released", n)
 		}
 	}
 }
 
-// An upload that is given up ends at once, wherever it stands: with a sender that gives
-// nothing more, and with a backend that takes nothing more.
-func TestUploadGivenUp(t *testing.T) {
+// A cancelled upload ends at once, both when the client sends nothing more and when the backend
+// reads nothing more.
+func TestCancelledUpload(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -199,36 +199,36 @@
 		_, req := newUpload(t, endless)
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		over := make(chan bool)
-		var far sync.WaitGroup
-		far.Go(func() {
+		finished := make(chan bool)
+		var server sync.WaitGroup
+		server.Go(func() {
 			nc, err := ln.Accept()
 			if err != nil {
 				t.Error(err)
 				return
 			}
 			defer nc.Close()
-			io.ReadFull(nc, make([]byte, 60)) // it has begun
+			io.ReadFull(nc, make([]byte, 60)) // the upload has begun
 			cancel()
 			<-ctx.Done()
-			<-over
+			<-finished
 		})
 		opt, s := options(5)
 		a := exchangeInTime(t, New(ln.Addr().String(), opt), ctx, req)
-		close(over)
+		close(finished)
 		if !errors.Is(a.Err, context.Canceled) || a.Stage != SendFailed || a.BodyReadErr != nil || s.free.Load() != 5 {
 			t.Errorf("endless %t: got %+v, %d descriptors", endless, a, s.free.Load())
 		}
-		far.Wait()
+		server.Wait()
 		if n, err := req.BodyRest.Read(make([]byte, 1)); errors.Is(err, http1.ErrInterrupted) {
-			t.Errorf("the rest is left interrupted: %d, %v", n, err)
+			t.Errorf("reading the rest of the body is still interrupted: %d, %v", n, err)
 		}
 	}
 }
 
-// What fails never tells a caller that it may be sent again where it may have run: an
-// exchange that was written whole is Written or Answered, however its answer ends.
-func TestNoFaultLooksUnsent(t *testing.T) {
+// A failed exchange must not look safe to retry if the request may have run: once the request is
+// completely written the stage is Written or Answered, however the answer ends.
+func TestWrittenRequestNeverLooksUnsent(t *testing.T) {
 	const head = "HTTP/1.1 200 OK\r\n"
 	for _, text := range []string{
 		"", "H", "HTTP/1.1 2", head, head + "\r\n", head + "\r\nhalf", head + "Content-Length: 9\r\n\r\nhalf",
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -114,8 +114,7 @@
 }
 
 // transferLimits bounds the duration of a transfer to or from a backend. A peer may take seconds
-// over a part, but must not hold a connection and a buffer indefinitely. The rate is in bytes
-// per second.
+// over a part, but must not hold a connection and a buffer indefinitely.
 var transferLimits = http1.MinTransferRate{InitialAllowance: 5 * time.Second, BytesPerSecond: 16 << 10, StallTimeout: 5 * time.Second}
 
 // earlyAnswerTimeout bounds the reading of an answer to a partly sent request after the
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -19,7 +19,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// descriptors is a budget that counts; none is left once out of them.
+// descriptors is a budget of a fixed number of descriptors.
 type descriptors struct{ free atomic.Int64 }
 
 func (s *descriptors) TryAcquire() bool {
@@ -40,20 +40,20 @@
 
 func get(time.Duration) []byte { return []byte("GET /x HTTP/1.1\r\nHost: h\r\n\r\n") }
 
-// contextFor is a context that is over after d, and let go of at the test's end.
+// contextFor returns a context that ends after d, or at the end of the test.
 func contextFor(t *testing.T, d time.Duration) context.Context {
 	ctx, cancel := context.WithTimeout(context.Background(), d)
 	t.Cleanup(cancel)
 	return ctx
 }
 
-// newExchange is an exchange of text whose time-out is what ctx leaves.
-func newExchange(ctx context.Context, text func(time.Duration) []byte) (context.Context, *Request) {
+// newExchange returns the arguments of an exchange whose timeout is the time left in ctx.
+func newExchange(ctx context.Context, render func(time.Duration) []byte) (context.Context, *Request) {
 	timeout := time.Minute
 	if end, ok := ctx.Deadline(); ok {
 		timeout = time.Until(end)
 	}
-	return ctx, &Request{Render: text, Timeout: timeout}
+	return ctx, &Request{Render: render, Timeout: timeout}
 }
 
 func shortContext(t *testing.T) context.Context { return contextFor(t, 10*time.Second) }
@@ -96,13 +96,13 @@
 			}
 			b.Close()
 			if n := s.free.Load(); n != 5 {
-				t.Errorf("%d of 5 descriptors given back", n)
+				t.Errorf("%d of 5 descriptors released", n)
 			}
 		})
 	}
 }
 
-func TestRefused(t *testing.T) {
+func TestConnectionRefused(t *testing.T) {
 	opt, s := options(5)
 	stopped := standin.NewBackend(t, standin.Echo)
 	stopped.Stop()
@@ -111,9 +111,9 @@
 	}
 }
 
-// A backend that reads nothing: what is not wholly written has never run, and
-// may go elsewhere even if it must not run twice.
-func TestNotWhollyWritten(t *testing.T) {
+// The backend reads nothing. A request that is not completely written has not run, and may be
+// retried on another backend even if it is not idempotent.
+func TestIncompleteWrite(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -130,22 +130,22 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			over := make(chan bool)
-			var far sync.WaitGroup
-			far.Go(func() {
+			var server sync.WaitGroup
+			server.Go(func() {
 				nc, err := ln.Accept()
 				if err != nil {
 					t.Error(err)
 					return
 				}
 				defer nc.Close()
-				time.Sleep(50 * time.Millisecond) // so that a part is written
+				time.Sleep(50 * time.Millisecond) // so that a part has been written
 				c.end(nc.(*net.TCPConn))
 				<-over
 			})
 			opt, _ := options(5)
 			a := New(ln.Addr().String(), opt).Exchange(newExchange(contextFor(t, c.within), huge))
 			close(over)
-			far.Wait()
+			server.Wait()
 			if a.Stage != SendFailed || a.Err == nil {
 				t.Errorf("got stage %v, %v", a.Stage, a.Err)
 			}
@@ -153,7 +153,7 @@
 	}
 }
 
-func TestReuse(t *testing.T) {
+func TestConnectionReuse(t *testing.T) {
 	opt, s := options(5)
 	backend := standin.NewBackend(t, standin.Echo)
 	b := New(backend.Addr(), opt)
@@ -168,39 +168,39 @@
 	}
 	b.CloseExpired(time.Now().Add(6 * time.Second))
 	if s.free.Load() != 4 {
-		t.Error("an idle connection was closed long before its limit")
+		t.Error("an idle connection was closed long before its timeout")
 	}
 	b.CloseExpired(time.Now().Add(8 * time.Second))
 	if s.free.Load() != 5 {
-		t.Error("an idle connection is kept until close to its limit")
+		t.Error("an idle connection is kept until shortly before its timeout")
 	}
 	b.Exchange(newExchange(shortContext(t), get))
 	b.RemoveIdle()()
 	if s.free.Load() != 5 {
-		t.Error("a detached connection is still open")
+		t.Error("a removed connection is still open")
 	}
 	b.Close()
 	b.Exchange(newExchange(shortContext(t), get))
 	if s.free.Load() != 5 {
-		t.Error("a connection of a closed backend is kept")
+		t.Error("a connection of a closed backend is kept idle")
 	}
 }
 
-// What a backend sends behind an answer, at once or a little later, is never taken
-// for the next one; and its connection carries no other.
-func TestBehindAnAnswer(t *testing.T) {
+// Data that a backend sends after an answer, at once or shortly later, must not be taken for the
+// next answer, and its connection is not reused.
+func TestDataAfterAnAnswer(t *testing.T) {
 	const copied = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstale"
-	for name, behind := range map[string]string{"a copy": copied, "noise": "\x00\x01\xff", "a line": "\r\n", "1xx": "HTTP/1.1 100 Continue\r\n\r\n"} {
+	for name, trailing := range map[string]string{"a copy": copied, "noise": "\x00\x01\xff", "a line": "\r\n", "1xx": "HTTP/1.1 100 Continue\r\n\r\n"} {
 		for _, after := range []time.Duration{0, minIdleTime / 4} {
 			opt, s := options(5)
 			b := New(standin.NewBackend(t, func(c *standin.Call) {
 				if after == 0 {
-					c.WriteRaw(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n%d", c.Number) + behind)
+					c.WriteRaw(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n%d", c.Number) + trailing)
 					return
 				}
 				c.Reply(200, fmt.Sprint(c.Number))
 				time.Sleep(after)
-				c.WriteRaw(behind)
+				c.WriteRaw(trailing)
 			}).Addr(), opt)
 			for n := range 5 {
 				if a := b.Exchange(newExchange(shortContext(t), get)); a.Err != nil || string(a.Body) != fmt.Sprint(n+1) {
@@ -212,14 +212,14 @@
 			}
 			b.Close()
 			if n := s.free.Load(); n != 5 {
-				t.Errorf("%s: %d of 5 descriptors given back", name, n)
+				t.Errorf("%s: %d of 5 descriptors released", name, n)
 			}
 		}
 	}
 }
 
-// Guards against a late second answer that comes after an idle connection was taken and
-// before the first byte of the next request: it would be taken for that one's.
+// A late second answer that arrives between taking an idle connection and the first byte of the
+// next request must not be taken for the answer to that request.
 func TestLateAnswerBeforeTheFirstByte(t *testing.T) {
 	again := make(chan bool)
 	b := standin.NewBackend(t, func(c *standin.Call) {
@@ -231,29 +231,29 @@
 		}
 	})
 	opt, _ := options(10)
-	up := New(b.Addr(), opt)
-	defer up.Close()
+	backend := New(b.Addr(), opt)
+	defer backend.Close()
 	ctx, req := newExchange(shortContext(t), get)
-	if a := up.Exchange(ctx, req); a.Err != nil || string(a.Body) != "1" {
+	if a := backend.Exchange(ctx, req); a.Err != nil || string(a.Body) != "1" {
 		t.Fatalf("got %q, %v", a.Body, a.Err)
 	}
-	up.mu.Lock()
-	taken := up.idleConns[0].conn
-	up.idleConns[0].idleSince = time.Now().Add(-time.Hour) // it has rested
-	up.mu.Unlock()
+	backend.mu.Lock()
+	taken := backend.idleConns[0].conn
+	backend.idleConns[0].idleSince = time.Now().Add(-time.Hour) // it has been idle long enough
+	backend.mu.Unlock()
 	asked := 0
 	req.ShouldSend = func() bool { asked++; return true }
 	req.Render = func(left time.Duration) []byte {
 		if asked == 1 {
 			again <- true
 			<-again
-			for taken.IsIdle() { // until it is here
+			for taken.IsIdle() { // until the late answer has arrived
 				time.Sleep(time.Millisecond)
 			}
 		}
 		return get(left)
 	}
-	if a := up.Exchange(ctx, req); a.Err != nil || string(a.Body) != "2" {
+	if a := backend.Exchange(ctx, req); a.Err != nil || string(a.Body) != "2" {
 		t.Errorf("got %q, %v, want the second answer", a.Body, a.Err)
 	}
 	if opened, _ := b.ConnCounts(); opened != 2 || asked != 2 {
@@ -261,8 +261,8 @@
 	}
 }
 
-// Guards against a request that must not run twice lost to a connection that
-// its peer had closed while idle.
+// A request that is not idempotent must not be lost on a connection that the peer closed while it
+// was idle.
 func TestClosedWhileIdle(t *testing.T) {
 	opt, _ := options(5)
 	backend := standin.NewBackend(t, func(c *standin.Call) { c.Reply(200, fmt.Sprint(c.Number)) })
@@ -276,11 +276,11 @@
 	}
 }
 
-func TestNoDescriptor(t *testing.T) {
+func TestNoDescriptorLeft(t *testing.T) {
 	opt, s := options(1)
 	backend := standin.NewBackend(t, standin.Echo)
 	b := New(backend.Addr(), opt)
-	// With none to spare, a connection is not kept idle.
+	// With no descriptor left, a connection is not kept idle.
 	if a := b.Exchange(newExchange(shortContext(t), get)); a.Status != 200 || s.free.Load() != 1 {
 		t.Errorf("got %+v, %d descriptors", a, s.free.Load())
 	}
@@ -290,7 +290,7 @@
 	}
 }
 
-func TestOldest(t *testing.T) {
+func TestCloseOldestIdle(t *testing.T) {
 	opt, s := options(5)
 	hold := make(chan bool)
 	backend := standin.NewBackend(t, func(c *standin.Call) { <-hold; standin.Echo(c) })
@@ -312,9 +312,9 @@
 	b.Close()
 }
 
-// Guards against work that goes on for nobody: an exchange given up ends at once, its connection is
-// closed and carries nothing else, and its descriptor is given back.
-func TestGivenUp(t *testing.T) {
+// A cancelled exchange ends at once, so that no work goes on without a caller. Its connection is
+// closed, not reused, and its descriptor is released.
+func TestCancelledExchange(t *testing.T) {
 	opt, s := options(1)
 	backend := standin.NewBackend(t, (*standin.Call).Hang)
 	b := New(backend.Addr(), opt)
@@ -324,7 +324,7 @@
 	go func() { done <- b.Exchange(newExchange(ctx, get)) }()
 	for deadline := time.Now().Add(20 * time.Second); backend.RequestCount() == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("no call came")
+			t.Fatal("the backend got no call")
 		}
 	}
 	cancel()
@@ -334,9 +334,9 @@
 			t.Errorf("got %+v, %d idle, %d descriptors", a, b.IdleCount(), s.free.Load())
 		}
 	case <-time.After(20 * time.Second):
-		t.Fatal("goes on after it was given up")
+		t.Fatal("the exchange goes on after it was cancelled")
 	}
 	if a := b.Exchange(newExchange(ctx, get)); a.Stage != SendFailed {
-		t.Errorf("begun after it was given up: %+v", a)
+		t.Errorf("began after it was cancelled: %+v", a)
 	}
 }
