--- a/internal/discovery/check_test.go
+++ b/internal/discovery/check_test.go
@@ -14,10 +14,10 @@
 	"oxbowloft/internal/discovery"
 )
 
-// checkedClient is a client with checks, and what it has told.
+// checkedClient is a client with checks enabled that records its callbacks.
 type checkedClient struct {
 	*discovery.Client
-	source *source
+	source *fakeSource
 
 	mu    sync.Mutex
 	calls int
@@ -27,7 +27,7 @@
 }
 
 func newCheckedClient() *checkedClient {
-	c := &checkedClient{Client: discovery.New("127.0.0.1:80", 3, byHand{}), source: &source{}}
+	c := &checkedClient{Client: discovery.New("127.0.0.1:80", 3, manualPacer{}), source: &fakeSource{}}
 	c.MinCheckInterval = 10 * sec
 	c.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c.mu.Lock()
@@ -41,114 +41,114 @@
 	return c
 }
 
-// seen is what has come of it so far.
-func (c *checkedClient) seen() (calls, lists, ends int, fresh discovery.Freshness) {
+// state returns what has been recorded so far.
+func (c *checkedClient) state() (calls, lists, ends int, fresh discovery.Freshness) {
 	synctest.Wait()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.calls, len(c.revs), c.ends, c.fresh
 }
 
-// live writes signs of life to the watch that stands, for a time.
-func (c *checkedClient) live(watch net.Conn, span time.Duration) {
+// sendHeartbeats writes heartbeats to the open watch for a time.
+func (c *checkedClient) sendHeartbeats(watch net.Conn, span time.Duration) {
 	for end := time.Now().Add(span); time.Now().Before(end); time.Sleep(sec) {
 		io.WriteString(watch, "1\r\n\n\r\n")
 	}
 }
 
-// A check brings the list as it is now beside a watch that stands and is late: once in a
-// while at most, and never where no watch stands, as calls are being made for one then. One
-// that is turned away leaves the watch, and for how long the list may be used, as they are.
+// A check brings the current list beside an open watch that announces late. Checks are rate-limited,
+// and none is made without a watch, since calls for one are being made then. A rejected check
+// changes neither the watch nor the freshness of the list.
 func TestCheck(t *testing.T) {
 	log.SetOutput(io.Discard)
 	defer log.SetOutput(os.Stderr)
 	synctest.Test(t, func(t *testing.T) {
 		c := newCheckedClient()
-		c.source.set(lists(5))
+		c.source.setAnswer(answerList(5))
 		ctx, stop := context.WithCancel(context.Background())
 		done := make(chan bool)
 		go func() { defer close(done); c.Run(ctx) }()
 		defer func() { stop(); <-done }()
 		c.RequestCheck()
 		time.Sleep(6 * sec)
-		if calls, _, _, _ := c.seen(); calls != 0 {
-			t.Errorf("%d calls, checks without a watch", calls)
+		if calls, _, _, _ := c.state(); calls != 0 {
+			t.Errorf("%d calls: a check was made without a watch", calls)
 		}
 		time.Sleep(6 * sec)
 
 		c.CallNow()
 		synctest.Wait()
-		watch := c.source.last
-		c.source.set(lists(6))
-		_, _, _, before := c.seen()
+		watch := c.source.serverConn
+		c.source.setAnswer(answerList(6))
+		_, _, _, before := c.state()
 		c.RequestCheck()
 		c.RequestCheck()
-		c.live(watch, 6*sec)
-		calls, got, ends, fresh := c.seen()
+		c.sendHeartbeats(watch, 6*sec)
+		calls, got, ends, fresh := c.state()
 		if calls != 2 || got != 2 || ends != 0 {
 			t.Errorf("%d calls, %d lists, %d ends; want the watch, one check, and no end", calls, got, ends)
 		}
 		if !fresh.ReceivedAt.After(before.ReceivedAt) {
-			t.Error("the check's list is not told")
+			t.Error("the list of the check was not recorded as received")
 		}
 
-		c.source.set(busy)
+		c.source.setAnswer(rejectCall)
 		c.RequestCheck()
-		c.live(watch, 2*sec)
-		if calls, _, _, _ := c.seen(); calls != 2 {
-			t.Errorf("%d calls, a check right behind another", calls)
+		c.sendHeartbeats(watch, 2*sec)
+		if calls, _, _, _ := c.state(); calls != 2 {
+			t.Errorf("%d calls: a check was made too soon after another", calls)
 		}
-		c.live(watch, 16*sec)
-		calls, got, ends, after := c.seen()
+		c.sendHeartbeats(watch, 16*sec)
+		calls, got, ends, after := c.state()
 		if calls != 3 || got != 2 || ends != 0 {
-			t.Errorf("%d calls, %d lists, %d ends; want a check that is turned away, and the watch as it was", calls, got, ends)
+			t.Errorf("%d calls, %d lists, %d ends; want a rejected check and an unchanged watch", calls, got, ends)
 		}
 		if after.ReceivedAt != fresh.ReceivedAt || !after.Until.After(time.Now().Add(4*sec)) {
-			t.Errorf("told at %v before, %v after; fresh for %v", fresh.ReceivedAt, after.ReceivedAt, time.Until(after.Until))
+			t.Errorf("received at %v before, %v after; fresh for %v", fresh.ReceivedAt, after.ReceivedAt, time.Until(after.Until))
 		}
 	})
 }
 
-// A watch is closed while a check beside it waits for its answer. What the watch has not told
-// counts two seconds after the close, and the check's list may be from before that: it is used,
-// and the list is stale by then all the same, until a call that was made later has brought one.
-// As found it was taken for a list of the watch, and lifted that bound. Found by reading.
-func TestCheckDoesNotLiftTheBoundOfAClose(t *testing.T) {
+// A watch is closed while a check waits for its answer. Changes that the watch did not announce count
+// two seconds after the close, and the list of the check may be from before it. The list is
+// used, but must not lift that staleness bound as a list of the watch would; only a later call
+// may.
+func TestCheckKeepsTheBoundOfAClosedWatch(t *testing.T) {
 	log.SetOutput(io.Discard)
 	defer log.SetOutput(os.Stderr)
 	synctest.Test(t, func(t *testing.T) {
 		c := newCheckedClient()
-		c.source.set(lists(5))
+		c.source.setAnswer(answerList(5))
 		ctx, stop := context.WithCancel(context.Background())
 		done := make(chan bool)
 		go func() { defer close(done); c.Run(ctx) }()
 		defer func() { stop(); <-done }()
 		c.CallNow()
 		synctest.Wait()
-		watch := c.source.last
+		watch := c.source.serverConn
 		answer := make(chan bool)
-		c.source.set(func(conn net.Conn) {
+		c.source.setAnswer(func(conn net.Conn) {
 			<-answer
-			lists(6)(conn)
+			answerList(6)(conn)
 		})
 		c.RequestCheck()
-		for calls, _, _, _ := c.seen(); calls < 2; calls, _, _, _ = c.seen() {
-			c.live(watch, sec)
+		for calls, _, _, _ := c.state(); calls < 2; calls, _, _, _ = c.state() {
+			c.sendHeartbeats(watch, sec)
 		}
 		watch.Close()
-		_, _, ends, ended := c.seen()
+		_, _, ends, ended := c.state()
 		close(answer)
-		_, got, _, after := c.seen()
+		_, got, _, after := c.state()
 		if ends != 1 || got != 2 {
-			t.Fatalf("%d ends, %d lists; want the watch's end, and the check's list", ends, got)
+			t.Fatalf("%d ends, %d lists; want the end of the watch and the list of the check", ends, got)
 		}
 		if after.Until.After(ended.Until) || time.Until(ended.Until) > 2*sec {
-			t.Errorf("fresh for %v after the close, for %v after the check's list", time.Until(ended.Until), time.Until(after.Until))
+			t.Errorf("fresh for %v after the close, for %v after the list of the check", time.Until(ended.Until), time.Until(after.Until))
 		}
-		c.source.set(lists(7))
+		c.source.setAnswer(answerList(7))
 		c.CallNow()
-		if _, _, _, fresh := c.seen(); time.Until(fresh.Until) < 5*sec {
-			t.Errorf("fresh for %v after a list of a new watch", time.Until(fresh.Until))
+		if _, _, _, fresh := c.state(); time.Until(fresh.Until) < 5*sec {
+			t.Errorf("fresh for %v after the list of a new watch", time.Until(fresh.Until))
 		}
 	})
 }
--- a/internal/discovery/fleet_test.go
+++ b/internal/discovery/fleet_test.go
@@ -25,58 +25,58 @@
 	sec = time.Second
 	ms  = time.Millisecond
 
-	askWithin  = 10 * sec
-	tellWithin = 6 * sec  // what a silent watch misses counts as told then
-	grace      = 500 * ms // sends that may go on after that
-	slack      = 50 * ms
-	service    = 20 * ms // that a backend takes for a call
-	spacing    = 5       // services between a member's requests
-	backends   = 8
+	maxCallWait    = 10 * sec
+	announceWithin = 6 * sec  // what a silent watch misses counts as told then
+	grace          = 500 * ms // sends that may go on after that
+	slack          = 50 * ms
+	serviceTime    = 20 * ms // that a backend takes for a call
+	spacing        = 5       // services between a member's requests
+	backends       = 8
 )
 
 // fleet is many members that ask one registry, and all that is held against them.
 type fleet struct {
-	reg     *standin.Registry
-	began   time.Time
-	deaf    bool // members do not hear that a call has failed, nor how old their list is
-	tasks   sync.WaitGroup
-	members []*member
-	size    int // of the first start: members that are started later take the places of those killed
-	turn    int // of services
-	changes []news
-
-	mu       sync.Mutex
-	drained  map[string]int // by revision
-	late     int            // sends to a backend whose drain counted as told, past the grace
-	lateness string         // one of them
+	reg             *standin.Registry
+	startedAt       time.Time
+	ignoresFailures bool // members do not hear that a call has failed, nor how old their list is
+	tasks           sync.WaitGroup
+	members         []*member
+	size            int // of the first start: members that are started later take the places of those killed
+	round           int // of services
+	changes         []revisionAt
+
+	mu        sync.Mutex
+	drained   map[string]int // by revision
+	lateSends int            // sends to a backend whose drain counted as told, past the grace
+	lateSend  string         // one of them
 }
 
 // member is one client with its balancer, as a proxy has them, and its requests.
 type member struct {
 	*fleet
-	name   string
-	born   time.Time
-	client *discovery.Client
-	end    func()
-
-	mu       sync.Mutex
-	died     time.Time
-	balancer *logic.Balancer
-	heard    []news
-	out      logic.Outcome // of the request sent last
-	served   time.Time     // last
+	name      string
+	createdAt time.Time
+	client    *discovery.Client
+	stop      func()
+
+	mu          sync.Mutex
+	stoppedAt   time.Time
+	balancer    *logic.Balancer
+	received    []revisionAt
+	lastOutcome logic.Outcome // of the request sent last
+	lastServed  time.Time     // last
 }
 
-// news is a revision, when it was made or when a list of it came to a balancer.
-type news struct {
+// revisionAt is a revision, when it was made or when a list of it came to a balancer.
+type revisionAt struct {
 	at  time.Time
 	rev int
 }
 
 func backendName(i int) string { return fmt.Sprintf("s-%02d", i) }
 
-// lines are targets from first up to, not including, end.
-func lines(state string, first, end int) (out []string) {
+// targetLines are targets from first up to, not including, end.
+func targetLines(state string, first, end int) (out []string) {
 	for i := first; i < end; i++ {
 		out = append(out, standin.TargetJSONInState(state, backendName(i), "127.0.0.1:80"))
 	}
@@ -87,8 +87,8 @@
 func (f *fleet) change(state string, first, end int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	rev := f.reg.Publish(lines(state, first, end)...)
-	f.changes = append(f.changes, news{time.Now(), rev})
+	rev := f.reg.Publish(targetLines(state, first, end)...)
+	f.changes = append(f.changes, revisionAt{time.Now(), rev})
 	for i := first; i < end; i++ {
 		f.drained[backendName(i)] = rev
 		if state == discovery.InService {
@@ -102,17 +102,17 @@
 	f.size = cmp.Or(f.size, n)
 	for range n {
 		id := len(f.members)
-		m := &member{fleet: f, name: fmt.Sprintf("member-%d:80", id), born: time.Now()}
+		m := &member{fleet: f, name: fmt.Sprintf("member-%d:80", id), createdAt: time.Now()}
 		first := 1
 		if id%2 == 1 {
 			first = 0 // half of them ask for the whole list
 		}
 		m.client = discovery.New(m.name, int64(first), m.pacer(uint64(id+1)))
 		m.client.Dial = f.reg.Dial
-		m.client.OnList = m.list
+		m.client.OnList = m.updateList
 		m.client.OnEnd = func(discovery.CallEnd) {}
-		m.client.OnFreshness = m.fresh
-		m.do(func(now logic.Time) {
+		m.client.OnFreshness = m.updateFreshness
+		m.withBalancer(func(now logic.Time) {
 			m.balancer = logic.New(now, logic.Settings{
 				Seed: uint64(id + 1), Zone: "z1", Zones: []string{"z1"}, BalancerCount: f.size, BalancerIndex: id % f.size,
 				Classes:     []logic.Class{{Name: "get", TargetLatency: 500 * ms, Deadline: 2 * sec, Value: 1}},
@@ -125,7 +125,7 @@
 			m.balancer.UpdateList(now, true, known)
 		})
 		ctx, cancel := context.WithCancel(context.Background())
-		m.end = cancel
+		m.stop = cancel
 		f.members = append(f.members, m)
 		f.tasks.Go(func() { m.client.Run(ctx) })
 	}
@@ -134,41 +134,41 @@
 // kill ends members first up to, not including, end.
 func (f *fleet) kill(first, end int) {
 	for _, m := range f.members[first:end] {
-		m.do(func(logic.Time) { m.died = time.Now() })
-		m.end()
+		m.withBalancer(func(logic.Time) { m.stoppedAt = time.Now() })
+		m.stop()
 	}
 }
 
-// do makes one call to the balancer.
-func (m *member) do(f func(now logic.Time)) {
+// withBalancer makes one call to the balancer.
+func (m *member) withBalancer(f func(now logic.Time)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.died.IsZero() {
+	if m.stoppedAt.IsZero() {
 		f(at(time.Now()))
 	}
 }
 
 func at(t time.Time) logic.Time { return logic.Time(t.UnixNano()) }
 
-// serve makes the members' requests and the backends' answers until a time. One goroutine
+// exchangeUntil makes the members' requests and the backends' answers until a time. One goroutine
 // does it for all of them: a timer for each would take most of the test's time.
-func (f *fleet) serve(until time.Time) {
-	for ; time.Now().Before(until); time.Sleep(service) {
-		for i := f.turn % spacing; i < len(f.members); i += spacing {
+func (f *fleet) exchangeUntil(until time.Time) {
+	for ; time.Now().Before(until); time.Sleep(serviceTime) {
+		for i := f.round % spacing; i < len(f.members); i += spacing {
 			m := f.members[i]
-			m.do(func(now logic.Time) { m.balancer.AttemptDone(now, m.out) })
+			m.withBalancer(func(now logic.Time) { m.balancer.AttemptDone(now, m.lastOutcome) })
 		}
-		f.turn++
-		for i := f.turn % spacing; i < len(f.members); i += spacing {
+		f.round++
+		for i := f.round % spacing; i < len(f.members); i += spacing {
 			m := f.members[i]
-			m.do(func(now logic.Time) {
-				m.balancer.StartRequest(now, logic.Request{ID: strconv.Itoa(f.turn), Budget: 2 * sec})
+			m.withBalancer(func(now logic.Time) {
+				m.balancer.StartRequest(now, logic.Request{ID: strconv.Itoa(f.round), Budget: 2 * sec})
 			})
 		}
 	}
 }
 
-func (m *member) list(l *discovery.List) {
+func (m *member) updateList(l *discovery.List) {
 	var changed []logic.Backend
 	for _, t := range l.Targets {
 		b := logic.Backend{ID: t.UID, Zone: t.Zone, Cell: t.Cell, Capacity: t.CapacityHint, State: logic.Up}
@@ -177,36 +177,36 @@
 		}
 		changed = append(changed, b)
 	}
-	m.do(func(now logic.Time) {
-		m.heard = append(m.heard, news{time.Now(), int(l.Rev)})
+	m.withBalancer(func(now logic.Time) {
+		m.received = append(m.received, revisionAt{time.Now(), int(l.Rev)})
 		m.balancer.UpdateList(now, l.Complete, changed)
 	})
 }
 
-func (m *member) fresh(f discovery.Freshness) {
-	if !m.deaf {
+func (m *member) updateFreshness(f discovery.Freshness) {
+	if !m.ignoresFailures {
 		fresh := logic.ListFreshness{FreshUntil: at(f.Until), StaleUntil: at(f.UntilIfServing), EvidenceWindow: f.ServingWindow,
 			ChangesMayLag: f.MayAnnounceLate, MaxUnobserved: discovery.MaxUnobservedGap}
 		if !f.ReceivedAt.IsZero() {
 			fresh.ConfirmedAt, fresh.ReceivedAt = at(f.ConfirmedAt), at(f.ReceivedAt)
 		}
-		m.do(func(logic.Time) { m.balancer.SetListFreshness(fresh) })
+		m.withBalancer(func(logic.Time) { m.balancer.SetListFreshness(fresh) })
 	}
 }
 
 // pacer paces the member's calls. Of the deaf ones it makes the first alone.
 func (m *member) pacer(seed uint64) discovery.Pacer {
-	p := pacing.NewForService(askWithin, rand.New(rand.NewPCG(seed, 1)))
-	if m.deaf {
-		return firstOnly{p}
+	p := pacing.NewForService(maxCallWait, rand.New(rand.NewPCG(seed, 1)))
+	if m.ignoresFailures {
+		return firstCallOnly{p}
 	}
 	return p
 }
 
-// firstOnly makes no call after the first.
-type firstOnly struct{ *pacing.Pacer }
+// firstCallOnly makes no call after the first.
+type firstCallOnly struct{ *pacing.Pacer }
 
-func (firstOnly) Failed(time.Duration, bool) time.Duration { return time.Hour }
+func (firstCallOnly) Failed(time.Duration, bool) time.Duration { return time.Hour }
 
 // Send implements logic.Actions.
 func (m *member) Send(request, backend string, _ time.Duration) {
@@ -215,20 +215,20 @@
 	result, rev := logic.OK, m.drained[backend]
 	if rev > 0 {
 		result = logic.Rejected
-		told, ok := m.reg.AnnouncedAt(m.name, rev, tellWithin)
+		told, ok := m.reg.AnnouncedAt(m.name, rev, announceWithin)
 		if over := time.Since(told); ok && over > grace+slack {
-			m.late++
-			m.lateness = fmt.Sprintf("%s to %s %v after told, at %v", m.name, backend, over, time.Since(m.began))
+			m.lateSends++
+			m.lateSend = fmt.Sprintf("%s to %s %v after told, at %v", m.name, backend, over, time.Since(m.startedAt))
 		}
 	} else {
-		m.served = time.Now()
+		m.lastServed = time.Now()
 	}
-	m.out = logic.Outcome{Request: request, Result: result, Latency: service, Final: result == logic.OK}
+	m.lastOutcome = logic.Outcome{Request: request, Result: result, Latency: serviceTime, Final: result == logic.OK}
 }
 
 // Wake implements logic.Actions.
 func (m *member) StartTimer(token uint64, after time.Duration) {
-	time.AfterFunc(after, func() { m.do(func(now logic.Time) { m.balancer.TimerFired(now, token) }) })
+	time.AfterFunc(after, func() { m.withBalancer(func(now logic.Time) { m.balancer.TimerFired(now, token) }) })
 }
 
 // The rest of logic.Actions.
@@ -237,9 +237,9 @@
 func (m *member) Cancel(string, int)                        {}
 func (m *member) CloseIdle(string)                          {}
 
-// knows is the newest revision that the member had by a time.
-func (m *member) knows(by time.Time) (rev int) {
-	for _, h := range m.heard {
+// revisionBy is the newest revision that the member had by a time.
+func (m *member) revisionBy(by time.Time) (rev int) {
+	for _, h := range m.received {
 		if !h.at.After(by) {
 			rev = max(rev, h.rev)
 		}
@@ -250,18 +250,18 @@
 // step is what happens at a time of a run. Where all is set, it begins a round, in which
 // each member needs an answer to a new call: those that it started, or else all.
 type step struct {
-	at    time.Duration
-	do    func(*fleet)
-	half  time.Duration // by then more than half have it
-	all   time.Duration // by then all have it, and know all that changed a second before
-	calls float64       // most until the next round, in the mean over these members
+	at         time.Duration
+	do         func(*fleet)
+	halfWithin time.Duration // by then more than half have it
+	allWithin  time.Duration // by then all have it, and know all that changed a second before
+	maxCalls   float64       // most until the next round, in the mean over these members
 }
 
 func drain(first, end int) func(*fleet) {
 	return func(f *fleet) { f.change(discovery.Terminating, first, end) }
 }
 
-func silence(f *fleet) { f.reg.SilenceWatches() }
+func silenceWatches(f *fleet) { f.reg.SilenceWatches() }
 
 // run runs a fleet through steps in virtual time, the last of which ends it. Sends to
 // drained backends must be found if the fleet is deaf, and else there must be none.
@@ -269,11 +269,11 @@
 	log.SetOutput(io.Discard)
 	defer log.SetOutput(os.Stderr)
 	synctest.Test(t, func(t *testing.T) {
-		f.reg, f.began, f.drained = standin.NewRegistry(t, opt), time.Now(), map[string]int{}
+		f.reg, f.startedAt, f.drained = standin.NewRegistry(t, opt), time.Now(), map[string]int{}
 		f.change(discovery.InService, 0, backends)
 		made := []int{} // calls before each step
 		for _, s := range steps {
-			f.serve(f.began.Add(s.at))
+			f.exchangeUntil(f.startedAt.Add(s.at))
 			made = append(made, f.reg.CallCount())
 			if s.do != nil {
 				s.do(f)
@@ -283,18 +283,18 @@
 		f.kill(0, len(f.members))
 		f.reg.Close()
 		f.tasks.Wait()
-		if found := f.late > 0; found != f.deaf {
-			t.Errorf("%d sends to drained backends, one of them from %s", f.late, f.lateness)
+		if found := f.lateSends > 0; found != f.ignoresFailures {
+			t.Errorf("%d sends to drained backends, one of them from %s", f.lateSends, f.lateSend)
 		}
 		for _, m := range f.members {
-			if !f.deaf && m.died.Equal(end) && end.Sub(m.served) > sec {
+			if !f.ignoresFailures && m.stoppedAt.Equal(end) && end.Sub(m.lastServed) > sec {
 				t.Errorf("%s serves nothing at the end", m.name)
 			}
 		}
 		for i, s := range steps {
-			if s.calls > 0 {
+			if s.maxCalls > 0 {
 				next := i + 1
-				for next < len(steps)-1 && steps[next].calls == 0 {
+				for next < len(steps)-1 && steps[next].maxCalls == 0 {
 					next++
 				}
 				f.check(t, s, opt.NotifyDelay, made[next]-made[i])
@@ -305,10 +305,10 @@
 
 // check checks one round in which so many calls were made.
 func (f *fleet) check(t *testing.T, s step, late time.Duration, calls int) {
-	from := f.began.Add(s.at)
-	needs := func(born bool) (out []*member) {
+	from := f.startedAt.Add(s.at)
+	needs := func(createdAt bool) (out []*member) {
 		for _, m := range f.members {
-			if m.died.After(from) && (m.born.Equal(from) || !born && m.born.Before(from)) {
+			if m.stoppedAt.After(from) && (m.createdAt.Equal(from) || !createdAt && m.createdAt.Before(from)) {
 				out = append(out, m)
 			}
 		}
@@ -319,13 +319,13 @@
 		in = needs(false)
 	}
 	mean := float64(calls) / float64(len(in))
-	if mean > s.calls {
-		t.Errorf("at %v: %.2f calls a member, want at most %v", s.at, mean, s.calls)
+	if mean > s.maxCalls {
+		t.Errorf("at %v: %.2f calls a member, want at most %v", s.at, mean, s.maxCalls)
 	}
-	if s.all == 0 {
+	if s.allWithin == 0 {
 		return
 	}
-	limit, newest := from.Add(s.all), 0
+	limit, newest := from.Add(s.allWithin), 0
 	for _, n := range f.changes {
 		if !n.at.Add(late + sec).After(limit) {
 			newest = n.rev
@@ -333,17 +333,17 @@
 	}
 	var took []time.Duration
 	for _, m := range in {
-		first := slices.IndexFunc(m.heard, func(n news) bool { return !n.at.Before(from) })
+		first := slices.IndexFunc(m.received, func(n revisionAt) bool { return !n.at.Before(from) })
 		if first >= 0 {
-			took = append(took, m.heard[first].at.Sub(from))
+			took = append(took, m.received[first].at.Sub(from))
 		}
-		if m.died.After(limit) && (first < 0 || m.heard[first].at.After(limit) || m.knows(limit) < newest) {
-			t.Errorf("at %v: %s knows revision %d, want %d after %v", s.at, m.name, m.knows(limit), newest, s.all)
+		if m.stoppedAt.After(limit) && (first < 0 || m.received[first].at.After(limit) || m.revisionBy(limit) < newest) {
+			t.Errorf("at %v: %s knows revision %d, want %d after %v", s.at, m.name, m.revisionBy(limit), newest, s.allWithin)
 		}
 	}
 	slices.Sort(took)
-	if len(took) <= len(in)/2 || took[len(in)/2] > s.half {
-		t.Errorf("at %v: no more than half have an answer after %v", s.at, s.half)
+	if len(took) <= len(in)/2 || took[len(in)/2] > s.halfWithin {
+		t.Errorf("at %v: no more than half have an answer after %v", s.at, s.halfWithin)
 	} else {
 		t.Logf("at %v: half by %.1fs, %d of %d by %.1fs, %.2f calls a member", s.at,
 			took[len(in)/2].Seconds(), len(took), len(in), took[len(took)-1].Seconds(), mean)
@@ -354,58 +354,58 @@
 // when all ask anew, half have an answer after 4 s at the earliest and all after 8 s. A
 // silent watch is noticed up to 3 s late, and who was turned away waits up to 3.75 s, a
 // quarter of the time to ask within and half as much again, while the queue may run dry.
-const halfBy, allBy = 6 * sec, 12 * sec
+const halfWithinQueue, allWithinQueue = 6 * sec, 12 * sec
 
-var crowded = standin.RegistryOptions{ServiceTime: 8 * sec / 300, MaxQueueDelay: sec}
+var queuedRegistry = standin.RegistryOptions{ServiceTime: 8 * sec / 300, MaxQueueDelay: sec}
 
 // The waits of one turned away again and again are 0.5 s, 1 s, 2 s and then 2.5 s in the
 // mean: five calls take 6 s, and one more is for the silent one. So many are made only by
 // the last ones; the mean is well below.
-const callsMost = 5
+const maxCallsInStep = 5
 
-// outage is 8 s without a connection, in which members ask by the same waits.
-func outage(at time.Duration, begin, end func(*fleet)) []step {
+// outageSteps is 8 s without a connection, in which members ask by the same waits.
+func outageSteps(at time.Duration, begin, end func(*fleet)) []step {
 	return []step{
-		{0, func(f *fleet) { f.start(300) }, halfBy, allBy, callsMost},
-		{at: at, do: begin, calls: callsMost},
+		{0, func(f *fleet) { f.start(300) }, halfWithinQueue, allWithinQueue, maxCallsInStep},
+		{at: at, do: begin, maxCalls: maxCallsInStep},
 		{at: at + 3500*ms, do: drain(0, 1)},
 		{at: at + 6200*ms, do: drain(2, 3)},
-		{at + 8*sec, end, halfBy, allBy, callsMost},
+		{at + 8*sec, end, halfWithinQueue, allWithinQueue, maxCallsInStep},
 		{at: at + 10*sec, do: drain(4, 5)},
 		{at: at + 21*sec},
 	}
 }
 
 func TestFleet(t *testing.T) {
-	begin := step{0, func(f *fleet) { f.start(300) }, halfBy, allBy, callsMost}
+	begin := step{0, func(f *fleet) { f.start(300) }, halfWithinQueue, allWithinQueue, maxCallsInStep}
 	for _, c := range []struct {
 		name  string
 		opt   standin.RegistryOptions
 		steps []step
 	}{
-		{"start", crowded, []step{
+		{"start", queuedRegistry, []step{
 			begin,
 			{at: 1 * sec, do: drain(0, 1)},
 			{at: 5 * sec, do: drain(2, 3)},
 			{at: 13 * sec}}},
-		{"seven in ten restart", crowded, []step{
+		{"seven in ten restart", queuedRegistry, []step{
 			begin,
-			{10 * sec, func(f *fleet) { f.kill(0, 210); f.start(210) }, halfBy, allBy, callsMost},
+			{10 * sec, func(f *fleet) { f.kill(0, 210); f.start(210) }, halfWithinQueue, allWithinQueue, maxCallsInStep},
 			{at: 10500 * ms, do: drain(0, 3)},
 			{at: 23 * sec}}},
-		{"silence", crowded, []step{
-			{at: 0, do: begin.do, calls: callsMost},
-			{1 * sec, silence, halfBy, allBy, callsMost},
+		{"silence", queuedRegistry, []step{
+			{at: 0, do: begin.do, maxCalls: maxCallsInStep},
+			{1 * sec, silenceWatches, halfWithinQueue, allWithinQueue, maxCallsInStep},
 			{at: 4500 * ms, do: drain(0, 1)},
 			{at: 7200 * ms, do: drain(2, 3)},
-			{15 * sec, silence, halfBy, allBy, callsMost},
+			{15 * sec, silenceWatches, halfWithinQueue, allWithinQueue, maxCallsInStep},
 			{at: 18500 * ms, do: drain(4, 5)},
 			{at: 21200 * ms, do: drain(6, 7)},
 			{at: 28 * sec}}},
-		{"down", crowded, outage(13*sec,
+		{"down", queuedRegistry, outageSteps(13*sec,
 			func(f *fleet) { f.reg.SetDown(true) },
 			func(f *fleet) { f.reg.SetDown(false) })},
-		{"cut off", crowded, outage(13*sec,
+		{"cut off", queuedRegistry, outageSteps(13*sec,
 			func(f *fleet) { f.reg.SilenceWatches(); f.reg.SetDialsHang(true) },
 			func(f *fleet) { f.reg.SetDialsHang(false) })},
 		// It answers 120 in the first 3 s, and by then nobody else waits for it any more. The
@@ -444,7 +444,7 @@
 				{at: 2 * sec, do: drain(0, 4)},
 				{at: 5 * sec, do: func(f *fleet) { f.change(discovery.InService, 0, 4) }},
 				{at: 8 * sec, do: drain(0, 4)},
-				{15 * sec, silence, 4 * sec, 7 * sec, 1},
+				{15 * sec, silenceWatches, 4 * sec, 7 * sec, 1},
 				{at: 16 * sec, do: func(f *fleet) { f.change(discovery.InService, 2, 6) }},
 				{at: 18500 * ms, do: drain(2, 6)},
 				{at: 25 * sec}})
@@ -454,9 +454,9 @@
 
 // The check of sends can fail: it finds members that never ask again.
 func TestFleetOfTheDeaf(t *testing.T) {
-	run(t, &fleet{deaf: true}, standin.RegistryOptions{ServiceTime: ms}, []step{
+	run(t, &fleet{ignoresFailures: true}, standin.RegistryOptions{ServiceTime: ms}, []step{
 		{at: 0, do: func(f *fleet) { f.start(20) }},
-		{at: 5 * sec, do: silence},
+		{at: 5 * sec, do: silenceWatches},
 		{at: 8 * sec, do: drain(0, 4)},
 		{at: 15 * sec}})
 }
--- a/internal/discovery/fresh_test.go
+++ b/internal/discovery/fresh_test.go
@@ -22,29 +22,29 @@
 	"oxbowloft/internal/standin"
 )
 
-// source is a stand-in for discovery at one address, for one caller in a synctest bubble:
+// fakeSource is a stand-in for discovery at one address, for one caller in a synctest bubble:
 // each call is answered as the test says then.
-type source struct {
-	mu     sync.Mutex
-	answer func(conn net.Conn) // a call that is up; nil: refused
-	last   net.Conn
-	near   *resettable // its other side
+type fakeSource struct {
+	mu         sync.Mutex
+	answer     func(conn net.Conn) // a call that is up; nil: refused
+	serverConn net.Conn
+	clientConn *faultyConn // its other side
 }
 
-func (s *source) set(answer func(net.Conn)) {
+func (s *fakeSource) setAnswer(answer func(net.Conn)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.answer = answer
 }
 
-func (s *source) dial(context.Context, string, string) (net.Conn, error) {
+func (s *fakeSource) dial(context.Context, string, string) (net.Conn, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.answer == nil {
 		return nil, &net.OpError{Op: "dial", Net: "tcp", Err: syscall.ECONNREFUSED}
 	}
 	near, far := net.Pipe()
-	s.last, s.near = far, &resettable{Conn: near}
+	s.serverConn, s.clientConn = far, &faultyConn{Conn: near}
 	answer := s.answer
 	go func() {
 		if _, err := http.ReadRequest(bufio.NewReader(far)); err == nil {
@@ -52,84 +52,84 @@
 			answer(far)
 		}
 	}()
-	return s.near, nil
+	return s.clientConn, nil
 }
 
-// resettable is a connection whose end can be told as a reset.
-type resettable struct {
+// faultyConn is a connection whose end can be told as a reset.
+type faultyConn struct {
 	net.Conn
 	reset atomic.Bool
-	lost  atomic.Int64 // an errno that its end is told as, once it is not 0
+	errno atomic.Int64 // an errno that its end is told as, once it is not 0
 }
 
 // Read implements net.Conn.
-func (c *resettable) Read(p []byte) (int, error) {
+func (c *faultyConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if err != nil && c.reset.Load() {
 		err = &net.OpError{Op: "read", Net: "tcp", Err: syscall.ECONNRESET}
 	}
-	if errno := syscall.Errno(c.lost.Load()); err != nil && errno != 0 {
+	if errno := syscall.Errno(c.errno.Load()); err != nil && errno != 0 {
 		err = &net.OpError{Op: "read", Net: "tcp", Err: os.NewSyscallError("read", errno)}
 	}
 	return n, err
 }
 
-// say writes to the watch that stands.
-func (s *source) say(text string) {
+// write writes to the watch that stands.
+func (s *fakeSource) write(text string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	fmt.Fprintf(s.last, "%x\r\n%s\r\n", len(text), text)
+	fmt.Fprintf(s.serverConn, "%x\r\n%s\r\n", len(text), text)
 }
 
-// cut ends it in order.
-func (s *source) cut() {
+// closeConn ends it in order.
+func (s *fakeSource) closeConn() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.last.Close()
+	s.serverConn.Close()
 }
 
-// reset ends it as a process that dies does.
-func (s *source) reset() {
+// resetConn ends it as a process that dies does.
+func (s *fakeSource) resetConn() {
 	s.mu.Lock()
-	s.near.reset.Store(true)
+	s.clientConn.reset.Store(true)
 	s.mu.Unlock()
-	s.cut()
+	s.closeConn()
 }
 
-// loses ends it as the network does that gives a connection up.
-func (s *source) loses(errno syscall.Errno) {
+// failConn ends it as the network does that gives a connection up.
+func (s *fakeSource) failConn(errno syscall.Errno) {
 	s.mu.Lock()
-	s.near.lost.Store(int64(errno))
+	s.clientConn.errno.Store(int64(errno))
 	s.mu.Unlock()
-	s.cut()
+	s.closeConn()
 }
 
-const watched = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+const watchHeader = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
-func lists(rev int) func(net.Conn) {
+func answerList(rev int) func(net.Conn) {
 	return func(c net.Conn) {
 		line := standin.ListJSON(rev, true) + "\n"
-		fmt.Fprintf(c, "%s%x\r\n%s\r\n", watched, len(line), line)
+		fmt.Fprintf(c, "%s%x\r\n%s\r\n", watchHeader, len(line), line)
 	}
 }
 
-func busy(c net.Conn) {
+func rejectCall(c net.Conn) {
 	io.WriteString(c, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
 }
 
-// empty is a watch that is closed before its first list.
-func empty(c net.Conn) {
-	io.WriteString(c, watched)
+// closeBeforeList is a watch that is closed before its first list.
+func closeBeforeList(c net.Conn) {
+	io.WriteString(c, watchHeader)
 	c.Close()
 }
 
-// setThenCut closes the call under way, and answers the next one so.
-func setThenCut(answer func(net.Conn)) func(*source, *discovery.Client) {
-	return func(s *source, _ *discovery.Client) { s.set(answer); s.cut() }
+// setAnswerAndClose closes the call under way, and answers the next one so.
+func setAnswerAndClose(answer func(net.Conn)) func(*fakeSource, *discovery.Client) {
+	return func(s *fakeSource, _ *discovery.Client) { s.setAnswer(answer); s.closeConn() }
 }
 
-func reset(c net.Conn)  { c.Close() }
-func silent(c net.Conn) {}
+func closeUnanswered(c net.Conn) { c.Close() }
+func noAnswer(c net.Conn)        {}
 
 // A change counts as told 6 s after discovery had it and could be reached, whatever has
 // become of watches and calls; what a watch has not told when it is closed, 2 s later; 4 s
@@ -144,25 +144,25 @@
 	// that it is fresh until the same moment as before
 	type step struct {
 		name  string
-		do    func(s *source, c *discovery.Client)
+		do    func(s *fakeSource, c *discovery.Client)
 		fresh time.Duration
 	}
 	const same, none = -1, -2 // none: it is not fresh at all
-	ask := func(answer func(net.Conn)) func(*source, *discovery.Client) {
-		return func(s *source, c *discovery.Client) { s.set(answer); c.CallNow() }
+	ask := func(answer func(net.Conn)) func(*fakeSource, *discovery.Client) {
+		return func(s *fakeSource, c *discovery.Client) { s.setAnswer(answer); c.CallNow() }
 	}
-	say := func(text string) func(*source, *discovery.Client) {
-		return func(s *source, _ *discovery.Client) { s.say(text) }
+	say := func(text string) func(*fakeSource, *discovery.Client) {
+		return func(s *fakeSource, _ *discovery.Client) { s.write(text) }
 	}
-	cut := func(s *source, _ *discovery.Client) { s.set(silent); s.cut() }
-	broken := func(s *source, _ *discovery.Client) { s.set(silent); s.reset() }
-	nothing := func(*source, *discovery.Client) {}
-	wait := func(*source, *discovery.Client) { time.Sleep(3 * sec) }
-	move := func(addr string, answer func(net.Conn)) func(*source, *discovery.Client) {
-		return func(s *source, c *discovery.Client) { s.set(answer); c.SetSource(addr) }
+	cut := func(s *fakeSource, _ *discovery.Client) { s.setAnswer(noAnswer); s.closeConn() }
+	broken := func(s *fakeSource, _ *discovery.Client) { s.setAnswer(noAnswer); s.resetConn() }
+	nothing := func(*fakeSource, *discovery.Client) {}
+	wait := func(*fakeSource, *discovery.Client) { time.Sleep(3 * sec) }
+	move := func(addr string, answer func(net.Conn)) func(*fakeSource, *discovery.Client) {
+		return func(s *fakeSource, c *discovery.Client) { s.setAnswer(answer); c.SetSource(addr) }
 	}
 	const second = "127.0.0.1:81"
-	list := step{"a list", ask(lists(5)), 6 * sec}
+	list := step{"a list", ask(answerList(5)), 6 * sec}
 	life := step{"a sign of life", say("\n"), 6 * sec}
 	ended := step{"closed", cut, 2 * sec}
 	for _, c := range []struct {
@@ -171,59 +171,59 @@
 		steps  []step
 	}{
 		{"at the start", false, []step{{"start", nothing, none}, list}},
-		{"at the start, turned away", false, []step{{"start", nothing, none}, {"503", ask(busy), same}, {"refused", ask(nil), same}, list}},
-		{"at the start, silence", false, []step{{"start", nothing, none}, {"hangs", ask(silent), same}, {"silence", wait, same},
+		{"at the start, turned away", false, []step{{"start", nothing, none}, {"503", ask(rejectCall), same}, {"refused", ask(nil), same}, list}},
+		{"at the start, silence", false, []step{{"start", nothing, none}, {"hangs", ask(noAnswer), same}, {"silence", wait, same},
 			{"refused", ask(nil), same}, list}},
 		{"at the start, nobody there", false, []step{{"start", nothing, none}, {"refused", ask(nil), 6 * sec},
-			{"again", ask(nil), 6 * sec}, {"503", ask(busy), same}}},
+			{"again", ask(nil), 6 * sec}, {"503", ask(rejectCall), same}}},
 		{"a list and life", false, []step{list, life, life, {"a change", say(standin.ListJSON(6, false) + "\n"), 6 * sec}, life}},
 		{"closed", false, []step{list, life, ended, list, life}},
-		{"closed, then turned away", false, []step{list, life, ended, {"503", ask(busy), same}, {"again", ask(busy), same}, list}},
-		{"closed, then reset", false, []step{list, ended, {"reset", ask(reset), same}, {"503", ask(busy), same}, list}},
+		{"closed, then turned away", false, []step{list, life, ended, {"503", ask(rejectCall), same}, {"again", ask(rejectCall), same}, list}},
+		{"closed, then reset", false, []step{list, ended, {"reset", ask(closeUnanswered), same}, {"503", ask(rejectCall), same}, list}},
 		{"closed, and again", false, []step{list, ended, list, ended}},
-		{"closed with no list", false, []step{list, ended, {"closed at once", ask(empty), same}, list}},
+		{"closed with no list", false, []step{list, ended, {"closed at once", ask(closeBeforeList), same}, list}},
 		{"closed, then nobody there", false, []step{list, ended, {"refused", ask(nil), same}, {"again", ask(nil), same}, list}},
-		{"closed, and a call hangs", false, []step{list, ended, {"hangs", ask(silent), same}, {"silence", wait, same},
-			{"silence, then 503", ask(busy), same}, list}},
-		{"closed, then moved", false, []step{list, ended, {"moved", move(second, silent), same}, {"a list", setThenCut(lists(5)), same}, list}},
-		{"turned away from the start", false, []step{{"503", ask(busy), same}, {"again", ask(busy), same}, list}},
-		{"reset", false, []step{list, {"reset", broken, same}, {"503", ask(busy), same}, {"reset call", ask(reset), same}, list}},
+		{"closed, and a call hangs", false, []step{list, ended, {"hangs", ask(noAnswer), same}, {"silence", wait, same},
+			{"silence, then 503", ask(rejectCall), same}, list}},
+		{"closed, then moved", false, []step{list, ended, {"moved", move(second, noAnswer), same}, {"a list", setAnswerAndClose(answerList(5)), same}, list}},
+		{"turned away from the start", false, []step{{"503", ask(rejectCall), same}, {"again", ask(rejectCall), same}, list}},
+		{"reset", false, []step{list, {"reset", broken, same}, {"503", ask(rejectCall), same}, {"reset call", ask(closeUnanswered), same}, list}},
 		{"reset, then nobody there", false, []step{list, {"reset", broken, same}, {"refused", ask(nil), 6 * sec},
-			{"again", ask(nil), 6 * sec}, {"503", ask(busy), same}}},
-		{"reset, and a call hangs", false, []step{list, {"reset", broken, same}, {"hangs", ask(silent), same}, {"silence", wait, same},
-			{"silence, then 503", ask(busy), same}, {"stale, then refused", ask(nil), same}, list}},
+			{"again", ask(nil), 6 * sec}, {"503", ask(rejectCall), same}}},
+		{"reset, and a call hangs", false, []step{list, {"reset", broken, same}, {"hangs", ask(noAnswer), same}, {"silence", wait, same},
+			{"silence, then 503", ask(rejectCall), same}, {"stale, then refused", ask(nil), same}, list}},
 		{"silence, nobody there", false, []step{list, {"silence", wait, same}, {"refused", ask(nil), 6 * sec}, list}},
-		{"a watch falls silent", false, []step{list, {"silence", wait, same}, {"silence, then 503", ask(busy), same}, list}},
-		{"an older list begins a watch", false, []step{list, {"reset", broken, same}, {"older", ask(lists(4)), same}, {"older", ask(lists(4)), same}}},
+		{"a watch falls silent", false, []step{list, {"silence", wait, same}, {"silence, then 503", ask(rejectCall), same}, list}},
+		{"an older list begins a watch", false, []step{list, {"reset", broken, same}, {"older", ask(answerList(4)), same}, {"older", ask(answerList(4)), same}}},
 		{"an older list on a standing watch", false, []step{list, {"older", say(standin.ListJSON(4, true) + "\n"), same}, life}},
 		{"half a list", false, []step{list, {"half", say(`{"rev":6,`), same}, {"line ends in it", say("\n\n"), same},
 			{"the rest", say(`"all":false,"targets":[]}` + "\n"), 6 * sec}}},
 		{"half a list, then closed", false, []step{list, {"half", say(`{"rev":6,`), same}, ended}},
 		{"what can't be read", false, []step{list, {"noise", say("noise\n"), 2 * sec}}},
-		{"moved", false, []step{list, {"moved", move(second, silent), 4 * sec},
-			{"moved, then 503", func(s *source, c *discovery.Client) { s.set(busy); s.cut() }, same}, list}},
-		{"moved twice", false, []step{list, {"moved", move(second, silent), 4 * sec}, {"and on", move("127.0.0.1:82", silent), same},
-			{"moved, then reset", setThenCut(silent), same}, list}},
-		{"moved and back", false, []step{list, {"moved", move(second, silent), 4 * sec}, {"back", move("127.0.0.1:80", silent), same},
-			{"moved, then reset", setThenCut(silent), same}, list}},
+		{"moved", false, []step{list, {"moved", move(second, noAnswer), 4 * sec},
+			{"moved, then 503", func(s *fakeSource, c *discovery.Client) { s.setAnswer(rejectCall); s.closeConn() }, same}, list}},
+		{"moved twice", false, []step{list, {"moved", move(second, noAnswer), 4 * sec}, {"and on", move("127.0.0.1:82", noAnswer), same},
+			{"moved, then reset", setAnswerAndClose(noAnswer), same}, list}},
+		{"moved and back", false, []step{list, {"moved", move(second, noAnswer), 4 * sec}, {"back", move("127.0.0.1:80", noAnswer), same},
+			{"moved, then reset", setAnswerAndClose(noAnswer), same}, list}},
 		{"moved, nobody there", false, []step{list, {"moved", move(second, nil), 6 * sec}}},
 		{"pushed: at the start", true, []step{{"start", nothing, slack}}},
 		{"pushed: a list and life", true, []step{{"a list", nothing, 0}, life}},
 		{"pushed: closed, then turned away", true, []step{{"a list", nothing, 0},
-			{"closed", func(s *source, _ *discovery.Client) { s.set(busy); s.cut() }, slack}, {"503", nothing, same}}},
+			{"closed", func(s *fakeSource, _ *discovery.Client) { s.setAnswer(rejectCall); s.closeConn() }, slack}, {"503", nothing, same}}},
 		{"pushed: reset, then turned away", true, []step{{"a list", nothing, 0},
-			{"reset", func(s *source, _ *discovery.Client) { s.set(busy); s.reset() }, slack}, {"503", nothing, same}}},
+			{"reset", func(s *fakeSource, _ *discovery.Client) { s.setAnswer(rejectCall); s.resetConn() }, slack}, {"503", nothing, same}}},
 		{"pushed: a watch falls silent", true, []step{{"a list", nothing, 0},
-			{"silence", func(s *source, c *discovery.Client) { s.set(silent); wait(s, c) }, same}}},
+			{"silence", func(s *fakeSource, c *discovery.Client) { s.setAnswer(noAnswer); wait(s, c) }, same}}},
 		{"pushed: nobody there", true, []step{{"a list", nothing, 0},
-			{"reset", func(s *source, _ *discovery.Client) { s.set(nil); s.reset() }, slack}}},
+			{"reset", func(s *fakeSource, _ *discovery.Client) { s.setAnswer(nil); s.resetConn() }, slack}}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				var mu sync.Mutex
 				var until time.Time
-				s := &source{}
-				var pacer discovery.Pacer = byHand{}
+				s := &fakeSource{}
+				var pacer discovery.Pacer = manualPacer{}
 				if c.pushed {
 					pacer = pacing.NewForAgent(rand.New(rand.NewPCG(1, 1)))
 				}
@@ -231,11 +231,11 @@
 				client.Dial = s.dial
 				client.OnList, client.OnEnd = func(*discovery.List) {}, func(discovery.CallEnd) {}
 				client.OnFreshness = func(f discovery.Freshness) { mu.Lock(); until = f.Until; mu.Unlock() }
-				s.set(silent)
+				s.setAnswer(noAnswer)
 				if c.pushed {
-					s.set(lists(5))
+					s.setAnswer(answerList(5))
 					if c.steps[0].name == "start" {
-						s.set(silent)
+						s.setAnswer(noAnswer)
 					}
 					client.SetPushed(slack, 2*slack)
 				}
@@ -271,8 +271,8 @@
 				stop()
 				<-done
 				s.mu.Lock()
-				if s.last != nil {
-					s.last.Close()
+				if s.serverConn != nil {
+					s.serverConn.Close()
 				}
 				s.mu.Unlock()
 			})
@@ -290,36 +290,36 @@
 	const none = -1 // no longer than the list is fresh
 	type step struct {
 		name    string
-		do      func(s *source, c *discovery.Client)
+		do      func(s *fakeSource, c *discovery.Client)
 		serving time.Duration // from then on
 	}
-	ask := func(answer func(net.Conn)) func(*source, *discovery.Client) {
-		return func(s *source, c *discovery.Client) { s.set(answer); c.CallNow() }
+	ask := func(answer func(net.Conn)) func(*fakeSource, *discovery.Client) {
+		return func(s *fakeSource, c *discovery.Client) { s.setAnswer(answer); c.CallNow() }
 	}
-	wait := func(*source, *discovery.Client) { time.Sleep(3 * sec) }
-	move := func(_ *source, c *discovery.Client) { c.SetSource("127.0.0.1:81") }
-	list := step{"a list", ask(lists(5)), none}
-	broken := step{"reset", func(s *source, _ *discovery.Client) { s.set(silent); s.reset() }, 6 * sec}
-	closed := step{"closed", func(s *source, _ *discovery.Client) { s.set(silent); s.cut() }, none}
+	wait := func(*fakeSource, *discovery.Client) { time.Sleep(3 * sec) }
+	move := func(_ *fakeSource, c *discovery.Client) { c.SetSource("127.0.0.1:81") }
+	list := step{"a list", ask(answerList(5)), none}
+	broken := step{"reset", func(s *fakeSource, _ *discovery.Client) { s.setAnswer(noAnswer); s.resetConn() }, 6 * sec}
+	closed := step{"closed", func(s *fakeSource, _ *discovery.Client) { s.setAnswer(noAnswer); s.closeConn() }, none}
 	for _, c := range []struct {
 		name  string
 		steps []step
 	}{
-		{"reset, turned away, a list", []step{list, broken, {"503", ask(busy), 6 * sec}, {"503", ask(busy), 6 * sec}, list}},
-		{"turned away from the start", []step{{"503", ask(busy), 6 * sec}, {"reset", ask(reset), 6 * sec}, list}},
-		{"reset, then a call hangs", []step{list, broken, {"hangs", ask(silent), 5300 * ms}, {"silence", wait, none},
-			{"503", ask(busy), none}, list, broken}},
-		{"silence", []step{list, {"silence", wait, none}, {"503", ask(busy), none}, list}},
-		{"moved", []step{list, broken, {"moved", move, none}, {"503", func(s *source, c *discovery.Client) { s.set(busy); s.cut() }, none}, list}},
-		{"closed", []step{list, closed, {"503", ask(busy), none}, {"reset", ask(reset), none}, {"refused", ask(nil), none}, list, broken}},
-		{"reset, then closed with no list", []step{list, broken, {"closed at once", ask(empty), none}, {"503", ask(busy), none}}},
+		{"reset, turned away, a list", []step{list, broken, {"503", ask(rejectCall), 6 * sec}, {"503", ask(rejectCall), 6 * sec}, list}},
+		{"turned away from the start", []step{{"503", ask(rejectCall), 6 * sec}, {"reset", ask(closeUnanswered), 6 * sec}, list}},
+		{"reset, then a call hangs", []step{list, broken, {"hangs", ask(noAnswer), 5300 * ms}, {"silence", wait, none},
+			{"503", ask(rejectCall), none}, list, broken}},
+		{"silence", []step{list, {"silence", wait, none}, {"503", ask(rejectCall), none}, list}},
+		{"moved", []step{list, broken, {"moved", move, none}, {"503", func(s *fakeSource, c *discovery.Client) { s.setAnswer(rejectCall); s.closeConn() }, none}, list}},
+		{"closed", []step{list, closed, {"503", ask(rejectCall), none}, {"reset", ask(closeUnanswered), none}, {"refused", ask(nil), none}, list, broken}},
+		{"reset, then closed with no list", []step{list, broken, {"closed at once", ask(closeBeforeList), none}, {"503", ask(rejectCall), none}}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				var mu sync.Mutex
 				var fresh discovery.Freshness
-				s := &source{}
-				client := discovery.New("127.0.0.1:80", 3, byHand{})
+				s := &fakeSource{}
+				client := discovery.New("127.0.0.1:80", 3, manualPacer{})
 				client.Dial = s.dial
 				client.OnList, client.OnEnd = func(*discovery.List) {}, func(discovery.CallEnd) {}
 				client.OnFreshness = func(f discovery.Freshness) { mu.Lock(); fresh = f; mu.Unlock() }
@@ -348,7 +348,7 @@
 				stop()
 				<-done
 				s.mu.Lock()
-				s.last.Close()
+				s.serverConn.Close()
 				s.mu.Unlock()
 			})
 		})
@@ -371,23 +371,23 @@
 			late   bool
 		}{
 			{"nobody from the start on", nil, false},
-			{"a list", lists(5), true},
+			{"a list", answerList(5), true},
 			{"reset, then nobody", nil, false},
-			{"turned away", busy, true},
-			{"a list again", lists(5), true},
+			{"turned away", rejectCall, true},
+			{"a list again", answerList(5), true},
 		} {
-			c.source.set(step.answer)
+			c.source.setAnswer(step.answer)
 			if step.name == "reset, then nobody" {
-				c.source.reset()
+				c.source.resetConn()
 				synctest.Wait()
 			}
 			c.CallNow()
-			if _, _, _, fresh := c.seen(); fresh.MayAnnounceLate != step.late {
+			if _, _, _, fresh := c.state(); fresh.MayAnnounceLate != step.late {
 				t.Errorf("%s: tells late %t, want %t", step.name, fresh.MayAnnounceLate, step.late)
 			}
 		}
 		stop()
 		<-done
-		c.source.last.Close()
+		c.source.serverConn.Close()
 	})
 }
--- a/internal/discovery/local_test.go
+++ b/internal/discovery/local_test.go
@@ -15,9 +15,9 @@
 	"oxbowloft/internal/discovery"
 )
 
-// A call that fails for want of something on this machine says nothing of discovery, which may have told others of changes: neither
-// is the list used for longer, nor what serves. A refused call is told by discovery's
-// machine.
+// A call that fails for lack of a local resource says nothing about discovery, which may have
+// announced changes to others: it must not extend the use of the list. A refused connection is
+// an answer of discovery's machine and does.
 func TestLocalFailureIsNoOutage(t *testing.T) {
 	log.SetOutput(io.Discard)
 	defer log.SetOutput(os.Stderr)
@@ -36,10 +36,10 @@
 			synctest.Test(t, func(t *testing.T) {
 				var mu sync.Mutex
 				var fresh discovery.Freshness
-				s := &source{}
-				s.set(lists(5))
+				s := &fakeSource{}
+				s.setAnswer(answerList(5))
 				failing := false
-				client := discovery.New("127.0.0.1:80", 3, byHand{})
+				client := discovery.New("127.0.0.1:80", 3, manualPacer{})
 				client.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 					mu.Lock()
 					fail := failing
@@ -61,7 +61,7 @@
 				mu.Lock()
 				failing = true
 				mu.Unlock()
-				s.reset()
+				s.resetConn()
 				synctest.Wait()
 				mu.Lock()
 				before := fresh
@@ -74,31 +74,31 @@
 				mu.Lock()
 				after := fresh
 				mu.Unlock()
-				longer := after.Until.After(before.Until) || after.UntilIfServing.After(before.UntilIfServing)
-				if longer != c.outage {
-					t.Errorf("fresh until %v and %v before, %v and %v after: used for longer %t, want %t",
-						before.Until, before.UntilIfServing, after.Until, after.UntilIfServing, longer, c.outage)
+				extended := after.Until.After(before.Until) || after.UntilIfServing.After(before.UntilIfServing)
+				if extended != c.outage {
+					t.Errorf("fresh until %v and %v before, %v and %v after: extended %t, want %t",
+						before.Until, before.UntilIfServing, after.Until, after.UntilIfServing, extended, c.outage)
 				}
 				stop()
 				<-done
-				s.cut()
+				s.closeConn()
 			})
 		})
 	}
 }
 
-// A watch that the network has given up is one that fell silent: it was not ended in order,
-// nor does its end say that discovery is down.
-func TestLostWatchIsSilent(t *testing.T) {
+// A watch whose connection the network has dropped counts as unresponsive: it was not closed in
+// order, and its end does not show that discovery is down.
+func TestDroppedWatchIsUnresponsive(t *testing.T) {
 	log.SetOutput(io.Discard)
 	defer log.SetOutput(os.Stderr)
 	for _, errno := range []syscall.Errno{syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ENETUNREACH} {
 		t.Run(errno.Error(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := &source{}
-				s.set(lists(5))
+				s := &fakeSource{}
+				s.setAnswer(answerList(5))
 				ends := make(chan discovery.CallEnd, 10)
-				client := discovery.New("127.0.0.1:80", 3, byHand{})
+				client := discovery.New("127.0.0.1:80", 3, manualPacer{})
 				client.Dial = s.dial
 				client.OnList, client.OnEnd = func(*discovery.List) {}, func(end discovery.CallEnd) { ends <- end }
 				client.OnFreshness = func(discovery.Freshness) {}
@@ -107,7 +107,7 @@
 				go func() { defer close(done); client.Run(ctx) }()
 				client.CallNow()
 				synctest.Wait()
-				s.loses(errno)
+				s.failConn(errno)
 				if end := <-ends; end.Reason != discovery.Unresponsive {
 					t.Errorf("the watch counts as %v: %v", end.Reason, end.Err)
 				}
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -23,50 +23,50 @@
 // watchedClient is one client in a synctest bubble, the source that it calls, and what is seen of
 // its calls.
 type watchedClient struct {
-	*source
+	*fakeSource
 	client *discovery.Client
 
-	mu    sync.Mutex
-	began []time.Time // calls
-	ended []time.Time // calls that failed and watches that ended
-	open  int         // connections
-	most  int         // of them at a time
-	fresh time.Time
+	mu          sync.Mutex
+	callStarts  []time.Time // calls
+	callEnds    []time.Time // calls that failed and watches that ended
+	openConns   int         // connections
+	maxOpen     int         // of them at a time
+	usableUntil time.Time
 }
 
-// follow starts a client with the pacing that proxies have, where lists are asked for.
-func follow(t fataler, pacer discovery.Pacer) (w *watchedClient, stop func()) {
+// startWatchedClient starts a client with the pacing that proxies have, where lists are asked for.
+func startWatchedClient(t testingT, pacer discovery.Pacer) (w *watchedClient, stop func()) {
 	log.SetOutput(io.Discard)
-	w = &watchedClient{source: &source{}}
+	w = &watchedClient{fakeSource: &fakeSource{}}
 	w.client = discovery.New("127.0.0.1:80", 0, pacer)
 	w.client.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		w.mu.Lock()
-		w.began = append(w.began, time.Now())
+		w.callStarts = append(w.callStarts, time.Now())
 		w.mu.Unlock()
-		conn, err := w.source.dial(ctx, network, addr)
+		conn, err := w.fakeSource.dial(ctx, network, addr)
 		if err != nil {
 			return nil, err
 		}
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		w.open++
-		w.most = max(w.most, w.open)
-		return &counted{Conn: conn, closed: sync.OnceFunc(func() {
+		w.openConns++
+		w.maxOpen = max(w.maxOpen, w.openConns)
+		return &countedConn{Conn: conn, closed: sync.OnceFunc(func() {
 			w.mu.Lock()
 			defer w.mu.Unlock()
-			w.open--
+			w.openConns--
 		})}, nil
 	}
 	w.client.OnList = func(*discovery.List) {}
 	w.client.OnEnd = func(discovery.CallEnd) {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		w.ended = append(w.ended, time.Now())
+		w.callEnds = append(w.callEnds, time.Now())
 	}
 	w.client.OnFreshness = func(f discovery.Freshness) {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		w.fresh = f.UntilIfServing
+		w.usableUntil = f.UntilIfServing
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan bool)
@@ -74,25 +74,25 @@
 	return w, func() {
 		cancel()
 		<-done
-		w.source.mu.Lock()
-		if w.source.last != nil {
-			w.source.last.Close()
+		w.fakeSource.mu.Lock()
+		if w.fakeSource.serverConn != nil {
+			w.fakeSource.serverConn.Close()
 		}
-		w.source.mu.Unlock()
+		w.fakeSource.mu.Unlock()
 		log.SetOutput(os.Stderr)
 	}
 }
 
-type fataler interface{ Fatalf(string, ...any) }
+type testingT interface{ Fatalf(string, ...any) }
 
-// counted is a connection that tells of its close.
-type counted struct {
+// countedConn is a connection that tells of its close.
+type countedConn struct {
 	net.Conn
 	closed func()
 }
 
 // Close implements net.Conn.
-func (c *counted) Close() error {
+func (c *countedConn) Close() error {
 	c.closed()
 	return c.Conn.Close()
 }
@@ -101,7 +101,7 @@
 func (w *watchedClient) calls() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return len(w.began)
+	return len(w.callStarts)
 }
 
 // A call is refused; in the wait that follows, a new configuration moves the source, and the
@@ -111,9 +111,9 @@
 func TestWaitEndsWithAMove(t *testing.T) {
 	for seed := range uint64(20) {
 		synctest.Test(t, func(t *testing.T) {
-			w, stop := follow(t, pacing.NewForService(10*sec, rand.New(rand.NewPCG(seed, 1))))
+			w, stop := startWatchedClient(t, pacing.NewForService(10*sec, rand.New(rand.NewPCG(seed, 1))))
 			defer stop()
-			w.set(func(c net.Conn) { time.Sleep(2 * sec); busy(c) })
+			w.setAnswer(func(c net.Conn) { time.Sleep(2 * sec); rejectCall(c) })
 			for w.calls() == 0 {
 				time.Sleep(10 * ms)
 			}
@@ -121,7 +121,7 @@
 			if n := w.calls(); n != 1 {
 				t.Fatalf("%d calls, want one", n)
 			}
-			w.set(lists(5))
+			w.setAnswer(answerList(5))
 			w.client.SetSource("127.0.0.1:81")
 			synctest.Wait()
 			if n := w.calls(); n != 2 {
@@ -129,13 +129,13 @@
 			}
 			for range 8 { // the old wait ends meanwhile: it took 6 s at most
 				time.Sleep(sec)
-				w.say("\n")
+				w.write("\n")
 			}
 			if n := w.calls(); n != 2 {
 				t.Fatalf("%d calls while a watch stands", n-2)
 			}
 			ended := time.Now()
-			w.cut()
+			w.closeConn()
 			for w.calls() == 2 && time.Since(ended) < 20*sec {
 				time.Sleep(10 * ms)
 			}
@@ -149,20 +149,20 @@
 // Where lists are pushed, the wait after a failure ends with a move, too.
 func TestPushedWaitEndsWithAMove(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w, stop := follow(t, pacing.NewForAgent(rand.New(rand.NewPCG(1, 1))))
+		w, stop := startWatchedClient(t, pacing.NewForAgent(rand.New(rand.NewPCG(1, 1))))
 		defer stop()
-		w.set(busy)
+		w.setAnswer(rejectCall)
 		time.Sleep(3 * sec) // waits of a second by now
-		w.set(lists(5))
+		w.setAnswer(answerList(5))
 		w.client.SetSource("127.0.0.1:81")
 		synctest.Wait()
 		calls := w.calls()
 		for range 3 {
 			time.Sleep(sec)
-			w.say("\n")
+			w.write("\n")
 		}
-		w.set(silent)
-		w.cut()
+		w.setAnswer(noAnswer)
+		w.closeConn()
 		time.Sleep(120 * ms) // less than half of the first wait
 		if n := w.calls(); n != calls {
 			t.Errorf("%d calls right after the watch's end, of a wait that was over", n-calls)
@@ -187,7 +187,7 @@
 		waits := rapid.SliceOfN(rapid.IntRange(1, 9000), len(events), len(events)).Draw(r, "waits")
 		var failed string
 		synctest.Test(t, func(*testing.T) {
-			failed = playWatch(r, seed, askWithin, events, waits)
+			failed = playEvents(r, seed, askWithin, events, waits)
 		})
 		if failed != "" {
 			r.Fatal(failed)
@@ -195,19 +195,19 @@
 	})
 }
 
-// playWatch plays events, each after a wait in milliseconds, and says what broke.
-func playWatch(t fataler, seed uint64, askWithin time.Duration, events, waits []int) string {
-	w, stop := follow(t, pacing.NewForService(askWithin, rand.New(rand.NewPCG(seed, 1))))
+// playEvents plays events, each after a wait in milliseconds, and says what broke.
+func playEvents(t testingT, seed uint64, askWithin time.Duration, events, waits []int) string {
+	w, stop := startWatchedClient(t, pacing.NewForService(askWithin, rand.New(rand.NewPCG(seed, 1))))
 	defer stop()
-	w.set(silent)
+	w.setAnswer(noAnswer)
 	begun, addr, idle := time.Now(), 80, time.Now()
 	for i, event := range events {
 		for range waits[i] / 100 {
 			time.Sleep(100 * ms)
 			synctest.Wait()
 			w.mu.Lock()
-			open, most, calls, fresh := w.open, w.most, len(w.began), w.fresh
-			for _, times := range [][]time.Time{w.began, w.ended} {
+			open, most, calls, fresh := w.openConns, w.maxOpen, len(w.callStarts), w.usableUntil
+			for _, times := range [][]time.Time{w.callStarts, w.callEnds} {
 				if n := len(times); n > 0 && times[n-1].After(idle) {
 					idle = times[n-1]
 				}
@@ -225,30 +225,30 @@
 			}
 		}
 		before := w.calls()
-		standing := w.current()
+		standing := w.active()
 		switch event {
 		case 0:
-			w.set(busy)
+			w.setAnswer(rejectCall)
 		case 1:
-			w.set(lists(i + 1))
+			w.setAnswer(answerList(i + 1))
 		case 2:
-			w.set(nil)
+			w.setAnswer(nil)
 		case 3:
-			w.set(silent)
+			w.setAnswer(noAnswer)
 		case 4:
-			w.set(reset)
+			w.setAnswer(closeUnanswered)
 		case 5, 6:
 			if standing {
-				w.say(standin.ListJSON(i+1, event == 5) + "\n")
+				w.write(standin.ListJSON(i+1, event == 5) + "\n")
 			}
 		case 7:
 			if standing {
-				w.cut()
+				w.closeConn()
 				synctest.Wait()
 			}
 		case 8:
 			if standing {
-				w.reset()
+				w.resetConn()
 				synctest.Wait()
 			}
 		case 9:
@@ -264,9 +264,9 @@
 	return ""
 }
 
-// current tells whether a call is under way or a watch stands.
-func (w *watchedClient) current() bool {
+// active tells whether a call is under way or a watch stands.
+func (w *watchedClient) active() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.open > 0
+	return w.openConns > 0
 }
