--- a/internal/discovery/fleet_test.go
+++ b/internal/discovery/fleet_test.go
@@ -26,32 +26,32 @@
 	ms  = time.Millisecond
 
 	maxCallWait    = 10 * sec
-	announceWithin = 6 * sec  // what a silent watch misses counts as told then
-	grace          = 500 * ms // sends that may go on after that
+	announceWithin = 6 * sec  // changes missed by an unresponsive watch count as announced then
+	grace          = 500 * ms // sends to a drained backend may go on so long after that
 	slack          = 50 * ms
-	serviceTime    = 20 * ms // that a backend takes for a call
-	spacing        = 5       // services between a member's requests
+	serviceTime    = 20 * ms // of a backend for a request
+	spacing        = 5       // rounds between two requests of a member
 	backends       = 8
 )
 
-// fleet is many members that ask one registry, and all that is held against them.
+// fleet is many members that call one registry, with the errors found in their sends.
 type fleet struct {
 	reg             *standin.Registry
 	startedAt       time.Time
-	ignoresFailures bool // members do not hear that a call has failed, nor how old their list is
+	ignoresFailures bool // members make no call after a failure and never learn that their list is stale
 	tasks           sync.WaitGroup
 	members         []*member
-	size            int // of the first start: members that are started later take the places of those killed
-	round           int // of services
+	size            int // of the first start; members started later replace those killed
+	round           int // each takes serviceTime
 	changes         []revisionAt
 
 	mu        sync.Mutex
-	drained   map[string]int // by revision
-	lateSends int            // sends to a backend whose drain counted as told, past the grace
+	drained   map[string]int // backend to the revision that drained it
+	lateSends int            // sends after the grace to a backend whose drain counted as announced
 	lateSend  string         // one of them
 }
 
-// member is one client with its balancer, as a proxy has them, and its requests.
+// member is one client with its balancer and its requests, like a proxy.
 type member struct {
 	*fleet
 	name      string
@@ -63,11 +63,11 @@
 	stoppedAt   time.Time
 	balancer    *logic.Balancer
 	received    []revisionAt
-	lastOutcome logic.Outcome // of the request sent last
-	lastServed  time.Time     // last
+	lastOutcome logic.Outcome // of the last request sent
+	lastServed  time.Time     // when a backend last served a request
 }
 
-// revisionAt is a revision, when it was made or when a list of it came to a balancer.
+// revisionAt is a revision with the time at which it was published or reached a balancer.
 type revisionAt struct {
 	at  time.Time
 	rev int
@@ -75,7 +75,7 @@
 
 func backendName(i int) string { return fmt.Sprintf("s-%02d", i) }
 
-// targetLines are targets from first up to, not including, end.
+// targetLines returns targets from first up to, but not including, end.
 func targetLines(state string, first, end int) (out []string) {
 	for i := first; i < end; i++ {
 		out = append(out, standin.TargetJSONInState(state, backendName(i), "127.0.0.1:80"))
@@ -83,7 +83,7 @@
 	return out
 }
 
-// change gives backends from first up to, not including, end another state.
+// change sets the state of backends from first up to, but not including, end.
 func (f *fleet) change(state string, first, end int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -97,7 +97,7 @@
 	}
 }
 
-// start begins n members, which know the first list.
+// start starts n members, which know the first list.
 func (f *fleet) start(n int) {
 	f.size = cmp.Or(f.size, n)
 	for range n {
@@ -105,7 +105,7 @@
 		m := &member{fleet: f, name: fmt.Sprintf("member-%d:80", id), createdAt: time.Now()}
 		first := 1
 		if id%2 == 1 {
-			first = 0 // half of them ask for the whole list
+			first = 0 // half of them call for the complete list
 		}
 		m.client = discovery.New(m.name, int64(first), m.pacer(uint64(id+1)))
 		m.client.Dial = f.reg.Dial
@@ -131,7 +131,7 @@
 	}
 }
 
-// kill ends members first up to, not including, end.
+// kill stops members from first up to, but not including, end.
 func (f *fleet) kill(first, end int) {
 	for _, m := range f.members[first:end] {
 		m.withBalancer(func(logic.Time) { m.stoppedAt = time.Now() })
@@ -139,7 +139,7 @@
 	}
 }
 
-// withBalancer makes one call to the balancer.
+// withBalancer calls f under the lock of the balancer, unless the member is stopped.
 func (m *member) withBalancer(f func(now logic.Time)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -151,7 +151,7 @@
 func at(t time.Time) logic.Time { return logic.Time(t.UnixNano()) }
 
 // exchangeUntil makes the members' requests and the backends' answers until a time. One goroutine
-// does it for all of them: a timer for each would take most of the test's time.
+// does it for all of them, as a timer for each would take most of the test's run time.
 func (f *fleet) exchangeUntil(until time.Time) {
 	for ; time.Now().Before(until); time.Sleep(serviceTime) {
 		for i := f.round % spacing; i < len(f.members); i += spacing {
@@ -185,16 +185,17 @@
 
 func (m *member) updateFreshness(f discovery.Freshness) {
 	if !m.ignoresFailures {
-		fresh := logic.ListFreshness{FreshUntil: at(f.Until), StaleUntil: at(f.UntilIfServing), EvidenceWindow: f.ServingWindow,
+		freshness := logic.ListFreshness{FreshUntil: at(f.Until), StaleUntil: at(f.UntilIfServing), EvidenceWindow: f.ServingWindow,
 			ChangesMayLag: f.MayAnnounceLate, MaxUnobserved: discovery.MaxUnobservedGap}
 		if !f.ReceivedAt.IsZero() {
-			fresh.ConfirmedAt, fresh.ReceivedAt = at(f.ConfirmedAt), at(f.ReceivedAt)
+			freshness.ConfirmedAt, freshness.ReceivedAt = at(f.ConfirmedAt), at(f.ReceivedAt)
 		}
-		m.withBalancer(func(logic.Time) { m.balancer.SetListFreshness(fresh) })
+		m.withBalancer(func(logic.Time) { m.balancer.SetListFreshness(freshness) })
 	}
 }
 
-// pacer paces the member's calls. Of the deaf ones it makes the first alone.
+// pacer returns the pacer of the member's calls, which makes only the first call if the fleet
+// ignores failures.
 func (m *member) pacer(seed uint64) discovery.Pacer {
 	p := pacing.NewForService(maxCallWait, rand.New(rand.NewPCG(seed, 1)))
 	if m.ignoresFailures {
@@ -215,10 +216,10 @@
 	result, rev := logic.OK, m.drained[backend]
 	if rev > 0 {
 		result = logic.Rejected
-		told, ok := m.reg.AnnouncedAt(m.name, rev, announceWithin)
-		if over := time.Since(told); ok && over > grace+slack {
+		announcedAt, ok := m.reg.AnnouncedAt(m.name, rev, announceWithin)
+		if over := time.Since(announcedAt); ok && over > grace+slack {
 			m.lateSends++
-			m.lateSend = fmt.Sprintf("%s to %s %v after told, at %v", m.name, backend, over, time.Since(m.startedAt))
+			m.lateSend = fmt.Sprintf("%s to %s %v after the announcement, at %v", m.name, backend, over, time.Since(m.startedAt))
 		}
 	} else {
 		m.lastServed = time.Now()
@@ -226,7 +227,7 @@
 	m.lastOutcome = logic.Outcome{Request: request, Result: result, Latency: serviceTime, Final: result == logic.OK}
 }
 
-// Wake implements logic.Actions.
+// StartTimer implements logic.Actions.
 func (m *member) StartTimer(token uint64, after time.Duration) {
 	time.AfterFunc(after, func() { m.withBalancer(func(now logic.Time) { m.balancer.TimerFired(now, token) }) })
 }
@@ -237,7 +238,7 @@
 func (m *member) Cancel(string, int)                        {}
 func (m *member) CloseIdle(string)                          {}
 
-// revisionBy is the newest revision that the member had by a time.
+// revisionBy returns the newest revision that the member had by a time.
 func (m *member) revisionBy(by time.Time) (rev int) {
 	for _, h := range m.received {
 		if !h.at.After(by) {
@@ -247,14 +248,15 @@
 	return rev
 }
 
-// step is what happens at a time of a run. Where all is set, it begins a round, in which
-// each member needs an answer to a new call: those that it started, or else all.
+// step is an action at a time of a run. If maxCalls is set, it begins a phase in which each member
+// that it started, or else every member, makes a new call. If allWithin is set as well, each of
+// them needs an answer to that call.
 type step struct {
 	at         time.Duration
 	do         func(*fleet)
-	halfWithin time.Duration // by then more than half have it
-	allWithin  time.Duration // by then all have it, and know all that changed a second before
-	maxCalls   float64       // most until the next round, in the mean over these members
+	halfWithin time.Duration // more than half have an answer by then
+	allWithin  time.Duration // all have an answer by then, and all changes made up to a second before
+	maxCalls   float64       // bound on their mean number of calls in the phase
 }
 
 func drain(first, end int) func(*fleet) {
@@ -263,18 +265,18 @@
 
 func silenceWatches(f *fleet) { f.reg.SilenceWatches() }
 
-// run runs a fleet through steps in virtual time, the last of which ends it. Sends to
-// drained backends must be found if the fleet is deaf, and else there must be none.
+// run runs a fleet through steps in virtual time; the last step ends the run. There must be no late
+// sends to drained backends, except that a fleet which ignores failures must have some.
 func run(t *testing.T, f *fleet, opt standin.RegistryOptions, steps []step) {
 	log.SetOutput(io.Discard)
 	defer log.SetOutput(os.Stderr)
 	synctest.Test(t, func(t *testing.T) {
 		f.reg, f.startedAt, f.drained = standin.NewRegistry(t, opt), time.Now(), map[string]int{}
 		f.change(discovery.InService, 0, backends)
-		made := []int{} // calls before each step
+		callsBefore := []int{} // each step
 		for _, s := range steps {
 			f.exchangeUntil(f.startedAt.Add(s.at))
-			made = append(made, f.reg.CallCount())
+			callsBefore = append(callsBefore, f.reg.CallCount())
 			if s.do != nil {
 				s.do(f)
 			}
@@ -284,11 +286,11 @@
 		f.reg.Close()
 		f.tasks.Wait()
 		if found := f.lateSends > 0; found != f.ignoresFailures {
-			t.Errorf("%d sends to drained backends, one of them from %s", f.lateSends, f.lateSend)
+			t.Errorf("%d late sends to drained backends, one of them from %s", f.lateSends, f.lateSend)
 		}
 		for _, m := range f.members {
 			if !f.ignoresFailures && m.stoppedAt.Equal(end) && end.Sub(m.lastServed) > sec {
-				t.Errorf("%s serves nothing at the end", m.name)
+				t.Errorf("%s has no request served at the end", m.name)
 			}
 		}
 		for i, s := range steps {
@@ -297,37 +299,37 @@
 				for next < len(steps)-1 && steps[next].maxCalls == 0 {
 					next++
 				}
-				f.check(t, s, opt.NotifyDelay, made[next]-made[i])
+				f.check(t, s, opt.NotifyDelay, callsBefore[next]-callsBefore[i])
 			}
 		}
 	})
 }
 
-// check checks one round in which so many calls were made.
-func (f *fleet) check(t *testing.T, s step, late time.Duration, calls int) {
+// check checks one phase in which the given number of calls was made.
+func (f *fleet) check(t *testing.T, s step, notifyDelay time.Duration, calls int) {
 	from := f.startedAt.Add(s.at)
-	needs := func(createdAt bool) (out []*member) {
+	affected := func(onlyNew bool) (out []*member) {
 		for _, m := range f.members {
-			if m.stoppedAt.After(from) && (m.createdAt.Equal(from) || !createdAt && m.createdAt.Before(from)) {
+			if m.stoppedAt.After(from) && (m.createdAt.Equal(from) || !onlyNew && m.createdAt.Before(from)) {
 				out = append(out, m)
 			}
 		}
 		return out
 	}
-	in := needs(true)
+	in := affected(true)
 	if len(in) == 0 {
-		in = needs(false)
+		in = affected(false)
 	}
 	mean := float64(calls) / float64(len(in))
 	if mean > s.maxCalls {
-		t.Errorf("at %v: %.2f calls a member, want at most %v", s.at, mean, s.maxCalls)
+		t.Errorf("at %v: %.2f calls per member, want at most %v", s.at, mean, s.maxCalls)
 	}
 	if s.allWithin == 0 {
 		return
 	}
 	limit, newest := from.Add(s.allWithin), 0
 	for _, n := range f.changes {
-		if !n.at.Add(late + sec).After(limit) {
+		if !n.at.Add(notifyDelay + sec).After(limit) {
 			newest = n.rev
 		}
 	}
@@ -338,63 +340,63 @@
 			took = append(took, m.received[first].at.Sub(from))
 		}
 		if m.stoppedAt.After(limit) && (first < 0 || m.received[first].at.After(limit) || m.revisionBy(limit) < newest) {
-			t.Errorf("at %v: %s knows revision %d, want %d after %v", s.at, m.name, m.revisionBy(limit), newest, s.allWithin)
+			t.Errorf("at %v: %s has revision %d, want %d after %v", s.at, m.name, m.revisionBy(limit), newest, s.allWithin)
 		}
 	}
 	slices.Sort(took)
 	if len(took) <= len(in)/2 || took[len(in)/2] > s.halfWithin {
-		t.Errorf("at %v: no more than half have an answer after %v", s.at, s.halfWithin)
+		t.Errorf("at %v: at most half of the members have an answer after %v", s.at, s.halfWithin)
 	} else {
-		t.Logf("at %v: half by %.1fs, %d of %d by %.1fs, %.2f calls a member", s.at,
+		t.Logf("at %v: half by %.1fs, %d of %d by %.1fs, %.2f calls per member", s.at,
 			took[len(in)/2].Seconds(), len(took), len(in), took[len(took)-1].Seconds(), mean)
 	}
 }
 
-// The service can answer one call of each of 300 members in 8 s, and keeps a queue of 1 s:
-// when all ask anew, half have an answer after 4 s at the earliest and all after 8 s. A
-// silent watch is noticed up to 3 s late, and who was turned away waits up to 3.75 s, a
-// quarter of the time to ask within and half as much again, while the queue may run dry.
+// The registry can answer one call of each of 300 members in 8 s, and has a queue of 1 s. When all
+// call again, half have an answer after 4 s at the earliest and all after 8 s. An unresponsive
+// watch is detected up to 3 s late, and a rejected caller waits up to 3.75 s, a quarter of the
+// longest wait plus jitter of half, while the queue may be empty.
 const halfWithinQueue, allWithinQueue = 6 * sec, 12 * sec
 
 var queuedRegistry = standin.RegistryOptions{ServiceTime: 8 * sec / 300, MaxQueueDelay: sec}
 
-// The waits of one turned away again and again are 0.5 s, 1 s, 2 s and then 2.5 s in the
-// mean: five calls take 6 s, and one more is for the silent one. So many are made only by
-// the last ones; the mean is well below.
+// The mean waits of a caller that is rejected repeatedly are 0.5 s, 1 s, 2 s and then 2.5 s: five
+// calls take 6 s, and one more is for the unresponsive call. Only the last callers make that
+// many; the mean is well below.
 const maxCallsInStep = 5
 
-// outageSteps is 8 s without a connection, in which members ask by the same waits.
-func outageSteps(at time.Duration, begin, end func(*fleet)) []step {
+// outageSteps returns the steps of an outage of 8 s, in which members call with the same waits.
+func outageSteps(at time.Duration, beginOutage, endOutage func(*fleet)) []step {
 	return []step{
 		{0, func(f *fleet) { f.start(300) }, halfWithinQueue, allWithinQueue, maxCallsInStep},
-		{at: at, do: begin, maxCalls: maxCallsInStep},
+		{at: at, do: beginOutage, maxCalls: maxCallsInStep},
 		{at: at + 3500*ms, do: drain(0, 1)},
 		{at: at + 6200*ms, do: drain(2, 3)},
-		{at + 8*sec, end, halfWithinQueue, allWithinQueue, maxCallsInStep},
+		{at + 8*sec, endOutage, halfWithinQueue, allWithinQueue, maxCallsInStep},
 		{at: at + 10*sec, do: drain(4, 5)},
 		{at: at + 21*sec},
 	}
 }
 
 func TestFleet(t *testing.T) {
-	begin := step{0, func(f *fleet) { f.start(300) }, halfWithinQueue, allWithinQueue, maxCallsInStep}
+	start := step{0, func(f *fleet) { f.start(300) }, halfWithinQueue, allWithinQueue, maxCallsInStep}
 	for _, c := range []struct {
 		name  string
 		opt   standin.RegistryOptions
 		steps []step
 	}{
 		{"start", queuedRegistry, []step{
-			begin,
+			start,
 			{at: 1 * sec, do: drain(0, 1)},
 			{at: 5 * sec, do: drain(2, 3)},
 			{at: 13 * sec}}},
 		{"seven in ten restart", queuedRegistry, []step{
-			begin,
+			start,
 			{10 * sec, func(f *fleet) { f.kill(0, 210); f.start(210) }, halfWithinQueue, allWithinQueue, maxCallsInStep},
 			{at: 10500 * ms, do: drain(0, 3)},
 			{at: 23 * sec}}},
-		{"silence", queuedRegistry, []step{
-			{at: 0, do: begin.do, maxCalls: maxCallsInStep},
+		{"unresponsive watches", queuedRegistry, []step{
+			{at: 0, do: start.do, maxCalls: maxCallsInStep},
 			{1 * sec, silenceWatches, halfWithinQueue, allWithinQueue, maxCallsInStep},
 			{at: 4500 * ms, do: drain(0, 1)},
 			{at: 7200 * ms, do: drain(2, 3)},
@@ -405,13 +407,13 @@
 		{"down", queuedRegistry, outageSteps(13*sec,
 			func(f *fleet) { f.reg.SetDown(true) },
 			func(f *fleet) { f.reg.SetDown(false) })},
-		{"cut off", queuedRegistry, outageSteps(13*sec,
+		{"network partition", queuedRegistry, outageSteps(13*sec,
 			func(f *fleet) { f.reg.SilenceWatches(); f.reg.SetDialsHang(true) },
 			func(f *fleet) { f.reg.SetDialsHang(false) })},
-		// It answers 120 in the first 3 s, and by then nobody else waits for it any more. The
-		// other 180 ask twice in vain, since those calls keep it busy for 12 s, and by the time
-		// that they waited once more, over 3 s to 9 s: 4.5 s of work.
-		{"no call is turned away", standin.RegistryOptions{ServiceTime: 25 * ms}, []step{
+		// The registry answers 120 callers in the first 3 s; then the calls of all others have timed
+		// out. Those 180 call twice without an answer, since their calls keep the registry busy
+		// for 12 s, and once more after waits spread over 3 s to 9 s: 4.5 s of work.
+		{"no call is rejected", standin.RegistryOptions{ServiceTime: 25 * ms}, []step{
 			{0, func(f *fleet) { f.start(300) }, 15 * sec, 25 * sec, 4},
 			{at: 26 * sec}}},
 	} {
@@ -421,21 +423,21 @@
 	}
 }
 
-// In whatever form lists come, the watch stands: each member makes one call, and one more
-// after the silence. Backends drained for the second time show an older revision that is
-// taken for news.
-func TestFleetForms(t *testing.T) {
+// In whatever format lists come, the watch stays open: each member makes one call, and one more after
+// the unresponsive watch. Backends that are drained a second time reveal an older revision that
+// was taken for a new one.
+func TestFleetListFormats(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		opt  standin.RegistryOptions
 	}{
 		{"plain", standin.RegistryOptions{}},
 		{"indented", standin.RegistryOptions{ListFormat: standin.FormatIndented}},
-		{"in pieces", standin.RegistryOptions{ListFormat: standin.FormatFragmented}},
-		{"doubled", standin.RegistryOptions{ListFormat: standin.FormatDuplicated}},
-		{"an older line behind", standin.RegistryOptions{ListFormat: standin.FormatStaleChange}},
-		{"an older list behind", standin.RegistryOptions{ListFormat: standin.FormatStaleList}},
-		{"late", standin.RegistryOptions{NotifyDelay: 2 * sec}},
+		{"in fragments", standin.RegistryOptions{ListFormat: standin.FormatFragmented}},
+		{"duplicated", standin.RegistryOptions{ListFormat: standin.FormatDuplicated}},
+		{"followed by an older line", standin.RegistryOptions{ListFormat: standin.FormatStaleChange}},
+		{"followed by an older list", standin.RegistryOptions{ListFormat: standin.FormatStaleList}},
+		{"delayed", standin.RegistryOptions{NotifyDelay: 2 * sec}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			c.opt.ServiceTime = ms
@@ -452,8 +454,8 @@
 	}
 }
 
-// The check of sends can fail: it finds members that never ask again.
-func TestFleetOfTheDeaf(t *testing.T) {
+// The check for late sends detects members that never call again.
+func TestFleetThatIgnoresFailures(t *testing.T) {
 	run(t, &fleet{ignoresFailures: true}, standin.RegistryOptions{ServiceTime: ms}, []step{
 		{at: 0, do: func(f *fleet) { f.start(20) }},
 		{at: 5 * sec, do: silenceWatches},
