--- a/internal/discovery/fresh_test.go
+++ b/internal/discovery/fresh_test.go
@@ -22,13 +22,13 @@
 	"oxbowloft/internal/standin"
 )
 
-// fakeSource is a stand-in for discovery at one address, for one caller in a synctest bubble:
-// each call is answered as the test says then.
+// fakeSource simulates discovery at one address for one caller in a synctest bubble. Each call gets
+// the answer that is set at that time.
 type fakeSource struct {
 	mu         sync.Mutex
-	answer     func(conn net.Conn) // a call that is up; nil: refused
-	serverConn net.Conn
-	clientConn *faultyConn // its other side
+	answer     func(conn net.Conn) // to an established call; nil: refuse connections
+	serverConn net.Conn            // of the last call
+	clientConn *faultyConn         // other end of serverConn
 }
 
 func (s *fakeSource) setAnswer(answer func(net.Conn)) {
@@ -43,23 +43,23 @@
 	if s.answer == nil {
 		return nil, &net.OpError{Op: "dial", Net: "tcp", Err: syscall.ECONNREFUSED}
 	}
-	near, far := net.Pipe()
-	s.serverConn, s.clientConn = far, &faultyConn{Conn: near}
+	client, server := net.Pipe()
+	s.serverConn, s.clientConn = server, &faultyConn{Conn: client}
 	answer := s.answer
 	go func() {
-		if _, err := http.ReadRequest(bufio.NewReader(far)); err == nil {
-			go io.Copy(io.Discard, far)
-			answer(far)
+		if _, err := http.ReadRequest(bufio.NewReader(server)); err == nil {
+			go io.Copy(io.Discard, server)
+			answer(server)
 		}
 	}()
 	return s.clientConn, nil
 }
 
-// faultyConn is a connection whose end can be told as a reset.
+// faultyConn is a connection whose end can be reported as a reset or another errno.
 type faultyConn struct {
 	net.Conn
 	reset atomic.Bool
-	errno atomic.Int64 // an errno that its end is told as, once it is not 0
+	errno atomic.Int64 // if not 0, the errno reported at its end
 }
 
 // Read implements net.Conn.
@@ -74,21 +74,21 @@
 	return n, err
 }
 
-// write writes to the watch that stands.
+// write writes a chunk to the open watch.
 func (s *fakeSource) write(text string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	fmt.Fprintf(s.serverConn, "%x\r\n%s\r\n", len(text), text)
 }
 
-// closeConn ends it in order.
+// closeConn closes the connection in order.
 func (s *fakeSource) closeConn() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.serverConn.Close()
 }
 
-// resetConn ends it as a process that dies does.
+// resetConn ends the connection with a reset, like a process that dies.
 func (s *fakeSource) resetConn() {
 	s.mu.Lock()
 	s.clientConn.reset.Store(true)
@@ -96,7 +96,7 @@
 	s.closeConn()
 }
 
-// failConn ends it as the network does that gives a connection up.
+// failConn ends the connection with an errno of the network.
 func (s *fakeSource) failConn(errno syscall.Errno) {
 	s.mu.Lock()
 	s.clientConn.errno.Store(int64(errno))
@@ -117,13 +117,13 @@
 	io.WriteString(c, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
 }
 
-// closeBeforeList is a watch that is closed before its first list.
+// closeBeforeList answers with a watch and closes it before its first list.
 func closeBeforeList(c net.Conn) {
 	io.WriteString(c, watchHeader)
 	c.Close()
 }
 
-// setAnswerAndClose closes the call under way, and answers the next one so.
+// setAnswerAndClose sets the answer for the next call and closes the current one.
 func setAnswerAndClose(answer func(net.Conn)) func(*fakeSource, *discovery.Client) {
 	return func(s *fakeSource, _ *discovery.Client) { s.setAnswer(answer); s.closeConn() }
 }
@@ -131,91 +131,90 @@
 func closeUnanswered(c net.Conn) { c.Close() }
 func noAnswer(c net.Conn)        {}
 
-// A change counts as told 6 s after discovery had it and could be reached, whatever has
-// become of watches and calls; what a watch has not told when it is closed, 2 s later; 4 s
-// after a new configuration; where lists are pushed at once. The clock is put forward by a
-// list that is taken and by signs of life behind it, and where nobody is there to tell; by
-// nothing else. Each case is a row, or a way between rows, of the table in docs/design.md.
-func TestFresh(t *testing.T) {
+// A change counts as announced 6 s after discovery had it and could be reached, whatever became of
+// watches and calls; 2 s after the close of a watch that did not announce it; 4 s after a new
+// configuration; and at once where lists are pushed. The staleness bound is extended only by a
+// list that is used, by heartbeats after it, and by refused connections. The cases cover each
+// of these bounds and the transitions between them.
+func TestFreshness(t *testing.T) {
 	log.SetOutput(io.Discard)
 	defer log.SetOutput(os.Stderr)
 	const slack = 250 * time.Millisecond // where lists are pushed
-	// what happens and the time from then on for which the list is fresh, or, below zero,
-	// that it is fresh until the same moment as before
+	// an action, and how long the list is fresh from then on; same and none are special values
 	type step struct {
-		name  string
-		do    func(s *fakeSource, c *discovery.Client)
-		fresh time.Duration
+		name     string
+		do       func(s *fakeSource, c *discovery.Client)
+		freshFor time.Duration
 	}
-	const same, none = -1, -2 // none: it is not fresh at all
-	ask := func(answer func(net.Conn)) func(*fakeSource, *discovery.Client) {
+	const same, none = -1, -2 // same: the bound does not move; none: the list is not fresh
+	call := func(answer func(net.Conn)) func(*fakeSource, *discovery.Client) {
 		return func(s *fakeSource, c *discovery.Client) { s.setAnswer(answer); c.CallNow() }
 	}
-	say := func(text string) func(*fakeSource, *discovery.Client) {
+	write := func(text string) func(*fakeSource, *discovery.Client) {
 		return func(s *fakeSource, _ *discovery.Client) { s.write(text) }
 	}
-	cut := func(s *fakeSource, _ *discovery.Client) { s.setAnswer(noAnswer); s.closeConn() }
-	broken := func(s *fakeSource, _ *discovery.Client) { s.setAnswer(noAnswer); s.resetConn() }
+	closeWatch := func(s *fakeSource, _ *discovery.Client) { s.setAnswer(noAnswer); s.closeConn() }
+	reset := func(s *fakeSource, _ *discovery.Client) { s.setAnswer(noAnswer); s.resetConn() }
 	nothing := func(*fakeSource, *discovery.Client) {}
 	wait := func(*fakeSource, *discovery.Client) { time.Sleep(3 * sec) }
 	move := func(addr string, answer func(net.Conn)) func(*fakeSource, *discovery.Client) {
 		return func(s *fakeSource, c *discovery.Client) { s.setAnswer(answer); c.SetSource(addr) }
 	}
 	const second = "127.0.0.1:81"
-	list := step{"a list", ask(answerList(5)), 6 * sec}
-	life := step{"a sign of life", say("\n"), 6 * sec}
-	ended := step{"closed", cut, 2 * sec}
+	list := step{"a list", call(answerList(5)), 6 * sec}
+	heartbeat := step{"a heartbeat", write("\n"), 6 * sec}
+	ended := step{"closed", closeWatch, 2 * sec}
 	for _, c := range []struct {
 		name   string
 		pushed bool
 		steps  []step
 	}{
 		{"at the start", false, []step{{"start", nothing, none}, list}},
-		{"at the start, turned away", false, []step{{"start", nothing, none}, {"503", ask(rejectCall), same}, {"refused", ask(nil), same}, list}},
-		{"at the start, silence", false, []step{{"start", nothing, none}, {"hangs", ask(noAnswer), same}, {"silence", wait, same},
-			{"refused", ask(nil), same}, list}},
-		{"at the start, nobody there", false, []step{{"start", nothing, none}, {"refused", ask(nil), 6 * sec},
-			{"again", ask(nil), 6 * sec}, {"503", ask(rejectCall), same}}},
-		{"a list and life", false, []step{list, life, life, {"a change", say(standin.ListJSON(6, false) + "\n"), 6 * sec}, life}},
-		{"closed", false, []step{list, life, ended, list, life}},
-		{"closed, then turned away", false, []step{list, life, ended, {"503", ask(rejectCall), same}, {"again", ask(rejectCall), same}, list}},
-		{"closed, then reset", false, []step{list, ended, {"reset", ask(closeUnanswered), same}, {"503", ask(rejectCall), same}, list}},
+		{"at the start, rejected", false, []step{{"start", nothing, none}, {"503", call(rejectCall), same}, {"refused", call(nil), same}, list}},
+		{"at the start, no response", false, []step{{"start", nothing, none}, {"unanswered", call(noAnswer), same}, {"no response", wait, same},
+			{"refused", call(nil), same}, list}},
+		{"at the start, no listener", false, []step{{"start", nothing, none}, {"refused", call(nil), 6 * sec},
+			{"again", call(nil), 6 * sec}, {"503", call(rejectCall), same}}},
+		{"a list and heartbeats", false, []step{list, heartbeat, heartbeat, {"a change", write(standin.ListJSON(6, false) + "\n"), 6 * sec}, heartbeat}},
+		{"closed", false, []step{list, heartbeat, ended, list, heartbeat}},
+		{"closed, then rejected", false, []step{list, heartbeat, ended, {"503", call(rejectCall), same}, {"again", call(rejectCall), same}, list}},
+		{"closed, then reset", false, []step{list, ended, {"reset", call(closeUnanswered), same}, {"503", call(rejectCall), same}, list}},
 		{"closed, and again", false, []step{list, ended, list, ended}},
-		{"closed with no list", false, []step{list, ended, {"closed at once", ask(closeBeforeList), same}, list}},
-		{"closed, then nobody there", false, []step{list, ended, {"refused", ask(nil), same}, {"again", ask(nil), same}, list}},
-		{"closed, and a call hangs", false, []step{list, ended, {"hangs", ask(noAnswer), same}, {"silence", wait, same},
-			{"silence, then 503", ask(rejectCall), same}, list}},
-		{"closed, then moved", false, []step{list, ended, {"moved", move(second, noAnswer), same}, {"a list", setAnswerAndClose(answerList(5)), same}, list}},
-		{"turned away from the start", false, []step{{"503", ask(rejectCall), same}, {"again", ask(rejectCall), same}, list}},
-		{"reset", false, []step{list, {"reset", broken, same}, {"503", ask(rejectCall), same}, {"reset call", ask(closeUnanswered), same}, list}},
-		{"reset, then nobody there", false, []step{list, {"reset", broken, same}, {"refused", ask(nil), 6 * sec},
-			{"again", ask(nil), 6 * sec}, {"503", ask(rejectCall), same}}},
-		{"reset, and a call hangs", false, []step{list, {"reset", broken, same}, {"hangs", ask(noAnswer), same}, {"silence", wait, same},
-			{"silence, then 503", ask(rejectCall), same}, {"stale, then refused", ask(nil), same}, list}},
-		{"silence, nobody there", false, []step{list, {"silence", wait, same}, {"refused", ask(nil), 6 * sec}, list}},
-		{"a watch falls silent", false, []step{list, {"silence", wait, same}, {"silence, then 503", ask(rejectCall), same}, list}},
-		{"an older list begins a watch", false, []step{list, {"reset", broken, same}, {"older", ask(answerList(4)), same}, {"older", ask(answerList(4)), same}}},
-		{"an older list on a standing watch", false, []step{list, {"older", say(standin.ListJSON(4, true) + "\n"), same}, life}},
-		{"half a list", false, []step{list, {"half", say(`{"rev":6,`), same}, {"line ends in it", say("\n\n"), same},
-			{"the rest", say(`"all":false,"targets":[]}` + "\n"), 6 * sec}}},
-		{"half a list, then closed", false, []step{list, {"half", say(`{"rev":6,`), same}, ended}},
-		{"what can't be read", false, []step{list, {"noise", say("noise\n"), 2 * sec}}},
-		{"moved", false, []step{list, {"moved", move(second, noAnswer), 4 * sec},
-			{"moved, then 503", func(s *fakeSource, c *discovery.Client) { s.setAnswer(rejectCall); s.closeConn() }, same}, list}},
-		{"moved twice", false, []step{list, {"moved", move(second, noAnswer), 4 * sec}, {"and on", move("127.0.0.1:82", noAnswer), same},
-			{"moved, then reset", setAnswerAndClose(noAnswer), same}, list}},
-		{"moved and back", false, []step{list, {"moved", move(second, noAnswer), 4 * sec}, {"back", move("127.0.0.1:80", noAnswer), same},
-			{"moved, then reset", setAnswerAndClose(noAnswer), same}, list}},
-		{"moved, nobody there", false, []step{list, {"moved", move(second, nil), 6 * sec}}},
+		{"closed with no list", false, []step{list, ended, {"closed at once", call(closeBeforeList), same}, list}},
+		{"closed, then no listener", false, []step{list, ended, {"refused", call(nil), same}, {"again", call(nil), same}, list}},
+		{"closed, and an unanswered call", false, []step{list, ended, {"unanswered", call(noAnswer), same}, {"no response", wait, same},
+			{"no response, then 503", call(rejectCall), same}, list}},
+		{"closed, then source changed", false, []step{list, ended, {"source changed", move(second, noAnswer), same}, {"a list", setAnswerAndClose(answerList(5)), same}, list}},
+		{"rejected from the start", false, []step{{"503", call(rejectCall), same}, {"again", call(rejectCall), same}, list}},
+		{"reset", false, []step{list, {"reset", reset, same}, {"503", call(rejectCall), same}, {"reset call", call(closeUnanswered), same}, list}},
+		{"reset, then no listener", false, []step{list, {"reset", reset, same}, {"refused", call(nil), 6 * sec},
+			{"again", call(nil), 6 * sec}, {"503", call(rejectCall), same}}},
+		{"reset, and an unanswered call", false, []step{list, {"reset", reset, same}, {"unanswered", call(noAnswer), same}, {"no response", wait, same},
+			{"no response, then 503", call(rejectCall), same}, {"stale, then refused", call(nil), same}, list}},
+		{"no response, no listener", false, []step{list, {"no response", wait, same}, {"refused", call(nil), 6 * sec}, list}},
+		{"an unresponsive watch", false, []step{list, {"no response", wait, same}, {"no response, then 503", call(rejectCall), same}, list}},
+		{"an older list begins a watch", false, []step{list, {"reset", reset, same}, {"older", call(answerList(4)), same}, {"older", call(answerList(4)), same}}},
+		{"an older list on an open watch", false, []step{list, {"older", write(standin.ListJSON(4, true) + "\n"), same}, heartbeat}},
+		{"a partial list", false, []step{list, {"first part", write(`{"rev":6,`), same}, {"line ends in it", write("\n\n"), same},
+			{"the rest", write(`"all":false,"targets":[]}` + "\n"), 6 * sec}}},
+		{"a partial list, then closed", false, []step{list, {"first part", write(`{"rev":6,`), same}, ended}},
+		{"a malformed list", false, []step{list, {"malformed", write("noise\n"), 2 * sec}}},
+		{"source changed", false, []step{list, {"source changed", move(second, noAnswer), 4 * sec},
+			{"source changed, then 503", func(s *fakeSource, c *discovery.Client) { s.setAnswer(rejectCall); s.closeConn() }, same}, list}},
+		{"source changed twice", false, []step{list, {"source changed", move(second, noAnswer), 4 * sec}, {"changed again", move("127.0.0.1:82", noAnswer), same},
+			{"source changed, then reset", setAnswerAndClose(noAnswer), same}, list}},
+		{"source changed and back", false, []step{list, {"source changed", move(second, noAnswer), 4 * sec}, {"changed back", move("127.0.0.1:80", noAnswer), same},
+			{"source changed, then reset", setAnswerAndClose(noAnswer), same}, list}},
+		{"source changed, no listener", false, []step{list, {"source changed", move(second, nil), 6 * sec}}},
 		{"pushed: at the start", true, []step{{"start", nothing, slack}}},
-		{"pushed: a list and life", true, []step{{"a list", nothing, 0}, life}},
-		{"pushed: closed, then turned away", true, []step{{"a list", nothing, 0},
+		{"pushed: a list and a heartbeat", true, []step{{"a list", nothing, 0}, heartbeat}},
+		{"pushed: closed, then rejected", true, []step{{"a list", nothing, 0},
 			{"closed", func(s *fakeSource, _ *discovery.Client) { s.setAnswer(rejectCall); s.closeConn() }, slack}, {"503", nothing, same}}},
-		{"pushed: reset, then turned away", true, []step{{"a list", nothing, 0},
+		{"pushed: reset, then rejected", true, []step{{"a list", nothing, 0},
 			{"reset", func(s *fakeSource, _ *discovery.Client) { s.setAnswer(rejectCall); s.resetConn() }, slack}, {"503", nothing, same}}},
-		{"pushed: a watch falls silent", true, []step{{"a list", nothing, 0},
-			{"silence", func(s *fakeSource, c *discovery.Client) { s.setAnswer(noAnswer); wait(s, c) }, same}}},
-		{"pushed: nobody there", true, []step{{"a list", nothing, 0},
+		{"pushed: an unresponsive watch", true, []step{{"a list", nothing, 0},
+			{"no response", func(s *fakeSource, c *discovery.Client) { s.setAnswer(noAnswer); wait(s, c) }, same}}},
+		{"pushed: no listener", true, []step{{"a list", nothing, 0},
 			{"reset", func(s *fakeSource, _ *discovery.Client) { s.setAnswer(nil); s.resetConn() }, slack}}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -247,21 +246,21 @@
 					mu.Lock()
 					before, began := until, time.Now()
 					mu.Unlock()
-					if step.name == "start" || step.name == "a list" && c.pushed { // it was done by then
+					if step.name == "start" || step.name == "a list" && c.pushed { // it took place at the start
 						began = began.Add(-700 * time.Millisecond)
 					}
 					step.do(s, client)
 					synctest.Wait()
 					mu.Lock()
-					got, want := until, began.Add(step.fresh)
+					got, want := until, began.Add(step.freshFor)
 					mu.Unlock()
-					if step.fresh == 0 { // as after any list
+					if step.freshFor == 0 { // a list received at the start, with the usual bound
 						want = began.Add(6 * sec)
 					}
-					if step.fresh == none {
+					if step.freshFor == none {
 						want = began
 					}
-					if step.fresh == same {
+					if step.freshFor == same {
 						want = before
 					}
 					if !got.Equal(want) {
@@ -280,11 +279,10 @@
 	}
 }
 
-// While discovery can't be reached, a backend that serves calls may be used for longer than
-// the list is fresh, up to 6 s after the last call that failed: what is changed after that
-// counts as told later. Never after a watch was closed, until there is a list, and not after
-// silence.
-func TestFreshForWhatServes(t *testing.T) {
+// While discovery is unreachable, a backend that serves calls may be used for longer than the list is
+// fresh, up to 6 s after the last failed call, since later changes count as announced later.
+// This does not hold after a closed watch until the next list, nor after an unresponsive one.
+func TestFreshnessForServingBackends(t *testing.T) {
 	log.SetOutput(io.Discard)
 	defer log.SetOutput(os.Stderr)
 	const none = -1 // no longer than the list is fresh
@@ -293,26 +291,26 @@
 		do      func(s *fakeSource, c *discovery.Client)
 		serving time.Duration // from then on
 	}
-	ask := func(answer func(net.Conn)) func(*fakeSource, *discovery.Client) {
+	call := func(answer func(net.Conn)) func(*fakeSource, *discovery.Client) {
 		return func(s *fakeSource, c *discovery.Client) { s.setAnswer(answer); c.CallNow() }
 	}
 	wait := func(*fakeSource, *discovery.Client) { time.Sleep(3 * sec) }
 	move := func(_ *fakeSource, c *discovery.Client) { c.SetSource("127.0.0.1:81") }
-	list := step{"a list", ask(answerList(5)), none}
-	broken := step{"reset", func(s *fakeSource, _ *discovery.Client) { s.setAnswer(noAnswer); s.resetConn() }, 6 * sec}
+	list := step{"a list", call(answerList(5)), none}
+	reset := step{"reset", func(s *fakeSource, _ *discovery.Client) { s.setAnswer(noAnswer); s.resetConn() }, 6 * sec}
 	closed := step{"closed", func(s *fakeSource, _ *discovery.Client) { s.setAnswer(noAnswer); s.closeConn() }, none}
 	for _, c := range []struct {
 		name  string
 		steps []step
 	}{
-		{"reset, turned away, a list", []step{list, broken, {"503", ask(rejectCall), 6 * sec}, {"503", ask(rejectCall), 6 * sec}, list}},
-		{"turned away from the start", []step{{"503", ask(rejectCall), 6 * sec}, {"reset", ask(closeUnanswered), 6 * sec}, list}},
-		{"reset, then a call hangs", []step{list, broken, {"hangs", ask(noAnswer), 5300 * ms}, {"silence", wait, none},
-			{"503", ask(rejectCall), none}, list, broken}},
-		{"silence", []step{list, {"silence", wait, none}, {"503", ask(rejectCall), none}, list}},
-		{"moved", []step{list, broken, {"moved", move, none}, {"503", func(s *fakeSource, c *discovery.Client) { s.setAnswer(rejectCall); s.closeConn() }, none}, list}},
-		{"closed", []step{list, closed, {"503", ask(rejectCall), none}, {"reset", ask(closeUnanswered), none}, {"refused", ask(nil), none}, list, broken}},
-		{"reset, then closed with no list", []step{list, broken, {"closed at once", ask(closeBeforeList), none}, {"503", ask(rejectCall), none}}},
+		{"reset, rejected, a list", []step{list, reset, {"503", call(rejectCall), 6 * sec}, {"503", call(rejectCall), 6 * sec}, list}},
+		{"rejected from the start", []step{{"503", call(rejectCall), 6 * sec}, {"reset", call(closeUnanswered), 6 * sec}, list}},
+		{"reset, then an unanswered call", []step{list, reset, {"unanswered", call(noAnswer), 5300 * ms}, {"no response", wait, none},
+			{"503", call(rejectCall), none}, list, reset}},
+		{"no response", []step{list, {"no response", wait, none}, {"503", call(rejectCall), none}, list}},
+		{"source changed", []step{list, reset, {"source changed", move, none}, {"503", func(s *fakeSource, c *discovery.Client) { s.setAnswer(rejectCall); s.closeConn() }, none}, list}},
+		{"closed", []step{list, closed, {"503", call(rejectCall), none}, {"reset", call(closeUnanswered), none}, {"refused", call(nil), none}, list, reset}},
+		{"reset, then closed with no list", []step{list, reset, {"closed at once", call(closeBeforeList), none}, {"503", call(rejectCall), none}}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -338,11 +336,11 @@
 						want = got.Until
 					}
 					if !got.UntilIfServing.Equal(want) {
-						t.Errorf("%s: what serves is used for %v from then on, want %v", step.name,
+						t.Errorf("%s: serving backends are used for %v from then on, want %v", step.name,
 							got.UntilIfServing.Sub(began), want.Sub(began))
 					}
 					if got.ServingWindow != 6*sec {
-						t.Errorf("%s: what has served in %v is used, want 6 s", step.name, got.ServingWindow)
+						t.Errorf("%s: the serving window is %v, want 6 s", step.name, got.ServingWindow)
 					}
 				}
 				stop()
@@ -355,9 +353,9 @@
 	}
 }
 
-// Changes may wait to be told where there has been a list and somebody may have more to tell:
-// guards against backends that are doubted, and stay so, where nobody is there to ask.
-func TestTellsLate(t *testing.T) {
+// Changes may be announced late if a list has come and discovery has a listener. Without one,
+// backends must not be doubted indefinitely, as no call could confirm them.
+func TestMayAnnounceLate(t *testing.T) {
 	log.SetOutput(io.Discard)
 	defer log.SetOutput(os.Stderr)
 	synctest.Test(t, func(t *testing.T) {
@@ -370,20 +368,20 @@
 			answer func(net.Conn)
 			late   bool
 		}{
-			{"nobody from the start on", nil, false},
+			{"no listener from the start", nil, false},
 			{"a list", answerList(5), true},
-			{"reset, then nobody", nil, false},
-			{"turned away", rejectCall, true},
-			{"a list again", answerList(5), true},
+			{"reset, then no listener", nil, false},
+			{"rejected", rejectCall, true},
+			{"another list", answerList(5), true},
 		} {
 			c.source.setAnswer(step.answer)
-			if step.name == "reset, then nobody" {
+			if step.name == "reset, then no listener" {
 				c.source.resetConn()
 				synctest.Wait()
 			}
 			c.CallNow()
 			if _, _, _, fresh := c.state(); fresh.MayAnnounceLate != step.late {
-				t.Errorf("%s: tells late %t, want %t", step.name, fresh.MayAnnounceLate, step.late)
+				t.Errorf("%s: may announce late %t, want %t", step.name, fresh.MayAnnounceLate, step.late)
 			}
 		}
 		stop()
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -20,21 +20,21 @@
 	"oxbowloft/internal/standin"
 )
 
-// watchedClient is one client in a synctest bubble, the source that it calls, and what is seen of
-// its calls.
+// watchedClient is one client in a synctest bubble, with the source that it calls and a record of its
+// calls.
 type watchedClient struct {
 	*fakeSource
 	client *discovery.Client
 
 	mu          sync.Mutex
 	callStarts  []time.Time // calls
-	callEnds    []time.Time // calls that failed and watches that ended
-	openConns   int         // connections
-	maxOpen     int         // of them at a time
+	callEnds    []time.Time // failed calls and ended watches
+	openConns   int         // now
+	maxOpen     int         // at any time
 	usableUntil time.Time
 }
 
-// startWatchedClient starts a client with the pacing that proxies have, where lists are asked for.
+// startWatchedClient starts a client with the given pacer.
 func startWatchedClient(t testingT, pacer discovery.Pacer) (w *watchedClient, stop func()) {
 	log.SetOutput(io.Discard)
 	w = &watchedClient{fakeSource: &fakeSource{}}
@@ -85,7 +85,7 @@
 
 type testingT interface{ Fatalf(string, ...any) }
 
-// countedConn is a connection that tells of its close.
+// countedConn is a connection that reports its close.
 type countedConn struct {
 	net.Conn
 	closed func()
@@ -97,18 +97,18 @@
 	return c.Conn.Close()
 }
 
-// calls is how many calls have begun.
+// calls returns how many calls have begun.
 func (w *watchedClient) calls() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return len(w.callStarts)
 }
 
-// A call is refused; in the wait that follows, a new configuration moves the source, and the
-// new one is called at once. The end of the old wait must mean nothing: when the new watch
-// ends after it has stood for longer, the next call comes as soon as after any watch, and not
-// after a wait that takes the life of the watch for time waited in vain.
-func TestWaitEndsWithAMove(t *testing.T) {
+// A call is rejected, and during the wait a new configuration changes the source, which is called at
+// once. The old wait must not outlive that call. When the new watch ends after the old wait
+// would have, the next call comes as soon as after any watch; the duration of the watch must
+// not count as time that a failed call waited.
+func TestWaitEndsWithSourceChange(t *testing.T) {
 	for seed := range uint64(20) {
 		synctest.Test(t, func(t *testing.T) {
 			w, stop := startWatchedClient(t, pacing.NewForService(10*sec, rand.New(rand.NewPCG(seed, 1))))
@@ -117,7 +117,7 @@
 			for w.calls() == 0 {
 				time.Sleep(10 * ms)
 			}
-			time.Sleep(2*sec + 20*ms) // it is refused, and waits for 2 s at least
+			time.Sleep(2*sec + 20*ms) // the call is rejected, and the wait is at least 2 s
 			if n := w.calls(); n != 1 {
 				t.Fatalf("%d calls, want one", n)
 			}
@@ -127,12 +127,12 @@
 			if n := w.calls(); n != 2 {
 				t.Fatalf("%d calls, want one of the new source at once", n)
 			}
-			for range 8 { // the old wait ends meanwhile: it took 6 s at most
+			for range 8 { // the old wait, of at most 6 s, would end meanwhile
 				time.Sleep(sec)
 				w.write("\n")
 			}
 			if n := w.calls(); n != 2 {
-				t.Fatalf("%d calls while a watch stands", n-2)
+				t.Fatalf("%d calls while a watch is open", n-2)
 			}
 			ended := time.Now()
 			w.closeConn()
@@ -140,19 +140,19 @@
 				time.Sleep(10 * ms)
 			}
 			if took := time.Since(ended); took < 250*ms || took > 760*ms {
-				t.Errorf("seed %d: called again %v after the watch's end, want 250 ms to 750 ms", seed, took)
+				t.Errorf("seed %d: called again %v after the end of the watch, want 250 ms to 750 ms", seed, took)
 			}
 		})
 	}
 }
 
-// Where lists are pushed, the wait after a failure ends with a move, too.
-func TestPushedWaitEndsWithAMove(t *testing.T) {
+// Where lists are pushed, a change of the source ends the wait after a failure, too.
+func TestPushedWaitEndsWithSourceChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w, stop := startWatchedClient(t, pacing.NewForAgent(rand.New(rand.NewPCG(1, 1))))
 		defer stop()
 		w.setAnswer(rejectCall)
-		time.Sleep(3 * sec) // waits of a second by now
+		time.Sleep(3 * sec) // the waits have grown to a mean of 1 s
 		w.setAnswer(answerList(5))
 		w.client.SetSource("127.0.0.1:81")
 		synctest.Wait()
@@ -165,20 +165,19 @@
 		w.closeConn()
 		time.Sleep(120 * ms) // less than half of the first wait
 		if n := w.calls(); n != calls {
-			t.Errorf("%d calls right after the watch's end, of a wait that was over", n-calls)
+			t.Errorf("%d calls right after the end of the watch, by a wait that should have ended", n-calls)
 		}
 		time.Sleep(300 * ms)
 		if n := w.calls(); n != calls+1 {
-			t.Errorf("%d calls after the watch's end, want one", n-calls)
+			t.Errorf("%d calls after the end of the watch, want one", n-calls)
 		}
 	})
 }
 
-// In whatever order calls are refused or hang, lists come, the source moves, watches fall
-// silent or end, and time passes: at most one call is under way; while one is or a watch
-// stands, none begins; and without one the next is due within the time that the settings
-// give. The list is fresh for 6 s at most after the last word, and for 2 s after a watch that
-// was closed.
+// For any order of rejected and unanswered calls, lists, changes of the source, and watches that end
+// or stop responding: at most one call is under way, none begins during a call or an open
+// watch, and otherwise the next is due within the configured time. The list is usable for at
+// most 6 s after the last contact.
 func TestCallsInAnyOrder(t *testing.T) {
 	const askWithin = 10 * sec
 	rapid.Check(t, func(r *rapid.T) {
@@ -195,12 +194,12 @@
 	})
 }
 
-// playEvents plays events, each after a wait in milliseconds, and says what broke.
+// playEvents plays events, each after a wait in milliseconds, and returns the first violation, or "".
 func playEvents(t testingT, seed uint64, askWithin time.Duration, events, waits []int) string {
 	w, stop := startWatchedClient(t, pacing.NewForService(askWithin, rand.New(rand.NewPCG(seed, 1))))
 	defer stop()
 	w.setAnswer(noAnswer)
-	begun, addr, idle := time.Now(), 80, time.Now()
+	startedAt, addr, idle := time.Now(), 80, time.Now()
 	for i, event := range events {
 		for range waits[i] / 100 {
 			time.Sleep(100 * ms)
@@ -215,17 +214,17 @@
 			w.mu.Unlock()
 			switch {
 			case most > 1:
-				return fmt.Sprintf("event %d: two calls at a time", i)
+				return fmt.Sprintf("event %d: two calls at the same time", i)
 			case open == 0 && time.Since(idle) > askWithin+100*ms:
 				return fmt.Sprintf("event %d: no call for %v after %d", i, time.Since(idle), calls)
 			case fresh.After(time.Now().Add(discovery.MaxAnnounceDelay)):
-				return fmt.Sprintf("event %d: fresh for %v", i, time.Until(fresh))
-			case calls > 4+int(time.Since(begun)/(250*ms)): // no wait is shorter
-				return fmt.Sprintf("event %d: %d calls in %v", i, calls, time.Since(begun))
+				return fmt.Sprintf("event %d: list usable for %v", i, time.Until(fresh))
+			case calls > 4+int(time.Since(startedAt)/(250*ms)): // no wait is shorter
+				return fmt.Sprintf("event %d: %d calls in %v", i, calls, time.Since(startedAt))
 			}
 		}
 		before := w.calls()
-		standing := w.active()
+		active := w.active()
 		switch event {
 		case 0:
 			w.setAnswer(rejectCall)
@@ -238,21 +237,21 @@
 		case 4:
 			w.setAnswer(closeUnanswered)
 		case 5, 6:
-			if standing {
+			if active {
 				w.write(standin.ListJSON(i+1, event == 5) + "\n")
 			}
 		case 7:
-			if standing {
+			if active {
 				w.closeConn()
 				synctest.Wait()
 			}
 		case 8:
-			if standing {
+			if active {
 				w.resetConn()
 				synctest.Wait()
 			}
 		case 9:
-			addr = 161 - addr // there and back again
+			addr = 161 - addr // the other of two addresses
 			w.client.SetSource(fmt.Sprintf("127.0.0.1:%d", addr))
 			synctest.Wait()
 			before++ // the new source is called at once
@@ -264,7 +263,7 @@
 	return ""
 }
 
-// active tells whether a call is under way or a watch stands.
+// active reports whether a call is under way or a watch is open.
 func (w *watchedClient) active() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
