--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -106,7 +106,7 @@
 		receive(t, "the list of the second watch", lists)
 		want := []string{"/v1/servers?stream=1&index=5", "/v1/servers?stream=1&index=9"}
 		if got := d.RequestURIs(); !slices.Equal(got, want) {
-			t.Errorf("asked %q, want %q", got, want)
+			t.Errorf("requests %q, want %q", got, want)
 		}
 	})
 }
@@ -116,8 +116,8 @@
 	d.SetDown(true)
 	c, lists, failed := startClient(t, d.Addr(), 1)
 	c.CallNow()
-	if why := receive(t, "the failure of a call", failed); why != discovery.Rejected {
-		t.Errorf("rejected call: %v", why)
+	if reason := receive(t, "the failure of a call", failed); reason != discovery.Rejected {
+		t.Errorf("rejected call: %v", reason)
 	}
 	d.SetDown(false)
 	c.CallNow()
@@ -127,14 +127,14 @@
 	d.PushLine(standin.ListJSON(2, false))
 	receive(t, "a change", lists)
 	d.PushLine(`{"rev":3,"all":false,"targets":[{"uid":"s-9","state":"odd"}]}`)
-	if why := receive(t, "the end of the watch", failed); why != discovery.WatchEnded {
-		t.Errorf("malformed list: %v", why)
+	if reason := receive(t, "the end of the watch", failed); reason != discovery.WatchEnded {
+		t.Errorf("malformed list: %v", reason)
 	}
 	d.SetFirstLine(standin.ListJSON(2, true))
 	c.CallNow()
 	receive(t, "the list again", lists)
 	if got := d.RequestURIs(); got[len(got)-1] != "/v1/servers?stream=1&index=2" {
-		t.Errorf("asked %q", got)
+		t.Errorf("requests %q", got)
 	}
 }
 
@@ -143,8 +143,8 @@
 	b.Stop()
 	c, _, failed := startClient(t, b.Addr(), 0)
 	c.CallNow()
-	if why := receive(t, "the failure of a call", failed); why != discovery.Unreachable {
-		t.Errorf("no listener: %v", why)
+	if reason := receive(t, "the failure of a call", failed); reason != discovery.Unreachable {
+		t.Errorf("no listener: %v", reason)
 	}
 }
 
@@ -228,8 +228,8 @@
 		}
 		began := time.Now()
 		c.CallNow()
-		if why := receive(t, "the failure of a call", failed); why != discovery.Unresponsive {
-			t.Errorf("no answer: %v", why)
+		if reason := receive(t, "the failure of a call", failed); reason != discovery.Unresponsive {
+			t.Errorf("no answer: %v", reason)
 		}
 		if took := time.Since(began); took > discovery.MaxAnnounceDelay/2 {
 			t.Errorf("failed after %v", took)
@@ -255,8 +255,8 @@
 	if d.WatchCount() != 1 || len(failed) != 0 {
 		t.Error("the watch ended in spite of heartbeats")
 	}
-	if why := receive(t, "the end of a watch without heartbeats", failed); why != discovery.Unresponsive {
-		t.Errorf("watch without heartbeats: %v", why)
+	if reason := receive(t, "the end of a watch without heartbeats", failed); reason != discovery.Unresponsive {
+		t.Errorf("watch without heartbeats: %v", reason)
 	}
 }
 
--- a/internal/discovery/move_test.go
+++ b/internal/discovery/move_test.go
@@ -28,10 +28,10 @@
 
 // sourceCall is one call to one address.
 type sourceCall struct {
-	addr       string
-	accept     chan bool // receives when the connection is to be established
-	serverConn net.Conn
-	askedIndex string // revision in the request
+	addr           string
+	accept         chan bool // receives when the connection is to be established
+	serverConn     net.Conn
+	requestedIndex string // revision in the request
 }
 
 // dial waits until the call is accepted or its context ends.
@@ -45,18 +45,18 @@
 		return nil, ctx.Err()
 	case <-call.accept:
 	}
-	near, far := net.Pipe()
+	client, server := net.Pipe()
 	go func() {
-		request, err := http.ReadRequest(bufio.NewReader(far))
+		request, err := http.ReadRequest(bufio.NewReader(server))
 		if err != nil {
 			return
 		}
 		s.mu.Lock()
-		call.serverConn, call.askedIndex = far, request.URL.Query().Get("index")
+		call.serverConn, call.requestedIndex = server, request.URL.Query().Get("index")
 		s.mu.Unlock()
-		go io.Copy(io.Discard, far)
+		go io.Copy(io.Discard, server)
 	}()
-	return near, nil
+	return client, nil
 }
 
 // call returns call number n, counted from 0, or nil.
@@ -90,18 +90,18 @@
 	defer log.SetOutput(os.Stderr)
 	const first, second = "127.0.0.1:80", "127.0.0.1:81"
 	line := func(rev int) string { return standin.ListJSON(rev, true) + "\n" }
-	half := line(8)[:20]
+	firstPart := line(8)[:20]
 	for _, c := range []struct {
 		name  string
 		old   func(*sourceCall) // before the change
-		moves []string
+		addrs []string          // of the new sources
 		late  func(*sourceCall) // what the old call brings after the change
 		want  []int64           // revisions used before that of the last source
 	}{
 		{"while dialing", func(*sourceCall) {}, []string{second}, func(c *sourceCall) { c.accept <- true }, nil},
 		{"before the answer", func(c *sourceCall) { c.accept <- true }, []string{second}, func(c *sourceCall) { c.write(watchHeader + line(8)) }, nil},
 		{"before the first list", func(c *sourceCall) { c.acceptWatch() }, []string{second}, func(c *sourceCall) { c.write(line(8)) }, nil},
-		{"in a list that comes in pieces", func(c *sourceCall) { c.acceptWatch(); c.write(half) }, []string{second},
+		{"in a partial list", func(c *sourceCall) { c.acceptWatch(); c.write(firstPart) }, []string{second},
 			func(c *sourceCall) { c.write(line(8)[20:]) }, nil},
 		{"on an open watch", func(c *sourceCall) { c.acceptWatch(); c.write(line(7)) }, []string{second}, func(c *sourceCall) { c.write(line(8)) }, []int64{7}},
 		{"twice in a row", func(c *sourceCall) { c.acceptWatch(); c.write(line(7)) }, []string{second, "127.0.0.1:82"},
@@ -129,7 +129,7 @@
 				c.old(old)
 				synctest.Wait()
 				began := time.Now()
-				for _, addr := range c.moves {
+				for _, addr := range c.addrs {
 					client.SetSource(addr)
 				}
 				if old.serverConn != nil || len(old.accept) == 0 {
@@ -140,13 +140,13 @@
 				for n := 2; s.call(n) != nil; n++ {
 					newest = s.call(n)
 				}
-				if newest == nil || newest.addr != c.moves[len(c.moves)-1] || time.Since(began) > 0 {
+				if newest == nil || newest.addr != c.addrs[len(c.addrs)-1] || time.Since(began) > 0 {
 					t.Fatalf("the new source was not called at once: %+v", newest)
 				}
 				newest.acceptWatch()
 				newest.write(line(3))
-				if newest.askedIndex != "0" {
-					t.Errorf("asked from revision %s, want the complete list", newest.askedIndex)
+				if newest.requestedIndex != "0" {
+					t.Errorf("called from revision %s, want the complete list", newest.requestedIndex)
 				}
 				mu.Lock()
 				if want := append(slices.Clone(c.want), 3); !slices.Equal(used, want) {
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -27,7 +27,7 @@
 	client *discovery.Client
 
 	mu          sync.Mutex
-	callStarts  []time.Time // calls
+	callStarts  []time.Time
 	callEnds    []time.Time // failed calls and ended watches
 	openConns   int         // now
 	maxOpen     int         // at any time
@@ -179,14 +179,14 @@
 // watch, and otherwise the next is due within the configured time. The list is usable for at
 // most 6 s after the last contact.
 func TestCallsInAnyOrder(t *testing.T) {
-	const askWithin = 10 * sec
+	const maxWait = 10 * sec
 	rapid.Check(t, func(r *rapid.T) {
 		seed := rapid.Uint64().Draw(r, "seed")
 		events := rapid.SliceOfN(rapid.IntRange(0, 9), 1, 30).Draw(r, "events")
 		waits := rapid.SliceOfN(rapid.IntRange(1, 9000), len(events), len(events)).Draw(r, "waits")
 		var failed string
 		synctest.Test(t, func(*testing.T) {
-			failed = playEvents(r, seed, askWithin, events, waits)
+			failed = playEvents(r, seed, maxWait, events, waits)
 		})
 		if failed != "" {
 			r.Fatal(failed)
@@ -195,8 +195,8 @@
 }
 
 // playEvents plays events, each after a wait in milliseconds, and returns the first violation, or "".
-func playEvents(t testingT, seed uint64, askWithin time.Duration, events, waits []int) string {
-	w, stop := startWatchedClient(t, pacing.NewForService(askWithin, rand.New(rand.NewPCG(seed, 1))))
+func playEvents(t testingT, seed uint64, maxWait time.Duration, events, waits []int) string {
+	w, stop := startWatchedClient(t, pacing.NewForService(maxWait, rand.New(rand.NewPCG(seed, 1))))
 	defer stop()
 	w.setAnswer(noAnswer)
 	startedAt, addr, idle := time.Now(), 80, time.Now()
@@ -205,7 +205,7 @@
 			time.Sleep(100 * ms)
 			synctest.Wait()
 			w.mu.Lock()
-			open, most, calls, fresh := w.openConns, w.maxOpen, len(w.callStarts), w.usableUntil
+			open, maxOpen, calls, usableUntil := w.openConns, w.maxOpen, len(w.callStarts), w.usableUntil
 			for _, times := range [][]time.Time{w.callStarts, w.callEnds} {
 				if n := len(times); n > 0 && times[n-1].After(idle) {
 					idle = times[n-1]
@@ -213,12 +213,12 @@
 			}
 			w.mu.Unlock()
 			switch {
-			case most > 1:
+			case maxOpen > 1:
 				return fmt.Sprintf("event %d: two calls at the same time", i)
-			case open == 0 && time.Since(idle) > askWithin+100*ms:
+			case open == 0 && time.Since(idle) > maxWait+100*ms:
 				return fmt.Sprintf("event %d: no call for %v after %d", i, time.Since(idle), calls)
-			case fresh.After(time.Now().Add(discovery.MaxAnnounceDelay)):
-				return fmt.Sprintf("event %d: list usable for %v", i, time.Until(fresh))
+			case usableUntil.After(time.Now().Add(discovery.MaxAnnounceDelay)):
+				return fmt.Sprintf("event %d: list usable for %v", i, time.Until(usableUntil))
 			case calls > 4+int(time.Since(startedAt)/(250*ms)): // no wait is shorter
 				return fmt.Sprintf("event %d: %d calls in %v", i, calls, time.Since(startedAt))
 			}
--- a/internal/pacing/pacing_test.go
+++ b/internal/pacing/pacing_test.go
@@ -137,7 +137,7 @@
 // require a call, and the wait after a watch that has brought a list is short.
 func TestWaitsAreBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		bound := time.Duration(rapid.Int64Range(1, int64(time.Minute)).Draw(t, "within"))
+		bound := time.Duration(rapid.Int64Range(1, int64(time.Minute)).Draw(t, "max wait"))
 		p := NewForService(bound, rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)))
 		if w := p.FirstWait(); w <= 0 || w > max(1, bound/10) {
 			t.Fatalf("the first wait is %v of %v", w, bound)
@@ -153,7 +153,7 @@
 				}
 			default:
 				waited := time.Duration(rapid.Int64Range(0, int64(time.Hour)).Draw(t, "waited"))
-				if w := p.Failed(waited, rapid.Bool().Draw(t, "silent")); w <= 0 || w > bound {
+				if w := p.Failed(waited, rapid.Bool().Draw(t, "unresponsive")); w <= 0 || w > bound {
 					t.Fatalf("after a call that waited %v the wait is %v of %v", waited, w, bound)
 				}
 			}
--- a/internal/upstream/ends_test.go
+++ b/internal/upstream/ends_test.go
@@ -109,16 +109,16 @@
 			u, req := newUpload(t, true)
 			var server sync.WaitGroup
 			server.Go(func() {
-				nc, err := ln.Accept()
+				conn, err := ln.Accept()
 				if err != nil {
 					t.Error(err)
 					return
 				}
 				standin.Eventually(t, 10*time.Second, "the write is blocked", writeIsBlocked)
-				io.WriteString(nc, c.text)
+				io.WriteString(conn, c.text)
 				<-u.interrupted // the answer has been noticed, the reset not yet
-				nc.(*net.TCPConn).SetLinger(0)
-				nc.Close()
+				conn.(*net.TCPConn).SetLinger(0)
+				conn.Close()
 			})
 			a = exchangeInTime(t, New(ln.Addr().String(), opt), shortContext(t), req)
 			server.Wait()
@@ -148,20 +148,20 @@
 		}
 		var server sync.WaitGroup
 		server.Go(func() {
-			nc, err := ln.Accept()
+			conn, err := ln.Accept()
 			if err != nil {
 				t.Error(err)
 				return
 			}
-			defer nc.Close()
+			defer conn.Close()
 			buf := make([]byte, 1<<10)
 			if reused {
-				nc.Read(buf)
-				io.WriteString(nc, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst")
+				conn.Read(buf)
+				io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst")
 			}
-			nc.Read(buf) // the first part has arrived
-			io.WriteString(nc, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst")
-			io.Copy(io.Discard, nc)
+			conn.Read(buf) // the first part has arrived
+			io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst")
+			io.Copy(io.Discard, conn)
 		})
 		opt, s := options(5)
 		b := New(ln.Addr().String(), opt)
@@ -202,13 +202,13 @@
 		finished := make(chan bool)
 		var server sync.WaitGroup
 		server.Go(func() {
-			nc, err := ln.Accept()
+			conn, err := ln.Accept()
 			if err != nil {
 				t.Error(err)
 				return
 			}
-			defer nc.Close()
-			io.ReadFull(nc, make([]byte, 60)) // the upload has begun
+			defer conn.Close()
+			io.ReadFull(conn, make([]byte, 60)) // the upload has begun
 			cancel()
 			<-ctx.Done()
 			<-finished
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -73,14 +73,14 @@
 		{"error", func(c *standin.Call) { c.Reply(500, "") }, time.Minute, Answered, 500, false, nil},
 		{"closed unanswered", (*standin.Call).Close, time.Minute, Written, 0, false, nil},
 		{"reset unanswered", (*standin.Call).Reset, time.Minute, Written, 0, false, nil},
-		{"broken in the head", func(c *standin.Call) { c.WriteRaw("HTTP/1.1 200"); c.Close() }, time.Minute, Written, 0, false, nil},
-		{"broken in the body", func(c *standin.Call) {
+		{"closed in the header", func(c *standin.Call) { c.WriteRaw("HTTP/1.1 200"); c.Close() }, time.Minute, Written, 0, false, nil},
+		{"closed in the body", func(c *standin.Call) {
 			c.WriteRaw("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf")
 			c.Close()
 		}, time.Minute, Written, 0, false, nil},
-		{"silent", (*standin.Call).Hang, short, Written, 0, true, nil},
-		{"dribbling", (*standin.Call).TrickleBody, short, Written, 0, true, nil},
-		{"garbage", func(c *standin.Call) { c.WriteRaw("hello\r\n\r\n") }, time.Minute, Answered, 0, false, http1.ErrMalformed},
+		{"no answer", (*standin.Call).Hang, short, Written, 0, true, nil},
+		{"slow trickle", (*standin.Call).TrickleBody, short, Written, 0, true, nil},
+		{"malformed", func(c *standin.Call) { c.WriteRaw("hello\r\n\r\n") }, time.Minute, Answered, 0, false, http1.ErrMalformed},
 		{"too large", func(c *standin.Call) { c.Reply(200, strings.Repeat("x", http1.MaxStreamedBodyBytes+1)) },
 			time.Minute, Answered, 0, false, http1.ErrBodyTooLarge},
 	} {
@@ -129,22 +129,22 @@
 		{"hangs", func(*net.TCPConn) {}, 200 * time.Millisecond},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			over := make(chan bool)
+			finished := make(chan bool)
 			var server sync.WaitGroup
 			server.Go(func() {
-				nc, err := ln.Accept()
+				conn, err := ln.Accept()
 				if err != nil {
 					t.Error(err)
 					return
 				}
-				defer nc.Close()
+				defer conn.Close()
 				time.Sleep(50 * time.Millisecond) // so that a part has been written
-				c.end(nc.(*net.TCPConn))
-				<-over
+				c.end(conn.(*net.TCPConn))
+				<-finished
 			})
 			opt, _ := options(5)
 			a := New(ln.Addr().String(), opt).Exchange(newExchange(contextFor(t, c.within), huge))
-			close(over)
+			close(finished)
 			server.Wait()
 			if a.Stage != SendFailed || a.Err == nil {
 				t.Errorf("got stage %v, %v", a.Stage, a.Err)
@@ -221,13 +221,13 @@
 // A late second answer that arrives between taking an idle connection and the first byte of the
 // next request must not be taken for the answer to that request.
 func TestLateAnswerBeforeTheFirstByte(t *testing.T) {
-	again := make(chan bool)
+	sendLate := make(chan bool)
 	b := standin.NewBackend(t, func(c *standin.Call) {
 		c.Reply(200, fmt.Sprint(c.Number))
 		if c.Number == 1 {
-			<-again
+			<-sendLate
 			c.Reply(200, "late")
-			again <- true
+			sendLate <- true
 		}
 	})
 	opt, _ := options(10)
@@ -241,12 +241,12 @@
 	taken := backend.idleConns[0].conn
 	backend.idleConns[0].idleSince = time.Now().Add(-time.Hour) // it has been idle long enough
 	backend.mu.Unlock()
-	asked := 0
-	req.ShouldSend = func() bool { asked++; return true }
+	sendChecks := 0
+	req.ShouldSend = func() bool { sendChecks++; return true }
 	req.Render = func(left time.Duration) []byte {
-		if asked == 1 {
-			again <- true
-			<-again
+		if sendChecks == 1 {
+			sendLate <- true
+			<-sendLate
 			for taken.IsIdle() { // until the late answer has arrived
 				time.Sleep(time.Millisecond)
 			}
@@ -256,8 +256,8 @@
 	if a := backend.Exchange(ctx, req); a.Err != nil || string(a.Body) != "2" {
 		t.Errorf("got %q, %v, want the second answer", a.Body, a.Err)
 	}
-	if opened, _ := b.ConnCounts(); opened != 2 || asked != 2 {
-		t.Errorf("%d connections, asked %d times, want 2 of both", opened, asked)
+	if opened, _ := b.ConnCounts(); opened != 2 || sendChecks != 2 {
+		t.Errorf("%d connections, ShouldSend called %d times, want 2 of both", opened, sendChecks)
 	}
 }
 
@@ -270,7 +270,7 @@
 	defer b.Close()
 	b.Exchange(newExchange(shortContext(t), get))
 	backend.CloseConns()
-	standin.Eventually(t, 10*time.Second, "cut", func() bool { _, open := backend.ConnCounts(); return open == 0 })
+	standin.Eventually(t, 10*time.Second, "the idle connection is closed", func() bool { _, open := backend.ConnCounts(); return open == 0 })
 	if a := b.Exchange(newExchange(shortContext(t), get)); a.Status != 200 || string(a.Body) != "2" {
 		t.Errorf("got %+v", a)
 	}
