--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -176,7 +176,7 @@
 
 // recordEnd updates the freshness after the end of a call or a watch of a source.
 func (c *Client) recordEnd(from source, end CallEnd) {
-	if end.Reason == Unresponsive || end.Reason == LocalFailure { // other callers may have got changes
+	if end.Reason == Unresponsive || end.Reason == LocalFailure { // other callers may have received changes
 		c.updateFreshness(from, (*freshnessTracker).noResponse)
 		return
 	}
--- a/internal/discovery/freshness.go
+++ b/internal/discovery/freshness.go
@@ -29,8 +29,8 @@
 	// since the start.
 	ConfirmedAt time.Time
 	ReceivedAt  time.Time
-	// MayAnnounceLate reports whether discovery may still hold back changes: a list has come,
-	// and the last call did not find discovery's address without a listener.
+	// MayAnnounceLate reports whether discovery may still hold back changes. That is so if lists
+	// are not pushed, one has come, and the last connection was not refused.
 	MayAnnounceLate bool
 }
 
@@ -52,8 +52,8 @@
 	// where lists are pushed, since every change counts as announced at once there.
 	unwatchedFor time.Duration
 	pushed       bool
-	// servingWindow is the age up to which a served call shows that a backend, if it drains
-	// by now, was still in service.
+	// servingWindow is how recently a backend must have served a call to be used past the
+	// staleness bound: one that drains by now was still in service that long ago.
 	servingWindow time.Duration
 
 	lastContact     time.Time // last list or heartbeat; at first the start
@@ -62,9 +62,9 @@
 	freshUntil      time.Time // by the last contact with discovery
 	closeBound      time.Time // staleness bound of a closed watch that may have withheld changes; zero: none
 	lastUnreachable time.Time // last time that discovery could not be reached; zero: never
-	unresponsive    bool      // discovery gave no response or has moved; other callers may have got changes
-	everReached     bool      // discovery has met a call since the start; other callers may have got changes
-	lastRefused     bool      // the last connection was refused: no discovery that could have changes
+	unresponsive    bool      // discovery gave no response or has moved; other callers may have received changes
+	everReached     bool      // discovery has met a call since the start; other callers may have received changes
+	lastRefused     bool      // the last connection was refused: no discovery process holds back changes
 }
 
 // current returns how long the list may be used.
@@ -141,8 +141,8 @@
 	f.extend(now.Add(MaxAnnounceDelay))
 }
 
-// connectionRefused records that a connection was refused, so no discovery was there that could
-// have announced a change. A change that does not count as announced by now does so
+// connectionRefused records that a connection was refused, so no discovery process was there to
+// announce a change. A change that does not count as announced by now does so
 // MaxAnnounceDelay later at the earliest. One that already counts goes on counting, so a stale
 // list stays stale. The list of the start counts as complete if every connection since the
 // start was refused.
