--- a/proxy/race_test.go
+++ b/proxy/race_test.go
@@ -19,8 +19,8 @@
 	"oxbowloft/logic"
 )
 
-// randomList is news of up to eight backends, some at other addresses than before, some
-// named twice in one list.
+// randomList returns changes of up to eight backends, some at new addresses, some listed
+// twice.
 func randomList(t *testing.T, r *rand.Rand, rev int) *discovery.List {
 	var lines []string
 	for range 1 + r.IntN(10) {
@@ -34,28 +34,28 @@
 	return l
 }
 
-// Whatever the list, the operators and the end do while requests are under way: a send has
-// a backend, each request gets to an end, none waits for a step that never comes, and what
-// is told of one request at a time never holds up the rest.
-func TestDriverUnderChange(t *testing.T) {
-	p := listening(t, standin.ListJSON(1, true, standin.TargetJSON("s-1", "127.0.0.1:1")), "127.0.0.1:1")
+// Whatever changes of the list, detachments and shutdowns happen during requests: a send
+// has a backend, each request ends, none waits for a step that never comes, and events of
+// one request never block the others.
+func TestDriverUnderConcurrentChanges(t *testing.T) {
+	p := listenProxy(t, standin.ListJSON(1, true, standin.TargetJSON("s-1", "127.0.0.1:1")), "127.0.0.1:1")
 	defer p.listener.Close()
 	d := p.driver
-	var callers, news sync.WaitGroup
-	over := make(chan bool)
+	var callers, changes sync.WaitGroup
+	stopChanges := make(chan bool)
 	for n := range 8 {
 		callers.Go(func() {
 			r := rand.New(rand.NewPCG(1, uint64(n)))
 			for i := range 150 {
 				var leaves sync.WaitGroup
-				c := d.arrive(fmt.Sprintf("%d-%d", n, i), r.IntN(3), 300*time.Millisecond, false, r.IntN(4) == 0)
+				c := d.startRequest(fmt.Sprintf("%d-%d", n, i), r.IntN(3), 300*time.Millisecond, false, r.IntN(4) == 0)
 				left, open := false, true
 				for open {
 					var s step
 					select {
 					case s = <-c.steps:
 					case <-time.After(20 * time.Second):
-						t.Error("no step comes")
+						t.Error("no step arrives")
 						open = false
 						continue
 					}
@@ -63,16 +63,16 @@
 						open = false
 						break
 					}
-					if s.to == nil {
+					if s.backend == nil {
 						t.Error("a send without a backend")
 					}
-					if !left && r.IntN(4) == 0 { // at most once, as of a watch
+					if !left && r.IntN(4) == 0 { // at most once, as with a watch
 						left = true
 						leaves.Go(func() {
 							if n%2 == 0 {
-								d.gone(c)
+								d.clientGone(c)
 							} else {
-								d.ahead(c)
+								d.clientPipelined(c)
 							}
 						})
 					}
@@ -84,8 +84,8 @@
 					}
 					s.cancel()
 					final := result == logic.OK
-					d.written(c)
-					d.done(c, s, result, final, r.IntN(8) == 0)
+					d.requestWritten(c)
+					d.attemptDone(c, s, result, final, r.IntN(8) == 0)
 					open = !final
 				}
 				leaves.Wait()
@@ -93,67 +93,68 @@
 			}
 		})
 	}
-	news.Go(func() {
+	changes.Go(func() {
 		r := rand.New(rand.NewPCG(2, 2))
 		for rev := 2; ; rev++ {
 			select {
-			case <-over:
+			case <-stopChanges:
 				return
 			default:
 			}
-			d.list(randomList(t, r, rev))
+			d.updateList(randomList(t, r, rev))
 			switch r.IntN(12) {
 			case 0:
-				d.listFresh(discovery.Freshness{Until: time.Now().Add(time.Minute)})
+				d.setListFreshness(discovery.Freshness{Until: time.Now().Add(time.Minute)})
 			case 1:
-				d.listFresh(discovery.Freshness{Until: time.Now().Add(time.Second)})
+				d.setListFreshness(discovery.Freshness{Until: time.Now().Add(time.Second)})
 			case 2:
-				d.byHand(fmt.Sprintf("s-%d", r.IntN(8)), r.IntN(2) == 0)
+				d.setDetached(fmt.Sprintf("s-%d", r.IntN(8)), r.IntN(2) == 0)
 			case 3:
-				d.end()
+				d.endAll()
 			case 4:
-				for _, b := range d.all() {
+				for _, b := range d.allBackends() {
 					b.CloseExpired(time.Now())
 				}
 			}
-			d.listed()
+			d.backendCounts()
 		}
 	})
 	callers.Wait()
-	close(over)
-	news.Wait()
+	close(stopChanges)
+	changes.Wait()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if len(d.calls)+len(d.open) > 0 {
-		t.Errorf("%d calls and %d ids are left", len(d.calls), len(d.open))
+	if len(d.requests)+len(d.openIDs) > 0 {
+		t.Errorf("%d requests and %d ids are left", len(d.requests), len(d.openIDs))
 	}
 }
 
-// A step of the module's, its end and its caller's going, all at once and with nobody to
-// take them yet, find room: one that had to wait would hold the driver's lock.
-func TestStepsHaveRoom(t *testing.T) {
-	for name, tell := range map[string][]func(*driver, *call){
-		"end, gone":  {func(d *driver, _ *call) { d.end() }, (*driver).gone},
-		"gone, end":  {(*driver).gone, func(d *driver, _ *call) { d.end() }},
-		"end, ahead": {func(d *driver, _ *call) { d.end() }, (*driver).ahead},
+// The channel of steps has room for a step of the balancing logic, the shutdown and the
+// client's leaving at the same time with no receiver: a blocked send would hold the
+// driver's lock.
+func TestStepsNeverBlock(t *testing.T) {
+	for name, events := range map[string][]func(*driver, *activeRequest){
+		"end, gone":      {func(d *driver, _ *activeRequest) { d.endAll() }, (*driver).clientGone},
+		"gone, end":      {(*driver).clientGone, func(d *driver, _ *activeRequest) { d.endAll() }},
+		"end, pipelined": {func(d *driver, _ *activeRequest) { d.endAll() }, (*driver).clientPipelined},
 	} {
-		p := listening(t, standin.ListJSON(1, true, standin.TargetJSON("s-1", "127.0.0.1:1")), "127.0.0.1:1")
+		p := listenProxy(t, standin.ListJSON(1, true, standin.TargetJSON("s-1", "127.0.0.1:1")), "127.0.0.1:1")
 		d := p.driver
-		c := d.arrive("1", 0, time.Hour, false, false)
-		s := <-c.steps // the attempt is out: the caller is watched from here on
+		c := d.startRequest("1", 0, time.Hour, false, false)
+		s := <-c.steps // the attempt is in flight: the client is watched from here on
 		done := make(chan bool)
 		go func() {
 			defer close(done)
-			for _, f := range tell {
+			for _, f := range events {
 				f(d, c)
 			}
-			d.done(c, s, logic.ConnectionLost, false, false)
-			d.end()
+			d.attemptDone(c, s, logic.ConnectionLost, false, false)
+			d.endAll()
 		}()
 		select {
 		case <-done:
 		case <-time.After(20 * time.Second):
-			t.Fatalf("%s: the driver stands still", name)
+			t.Fatalf("%s: the driver is blocked", name)
 		}
 		if n := len(c.steps); n == 0 || n > 2 {
 			t.Errorf("%s: %d steps", name, n)
@@ -164,10 +165,10 @@
 	}
 }
 
-// The whole proxy under changes of the list and of where it comes from, with callers that
-// leave, send on or say half, until its end in the midst of them: it ends, each answer is
-// that of its request, and nothing is left.
-func TestChangesUntilTheEnd(t *testing.T) {
+// A whole proxy while the list and the discovery address change, with clients that leave,
+// send more data or send partial requests, until its shutdown in between. It ends, each
+// response belongs to its request, and nothing leaks.
+func TestListChangesUntilShutdown(t *testing.T) {
 	reply := func(c *standin.Call) {
 		if c.Number%7 == 0 {
 			c.Reset()
@@ -175,54 +176,54 @@
 		}
 		c.Reply(200, c.Header.Get("X-Request-Id"))
 	}
-	var fleet []*standin.Backend
+	var backends []*standin.Backend
 	for range 4 {
-		fleet = append(fleet, standin.NewBackend(t, reply))
+		backends = append(backends, standin.NewBackend(t, reply))
 	}
 	target := func(r *rand.Rand) string {
 		state := []string{"in_service", "in_service", "terminating", "terminated"}[r.IntN(4)]
-		return standin.TargetJSONInState(state, fmt.Sprintf("s-%d", r.IntN(6)), fleet[r.IntN(len(fleet))].Addr())
+		return standin.TargetJSONInState(state, fmt.Sprintf("s-%d", r.IntN(6)), backends[r.IntN(len(backends))].Addr())
 	}
-	known := standin.ListJSON(1, true, standin.TargetJSON("s-0", fleet[0].Addr()), standin.TargetJSON("s-1", fleet[1].Addr()))
-	places := []*standin.Discovery{standin.NewDiscovery(t, known), standin.NewDiscovery(t, known)}
-	p := listening(t, known, places[0].Addr())
+	known := standin.ListJSON(1, true, standin.TargetJSON("s-0", backends[0].Addr()), standin.TargetJSON("s-1", backends[1].Addr()))
+	discoveries := []*standin.Discovery{standin.NewDiscovery(t, known), standin.NewDiscovery(t, known)}
+	p := listenProxy(t, known, discoveries[0].Addr())
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- p.Run(ctx) }()
 	eventually(t, "ready", p.Ready)
 
-	var callers, news sync.WaitGroup
+	var callers, changes sync.WaitGroup
 	var served atomic.Int64
-	over := make(chan bool)
-	news.Go(func() {
+	stopChanges := make(chan bool)
+	changes.Go(func() {
 		r := rand.New(rand.NewPCG(3, 3))
 		for rev := 2; ; rev++ {
 			select {
-			case <-over:
+			case <-stopChanges:
 				return
 			case <-time.After(time.Millisecond):
 			}
-			at := places[r.IntN(2)]
+			to := discoveries[r.IntN(2)]
 			switch r.IntN(10) {
 			case 0:
 				cfg := *p.cfg
-				cfg.Discovery = at.Addr()
+				cfg.Discovery = to.Addr()
 				if err := p.Reload(&cfg); err != nil {
 					t.Error(err)
 				}
 			case 1:
-				at.AbortWatches()
+				to.AbortWatches()
 			case 2:
-				p.driver.byHand("s-0", r.IntN(2) == 0)
+				p.driver.setDetached("s-0", r.IntN(2) == 0)
 			case 3:
-				fleet[r.IntN(len(fleet))].CloseConns()
+				backends[r.IntN(len(backends))].CloseConns()
 			default:
 				l, err := discovery.ParseList([]byte(standin.ListJSON(rev, r.IntN(4) == 0, target(r), target(r), target(r))))
 				if err != nil {
 					t.Error(err)
 					return
 				}
-				p.driver.list(l)
+				p.driver.updateList(l)
 			}
 		}
 	})
@@ -239,22 +240,22 @@
 				if c == nil {
 					var err error
 					if c, err = net.Dial("tcp", p.Addr().String()); err != nil {
-						return // it has ended
+						return // the proxy has stopped
 					}
 					c.SetDeadline(time.Now().Add(20 * time.Second))
 				}
 				id := fmt.Sprintf("%d-%d", n, i)
-				ask := strings.Replace(text([]string{"get", "put", "pay"}[r.IntN(3)], 500), "X-Request-ID: 1", "X-Request-ID: "+id, 1)
+				request := strings.Replace(requestText([]string{"get", "put", "pay"}[r.IntN(3)], 500), "X-Request-ID: 1", "X-Request-ID: "+id, 1)
 				drop := true
 				switch r.IntN(10) {
 				case 0:
-					io.WriteString(c, ask[:r.IntN(len(ask))])
+					io.WriteString(c, request[:r.IntN(len(request))])
 				case 1:
-					io.WriteString(c, ask)
+					io.WriteString(c, request)
 				case 2:
-					io.WriteString(c, ask+ask)
+					io.WriteString(c, request+request)
 				default:
-					io.WriteString(c, ask)
+					io.WriteString(c, request)
 					resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 					if err != nil {
 						break
@@ -275,16 +276,16 @@
 			}
 		})
 	}
-	eventually(t, "some are served", func() bool { return served.Load() >= 200 })
+	eventually(t, "some requests served", func() bool { return served.Load() >= 200 })
 	cancel()
-	ended(t, done)
+	waitRunEnd(t, done)
 	callers.Wait()
-	close(over)
-	news.Wait()
-	eventually(t, "all given back", func() bool {
-		used, _ := p.sockets.inUse()
+	close(stopChanges)
+	changes.Wait()
+	eventually(t, "release of all state", func() bool {
+		used, _ := p.descriptors.inUse()
 		p.driver.mu.Lock()
 		defer p.driver.mu.Unlock()
-		return used == 0 && len(p.driver.calls)+len(p.driver.open) == 0
+		return used == 0 && len(p.driver.requests)+len(p.driver.openIDs) == 0
 	})
 }
