--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -28,11 +28,11 @@
 }
 
 const (
-	maxConns      = 8
+	maxConns      = 8               // at a time
 	maxLine       = 512             // longest command in bytes, including the line end
 	readTimeout   = 2 * time.Second // from the accept to a complete line
 	writeTimeout  = 2 * time.Second
-	acceptBackoff = 5 * time.Millisecond
+	acceptBackoff = 5 * time.Millisecond // after a failed accept
 
 	// Limits of the lingering close: after the answer, data that the client still sends is
 	// read up to lingerBytes and for lingerTime. Closing the connection with unread data
