--- a/cmd/oxbowloft/stale_list_test.go
+++ b/cmd/oxbowloft/stale_list_test.go
@@ -227,9 +227,9 @@
 // A backend drains and still serves for some seconds, and then the process has no requests to send
 // for a while. Once the drain counts as announced, the backend must get no requests. Guards against
 // a process that trusts a backend for six seconds after the last request that it served, though the
-// backend was draining by then. In a thundering-herd test seventeen attempts went to backends that had begun to
-// drain while there was no traffic for over two seconds ("event=stale_attempt uid=s-64a0abb7 ...
-// result=ok" at 13.97 s, "result=full" at 17.20 s).
+// backend was draining by then. In a thundering-herd test seventeen attempts went to backends that
+// had begun to drain while there was no traffic for over two seconds ("event=stale_attempt
+// uid=s-64a0abb7 ... result=ok" at 13.97 s, "result=full" at 17.20 s).
 func TestDrainedBackendWithoutTraffic(t *testing.T) {
 	t.Parallel()
 	s := startStaleListTest(t)
