--- a/proxy/ready_test.go
+++ b/proxy/ready_test.go
@@ -7,26 +7,26 @@
 	"oxbowloft/internal/standin"
 )
 
-// A proxy is ready with the first list that may be used, or once it has waited for one for
-// long enough: guards against callers that are refused by a process that has just started
-// while another could serve them, and against a start that waits for good.
-func TestReadyWithAList(t *testing.T) {
+// A proxy reports ready with the first usable list, or after waiting long enough for one.
+// Prevents a process that has just started from refusing requests that another could
+// serve, and a start that never finishes.
+func TestReadyWithUsableList(t *testing.T) {
 	b := standin.NewBackend(t, standin.Echo)
 	known := standin.ListJSON(1, true, standin.TargetJSON("s-1", b.Addr()))
 	d := standin.NewDiscovery(t, known)
 	d.SetDown(true)
-	p := listening(t, known, d.Addr())
-	defer running(t, p)()
-	if took := time.Since(p.readiness.began); took < readyAnyway {
-		t.Errorf("ready after %v without a list, want %v", took, readyAnyway)
+	p := listenProxy(t, known, d.Addr())
+	defer startProxy(t, p)()
+	if took := time.Since(p.readiness.start); took < readyTimeout {
+		t.Errorf("ready after %v without a list, want at least %v", took, readyTimeout)
 	}
 	d.SetDown(false)
-	q := listening(t, known, d.Addr())
-	defer running(t, q)()
-	if took := time.Since(q.readiness.began); took >= readyAnyway {
-		t.Errorf("ready after %v though discovery gives a list", took)
+	q := listenProxy(t, known, d.Addr())
+	defer startProxy(t, q)()
+	if took := time.Since(q.readiness.start); took >= readyTimeout {
+		t.Errorf("ready after %v although discovery provides a list", took)
 	}
-	if !q.readiness.had.Load() {
-		t.Error("ready with no list")
+	if !q.readiness.hadUsableList.Load() {
+		t.Error("ready without a list")
 	}
 }
