--- a/cmd/oxbowsoak/main.go
+++ b/cmd/oxbowsoak/main.go
@@ -39,7 +39,7 @@
 		SilenceErrors: true,
 		RunE: func(cmd *cobra.Command, args []string) error {
 			plan.Program = args[0]
-			return play(cmd.Context(), plan, first, seeds, shrink)
+			return runSeeds(cmd.Context(), plan, first, seeds, shrink)
 		},
 	}
 	flags := cmd.Flags()
@@ -56,8 +56,8 @@
 	return cmd
 }
 
-// play plays the seeds, prints a line for each, and fails where one did.
-func play(ctx context.Context, plan *soak.Plan, first uint64, seeds, shrink int) error {
+// runSeeds plays the seeds, prints a line for each, and fails where one did.
+func runSeeds(ctx context.Context, plan *soak.Plan, first uint64, seeds, shrink int) error {
 	failed, void := 0, 0
 	for seed := first; seed < first+uint64(seeds); seed++ {
 		report, err := soak.Run(ctx, plan, seed, soak.Schedule(seed, plan))
@@ -73,7 +73,7 @@
 		default:
 			failed++
 			fmt.Printf("seed %d FAILED: %s\n", seed, report.Summary)
-			explain(ctx, plan, report, shrink)
+			printFailure(ctx, plan, report, shrink)
 		}
 	}
 	fmt.Printf("%d seeds: %d passed, %d failed, %d void\n", seeds, seeds-failed-void, failed, void)
@@ -83,14 +83,14 @@
 	return nil
 }
 
-// mostShown is how many violations of each rule are printed.
-const mostShown = 3
+// maxShown is how many violations of each rule are printed.
+const maxShown = 3
 
-// explain prints what was broken, the schedule, and how to play it again.
-func explain(ctx context.Context, plan *soak.Plan, report *soak.Report, shrink int) {
+// printFailure prints what was broken, the schedule, and how to play it again.
+func printFailure(ctx context.Context, plan *soak.Plan, report *soak.Report, shrink int) {
 	shown := map[soak.Rule]int{}
 	for _, v := range report.Violations {
-		if shown[v.Rule]++; shown[v.Rule] > mostShown {
+		if shown[v.Rule]++; shown[v.Rule] > maxShown {
 			continue
 		}
 		fmt.Printf("  %.3fs %s: %s\n", v.At.Seconds(), v.Rule, v.Detail)
--- a/internal/soak/backend.go
+++ b/internal/soak/backend.go
@@ -15,27 +15,27 @@
 
 // backend is a stand-in backend. It listens once for each proxy, which tells them apart.
 type backend struct {
-	book *Book
-	name string
+	recorder *Recorder
+	name     string
 
 	listeners []net.Listener // by proxy
 	tasks     sync.WaitGroup
 
-	mu       sync.Mutex
-	closed   bool
-	conns    map[net.Conn]bool
-	behaving map[Trouble]time.Time // until when it does so
-	rng      *rand.Rand
-	active   int
-	refusing bool // it turns all calls away from now on
+	mu          sync.Mutex
+	closed      bool
+	conns       map[net.Conn]bool
+	faultsUntil map[EventKind]time.Time // until when it does so
+	rng         *rand.Rand
+	active      int
+	rejectsAll  bool // it turns all calls away from now on
 }
 
-// mostActive is how many calls a backend works on at a time; more are turned away.
-const mostActive = 30
+// maxActive is how many calls a backend works on at a time; more are turned away.
+const maxActive = 30
 
-func newBackend(book *Book, name string, proxies int, seed uint64) (*backend, error) {
+func newBackend(book *Recorder, name string, proxies int, seed uint64) (*backend, error) {
 	b := &backend{
-		book: book, name: name, conns: map[net.Conn]bool{}, behaving: map[Trouble]time.Time{},
+		recorder: book, name: name, conns: map[net.Conn]bool{}, faultsUntil: map[EventKind]time.Time{},
 		rng: rand.New(rand.NewPCG(seed, 2)),
 	}
 	for proxy := range proxies {
@@ -57,17 +57,17 @@
 	return b.listeners[proxy].Addr().String()
 }
 
-// behave makes the backend do as a trouble says for a time.
-func (b *backend) behave(kind Trouble, span time.Duration) {
+// misbehave makes the backend do as a trouble says for a time.
+func (b *backend) misbehave(kind EventKind, span time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.behaving[kind] = time.Now().Add(span)
+	b.faultsUntil[kind] = time.Now().Add(span)
 }
 
-func (b *backend) does(kind Trouble) bool {
+func (b *backend) hasFault(kind EventKind) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return time.Now().Before(b.behaving[kind])
+	return time.Now().Before(b.faultsUntil[kind])
 }
 
 func (b *backend) accept(ln net.Listener, proxy int) {
@@ -120,7 +120,7 @@
 	id := req.Header.Get("X-Request-ID")
 	told, _ := strconv.Atoi(req.Header.Get("X-Timeout-Ms"))
 	b.mu.Lock()
-	full := b.refusing || b.active >= mostActive || time.Now().Before(b.behaving[Full])
+	full := b.rejectsAll || b.active >= maxActive || time.Now().Before(b.faultsUntil[Full])
 	service := 3*time.Millisecond + time.Duration(b.rng.ExpFloat64()*float64(8*time.Millisecond))
 	b.active++
 	b.mu.Unlock()
@@ -129,23 +129,23 @@
 		b.active--
 		b.mu.Unlock()
 	}()
-	b.book.Attempt(id, b.name, proxy, began, time.Duration(told)*time.Millisecond, !full)
+	b.recorder.AttemptReceived(id, b.name, proxy, began, time.Duration(told)*time.Millisecond, !full)
 	if full {
 		return reply(c, http.StatusServiceUnavailable, "X-Not-Processed: 1\r\n", "full\n")
 	}
-	for b.does(Hang) {
+	for b.hasFault(Hang) {
 		time.Sleep(20 * time.Millisecond)
 	}
 	time.Sleep(service)
 	body := bodyFor(id, b.name)
 	switch {
-	case b.does(Errors):
+	case b.hasFault(Errors):
 		return reply(c, http.StatusInternalServerError, "", "error\n")
-	case b.does(HalfAnswers):
+	case b.hasFault(TruncatedResponses):
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body[:len(body)/2])
 		resetConn(c)
 		return false
-	case b.does(IdleCloses):
+	case b.hasFault(IdleCloses):
 		reply(c, http.StatusOK, "", body)
 		return false
 	}
@@ -174,23 +174,23 @@
 	}
 }
 
-// refuse makes the backend turn all calls away from now on.
-func (b *backend) refuse() {
+// rejectAll makes the backend turn all calls away from now on.
+func (b *backend) rejectAll() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.refusing = true
+	b.rejectsAll = true
 }
 
-// leave makes the backend be away: its connections are reset, and new ones refused.
-func (b *backend) leave() {
+// goOffline makes the backend be away: its connections are reset, and new ones refused.
+func (b *backend) goOffline() {
 	for _, ln := range b.listeners {
 		ln.Close()
 	}
 	b.reset()
 }
 
-// comeBack ends that: the backend listens where it did.
-func (b *backend) comeBack() error {
+// goOnline ends that: the backend listens where it did.
+func (b *backend) goOnline() error {
 	for proxy, old := range b.listeners {
 		ln, err := net.Listen("tcp", old.Addr().String())
 		if err != nil {
@@ -219,6 +219,6 @@
 		ln.Close()
 	}
 	b.reset()
-	b.behave(Hang, 0)
+	b.misbehave(Hang, 0)
 	b.tasks.Wait()
 }
--- a/internal/soak/book.go
+++ b/internal/soak/book.go
@@ -52,54 +52,54 @@
 
 // request is what the books have of one request id.
 type request struct {
-	id       string
-	class    Class
-	proxy    int
-	sent     time.Time
-	budget   time.Duration
-	left     time.Time // its client closed; zero: it stayed
-	attempts []attempt
-	trace    []string
+	id           string
+	class        Class
+	proxy        int
+	sent         time.Time
+	budget       time.Duration
+	clientLeftAt time.Time // its client closed; zero: it stayed
+	attempts     []attempt
+	trace        []string
 }
 
-// Book is what happened, as clients, backends and discovery saw it, and the judgement. It
+// Recorder is what happened, as clients, backends and discovery saw it, and the judgement. It
 // is safe for concurrent use.
-type Book struct {
+type Recorder struct {
 	start time.Time
 	grace time.Duration // in which a told drain may still get sends
 
-	mu         sync.Mutex
-	requests   map[string]*request
-	news       map[string]map[int]told // by backend and proxy: what was told last
-	paused     map[int][]span          // by proxy: times in which it was held up
-	violations []Violation
-	outcomes   map[string]int
-	ended      bool
-	voided     string
+	mu          sync.Mutex
+	requests    map[string]*request
+	announced   map[string]map[int]announcement // by backend and proxy: what was told last
+	suspensions map[int][]interval              // by proxy: times in which it was held up
+	violations  []Violation
+	outcomes    map[string]int
+	ended       bool
+	voided      string
 }
 
-type span struct{ from, to time.Time }
+type interval struct{ from, to time.Time }
 
-// told is the newest change of a backend that a proxy has been told.
-type told struct {
-	rev     int64
-	leaving time.Time // since when it has been told of a going; zero: it is in service
+// announcement is the newest change of a backend that a proxy has been announcement.
+type announcement struct {
+	rev          int64
+	leavingSince time.Time // since when it has been told of a going; zero: it is in service
 }
 
-// NewBook returns empty books that begin now.
-func NewBook(grace time.Duration) *Book {
-	return &Book{
-		start:    time.Now(),
-		grace:    grace,
-		requests: map[string]*request{},
-		news:     map[string]map[int]told{},
-		paused:   map[int][]span{},
-		outcomes: map[string]int{},
+// NewRecorder returns empty books that begin now.
+func NewRecorder(grace time.Duration) *Recorder {
+	return &Recorder{
+		start:       time.Now(),
+		grace:       grace,
+		requests:    map[string]*request{},
+		announced:   map[string]map[int]announcement{},
+		suspensions: map[int][]interval{},
+		outcomes:    map[string]int{},
 	}
 }
 
 // Void notes why the run says nothing.
-func (b *Book) Void(why string) {
+func (b *Recorder) Void(why string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.voided == "" && !b.ended {
@@ -107,34 +107,34 @@
 	}
 }
 
-func (b *Book) void() string {
+func (b *Recorder) void() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.voided
 }
 
-// end notes that the run is over.
-func (b *Book) end() {
+// markEnded notes that the run is over.
+func (b *Recorder) markEnded() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.ended = true
 }
 
-func (b *Book) over() bool {
+func (b *Recorder) hasEnded() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.ended
 }
 
 // Violations are the breaches so far, oldest first.
-func (b *Book) Violations() []Violation {
+func (b *Recorder) Violations() []Violation {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return append([]Violation(nil), b.violations...)
 }
 
 // Outcomes counts how requests ended.
-func (b *Book) Outcomes() map[string]int {
+func (b *Recorder) Outcomes() map[string]int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	out := map[string]int{}
@@ -145,20 +145,20 @@
 }
 
 // Count counts something that is no violation by itself.
-func (b *Book) Count(what string) {
+func (b *Recorder) Count(what string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.outcomes[what]++
 }
 
-// Breach notes a violation that concerns no single request.
-func (b *Book) Breach(rule Rule, detail string) {
+// AddViolation notes a violation that concerns no single request.
+func (b *Recorder) AddViolation(rule Rule, detail string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.breach(rule, nil, detail)
+	b.appendViolation(rule, nil, detail)
 }
 
-func (b *Book) breach(rule Rule, r *request, detail string) {
+func (b *Recorder) appendViolation(rule Rule, r *request, detail string) {
 	v := Violation{Rule: rule, At: time.Since(b.start), Detail: detail}
 	if r != nil {
 		v.Detail = fmt.Sprintf("request %s of class %s at proxy %d: %s", r.id, r.class.Name, r.proxy, detail)
@@ -167,12 +167,12 @@
 	b.violations = append(b.violations, v)
 }
 
-func (b *Book) note(r *request, format string, args ...any) {
+func (b *Recorder) addTrace(r *request, format string, args ...any) {
 	r.trace = append(r.trace, fmt.Sprintf("%8.3fs ", time.Since(b.start).Seconds())+fmt.Sprintf(format, args...))
 }
 
-// Sent notes that a client is about to write a request to a proxy.
-func (b *Book) Sent(id string, class Class, proxy int, budget time.Duration) {
+// RequestSent notes that a client is about to write a request to a proxy.
+func (b *Recorder) RequestSent(id string, class Class, proxy int, budget time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r := b.requests[id]
@@ -181,53 +181,53 @@
 		b.requests[id] = r
 	}
 	r.proxy = proxy
-	b.note(r, "client sends to proxy %d, %d ms", proxy, budget.Milliseconds())
+	b.addTrace(r, "client sends to proxy %d, %d ms", proxy, budget.Milliseconds())
 }
 
-// Left notes that a request's client has closed its connection.
-func (b *Book) Left(id string) {
+// ClientLeft notes that a request's client has closed its connection.
+func (b *Recorder) ClientLeft(id string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if r := b.requests[id]; r != nil {
-		r.left = time.Now()
-		b.note(r, "client leaves")
+		r.clientLeftAt = time.Now()
+		b.addTrace(r, "client leaves")
 		b.outcomes["left"]++
 	}
 }
 
-// Seen tells whether a backend has read a request.
-func (b *Book) Seen(id string) bool {
+// ReachedBackend tells whether a backend has read a request.
+func (b *Recorder) ReachedBackend(id string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r := b.requests[id]
 	return r != nil && len(r.attempts) > 0
 }
 
-// Attempt notes that a backend has read a request whole from a proxy, of which the first
+// AttemptReceived notes that a backend has read a request whole from a proxy, of which the first
 // byte came at began; ran tells whether it was worked on.
-func (b *Book) Attempt(id, backend string, proxy int, began time.Time, told time.Duration, ran bool) {
+func (b *Recorder) AttemptReceived(id, backend string, proxy int, began time.Time, told time.Duration, ran bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r := b.requests[id]
 	if r == nil {
-		b.breach(RuleForeign, nil, fmt.Sprintf("backend %s got a request %q that no client sent", backend, id))
+		b.appendViolation(RuleForeign, nil, fmt.Sprintf("backend %s got a request %q that no client sent", backend, id))
 		return
 	}
 	now := time.Now()
-	b.note(r, "backend %s reads it from proxy %d, told %d ms, ran %t", backend, proxy, told.Milliseconds(), ran)
-	held := b.heldUp(proxy, began)
-	if at := b.news[backend][proxy].leaving; !at.IsZero() && began.Sub(at) > b.grace+drainSlack && !held {
-		b.breach(RuleDrain, r, fmt.Sprintf("sent to %s %v after it was told to be leaving", backend, began.Sub(at)))
+	b.addTrace(r, "backend %s reads it from proxy %d, told %d ms, ran %t", backend, proxy, told.Milliseconds(), ran)
+	held := b.wasSuspended(proxy, began)
+	if at := b.announced[backend][proxy].leavingSince; !at.IsZero() && began.Sub(at) > b.grace+drainSlack && !held {
+		b.appendViolation(RuleDrain, r, fmt.Sprintf("sent to %s %v after it was told to be leaving", backend, began.Sub(at)))
 	}
 	if left := r.sent.Add(r.budget).Sub(began); told > left+deadlineSlack && !held {
-		b.breach(RuleDeadline, r, fmt.Sprintf("backend was told %v, the client had %v left", told, left))
+		b.appendViolation(RuleDeadline, r, fmt.Sprintf("backend was told %v, the client had %v left", told, left))
 	}
-	if !r.left.IsZero() && began.Sub(r.left) > goneSlack && !held {
-		b.breach(RuleGone, r, fmt.Sprintf("an attempt began %v after the client left", began.Sub(r.left)))
+	if !r.clientLeftAt.IsZero() && began.Sub(r.clientLeftAt) > goneSlack && !held {
+		b.appendViolation(RuleGone, r, fmt.Sprintf("an attempt began %v after the client left", began.Sub(r.clientLeftAt)))
 	}
 	r.attempts = append(r.attempts, attempt{backend, now, ran})
-	if runs := r.runs(); ran && runs > 1 && !r.class.Safe {
-		b.breach(RuleDuplicate, r, fmt.Sprintf("run %d times", runs))
+	if runs := r.runs(); ran && runs > 1 && !r.class.Idempotent {
+		b.appendViolation(RuleDuplicate, r, fmt.Sprintf("run %d times", runs))
 	}
 }
 
@@ -240,34 +240,34 @@
 	return n
 }
 
-// Answered notes a whole answer, and judges it.
-func (b *Book) Answered(id string, status int, body string) {
+// ResponseReceived notes a whole answer, and judges it.
+func (b *Recorder) ResponseReceived(id string, status int, body string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r := b.requests[id]
 	late := time.Since(r.sent) - r.budget
-	b.note(r, "client reads %d %.40q", status, body)
+	b.addTrace(r, "client reads %d %.40q", status, body)
 	switch {
 	case status == 200:
 		b.outcomes["served"]++
-		if !r.made(body) {
-			b.breach(RuleForeign, r, fmt.Sprintf("served %q, which no backend made for it", body))
+		if !r.matchesAttempt(body) {
+			b.appendViolation(RuleForeign, r, fmt.Sprintf("served %q, which no backend made for it", body))
 		}
 	case status == 429 || status == 503:
 		b.outcomes["refused"]++
-		if runs := r.runs(); runs > 0 && !r.class.Safe {
-			b.breach(RuleRefused, r, fmt.Sprintf("refused with %d, and run %d times", status, runs))
+		if runs := r.runs(); runs > 0 && !r.class.Idempotent {
+			b.appendViolation(RuleRefused, r, fmt.Sprintf("refused with %d, and run %d times", status, runs))
 		}
 	default:
 		b.outcomes["failed"]++
 	}
-	if late > answerSlack && !b.heldUp(r.proxy, r.sent) {
-		b.breach(RuleLost, r, fmt.Sprintf("answered %v after its time", late))
+	if late > answerSlack && !b.wasSuspended(r.proxy, r.sent) {
+		b.appendViolation(RuleLost, r, fmt.Sprintf("answered %v after its time", late))
 	}
 }
 
-// made tells whether one of the request's backends made a body for it.
-func (r *request) made(body string) bool {
+// matchesAttempt tells whether one of the request's backends matchesAttempt a body for it.
+func (r *request) matchesAttempt(body string) bool {
 	for _, a := range r.attempts {
 		if a.ran && body == bodyFor(r.id, a.backend) {
 			return true
@@ -279,53 +279,53 @@
 // bodyFor is what a backend answers to a request.
 func bodyFor(id, backend string) string { return "answer to " + id + " by " + backend + "\n" }
 
-// Lost notes a request that will get no whole answer. excused is why that is no breach, or
+// RequestLost notes a request that will get no whole answer. excused is why that is no breach, or
 // empty.
-func (b *Book) Lost(id, how, excused string) {
+func (b *Recorder) RequestLost(id, how, excused string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r := b.requests[id]
-	b.note(r, "lost: %s (excused: %q)", how, excused)
+	b.addTrace(r, "lost: %s (excused: %q)", how, excused)
 	if excused != "" {
 		b.outcomes["excused"]++
 		return
 	}
-	b.breach(RuleLost, r, how)
+	b.appendViolation(RuleLost, r, how)
 }
 
-// Told notes that a proxy has been told of a backend as it was at a version: that it is leaving
+// Announced notes that a proxy has been told of a backend as it was at a version: that it is leaving
 // or gone, or that it serves. What is older than what it has been told before says nothing.
-func (b *Book) Told(backend string, proxy int, rev int64, leaving bool) {
+func (b *Recorder) Announced(backend string, proxy int, rev int64, leaving bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.news[backend] == nil {
-		b.news[backend] = map[int]told{}
+	if b.announced[backend] == nil {
+		b.announced[backend] = map[int]announcement{}
 	}
-	last := b.news[backend][proxy]
+	last := b.announced[backend][proxy]
 	if rev <= last.rev {
 		return
 	}
-	next := told{rev: rev}
+	next := announcement{rev: rev}
 	if leaving {
-		next.leaving = last.leaving // it was leaving before: from then on
-		if next.leaving.IsZero() {
-			next.leaving = time.Now()
+		next.leavingSince = last.leavingSince // it was leaving before: from then on
+		if next.leavingSince.IsZero() {
+			next.leavingSince = time.Now()
 		}
 	}
-	b.news[backend][proxy] = next
+	b.announced[backend][proxy] = next
 }
 
-// Held notes that a proxy was held up for longer than the protocol allows for: what it did
+// ProxySuspended notes that a proxy was held up for longer than the protocol allows for: what it did
 // around that time is not judged by time.
-func (b *Book) Held(proxy int, from, to time.Time) {
+func (b *Recorder) ProxySuspended(proxy int, from, to time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.paused[proxy] = append(b.paused[proxy], span{from, to})
+	b.suspensions[proxy] = append(b.suspensions[proxy], interval{from, to})
 }
 
-// heldUp tells whether a proxy was held up at a time or within the two seconds behind it.
-func (b *Book) heldUp(proxy int, at time.Time) bool {
-	for _, s := range b.paused[proxy] {
+// wasSuspended tells whether a proxy was held up at a time or within the two seconds behind it.
+func (b *Recorder) wasSuspended(proxy int, at time.Time) bool {
+	for _, s := range b.suspensions[proxy] {
 		if at.Before(s.to.Add(2*time.Second)) && at.Add(4*time.Second).After(s.from) {
 			return true
 		}
@@ -334,7 +334,7 @@
 }
 
 // Summary is the counts of outcomes and violations on one line.
-func (b *Book) Summary() string {
+func (b *Recorder) Summary() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	counts := map[string]int{}
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -16,27 +16,27 @@
 
 // client asks one proxy after another for what it wants, one request at a time.
 type client struct {
-	run *run
-	rng *rand.Rand
-	n   int // its number
+	run    *run
+	rng    *rand.Rand
+	number int // its number
 
-	proxy int
-	conn  net.Conn
-	in    *bufio.Reader
-	used  bool // a request has been answered on the connection
-	asked int
+	proxy        int
+	conn         net.Conn
+	in           *bufio.Reader
+	used         bool // a request has been answered on the connection
+	requestCount int
 }
 
 func (c *client) loop(ctx context.Context) {
-	defer c.drop()
+	defer c.closeConn()
 	for ctx.Err() == nil {
 		switch {
-		case c.run.troubled(Leavers) && c.rng.IntN(3) == 0:
-			c.leave()
-		case c.run.troubled(BadClients) && c.rng.IntN(3) == 0:
-			c.misbehave()
+		case c.run.clientFaultActive(ClientsLeave) && c.rng.IntN(3) == 0:
+			c.sendAndLeave()
+		case c.run.clientFaultActive(BadClients) && c.rng.IntN(3) == 0:
+			c.sendMalformed()
 		default:
-			c.ask()
+			c.sendRequest()
 		}
 		pause := time.Duration(c.rng.ExpFloat64() * float64(30*time.Millisecond))
 		if c.rng.IntN(40) == 0 {
@@ -46,7 +46,7 @@
 	}
 }
 
-func (c *client) drop() {
+func (c *client) closeConn() {
 	if c.conn != nil {
 		c.conn.Close()
 		c.conn = nil
@@ -59,7 +59,7 @@
 	if c.conn != nil {
 		return true
 	}
-	proxy, ok := c.run.rotation(c.rng)
+	proxy, ok := c.run.pickReadyProxy(c.rng)
 	if !ok {
 		return false
 	}
@@ -71,31 +71,31 @@
 	return true
 }
 
-func (c *client) draw() (id string, class Class, budget time.Duration) {
-	c.asked++
+func (c *client) nextRequest() (id string, class Class, budget time.Duration) {
+	c.requestCount++
 	class = c.run.classes[c.rng.IntN(len(c.run.classes))]
 	budget = class.Deadline
 	if c.rng.IntN(8) == 0 { // what is left of a longer wait
 		budget = 5*time.Millisecond + time.Duration(c.rng.Int64N(int64(budget)))
 	}
-	return fmt.Sprintf("c%d-%d", c.n, c.asked), class, budget
+	return fmt.Sprintf("c%d-%d", c.number, c.requestCount), class, budget
 }
 
 func requestText(id string, class Class, budget time.Duration) string {
 	method, tail := "GET", "\r\n"
-	if !class.Safe {
+	if !class.Idempotent {
 		method, tail = "POST", "Content-Length: 4\r\n\r\nbody"
 	}
 	return fmt.Sprintf("%s /api HTTP/1.1\r\nHost: h\r\nX-Request-ID: %s\r\nX-Priority-Class: %s\r\nX-Timeout-Ms: %d\r\n%s",
 		method, id, class.Name, budget.Milliseconds(), tail)
 }
 
-var errSentAgain = errors.New("closed between requests")
+var errClosedUnread = errors.New("closed between requests")
 
-// ask makes one request and reads its answer. What crosses the close of a resting
+// sendRequest makes one request and reads its answer. What crosses the close of a resting
 // connection is sent once more on a new one.
-func (c *client) ask() {
-	id, class, budget := c.draw()
+func (c *client) sendRequest() {
+	id, class, budget := c.nextRequest()
 	began := time.Now()
 	for again := range 2 {
 		if !c.connect() {
@@ -106,21 +106,21 @@
 		if err == nil {
 			return
 		}
-		c.drop()
-		if !errors.Is(err, errSentAgain) {
+		c.closeConn()
+		if !errors.Is(err, errClosedUnread) {
 			return
 		}
 		if time.Since(began) > budget+answerSlack { // nobody waits for it any more: no proxy has answered in time
-			c.run.book.Lost(id, "closed unread after its time", c.run.excuse(proxy, generation, false))
+			c.run.recorder.RequestLost(id, "closed unread after its time", c.run.excuse(proxy, generation, false))
 			return
 		}
 	}
 }
 
 func (c *client) exchange(id string, class Class, budget time.Duration, mayCross bool) error {
-	book, proxy := c.run.book, c.proxy
+	book, proxy := c.run.recorder, c.proxy
 	generation := c.run.generation(proxy)
-	book.Sent(id, class, proxy, budget)
+	book.RequestSent(id, class, proxy, budget)
 	c.conn.SetDeadline(time.Now().Add(budget + answerSlack + time.Second))
 	_, err := io.WriteString(c.conn, requestText(id, class, budget))
 	var resp *http.Response
@@ -132,46 +132,46 @@
 		body, err = io.ReadAll(resp.Body)
 	}
 	if err == nil {
-		book.Answered(id, resp.StatusCode, string(body))
+		book.ResponseReceived(id, resp.StatusCode, string(body))
 		c.used = true
 		if resp.Close {
-			c.drop()
+			c.closeConn()
 		}
 		return nil
 	}
-	unread := c.used || c.run.crowdedBy(proxy) // its connection may be closed with nothing read on it
-	crossed := mayCross && unread && resp == nil && !book.Seen(id) && !neterror.IsDeadline(err)
+	unread := c.used || c.run.isFlooded(proxy) // its connection may be closed with nothing read on it
+	crossed := mayCross && unread && resp == nil && !book.ReachedBackend(id) && !neterror.IsDeadline(err)
 	if crossed {
-		return errSentAgain
+		return errClosedUnread
 	}
-	book.Lost(id, "no whole answer: "+err.Error(), c.run.excuse(proxy, generation, resp != nil))
+	book.RequestLost(id, "no whole answer: "+err.Error(), c.run.excuse(proxy, generation, resp != nil))
 	return err
 }
 
-// leave makes a request and closes the connection some milliseconds later.
-func (c *client) leave() {
-	id, class, budget := c.draw()
+// sendAndLeave makes a request and closes the connection some milliseconds later.
+func (c *client) sendAndLeave() {
+	id, class, budget := c.nextRequest()
 	if !c.connect() {
 		return
 	}
-	c.run.book.Sent(id, class, c.proxy, budget)
+	c.run.recorder.RequestSent(id, class, c.proxy, budget)
 	io.WriteString(c.conn, requestText(id, class, budget))
 	time.Sleep(time.Duration(c.rng.Int64N(int64(20 * time.Millisecond))))
 	if c.rng.IntN(2) == 0 {
 		resetConn(c.conn)
 	}
-	c.drop()
-	c.run.book.Left(id)
+	c.closeConn()
+	c.run.recorder.ClientLeft(id)
 }
 
-// badLimit is within what time a client that sent nonsense is answered or closed.
-const badLimit = 3*time.Second + 300*time.Millisecond
+// malformedTimeout is within what time a client that sent nonsense is answered or closed.
+const malformedTimeout = 3*time.Second + 300*time.Millisecond
 
-// misbehave sends what is no request, or half of one, and stays: it has to get an error or
+// sendMalformed sends what is no request, or half of one, and stays: it has to get an error or
 // a close in time.
-func (c *client) misbehave() {
-	id, class, budget := c.draw()
-	c.drop()
+func (c *client) sendMalformed() {
+	id, class, budget := c.nextRequest()
+	c.closeConn()
 	if !c.connect() {
 		return
 	}
@@ -182,15 +182,15 @@
 	case 1:
 		io.WriteString(c.conn, "nonsense\r\n\r\n")
 	case 2: // two at once: the first's id is not served
-		c.run.book.Sent(id, class, c.proxy, budget)
+		c.run.recorder.RequestSent(id, class, c.proxy, budget)
 		io.WriteString(c.conn, whole+whole)
 	case 3:
 		io.WriteString(c.conn, "POST /api HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n")
 	}
 	began := time.Now()
-	c.conn.SetReadDeadline(began.Add(badLimit + 2*time.Second))
+	c.conn.SetReadDeadline(began.Add(malformedTimeout + 2*time.Second))
 	if _, err := io.Copy(io.Discard, c.conn); neterror.IsDeadline(err) && c.run.excuse(c.proxy, generation, false) == "" {
-		c.run.book.Breach(RuleBadClient, fmt.Sprintf("proxy %d kept a bad client for %v", c.proxy, time.Since(began)))
+		c.run.recorder.AddViolation(RuleBadClient, fmt.Sprintf("proxy %d kept a bad client for %v", c.proxy, time.Since(began)))
 	}
-	c.drop()
+	c.closeConn()
 }
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -23,22 +23,22 @@
 	addr   string
 	config string
 
-	mu         sync.Mutex
-	cmd        *exec.Cmd
-	exited     chan struct{} // closed once it has ended
-	exit       error
-	generation int  // counts its starts
-	ending     bool // it has been told to end
-	killed     bool // it has been killed by the run
-	ready      bool // clients may choose it
-	moves      int  // of its discovery
-	told       int  // the last start that was told to end
+	mu                   sync.Mutex
+	cmd                  *exec.Cmd
+	exited               chan struct{} // closed once it has ended
+	exit                 error
+	generation           int  // counts its starts
+	ending               bool // it has been told to end
+	killed               bool // it has been killed by the run
+	ready                bool // clients may choose it
+	discoveryMoves       int  // of its discovery
+	terminatedGeneration int  // the last start that was told to end
 }
 
 const (
 	readyWithin = 10 * time.Second
-	// noticed is after what time callers no longer choose a proxy that is told to end.
-	noticed = 300 * time.Millisecond
+	// rotationDelay is after what time callers no longer choose a proxy that is told to end.
+	rotationDelay = 300 * time.Millisecond
 )
 
 func (p *process) writeConfig() error {
@@ -48,9 +48,9 @@
 "classes":[%s],
 "limits":{"conn-idle-ms":2000,"dial-timeout-ms":250,"max-attempts":4,"retry-after":true,"max-retry-after-ms":500},
 "rules":{"ask-within-ms":4000,"stop-sending-within-ms":%d,"cold-from":%g,"warm-within-ms":%d}}}`,
-		p.number, p.addr, p.run.registry.addr(p.number, p.moves), p.number+1, p.run.registry.known(p.number),
-		len(p.run.proxies), p.number, p.run.discoveryKind(), classesText(p.run.classes),
-		grace.Milliseconds(), coldFrom, warmWithin.Milliseconds())
+		p.number, p.addr, p.run.registry.addr(p.number, p.discoveryMoves), p.number+1, p.run.registry.startupList(p.number),
+		len(p.run.proxies), p.number, p.run.discoveryMode(), classesText(p.run.classes),
+		grace.Milliseconds(), warmUpFraction, warmUpTime.Milliseconds())
 	return os.WriteFile(p.config, []byte(text), 0o600)
 }
 
@@ -58,7 +58,7 @@
 	var parts []string
 	for _, c := range classes {
 		kind := "single_shot"
-		if c.Safe {
+		if c.Idempotent {
 			kind = "free"
 		}
 		parts = append(parts, fmt.Sprintf(`{"name":%q,"aim-ms":%d,"give-up-ms":%d,"group":"all","idempotency":%q,"worth":1}`,
@@ -70,12 +70,12 @@
 // start starts the program and waits until it is ready.
 func (p *process) start() {
 	if err := p.writeConfig(); err != nil {
-		p.run.book.Void("configuration: " + err.Error())
+		p.run.recorder.Void("configuration: " + err.Error())
 		return
 	}
 	log, err := os.OpenFile(p.logPath(), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
-		p.run.book.Void("log: " + err.Error())
+		p.run.recorder.Void("log: " + err.Error())
 		return
 	}
 	defer log.Close()
@@ -89,7 +89,7 @@
 		return
 	}
 	if err := cmd.Start(); err != nil {
-		p.run.book.Breach(RuleCrash, fmt.Sprintf("proxy %d does not start: %v", p.number, err))
+		p.run.recorder.AddViolation(RuleCrash, fmt.Sprintf("proxy %d does not start: %v", p.number, err))
 		return
 	}
 	p.cmd, p.exited, p.ending, p.killed = cmd, make(chan struct{}), false, false
@@ -102,7 +102,7 @@
 		expected := p.ending || p.killed
 		p.mu.Unlock()
 		if !expected {
-			p.run.book.Breach(RuleCrash, fmt.Sprintf("proxy %d ended by itself: %v", p.number, err))
+			p.run.recorder.AddViolation(RuleCrash, fmt.Sprintf("proxy %d ended by itself: %v", p.number, err))
 		}
 		close(exited)
 	}()
@@ -136,7 +136,7 @@
 	expected := p.ending || p.killed || p.run.stopped()
 	p.mu.Unlock()
 	if !expected {
-		p.run.book.Breach(RuleCrash, fmt.Sprintf("proxy %d was not ready within %v", p.number, readyWithin))
+		p.run.recorder.AddViolation(RuleCrash, fmt.Sprintf("proxy %d was not ready within %v", p.number, readyWithin))
 	}
 }
 
@@ -185,12 +185,12 @@
 		p.mu.Unlock()
 		return false
 	}
-	p.ending, p.told = true, p.generation
+	p.ending, p.terminatedGeneration = true, p.generation
 	exited, starts := p.exited, p.generation
 	p.mu.Unlock()
-	p.awaitFirstStep(starts, exited)
+	p.awaitStartLogged(starts, exited)
 	p.signal(syscall.SIGTERM)
-	time.AfterFunc(noticed, func() {
+	time.AfterFunc(rotationDelay, func() {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		if p.ending {
@@ -202,16 +202,16 @@
 	case <-p.killTime():
 		// What it still has is lost, as its clients tell. It must at least be about to end.
 		if !p.finishing() {
-			p.run.book.Breach(RuleCrash, fmt.Sprintf("proxy %d goes on %v after SIGTERM", p.number, killAfter(p.run.classes)))
+			p.run.recorder.AddViolation(RuleCrash, fmt.Sprintf("proxy %d goes on %v after SIGTERM", p.number, killAfter(p.run.classes)))
 		}
-		p.run.book.Count("ended_by_sigkill")
+		p.run.recorder.Count("ended_by_sigkill")
 		p.signal(syscall.SIGCONT)
 		p.signal(syscall.SIGKILL)
 		<-exited
 		return true
 	}
 	if p.exit != nil {
-		p.run.book.Breach(RuleCrash, fmt.Sprintf("proxy %d ended with %v after SIGTERM", p.number, p.exit))
+		p.run.recorder.AddViolation(RuleCrash, fmt.Sprintf("proxy %d ended with %v after SIGTERM", p.number, p.exit))
 	}
 	return true
 }
@@ -231,13 +231,13 @@
 	return true
 }
 
-// firstStepWithin bounds the wait for a program's first line: a process that has just been
+// startLogTimeout bounds the wait for a program's first line: a process that has just been
 // started and has not come to its first step is ended by any signal, whatever the program is.
-const firstStepWithin = time.Second
+const startLogTimeout = time.Second
 
-// awaitFirstStep waits until the process has logged so many starts, or has ended.
-func (p *process) awaitFirstStep(starts int, exited chan struct{}) {
-	for until := time.Now().Add(firstStepWithin); time.Now().Before(until); time.Sleep(5 * time.Millisecond) {
+// awaitStartLogged waits until the process has logged so many starts, or has ended.
+func (p *process) awaitStartLogged(starts int, exited chan struct{}) {
+	for until := time.Now().Add(startLogTimeout); time.Now().Before(until); time.Sleep(5 * time.Millisecond) {
 		select {
 		case <-exited:
 			return
@@ -298,15 +298,15 @@
 	return fmt.Sprintf("127.%d.%d.%d", 1+pid%250, 1+pid/250%250, kind)
 }
 
-// ports counts those given to proxies: several runs may play at once in a process.
-var ports atomic.Int64
+// portCounter counts those given to proxies: several runs may play at once in a process.
+var portCounter atomic.Int64
 
 // freePort is an address for a proxy, given once, that nobody listens at, below the ports
 // that connections go out from.
 func freePort() (string, error) {
 	const first, count = 20000, 10000
 	for range count {
-		addr := fmt.Sprintf("%s:%d", host(hostProxies), first+ports.Add(1)%count)
+		addr := fmt.Sprintf("%s:%d", host(hostProxies), first+portCounter.Add(1)%count)
 		if ln, err := net.Listen("tcp", addr); err == nil {
 			ln.Close()
 			return addr, nil
--- a/internal/soak/registry.go
+++ b/internal/soak/registry.go
@@ -13,31 +13,31 @@
 
 // target is one entry of the list, with an endpoint for each proxy.
 type target struct {
-	rev     int64 // of its last change
-	made    time.Time
-	uid     string
-	state   string
-	boot    time.Time // zero: long ago
-	backend *backend
+	rev       int64 // of its last change
+	changedAt time.Time
+	uid       string
+	state     string
+	boot      time.Time // zero: long ago
+	backend   *backend
 }
 
 // registry is the stand-in for discovery. It listens twice for each proxy, so that a new
 // configuration can move it.
 type registry struct {
-	book *Book
-
-	mu        sync.Mutex
-	rev       int64
-	targets   map[string]target
-	changes   []target      // as they were at their versions
-	written   map[int]int64 // by proxy: the newest version that was written to it
-	changed   chan struct{} // closed at each change
-	ended     chan struct{} // closed when all watches end in order
-	downUntil time.Time
-	silent    time.Time
-	slow      time.Time
-	crowded   time.Time
-	fillers   int // further entries of a whole list, which is written slowly then
+	recorder *Recorder
+
+	mu              sync.Mutex
+	rev             int64
+	targets         map[string]target
+	changes         []target      // as they were at their versions
+	written         map[int]int64 // by proxy: the newest version that was written to it
+	changed         chan struct{} // closed at each change
+	watchesEnd      chan struct{} // closed when all watches end in order
+	downUntil       time.Time
+	silentUntil     time.Time
+	slowUntil       time.Time
+	overloadedUntil time.Time
+	fillers         int // further entries of a whole list, which is written slowly then
 
 	servers []*registryServer
 	tasks   sync.WaitGroup
@@ -57,9 +57,9 @@
 // addresses is how many addresses each proxy can be sent to.
 const addresses = 2
 
-func newRegistry(book *Book, proxies int) (*registry, error) {
-	r := &registry{book: book, targets: map[string]target{}, written: map[int]int64{}, changed: make(chan struct{}),
-		ended: make(chan struct{})}
+func newRegistry(book *Recorder, proxies int) (*registry, error) {
+	r := &registry{recorder: book, targets: map[string]target{}, written: map[int]int64{}, changed: make(chan struct{}),
+		watchesEnd: make(chan struct{})}
 	for i := range proxies * addresses {
 		s := &registryServer{registry: r, proxy: i / addresses, addr: host(hostRegistry) + ":0"}
 		r.servers = append(r.servers, s)
@@ -126,32 +126,32 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.rev++
-	t.rev, t.made = r.rev, time.Now()
+	t.rev, t.changedAt = r.rev, time.Now()
 	r.targets[t.uid] = t
 	r.changes = append(r.changes, t)
 	close(r.changed)
 	r.changed = make(chan struct{})
-	r.tasks.Go(func() { r.tellLate(t) })
+	r.tasks.Go(func() { r.announceByTime(t) })
 }
 
-// tellLate notes a change as told to all once discovery has had it for tellWithin, counted
+// announceByTime notes a change as told to all once discovery has had it for tellWithin, counted
 // anew after each outage. A crowd is no outage: who got through has been told.
-func (r *registry) tellLate(t target) {
+func (r *registry) announceByTime(t target) {
 	since := time.Now()
-	for time.Since(since) < tellWithin {
+	for time.Since(since) < announceWithin {
 		time.Sleep(50 * time.Millisecond)
 		r.mu.Lock()
 		now := time.Now()
-		if now.Before(r.downUntil) || now.Before(r.slow) {
+		if now.Before(r.downUntil) || now.Before(r.slowUntil) {
 			since = now
 		}
 		r.mu.Unlock()
-		if r.book.over() {
+		if r.recorder.hasEnded() {
 			return
 		}
 	}
 	for proxy := range t.backend.listeners {
-		r.book.Told(t.backend.name, proxy, t.rev, t.state != "in_service")
+		r.recorder.Announced(t.backend.name, proxy, t.rev, t.state != "in_service")
 	}
 }
 
@@ -159,8 +159,8 @@
 func (r *registry) endWatches() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	close(r.ended)
-	r.ended = make(chan struct{})
+	close(r.watchesEnd)
+	r.watchesEnd = make(chan struct{})
 }
 
 // goDown refuses calls for a time.
@@ -186,52 +186,52 @@
 			time.Sleep(min(left, 50*time.Millisecond))
 		}
 		for _, s := range r.servers {
-			if r.book.over() {
+			if r.recorder.hasEnded() {
 				return
 			}
 			if err := s.listen(); err != nil {
-				r.book.Void("the registry could not listen again: " + err.Error())
+				r.recorder.Void("the registry could not listen again: " + err.Error())
 			}
 		}
 	})
 }
 
-func (r *registry) saySilent(span time.Duration) {
+func (r *registry) goSilent(span time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.silent = time.Now().Add(span)
+	r.silentUntil = time.Now().Add(span)
 }
 
-func (r *registry) beSlow(span time.Duration) {
+func (r *registry) goSlow(span time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.slow = time.Now().Add(span)
+	r.slowUntil = time.Now().Add(span)
 }
 
-// beCrowded makes calls wait and then fail for a time, and watches late with all they have to
+// goOverloaded makes calls wait and then fail for a time, and watches late with all they have to
 // tell, though they show signs of life.
-func (r *registry) beCrowded(span time.Duration) {
+func (r *registry) goOverloaded(span time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.crowded = time.Now().Add(span)
+	r.overloadedUntil = time.Now().Add(span)
 }
 
-func (r *registry) isCrowded() bool {
+func (r *registry) isOverloaded() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return time.Now().Before(r.crowded)
+	return time.Now().Before(r.overloadedUntil)
 }
 
-// lateBy is how late a watch may be with a change in a crowd. Later than what counts after
+// maxNotifyDelay is how late a watch may be with a change in a crowd. Later than what counts after
 // tellWithin is known to break the rule, and shown by TestCrowdIsNoOutage.
-const lateBy = tellWithin - time.Second
+const maxNotifyDelay = announceWithin - time.Second
 
-// due tells whether a watch tells what comes after a version now.
-func (r *registry) due(after int64) bool {
+// notifies tells whether a watch tells what comes after a version now.
+func (r *registry) notifies(after int64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	i := slices.IndexFunc(r.changes, func(t target) bool { return t.rev > after })
-	return !time.Now().Before(r.crowded) || i >= 0 && time.Since(r.changes[i].made) >= lateBy
+	return !time.Now().Before(r.overloadedUntil) || i >= 0 && time.Since(r.changes[i].changedAt) >= maxNotifyDelay
 }
 
 // wire is an entry as a proxy gets it.
@@ -249,7 +249,7 @@
 func (t target) wire(proxy int) wireTarget {
 	w := wireTarget{UID: t.uid, Endpoint: t.backend.endpoint(proxy), Zone: "z1", Model: "m", Cell: 1, State: t.state, Size: 1}
 	if !t.boot.IsZero() {
-		w.Boot = wallMillis(t.boot)
+		w.Boot = unixMillis(t.boot)
 	}
 	return w
 }
@@ -295,8 +295,8 @@
 		State: "terminating", Size: 1}
 }
 
-// known is the list that a proxy starts with: as it had it last, or all at the run's start.
-func (r *registry) known(proxy int) string {
+// startupList is the list that a proxy starts with: as it had it last, or all at the run's start.
+func (r *registry) startupList(proxy int) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	last, ok := r.written[proxy]
@@ -319,27 +319,27 @@
 	return string(listLine(last, true, entries))
 }
 
-// tell notes what a proxy has been told with a list of a version.
-func (r *registry) tell(proxy int, rev int64, told []target) {
+// recordAnnounced notes what a proxy has been told with a list of a version.
+func (r *registry) recordAnnounced(proxy int, rev int64, told []target) {
 	r.mu.Lock()
 	r.written[proxy] = max(r.written[proxy], rev)
 	r.mu.Unlock()
 	for _, t := range told {
-		r.book.Told(t.backend.name, proxy, t.rev, t.state != "in_service")
+		r.recorder.Announced(t.backend.name, proxy, t.rev, t.state != "in_service")
 	}
 }
 
 // Of a long list, so many bytes are written at once, and so long a pause follows.
 const (
-	pieceSize  = 16 << 10
-	piecePause = 20 * time.Millisecond
+	fragmentSize  = 16 << 10
+	fragmentPause = 20 * time.Millisecond
 )
 
 // write writes a line of a watch, a long one in pieces.
 func write(w http.ResponseWriter, line []byte) error {
 	flush := http.NewResponseController(w)
 	for len(line) > 0 {
-		n := min(len(line), pieceSize)
+		n := min(len(line), fragmentSize)
 		if _, err := w.Write(line[:n]); err != nil {
 			return err
 		}
@@ -347,20 +347,20 @@
 			return err
 		}
 		if line = line[n:]; len(line) > 0 {
-			time.Sleep(piecePause)
+			time.Sleep(fragmentPause)
 		}
 	}
 	return nil
 }
 
-// crowdLimit is how long a call waits in a crowd before it is turned away.
-const crowdLimit = 700 * time.Millisecond
+// overloadWait is how long a call waits in a crowd before it is turned away.
+const overloadWait = 700 * time.Millisecond
 
 // ServeHTTP is one watch.
 func (s *registryServer) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	r := s.registry
 	r.mu.Lock()
-	slow, ended := time.Until(r.slow), r.ended
+	slow, ended := time.Until(r.slowUntil), r.watchesEnd
 	r.mu.Unlock()
 	if slow > 0 {
 		time.Sleep(min(slow, 700*time.Millisecond))
@@ -370,8 +370,8 @@
 			return
 		}
 	}
-	for from := time.Now(); r.isCrowded(); {
-		if time.Since(from) > crowdLimit {
+	for from := time.Now(); r.isOverloaded(); {
+		if time.Since(from) > overloadWait {
 			http.Error(w, "waited too long", http.StatusServiceUnavailable)
 			return
 		}
@@ -388,12 +388,12 @@
 		r.mu.Unlock()
 		switch {
 		case r.isSilent():
-		case first || rev > after && r.due(after):
+		case first || rev > after && r.notifies(after):
 			line, rev, told := r.list(s.proxy, after, first && all)
 			if write(w, line) != nil { // its connection has ended: nothing was told
 				return
 			}
-			r.tell(s.proxy, rev, told)
+			r.recordAnnounced(s.proxy, rev, told)
 			after, life = rev, time.Now()
 		case time.Since(life) >= time.Second:
 			fmt.Fprintln(w)
@@ -416,7 +416,7 @@
 func (r *registry) isSilent() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return time.Now().Before(r.silent)
+	return time.Now().Before(r.silentUntil)
 }
 
 // wait waits, and tells whether the caller is still there.
@@ -429,5 +429,5 @@
 	}
 }
 
-// wallMillis is a time as stamps have it: the one place in the soak that needs Unix time.
-func wallMillis(t time.Time) int64 { return t.UnixMilli() }
+// unixMillis is a time as stamps have it: the one place in the soak that needs Unix time.
+func unixMillis(t time.Time) int64 { return t.UnixMilli() }
--- a/internal/soak/rogue_test.go
+++ b/internal/soak/rogue_test.go
@@ -21,21 +21,21 @@
 	"time"
 )
 
-// rogueVariable names the rule that a rogue proxy breaks now and then; "none" breaks none.
-const rogueVariable = "OXBOWSOAK_ROGUE"
+// faultVariable names the rule that a rogue proxy breaks now and then; "none" breaks none.
+const faultVariable = "OXBOWSOAK_ROGUE"
 
 // TestMain is the rogue proxy where it is started as one, and runs the tests otherwise.
 func TestMain(m *testing.M) {
-	if rule := os.Getenv(rogueVariable); rule != "" {
-		rogue(Rule(rule))
+	if rule := os.Getenv(faultVariable); rule != "" {
+		runFaultyProxy(Rule(rule))
 		return
 	}
 	os.Exit(m.Run())
 }
 
-// rogue is a small proxy with a planted fault: it sends each request to one backend of the
+// runFaultyProxy is a small proxy with a planted fault: it sends each request to one backend of the
 // list that it started with, or that it was told of last.
-func rogue(plant Rule) {
+func runFaultyProxy(plant Rule) {
 	var config struct {
 		Listen    string
 		Discovery string
@@ -71,7 +71,7 @@
 		if err != nil {
 			os.Exit(5)
 		}
-		go serveRogue(c, plant, &targets)
+		go serveFaulty(c, plant, &targets)
 	}
 }
 
@@ -107,7 +107,7 @@
 	}
 }
 
-func serveRogue(c net.Conn, plant Rule, targets *atomic.Pointer[[]wireTarget]) {
+func serveFaulty(c net.Conn, plant Rule, targets *atomic.Pointer[[]wireTarget]) {
 	defer c.Close()
 	in := bufio.NewReader(c)
 	for {
@@ -128,14 +128,14 @@
 			reply(c, http.StatusOK, "", "ok\n")
 			continue
 		}
-		if !forwardRogue(c, req, plant, *targets.Load()) {
+		if !forwardFaulty(c, req, plant, *targets.Load()) {
 			return
 		}
 	}
 }
 
-// forwardRogue sends a request on and answers it, with the planted fault one time in ten.
-func forwardRogue(c net.Conn, req *http.Request, plant Rule, targets []wireTarget) bool {
+// forwardFaulty sends a request on and answers it, with the planted fault one time in ten.
+func forwardFaulty(c net.Conn, req *http.Request, plant Rule, targets []wireTarget) bool {
 	planted := rand.IntN(10) == 0
 	if len(targets) == 0 {
 		return reply(c, http.StatusServiceUnavailable, "", "none\n")
@@ -148,7 +148,7 @@
 	if planted && plant == RuleDeadline {
 		told = "3000"
 	}
-	status, body := sendRogue(to, req, told)
+	status, body := sendAttempt(to, req, told)
 	if status == 0 {
 		return reply(c, http.StatusBadGateway, "", "failed\n")
 	}
@@ -161,7 +161,7 @@
 	case RuleForeign:
 		body = "something else\n"
 	case RuleDuplicate:
-		sendRogue(to, req, told)
+		sendAttempt(to, req, told)
 	case RuleRefused:
 		status = http.StatusServiceUnavailable
 	case RuleCrash:
@@ -170,8 +170,8 @@
 	return reply(c, status, "", body)
 }
 
-// sendRogue makes one attempt; status 0 is none.
-func sendRogue(addr string, req *http.Request, told string) (status int, body string) {
+// sendAttempt makes one attempt; status 0 is none.
+func sendAttempt(addr string, req *http.Request, told string) (status int, body string) {
 	c, err := net.DialTimeout("tcp", addr, time.Second)
 	if err != nil {
 		return 0, ""
@@ -195,8 +195,8 @@
 	return resp.StatusCode, string(text)
 }
 
-// planted is a plan whose program is the rogue proxy.
-func planted(t *testing.T, rule Rule) *Plan {
+// faultyProxyPlan is a plan whose program is the rogue proxy.
+func faultyProxyPlan(t *testing.T, rule Rule) *Plan {
 	t.Helper()
 	dir := t.TempDir()
 	program := filepath.Join(dir, "rogue")
@@ -204,7 +204,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	script := fmt.Sprintf("#!/bin/sh\n%s=%s exec %s\n", rogueVariable, rule, self)
+	script := fmt.Sprintf("#!/bin/sh\n%s=%s exec %s\n", faultVariable, rule, self)
 	if err := os.WriteFile(program, []byte(script), 0o700); err != nil {
 		t.Fatal(err)
 	}
@@ -213,7 +213,7 @@
 
 // A planted breach of each rule is seen, and told as what it is.
 func TestPlantedFaults(t *testing.T) {
-	leavers := []Event{{At: 500 * time.Millisecond, Kind: Leavers, Span: 3 * time.Second}}
+	leavers := []Event{{At: 500 * time.Millisecond, Kind: ClientsLeave, Span: 3 * time.Second}}
 	for _, c := range []struct {
 		rule   Rule
 		events []Event
@@ -230,12 +230,12 @@
 	} {
 		t.Run(string(c.rule), func(t *testing.T) {
 			t.Parallel()
-			plan := planted(t, c.rule)
+			plan := faultyProxyPlan(t, c.rule)
 			report, err := Run(context.Background(), plan, 1, c.events)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if !report.breaks(c.rule) {
+			if !report.violates(c.rule) {
 				t.Errorf("not seen: %s; void %q", report.Summary, report.Void)
 			}
 		})
@@ -283,13 +283,13 @@
 	if slices.Equal(Schedule(7, plan), Schedule(8, plan)) {
 		t.Error("two seeds, one schedule")
 	}
-	kinds := map[Trouble]bool{}
+	kinds := map[EventKind]bool{}
 	for seed := range uint64(50) {
 		for _, e := range Schedule(seed, plan) {
 			kinds[e.Kind] = true
 		}
 	}
-	for _, kind := range troubles {
+	for _, kind := range eventKinds {
 		if !kinds[kind] {
 			t.Errorf("%s is never drawn", kind)
 		}
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -31,21 +31,21 @@
 type run struct {
 	plan     *Plan
 	classes  []Class
-	book     *Book
+	recorder *Recorder
 	registry *registry
 	proxies  []*process
 	over     atomic.Bool
 
-	mu       sync.Mutex
-	backends []*backend
-	leaving  map[*backend]bool // they are no longer in service
-	serial   int
-	seed     uint64
-	troubles map[Trouble]time.Time // of clients: until when
-	crowds   map[int]time.Time     // by proxy: until when idle clients fill its descriptors
-	longest  time.Duration         // pause of a process
-	crowded  bool                  // discovery gets crowded in this run
-	tasks    sync.WaitGroup
+	mu                 sync.Mutex
+	backends           []*backend
+	leaving            map[*backend]bool // they are no longer in service
+	serial             int
+	seed               uint64
+	clientFaultsUntil  map[EventKind]time.Time // of clients: until when
+	floodedUntil       map[int]time.Time       // by proxy: until when idle clients fill its descriptors
+	longestPause       time.Duration           // pause of a process
+	overloadsDiscovery bool                    // discovery gets crowded in this run
+	tasks              sync.WaitGroup
 }
 
 // Run makes one run with the troubles given, and returns what came of it. All that it
@@ -58,12 +58,12 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &run{plan: plan, classes: drawClasses(seed), book: NewBook(grace), seed: seed, troubles: map[Trouble]time.Time{}, crowds: map[int]time.Time{}, leaving: map[*backend]bool{}}
+	r := &run{plan: plan, classes: classesForSeed(seed), recorder: NewRecorder(grace), seed: seed, clientFaultsUntil: map[EventKind]time.Time{}, floodedUntil: map[int]time.Time{}, leaving: map[*backend]bool{}}
 	defer r.stop()
 	if err := r.prepare(dir); err != nil {
 		return nil, err
 	}
-	r.crowded = slices.ContainsFunc(events, func(e Event) bool { return e.Kind == DiscoveryCrowd })
+	r.overloadsDiscovery = slices.ContainsFunc(events, func(e Event) bool { return e.Kind == DiscoveryOverload })
 	lag := newLagMeter()
 	traffic, endTraffic := context.WithTimeout(ctx, plan.Length)
 	defer endTraffic()
@@ -72,7 +72,7 @@
 	}
 	var clients sync.WaitGroup
 	for n := range plan.Proxies * plan.Clients {
-		c := &client{run: r, n: n, rng: rand.New(rand.NewPCG(seed, uint64(100+n)))}
+		c := &client{run: r, number: n, rng: rand.New(rand.NewPCG(seed, uint64(100+n)))}
 		clients.Go(func() { c.loop(traffic) })
 	}
 	began := time.Now()
@@ -84,18 +84,18 @@
 		if traffic.Err() != nil {
 			break
 		}
-		r.tasks.Go(func() { r.make(e) })
+		r.tasks.Go(func() { r.apply(e) })
 	}
 	clients.Wait()
 	r.tasks.Wait()
 	r.over.Store(true)
-	r.book.end()
-	r.endAll()
-	if worst := lag.stop(); worst > mostLag {
-		r.book.Void(fmt.Sprintf("the machine was too busy: the run itself was held up for %v", worst))
+	r.recorder.markEnded()
+	r.terminateAll()
+	if worst := lag.stop(); worst > maxLag {
+		r.recorder.Void(fmt.Sprintf("the machine was too busy: the run itself was held up for %v", worst))
 	}
-	report := &Report{Seed: seed, Events: events, Outcomes: r.book.Outcomes(), Violations: r.book.Violations(),
-		Summary: r.book.Summary(), Void: r.book.void()}
+	report := &Report{Seed: seed, Events: events, Outcomes: r.recorder.Outcomes(), Violations: r.recorder.Violations(),
+		Summary: r.recorder.Summary(), Void: r.recorder.void()}
 	if report.Passed() {
 		os.RemoveAll(dir)
 	}
@@ -104,17 +104,17 @@
 
 // One of so many seeds has a long list, with so many entries beside those that serve.
 const (
-	longListEach = 4
-	longList     = 1500
+	longListEvery   = 4
+	longListEntries = 1500
 )
 
 // prepare starts discovery and backends, and makes the proxies' configurations.
 func (r *run) prepare(dir string) (err error) {
-	if r.registry, err = newRegistry(r.book, r.plan.Proxies); err != nil {
+	if r.registry, err = newRegistry(r.recorder, r.plan.Proxies); err != nil {
 		return err
 	}
-	if r.seed%longListEach == 0 {
-		r.registry.fillers = longList
+	if r.seed%longListEvery == 0 {
+		r.registry.fillers = longListEntries
 	}
 	for range r.plan.Backends {
 		if err := r.addBackend(time.Time{}); err != nil {
@@ -141,7 +141,7 @@
 	r.serial++
 	uid := fmt.Sprintf("s-%d", r.serial)
 	r.mu.Unlock()
-	b, err := newBackend(r.book, uid, r.plan.Proxies, r.seed+uint64(r.serial))
+	b, err := newBackend(r.recorder, uid, r.plan.Proxies, r.seed+uint64(r.serial))
 	if err != nil {
 		return err
 	}
@@ -152,8 +152,8 @@
 	return nil
 }
 
-// make makes one trouble, and returns once it is over.
-func (r *run) make(e Event) {
+// apply makes one trouble, and returns once it is over.
+func (r *run) apply(e Event) {
 	p := r.proxies[e.Target%len(r.proxies)]
 	r.mu.Lock()
 	b := r.backends[e.Target%len(r.backends)]
@@ -173,10 +173,10 @@
 	case Reload:
 		for range 2 {
 			p.mu.Lock()
-			p.moves++
+			p.discoveryMoves++
 			p.mu.Unlock()
 			if err := p.writeConfig(); err != nil {
-				r.book.Void(err.Error())
+				r.recorder.Void(err.Error())
 			}
 			p.reload()
 			time.Sleep(e.Span / 4)
@@ -184,19 +184,19 @@
 	case DiscoveryDown:
 		r.registry.goDown(e.Span)
 	case DiscoverySilent:
-		r.registry.saySilent(e.Span)
+		r.registry.goSilent(e.Span)
 	case DiscoverySlow:
-		r.registry.beSlow(e.Span)
-	case DiscoveryCrowd:
-		r.registry.beCrowded(e.Span)
+		r.registry.goSlow(e.Span)
+	case DiscoveryOverload:
+		r.registry.goOverloaded(e.Span)
 	case WatchesEnd:
 		r.registry.endWatches()
-	case Away:
-		r.away(b, e.Span)
-	case Signals:
-		r.signals(e.Target)
-	case Crowd:
-		r.crowd(p, e.Span)
+	case BackendOutage:
+		r.backendOutage(b, e.Span)
+	case SignalSeries:
+		r.sendSignalSeries(e.Target)
+	case IdleFlood:
+		r.floodIdle(p, e.Span)
 	case Drain:
 		r.drain(b, e.Span)
 	case Restart:
@@ -206,11 +206,11 @@
 		}
 	case Reset:
 		b.reset()
-	case Hang, Errors, Full, HalfAnswers, IdleCloses:
-		b.behave(e.Kind, e.Span)
-	case Leavers, BadClients:
+	case Hang, Errors, Full, TruncatedResponses, IdleCloses:
+		b.misbehave(e.Kind, e.Span)
+	case ClientsLeave, BadClients:
 		r.mu.Lock()
-		r.troubles[e.Kind] = time.Now().Add(e.Span)
+		r.clientFaultsUntil[e.Kind] = time.Now().Add(e.Span)
 		r.mu.Unlock()
 	}
 }
@@ -234,44 +234,44 @@
 	}
 	r.registry.set(target{uid: b.name, state: "terminating", backend: b})
 	time.Sleep(span)
-	if r.crowded {
-		b.refuse()
+	if r.overloadsDiscovery {
+		b.rejectAll()
 	}
 	r.registry.set(target{uid: b.name, state: "terminated", backend: b})
 	r.mu.Lock()
 	r.serial++
-	fresh := fmt.Sprintf("s-%d", r.serial)
+	newUID := fmt.Sprintf("s-%d", r.serial)
 	r.mu.Unlock()
-	next, err := newBackend(r.book, fresh, r.plan.Proxies, r.seed+uint64(r.serial))
+	next, err := newBackend(r.recorder, newUID, r.plan.Proxies, r.seed+uint64(r.serial))
 	if err != nil {
-		r.book.Void(err.Error())
+		r.recorder.Void(err.Error())
 		return
 	}
-	r.registry.set(target{uid: fresh, state: "in_service", boot: time.Now(), backend: next})
+	r.registry.set(target{uid: newUID, state: "in_service", boot: time.Now(), backend: next})
 	r.mu.Lock()
 	r.backends = append(r.backends, next)
 	r.mu.Unlock()
 }
 
-// noticeAfter is how long a backend has to be away until discovery has it as gone.
-const noticeAfter = 700 * time.Millisecond
+// detectionDelay is how long a backend has to be away until discovery has it as gone.
+const detectionDelay = 700 * time.Millisecond
 
-// away makes a backend be away for a time, through which discovery has it as gone. It comes
+// backendOutage makes a backend be backendOutage for a time, through which discovery has it as gone. It comes
 // back cold under its id, and serves before discovery says so.
-func (r *run) away(b *backend, span time.Duration) {
+func (r *run) backendOutage(b *backend, span time.Duration) {
 	if !r.beginLeaving(b) {
 		return
 	}
-	b.leave()
-	time.Sleep(noticeAfter)
+	b.goOffline()
+	time.Sleep(detectionDelay)
 	r.registry.set(target{uid: b.name, state: "terminated", backend: b})
 	time.Sleep(span)
 	boot := time.Now()
-	if err := b.comeBack(); err != nil {
-		r.book.Void("a backend could not listen again: " + err.Error())
+	if err := b.goOnline(); err != nil {
+		r.recorder.Void("a backend could not listen again: " + err.Error())
 		return
 	}
-	time.Sleep(noticeAfter)
+	time.Sleep(detectionDelay)
 	r.registry.set(target{uid: b.name, state: "in_service", boot: boot, backend: b})
 	r.mu.Lock()
 	delete(r.leaving, b)
@@ -284,9 +284,9 @@
 	nextPause   = 200 * time.Millisecond
 )
 
-// signals tells two proxies, one after the other, to read their configuration, to end, and
+// sendSignalSeries tells two proxies, one after the other, to read their configuration, to end, and
 // to read it again while they do.
-func (r *run) signals(target int) {
+func (r *run) sendSignalSeries(target int) {
 	for n := range min(2, len(r.proxies)) {
 		p := r.proxies[(target+n)%len(r.proxies)]
 		r.tasks.Go(func() {
@@ -301,14 +301,14 @@
 	}
 }
 
-// crowdSize is how many idle clients a crowd has: more than a proxy has descriptors for.
-const crowdSize = 260
+// floodSize is how many idle clients a crowd has: more than a proxy has descriptors for.
+const floodSize = 260
 
-// crowd fills a proxy's descriptors with clients that say nothing.
-func (r *run) crowd(p *process, span time.Duration) {
+// floodIdle fills a proxy's descriptors with clients that say nothing.
+func (r *run) floodIdle(p *process, span time.Duration) {
 	r.mu.Lock()
-	if until := time.Now().Add(span + time.Second); until.After(r.crowds[p.number]) { // one may overlap another
-		r.crowds[p.number] = until
+	if until := time.Now().Add(span + time.Second); until.After(r.floodedUntil[p.number]) { // one may overlap another
+		r.floodedUntil[p.number] = until
 	}
 	r.mu.Unlock()
 	var idle []net.Conn
@@ -318,7 +318,7 @@
 		}
 	}()
 	end := time.Now().Add(span)
-	for range crowdSize {
+	for range floodSize {
 		c, err := net.DialTimeout("tcp", p.addr, signalPause)
 		if err != nil || time.Now().After(end) {
 			break
@@ -328,12 +328,12 @@
 	time.Sleep(time.Until(end))
 }
 
-// crowdedBy tells whether idle clients fill a proxy's descriptors, or have just done so: new
+// isFlooded tells whether idle clients fill a proxy's descriptors, or have just done so: new
 // connections may be closed unread then.
-func (r *run) crowdedBy(proxy int) bool {
+func (r *run) isFlooded(proxy int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return time.Now().Before(r.crowds[proxy])
+	return time.Now().Before(r.floodedUntil[proxy])
 }
 
 // allowedPause is how long a proxy may be held up with all rules in force.
@@ -343,10 +343,10 @@
 func (r *run) pause(p *process, span time.Duration) {
 	from := time.Now()
 	if span > allowedPause {
-		r.book.Held(p.number, from, from.Add(span+100*time.Millisecond))
+		r.recorder.ProxySuspended(p.number, from, from.Add(span+100*time.Millisecond))
 	}
 	r.mu.Lock()
-	r.longest = max(r.longest, span)
+	r.longestPause = max(r.longestPause, span)
 	r.mu.Unlock()
 	p.signal(syscall.SIGSTOP)
 	time.Sleep(span)
@@ -357,18 +357,18 @@
 func (r *run) pauseSlack() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return 2 * r.longest
+	return 2 * r.longestPause
 }
 
-// troubled tells whether clients do as a trouble says now.
-func (r *run) troubled(kind Trouble) bool {
+// clientFaultActive tells whether clients do as a trouble says now.
+func (r *run) clientFaultActive(kind EventKind) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return time.Now().Before(r.troubles[kind])
+	return time.Now().Before(r.clientFaultsUntil[kind])
 }
 
-// rotation draws a proxy that callers may choose.
-func (r *run) rotation(rng *rand.Rand) (int, bool) {
+// pickReadyProxy draws a proxy that callers may choose.
+func (r *run) pickReadyProxy(rng *rand.Rand) (int, bool) {
 	for range 10 {
 		n := rng.IntN(len(r.proxies))
 		p := r.proxies[n]
@@ -396,7 +396,7 @@
 func (r *run) excuse(proxy, generation int, begun bool) string {
 	p := r.proxies[proxy]
 	p.mu.Lock()
-	killed := generation != p.told && (p.killed || p.generation != generation)
+	killed := generation != p.terminatedGeneration && (p.killed || p.generation != generation)
 	p.mu.Unlock()
 	switch {
 	case killed:
@@ -404,9 +404,9 @@
 	case begun:
 		return "its answer was cut off in a way that tells"
 	}
-	r.book.mu.Lock()
-	defer r.book.mu.Unlock()
-	if r.book.heldUp(proxy, time.Now()) {
+	r.recorder.mu.Lock()
+	defer r.recorder.mu.Unlock()
+	if r.recorder.wasSuspended(proxy, time.Now()) {
 		return "its proxy was stopped for long"
 	}
 	return ""
@@ -414,7 +414,7 @@
 
 func (r *run) stopped() bool { return r.over.Load() }
 
-func (r *run) discoveryKind() string {
+func (r *run) discoveryMode() string {
 	if r.plan.Pushed {
 		return "pushed"
 	}
@@ -436,14 +436,14 @@
 	}
 }
 
-// endAll ends all proxies in order, and judges how.
-func (r *run) endAll() {
+// terminateAll ends all proxies in order, and judges how.
+func (r *run) terminateAll() {
 	var ends sync.WaitGroup
 	for _, p := range r.proxies {
 		ends.Go(func() {
 			p.terminate()
 			if text := p.panicked(); text != "" {
-				r.book.Breach(RuleCrash, fmt.Sprintf("proxy %d: %s", p.number, text))
+				r.recorder.AddViolation(RuleCrash, fmt.Sprintf("proxy %d: %s", p.number, text))
 			}
 		})
 	}
@@ -453,7 +453,7 @@
 // stop ends what is still there, by id.
 func (r *run) stop() {
 	r.over.Store(true)
-	r.book.end()
+	r.recorder.markEnded()
 	for _, p := range r.proxies {
 		p.kill()
 	}
@@ -465,9 +465,9 @@
 	}
 }
 
-// mostLag is how long the run itself may be held up: past it, what looks like a fault of a
+// maxLag is how long the run itself may be held up: past it, what looks like a fault of a
 // proxy may be one of the machine.
-const mostLag = 150 * time.Millisecond
+const maxLag = 150 * time.Millisecond
 
 // lagMeter measures by how much a short sleep takes longer than asked.
 type lagMeter struct {
--- a/internal/soak/shrink.go
+++ b/internal/soak/shrink.go
@@ -12,7 +12,7 @@
 			without := append(append([]Event(nil), events[:from]...), events[min(len(events), from+size):]...)
 			tries--
 			report, err := Run(ctx, plan, seed, without)
-			if err == nil && report.breaks(rule) {
+			if err == nil && report.violates(rule) {
 				events, shorter = without, true
 				break
 			}
@@ -25,7 +25,7 @@
 	return events
 }
 
-func (r *Report) breaks(rule Rule) bool {
+func (r *Report) violates(rule Rule) bool {
 	for _, v := range r.Violations {
 		if v.Rule == rule {
 			return true
