--- a/cmd/oxbowsoak/main.go
+++ b/cmd/oxbowsoak/main.go
@@ -1,6 +1,6 @@
-// Command oxbowsoak is for maintainers: it plays seeds of a soak test over real processes of
-// a built proxy on loopback, and says which promise was broken and how. docs/soak.md is its
-// page.
+// Command oxbowsoak is a tool for maintainers. It runs soak tests with real processes of a built
+// proxy on loopback, one for each seed, and prints which guarantee was violated and how. See
+// docs/soak.md.
 package main
 
 import (
@@ -17,7 +17,7 @@
 )
 
 func main() {
-	// What a run has started is ended by it, also when it is interrupted.
+	// A run that is interrupted still stops everything that it started.
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	if err := command().ExecuteContext(ctx); err != nil {
@@ -26,14 +26,14 @@
 	}
 }
 
-// command returns the one command.
+// command returns the root command.
 func command() *cobra.Command {
 	plan := &soak.Plan{}
 	var first uint64
 	var seeds, shrink int
 	cmd := &cobra.Command{
 		Use:           "oxbowsoak PROGRAM",
-		Short:         "Play seeds of overlapping troubles over real proxies, and judge them from outside",
+		Short:         "Run soak tests with overlapping faults against real proxies, and check them from outside",
 		Args:          cobra.ExactArgs(1),
 		SilenceUsage:  true,
 		SilenceErrors: true,
@@ -43,20 +43,20 @@
 		},
 	}
 	flags := cmd.Flags()
-	flags.Uint64Var(&first, "seed", 1, "the first seed")
-	flags.IntVar(&seeds, "seeds", 1, "how many seeds, one after the other")
-	flags.IntVar(&shrink, "shrink", 0, "how many runs to look for a shorter schedule in, after a violation")
-	flags.IntVar(&plan.Proxies, "proxies", 24, "processes of the proxy")
-	flags.IntVar(&plan.Backends, "backends", 8, "stand-in backends at the start")
-	flags.IntVar(&plan.Clients, "clients", 2, "clients for each proxy")
-	flags.DurationVar(&plan.Length, "length", 10*time.Second, "of the traffic of one seed")
+	flags.Uint64Var(&first, "seed", 1, "first seed")
+	flags.IntVar(&seeds, "seeds", 1, "number of seeds, run one after another")
+	flags.IntVar(&shrink, "shrink", 0, "number of runs in which to look for a shorter schedule after a violation")
+	flags.IntVar(&plan.Proxies, "proxies", 24, "number of proxy processes")
+	flags.IntVar(&plan.Backends, "backends", 8, "number of backends at the start")
+	flags.IntVar(&plan.Clients, "clients", 2, "number of clients per proxy")
+	flags.DurationVar(&plan.Length, "length", 10*time.Second, "duration of the traffic of one seed")
 	flags.BoolVar(&plan.Faults, "faults", false, "make system calls fail and step clocks: PROGRAM is built with -tags faults")
-	flags.BoolVar(&plan.Pushed, "pushed", false, "lists are pushed")
-	flags.StringVar(&plan.Dir, "dir", "", "where configurations and logs go (a temporary directory)")
+	flags.BoolVar(&plan.Pushed, "pushed", false, "discovery pushes the lists")
+	flags.StringVar(&plan.Dir, "dir", "", "directory for configurations and logs (default: a temporary directory)")
 	return cmd
 }
 
-// runSeeds plays the seeds, prints a line for each, and fails where one did.
+// runSeeds runs the seeds, prints a line for each, and returns an error if one failed.
 func runSeeds(ctx context.Context, plan *soak.Plan, first uint64, seeds, shrink int) error {
 	failed, void := 0, 0
 	for seed := first; seed < first+uint64(seeds); seed++ {
@@ -86,7 +86,7 @@
 // maxShown is how many violations of each rule are printed.
 const maxShown = 3
 
-// printFailure prints what was broken, the schedule, and how to play it again.
+// printFailure prints the violations, the schedule, and the command that repeats the run.
 func printFailure(ctx context.Context, plan *soak.Plan, report *soak.Report, shrink int) {
 	shown := map[soak.Rule]int{}
 	for _, v := range report.Violations {
--- a/internal/soak/backend.go
+++ b/internal/soak/backend.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// backend is a stand-in backend. It listens once for each proxy, which tells them apart.
+// backend is a test backend. It has one listener per proxy, which tells the proxies apart.
 type backend struct {
 	recorder *Recorder
 	name     string
@@ -24,13 +24,13 @@
 	mu          sync.Mutex
 	closed      bool
 	conns       map[net.Conn]bool
-	faultsUntil map[EventKind]time.Time // until when it does so
+	faultsUntil map[EventKind]time.Time // until when each fault is active
 	rng         *rand.Rand
 	active      int
-	rejectsAll  bool // it turns all calls away from now on
+	rejectsAll  bool // all requests are rejected
 }
 
-// maxActive is how many calls a backend works on at a time; more are turned away.
+// maxActive is the number of requests that a backend works on at a time; more are rejected.
 const maxActive = 30
 
 func newBackend(book *Recorder, name string, proxies int, seed uint64) (*backend, error) {
@@ -50,14 +50,14 @@
 	return b, nil
 }
 
-// endpoint is where a proxy reaches the backend.
+// endpoint returns the address that a proxy reaches the backend at.
 func (b *backend) endpoint(proxy int) string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.listeners[proxy].Addr().String()
 }
 
-// misbehave makes the backend do as a trouble says for a time.
+// misbehave activates a fault for a time.
 func (b *backend) misbehave(kind EventKind, span time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -94,7 +94,7 @@
 	}
 }
 
-// serve answers one call after another.
+// serve answers the requests on a connection.
 func (b *backend) serve(c net.Conn, proxy int) {
 	in := bufio.NewReader(c)
 	for {
@@ -115,7 +115,7 @@
 	}
 }
 
-// answer answers one call, and tells whether the connection stays.
+// answer answers one request, and reports whether the connection stays open.
 func (b *backend) answer(c net.Conn, req *http.Request, proxy int, began time.Time) bool {
 	id := req.Header.Get("X-Request-ID")
 	told, _ := strconv.Atoi(req.Header.Get("X-Timeout-Ms"))
@@ -174,14 +174,14 @@
 	}
 }
 
-// rejectAll makes the backend turn all calls away from now on.
+// rejectAll makes the backend reject all requests from now on.
 func (b *backend) rejectAll() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.rejectsAll = true
 }
 
-// goOffline makes the backend be away: its connections are reset, and new ones refused.
+// goOffline resets all connections and closes the listeners, so that new ones are refused.
 func (b *backend) goOffline() {
 	for _, ln := range b.listeners {
 		ln.Close()
@@ -189,7 +189,7 @@
 	b.reset()
 }
 
-// goOnline ends that: the backend listens where it did.
+// goOnline makes an offline backend listen again at its former addresses.
 func (b *backend) goOnline() error {
 	for proxy, old := range b.listeners {
 		ln, err := net.Listen("tcp", old.Addr().String())
@@ -209,7 +209,7 @@
 	return nil
 }
 
-// close ends the backend: its connections are reset, and new ones refused.
+// close stops the backend and waits for its handlers. Its connections are reset.
 func (b *backend) close() {
 	b.mu.Lock()
 	b.closed = true
--- a/internal/soak/book.go
+++ b/internal/soak/book.go
@@ -1,6 +1,6 @@
-// Package soak runs a few dozen real processes of a built proxy on loopback, with discovery,
-// backends and clients of its own, makes trouble that overlaps as a seed says, and judges
-// from outside what the protocol promises. docs/soak.md is its page.
+// Package soak runs a few dozen real processes of a built proxy on loopback, with its own discovery
+// service, backends and clients. It injects overlapping faults, drawn from a seed, and checks from
+// outside that the proxies keep the guarantees of the protocol. See docs/soak.md.
 package soak
 
 import (
@@ -11,67 +11,67 @@
 	"time"
 )
 
-// Rule is one promise that is judged.
+// Rule is one guarantee that is checked.
 type Rule string
 
-// The rules. Their words are those of the protocol's page.
+// The rules, under the names of the protocol's documentation.
 const (
-	RuleLost      Rule = "lost"      // a request that was taken got no whole answer in time
-	RuleForeign   Rule = "foreign"   // an answer was served that no backend made for the request
-	RuleDuplicate Rule = "duplicate" // what must not run twice did
+	RuleLost      Rule = "lost"      // an accepted request got no complete response in time
+	RuleForeign   Rule = "foreign"   // a response was served that no backend sent for the request
+	RuleDuplicate Rule = "duplicate" // a request that must not run twice did
 	RuleRefused   Rule = "refused"   // a refusal promised no effect, and a backend had run the request
-	RuleDrain     Rule = "drain"     // a send to what had been told to be draining or gone
-	RuleDeadline  Rule = "deadline"  // a backend was told of more time than the client had left
-	RuleGone      Rule = "gone"      // an attempt began after its client had left
-	RuleCrash     Rule = "crash"     // a process ended by itself, panicked, hung or did not start
-	RuleBadClient Rule = "badclient" // a client that sent nonsense was neither answered nor closed
+	RuleDrain     Rule = "drain"     // an attempt at a backend announced as draining or removed
+	RuleDeadline  Rule = "deadline"  // an attempt's timeout exceeded the time that the client had left
+	RuleGone      Rule = "gone"      // an attempt began after its client had disconnected
+	RuleCrash     Rule = "crash"     // a process exited unexpectedly, panicked, hung or did not start
+	RuleBadClient Rule = "badclient" // a client with a malformed request got neither a response nor a close
 )
 
-// Slacks of the rules.
+// Tolerances of the rules.
 const (
-	answerSlack   = 550 * time.Millisecond // after a client's time, until a request counts as lost
-	drainSlack    = 50 * time.Millisecond  // beside the grace of the settings
+	answerSlack   = 550 * time.Millisecond // after the deadline, until a request counts as lost
+	drainSlack    = 50 * time.Millisecond  // in addition to the grace of the settings
 	deadlineSlack = 150 * time.Millisecond
-	goneSlack     = 150 * time.Millisecond // 0.1 s, and what the network takes
+	goneSlack     = 150 * time.Millisecond // 0.1 s plus the network's latency
 )
 
-// Violation is one breach of a rule.
+// Violation is one violation of a rule.
 type Violation struct {
 	Rule   Rule
 	At     time.Duration // since the run's start
 	Detail string
-	Trace  []string // what happened to the request
+	Trace  []string // the events of the request
 }
 
-// attempt is one request that a backend has read whole.
+// attempt is one request that a backend has read completely.
 type attempt struct {
 	backend string
 	at      time.Time
-	ran     bool // it was not turned away
+	ran     bool // it was not rejected
 }
 
-// request is what the books have of one request id.
+// request is the record of one request ID.
 type request struct {
 	id           string
 	class        Class
 	proxy        int
 	sent         time.Time
 	budget       time.Duration
-	clientLeftAt time.Time // its client closed; zero: it stayed
+	clientLeftAt time.Time // when its client disconnected; zero: it did not
 	attempts     []attempt
 	trace        []string
 }
 
-// Recorder is what happened, as clients, backends and discovery saw it, and the judgement. It
-// is safe for concurrent use.
+// Recorder records what clients, backends and discovery observe, and checks the rules. It is safe
+// for concurrent use.
 type Recorder struct {
 	start time.Time
-	grace time.Duration // in which a told drain may still get sends
+	grace time.Duration // after an announced drain, in which attempts are still allowed
 
 	mu          sync.Mutex
 	requests    map[string]*request
-	announced   map[string]map[int]announcement // by backend and proxy: what was told last
-	suspensions map[int][]interval              // by proxy: times in which it was held up
+	announced   map[string]map[int]announcement // by backend and proxy: the last change
+	suspensions map[int][]interval              // by proxy
 	violations  []Violation
 	outcomes    map[string]int
 	ended       bool
@@ -80,13 +80,13 @@
 
 type interval struct{ from, to time.Time }
 
-// announcement is the newest change of a backend that a proxy has been announcement.
+// announcement is the newest change of a backend that was announced to a proxy.
 type announcement struct {
 	rev          int64
-	leavingSince time.Time // since when it has been told of a going; zero: it is in service
+	leavingSince time.Time // when it was announced as draining or removed; zero: it is in service
 }
 
-// NewRecorder returns empty books that begin now.
+// NewRecorder returns an empty Recorder. The run starts now.
 func NewRecorder(grace time.Duration) *Recorder {
 	return &Recorder{
 		start:       time.Now(),
@@ -98,7 +98,7 @@
 	}
 }
 
-// Void notes why the run says nothing.
+// Void marks the run as inconclusive, for the given reason.
 func (b *Recorder) Void(why string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -113,7 +113,7 @@
 	return b.voided
 }
 
-// markEnded notes that the run is over.
+// markEnded marks the run as over.
 func (b *Recorder) markEnded() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -126,14 +126,14 @@
 	return b.ended
 }
 
-// Violations are the breaches so far, oldest first.
+// Violations returns the violations so far, oldest first.
 func (b *Recorder) Violations() []Violation {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return append([]Violation(nil), b.violations...)
 }
 
-// Outcomes counts how requests ended.
+// Outcomes returns how often requests ended in each way.
 func (b *Recorder) Outcomes() map[string]int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -144,14 +144,14 @@
 	return out
 }
 
-// Count counts something that is no violation by itself.
+// Count counts an event that is not a violation.
 func (b *Recorder) Count(what string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.outcomes[what]++
 }
 
-// AddViolation notes a violation that concerns no single request.
+// AddViolation records a violation that concerns no single request.
 func (b *Recorder) AddViolation(rule Rule, detail string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -171,7 +171,7 @@
 	r.trace = append(r.trace, fmt.Sprintf("%8.3fs ", time.Since(b.start).Seconds())+fmt.Sprintf(format, args...))
 }
 
-// RequestSent notes that a client is about to write a request to a proxy.
+// RequestSent records that a client is about to send a request to a proxy.
 func (b *Recorder) RequestSent(id string, class Class, proxy int, budget time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -184,18 +184,18 @@
 	b.addTrace(r, "client sends to proxy %d, %d ms", proxy, budget.Milliseconds())
 }
 
-// ClientLeft notes that a request's client has closed its connection.
+// ClientLeft records that the client of a request has closed its connection.
 func (b *Recorder) ClientLeft(id string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if r := b.requests[id]; r != nil {
 		r.clientLeftAt = time.Now()
-		b.addTrace(r, "client leaves")
+		b.addTrace(r, "client disconnects")
 		b.outcomes["left"]++
 	}
 }
 
-// ReachedBackend tells whether a backend has read a request.
+// ReachedBackend reports whether a backend has read the request.
 func (b *Recorder) ReachedBackend(id string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -203,27 +203,27 @@
 	return r != nil && len(r.attempts) > 0
 }
 
-// AttemptReceived notes that a backend has read a request whole from a proxy, of which the first
-// byte came at began; ran tells whether it was worked on.
+// AttemptReceived records that a backend has read a complete request from a proxy, and checks the
+// attempt. Its first byte arrived at began; ran is false if the backend rejected it.
 func (b *Recorder) AttemptReceived(id, backend string, proxy int, began time.Time, told time.Duration, ran bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r := b.requests[id]
 	if r == nil {
-		b.appendViolation(RuleForeign, nil, fmt.Sprintf("backend %s got a request %q that no client sent", backend, id))
+		b.appendViolation(RuleForeign, nil, fmt.Sprintf("backend %s received request %q, which no client sent", backend, id))
 		return
 	}
 	now := time.Now()
-	b.addTrace(r, "backend %s reads it from proxy %d, told %d ms, ran %t", backend, proxy, told.Milliseconds(), ran)
+	b.addTrace(r, "backend %s reads it from proxy %d, timeout %d ms, ran %t", backend, proxy, told.Milliseconds(), ran)
 	held := b.wasSuspended(proxy, began)
 	if at := b.announced[backend][proxy].leavingSince; !at.IsZero() && began.Sub(at) > b.grace+drainSlack && !held {
-		b.appendViolation(RuleDrain, r, fmt.Sprintf("sent to %s %v after it was told to be leaving", backend, began.Sub(at)))
+		b.appendViolation(RuleDrain, r, fmt.Sprintf("attempt at %s %v after its drain or removal was announced", backend, began.Sub(at)))
 	}
 	if left := r.sent.Add(r.budget).Sub(began); told > left+deadlineSlack && !held {
-		b.appendViolation(RuleDeadline, r, fmt.Sprintf("backend was told %v, the client had %v left", told, left))
+		b.appendViolation(RuleDeadline, r, fmt.Sprintf("the attempt's timeout was %v, the client had %v left", told, left))
 	}
 	if !r.clientLeftAt.IsZero() && began.Sub(r.clientLeftAt) > goneSlack && !held {
-		b.appendViolation(RuleGone, r, fmt.Sprintf("an attempt began %v after the client left", began.Sub(r.clientLeftAt)))
+		b.appendViolation(RuleGone, r, fmt.Sprintf("an attempt began %v after the client disconnected", began.Sub(r.clientLeftAt)))
 	}
 	r.attempts = append(r.attempts, attempt{backend, now, ran})
 	if runs := r.runs(); ran && runs > 1 && !r.class.Idempotent {
@@ -240,7 +240,7 @@
 	return n
 }
 
-// ResponseReceived notes a whole answer, and judges it.
+// ResponseReceived records a complete response, and checks it.
 func (b *Recorder) ResponseReceived(id string, status int, body string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -251,22 +251,22 @@
 	case status == 200:
 		b.outcomes["served"]++
 		if !r.matchesAttempt(body) {
-			b.appendViolation(RuleForeign, r, fmt.Sprintf("served %q, which no backend made for it", body))
+			b.appendViolation(RuleForeign, r, fmt.Sprintf("served %q, which no backend sent for it", body))
 		}
 	case status == 429 || status == 503:
 		b.outcomes["refused"]++
 		if runs := r.runs(); runs > 0 && !r.class.Idempotent {
-			b.appendViolation(RuleRefused, r, fmt.Sprintf("refused with %d, and run %d times", status, runs))
+			b.appendViolation(RuleRefused, r, fmt.Sprintf("refused with %d, though run %d times", status, runs))
 		}
 	default:
 		b.outcomes["failed"]++
 	}
 	if late > answerSlack && !b.wasSuspended(r.proxy, r.sent) {
-		b.appendViolation(RuleLost, r, fmt.Sprintf("answered %v after its time", late))
+		b.appendViolation(RuleLost, r, fmt.Sprintf("response %v after the deadline", late))
 	}
 }
 
-// matchesAttempt tells whether one of the request's backends matchesAttempt a body for it.
+// matchesAttempt reports whether the body is that of a backend that ran the request.
 func (r *request) matchesAttempt(body string) bool {
 	for _, a := range r.attempts {
 		if a.ran && body == bodyFor(r.id, a.backend) {
@@ -276,11 +276,11 @@
 	return false
 }
 
-// bodyFor is what a backend answers to a request.
+// bodyFor returns the body of a backend's response to a request.
 func bodyFor(id, backend string) string { return "answer to " + id + " by " + backend + "\n" }
 
-// RequestLost notes a request that will get no whole answer. excused is why that is no breach, or
-// empty.
+// RequestLost records a request that will get no complete response. A non-empty excuse says why
+// that is no violation.
 func (b *Recorder) RequestLost(id, how, excused string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -293,8 +293,9 @@
 	b.appendViolation(RuleLost, r, how)
 }
 
-// Announced notes that a proxy has been told of a backend as it was at a version: that it is leaving
-// or gone, or that it serves. What is older than what it has been told before says nothing.
+// Announced records that a change of a backend was announced to a proxy: revision rev, in which the
+// backend is draining or removed, or else in service. A revision that is not newer than the last
+// one announced is ignored.
 func (b *Recorder) Announced(backend string, proxy int, rev int64, leaving bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -307,7 +308,7 @@
 	}
 	next := announcement{rev: rev}
 	if leaving {
-		next.leavingSince = last.leavingSince // it was leaving before: from then on
+		next.leavingSince = last.leavingSince // it may have been leaving already
 		if next.leavingSince.IsZero() {
 			next.leavingSince = time.Now()
 		}
@@ -315,15 +316,16 @@
 	b.announced[backend][proxy] = next
 }
 
-// ProxySuspended notes that a proxy was held up for longer than the protocol allows for: what it did
-// around that time is not judged by time.
+// ProxySuspended records that a proxy was suspended for longer than the protocol tolerates. The
+// timing rules don't apply around that time.
 func (b *Recorder) ProxySuspended(proxy int, from, to time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.suspensions[proxy] = append(b.suspensions[proxy], interval{from, to})
 }
 
-// wasSuspended tells whether a proxy was held up at a time or within the two seconds behind it.
+// wasSuspended reports whether the timing rules don't apply to a proxy at a time: from 4 s before a
+// suspension until 2 s after it.
 func (b *Recorder) wasSuspended(proxy int, at time.Time) bool {
 	for _, s := range b.suspensions[proxy] {
 		if at.Before(s.to.Add(2*time.Second)) && at.Add(4*time.Second).After(s.from) {
@@ -333,7 +335,7 @@
 	return false
 }
 
-// Summary is the counts of outcomes and violations on one line.
+// Summary returns the counts of outcomes and violations on one line.
 func (b *Recorder) Summary() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -14,16 +14,16 @@
 	"oxbowloft/internal/neterror"
 )
 
-// client asks one proxy after another for what it wants, one request at a time.
+// client sends requests to one proxy after another, one at a time.
 type client struct {
 	run    *run
 	rng    *rand.Rand
-	number int // its number
+	number int // of the client in the run
 
 	proxy        int
 	conn         net.Conn
 	in           *bufio.Reader
-	used         bool // a request has been answered on the connection
+	used         bool // the connection has carried a response
 	requestCount int
 }
 
@@ -40,7 +40,7 @@
 		}
 		pause := time.Duration(c.rng.ExpFloat64() * float64(30*time.Millisecond))
 		if c.rng.IntN(40) == 0 {
-			pause = time.Second // rests until the proxy may close
+			pause = time.Second // stays idle until the proxy may close the connection
 		}
 		time.Sleep(min(pause, 4*time.Second))
 	}
@@ -53,8 +53,7 @@
 	}
 }
 
-// connect makes sure of a connection to a proxy that takes new ones, or to the one that it
-// has, for as long as that stays open. It tells whether there is one.
+// connect keeps the open connection, or opens one to a ready proxy. It reports whether there is one.
 func (c *client) connect() bool {
 	if c.conn != nil {
 		return true
@@ -65,7 +64,7 @@
 	}
 	nc, err := net.DialTimeout("tcp", c.run.proxies[proxy].addr, time.Second)
 	if err != nil {
-		return false // refused: nothing was taken
+		return false // nothing was sent, so nothing is lost
 	}
 	c.proxy, c.conn, c.in, c.used = proxy, nc, bufio.NewReader(nc), false
 	return true
@@ -75,7 +74,7 @@
 	c.requestCount++
 	class = c.run.classes[c.rng.IntN(len(c.run.classes))]
 	budget = class.Deadline
-	if c.rng.IntN(8) == 0 { // what is left of a longer wait
+	if c.rng.IntN(8) == 0 { // as if the client had used up part of its deadline
 		budget = 5*time.Millisecond + time.Duration(c.rng.Int64N(int64(budget)))
 	}
 	return fmt.Sprintf("c%d-%d", c.number, c.requestCount), class, budget
@@ -92,8 +91,8 @@
 
 var errClosedUnread = errors.New("closed between requests")
 
-// sendRequest makes one request and reads its answer. What crosses the close of a resting
-// connection is sent once more on a new one.
+// sendRequest sends one request and reads the response. A request that crosses the proxy's close of
+// an idle connection is sent once more, on a new connection.
 func (c *client) sendRequest() {
 	id, class, budget := c.nextRequest()
 	began := time.Now()
@@ -110,8 +109,8 @@
 		if !errors.Is(err, errClosedUnread) {
 			return
 		}
-		if time.Since(began) > budget+answerSlack { // nobody waits for it any more: no proxy has answered in time
-			c.run.recorder.RequestLost(id, "closed unread after its time", c.run.excuse(proxy, generation, false))
+		if time.Since(began) > budget+answerSlack { // no proxy has answered in time
+			c.run.recorder.RequestLost(id, "closed unread after the deadline", c.run.excuse(proxy, generation, false))
 			return
 		}
 	}
@@ -139,16 +138,16 @@
 		}
 		return nil
 	}
-	unread := c.used || c.run.isFlooded(proxy) // its connection may be closed with nothing read on it
+	unread := c.used || c.run.isFlooded(proxy) // the proxy may have closed the connection without reading
 	crossed := mayCross && unread && resp == nil && !book.ReachedBackend(id) && !neterror.IsDeadline(err)
 	if crossed {
 		return errClosedUnread
 	}
-	book.RequestLost(id, "no whole answer: "+err.Error(), c.run.excuse(proxy, generation, resp != nil))
+	book.RequestLost(id, "no complete response: "+err.Error(), c.run.excuse(proxy, generation, resp != nil))
 	return err
 }
 
-// sendAndLeave makes a request and closes the connection some milliseconds later.
+// sendAndLeave sends a request and closes the connection some milliseconds later.
 func (c *client) sendAndLeave() {
 	id, class, budget := c.nextRequest()
 	if !c.connect() {
@@ -164,11 +163,12 @@
 	c.run.recorder.ClientLeft(id)
 }
 
-// malformedTimeout is within what time a client that sent nonsense is answered or closed.
+// malformedTimeout is the time within which a client that sent a malformed request must get a
+// response or a close.
 const malformedTimeout = 3*time.Second + 300*time.Millisecond
 
-// sendMalformed sends what is no request, or half of one, and stays: it has to get an error or
-// a close in time.
+// sendMalformed sends an incomplete or malformed request and keeps the connection open: the proxy
+// must send an error or close it in time.
 func (c *client) sendMalformed() {
 	id, class, budget := c.nextRequest()
 	c.closeConn()
@@ -181,7 +181,7 @@
 		io.WriteString(c.conn, whole[:len(whole)/2])
 	case 1:
 		io.WriteString(c.conn, "nonsense\r\n\r\n")
-	case 2: // two at once: the first's id is not served
+	case 2: // pipelined requests with one ID: neither is served
 		c.run.recorder.RequestSent(id, class, c.proxy, budget)
 		io.WriteString(c.conn, whole+whole)
 	case 3:
@@ -190,7 +190,7 @@
 	began := time.Now()
 	c.conn.SetReadDeadline(began.Add(malformedTimeout + 2*time.Second))
 	if _, err := io.Copy(io.Discard, c.conn); neterror.IsDeadline(err) && c.run.excuse(c.proxy, generation, false) == "" {
-		c.run.recorder.AddViolation(RuleBadClient, fmt.Sprintf("proxy %d kept a bad client for %v", c.proxy, time.Since(began)))
+		c.run.recorder.AddViolation(RuleBadClient, fmt.Sprintf("proxy %d kept the connection with a malformed request open for %v", c.proxy, time.Since(began)))
 	}
 	c.closeConn()
 }
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -7,22 +7,22 @@
 	"time"
 )
 
-// Class is a class of requests, as the proxies' configuration has it.
+// Class is a class of requests in the proxies' configuration.
 type Class struct {
 	Name       string
 	Deadline   time.Duration
 	Idempotent bool // may run any number of times
 }
 
-// baseClasses are the classes of a run, before its seed says how long the deadlines are: one
-// that may be repeated, one that must not run twice, and one with little time.
+// baseClasses are the classes of a run before the deadlines are scaled: one that is idempotent, one
+// that must not run twice, and one with a short deadline.
 var baseClasses = []Class{
 	{Name: "get", Deadline: 1500 * time.Millisecond, Idempotent: true},
 	{Name: "pay", Deadline: 1200 * time.Millisecond},
 	{Name: "quick", Deadline: 200 * time.Millisecond, Idempotent: true},
 }
 
-// classesForSeed is the classes of a seed: with usual deadlines, short and long ones.
+// classesForSeed returns the classes for a seed, with normal, short or long deadlines.
 func classesForSeed(seed uint64) []Class {
 	scales := [...]float64{1, 0.4, 2.4}
 	drawn := slices.Clone(baseClasses)
@@ -33,13 +33,13 @@
 }
 
 const (
-	// maxCountedDeadline is the most that counts of the longest deadline where a process is told
-	// to end, and killBehind when after that the platform kills it, by the protocol.
+	// By the protocol, the platform kills a process after the longest deadline plus killDelay,
+	// where a deadline counts for maxCountedDeadline at most.
 	maxCountedDeadline = 3 * time.Second
 	killDelay          = 700 * time.Millisecond
 )
 
-// killAfter is how long after SIGTERM the platform kills a process, at the earliest.
+// killAfter returns the time from SIGTERM to SIGKILL.
 func killAfter(classes []Class) time.Duration {
 	var longest time.Duration
 	for _, c := range classes {
@@ -48,7 +48,7 @@
 	return min(longest, maxCountedDeadline) + killDelay
 }
 
-// Plan is what a run has.
+// Plan is the configuration of a run.
 type Plan struct {
 	Program  string // the built proxy
 	Dir      string // for configurations and logs
@@ -56,18 +56,18 @@
 	Backends int
 	Clients  int           // for each proxy
 	Length   time.Duration // of the traffic
-	Faults   bool          // the program is built with the tag "faults": its calls fail, its clock is stepped
-	Pushed   bool          // lists are pushed: what there is counts as told at once
+	Faults   bool          // make system calls fail and step clocks; needs a program built with the tag "faults"
+	Pushed   bool          // lists are pushed: changes count as announced at once
 }
 
-// The most that a plan may ask for, so that a run stays within a machine.
+// Limits of a plan, so that a run fits on one machine.
 const (
 	maxProxies  = 100
 	maxBackends = 100
 	maxLength   = 10 * time.Minute
 )
 
-// Check tells what is wrong with a plan, naming the flag.
+// Check returns an error that names the flag with an invalid value.
 func (p *Plan) Check() error {
 	switch {
 	case p.Program == "":
@@ -84,10 +84,10 @@
 	return nil
 }
 
-// Settings of all proxies of a run.
+// Settings of all proxies.
 const (
-	grace          = 400 * time.Millisecond // in which a told drain may still get sends
+	grace          = 400 * time.Millisecond // after an announced drain, in which attempts are still allowed
 	warmUpTime     = 4 * time.Second
 	warmUpFraction = 0.2
-	announceWithin = 6 * time.Second // of the protocol: a change counts as told then at the latest
+	announceWithin = 6 * time.Second // by the protocol, a change counts as announced after that time at the latest
 )
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -16,7 +16,7 @@
 	"time"
 )
 
-// process is one proxy: what runs of it now, and what ran before under its address.
+// process is one proxy: its running process, and those that ran at its address before.
 type process struct {
 	run    *run
 	number int
@@ -25,19 +25,19 @@
 
 	mu                   sync.Mutex
 	cmd                  *exec.Cmd
-	exited               chan struct{} // closed once it has ended
+	exited               chan struct{} // closed once the process has exited
 	exit                 error
-	generation           int  // counts its starts
-	ending               bool // it has been told to end
-	killed               bool // it has been killed by the run
-	ready                bool // clients may choose it
-	discoveryMoves       int  // of its discovery
-	terminatedGeneration int  // the last start that was told to end
+	generation           int  // number of starts
+	ending               bool // SIGTERM was sent
+	killed               bool // SIGKILL was sent by the run
+	ready                bool // clients may connect to it
+	discoveryMoves       int  // number of changes of its discovery address
+	terminatedGeneration int  // the last generation that got SIGTERM
 }
 
 const (
 	readyWithin = 10 * time.Second
-	// rotationDelay is after what time callers no longer choose a proxy that is told to end.
+	// rotationDelay is the time from SIGTERM until clients no longer connect to a proxy.
 	rotationDelay = 300 * time.Millisecond
 )
 
@@ -67,7 +67,7 @@
 	return strings.Join(parts, ",")
 }
 
-// start starts the program and waits until it is ready.
+// start starts the program and, in the background, waits until it is ready.
 func (p *process) start() {
 	if err := p.writeConfig(); err != nil {
 		p.run.recorder.Void("configuration: " + err.Error())
@@ -89,7 +89,7 @@
 		return
 	}
 	if err := cmd.Start(); err != nil {
-		p.run.recorder.AddViolation(RuleCrash, fmt.Sprintf("proxy %d does not start: %v", p.number, err))
+		p.run.recorder.AddViolation(RuleCrash, fmt.Sprintf("proxy %d did not start: %v", p.number, err))
 		return
 	}
 	p.cmd, p.exited, p.ending, p.killed = cmd, make(chan struct{}), false, false
@@ -102,7 +102,7 @@
 		expected := p.ending || p.killed
 		p.mu.Unlock()
 		if !expected {
-			p.run.recorder.AddViolation(RuleCrash, fmt.Sprintf("proxy %d ended by itself: %v", p.number, err))
+			p.run.recorder.AddViolation(RuleCrash, fmt.Sprintf("proxy %d exited unexpectedly: %v", p.number, err))
 		}
 		close(exited)
 	}()
@@ -111,7 +111,7 @@
 
 func (p *process) logPath() string { return strings.TrimSuffix(p.config, ".json") + ".log" }
 
-// awaitReady lets clients choose the proxy once it says that it is ready.
+// awaitReady lets clients connect to the proxy once it is ready.
 func (p *process) awaitReady(exited chan struct{}) {
 	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	for until := time.Now().Add(readyWithin); time.Now().Before(until); time.Sleep(20 * time.Millisecond) {
@@ -146,15 +146,14 @@
 	p.deliver(s)
 }
 
-// deliver sends a signal to the process, if there is one, with the lock held.
+// deliver sends a signal to the process, if there is one. The caller holds the lock.
 func (p *process) deliver(s os.Signal) {
 	if p.cmd != nil && p.cmd.Process != nil {
 		p.cmd.Process.Signal(s)
 	}
 }
 
-// reload tells the process to read its configuration again, which the platform does not do
-// before it is ready.
+// reload makes the process reload its configuration. The platform does so only once it is ready.
 func (p *process) reload() {
 	p.mu.Lock()
 	ready := p.ready
@@ -164,7 +163,7 @@
 	}
 }
 
-// signalIfEnding sends a signal to a process that has been told to end and has not.
+// signalIfEnding sends a signal to a process that got SIGTERM and has not exited.
 func (p *process) signalIfEnding(s os.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -177,8 +176,8 @@
 	}
 }
 
-// terminate tells the process to end and waits for it. It returns false where it was ending
-// already.
+// terminate stops the process with SIGTERM and waits for it. It returns false if the process was
+// being stopped already.
 func (p *process) terminate() bool {
 	p.mu.Lock()
 	if p.cmd == nil || p.ending || p.killed {
@@ -200,9 +199,10 @@
 	select {
 	case <-exited:
 	case <-p.killTime():
-		// What it still has is lost, as its clients tell. It must at least be about to end.
+		// Requests still open are lost, which their clients report. The process must at least
+		// be in the last phase of its drain.
 		if !p.finishing() {
-			p.run.recorder.AddViolation(RuleCrash, fmt.Sprintf("proxy %d goes on %v after SIGTERM", p.number, killAfter(p.run.classes)))
+			p.run.recorder.AddViolation(RuleCrash, fmt.Sprintf("proxy %d is not finishing %v after SIGTERM", p.number, killAfter(p.run.classes)))
 		}
 		p.run.recorder.Count("ended_by_sigkill")
 		p.signal(syscall.SIGCONT)
@@ -211,12 +211,12 @@
 		return true
 	}
 	if p.exit != nil {
-		p.run.recorder.AddViolation(RuleCrash, fmt.Sprintf("proxy %d ended with %v after SIGTERM", p.number, p.exit))
+		p.run.recorder.AddViolation(RuleCrash, fmt.Sprintf("proxy %d exited with %v after SIGTERM", p.number, p.exit))
 	}
 	return true
 }
 
-// kill ends the process at once. It returns false where it was ending already.
+// kill kills the process. It returns false if the process was being stopped already.
 func (p *process) kill() bool {
 	p.mu.Lock()
 	if p.cmd == nil || p.ending || p.killed {
@@ -231,11 +231,11 @@
 	return true
 }
 
-// startLogTimeout bounds the wait for a program's first line: a process that has just been
-// started and has not come to its first step is ended by any signal, whatever the program is.
+// startLogTimeout bounds the wait for a program's first log line. Before that line the program may
+// not have installed its signal handlers, and any signal would end it.
 const startLogTimeout = time.Second
 
-// awaitStartLogged waits until the process has logged so many starts, or has ended.
+// awaitStartLogged waits until the log has that many starts, or the process has exited.
 func (p *process) awaitStartLogged(starts int, exited chan struct{}) {
 	for until := time.Now().Add(startLogTimeout); time.Now().Before(until); time.Sleep(5 * time.Millisecond) {
 		select {
@@ -250,8 +250,8 @@
 	}
 }
 
-// killTime is closed when the platform kills a process that is told to end now. Pauses meanwhile
-// put it off: a process that is stopped can't end.
+// killTime returns a channel that is closed when the platform kills a process that gets SIGTERM now.
+// Suspensions delay it, since a suspended process can't exit.
 func (p *process) killTime() <-chan struct{} {
 	over := make(chan struct{})
 	time.AfterFunc(killAfter(p.run.classes), func() {
@@ -260,7 +260,7 @@
 	return over
 }
 
-// finishing tells whether the process has come to the last phase of its end.
+// finishing reports whether the process has reached the last phase of its drain.
 func (p *process) finishing() bool {
 	text, err := os.ReadFile(p.logPath())
 	if err != nil {
@@ -270,7 +270,7 @@
 	return bytes.Contains(life, []byte("phase=finishing"))
 }
 
-// panicked looks for a panic in the log.
+// panicked returns the beginning of a panic or data race report in the log, or an empty string.
 func (p *process) panicked() string {
 	text, err := os.ReadFile(p.logPath())
 	if err != nil {
@@ -284,25 +284,26 @@
 	return ""
 }
 
-// Hosts of a run, one for each kind of listener: what closes one may find its port taken by
-// another kind otherwise, and each process that plays runs has hosts of its own.
+// Last byte of the loopback address for each kind of listener. With one host for all, a listener
+// that is closed for a while could lose its port to another kind. Each test process has its own
+// addresses.
 const (
 	hostProxies = 1 + iota
 	hostRegistry
 	hostBackends
 )
 
-// host is a loopback address of this process alone.
+// host returns a loopback address that is specific to this process.
 func host(kind int) string {
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d", 1+pid%250, 1+pid/250%250, kind)
 }
 
-// portCounter counts those given to proxies: several runs may play at once in a process.
+// portCounter counts the ports given to proxies, across concurrent runs in a process.
 var portCounter atomic.Int64
 
-// freePort is an address for a proxy, given once, that nobody listens at, below the ports
-// that connections go out from.
+// freePort returns an unused address for a proxy that is handed out only once. The port lies below
+// the range of ephemeral ports.
 func freePort() (string, error) {
 	const first, count = 20000, 10000
 	for range count {
--- a/internal/soak/registry.go
+++ b/internal/soak/registry.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// target is one entry of the list, with an endpoint for each proxy.
+// target is one entry of the list. Its endpoint differs for each proxy.
 type target struct {
 	rev       int64 // of its last change
 	changedAt time.Time
@@ -21,29 +21,29 @@
 	backend   *backend
 }
 
-// registry is the stand-in for discovery. It listens twice for each proxy, so that a new
-// configuration can move it.
+// registry is the test's discovery service. It has two listeners per proxy, so that a new
+// configuration can move a proxy to another address.
 type registry struct {
 	recorder *Recorder
 
 	mu              sync.Mutex
 	rev             int64
 	targets         map[string]target
-	changes         []target      // as they were at their versions
-	written         map[int]int64 // by proxy: the newest version that was written to it
-	changed         chan struct{} // closed at each change
-	watchesEnd      chan struct{} // closed when all watches end in order
+	changes         []target      // all revisions of the entries, in order
+	written         map[int]int64 // by proxy: the newest revision written to it
+	changed         chan struct{} // closed at the next change
+	watchesEnd      chan struct{} // closed to end all watches cleanly
 	downUntil       time.Time
 	silentUntil     time.Time
 	slowUntil       time.Time
 	overloadedUntil time.Time
-	fillers         int // further entries of a whole list, which is written slowly then
+	fillers         int // number of extra entries in a whole list
 
 	servers []*registryServer
 	tasks   sync.WaitGroup
 }
 
-// registryServer is one address of the registry.
+// registryServer is one listener of the registry.
 type registryServer struct {
 	registry *registry
 	proxy    int
@@ -54,7 +54,7 @@
 	conns map[net.Conn]bool
 }
 
-// addresses is how many addresses each proxy can be sent to.
+// addresses is the number of listeners per proxy.
 const addresses = 2
 
 func newRegistry(book *Recorder, proxies int) (*registry, error) {
@@ -71,7 +71,7 @@
 	return r, nil
 }
 
-// addr is one of the addresses of a proxy.
+// addr returns the address of one of a proxy's listeners.
 func (r *registry) addr(proxy, which int) string {
 	return r.servers[proxy*addresses+which%addresses].addr
 }
@@ -120,8 +120,8 @@
 	r.tasks.Wait()
 }
 
-// set makes a change, which counts as told at the latest after tellWithin in which discovery
-// could be reached.
+// set publishes a change. It counts as announced at the latest once discovery was reachable for
+// announceWithin.
 func (r *registry) set(t target) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -134,8 +134,9 @@
 	r.tasks.Go(func() { r.announceByTime(t) })
 }
 
-// announceByTime notes a change as told to all once discovery has had it for tellWithin, counted
-// anew after each outage. A crowd is no outage: who got through has been told.
+// announceByTime records a change as announced to all proxies once discovery has had it for
+// announceWithin; the time restarts after each outage. An overload is not an outage, since some
+// requests get through.
 func (r *registry) announceByTime(t target) {
 	since := time.Now()
 	for time.Since(since) < announceWithin {
@@ -155,7 +156,7 @@
 	}
 }
 
-// endWatches ends all watches in order.
+// endWatches ends all watches cleanly.
 func (r *registry) endWatches() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -163,7 +164,7 @@
 	r.watchesEnd = make(chan struct{})
 }
 
-// goDown refuses calls for a time.
+// goDown makes the registry refuse connections for a time.
 func (r *registry) goDown(span time.Duration) {
 	r.mu.Lock()
 	already := time.Now().Before(r.downUntil)
@@ -208,8 +209,8 @@
 	r.slowUntil = time.Now().Add(span)
 }
 
-// goOverloaded makes calls wait and then fail for a time, and watches late with all they have to
-// tell, though they show signs of life.
+// goOverloaded makes requests wait and then fail for a time. Open watches get heartbeats, but
+// changes only late.
 func (r *registry) goOverloaded(span time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -222,11 +223,11 @@
 	return time.Now().Before(r.overloadedUntil)
 }
 
-// maxNotifyDelay is how late a watch may be with a change in a crowd. Later than what counts after
-// tellWithin is known to break the rule, and shown by TestCrowdIsNoOutage.
+// maxNotifyDelay is the longest delay of a change on a watch during an overload. With delays above
+// announceWithin proxies are known to violate the drain rule: see TestCrowdIsNoOutage.
 const maxNotifyDelay = announceWithin - time.Second
 
-// notifies tells whether a watch tells what comes after a version now.
+// notifies reports whether watches are due to get the changes after a revision now.
 func (r *registry) notifies(after int64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -234,7 +235,7 @@
 	return !time.Now().Before(r.overloadedUntil) || i >= 0 && time.Since(r.changes[i].changedAt) >= maxNotifyDelay
 }
 
-// wire is an entry as a proxy gets it.
+// wireTarget is an entry in the form sent to proxies.
 type wireTarget struct {
 	UID      string  `json:"uid"`
 	Endpoint string  `json:"endpoint"`
@@ -254,14 +255,14 @@
 	return w
 }
 
-// list is the changes after a version, or all that serves, as a line for a proxy, and the
-// version that it brings.
+// list returns a list message for a proxy, with the changes after a revision or with all backends in
+// service; its revision; and the entries that it announces.
 func (r *registry) list(proxy int, after int64, all bool) (line []byte, rev int64, told []target) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	entries := []wireTarget{}
 	if all {
-		for _, t := range r.targets { // what leaves is left out
+		for _, t := range r.targets { // the message leaves out draining and removed backends
 			if t.state == "in_service" {
 				entries = append(entries, t.wire(proxy))
 			}
@@ -289,13 +290,14 @@
 	return append(line, '\n')
 }
 
-// filler is an entry of a backend that drains all the time, and makes a list long.
+// filler returns an entry of a backend that is always draining, to make lists long.
 func filler(n int) wireTarget {
 	return wireTarget{UID: fmt.Sprintf("f-%d", n), Endpoint: "127.0.0.1:1", Zone: "z1", Model: "m", Cell: 1,
 		State: "terminating", Size: 1}
 }
 
-// startupList is the list that a proxy starts with: as it had it last, or all at the run's start.
+// startupList returns the list for a proxy's configuration: the last one that it got, or that of
+// the run's start.
 func (r *registry) startupList(proxy int) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -319,7 +321,7 @@
 	return string(listLine(last, true, entries))
 }
 
-// recordAnnounced notes what a proxy has been told with a list of a version.
+// recordAnnounced records what a list message has announced to a proxy.
 func (r *registry) recordAnnounced(proxy int, rev int64, told []target) {
 	r.mu.Lock()
 	r.written[proxy] = max(r.written[proxy], rev)
@@ -329,13 +331,13 @@
 	}
 }
 
-// Of a long list, so many bytes are written at once, and so long a pause follows.
+// A long list is written in fragments of fragmentSize bytes with pauses between them.
 const (
 	fragmentSize  = 16 << 10
 	fragmentPause = 20 * time.Millisecond
 )
 
-// write writes a line of a watch, a long one in pieces.
+// write writes one line of a watch, a long one in fragments.
 func write(w http.ResponseWriter, line []byte) error {
 	flush := http.NewResponseController(w)
 	for len(line) > 0 {
@@ -353,10 +355,10 @@
 	return nil
 }
 
-// overloadWait is how long a call waits in a crowd before it is turned away.
+// overloadWait is how long a request waits during an overload before it is rejected.
 const overloadWait = 700 * time.Millisecond
 
-// ServeHTTP is one watch.
+// ServeHTTP serves one watch.
 func (s *registryServer) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	r := s.registry
 	r.mu.Lock()
@@ -380,7 +382,7 @@
 		}
 	}
 	after, err := strconv.ParseInt(req.URL.Query().Get("index"), 10, 64)
-	all := err != nil || after == 0 || after%3 == 0 // some begin with the whole list
+	all := err != nil || after == 0 || after%3 == 0 // also for some other revisions, at random
 	life, flush := time.Now(), http.NewResponseController(w)
 	for first := true; ; first = false {
 		r.mu.Lock()
@@ -390,7 +392,7 @@
 		case r.isSilent():
 		case first || rev > after && r.notifies(after):
 			line, rev, told := r.list(s.proxy, after, first && all)
-			if write(w, line) != nil { // its connection has ended: nothing was told
+			if write(w, line) != nil { // the connection has failed, so nothing counts as announced
 				return
 			}
 			r.recordAnnounced(s.proxy, rev, told)
@@ -419,7 +421,7 @@
 	return time.Now().Before(r.silentUntil)
 }
 
-// wait waits, and tells whether the caller is still there.
+// wait waits for a time, and reports whether the client is still connected.
 func wait(req *http.Request, span time.Duration) bool {
 	select {
 	case <-req.Context().Done():
@@ -429,5 +431,5 @@
 	}
 }
 
-// unixMillis is a time as stamps have it: the one place in the soak that needs Unix time.
+// unixMillis returns a time as a wire timestamp. Nothing else in this package needs Unix time.
 func unixMillis(t time.Time) int64 { return t.UnixMilli() }
--- a/internal/soak/rogue_test.go
+++ b/internal/soak/rogue_test.go
@@ -21,10 +21,10 @@
 	"time"
 )
 
-// faultVariable names the rule that a rogue proxy breaks now and then; "none" breaks none.
+// faultVariable names the rule that the faulty proxy violates now and then; "none" violates none.
 const faultVariable = "OXBOWSOAK_ROGUE"
 
-// TestMain is the rogue proxy where it is started as one, and runs the tests otherwise.
+// TestMain runs the faulty proxy if the process was started as that, and the tests otherwise.
 func TestMain(m *testing.M) {
 	if rule := os.Getenv(faultVariable); rule != "" {
 		runFaultyProxy(Rule(rule))
@@ -33,8 +33,8 @@
 	os.Exit(m.Run())
 }
 
-// runFaultyProxy is a small proxy with a planted fault: it sends each request to one backend of the
-// list that it started with, or that it was told of last.
+// runFaultyProxy is a small proxy with an injected fault. It sends each request to one backend of
+// its list, which is from its configuration or from discovery.
 func runFaultyProxy(plant Rule) {
 	var config struct {
 		Listen    string
@@ -52,7 +52,7 @@
 	var targets atomic.Pointer[[]wireTarget]
 	targets.Store(&config.Known.Targets)
 	followed := &targets
-	if plant == RuleDrain { // it is told, and goes by the old list
+	if plant == RuleDrain { // it watches the list, but uses the old one
 		followed = &atomic.Pointer[[]wireTarget]{}
 		followed.Store(&config.Known.Targets)
 	}
@@ -62,7 +62,7 @@
 	if plant != RuleCrash {
 		go func() {
 			<-ended
-			time.Sleep(time.Second) // what is under way is answered
+			time.Sleep(time.Second) // requests in flight are finished
 			os.Exit(0)
 		}()
 	}
@@ -75,7 +75,7 @@
 	}
 }
 
-// followList keeps the list by a watch.
+// followList keeps the list up to date from a watch.
 func followList(addr string, targets *atomic.Pointer[[]wireTarget]) {
 	for ; ; time.Sleep(50 * time.Millisecond) {
 		resp, err := http.Get("http://" + addr + "/v1/servers?stream=1&index=0")
@@ -134,13 +134,13 @@
 	}
 }
 
-// forwardFaulty sends a request on and answers it, with the planted fault one time in ten.
+// forwardFaulty forwards a request and its response. One time in ten it injects the fault.
 func forwardFaulty(c net.Conn, req *http.Request, plant Rule, targets []wireTarget) bool {
 	planted := rand.IntN(10) == 0
 	if len(targets) == 0 {
 		return reply(c, http.StatusServiceUnavailable, "", "none\n")
 	}
-	if plant == RuleGone { // whether its client is there or not
+	if plant == RuleGone { // even if the client disconnects meanwhile
 		time.Sleep(400 * time.Millisecond)
 	}
 	to := targets[rand.IntN(len(targets))].Endpoint
@@ -170,7 +170,7 @@
 	return reply(c, status, "", body)
 }
 
-// sendAttempt makes one attempt; status 0 is none.
+// sendAttempt makes one attempt. Status 0 means that there was no response.
 func sendAttempt(addr string, req *http.Request, told string) (status int, body string) {
 	c, err := net.DialTimeout("tcp", addr, time.Second)
 	if err != nil {
@@ -195,7 +195,7 @@
 	return resp.StatusCode, string(text)
 }
 
-// faultyProxyPlan is a plan whose program is the rogue proxy.
+// faultyProxyPlan returns a plan with the faulty proxy as its program.
 func faultyProxyPlan(t *testing.T, rule Rule) *Plan {
 	t.Helper()
 	dir := t.TempDir()
@@ -211,7 +211,7 @@
 	return &Plan{Program: program, Dir: dir, Proxies: 2, Backends: 3, Clients: 3, Length: 4 * time.Second}
 }
 
-// A planted breach of each rule is seen, and told as what it is.
+// An injected violation of each rule is detected, under the right rule.
 func TestPlantedFaults(t *testing.T) {
 	leavers := []Event{{At: 500 * time.Millisecond, Kind: ClientsLeave, Span: 3 * time.Second}}
 	for _, c := range []struct {
@@ -236,13 +236,13 @@
 				t.Fatal(err)
 			}
 			if !report.violates(c.rule) {
-				t.Errorf("not seen: %s; void %q", report.Summary, report.Void)
+				t.Errorf("violation not detected: %s; void %q", report.Summary, report.Void)
 			}
 		})
 	}
 }
 
-// A short run of the built proxy, without system calls that fail, breaks no rule.
+// A short run of the built proxy, without failing system calls, violates no rule.
 func TestSoakShort(t *testing.T) {
 	dir := t.TempDir()
 	program := filepath.Join(dir, "oxbowloft")
@@ -254,8 +254,8 @@
 		plan Plan
 	}{
 		{1, Plan{Proxies: 6, Backends: 4, Clients: 2, Length: 6 * time.Second}},
-		// Lists get old while backends drain: 284 sends past the grace before
-		// docs/incidents/herd-day-drains.md was mended.
+		// Lists get stale while backends drain: there were 284 attempts past the grace before
+		// docs/incidents/herd-day-drains.md was fixed.
 		{49014, Plan{Proxies: 8, Backends: 8, Clients: 2, Length: 16 * time.Second}},
 	} {
 		t.Run(fmt.Sprint("seed ", c.seed), func(t *testing.T) {
@@ -265,7 +265,7 @@
 				t.Fatal(err)
 			}
 			if report.Outcomes["served"] == 0 {
-				t.Errorf("nothing was served: %s", report.Summary)
+				t.Errorf("no request was served: %s", report.Summary)
 			}
 			for _, v := range report.Violations {
 				t.Errorf("%s: %s\n%s", v.Rule, v.Detail, strings.Join(v.Trace, "\n"))
@@ -274,14 +274,14 @@
 	}
 }
 
-// The same seed draws the same troubles, and another seed others.
+// The same seed gives the same events, and another seed gives others.
 func TestScheduleIsDrawn(t *testing.T) {
 	plan := &Plan{Length: 10 * time.Second}
 	if !slices.Equal(Schedule(7, plan), Schedule(7, plan)) {
-		t.Error("one seed, two schedules")
+		t.Error("the same seed gives two schedules")
 	}
 	if slices.Equal(Schedule(7, plan), Schedule(8, plan)) {
-		t.Error("two seeds, one schedule")
+		t.Error("two seeds give the same schedule")
 	}
 	kinds := map[EventKind]bool{}
 	for seed := range uint64(50) {
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -14,20 +14,20 @@
 	"time"
 )
 
-// Report is what came of a run.
+// Report is the result of a run.
 type Report struct {
 	Seed       uint64
 	Events     []Event
 	Outcomes   map[string]int
 	Violations []Violation
 	Summary    string
-	Void       string // why the run says nothing; empty: it does
+	Void       string // why the run is inconclusive; empty: it is conclusive
 }
 
-// Passed tells whether the run says something, and nothing bad.
+// Passed reports whether the run was conclusive and had no violations.
 func (r *Report) Passed() bool { return r.Void == "" && len(r.Violations) == 0 }
 
-// run is one run.
+// run is the state of a run.
 type run struct {
 	plan     *Plan
 	classes  []Class
@@ -38,18 +38,18 @@
 
 	mu                 sync.Mutex
 	backends           []*backend
-	leaving            map[*backend]bool // they are no longer in service
+	leaving            map[*backend]bool // those not in service
 	serial             int
 	seed               uint64
-	clientFaultsUntil  map[EventKind]time.Time // of clients: until when
-	floodedUntil       map[int]time.Time       // by proxy: until when idle clients fill its descriptors
-	longestPause       time.Duration           // pause of a process
-	overloadsDiscovery bool                    // discovery gets crowded in this run
+	clientFaultsUntil  map[EventKind]time.Time // until when each client fault is active
+	floodedUntil       map[int]time.Time       // by proxy: until when idle connections use up its descriptors
+	longestPause       time.Duration           // of a process
+	overloadsDiscovery bool                    // the events include DiscoveryOverload
 	tasks              sync.WaitGroup
 }
 
-// Run makes one run with the troubles given, and returns what came of it. All that it
-// started has ended when it returns.
+// Run makes one run with the given events and returns its result. Everything that it started has
+// ended when it returns.
 func Run(ctx context.Context, plan *Plan, seed uint64, events []Event) (*Report, error) {
 	if err := plan.Check(); err != nil {
 		return nil, err
@@ -92,7 +92,7 @@
 	r.recorder.markEnded()
 	r.terminateAll()
 	if worst := lag.stop(); worst > maxLag {
-		r.recorder.Void(fmt.Sprintf("the machine was too busy: the run itself was held up for %v", worst))
+		r.recorder.Void(fmt.Sprintf("the machine was too busy: the test's own timers were %v late", worst))
 	}
 	report := &Report{Seed: seed, Events: events, Outcomes: r.recorder.Outcomes(), Violations: r.recorder.Violations(),
 		Summary: r.recorder.Summary(), Void: r.recorder.void()}
@@ -102,13 +102,13 @@
 	return report, ctx.Err()
 }
 
-// One of so many seeds has a long list, with so many entries beside those that serve.
+// One in longListEvery seeds has longListEntries extra entries in its lists.
 const (
 	longListEvery   = 4
 	longListEntries = 1500
 )
 
-// prepare starts discovery and backends, and makes the proxies' configurations.
+// prepare starts discovery and the backends, and assigns the proxies' addresses and files.
 func (r *run) prepare(dir string) (err error) {
 	if r.registry, err = newRegistry(r.recorder, r.plan.Proxies); err != nil {
 		return err
@@ -135,7 +135,7 @@
 	return nil
 }
 
-// addBackend adds a backend that has booted at a time, zero for long ago.
+// addBackend adds a backend that started at the given time; zero means long ago.
 func (r *run) addBackend(boot time.Time) error {
 	r.mu.Lock()
 	r.serial++
@@ -152,7 +152,7 @@
 	return nil
 }
 
-// apply makes one trouble, and returns once it is over.
+// apply injects one event, and returns once it is over.
 func (r *run) apply(e Event) {
 	p := r.proxies[e.Target%len(r.proxies)]
 	r.mu.Lock()
@@ -215,7 +215,7 @@
 	}
 }
 
-// beginLeaving notes that a backend is no longer in service, and tells whether it was.
+// beginLeaving marks a backend as no longer in service, and reports whether it was in service.
 func (r *run) beginLeaving(b *backend) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -224,10 +224,10 @@
 	return was
 }
 
-// drain tells that a backend is leaving, then that it is gone, and another comes in its
-// place. It answers on: what still comes must not. Where discovery gets crowded it turns calls
-// away once it is gone: one that answers on for longer and can't be told of is known to be used
-// (TestCrowdIsNoOutage).
+// drain announces that a backend drains, then that it is removed, and adds another one in its
+// place. The drained backend still answers, so that forbidden attempts are recorded. In runs with an
+// overloaded discovery service it rejects requests once it is removed: a proxy that gets no list is
+// known to go on using a backend that serves for longer (TestCrowdIsNoOutage).
 func (r *run) drain(b *backend, span time.Duration) {
 	if !r.beginLeaving(b) {
 		return
@@ -253,11 +253,11 @@
 	r.mu.Unlock()
 }
 
-// detectionDelay is how long a backend has to be away until discovery has it as gone.
+// detectionDelay is the time until discovery notices that a backend went offline or returned.
 const detectionDelay = 700 * time.Millisecond
 
-// backendOutage makes a backend be backendOutage for a time, through which discovery has it as gone. It comes
-// back cold under its id, and serves before discovery says so.
+// backendOutage takes a backend offline for long enough that discovery removes it. It returns in
+// slow start under its ID, and serves before discovery announces that.
 func (r *run) backendOutage(b *backend, span time.Duration) {
 	if !r.beginLeaving(b) {
 		return
@@ -278,14 +278,14 @@
 	r.mu.Unlock()
 }
 
-// Between signals of a series.
+// Delays between the signals of a series, and between the proxies that get one.
 const (
 	signalPause = 50 * time.Millisecond
 	nextPause   = 200 * time.Millisecond
 )
 
-// sendSignalSeries tells two proxies, one after the other, to read their configuration, to end, and
-// to read it again while they do.
+// sendSignalSeries makes two proxies, one after the other, reload their configuration, drain, and
+// reload it again during the drain.
 func (r *run) sendSignalSeries(target int) {
 	for n := range min(2, len(r.proxies)) {
 		p := r.proxies[(target+n)%len(r.proxies)]
@@ -301,13 +301,13 @@
 	}
 }
 
-// floodSize is how many idle clients a crowd has: more than a proxy has descriptors for.
+// floodSize is the number of idle connections in a flood: more than a proxy has descriptors for.
 const floodSize = 260
 
-// floodIdle fills a proxy's descriptors with clients that say nothing.
+// floodIdle uses up a proxy's descriptors with idle connections.
 func (r *run) floodIdle(p *process, span time.Duration) {
 	r.mu.Lock()
-	if until := time.Now().Add(span + time.Second); until.After(r.floodedUntil[p.number]) { // one may overlap another
+	if until := time.Now().Add(span + time.Second); until.After(r.floodedUntil[p.number]) { // floods may overlap
 		r.floodedUntil[p.number] = until
 	}
 	r.mu.Unlock()
@@ -328,18 +328,18 @@
 	time.Sleep(time.Until(end))
 }
 
-// isFlooded tells whether idle clients fill a proxy's descriptors, or have just done so: new
-// connections may be closed unread then.
+// isFlooded reports whether a flood of idle connections is active or has just ended. The proxy may
+// then close new connections without reading from them.
 func (r *run) isFlooded(proxy int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return time.Now().Before(r.floodedUntil[proxy])
 }
 
-// allowedPause is how long a proxy may be held up with all rules in force.
+// allowedPause is the longest suspension of a proxy during which all rules apply.
 const allowedPause = 150 * time.Millisecond
 
-// pause stops a process for a time.
+// pause suspends a process for a time.
 func (r *run) pause(p *process, span time.Duration) {
 	from := time.Now()
 	if span > allowedPause {
@@ -353,21 +353,21 @@
 	p.signal(syscall.SIGCONT)
 }
 
-// pauseSlack is what pauses may add to the end of a process.
+// pauseSlack returns the time by which suspensions may delay the exit of a process.
 func (r *run) pauseSlack() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return 2 * r.longestPause
 }
 
-// clientFaultActive tells whether clients do as a trouble says now.
+// clientFaultActive reports whether a client fault is active.
 func (r *run) clientFaultActive(kind EventKind) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return time.Now().Before(r.clientFaultsUntil[kind])
 }
 
-// pickReadyProxy draws a proxy that callers may choose.
+// pickReadyProxy draws a proxy that clients may connect to.
 func (r *run) pickReadyProxy(rng *rand.Rand) (int, bool) {
 	for range 10 {
 		n := rng.IntN(len(r.proxies))
@@ -382,7 +382,7 @@
 	return 0, false
 }
 
-// generation counts a proxy's starts.
+// generation returns the number of a proxy's starts.
 func (r *run) generation(proxy int) int {
 	p := r.proxies[proxy]
 	p.mu.Lock()
@@ -390,9 +390,9 @@
 	return p.generation
 }
 
-// excuse is why a request at a proxy that was not answered is no breach; empty: it is one.
-// begun tells that the answer had begun: one that can't be finished has failed and is not
-// lost, as its client can tell.
+// excuse returns why a request that got no response is no violation, or an empty string if it is
+// one. begun says that the response had begun: one that the proxy can't complete, and aborts so that
+// the client notices, counts as failed and not as lost.
 func (r *run) excuse(proxy, generation int, begun bool) string {
 	p := r.proxies[proxy]
 	p.mu.Lock()
@@ -402,12 +402,12 @@
 	case killed:
 		return "its proxy was killed"
 	case begun:
-		return "its answer was cut off in a way that tells"
+		return "its response was aborted so that the client noticed"
 	}
 	r.recorder.mu.Lock()
 	defer r.recorder.mu.Unlock()
 	if r.recorder.wasSuspended(proxy, time.Now()) {
-		return "its proxy was stopped for long"
+		return "its proxy was suspended for long"
 	}
 	return ""
 }
@@ -421,8 +421,8 @@
 	return "on_request"
 }
 
-// faultEnv is what makes the calls of a program that is built for it fail, and steps its
-// clock: half of the processes by up to an hour.
+// faultEnv returns the environment that makes system calls fail in a program built for it, and that
+// steps the clock of some processes, by up to an hour.
 func (r *run) faultEnv(proxy int) []string {
 	if !r.plan.Faults {
 		return nil
@@ -436,7 +436,7 @@
 	}
 }
 
-// terminateAll ends all proxies in order, and judges how.
+// terminateAll terminates all proxies and checks how they exit.
 func (r *run) terminateAll() {
 	var ends sync.WaitGroup
 	for _, p := range r.proxies {
@@ -450,7 +450,7 @@
 	ends.Wait()
 }
 
-// stop ends what is still there, by id.
+// stop kills the remaining processes, by ID, and stops backends and discovery.
 func (r *run) stop() {
 	r.over.Store(true)
 	r.recorder.markEnded()
@@ -465,11 +465,11 @@
 	}
 }
 
-// maxLag is how long the run itself may be held up: past it, what looks like a fault of a
-// proxy may be one of the machine.
+// maxLag is how late the test's own timers may be. Beyond it, a violation may be the machine's fault
+// and not the proxy's.
 const maxLag = 150 * time.Millisecond
 
-// lagMeter measures by how much a short sleep takes longer than asked.
+// lagMeter measures how late short sleeps end.
 type lagMeter struct {
 	over  chan struct{}
 	worst chan time.Duration
--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -7,33 +7,33 @@
 	"time"
 )
 
-// EventKind is a kind of event.
+// EventKind is a kind of fault or operation that a run injects.
 type EventKind string
 
-// The troubles.
+// The event kinds.
 const (
-	Terminate          EventKind = "terminate"        // SIGTERM to a proxy, which is started again once it has ended
-	Kill               EventKind = "kill"             // SIGKILL, started again at once
+	Terminate          EventKind = "terminate"        // SIGTERM to a proxy, which is restarted once it has exited
+	Kill               EventKind = "kill"             // SIGKILL to a proxy, which is restarted at once
 	Pause              EventKind = "pause"            // SIGSTOP, and SIGCONT after Span
-	Reload             EventKind = "reload"           // SIGHUP with a configuration that moves discovery, twice in a row
-	DiscoveryDown      EventKind = "discovery_down"   // calls are refused, watches reset
-	DiscoverySilent    EventKind = "discovery_silent" // watches and calls say nothing
-	DiscoverySlow      EventKind = "discovery_slow"   // each call waits
-	DiscoveryOverload  EventKind = "discovery_crowd"  // calls wait and fail, watches tell late
-	WatchesEnd         EventKind = "watches_end"      // all watches end in order
-	BackendOutage      EventKind = "away"             // a backend is away, told to be gone, and comes back cold under its id
+	Reload             EventKind = "reload"           // SIGHUP with another discovery address, twice in a row
+	DiscoveryDown      EventKind = "discovery_down"   // connections are refused, watches reset
+	DiscoverySilent    EventKind = "discovery_silent" // watches and requests get no data
+	DiscoverySlow      EventKind = "discovery_slow"   // each request is delayed
+	DiscoveryOverload  EventKind = "discovery_crowd"  // requests wait and fail, watches get changes late
+	WatchesEnd         EventKind = "watches_end"      // all watches end cleanly
+	BackendOutage      EventKind = "away"             // a backend goes offline, is removed, and returns under its ID in slow start
 	SignalSeries       EventKind = "signals"          // SIGHUP, SIGTERM, SIGHUP to one proxy after another
-	IdleFlood          EventKind = "crowd"            // idle clients fill a proxy's descriptors
-	Drain              EventKind = "drain"            // a backend is told to be leaving, then gone, then another comes
-	Hang               EventKind = "hang"             // a backend reads and does not answer
-	Restart            EventKind = "restart"          // a backend's connections are reset, it comes back cold
-	Reset              EventKind = "reset"            // connections to a backend are reset under requests
-	Errors             EventKind = "errors"           // a backend answers 500
-	Full               EventKind = "full"             // a backend turns calls away
-	TruncatedResponses EventKind = "half_answers"     // a backend breaks its answers off
-	IdleCloses         EventKind = "idle_closes"      // a backend closes connections right after answers
-	ClientsLeave       EventKind = "leavers"          // clients that leave after some milliseconds
-	BadClients         EventKind = "bad_clients"      // clients that stop midway, send on, or send nonsense
+	IdleFlood          EventKind = "crowd"            // idle connections use up a proxy's descriptors
+	Drain              EventKind = "drain"            // a backend drains, is removed, and is replaced by another
+	Hang               EventKind = "hang"             // a backend reads requests and does not respond
+	Restart            EventKind = "restart"          // a backend restarts: its connections are reset, and its slow start begins
+	Reset              EventKind = "reset"            // connections to a backend are reset during requests
+	Errors             EventKind = "errors"           // a backend responds with 500
+	Full               EventKind = "full"             // a backend rejects requests
+	TruncatedResponses EventKind = "half_answers"     // a backend truncates its responses
+	IdleCloses         EventKind = "idle_closes"      // a backend closes each connection after a response
+	ClientsLeave       EventKind = "leavers"          // clients disconnect after some milliseconds
+	BadClients         EventKind = "bad_clients"      // clients send incomplete, pipelined or malformed requests
 )
 
 var eventKinds = []EventKind{
@@ -42,24 +42,24 @@
 	DiscoveryOverload, DiscoveryOverload, BackendOutage, BackendOutage, SignalSeries, IdleFlood,
 }
 
-// Event is one trouble.
+// Event is one scheduled fault or operation.
 type Event struct {
 	At     time.Duration // since the run's start
 	Kind   EventKind
-	Target int // a proxy or a backend, by number
+	Target int // number of a proxy or a backend
 	Span   time.Duration
 }
 
-// String is the event as the report has it.
+// String returns the event in the form used in reports.
 func (e Event) String() string {
 	return fmt.Sprintf("%.2fs %s %d for %.2fs", e.At.Seconds(), e.Kind, e.Target, e.Span.Seconds())
 }
 
-// quietMargin is the time at both ends of a run in which no trouble begins.
+// quietMargin is the time at both ends of a run in which no event starts.
 const quietMargin = 800 * time.Millisecond
 
-// Schedule draws the troubles of a run: in groups of two or three that overlap, some of the
-// groups after a quiet time.
+// Schedule draws the events of a run, in groups of two or three that overlap. Between some groups
+// there is a pause.
 func Schedule(seed uint64, plan *Plan) []Event {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	var events []Event
@@ -72,13 +72,13 @@
 				Target: rng.IntN(1 << 16),
 				Span:   200*time.Millisecond + time.Duration(rng.Int64N(int64(2500*time.Millisecond))),
 			}
-			if e.Kind == Pause { // most are of the length that all rules hold through
+			if e.Kind == Pause { // most are short enough that all rules still apply
 				e.Span = 50*time.Millisecond + time.Duration(rng.Int64N(int64(100*time.Millisecond)))
 				if rng.IntN(4) == 0 {
 					e.Span = 2 * time.Second
 				}
 			}
-			if e.Kind == DiscoveryOverload { // long enough for what it does not tell to count
+			if e.Kind == DiscoveryOverload { // long enough for unsent changes to count as announced
 				e.Span += 5 * time.Second
 			}
 			events = append(events, e)
@@ -92,16 +92,16 @@
 	return events
 }
 
-// staleListSpan is how long discovery tells nothing in a group of staleLists: longer than it
-// takes for what it does not tell to count.
+// staleListSpan is how long discovery announces nothing in a group of staleListEvents: longer than
+// it takes for a change to count as announced.
 const staleListSpan = announceWithin + 4*time.Second
 
-// servesWhileDraining is for how long a backend that drains in such a group answers on.
+// servesWhileDraining is how long a draining backend in such a group still serves.
 const servesWhileDraining = 2500 * time.Millisecond
 
-// staleListEvents is a group of troubles in which lists get old: discovery is crowded, backends are
-// away and come back, others drain and answer on before they turn calls away, watches are reset
-// or stand, and processes start with the list that they had last.
+// staleListEvents returns a group of events that makes lists stale: discovery is overloaded,
+// backends go offline and return, others drain and still serve before they reject requests, watches
+// are reset or stay open, and processes restart with their last list.
 func staleListEvents(rng *rand.Rand, plan *Plan) []Event {
 	begin := quietMargin + time.Duration(rng.Int64N(int64(plan.Length-staleListSpan-2*quietMargin)+1))
 	after := func(least, most time.Duration) time.Duration {
--- a/internal/soak/shrink.go
+++ b/internal/soak/shrink.go
@@ -2,9 +2,9 @@
 
 import "context"
 
-// Shrink looks for fewer events that still break the rule, by leaving out parts of them, in
-// no more than tries runs. Real processes don't play the same run twice: what it returns
-// has failed once, and the events given are returned where nothing shorter did.
+// Shrink looks for a smaller set of events that still violates the rule, by leaving out parts of
+// it, in at most tries runs. Real processes don't repeat a run exactly: the returned events have
+// violated the rule once, and are the given ones if no smaller set did.
 func Shrink(ctx context.Context, plan *Plan, seed uint64, events []Event, rule Rule, tries int) []Event {
 	for size := (len(events) + 1) / 2; size > 0 && tries > 0; {
 		shorter := false
