--- a/internal/soak/backend.go
+++ b/internal/soak/backend.go
@@ -33,9 +33,9 @@
 // maxActive is the number of requests that a backend works on at a time; more are rejected.
 const maxActive = 30
 
-func newBackend(book *Recorder, name string, proxies int, seed uint64) (*backend, error) {
+func newBackend(recorder *Recorder, name string, proxies int, seed uint64) (*backend, error) {
 	b := &backend{
-		recorder: book, name: name, conns: map[net.Conn]bool{}, faultsUntil: map[EventKind]time.Time{},
+		recorder: recorder, name: name, conns: map[net.Conn]bool{}, faultsUntil: map[EventKind]time.Time{},
 		rng: rand.New(rand.NewPCG(seed, 2)),
 	}
 	for proxy := range proxies {
@@ -118,7 +118,7 @@
 // answer answers one request, and reports whether the connection stays open.
 func (b *backend) answer(c net.Conn, req *http.Request, proxy int, began time.Time) bool {
 	id := req.Header.Get("X-Request-ID")
-	told, _ := strconv.Atoi(req.Header.Get("X-Timeout-Ms"))
+	timeoutMs, _ := strconv.Atoi(req.Header.Get("X-Timeout-Ms"))
 	b.mu.Lock()
 	full := b.rejectsAll || b.active >= maxActive || time.Now().Before(b.faultsUntil[Full])
 	service := 3*time.Millisecond + time.Duration(b.rng.ExpFloat64()*float64(8*time.Millisecond))
@@ -129,7 +129,7 @@
 		b.active--
 		b.mu.Unlock()
 	}()
-	b.recorder.AttemptReceived(id, b.name, proxy, began, time.Duration(told)*time.Millisecond, !full)
+	b.recorder.AttemptReceived(id, b.name, proxy, began, time.Duration(timeoutMs)*time.Millisecond, !full)
 	if full {
 		return reply(c, http.StatusServiceUnavailable, "X-Not-Processed: 1\r\n", "full\n")
 	}
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -117,9 +117,9 @@
 }
 
 func (c *client) exchange(id string, class Class, budget time.Duration, mayCross bool) error {
-	book, proxy := c.run.recorder, c.proxy
+	recorder, proxy := c.run.recorder, c.proxy
 	generation := c.run.generation(proxy)
-	book.RequestSent(id, class, proxy, budget)
+	recorder.RequestSent(id, class, proxy, budget)
 	c.conn.SetDeadline(time.Now().Add(budget + answerSlack + time.Second))
 	_, err := io.WriteString(c.conn, requestText(id, class, budget))
 	var resp *http.Response
@@ -131,7 +131,7 @@
 		body, err = io.ReadAll(resp.Body)
 	}
 	if err == nil {
-		book.ResponseReceived(id, resp.StatusCode, string(body))
+		recorder.ResponseReceived(id, resp.StatusCode, string(body))
 		c.used = true
 		if resp.Close {
 			c.closeConn()
@@ -139,11 +139,11 @@
 		return nil
 	}
 	unread := c.used || c.run.isFlooded(proxy) // the proxy may have closed the connection without reading
-	crossed := mayCross && unread && resp == nil && !book.ReachedBackend(id) && !neterror.IsDeadline(err)
+	crossed := mayCross && unread && resp == nil && !recorder.ReachedBackend(id) && !neterror.IsDeadline(err)
 	if crossed {
 		return errClosedUnread
 	}
-	book.RequestLost(id, "no complete response: "+err.Error(), c.run.excuse(proxy, generation, resp != nil))
+	recorder.RequestLost(id, "no complete response: "+err.Error(), c.run.excuse(proxy, generation, resp != nil))
 	return err
 }
 
@@ -175,15 +175,15 @@
 	if !c.connect() {
 		return
 	}
-	generation, whole := c.run.generation(c.proxy), requestText(id, class, budget)
+	generation, text := c.run.generation(c.proxy), requestText(id, class, budget)
 	switch c.rng.IntN(4) {
 	case 0:
-		io.WriteString(c.conn, whole[:len(whole)/2])
+		io.WriteString(c.conn, text[:len(text)/2])
 	case 1:
 		io.WriteString(c.conn, "nonsense\r\n\r\n")
 	case 2: // pipelined requests with one ID: neither is served
 		c.run.recorder.RequestSent(id, class, c.proxy, budget)
-		io.WriteString(c.conn, whole+whole)
+		io.WriteString(c.conn, text+text)
 	case 3:
 		io.WriteString(c.conn, "POST /api HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n")
 	}
--- a/internal/soak/rogue_test.go
+++ b/internal/soak/faulty_proxy_test.go
@@ -35,7 +35,7 @@
 
 // runFaultyProxy is a small proxy with an injected fault. It sends each request to one backend of
 // its list, which is from its configuration or from discovery.
-func runFaultyProxy(plant Rule) {
+func runFaultyProxy(violated Rule) {
 	var config struct {
 		Listen    string
 		Discovery string
@@ -52,14 +52,14 @@
 	var targets atomic.Pointer[[]wireTarget]
 	targets.Store(&config.Known.Targets)
 	followed := &targets
-	if plant == RuleDrain { // it watches the list, but uses the old one
+	if violated == RuleDrain { // it watches the list, but uses the old one
 		followed = &atomic.Pointer[[]wireTarget]{}
 		followed.Store(&config.Known.Targets)
 	}
 	go followList(config.Discovery, followed)
 	ended := make(chan os.Signal, 1)
 	signal.Notify(ended, syscall.SIGTERM)
-	if plant != RuleCrash {
+	if violated != RuleCrash {
 		go func() {
 			<-ended
 			time.Sleep(time.Second) // requests in flight are finished
@@ -71,7 +71,7 @@
 		if err != nil {
 			os.Exit(5)
 		}
-		go serveFaulty(c, plant, &targets)
+		go serveFaulty(c, violated, &targets)
 	}
 }
 
@@ -107,16 +107,16 @@
 	}
 }
 
-func serveFaulty(c net.Conn, plant Rule, targets *atomic.Pointer[[]wireTarget]) {
+func serveFaulty(c net.Conn, violated Rule, targets *atomic.Pointer[[]wireTarget]) {
 	defer c.Close()
 	in := bufio.NewReader(c)
 	for {
-		if plant != RuleBadClient {
+		if violated != RuleBadClient {
 			c.SetReadDeadline(time.Now().Add(2500 * time.Millisecond))
 		}
 		req, err := http.ReadRequest(in)
 		if err != nil {
-			if plant == RuleBadClient {
+			if violated == RuleBadClient {
 				time.Sleep(time.Hour)
 			}
 			return
@@ -128,40 +128,40 @@
 			reply(c, http.StatusOK, "", "ok\n")
 			continue
 		}
-		if !forwardFaulty(c, req, plant, *targets.Load()) {
+		if !forwardFaulty(c, req, violated, *targets.Load()) {
 			return
 		}
 	}
 }
 
 // forwardFaulty forwards a request and its response. One time in ten it injects the fault.
-func forwardFaulty(c net.Conn, req *http.Request, plant Rule, targets []wireTarget) bool {
-	planted := rand.IntN(10) == 0
+func forwardFaulty(c net.Conn, req *http.Request, violated Rule, targets []wireTarget) bool {
+	inject := rand.IntN(10) == 0
 	if len(targets) == 0 {
 		return reply(c, http.StatusServiceUnavailable, "", "none\n")
 	}
-	if plant == RuleGone { // even if the client disconnects meanwhile
+	if violated == RuleGone { // even if the client disconnects meanwhile
 		time.Sleep(400 * time.Millisecond)
 	}
 	to := targets[rand.IntN(len(targets))].Endpoint
-	told := req.Header.Get("X-Timeout-Ms")
-	if planted && plant == RuleDeadline {
-		told = "3000"
+	timeoutMs := req.Header.Get("X-Timeout-Ms")
+	if inject && violated == RuleDeadline {
+		timeoutMs = "3000"
 	}
-	status, body := sendAttempt(to, req, told)
+	status, body := sendAttempt(to, req, timeoutMs)
 	if status == 0 {
 		return reply(c, http.StatusBadGateway, "", "failed\n")
 	}
-	if !planted {
+	if !inject {
 		return reply(c, status, "", body)
 	}
-	switch plant {
+	switch violated {
 	case RuleLost:
 		return false
 	case RuleForeign:
 		body = "something else\n"
 	case RuleDuplicate:
-		sendAttempt(to, req, told)
+		sendAttempt(to, req, timeoutMs)
 	case RuleRefused:
 		status = http.StatusServiceUnavailable
 	case RuleCrash:
@@ -171,7 +171,7 @@
 }
 
 // sendAttempt makes one attempt. Status 0 means that there was no response.
-func sendAttempt(addr string, req *http.Request, told string) (status int, body string) {
+func sendAttempt(addr string, req *http.Request, timeoutMs string) (status int, body string) {
 	c, err := net.DialTimeout("tcp", addr, time.Second)
 	if err != nil {
 		return 0, ""
@@ -183,7 +183,7 @@
 		length = "Content-Length: 0\r\n"
 	}
 	fmt.Fprintf(c, "%s /api HTTP/1.1\r\nHost: h\r\nX-Request-ID: %s\r\nX-Timeout-Ms: %s\r\n%s\r\n", req.Method,
-		req.Header.Get("X-Request-ID"), told, length)
+		req.Header.Get("X-Request-ID"), timeoutMs, length)
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
 		return 0, ""
@@ -199,7 +199,7 @@
 func faultyProxyPlan(t *testing.T, rule Rule) *Plan {
 	t.Helper()
 	dir := t.TempDir()
-	program := filepath.Join(dir, "rogue")
+	program := filepath.Join(dir, "faulty-proxy")
 	self, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/soak/book.go
+++ b/internal/soak/recorder.go
@@ -205,7 +205,7 @@
 
 // AttemptReceived records that a backend has read a complete request from a proxy, and checks the
 // attempt. Its first byte arrived at began; ran is false if the backend rejected it.
-func (b *Recorder) AttemptReceived(id, backend string, proxy int, began time.Time, told time.Duration, ran bool) {
+func (b *Recorder) AttemptReceived(id, backend string, proxy int, began time.Time, timeout time.Duration, ran bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r := b.requests[id]
@@ -214,15 +214,15 @@
 		return
 	}
 	now := time.Now()
-	b.addTrace(r, "backend %s reads it from proxy %d, timeout %d ms, ran %t", backend, proxy, told.Milliseconds(), ran)
-	held := b.wasSuspended(proxy, began)
-	if at := b.announced[backend][proxy].leavingSince; !at.IsZero() && began.Sub(at) > b.grace+drainSlack && !held {
+	b.addTrace(r, "backend %s reads it from proxy %d, timeout %d ms, ran %t", backend, proxy, timeout.Milliseconds(), ran)
+	suspended := b.wasSuspended(proxy, began)
+	if at := b.announced[backend][proxy].leavingSince; !at.IsZero() && began.Sub(at) > b.grace+drainSlack && !suspended {
 		b.appendViolation(RuleDrain, r, fmt.Sprintf("attempt at %s %v after its drain or removal was announced", backend, began.Sub(at)))
 	}
-	if left := r.sent.Add(r.budget).Sub(began); told > left+deadlineSlack && !held {
-		b.appendViolation(RuleDeadline, r, fmt.Sprintf("the attempt's timeout was %v, the client had %v left", told, left))
+	if left := r.sent.Add(r.budget).Sub(began); timeout > left+deadlineSlack && !suspended {
+		b.appendViolation(RuleDeadline, r, fmt.Sprintf("the attempt's timeout was %v, the client had %v left", timeout, left))
 	}
-	if !r.clientLeftAt.IsZero() && began.Sub(r.clientLeftAt) > goneSlack && !held {
+	if !r.clientLeftAt.IsZero() && began.Sub(r.clientLeftAt) > goneSlack && !suspended {
 		b.appendViolation(RuleGone, r, fmt.Sprintf("an attempt began %v after the client disconnected", began.Sub(r.clientLeftAt)))
 	}
 	r.attempts = append(r.attempts, attempt{backend, now, ran})
--- a/internal/soak/registry.go
+++ b/internal/soak/registry.go
@@ -57,8 +57,8 @@
 // addresses is the number of listeners per proxy.
 const addresses = 2
 
-func newRegistry(book *Recorder, proxies int) (*registry, error) {
-	r := &registry{recorder: book, targets: map[string]target{}, written: map[int]int64{}, changed: make(chan struct{}),
+func newRegistry(recorder *Recorder, proxies int) (*registry, error) {
+	r := &registry{recorder: recorder, targets: map[string]target{}, written: map[int]int64{}, changed: make(chan struct{}),
 		watchesEnd: make(chan struct{})}
 	for i := range proxies * addresses {
 		s := &registryServer{registry: r, proxy: i / addresses, addr: host(hostRegistry) + ":0"}
@@ -257,7 +257,7 @@
 
 // list returns a list message for a proxy, with the changes after a revision or with all backends in
 // service; its revision; and the entries that it announces.
-func (r *registry) list(proxy int, after int64, all bool) (line []byte, rev int64, told []target) {
+func (r *registry) list(proxy int, after int64, all bool) (line []byte, rev int64, announced []target) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	entries := []wireTarget{}
@@ -266,7 +266,7 @@
 			if t.state == "in_service" {
 				entries = append(entries, t.wire(proxy))
 			}
-			told = append(told, t)
+			announced = append(announced, t)
 		}
 		for n := range r.fillers {
 			entries = append(entries, filler(n))
@@ -275,11 +275,11 @@
 		for _, t := range r.changes {
 			if t.rev > after {
 				entries = append(entries, t.wire(proxy))
-				told = append(told, t)
+				announced = append(announced, t)
 			}
 		}
 	}
-	return listLine(r.rev, all, entries), r.rev, told
+	return listLine(r.rev, all, entries), r.rev, announced
 }
 
 func listLine(rev int64, all bool, entries []wireTarget) []byte {
@@ -322,11 +322,11 @@
 }
 
 // recordAnnounced records what a list message has announced to a proxy.
-func (r *registry) recordAnnounced(proxy int, rev int64, told []target) {
+func (r *registry) recordAnnounced(proxy int, rev int64, announced []target) {
 	r.mu.Lock()
 	r.written[proxy] = max(r.written[proxy], rev)
 	r.mu.Unlock()
-	for _, t := range told {
+	for _, t := range announced {
 		r.recorder.Announced(t.backend.name, proxy, t.rev, t.state != "in_service")
 	}
 }
@@ -391,11 +391,11 @@
 		switch {
 		case r.isSilent():
 		case first || rev > after && r.notifies(after):
-			line, rev, told := r.list(s.proxy, after, first && all)
+			line, rev, announced := r.list(s.proxy, after, first && all)
 			if write(w, line) != nil { // the connection has failed, so nothing counts as announced
 				return
 			}
-			r.recordAnnounced(s.proxy, rev, told)
+			r.recordAnnounced(s.proxy, rev, announced)
 			after, life = rev, time.Now()
 		case time.Since(life) >= time.Second:
 			fmt.Fprintln(w)
