--- a/cmd/oxbowloft/drain_test.go
+++ b/cmd/oxbowloft/drain_test.go
@@ -116,20 +116,20 @@
 	text := strings.ReplaceAll(standin.Config(addr, standin.NewDiscovery(t, list).Addr(), 256, list),
 		`"give-up-ms":2000`, `"give-up-ms":60000`)
 	r := startCommand(t, exec.Command(program, "serve", "--grace", "300ms", writeConfig(t, text)), addr)
-	safe, unsafe, late := r.dial(), r.dial(), r.dial()
-	safe.send(getRequest(60000))
-	unsafe.send(postRequest("pay", "x", 60000))
+	idempotent, singleShot, duringDrain := r.dial(), r.dial(), r.dial()
+	idempotent.send(getRequest(60000))
+	singleShot.send(postRequest("pay", "x", 60000))
 	r.eventually("two attempts", func() bool { return b.RequestCount() == 2 })
 	r.signal(syscall.SIGTERM)
 	r.eventually("draining", func() bool { return strings.Contains(r.logText(), "phase=draining") })
-	late.send(getRequest(60000))
-	if got := safe.read(); got.status != 503 {
-		t.Errorf("safe: got %+v", got)
+	duringDrain.send(getRequest(60000))
+	if got := idempotent.read(); got.status != 503 {
+		t.Errorf("idempotent: got %+v", got)
 	}
-	if got := unsafe.read(); got.status != 502 {
-		t.Errorf("unsafe: got %+v", got)
+	if got := singleShot.read(); got.status != 502 {
+		t.Errorf("must not run twice: got %+v", got)
 	}
-	if got := late.read(); got.status != 503 {
+	if got := duringDrain.read(); got.status != 503 {
 		t.Errorf("accepted during the drain: got %+v", got)
 	}
 	if err := r.wait(); err != nil {
