--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -36,7 +36,7 @@
 }
 
 const (
-	readyWithin = 10 * time.Second
+	readyTimeout = 10 * time.Second
 	// rotationDelay is the time from SIGTERM until clients no longer connect to a proxy.
 	rotationDelay = 300 * time.Millisecond
 )
@@ -49,12 +49,12 @@
 "limits":{"conn-idle-ms":2000,"dial-timeout-ms":250,"max-attempts":4,"retry-after":true,"max-retry-after-ms":500},
 "rules":{"ask-within-ms":4000,"stop-sending-within-ms":%d,"cold-from":%g,"warm-within-ms":%d}}}`,
 		p.number, p.addr, p.run.registry.addr(p.number, p.discoveryMoves), p.number+1, p.run.registry.startupList(p.number),
-		len(p.run.proxies), p.number, p.run.discoveryMode(), classesText(p.run.classes),
+		len(p.run.proxies), p.number, p.run.discoveryMode(), classesJSON(p.run.classes),
 		grace.Milliseconds(), warmUpFraction, warmUpTime.Milliseconds())
 	return os.WriteFile(p.config, []byte(text), 0o600)
 }
 
-func classesText(classes []Class) string {
+func classesJSON(classes []Class) string {
 	var parts []string
 	for _, c := range classes {
 		kind := "single_shot"
@@ -114,7 +114,7 @@
 // awaitReady lets clients connect to the proxy once it is ready.
 func (p *process) awaitReady(exited chan struct{}) {
 	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	for until := time.Now().Add(readyWithin); time.Now().Before(until); time.Sleep(20 * time.Millisecond) {
+	for until := time.Now().Add(readyTimeout); time.Now().Before(until); time.Sleep(20 * time.Millisecond) {
 		select {
 		case <-exited:
 			return
@@ -136,7 +136,7 @@
 	expected := p.ending || p.killed || p.run.stopped()
 	p.mu.Unlock()
 	if !expected {
-		p.run.recorder.AddViolation(RuleCrash, fmt.Sprintf("proxy %d was not ready within %v", p.number, readyWithin))
+		p.run.recorder.AddViolation(RuleCrash, fmt.Sprintf("proxy %d was not ready within %v", p.number, readyTimeout))
 	}
 }
 
@@ -302,9 +302,9 @@
 // portCounter counts the ports given to proxies, across concurrent runs in a process.
 var portCounter atomic.Int64
 
-// freePort returns an unused address for a proxy that is handed out only once. The port lies below
+// freeAddr returns an unused address for a proxy, which is handed out only once. The port lies below
 // the range of ephemeral ports.
-func freePort() (string, error) {
+func freeAddr() (string, error) {
 	const first, count = 20000, 10000
 	for range count {
 		addr := fmt.Sprintf("%s:%d", host(hostProxies), first+portCounter.Add(1)%count)
--- a/internal/soak/registry.go
+++ b/internal/soak/registry.go
@@ -382,7 +382,7 @@
 		}
 	}
 	after, err := strconv.ParseInt(req.URL.Query().Get("index"), 10, 64)
-	all := err != nil || after == 0 || after%3 == 0 // also for some other revisions, at random
+	all := err != nil || after == 0 || after%3 == 0 // every third revision too, to cover whole lists
 	life, flush := time.Now(), http.NewResponseController(w)
 	for first := true; ; first = false {
 		r.mu.Lock()
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -122,7 +122,7 @@
 		}
 	}
 	for n := range r.plan.Proxies {
-		addr, err := freePort()
+		addr, err := freeAddr()
 		if err != nil {
 			return err
 		}
