--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -116,7 +116,7 @@
 	}
 }
 
-func (c *client) exchange(id string, class Class, budget time.Duration, mayCross bool) error {
+func (c *client) exchange(id string, class Class, budget time.Duration, mayRetry bool) error {
 	recorder, proxy := c.run.recorder, c.proxy
 	generation := c.run.generation(proxy)
 	recorder.RequestSent(id, class, proxy, budget)
@@ -139,8 +139,8 @@
 		return nil
 	}
 	unread := c.used || c.run.isFlooded(proxy) // the proxy may have closed the connection without reading
-	crossed := mayCross && unread && resp == nil && !recorder.ReachedBackend(id) && !neterror.IsDeadline(err)
-	if crossed {
+	closedUnread := mayRetry && unread && resp == nil && !recorder.ReachedBackend(id) && !neterror.IsDeadline(err)
+	if closedUnread {
 		return errClosedUnread
 	}
 	recorder.RequestLost(id, "no complete response: "+err.Error(), c.run.excuse(proxy, generation, resp != nil))
--- a/internal/soak/registry.go
+++ b/internal/soak/registry.go
@@ -362,7 +362,7 @@
 func (s *registryServer) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	r := s.registry
 	r.mu.Lock()
-	slow, ended := time.Until(r.slowUntil), r.watchesEnd
+	slow, watchesEnd := time.Until(r.slowUntil), r.watchesEnd
 	r.mu.Unlock()
 	if slow > 0 {
 		time.Sleep(min(slow, 700*time.Millisecond))
@@ -383,7 +383,7 @@
 	}
 	after, err := strconv.ParseInt(req.URL.Query().Get("index"), 10, 64)
 	all := err != nil || after == 0 || after%3 == 0 // every third revision too, to cover whole lists
-	life, flush := time.Now(), http.NewResponseController(w)
+	lastWrite, flush := time.Now(), http.NewResponseController(w)
 	for first := true; ; first = false {
 		r.mu.Lock()
 		changed, rev := r.changed, r.rev
@@ -396,17 +396,17 @@
 				return
 			}
 			r.recordAnnounced(s.proxy, rev, announced)
-			after, life = rev, time.Now()
-		case time.Since(life) >= time.Second:
+			after, lastWrite = rev, time.Now()
+		case time.Since(lastWrite) >= time.Second:
 			fmt.Fprintln(w)
 			if flush.Flush() != nil {
 				return
 			}
-			life = time.Now()
+			lastWrite = time.Now()
 		}
 		select {
 		case <-changed:
-		case <-ended:
+		case <-watchesEnd:
 			return
 		case <-req.Context().Done():
 			return
