--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -14,88 +14,87 @@
 	"oxbowloft/internal/neterror"
 )
 
-// client asks one proxy after another for what it wants, one request at a time.
+// client sends requests to one proxy after another, one at a time.
 type client struct {
-	run *run
-	rng *rand.Rand
-	n   int // its number
+	run    *run
+	rng    *rand.Rand
+	number int // of the client in the run
 
-	proxy int
-	conn  net.Conn
-	in    *bufio.Reader
-	used  bool // a request has been answered on the connection
-	asked int
+	proxy        int
+	conn         net.Conn
+	in           *bufio.Reader
+	used         bool // the connection has carried a response
+	requestCount int
 }
 
 func (c *client) loop(ctx context.Context) {
-	defer c.drop()
+	defer c.closeConn()
 	for ctx.Err() == nil {
 		switch {
-		case c.run.troubled(Leavers) && c.rng.IntN(3) == 0:
-			c.leave()
-		case c.run.troubled(BadClients) && c.rng.IntN(3) == 0:
-			c.misbehave()
+		case c.run.clientFaultActive(ClientsLeave) && c.rng.IntN(3) == 0:
+			c.sendAndLeave()
+		case c.run.clientFaultActive(BadClients) && c.rng.IntN(3) == 0:
+			c.sendMalformed()
 		default:
-			c.ask()
+			c.sendRequest()
 		}
 		pause := time.Duration(c.rng.ExpFloat64() * float64(30*time.Millisecond))
 		if c.rng.IntN(40) == 0 {
-			pause = time.Second // rests until the proxy may close
+			pause = time.Second // stays idle until the proxy may close the connection
 		}
 		time.Sleep(min(pause, 4*time.Second))
 	}
 }
 
-func (c *client) drop() {
+func (c *client) closeConn() {
 	if c.conn != nil {
 		c.conn.Close()
 		c.conn = nil
 	}
 }
 
-// connect makes sure of a connection to a proxy that takes new ones, or to the one that it
-// has, for as long as that stays open. It tells whether there is one.
+// connect keeps the open connection, or opens one to a ready proxy. It reports whether there is one.
 func (c *client) connect() bool {
 	if c.conn != nil {
 		return true
 	}
-	proxy, ok := c.run.rotation(c.rng)
+	proxy, ok := c.run.pickReadyProxy(c.rng)
 	if !ok {
 		return false
 	}
 	nc, err := net.DialTimeout("tcp", c.run.proxies[proxy].addr, time.Second)
 	if err != nil {
-		return false // refused: nothing was taken
+		return false // nothing was sent, so nothing is lost
 	}
 	c.proxy, c.conn, c.in, c.used = proxy, nc, bufio.NewReader(nc), false
 	return true
 }
 
-func (c *client) draw() (id string, class Class, budget time.Duration) {
-	c.asked++
+func (c *client) nextRequest() (id string, class Class, budget time.Duration) {
+	c.requestCount++
 	class = c.run.classes[c.rng.IntN(len(c.run.classes))]
 	budget = class.Deadline
-	if c.rng.IntN(8) == 0 { // what is left of a longer wait
+	if c.rng.IntN(8) == 0 { // as if the client had used up part of its deadline
 		budget = 5*time.Millisecond + time.Duration(c.rng.Int64N(int64(budget)))
 	}
-	return fmt.Sprintf("c%d-%d", c.n, c.asked), class, budget
+	return fmt.Sprintf("c%d-%d", c.number, c.requestCount), class, budget
 }
 
 func requestText(id string, class Class, budget time.Duration) string {
 	method, tail := "GET", "\r\n"
-	if !class.Safe {
+	if !class.Idempotent {
 		method, tail = "POST", "Content-Length: 4\r\n\r\nbody"
 	}
 	return fmt.Sprintf("%s /api HTTP/1.1\r\nHost: h\r\nX-Request-ID: %s\r\nX-Priority-Class: %s\r\nX-Timeout-Ms: %d\r\n%s",
 		method, id, class.Name, budget.Milliseconds(), tail)
 }
 
-var errSentAgain = errors.New("closed between requests")
+var errClosedUnread = errors.New("closed between requests")
 
-// ask makes one request and reads its answer. What crosses the close of a resting
-// connection is sent once more on a new one.
-func (c *client) ask() {
-	id, class, budget := c.draw()
+// sendRequest sends one request and reads the response. A request that crosses the proxy's close of
+// an idle connection is sent once more, on a new connection.
+func (c *client) sendRequest() {
+	id, class, budget := c.nextRequest()
 	began := time.Now()
 	for again := range 2 {
 		if !c.connect() {
@@ -106,21 +105,21 @@
 		if err == nil {
 			return
 		}
-		c.drop()
-		if !errors.Is(err, errSentAgain) {
+		c.closeConn()
+		if !errors.Is(err, errClosedUnread) {
 			return
 		}
-		if time.Since(began) > budget+answerSlack { // nobody waits for it any more: no proxy has answered in time
-			c.run.book.Lost(id, "closed unread after its time", c.run.excuse(proxy, generation, false))
+		if time.Since(began) > budget+answerSlack { // no proxy has answered in time
+			c.run.recorder.RequestLost(id, "closed unread after the deadline", c.run.excuse(proxy, generation, false))
 			return
 		}
 	}
 }
 
-func (c *client) exchange(id string, class Class, budget time.Duration, mayCross bool) error {
-	book, proxy := c.run.book, c.proxy
+func (c *client) exchange(id string, class Class, budget time.Duration, mayRetry bool) error {
+	recorder, proxy := c.run.recorder, c.proxy
 	generation := c.run.generation(proxy)
-	book.Sent(id, class, proxy, budget)
+	recorder.RequestSent(id, class, proxy, budget)
 	c.conn.SetDeadline(time.Now().Add(budget + answerSlack + time.Second))
 	_, err := io.WriteString(c.conn, requestText(id, class, budget))
 	var resp *http.Response
@@ -132,65 +131,66 @@
 		body, err = io.ReadAll(resp.Body)
 	}
 	if err == nil {
-		book.Answered(id, resp.StatusCode, string(body))
+		recorder.ResponseReceived(id, resp.StatusCode, string(body))
 		c.used = true
 		if resp.Close {
-			c.drop()
+			c.closeConn()
 		}
 		return nil
 	}
-	unread := c.used || c.run.crowdedBy(proxy) // its connection may be closed with nothing read on it
-	crossed := mayCross && unread && resp == nil && !book.Seen(id) && !neterror.IsDeadline(err)
-	if crossed {
-		return errSentAgain
+	unread := c.used || c.run.isFlooded(proxy) // the proxy may have closed the connection without reading
+	closedUnread := mayRetry && unread && resp == nil && !recorder.ReachedBackend(id) && !neterror.IsDeadline(err)
+	if closedUnread {
+		return errClosedUnread
 	}
-	book.Lost(id, "no whole answer: "+err.Error(), c.run.excuse(proxy, generation, resp != nil))
+	recorder.RequestLost(id, "no complete response: "+err.Error(), c.run.excuse(proxy, generation, resp != nil))
 	return err
 }
 
-// leave makes a request and closes the connection some milliseconds later.
-func (c *client) leave() {
-	id, class, budget := c.draw()
+// sendAndLeave sends a request and closes the connection some milliseconds later.
+func (c *client) sendAndLeave() {
+	id, class, budget := c.nextRequest()
 	if !c.connect() {
 		return
 	}
-	c.run.book.Sent(id, class, c.proxy, budget)
+	c.run.recorder.RequestSent(id, class, c.proxy, budget)
 	io.WriteString(c.conn, requestText(id, class, budget))
 	time.Sleep(time.Duration(c.rng.Int64N(int64(20 * time.Millisecond))))
 	if c.rng.IntN(2) == 0 {
 		resetConn(c.conn)
 	}
-	c.drop()
-	c.run.book.Left(id)
+	c.closeConn()
+	c.run.recorder.ClientLeft(id)
 }
 
-// badLimit is within what time a client that sent nonsense is answered or closed.
-const badLimit = 3*time.Second + 300*time.Millisecond
+// malformedTimeout is the time within which a client that sent a malformed request must get a
+// response or a close.
+const malformedTimeout = 3*time.Second + 300*time.Millisecond
 
-// misbehave sends what is no request, or half of one, and stays: it has to get an error or
-// a close in time.
-func (c *client) misbehave() {
-	id, class, budget := c.draw()
-	c.drop()
+// sendMalformed sends an incomplete or malformed request and keeps the connection open: the proxy
+// must send an error or close it in time.
+func (c *client) sendMalformed() {
+	id, class, budget := c.nextRequest()
+	c.closeConn()
 	if !c.connect() {
 		return
 	}
-	generation, whole := c.run.generation(c.proxy), requestText(id, class, budget)
+	generation, text := c.run.generation(c.proxy), requestText(id, class, budget)
 	switch c.rng.IntN(4) {
 	case 0:
-		io.WriteString(c.conn, whole[:len(whole)/2])
+		io.WriteString(c.conn, text[:len(text)/2])
 	case 1:
 		io.WriteString(c.conn, "nonsense\r\n\r\n")
-	case 2: // two at once: the first's id is not served
-		c.run.book.Sent(id, class, c.proxy, budget)
-		io.WriteString(c.conn, whole+whole)
+	case 2: // pipelined requests with one ID: neither is served
+		c.run.recorder.RequestSent(id, class, c.proxy, budget)
+		io.WriteString(c.conn, text+text)
 	case 3:
 		io.WriteString(c.conn, "POST /api HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n")
 	}
 	began := time.Now()
-	c.conn.SetReadDeadline(began.Add(badLimit + 2*time.Second))
+	c.conn.SetReadDeadline(began.Add(malformedTimeout + 2*time.Second))
 	if _, err := io.Copy(io.Discard, c.conn); neterror.IsDeadline(err) && c.run.excuse(c.proxy, generation, false) == "" {
-		c.run.book.Breach(RuleBadClient, fmt.Sprintf("proxy %d kept a bad client for %v", c.proxy, time.Since(began)))
+		c.run.recorder.AddViolation(RuleBadClient, fmt.Sprintf("proxy %d kept the connection with a malformed request open for %v", c.proxy, time.Since(began)))
 	}
-	c.drop()
+	c.closeConn()
 }
--- a/internal/soak/shrink.go
+++ b/internal/soak/shrink.go
@@ -2,9 +2,9 @@
 
 import "context"
 
-// Shrink looks for fewer events that still break the rule, by leaving out parts of them, in
-// no more than tries runs. Real processes don't play the same run twice: what it returns
-// has failed once, and the events given are returned where nothing shorter did.
+// Shrink looks for a smaller set of events that still violates the rule, by leaving out parts of
+// it, in at most tries runs. Real processes don't repeat a run exactly: the returned events have
+// violated the rule once, and are the given ones if no smaller set did.
 func Shrink(ctx context.Context, plan *Plan, seed uint64, events []Event, rule Rule, tries int) []Event {
 	for size := (len(events) + 1) / 2; size > 0 && tries > 0; {
 		shorter := false
@@ -12,7 +12,7 @@
 			without := append(append([]Event(nil), events[:from]...), events[min(len(events), from+size):]...)
 			tries--
 			report, err := Run(ctx, plan, seed, without)
-			if err == nil && report.breaks(rule) {
+			if err == nil && report.violates(rule) {
 				events, shorter = without, true
 				break
 			}
@@ -25,7 +25,7 @@
 	return events
 }
 
-func (r *Report) breaks(rule Rule) bool {
+func (r *Report) violates(rule Rule) bool {
 	for _, v := range r.Violations {
 		if v.Rule == rule {
 			return true
