--- a/proxy/admin.go
+++ b/proxy/admin.go
@@ -1,12 +1,10 @@
 package proxy
 
 import (
-	"context"
 	"errors"
 	"fmt"
 	"log"
 	"strings"
-	"time"
 )
 
 // adminTarget is the proxy as the admin endpoint uses it.
@@ -66,57 +64,3 @@
 	log.Printf("event=by_hand id=%q out=%t", id, detach)
 	return nil
 }
-
-// followSharedState follows the other processes that serve the same clients, until ctx is
-// done: they share the limits, and a detachment applies in all of them.
-func (p *Proxy) followSharedState(ctx context.Context) {
-	tick := time.NewTicker(sharedStatePollInterval)
-	defer tick.Stop()
-	for {
-		select {
-		case <-ctx.Done():
-			return
-		case <-tick.C:
-		}
-		p.setNonblocking()
-		p.setProcessCount(p.shared.processCount())
-		p.syncDetached()
-	}
-}
-
-func (p *Proxy) syncDetached() {
-	p.detachMu.Lock()
-	defer p.detachMu.Unlock()
-	detached, attached := p.shared.refresh()
-	for _, id := range detached {
-		p.driver.setDetached(id, true)
-		log.Printf("event=by_hand id=%q out=true from=state", id)
-	}
-	for _, id := range attached {
-		p.driver.setDetached(id, false)
-		log.Printf("event=by_hand id=%q out=false from=state", id)
-	}
-}
-
-// setProcessCount sets the number of processes that share the limits.
-func (p *Proxy) setProcessCount(processes int) {
-	p.limitsMu.Lock()
-	defer p.limitsMu.Unlock()
-	if processes == p.processCount {
-		return
-	}
-	if max(processes, p.processCount) > 1 {
-		log.Printf("event=processes count=%d", processes)
-	}
-	p.processCount = processes
-	p.applyLimits()
-}
-
-// applyLimits applies the configured limits, divided by the number of processes. The
-// caller holds limitsMu.
-func (p *Proxy) applyLimits() {
-	p.descriptors.resize(max(reservedDescriptors+minSharedSockets, p.limits.Sockets/max(1, p.processCount)-p.adminDescriptors()))
-	if p.OnLimits != nil {
-		p.OnLimits(p.limits, max(1, p.processCount))
-	}
-}
