--- a/proxy/config.go
+++ b/proxy/config.go
@@ -62,7 +62,7 @@
 const (
 	defaultMemoryMB  = 192
 	defaultSockets   = 1024
-	maxMemoryMB      = 1 << 16 // no use for more; the number of transfer buffers depends on it
+	maxMemoryMB      = 1 << 16 // no use for more; the size of the stream pool depends on it
 	minSockets       = 32
 	minSharedSockets = 2 // descriptors left for requests, however many processes share the limit
 )
--- a/proxy/config_test.go
+++ b/proxy/config_test.go
@@ -92,7 +92,7 @@
 }
 
 // Prevents a memory limit that overflows to a negative number of bytes, or that makes the
-// transfer buffers, whose number depends on it, use up the memory.
+// stream pool, whose size depends on it, use up the memory.
 func TestLargeLimits(t *testing.T) {
 	for _, mb := range []string{"1000000", "1e12", "1e300"} {
 		cfg, err := loadReplacing(t, `"memory_mb":192`, `"memory_mb":`+mb)
--- a/proxy/endlog.go
+++ b/proxy/endlog.go
@@ -27,7 +27,7 @@
 	endClientGone requestEnd = "client_gone" // the client left
 	endPipelined  requestEnd = "ahead"       // the client sent more data before the response
 	endUnreadable requestEnd = "unreadable"  // the rest of a streamed request could not be read
-	endBusy       requestEnd = "busy"        // too many long messages in transfer
+	endBusy       requestEnd = "busy"        // no stream buffer became free in time
 )
 
 // attemptTrace describes one attempt of a request, for the log.
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -54,9 +54,8 @@
 	statsInterval      = 10 * time.Second
 	defaultIdleTimeout = 10 * time.Second
 	defaultDialTimeout = time.Second
-	// transferFraction is the fraction of the heap that long messages in transfer may
-	// use.
-	transferFraction = 0.25
+	// streamFraction is the fraction of the heap that streamed messages may use.
+	streamFraction = 0.25
 )
 
 // Proxy is a balancer on sockets.
@@ -70,7 +69,7 @@
 	drainEnd         atomic.Pointer[time.Time] // end of a drain, after which no response is written; nil: not draining
 	descriptors      *descriptorBudget
 	clients          *clientConns
-	transfers        *http1.StreamPool
+	streamPool       *http1.StreamPool
 	driver           *driver
 	list             *discovery.Client
 	readiness        readiness
@@ -117,7 +116,7 @@
 		}
 	}
 	p.clients = newClientConns()
-	p.transfers = http1.NewStreamPool(int64(transferFraction * heapFraction * cfg.Limits.MemoryMB * (1 << 20)))
+	p.streamPool = http1.NewStreamPool(int64(streamFraction * heapFraction * cfg.Limits.MemoryMB * (1 << 20)))
 	upstreamOptions := &upstream.Options{
 		DialTimeout: settings.Duration(cfg.Settings.Limits.DialTimeoutMs),
 		IdleTimeout: settings.Duration(cfg.Settings.Limits.ConnIdleMs),
--- a/proxy/proxy_test.go
+++ b/proxy/proxy_test.go
@@ -561,14 +561,14 @@
 	}
 }
 
-// A long request that gets no transfer buffer within a second is refused with
+// A long request that gets no stream buffer within a second is refused with
 // Retry-After, and has not run. Prevents unbounded memory use and unbounded waits. The
 // request that holds the buffer, and later ones, are served.
-func TestNoTransferBufferLeft(t *testing.T) {
+func TestStreamPoolExhausted(t *testing.T) {
 	const size = 200_000
 	b := standin.NewBackend(t, func(c *standin.Call) { c.Reply(200, fmt.Sprint(len(c.BodyText))) })
 	p := listenProxy(t, standin.ListJSON(1, true, standin.TargetJSON("s", b.Addr())), "127.0.0.1:1")
-	p.transfers = http1.NewStreamPool(1) // one buffer
+	p.streamPool = http1.NewStreamPool(1) // one buffer
 	defer startProxy(t, p)()
 	head := func(id int) string {
 		return fmt.Sprintf("POST /api HTTP/1.1\r\nHost: h\r\nX-Request-ID: %d\r\nX-Priority-Class: pay\r\n"+
@@ -581,7 +581,7 @@
 
 	first := dialProxy(t, p)
 	send(first, head(1)+body[:size/2])
-	eventually(t, "first request in transfer", func() bool { opened, _ := b.ConnCounts(); return opened == 1 })
+	eventually(t, "first request streaming", func() bool { opened, _ := b.ConnCounts(); return opened == 1 })
 	served := 0
 	for id := 2; ; id++ { // the first may not have its buffer yet
 		c := dialProxy(t, p)
--- a/proxy/request.go
+++ b/proxy/request.go
@@ -84,7 +84,7 @@
 	var attempts []attemptTrace
 	logEnd := func(end requestEnd, cause string) { p.endLog.write(&info, end, cause, start, attempts) }
 	keepOpen := func(open bool) bool { // reads the rest of a request that has been answered
-		return open && (rest == nil || rest.Discard(p.transfers) == nil)
+		return open && (rest == nil || rest.Discard(p.streamPool) == nil)
 	}
 
 	// Execute steps until the request is answered.
@@ -95,7 +95,7 @@
 		}
 		switch step.kind {
 		case stepSend:
-			upstreamRequest := &upstream.Request{Timeout: step.timeout, DecidedAt: step.sentAt, BodyRest: rest, Transfers: p.transfers}
+			upstreamRequest := &upstream.Request{Timeout: step.timeout, DecidedAt: step.sentAt, BodyRest: rest, Transfers: p.streamPool}
 			upstreamRequest.ShouldSend = func() bool {
 				if c.conn.PeerClosed() { // noticed here even behind an unread body
 					p.driver.clientGone(r)
@@ -362,7 +362,7 @@
 	if err != nil {
 		return fmt.Errorf("%w: %w", http1.ErrDestination, err)
 	}
-	return p.transfers.Forward(c.conn, response.BodyRest, http10, func(passed int64) error {
+	return p.streamPool.Forward(c.conn, response.BodyRest, http10, func(passed int64) error {
 		extendDeadline(passed)
 		return nil
 	})
