--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -142,7 +142,8 @@
 		p.readiness.recordList(f)
 	}
 	p.list.OnList = p.driver.updateList
-	p.descriptors.reclaim, p.clients.descriptorsShort, p.clients.descriptorWanted = p.reclaimDescriptors, p.descriptors.nearLimit, p.descriptors.clientIsWaiting
+	p.descriptors.reclaim, p.clients.descriptorsShort, p.clients.descriptorWanted =
+		p.reclaimDescriptors, p.descriptors.nearLimit, p.descriptors.clientIsWaiting
 	p.driver.updateList(cfg.knownList)
 	return p, nil
 }
--- a/proxy/request.go
+++ b/proxy/request.go
@@ -301,7 +301,8 @@
 // forwardResponse forwards a backend's response and counts the request's outcome: before
 // writing if the response is here completely, so that a client that has read it finds it
 // counted, else after its last byte.
-func (p *Proxy) forwardResponse(c *clientConn, req *http.Request, response *upstream.ExchangeResult, outcomes *[outcomeCount]atomic.Int64) bool {
+func (p *Proxy) forwardResponse(c *clientConn, req *http.Request, response *upstream.ExchangeResult,
+	outcomes *[outcomeCount]atomic.Int64) bool {
 	var header []string
 	for _, name := range []string{"Content-Type", "Content-Encoding"} {
 		if v := response.Header.Get(name); v != "" {
@@ -333,7 +334,8 @@
 
 // streamResponse writes a response as it arrives from the backend. An HTTP/1.0 client
 // gets a response of unknown length up to the end of the connection.
-func (p *Proxy) streamResponse(c *clientConn, req *http.Request, response *upstream.ExchangeResult, header []string, last bool) (err error) {
+func (p *Proxy) streamResponse(c *clientConn, req *http.Request, response *upstream.ExchangeResult,
+	header []string, last bool) (err error) {
 	http10, first := !req.ProtoAtLeast(1, 1), response.Body
 	switch {
 	case response.BodyRest.TotalSize >= 0:
