--- a/proxy/unanswered_test.go
+++ b/proxy/unanswered_test.go
@@ -41,10 +41,10 @@
 // burstClient sends its requests on one connection, which it keeps as long as it can. It
 // waits for each response, or for the end of the request's time.
 type burstClient struct {
-	addr string
-	rng  *rand.Rand
-	conn net.Conn
-	read *bufio.Reader
+	addr   string
+	rng    *rand.Rand
+	conn   net.Conn
+	reader *bufio.Reader
 }
 
 // connect opens a connection unless there is one.
@@ -56,7 +56,7 @@
 	if err != nil {
 		return err
 	}
-	c.conn, c.read = conn, bufio.NewReader(conn)
+	c.conn, c.reader = conn, bufio.NewReader(conn)
 	return nil
 }
 
@@ -67,9 +67,9 @@
 	}
 }
 
-// ask makes one request of a class, with a budget, and returns the status of its
+// request makes one request of a class, with a budget, and returns the status of its
 // response. An error means that there was no response within the budget and the slack.
-func (c *burstClient) ask(id, class string, budget time.Duration) (status int, err error) {
+func (c *burstClient) request(id, class string, budget time.Duration) (status int, err error) {
 	if err := c.connect(); err != nil {
 		return 0, err
 	}
@@ -78,7 +78,7 @@
 	if _, err := io.WriteString(c.conn, request); err != nil {
 		return 0, err
 	}
-	resp, err := http.ReadResponse(c.read, nil)
+	resp, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
 		return 0, fmt.Errorf("head: %w", err)
 	}
@@ -108,7 +108,7 @@
 		c.WriteRaw(lengthHead(9) + "half")
 		c.Hang()
 	}},
-	{"dribbles", (*standin.Call).TrickleBody},
+	{"trickles the body", (*standin.Call).TrickleBody},
 	{"resets", (*standin.Call).Reset},
 	{"resets in the body", func(c *standin.Call) {
 		c.WriteRaw(lengthHead(9) + "half")
@@ -155,7 +155,7 @@
 				id := fmt.Sprintf("%d-%d", number, turn)
 				class := []string{"get", "put", "pay"}[c.rng.IntN(3)]
 				budget := time.Duration(300+c.rng.IntN(1700)) * time.Millisecond
-				status, err := c.ask(id, class, budget)
+				status, err := c.request(id, class, budget)
 				out.add(id, class, budget, status, err)
 				if err != nil {
 					c.close()
