--- a/proxy/responses_test.go
+++ b/proxy/responses_test.go
@@ -24,8 +24,8 @@
 	err    error
 }
 
-// startBefore starts a proxy with one backend and a minimal drain time.
-func startBefore(t *testing.T, b *standin.Backend) (p *Proxy, stop func()) {
+// startWithBackend starts a proxy with one backend and a minimal drain time.
+func startWithBackend(t *testing.T, b *standin.Backend) (p *Proxy, stop func()) {
 	t.Helper()
 	p = listenProxy(t, standin.ListJSON(1, true, standin.TargetJSON("s", b.Addr())), "127.0.0.1:1")
 	p.cfg.Grace = time.Millisecond
@@ -142,7 +142,7 @@
 						s.end(c)
 					}
 				})
-				p, stop := startBefore(t, b)
+				p, stop := startWithBackend(t, b)
 				defer stop()
 				c := dialProxy(t, p)
 				io.WriteString(c, requestTextVersion("1.1", class))
@@ -196,7 +196,7 @@
 					<-begun // a part has reached the client
 					s.end(c)
 				})
-				p, stop := startBefore(t, b)
+				p, stop := startWithBackend(t, b)
 				defer stop()
 				c := dialProxy(t, p)
 				io.WriteString(c, requestTextVersion(version, "get"))
@@ -230,7 +230,7 @@
 				}
 			}
 		})
-		p, stop := startBefore(t, b)
+		p, stop := startWithBackend(t, b)
 		c := dialProxy(t, p)
 		io.WriteString(c, requestTextVersion("1.1", "get"))
 		if a := readResponse(c, func() {}); a.err == nil || len(a.body) > http1.MaxStreamedBodyBytes+1<<20 {
@@ -264,7 +264,7 @@
 					c.Reply(200, fmt.Sprint(c.Number))
 					calls <- c
 				})
-				p, stop := startBefore(t, b)
+				p, stop := startWithBackend(t, b)
 				defer stop()
 				c := dialProxy(t, p)
 				for n := range 3 {
@@ -302,7 +302,7 @@
 				c.Close()
 			}
 		})
-		p, stop := startBefore(t, b)
+		p, stop := startWithBackend(t, b)
 		c := dialProxy(t, p)
 		io.WriteString(c, requestTextVersion("1.1", "pay"))
 		if a := readResponse(c, func() {}); a.err != nil || a.status != 200 || a.body != "whole" {
