--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -1,5 +1,5 @@
-// Command wirehost runs the decision module on the bench's wire: batches of
-// events on standard input, replies on standard output, until input ends.
+// Command wirehost runs the balancing logic for the bench. It reads batches of events from standard
+// input and writes the replies to standard output, until the input ends.
 package main
 
 import (
