--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -20,53 +20,53 @@
 	"oxbowloft/internal/standin"
 )
 
-// watchedClient is one client in a synctest bubble, the source that it calls, and what is seen of
-// its calls.
+// watchedClient is one client in a synctest bubble, with the source that it calls and a record of its
+// calls.
 type watchedClient struct {
-	*source
+	*fakeSource
 	client *discovery.Client
 
-	mu    sync.Mutex
-	began []time.Time // calls
-	ended []time.Time // calls that failed and watches that ended
-	open  int         // connections
-	most  int         // of them at a time
-	fresh time.Time
+	mu          sync.Mutex
+	callStarts  []time.Time
+	callEnds    []time.Time // failed calls and ended watches
+	openConns   int         // now
+	maxOpen     int         // at any time
+	usableUntil time.Time
 }
 
-// follow starts a client with the pacing that proxies have, where lists are asked for.
-func follow(t fataler, pacer discovery.Pacer) (w *watchedClient, stop func()) {
+// startWatchedClient starts a client with the given pacer.
+func startWatchedClient(t testingT, pacer discovery.Pacer) (w *watchedClient, stop func()) {
 	log.SetOutput(io.Discard)
-	w = &watchedClient{source: &source{}}
+	w = &watchedClient{fakeSource: &fakeSource{}}
 	w.client = discovery.New("127.0.0.1:80", 0, pacer)
 	w.client.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		w.mu.Lock()
-		w.began = append(w.began, time.Now())
+		w.callStarts = append(w.callStarts, time.Now())
 		w.mu.Unlock()
-		conn, err := w.source.dial(ctx, network, addr)
+		conn, err := w.fakeSource.dial(ctx, network, addr)
 		if err != nil {
 			return nil, err
 		}
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		w.open++
-		w.most = max(w.most, w.open)
-		return &counted{Conn: conn, closed: sync.OnceFunc(func() {
+		w.openConns++
+		w.maxOpen = max(w.maxOpen, w.openConns)
+		return &countedConn{Conn: conn, closed: sync.OnceFunc(func() {
 			w.mu.Lock()
 			defer w.mu.Unlock()
-			w.open--
+			w.openConns--
 		})}, nil
 	}
 	w.client.OnList = func(*discovery.List) {}
 	w.client.OnEnd = func(discovery.CallEnd) {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		w.ended = append(w.ended, time.Now())
+		w.callEnds = append(w.callEnds, time.Now())
 	}
 	w.client.OnFreshness = func(f discovery.Freshness) {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		w.fresh = f.UntilIfServing
+		w.usableUntil = f.UntilIfServing
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan bool)
@@ -74,120 +74,119 @@
 	return w, func() {
 		cancel()
 		<-done
-		w.source.mu.Lock()
-		if w.source.last != nil {
-			w.source.last.Close()
+		w.fakeSource.mu.Lock()
+		if w.fakeSource.serverConn != nil {
+			w.fakeSource.serverConn.Close()
 		}
-		w.source.mu.Unlock()
+		w.fakeSource.mu.Unlock()
 		log.SetOutput(os.Stderr)
 	}
 }
 
-type fataler interface{ Fatalf(string, ...any) }
+type testingT interface{ Fatalf(string, ...any) }
 
-// counted is a connection that tells of its close.
-type counted struct {
+// countedConn is a connection that reports its close.
+type countedConn struct {
 	net.Conn
 	closed func()
 }
 
 // Close implements net.Conn.
-func (c *counted) Close() error {
+func (c *countedConn) Close() error {
 	c.closed()
 	return c.Conn.Close()
 }
 
-// calls is how many calls have begun.
+// calls returns how many calls have begun.
 func (w *watchedClient) calls() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return len(w.began)
+	return len(w.callStarts)
 }
 
-// A call is refused; in the wait that follows, a new configuration moves the source, and the
-// new one is called at once. The end of the old wait must mean nothing: when the new watch
-// ends after it has stood for longer, the next call comes as soon as after any watch, and not
-// after a wait that takes the life of the watch for time waited in vain.
-func TestWaitEndsWithAMove(t *testing.T) {
+// A call is rejected, and during the wait a new configuration changes the source, which is called at
+// once. The old wait must not outlive that call. When the new watch ends after the old wait
+// would have, the next call comes as soon as after any watch; the duration of the watch must
+// not count as time that a failed call waited.
+func TestWaitEndsWithSourceChange(t *testing.T) {
 	for seed := range uint64(20) {
 		synctest.Test(t, func(t *testing.T) {
-			w, stop := follow(t, pacing.NewForService(10*sec, rand.New(rand.NewPCG(seed, 1))))
+			w, stop := startWatchedClient(t, pacing.NewForService(10*sec, rand.New(rand.NewPCG(seed, 1))))
 			defer stop()
-			w.set(func(c net.Conn) { time.Sleep(2 * sec); busy(c) })
+			w.setAnswer(func(c net.Conn) { time.Sleep(2 * sec); rejectCall(c) })
 			for w.calls() == 0 {
 				time.Sleep(10 * ms)
 			}
-			time.Sleep(2*sec + 20*ms) // it is refused, and waits for 2 s at least
+			time.Sleep(2*sec + 20*ms) // the call is rejected, and the wait is at least 2 s
 			if n := w.calls(); n != 1 {
 				t.Fatalf("%d calls, want one", n)
 			}
-			w.set(lists(5))
+			w.setAnswer(answerList(5))
 			w.client.SetSource("127.0.0.1:81")
 			synctest.Wait()
 			if n := w.calls(); n != 2 {
 				t.Fatalf("%d calls, want one of the new source at once", n)
 			}
-			for range 8 { // the old wait ends meanwhile: it took 6 s at most
+			for range 8 { // the old wait, of at most 6 s, would end meanwhile
 				time.Sleep(sec)
-				w.say("\n")
+				w.write("\n")
 			}
 			if n := w.calls(); n != 2 {
-				t.Fatalf("%d calls while a watch stands", n-2)
+				t.Fatalf("%d calls while a watch is open", n-2)
 			}
 			ended := time.Now()
-			w.cut()
+			w.closeConn()
 			for w.calls() == 2 && time.Since(ended) < 20*sec {
 				time.Sleep(10 * ms)
 			}
 			if took := time.Since(ended); took < 250*ms || took > 760*ms {
-				t.Errorf("seed %d: called again %v after the watch's end, want 250 ms to 750 ms", seed, took)
+				t.Errorf("seed %d: called again %v after the end of the watch, want 250 ms to 750 ms", seed, took)
 			}
 		})
 	}
 }
 
-// Where lists are pushed, the wait after a failure ends with a move, too.
-func TestPushedWaitEndsWithAMove(t *testing.T) {
+// Where lists are pushed, a change of the source ends the wait after a failure, too.
+func TestPushedWaitEndsWithSourceChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w, stop := follow(t, pacing.NewForAgent(rand.New(rand.NewPCG(1, 1))))
+		w, stop := startWatchedClient(t, pacing.NewForAgent(rand.New(rand.NewPCG(1, 1))))
 		defer stop()
-		w.set(busy)
-		time.Sleep(3 * sec) // waits of a second by now
-		w.set(lists(5))
+		w.setAnswer(rejectCall)
+		time.Sleep(3 * sec) // the waits have grown to a mean of 1 s
+		w.setAnswer(answerList(5))
 		w.client.SetSource("127.0.0.1:81")
 		synctest.Wait()
 		calls := w.calls()
 		for range 3 {
 			time.Sleep(sec)
-			w.say("\n")
+			w.write("\n")
 		}
-		w.set(silent)
-		w.cut()
+		w.setAnswer(noAnswer)
+		w.closeConn()
 		time.Sleep(120 * ms) // less than half of the first wait
 		if n := w.calls(); n != calls {
-			t.Errorf("%d calls right after the watch's end, of a wait that was over", n-calls)
+			t.Errorf("%d calls right after the end of the watch, by a wait that should have ended", n-calls)
 		}
 		time.Sleep(300 * ms)
 		if n := w.calls(); n != calls+1 {
-			t.Errorf("%d calls after the watch's end, want one", n-calls)
+			t.Errorf("%d calls after the end of the watch, want one", n-calls)
 		}
 	})
 }
 
-// In whatever order calls are refused or hang, lists come, the source moves, watches fall
-// silent or end, and time passes: at most one call is under way; while one is or a watch
-// stands, none begins; and without one the next is due within the time that the settings
-// give. The list is fresh for 6 s at most after the last word, and for 2 s after a watch that
-// was closed.
+// For any order of rejected and unanswered calls, lists, changes of the source, and watches that end
+// or stop responding: at most one call is under way, none begins during a call or an open
+// watch, and otherwise the next is due within the configured time. The list is usable for at
+// most 6 s after the last contact.
 func TestCallsInAnyOrder(t *testing.T) {
-	const askWithin = 10 * sec
+	const maxWait = 10 * sec
 	rapid.Check(t, func(r *rapid.T) {
 		seed := rapid.Uint64().Draw(r, "seed")
 		events := rapid.SliceOfN(rapid.IntRange(0, 9), 1, 30).Draw(r, "events")
 		waits := rapid.SliceOfN(rapid.IntRange(1, 9000), len(events), len(events)).Draw(r, "waits")
 		var failed string
 		synctest.Test(t, func(*testing.T) {
-			failed = playWatch(r, seed, askWithin, events, waits)
+			failed = playEvents(r, seed, maxWait, events, waits)
 		})
 		if failed != "" {
 			r.Fatal(failed)
@@ -195,64 +194,64 @@
 	})
 }
 
-// playWatch plays events, each after a wait in milliseconds, and says what broke.
-func playWatch(t fataler, seed uint64, askWithin time.Duration, events, waits []int) string {
-	w, stop := follow(t, pacing.NewForService(askWithin, rand.New(rand.NewPCG(seed, 1))))
+// playEvents plays events, each after a wait in milliseconds, and returns the first violation, or "".
+func playEvents(t testingT, seed uint64, maxWait time.Duration, events, waits []int) string {
+	w, stop := startWatchedClient(t, pacing.NewForService(maxWait, rand.New(rand.NewPCG(seed, 1))))
 	defer stop()
-	w.set(silent)
-	begun, addr, idle := time.Now(), 80, time.Now()
+	w.setAnswer(noAnswer)
+	startedAt, addr, idle := time.Now(), 80, time.Now()
 	for i, event := range events {
 		for range waits[i] / 100 {
 			time.Sleep(100 * ms)
 			synctest.Wait()
 			w.mu.Lock()
-			open, most, calls, fresh := w.open, w.most, len(w.began), w.fresh
-			for _, times := range [][]time.Time{w.began, w.ended} {
+			open, maxOpen, calls, usableUntil := w.openConns, w.maxOpen, len(w.callStarts), w.usableUntil
+			for _, times := range [][]time.Time{w.callStarts, w.callEnds} {
 				if n := len(times); n > 0 && times[n-1].After(idle) {
 					idle = times[n-1]
 				}
 			}
 			w.mu.Unlock()
 			switch {
-			case most > 1:
-				return fmt.Sprintf("event %d: two calls at a time", i)
-			case open == 0 && time.Since(idle) > askWithin+100*ms:
+			case maxOpen > 1:
+				return fmt.Sprintf("event %d: two calls at the same time", i)
+			case open == 0 && time.Since(idle) > maxWait+100*ms:
 				return fmt.Sprintf("event %d: no call for %v after %d", i, time.Since(idle), calls)
-			case fresh.After(time.Now().Add(discovery.MaxAnnounceDelay)):
-				return fmt.Sprintf("event %d: fresh for %v", i, time.Until(fresh))
-			case calls > 4+int(time.Since(begun)/(250*ms)): // no wait is shorter
-				return fmt.Sprintf("event %d: %d calls in %v", i, calls, time.Since(begun))
+			case usableUntil.After(time.Now().Add(discovery.MaxAnnounceDelay)):
+				return fmt.Sprintf("event %d: list usable for %v", i, time.Until(usableUntil))
+			case calls > 4+int(time.Since(startedAt)/(250*ms)): // no wait is shorter
+				return fmt.Sprintf("event %d: %d calls in %v", i, calls, time.Since(startedAt))
 			}
 		}
 		before := w.calls()
-		standing := w.current()
+		active := w.active()
 		switch event {
 		case 0:
-			w.set(busy)
+			w.setAnswer(rejectCall)
 		case 1:
-			w.set(lists(i + 1))
+			w.setAnswer(answerList(i + 1))
 		case 2:
-			w.set(nil)
+			w.setAnswer(nil)
 		case 3:
-			w.set(silent)
+			w.setAnswer(noAnswer)
 		case 4:
-			w.set(reset)
+			w.setAnswer(closeUnanswered)
 		case 5, 6:
-			if standing {
-				w.say(standin.ListJSON(i+1, event == 5) + "\n")
+			if active {
+				w.write(standin.ListJSON(i+1, event == 5) + "\n")
 			}
 		case 7:
-			if standing {
-				w.cut()
+			if active {
+				w.closeConn()
 				synctest.Wait()
 			}
 		case 8:
-			if standing {
-				w.reset()
+			if active {
+				w.resetConn()
 				synctest.Wait()
 			}
 		case 9:
-			addr = 161 - addr // there and back again
+			addr = 161 - addr // the other of two addresses
 			w.client.SetSource(fmt.Sprintf("127.0.0.1:%d", addr))
 			synctest.Wait()
 			before++ // the new source is called at once
@@ -264,9 +263,9 @@
 	return ""
 }
 
-// current tells whether a call is under way or a watch stands.
-func (w *watchedClient) current() bool {
+// active reports whether a call is under way or a watch is open.
+func (w *watchedClient) active() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.open > 0
+	return w.openConns > 0
 }
--- a/internal/soak/registry.go
+++ b/internal/soak/registry.go
@@ -11,39 +11,39 @@
 	"time"
 )
 
-// target is one entry of the list, with an endpoint for each proxy.
+// target is one entry of the list. Its endpoint differs for each proxy.
 type target struct {
-	rev     int64 // of its last change
-	made    time.Time
-	uid     string
-	state   string
-	boot    time.Time // zero: long ago
-	backend *backend
+	rev       int64 // of its last change
+	changedAt time.Time
+	uid       string
+	state     string
+	boot      time.Time // zero: long ago
+	backend   *backend
 }
 
-// registry is the stand-in for discovery. It listens twice for each proxy, so that a new
-// configuration can move it.
+// registry is the test's discovery service. It has two listeners per proxy, so that a new
+// configuration can move a proxy to another address.
 type registry struct {
-	book *Book
-
-	mu        sync.Mutex
-	rev       int64
-	targets   map[string]target
-	changes   []target      // as they were at their versions
-	written   map[int]int64 // by proxy: the newest version that was written to it
-	changed   chan struct{} // closed at each change
-	ended     chan struct{} // closed when all watches end in order
-	downUntil time.Time
-	silent    time.Time
-	slow      time.Time
-	crowded   time.Time
-	fillers   int // further entries of a whole list, which is written slowly then
+	recorder *Recorder
+
+	mu              sync.Mutex
+	rev             int64
+	targets         map[string]target
+	changes         []target      // all revisions of the entries, in order
+	written         map[int]int64 // by proxy: the newest revision written to it
+	changed         chan struct{} // closed at the next change
+	watchesEnd      chan struct{} // closed to end all watches cleanly
+	downUntil       time.Time
+	silentUntil     time.Time
+	slowUntil       time.Time
+	overloadedUntil time.Time
+	fillers         int // number of extra entries in a whole list
 
 	servers []*registryServer
 	tasks   sync.WaitGroup
 }
 
-// registryServer is one address of the registry.
+// registryServer is one listener of the registry.
 type registryServer struct {
 	registry *registry
 	proxy    int
@@ -54,12 +54,12 @@
 	conns map[net.Conn]bool
 }
 
-// addresses is how many addresses each proxy can be sent to.
+// addresses is the number of listeners per proxy.
 const addresses = 2
 
-func newRegistry(book *Book, proxies int) (*registry, error) {
-	r := &registry{book: book, targets: map[string]target{}, written: map[int]int64{}, changed: make(chan struct{}),
-		ended: make(chan struct{})}
+func newRegistry(recorder *Recorder, proxies int) (*registry, error) {
+	r := &registry{recorder: recorder, targets: map[string]target{}, written: map[int]int64{}, changed: make(chan struct{}),
+		watchesEnd: make(chan struct{})}
 	for i := range proxies * addresses {
 		s := &registryServer{registry: r, proxy: i / addresses, addr: host(hostRegistry) + ":0"}
 		r.servers = append(r.servers, s)
@@ -71,7 +71,7 @@
 	return r, nil
 }
 
-// addr is one of the addresses of a proxy.
+// addr returns the address of one of a proxy's listeners.
 func (r *registry) addr(proxy, which int) string {
 	return r.servers[proxy*addresses+which%addresses].addr
 }
@@ -120,50 +120,51 @@
 	r.tasks.Wait()
 }
 
-// set makes a change, which counts as told at the latest after tellWithin in which discovery
-// could be reached.
+// set publishes a change. It counts as announced at the latest once discovery was reachable for
+// announceWithin.
 func (r *registry) set(t target) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.rev++
-	t.rev, t.made = r.rev, time.Now()
+	t.rev, t.changedAt = r.rev, time.Now()
 	r.targets[t.uid] = t
 	r.changes = append(r.changes, t)
 	close(r.changed)
 	r.changed = make(chan struct{})
-	r.tasks.Go(func() { r.tellLate(t) })
+	r.tasks.Go(func() { r.announceByTime(t) })
 }
 
-// tellLate notes a change as told to all once discovery has had it for tellWithin, counted
-// anew after each outage. A crowd is no outage: who got through has been told.
-func (r *registry) tellLate(t target) {
+// announceByTime records a change as announced to all proxies once discovery has had it for
+// announceWithin; the time restarts after each outage. An overload is not an outage, since some
+// requests get through.
+func (r *registry) announceByTime(t target) {
 	since := time.Now()
-	for time.Since(since) < tellWithin {
+	for time.Since(since) < announceWithin {
 		time.Sleep(50 * time.Millisecond)
 		r.mu.Lock()
 		now := time.Now()
-		if now.Before(r.downUntil) || now.Before(r.slow) {
+		if now.Before(r.downUntil) || now.Before(r.slowUntil) {
 			since = now
 		}
 		r.mu.Unlock()
-		if r.book.over() {
+		if r.recorder.hasEnded() {
 			return
 		}
 	}
 	for proxy := range t.backend.listeners {
-		r.book.Told(t.backend.name, proxy, t.rev, t.state != "in_service")
+		r.recorder.Announced(t.backend.name, proxy, t.rev, t.state != "in_service")
 	}
 }
 
-// endWatches ends all watches in order.
+// endWatches ends all watches cleanly.
 func (r *registry) endWatches() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	close(r.ended)
-	r.ended = make(chan struct{})
+	close(r.watchesEnd)
+	r.watchesEnd = make(chan struct{})
 }
 
-// goDown refuses calls for a time.
+// goDown makes the registry refuse connections for a time.
 func (r *registry) goDown(span time.Duration) {
 	r.mu.Lock()
 	already := time.Now().Before(r.downUntil)
@@ -186,55 +187,55 @@
 			time.Sleep(min(left, 50*time.Millisecond))
 		}
 		for _, s := range r.servers {
-			if r.book.over() {
+			if r.recorder.hasEnded() {
 				return
 			}
 			if err := s.listen(); err != nil {
-				r.book.Void("the registry could not listen again: " + err.Error())
+				r.recorder.Void("the registry could not listen again: " + err.Error())
 			}
 		}
 	})
 }
 
-func (r *registry) saySilent(span time.Duration) {
+func (r *registry) goSilent(span time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.silent = time.Now().Add(span)
+	r.silentUntil = time.Now().Add(span)
 }
 
-func (r *registry) beSlow(span time.Duration) {
+func (r *registry) goSlow(span time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.slow = time.Now().Add(span)
+	r.slowUntil = time.Now().Add(span)
 }
 
-// beCrowded makes calls wait and then fail for a time, and watches late with all they have to
-// tell, though they show signs of life.
-func (r *registry) beCrowded(span time.Duration) {
+// goOverloaded makes requests wait and then fail for a time. Open watches get heartbeats, but
+// changes only late.
+func (r *registry) goOverloaded(span time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.crowded = time.Now().Add(span)
+	r.overloadedUntil = time.Now().Add(span)
 }
 
-func (r *registry) isCrowded() bool {
+func (r *registry) isOverloaded() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return time.Now().Before(r.crowded)
+	return time.Now().Before(r.overloadedUntil)
 }
 
-// lateBy is how late a watch may be with a change in a crowd. Later than what counts after
-// tellWithin is known to break the rule, and shown by TestCrowdIsNoOutage.
-const lateBy = tellWithin - time.Second
+// maxNotifyDelay is the longest delay of a change on a watch during an overload. With delays above
+// announceWithin proxies are known to violate the drain rule: see TestCrowdIsNoOutage.
+const maxNotifyDelay = announceWithin - time.Second
 
-// due tells whether a watch tells what comes after a version now.
-func (r *registry) due(after int64) bool {
+// notifies reports whether watches are due to get the changes after a revision now.
+func (r *registry) notifies(after int64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	i := slices.IndexFunc(r.changes, func(t target) bool { return t.rev > after })
-	return !time.Now().Before(r.crowded) || i >= 0 && time.Since(r.changes[i].made) >= lateBy
+	return !time.Now().Before(r.overloadedUntil) || i >= 0 && time.Since(r.changes[i].changedAt) >= maxNotifyDelay
 }
 
-// wire is an entry as a proxy gets it.
+// wireTarget is an entry in the form sent to proxies.
 type wireTarget struct {
 	UID      string  `json:"uid"`
 	Endpoint string  `json:"endpoint"`
@@ -249,23 +250,23 @@
 func (t target) wire(proxy int) wireTarget {
 	w := wireTarget{UID: t.uid, Endpoint: t.backend.endpoint(proxy), Zone: "z1", Model: "m", Cell: 1, State: t.state, Size: 1}
 	if !t.boot.IsZero() {
-		w.Boot = wallMillis(t.boot)
+		w.Boot = unixMillis(t.boot)
 	}
 	return w
 }
 
-// list is the changes after a version, or all that serves, as a line for a proxy, and the
-// version that it brings.
-func (r *registry) list(proxy int, after int64, all bool) (line []byte, rev int64, told []target) {
+// list returns a list message for a proxy, with the changes after a revision or with all backends in
+// service; its revision; and the entries that it announces.
+func (r *registry) list(proxy int, after int64, all bool) (line []byte, rev int64, announced []target) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	entries := []wireTarget{}
 	if all {
-		for _, t := range r.targets { // what leaves is left out
+		for _, t := range r.targets { // the message leaves out draining and removed backends
 			if t.state == "in_service" {
 				entries = append(entries, t.wire(proxy))
 			}
-			told = append(told, t)
+			announced = append(announced, t)
 		}
 		for n := range r.fillers {
 			entries = append(entries, filler(n))
@@ -274,11 +275,11 @@
 		for _, t := range r.changes {
 			if t.rev > after {
 				entries = append(entries, t.wire(proxy))
-				told = append(told, t)
+				announced = append(announced, t)
 			}
 		}
 	}
-	return listLine(r.rev, all, entries), r.rev, told
+	return listLine(r.rev, all, entries), r.rev, announced
 }
 
 func listLine(rev int64, all bool, entries []wireTarget) []byte {
@@ -289,14 +290,15 @@
 	return append(line, '\n')
 }
 
-// filler is an entry of a backend that drains all the time, and makes a list long.
+// filler returns an entry of a backend that is always draining, to make lists long.
 func filler(n int) wireTarget {
 	return wireTarget{UID: fmt.Sprintf("f-%d", n), Endpoint: "127.0.0.1:1", Zone: "z1", Model: "m", Cell: 1,
 		State: "terminating", Size: 1}
 }
 
-// known is the list that a proxy starts with: as it had it last, or all at the run's start.
-func (r *registry) known(proxy int) string {
+// startupList returns the list for a proxy's configuration: the last one that it got, or that of
+// the run's start.
+func (r *registry) startupList(proxy int) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	last, ok := r.written[proxy]
@@ -319,27 +321,27 @@
 	return string(listLine(last, true, entries))
 }
 
-// tell notes what a proxy has been told with a list of a version.
-func (r *registry) tell(proxy int, rev int64, told []target) {
+// recordAnnounced records what a list message has announced to a proxy.
+func (r *registry) recordAnnounced(proxy int, rev int64, announced []target) {
 	r.mu.Lock()
 	r.written[proxy] = max(r.written[proxy], rev)
 	r.mu.Unlock()
-	for _, t := range told {
-		r.book.Told(t.backend.name, proxy, t.rev, t.state != "in_service")
+	for _, t := range announced {
+		r.recorder.Announced(t.backend.name, proxy, t.rev, t.state != "in_service")
 	}
 }
 
-// Of a long list, so many bytes are written at once, and so long a pause follows.
+// A long list is written in fragments of fragmentSize bytes with pauses between them.
 const (
-	pieceSize  = 16 << 10
-	piecePause = 20 * time.Millisecond
+	fragmentSize  = 16 << 10
+	fragmentPause = 20 * time.Millisecond
 )
 
-// write writes a line of a watch, a long one in pieces.
+// write writes one line of a watch, a long one in fragments.
 func write(w http.ResponseWriter, line []byte) error {
 	flush := http.NewResponseController(w)
 	for len(line) > 0 {
-		n := min(len(line), pieceSize)
+		n := min(len(line), fragmentSize)
 		if _, err := w.Write(line[:n]); err != nil {
 			return err
 		}
@@ -347,20 +349,20 @@
 			return err
 		}
 		if line = line[n:]; len(line) > 0 {
-			time.Sleep(piecePause)
+			time.Sleep(fragmentPause)
 		}
 	}
 	return nil
 }
 
-// crowdLimit is how long a call waits in a crowd before it is turned away.
-const crowdLimit = 700 * time.Millisecond
+// overloadWait is how long a request waits during an overload before it is rejected.
+const overloadWait = 700 * time.Millisecond
 
-// ServeHTTP is one watch.
+// ServeHTTP serves one watch.
 func (s *registryServer) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	r := s.registry
 	r.mu.Lock()
-	slow, ended := time.Until(r.slow), r.ended
+	slow, watchesEnd := time.Until(r.slowUntil), r.watchesEnd
 	r.mu.Unlock()
 	if slow > 0 {
 		time.Sleep(min(slow, 700*time.Millisecond))
@@ -370,8 +372,8 @@
 			return
 		}
 	}
-	for from := time.Now(); r.isCrowded(); {
-		if time.Since(from) > crowdLimit {
+	for from := time.Now(); r.isOverloaded(); {
+		if time.Since(from) > overloadWait {
 			http.Error(w, "waited too long", http.StatusServiceUnavailable)
 			return
 		}
@@ -380,31 +382,31 @@
 		}
 	}
 	after, err := strconv.ParseInt(req.URL.Query().Get("index"), 10, 64)
-	all := err != nil || after == 0 || after%3 == 0 // some begin with the whole list
-	life, flush := time.Now(), http.NewResponseController(w)
+	all := err != nil || after == 0 || after%3 == 0 // every third revision too, to cover whole lists
+	lastWrite, flush := time.Now(), http.NewResponseController(w)
 	for first := true; ; first = false {
 		r.mu.Lock()
 		changed, rev := r.changed, r.rev
 		r.mu.Unlock()
 		switch {
 		case r.isSilent():
-		case first || rev > after && r.due(after):
-			line, rev, told := r.list(s.proxy, after, first && all)
-			if write(w, line) != nil { // its connection has ended: nothing was told
+		case first || rev > after && r.notifies(after):
+			line, rev, announced := r.list(s.proxy, after, first && all)
+			if write(w, line) != nil { // the connection has failed, so nothing counts as announced
 				return
 			}
-			r.tell(s.proxy, rev, told)
-			after, life = rev, time.Now()
-		case time.Since(life) >= time.Second:
+			r.recordAnnounced(s.proxy, rev, announced)
+			after, lastWrite = rev, time.Now()
+		case time.Since(lastWrite) >= time.Second:
 			fmt.Fprintln(w)
 			if flush.Flush() != nil {
 				return
 			}
-			life = time.Now()
+			lastWrite = time.Now()
 		}
 		select {
 		case <-changed:
-		case <-ended:
+		case <-watchesEnd:
 			return
 		case <-req.Context().Done():
 			return
@@ -416,10 +418,10 @@
 func (r *registry) isSilent() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return time.Now().Before(r.silent)
+	return time.Now().Before(r.silentUntil)
 }
 
-// wait waits, and tells whether the caller is still there.
+// wait waits for a time, and reports whether the client is still connected.
 func wait(req *http.Request, span time.Duration) bool {
 	select {
 	case <-req.Context().Done():
@@ -429,5 +431,5 @@
 	}
 }
 
-// wallMillis is a time as stamps have it: the one place in the soak that needs Unix time.
-func wallMillis(t time.Time) int64 { return t.UnixMilli() }
+// unixMillis returns a time as a wire timestamp. Nothing else in this package needs Unix time.
+func unixMillis(t time.Time) int64 { return t.UnixMilli() }
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -14,42 +14,42 @@
 	"time"
 )
 
-// Report is what came of a run.
+// Report is the result of a run.
 type Report struct {
 	Seed       uint64
 	Events     []Event
 	Outcomes   map[string]int
 	Violations []Violation
 	Summary    string
-	Void       string // why the run says nothing; empty: it does
+	Void       string // why the run is inconclusive; empty: it is conclusive
 }
 
-// Passed tells whether the run says something, and nothing bad.
+// Passed reports whether the run was conclusive and had no violations.
 func (r *Report) Passed() bool { return r.Void == "" && len(r.Violations) == 0 }
 
-// run is one run.
+// run is the state of a run.
 type run struct {
 	plan     *Plan
 	classes  []Class
-	book     *Book
+	recorder *Recorder
 	registry *registry
 	proxies  []*process
 	over     atomic.Bool
 
-	mu       sync.Mutex
-	backends []*backend
-	leaving  map[*backend]bool // they are no longer in service
-	serial   int
-	seed     uint64
-	troubles map[Trouble]time.Time // of clients: until when
-	crowds   map[int]time.Time     // by proxy: until when idle clients fill its descriptors
-	longest  time.Duration         // pause of a process
-	crowded  bool                  // discovery gets crowded in this run
-	tasks    sync.WaitGroup
+	mu                 sync.Mutex
+	backends           []*backend
+	leaving            map[*backend]bool // those not in service
+	serial             int
+	seed               uint64
+	clientFaultsUntil  map[EventKind]time.Time // until when each client fault is active
+	floodedUntil       map[int]time.Time       // by proxy: until when idle connections use up its descriptors
+	longestPause       time.Duration           // of a process
+	overloadsDiscovery bool                    // the events include DiscoveryOverload
+	tasks              sync.WaitGroup
 }
 
-// Run makes one run with the troubles given, and returns what came of it. All that it
-// started has ended when it returns.
+// Run makes one run with the given events and returns its result. Everything that it started has
+// ended when it returns.
 func Run(ctx context.Context, plan *Plan, seed uint64, events []Event) (*Report, error) {
 	if err := plan.Check(); err != nil {
 		return nil, err
@@ -58,12 +58,12 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &run{plan: plan, classes: drawClasses(seed), book: NewBook(grace), seed: seed, troubles: map[Trouble]time.Time{}, crowds: map[int]time.Time{}, leaving: map[*backend]bool{}}
+	r := &run{plan: plan, classes: classesForSeed(seed), recorder: NewRecorder(grace), seed: seed, clientFaultsUntil: map[EventKind]time.Time{}, floodedUntil: map[int]time.Time{}, leaving: map[*backend]bool{}}
 	defer r.stop()
 	if err := r.prepare(dir); err != nil {
 		return nil, err
 	}
-	r.crowded = slices.ContainsFunc(events, func(e Event) bool { return e.Kind == DiscoveryCrowd })
+	r.overloadsDiscovery = slices.ContainsFunc(events, func(e Event) bool { return e.Kind == DiscoveryOverload })
 	lag := newLagMeter()
 	traffic, endTraffic := context.WithTimeout(ctx, plan.Length)
 	defer endTraffic()
@@ -72,7 +72,7 @@
 	}
 	var clients sync.WaitGroup
 	for n := range plan.Proxies * plan.Clients {
-		c := &client{run: r, n: n, rng: rand.New(rand.NewPCG(seed, uint64(100+n)))}
+		c := &client{run: r, number: n, rng: rand.New(rand.NewPCG(seed, uint64(100+n)))}
 		clients.Go(func() { c.loop(traffic) })
 	}
 	began := time.Now()
@@ -84,37 +84,37 @@
 		if traffic.Err() != nil {
 			break
 		}
-		r.tasks.Go(func() { r.make(e) })
+		r.tasks.Go(func() { r.apply(e) })
 	}
 	clients.Wait()
 	r.tasks.Wait()
 	r.over.Store(true)
-	r.book.end()
-	r.endAll()
-	if worst := lag.stop(); worst > mostLag {
-		r.book.Void(fmt.Sprintf("the machine was too busy: the run itself was held up for %v", worst))
+	r.recorder.markEnded()
+	r.terminateAll()
+	if worst := lag.stop(); worst > maxLag {
+		r.recorder.Void(fmt.Sprintf("the machine was too busy: the test's own timers were %v late", worst))
 	}
-	report := &Report{Seed: seed, Events: events, Outcomes: r.book.Outcomes(), Violations: r.book.Violations(),
-		Summary: r.book.Summary(), Void: r.book.void()}
+	report := &Report{Seed: seed, Events: events, Outcomes: r.recorder.Outcomes(), Violations: r.recorder.Violations(),
+		Summary: r.recorder.Summary(), Void: r.recorder.void()}
 	if report.Passed() {
 		os.RemoveAll(dir)
 	}
 	return report, ctx.Err()
 }
 
-// One of so many seeds has a long list, with so many entries beside those that serve.
+// One in longListEvery seeds has longListEntries extra entries in its lists.
 const (
-	longListEach = 4
-	longList     = 1500
+	longListEvery   = 4
+	longListEntries = 1500
 )
 
-// prepare starts discovery and backends, and makes the proxies' configurations.
+// prepare starts discovery and the backends, and assigns the proxies' addresses and files.
 func (r *run) prepare(dir string) (err error) {
-	if r.registry, err = newRegistry(r.book, r.plan.Proxies); err != nil {
+	if r.registry, err = newRegistry(r.recorder, r.plan.Proxies); err != nil {
 		return err
 	}
-	if r.seed%longListEach == 0 {
-		r.registry.fillers = longList
+	if r.seed%longListEvery == 0 {
+		r.registry.fillers = longListEntries
 	}
 	for range r.plan.Backends {
 		if err := r.addBackend(time.Time{}); err != nil {
@@ -122,7 +122,7 @@
 		}
 	}
 	for n := range r.plan.Proxies {
-		addr, err := freePort()
+		addr, err := freeAddr()
 		if err != nil {
 			return err
 		}
@@ -135,13 +135,13 @@
 	return nil
 }
 
-// addBackend adds a backend that has booted at a time, zero for long ago.
+// addBackend adds a backend that started at the given time; zero means long ago.
 func (r *run) addBackend(boot time.Time) error {
 	r.mu.Lock()
 	r.serial++
 	uid := fmt.Sprintf("s-%d", r.serial)
 	r.mu.Unlock()
-	b, err := newBackend(r.book, uid, r.plan.Proxies, r.seed+uint64(r.serial))
+	b, err := newBackend(r.recorder, uid, r.plan.Proxies, r.seed+uint64(r.serial))
 	if err != nil {
 		return err
 	}
@@ -152,8 +152,8 @@
 	return nil
 }
 
-// make makes one trouble, and returns once it is over.
-func (r *run) make(e Event) {
+// apply injects one event, and returns once it is over.
+func (r *run) apply(e Event) {
 	p := r.proxies[e.Target%len(r.proxies)]
 	r.mu.Lock()
 	b := r.backends[e.Target%len(r.backends)]
@@ -173,10 +173,10 @@
 	case Reload:
 		for range 2 {
 			p.mu.Lock()
-			p.moves++
+			p.discoveryMoves++
 			p.mu.Unlock()
 			if err := p.writeConfig(); err != nil {
-				r.book.Void(err.Error())
+				r.recorder.Void(err.Error())
 			}
 			p.reload()
 			time.Sleep(e.Span / 4)
@@ -184,19 +184,19 @@
 	case DiscoveryDown:
 		r.registry.goDown(e.Span)
 	case DiscoverySilent:
-		r.registry.saySilent(e.Span)
+		r.registry.goSilent(e.Span)
 	case DiscoverySlow:
-		r.registry.beSlow(e.Span)
-	case DiscoveryCrowd:
-		r.registry.beCrowded(e.Span)
+		r.registry.goSlow(e.Span)
+	case DiscoveryOverload:
+		r.registry.goOverloaded(e.Span)
 	case WatchesEnd:
 		r.registry.endWatches()
-	case Away:
-		r.away(b, e.Span)
-	case Signals:
-		r.signals(e.Target)
-	case Crowd:
-		r.crowd(p, e.Span)
+	case BackendOutage:
+		r.backendOutage(b, e.Span)
+	case SignalSeries:
+		r.sendSignalSeries(e.Target)
+	case IdleFlood:
+		r.floodIdle(p, e.Span)
 	case Drain:
 		r.drain(b, e.Span)
 	case Restart:
@@ -206,16 +206,16 @@
 		}
 	case Reset:
 		b.reset()
-	case Hang, Errors, Full, HalfAnswers, IdleCloses:
-		b.behave(e.Kind, e.Span)
-	case Leavers, BadClients:
+	case Hang, Errors, Full, TruncatedResponses, IdleCloses:
+		b.misbehave(e.Kind, e.Span)
+	case ClientsLeave, BadClients:
 		r.mu.Lock()
-		r.troubles[e.Kind] = time.Now().Add(e.Span)
+		r.clientFaultsUntil[e.Kind] = time.Now().Add(e.Span)
 		r.mu.Unlock()
 	}
 }
 
-// beginLeaving notes that a backend is no longer in service, and tells whether it was.
+// beginLeaving marks a backend as no longer in service, and reports whether it was in service.
 func (r *run) beginLeaving(b *backend) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -224,69 +224,69 @@
 	return was
 }
 
-// drain tells that a backend is leaving, then that it is gone, and another comes in its
-// place. It answers on: what still comes must not. Where discovery gets crowded it turns calls
-// away once it is gone: one that answers on for longer and can't be told of is known to be used
-// (TestCrowdIsNoOutage).
+// drain announces that a backend drains, then that it is removed, and adds another one in its
+// place. The drained backend still answers, so that forbidden attempts are recorded. In runs with an
+// overloaded discovery service it rejects requests once it is removed: a proxy that gets no list is
+// known to go on using a backend that serves for longer (TestCrowdIsNoOutage).
 func (r *run) drain(b *backend, span time.Duration) {
 	if !r.beginLeaving(b) {
 		return
 	}
 	r.registry.set(target{uid: b.name, state: "terminating", backend: b})
 	time.Sleep(span)
-	if r.crowded {
-		b.refuse()
+	if r.overloadsDiscovery {
+		b.rejectAll()
 	}
 	r.registry.set(target{uid: b.name, state: "terminated", backend: b})
 	r.mu.Lock()
 	r.serial++
-	fresh := fmt.Sprintf("s-%d", r.serial)
+	newUID := fmt.Sprintf("s-%d", r.serial)
 	r.mu.Unlock()
-	next, err := newBackend(r.book, fresh, r.plan.Proxies, r.seed+uint64(r.serial))
+	next, err := newBackend(r.recorder, newUID, r.plan.Proxies, r.seed+uint64(r.serial))
 	if err != nil {
-		r.book.Void(err.Error())
+		r.recorder.Void(err.Error())
 		return
 	}
-	r.registry.set(target{uid: fresh, state: "in_service", boot: time.Now(), backend: next})
+	r.registry.set(target{uid: newUID, state: "in_service", boot: time.Now(), backend: next})
 	r.mu.Lock()
 	r.backends = append(r.backends, next)
 	r.mu.Unlock()
 }
 
-// noticeAfter is how long a backend has to be away until discovery has it as gone.
-const noticeAfter = 700 * time.Millisecond
+// detectionDelay is the time until discovery notices that a backend went offline or returned.
+const detectionDelay = 700 * time.Millisecond
 
-// away makes a backend be away for a time, through which discovery has it as gone. It comes
-// back cold under its id, and serves before discovery says so.
-func (r *run) away(b *backend, span time.Duration) {
+// backendOutage takes a backend offline for long enough that discovery removes it. It returns in
+// slow start under its ID, and serves before discovery announces that.
+func (r *run) backendOutage(b *backend, span time.Duration) {
 	if !r.beginLeaving(b) {
 		return
 	}
-	b.leave()
-	time.Sleep(noticeAfter)
+	b.goOffline()
+	time.Sleep(detectionDelay)
 	r.registry.set(target{uid: b.name, state: "terminated", backend: b})
 	time.Sleep(span)
 	boot := time.Now()
-	if err := b.comeBack(); err != nil {
-		r.book.Void("a backend could not listen again: " + err.Error())
+	if err := b.goOnline(); err != nil {
+		r.recorder.Void("a backend could not listen again: " + err.Error())
 		return
 	}
-	time.Sleep(noticeAfter)
+	time.Sleep(detectionDelay)
 	r.registry.set(target{uid: b.name, state: "in_service", boot: boot, backend: b})
 	r.mu.Lock()
 	delete(r.leaving, b)
 	r.mu.Unlock()
 }
 
-// Between signals of a series.
+// Delays between the signals of a series, and between the proxies that get one.
 const (
 	signalPause = 50 * time.Millisecond
 	nextPause   = 200 * time.Millisecond
 )
 
-// signals tells two proxies, one after the other, to read their configuration, to end, and
-// to read it again while they do.
-func (r *run) signals(target int) {
+// sendSignalSeries makes two proxies, one after the other, reload their configuration, drain, and
+// reload it again during the drain.
+func (r *run) sendSignalSeries(target int) {
 	for n := range min(2, len(r.proxies)) {
 		p := r.proxies[(target+n)%len(r.proxies)]
 		r.tasks.Go(func() {
@@ -301,14 +301,14 @@
 	}
 }
 
-// crowdSize is how many idle clients a crowd has: more than a proxy has descriptors for.
-const crowdSize = 260
+// floodSize is the number of idle connections in a flood: more than a proxy has descriptors for.
+const floodSize = 260
 
-// crowd fills a proxy's descriptors with clients that say nothing.
-func (r *run) crowd(p *process, span time.Duration) {
+// floodIdle uses up a proxy's descriptors with idle connections.
+func (r *run) floodIdle(p *process, span time.Duration) {
 	r.mu.Lock()
-	if until := time.Now().Add(span + time.Second); until.After(r.crowds[p.number]) { // one may overlap another
-		r.crowds[p.number] = until
+	if until := time.Now().Add(span + time.Second); until.After(r.floodedUntil[p.number]) { // floods may overlap
+		r.floodedUntil[p.number] = until
 	}
 	r.mu.Unlock()
 	var idle []net.Conn
@@ -318,7 +318,7 @@
 		}
 	}()
 	end := time.Now().Add(span)
-	for range crowdSize {
+	for range floodSize {
 		c, err := net.DialTimeout("tcp", p.addr, signalPause)
 		if err != nil || time.Now().After(end) {
 			break
@@ -328,47 +328,47 @@
 	time.Sleep(time.Until(end))
 }
 
-// crowdedBy tells whether idle clients fill a proxy's descriptors, or have just done so: new
-// connections may be closed unread then.
-func (r *run) crowdedBy(proxy int) bool {
+// isFlooded reports whether a flood of idle connections is active or has just ended. The proxy may
+// then close new connections without reading from them.
+func (r *run) isFlooded(proxy int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return time.Now().Before(r.crowds[proxy])
+	return time.Now().Before(r.floodedUntil[proxy])
 }
 
-// allowedPause is how long a proxy may be held up with all rules in force.
+// allowedPause is the longest suspension of a proxy during which all rules apply.
 const allowedPause = 150 * time.Millisecond
 
-// pause stops a process for a time.
+// pause suspends a process for a time.
 func (r *run) pause(p *process, span time.Duration) {
 	from := time.Now()
 	if span > allowedPause {
-		r.book.Held(p.number, from, from.Add(span+100*time.Millisecond))
+		r.recorder.ProxySuspended(p.number, from, from.Add(span+100*time.Millisecond))
 	}
 	r.mu.Lock()
-	r.longest = max(r.longest, span)
+	r.longestPause = max(r.longestPause, span)
 	r.mu.Unlock()
 	p.signal(syscall.SIGSTOP)
 	time.Sleep(span)
 	p.signal(syscall.SIGCONT)
 }
 
-// pauseSlack is what pauses may add to the end of a process.
+// pauseSlack returns the time by which suspensions may delay the exit of a process.
 func (r *run) pauseSlack() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return 2 * r.longest
+	return 2 * r.longestPause
 }
 
-// troubled tells whether clients do as a trouble says now.
-func (r *run) troubled(kind Trouble) bool {
+// clientFaultActive reports whether a client fault is active.
+func (r *run) clientFaultActive(kind EventKind) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return time.Now().Before(r.troubles[kind])
+	return time.Now().Before(r.clientFaultsUntil[kind])
 }
 
-// rotation draws a proxy that callers may choose.
-func (r *run) rotation(rng *rand.Rand) (int, bool) {
+// pickReadyProxy draws a proxy that clients may connect to.
+func (r *run) pickReadyProxy(rng *rand.Rand) (int, bool) {
 	for range 10 {
 		n := rng.IntN(len(r.proxies))
 		p := r.proxies[n]
@@ -382,7 +382,7 @@
 	return 0, false
 }
 
-// generation counts a proxy's starts.
+// generation returns the number of a proxy's starts.
 func (r *run) generation(proxy int) int {
 	p := r.proxies[proxy]
 	p.mu.Lock()
@@ -390,39 +390,39 @@
 	return p.generation
 }
 
-// excuse is why a request at a proxy that was not answered is no breach; empty: it is one.
-// begun tells that the answer had begun: one that can't be finished has failed and is not
-// lost, as its client can tell.
+// excuse returns why a request that got no response is no violation, or an empty string if it is
+// one. begun says that the response had begun: one that the proxy can't complete, and aborts so that
+// the client notices, counts as failed and not as lost.
 func (r *run) excuse(proxy, generation int, begun bool) string {
 	p := r.proxies[proxy]
 	p.mu.Lock()
-	killed := generation != p.told && (p.killed || p.generation != generation)
+	killed := generation != p.terminatedGeneration && (p.killed || p.generation != generation)
 	p.mu.Unlock()
 	switch {
 	case killed:
 		return "its proxy was killed"
 	case begun:
-		return "its answer was cut off in a way that tells"
+		return "its response was aborted so that the client noticed"
 	}
-	r.book.mu.Lock()
-	defer r.book.mu.Unlock()
-	if r.book.heldUp(proxy, time.Now()) {
-		return "its proxy was stopped for long"
+	r.recorder.mu.Lock()
+	defer r.recorder.mu.Unlock()
+	if r.recorder.wasSuspended(proxy, time.Now()) {
+		return "its proxy was suspended for long"
 	}
 	return ""
 }
 
 func (r *run) stopped() bool { return r.over.Load() }
 
-func (r *run) discoveryKind() string {
+func (r *run) discoveryMode() string {
 	if r.plan.Pushed {
 		return "pushed"
 	}
 	return "on_request"
 }
 
-// faultEnv is what makes the calls of a program that is built for it fail, and steps its
-// clock: half of the processes by up to an hour.
+// faultEnv returns the environment that makes system calls fail in a program built for it, and that
+// steps the clock of some processes, by up to an hour.
 func (r *run) faultEnv(proxy int) []string {
 	if !r.plan.Faults {
 		return nil
@@ -436,24 +436,24 @@
 	}
 }
 
-// endAll ends all proxies in order, and judges how.
-func (r *run) endAll() {
+// terminateAll terminates all proxies and checks how they exit.
+func (r *run) terminateAll() {
 	var ends sync.WaitGroup
 	for _, p := range r.proxies {
 		ends.Go(func() {
 			p.terminate()
 			if text := p.panicked(); text != "" {
-				r.book.Breach(RuleCrash, fmt.Sprintf("proxy %d: %s", p.number, text))
+				r.recorder.AddViolation(RuleCrash, fmt.Sprintf("proxy %d: %s", p.number, text))
 			}
 		})
 	}
 	ends.Wait()
 }
 
-// stop ends what is still there, by id.
+// stop kills the remaining processes, by ID, and stops backends and discovery.
 func (r *run) stop() {
 	r.over.Store(true)
-	r.book.end()
+	r.recorder.markEnded()
 	for _, p := range r.proxies {
 		p.kill()
 	}
@@ -465,11 +465,11 @@
 	}
 }
 
-// mostLag is how long the run itself may be held up: past it, what looks like a fault of a
-// proxy may be one of the machine.
-const mostLag = 150 * time.Millisecond
+// maxLag is how late the test's own timers may be. Beyond it, a violation may be the machine's fault
+// and not the proxy's.
+const maxLag = 150 * time.Millisecond
 
-// lagMeter measures by how much a short sleep takes longer than asked.
+// lagMeter measures how late short sleeps end.
 type lagMeter struct {
 	over  chan struct{}
 	worst chan time.Duration
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,6 +1,6 @@
-// Package wire reads and writes the bench's wire: batches of events in, one
-// reply of actions a batch out, one JSON value a line. It knows the form of
-// the messages and nothing of what they are for.
+// Package wire reads and writes the simulator's protocol: it reads batches of events and
+// writes one reply with actions per batch, with one JSON value per line. It checks the form
+// of the messages only.
 package wire
 
 import (
@@ -13,8 +13,8 @@
 	"oxbowloft/internal/settings"
 )
 
-// An Event is one line of a batch. Which fields are set depends on Type; Read
-// makes sure that those its type needs are there. Unknown fields are skipped.
+// Event is one line of a batch. Which fields are set depends on Type; Reader.Read ensures
+// that those which the type requires are set. Unknown fields are ignored.
 type Event struct {
 	Type      string   `json:"type"`
 	Instance  *int     `json:"i"`
@@ -37,10 +37,10 @@
 	Serial     *int64           `json:"serial"`
 }
 
-// RetryBit marks a client's retry in an event's Bits.
+// RetryBit is set in an event's StateBits if the request is a client's retry.
 const RetryBit = 2
 
-// PoolEntry is one line of a list of backends.
+// PoolEntry is one backend of a list.
 type PoolEntry struct {
 	Backend       string   `json:"backend"`
 	Zone          string   `json:"dc"`
@@ -50,7 +50,7 @@
 	ReadyAtMs     float64  `json:"ready-at-ms"`
 }
 
-// An Action is one line of a reply.
+// Action is one line of a reply.
 type Action struct {
 	Type         string  `json:"type"`
 	Instance     int     `json:"i"`
@@ -64,18 +64,18 @@
 	Enable       bool    `json:"enable,omitempty"`
 }
 
-// A Batch is what happened at one time.
+// Batch holds the events that happened at the same time.
 type Batch struct {
-	TimeMs float64 // milliseconds
+	TimeMs float64
 	Serial int64
 	Events []Event
 }
 
 // Reader reads batches.
 type Reader struct {
-	in   *bufio.Reader
-	long []byte
-	line int
+	in         *bufio.Reader
+	lineBuf    []byte
+	lineNumber int
 }
 
 // NewReader returns a Reader on r.
@@ -83,107 +83,107 @@
 	return &Reader{in: bufio.NewReaderSize(r, 1<<16)}
 }
 
-// Read returns the next batch, or io.EOF where the input ends between batches.
+// Read returns the next batch, or io.EOF if the input ends between batches.
 func (r *Reader) Read() (*Batch, error) {
-	head, err := r.event()
+	first, err := r.readEvent()
 	if err != nil {
 		return nil, err
 	}
-	if head.Type != "batch" {
-		return nil, fmt.Errorf("line %d: %q outside a batch", r.line, head.Type)
+	if first.Type != "batch" {
+		return nil, fmt.Errorf("line %d: %q outside a batch", r.lineNumber, first.Type)
 	}
-	b := &Batch{TimeMs: *head.TimeMs, Serial: *head.Serial}
+	b := &Batch{TimeMs: *first.TimeMs, Serial: *first.Serial}
 	for {
-		e, err := r.event()
+		e, err := r.readEvent()
 		switch {
 		case errors.Is(err, io.EOF):
-			return nil, fmt.Errorf("line %d: input ends inside a batch", r.line)
+			return nil, fmt.Errorf("line %d: input ends inside a batch", r.lineNumber)
 		case err != nil:
 			return nil, err
 		case e.Type == "flush":
 			return b, nil
 		case e.Type == "batch":
-			return nil, fmt.Errorf("line %d: batch inside a batch", r.line)
+			return nil, fmt.Errorf("line %d: batch inside a batch", r.lineNumber)
 		}
 		b.Events = append(b.Events, e)
 	}
 }
 
-func (r *Reader) event() (Event, error) {
+func (r *Reader) readEvent() (Event, error) {
 	var e Event
-	text, err := r.next()
+	text, err := r.readLine()
 	if err != nil {
 		return e, err
 	}
 	if err := json.Unmarshal(text, &e); err != nil {
-		return e, fmt.Errorf("line %d: %w", r.line, err)
+		return e, fmt.Errorf("line %d: %w", r.lineNumber, err)
 	}
-	if err := e.check(); err != nil {
-		return e, fmt.Errorf("line %d: %w", r.line, err)
+	if err := e.checkRequired(); err != nil {
+		return e, fmt.Errorf("line %d: %w", r.lineNumber, err)
 	}
 	return e, nil
 }
 
-// next returns the next line; it is good until the call after.
-func (r *Reader) next() ([]byte, error) {
-	r.long = r.long[:0]
+// readLine returns the next line, which is valid until the next call.
+func (r *Reader) readLine() ([]byte, error) {
+	r.lineBuf = r.lineBuf[:0]
 	for {
 		part, err := r.in.ReadSlice('\n')
-		if err == nil && len(r.long) == 0 {
-			r.line++
+		if err == nil && len(r.lineBuf) == 0 {
+			r.lineNumber++
 			return part, nil
 		}
-		r.long = append(r.long, part...)
+		r.lineBuf = append(r.lineBuf, part...)
 		switch {
 		case errors.Is(err, bufio.ErrBufferFull):
-		case err == nil, errors.Is(err, io.EOF) && len(r.long) > 0:
-			r.line++
-			return r.long, nil
+		case err == nil, errors.Is(err, io.EOF) && len(r.lineBuf) > 0:
+			r.lineNumber++
+			return r.lineBuf, nil
 		default:
 			return nil, err
 		}
 	}
 }
 
-// check tells whether the fields that the event's type needs are there.
-func (e *Event) check() error {
-	type need struct {
-		name string
-		here bool
+// checkRequired returns an error if a field is missing that the event's type requires.
+func (e *Event) checkRequired() error {
+	type field struct {
+		name    string
+		present bool
 	}
-	i := need{"i", e.Instance != nil}
-	txn := need{"txn", e.RequestID != nil}
-	kind := need{"kind", e.Kind != nil}
-	code := need{"code", e.Code != nil}
-	var needs []need
+	instance := field{"i", e.Instance != nil}
+	requestID := field{"txn", e.RequestID != nil}
+	kind := field{"kind", e.Kind != nil}
+	code := field{"code", e.Code != nil}
+	var required []field
 	switch e.Type {
 	case "batch":
-		needs = []need{{"time-ms", e.TimeMs != nil}, {"serial", e.Serial != nil}}
+		required = []field{{"time-ms", e.TimeMs != nil}, {"serial", e.Serial != nil}}
 	case "flush":
 	case "enlist":
-		needs = []need{i, {"init-seed", e.Seed != nil}, {"setup", e.Settings != nil}}
+		required = []field{instance, {"init-seed", e.Seed != nil}, {"setup", e.Settings != nil}}
 	case "pool":
-		needs = []need{{"ref", e.PoolID != nil}}
+		required = []field{{"ref", e.PoolID != nil}}
 	case "backends-changed":
-		needs = []need{i, kind}
+		required = []field{instance, kind}
 	case "job-in":
-		needs = []need{i, txn, kind, {"budget-ms", e.BudgetMs != nil}}
+		required = []field{instance, requestID, kind, {"budget-ms", e.BudgetMs != nil}}
 	case "resolved":
-		needs = []need{i, txn, code}
+		required = []field{instance, requestID, code}
 	case "lapsed", "first":
-		needs = []need{i, txn}
+		required = []field{instance, requestID}
 	case "elapsed":
-		needs = []need{i, {"nonce", e.TimerToken != nil}}
+		required = []field{instance, {"nonce", e.TimerToken != nil}}
 	case "status-back", "retire", "neighbour-says":
-		needs = []need{i}
+		required = []field{instance}
 	case "":
 		return errors.New("message without a type")
 	default:
 		return fmt.Errorf("unknown message type %q", e.Type)
 	}
-	for _, n := range needs {
-		if !n.here {
-			return fmt.Errorf("%s without %s", e.Type, n.name)
+	for _, f := range required {
+		if !f.present {
+			return fmt.Errorf("%s without %s", e.Type, f.name)
 		}
 	}
 	return nil
@@ -203,7 +203,7 @@
 	return &Writer{out: out, enc: enc}
 }
 
-// Write sends the reply to the batch with that serial number.
+// Write writes the reply to the batch with the given serial number.
 func (w *Writer) Write(serial int64, actions []Action) error {
 	for i := range actions {
 		if err := w.enc.Encode(&actions[i]); err != nil {
