--- a/fleet/track/bench_test.go
+++ b/fleet/track/bench_test.go
@@ -117,12 +117,12 @@
 		p.step(2 * time.Second) // removes the owners' records of ended calls
 		p.step(2 * time.Second)
 		held := 0
-		for _, tab := range p.tables {
-			held += tab.Stats().Entries
+		for _, table := range p.tables {
+			held += table.Stats().Entries
 		}
-		each := float64(heap()-before) / float64(held)
-		worst = max(worst, each)
-		t.Logf("%d entries on 3 replicas: %.0f bytes per entry", n, each)
+		perEntry := float64(heap()-before) / float64(held)
+		worst = max(worst, perEntry)
+		t.Logf("%d entries on 3 replicas: %.0f bytes per entry", n, perEntry)
 		runtime.KeepAlive(p)
 	}
 	if worst > 160 {
@@ -139,8 +139,8 @@
 		p.fill(t, 1000, batch)
 		t.Logf("batches of %d: %.1f messages, %.0f bytes per call opened and ended", batch,
 			float64(p.messages)/1000, float64(p.bytes)/1000)
-		for _, tab := range p.tables {
-			tab.Tick(p.now)
+		for _, table := range p.tables {
+			table.Tick(p.now)
 		}
 		q := newInstantFleet(t, 10, 1<<20)
 		p = q
@@ -155,13 +155,13 @@
 	p := newInstantFleet(t, 10, 1<<20)
 	start := time.Now()
 	p.fill(t, 1_000_000, 2000)
-	took := time.Since(start)
-	held := 0
-	for _, tab := range p.tables {
-		held += tab.Stats().Entries
+	fillTime := time.Since(start)
+	copies := 0
+	for _, table := range p.tables {
+		copies += table.Stats().Entries
 	}
-	if held != 3_000_000 {
-		t.Errorf("%d copies held of a million entries, want 3 million", held)
+	if copies != 3_000_000 {
+		t.Errorf("%d copies held of a million entries, want 3 million", copies)
 	}
 	start = time.Now()
 	p.step(time.Second)
@@ -169,8 +169,8 @@
 	runtime.GC()
 	runtime.ReadMemStats(&m)
 	t.Logf("filled in %v, %.0f calls per second over all ten members; one sweep pass of all members %v; heap %d MB, %.0f bytes per copy",
-		took.Round(time.Millisecond), 1e6/took.Seconds(), time.Since(start).Round(time.Millisecond),
-		m.HeapAlloc>>20, float64(m.HeapAlloc)/float64(held))
+		fillTime.Round(time.Millisecond), 1e6/fillTime.Seconds(), time.Since(start).Round(time.Millisecond),
+		m.HeapAlloc>>20, float64(m.HeapAlloc)/float64(copies))
 	runtime.KeepAlive(p)
 }
 
@@ -238,5 +238,6 @@
 		}
 		worst, sum = max(worst, elapsed), sum+elapsed
 	}
-	t.Logf("convergence after a 30 s partition: average %v, maximum %v of virtual time, Sync 1 s, Sweep 400 ms", sum/n, worst)
+	t.Logf("convergence after a 30 s partition: average %v, maximum %v of virtual time, Sync 1 s, Sweep 400 ms",
+		sum/n, worst)
 }
--- a/fleet/track/invariants_test.go
+++ b/fleet/track/invariants_test.go
@@ -103,8 +103,7 @@
 			trace = func(s string) { t.Log(s) }
 		}
 		f := runSchedule(func(lo, hi int, what string) int {
-			return rapid.IntRange(lo, hi).Draw(t,
-				what)
+			return rapid.IntRange(lo, hi).Draw(t, what)
 		}, faultPlan{})
 		if f.violation != nil {
 			t.Fatal(f.violation)
@@ -116,9 +115,9 @@
 // schedule violates that invariant.
 func TestInvariantChecksDetectFaults(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		rule int
-		plan faultPlan
+		name      string
+		invariant int
+		plan      faultPlan
 	}{
 		{"ends without agreement", 1, faultPlan{faults: []int{cutOne}, interfere: func(x *node) {
 			for i := range x.table.slotCount {
@@ -159,20 +158,21 @@
 		{"votes without having recovered", 7, faultPlan{interfere: func(x *node) { x.table.recovery.active = false }}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			other := 0
+			otherViolations := 0
 			for seed := range uint64(200) {
 				rng := rand.New(rand.NewPCG(seed, 2))
 				f := runSchedule(func(lo, hi int, _ string) int { return lo + rng.IntN(hi-lo+1) }, c.plan)
-				if f.violatedRules[c.rule] {
-					t.Logf("schedule %d: %v (%d schedules violated other invariants)", seed, f.violation, other)
+				if f.violated[c.invariant] {
+					t.Logf("schedule %d: %v (%d schedules violated other invariants)", seed,
+						f.violation, otherViolations)
 					return
 				}
 				if f.violation != nil {
-					other++
+					otherViolations++
 					t.Logf("schedule %d: %v", seed, f.violation)
 				}
 			}
-			t.Errorf("not detected; %d schedules violated other invariants", other)
+			t.Errorf("not detected; %d schedules violated other invariants", otherViolations)
 		})
 	}
 }
--- a/fleet/track/model_test.go
+++ b/fleet/track/model_test.go
@@ -19,7 +19,8 @@
 //  2  no entry appears that nobody opened, and no ended one reappears
 //  3  connected replicas converge
 //  4  entries expire in time, and not early at a replica that is cut off
-//  5  a full table evicts no active keyed call, and flows in the order of eviction
+//  5  a full table evicts no unexpired keyed call, evicts flows in the defined order, and
+//     refuses with a positive RetryAfter
 //  6  no entry gets a state that only another generation was given
 //  7  no keyed call can take effect twice
 
@@ -122,13 +123,13 @@
 	reliable                 bool
 	intercept                func(from, to *node, msg []byte) []byte
 
-	sentCalls     map[string][]sentCall
-	generations   map[Key]map[generationID]*generationRecord
-	waiting       map[string]map[uint64]func(Verdict)
-	violation     error
-	violatedRules map[int]bool
-	breakTable    func(*node) // injects a fault into a new table
-	interfere     func(*node) // injects a fault into a running table, before each tick
+	sentCalls   map[string][]sentCall
+	generations map[Key]map[generationID]*generationRecord
+	waiting     map[string]map[uint64]func(Verdict)
+	violation   error
+	violated    map[int]bool
+	breakTable  func(*node) // injects a fault into a new table
+	interfere   func(*node) // injects a fault into a running table, before each tick
 
 	checkLive  bool
 	keys       int
@@ -137,7 +138,7 @@
 }
 
 func (f *fleet) failf(invariant int, format string, args ...any) {
-	f.violatedRules[invariant] = true
+	f.violated[invariant] = true
 	if f.violation == nil {
 		f.violation = fmt.Errorf("at %v: invariant %d: %w", f.now, invariant, fmt.Errorf(format, args...))
 	}
@@ -157,7 +158,7 @@
 		cutUntil: map[[2]string]time.Duration{}, cutSince: map[[2]string]time.Duration{},
 		okSince:   map[[2]string]time.Duration{},
 		sentCalls: map[string][]sentCall{}, generations: map[Key]map[generationID]*generationRecord{},
-		waiting: map[string]map[uint64]func(Verdict){}, violatedRules: map[int]bool{},
+		waiting: map[string]map[uint64]func(Verdict){}, violated: map[int]bool{},
 		checkLive: true,
 	}
 	for i := range n {
@@ -191,11 +192,11 @@
 }
 
 func (f *fleet) start(x *node) {
-	tab, err := NewTable(x.set)
+	table, err := NewTable(x.set)
 	if err != nil {
 		panic(err)
 	}
-	x.table = tab
+	x.table = table
 	x.incarnation++
 	x.startedAt, x.stopped = f.now, false
 	f.recordLostState(x)
@@ -207,9 +208,9 @@
 // recordLostState records that a node lost all entries of its previous incarnation.
 func (f *fleet) recordLostState(x *node) {
 	for _, info := range sortedByKey(x.held) {
-		if tr := f.generationOf(info); tr != nil && tr.holders[x] {
-			delete(tr.holders, x)
-			tr.holderLost = tr.holderLost || len(tr.holders) == 0
+		if record := f.generationOf(info); record != nil && record.holders[x] {
+			delete(record.holders, x)
+			record.holderLost = record.holderLost || len(record.holders) == 0
 		}
 	}
 	x.held, x.activityAt = map[Key]Info{}, map[Key]time.Duration{}
@@ -376,12 +377,12 @@
 	})
 	evicted := x.table.stats.Evicted != x.evicted
 	x.evicted = x.table.stats.Evicted
-	var gone []Info
+	var removed []Info
 	for _, was := range sortedByKey(x.held) {
-		is, ok := now[was.Key]
-		if ok && is.Generation == was.Generation && is.ownerID == was.ownerID {
-			if is.Idle < was.Idle {
-				x.activityAt[is.Key] = f.now
+		current, ok := now[was.Key]
+		if ok && current.Generation == was.Generation && current.ownerID == was.ownerID {
+			if current.Idle < was.Idle {
+				x.activityAt[current.Key] = f.now
 			}
 			continue
 		}
@@ -390,36 +391,36 @@
 		reused := ok || e != nil && (e.state == Prepared || was.Class == flow &&
 			e.generation.compare(generationID{was.Generation, was.ownerID, was.incarnation}) > 0)
 		if !reused {
-			gone = append(gone, was)
+			removed = append(removed, was)
 		}
-		if tr := f.generationOf(was); tr != nil {
-			f.tracef("%s: %s generation %d %v, idle %v, removed; now %v", x.name, tr.key, was.Generation,
-				was.State, was.Idle, is)
-			delete(tr.holders, x)
+		if record := f.generationOf(was); record != nil {
+			f.tracef("%s: %s generation %d %v, idle %v, removed; now %v", x.name, record.key, was.Generation,
+				was.State, was.Idle, current)
+			delete(record.holders, x)
 			// An eviction may not have reached a third replica yet. The same holds for
 			// the replacement of a flow by a newer generation.
-			aged := was.Class == keyed || x.set.MaxEntries > 100 && !reused
-			tr.holderLost = tr.holderLost || !aged
-			if len(tr.holders) == 0 && !tr.holderLost && !f.isPrepared(was.Key, tr.generation) {
-				tr.ended = true
+			expired := was.Class == keyed || x.set.MaxEntries > 100 && !reused
+			record.holderLost = record.holderLost || !expired
+			if len(record.holders) == 0 && !record.holderLost && !f.isPrepared(was.Key, record.generation) {
+				record.ended = true
 			}
 		}
 	}
-	for _, is := range sortedByKey(now) {
-		was, had := x.held[is.Key]
-		if !had || was.Generation != is.Generation || was.ownerID != is.ownerID {
-			x.activityAt[is.Key] = f.now
-			f.checkAppeared(x, is)
+	for _, current := range sortedByKey(now) {
+		was, had := x.held[current.Key]
+		if !had || was.Generation != current.Generation || was.ownerID != current.ownerID {
+			x.activityAt[current.Key] = f.now
+			f.checkAppeared(x, current)
 		}
-		f.checkState(x, is)
+		f.checkState(x, current)
 	}
 	old := x.held
 	x.held = now
 	if evicted {
-		f.checkEvicted(x, gone, old, now)
+		f.checkEvicted(x, removed, old, now)
 		return
 	}
-	for _, was := range gone {
+	for _, was := range removed {
 		f.checkRemoved(x, was, old)
 	}
 }
@@ -434,40 +435,41 @@
 	return false
 }
 
-func (f *fleet) checkAppeared(x *node, is Info) {
-	tr := f.generationOf(is)
+func (f *fleet) checkAppeared(x *node, entry Info) {
+	record := f.generationOf(entry)
 	switch {
-	case tr == nil:
-		f.failf(2, "%s holds %v generation %d, which no member opened", x.name, is.State, is.Generation)
+	case record == nil:
+		f.failf(2, "%s holds %v generation %d, which no member opened", x.name, entry.State, entry.Generation)
 		return
-	case tr.ended:
-		f.failf(2, "%s: %s generation %d reappears after its end", x.name, tr.key, is.Generation)
+	case record.ended:
+		f.failf(2, "%s: %s generation %d reappears after its end", x.name, record.key, entry.Generation)
 	}
-	tr.holders[x], tr.wasHeld = true, true
-	f.tracef("%s: %s generation %d %v, idle %v, added", x.name, tr.key, is.Generation, is.State, is.Idle)
+	record.holders[x], record.wasHeld = true, true
+	f.tracef("%s: %s generation %d %v, idle %v, added", x.name, record.key, entry.Generation,
+		entry.State, entry.Idle)
 }
 
 // checkState checks that a generation is in no state that only another one was given.
-func (f *fleet) checkState(x *node, is Info) {
-	tr := f.generationOf(is)
-	if tr == nil {
+func (f *fleet) checkState(x *node, entry Info) {
+	record := f.generationOf(entry)
+	if record == nil {
 		return
 	}
-	if is.State >= Closing && !tr.finished {
-		f.failf(6, "%s: %s generation %d is %v without Done", x.name, tr.key, is.Generation, is.State)
+	if entry.State >= Closing && !record.finished {
+		f.failf(6, "%s: %s generation %d is %v without Done", x.name, record.key, entry.Generation, entry.State)
 	}
 	// No entry is kept much longer than its limit.
 	set := &x.set
-	limit := x.nominalTimeout(is.Class, is.State) + set.Bound + 30*set.Lag
-	if idle := f.now - tr.activity; idle > limit {
-		f.failf(4, "%s: %s generation %d %v is still held, idle %v", x.name, tr.key, is.Generation,
-			is.State, idle)
+	limit := x.nominalTimeout(entry.Class, entry.State) + set.Bound + 30*set.Lag
+	if idle := f.now - record.activity; idle > limit {
+		f.failf(4, "%s: %s generation %d %v is still held, idle %v", x.name, record.key, entry.Generation,
+			entry.State, idle)
 	}
 }
 
 func (f *fleet) checkRemoved(x *node, was Info, old map[Key]Info) {
-	tr := f.generationOf(was)
-	if tr == nil || f.now-x.startedAt < convergenceLimit || x.set.MaxEntries < 100 && was.Class == flow {
+	record := f.generationOf(was)
+	if record == nil || f.now-x.startedAt < convergenceLimit || x.set.MaxEntries < 100 && was.Class == flow {
 		return
 	}
 	timeout := x.nominalTimeout(was.Class, was.State)
@@ -483,50 +485,51 @@
 		if f.linkFor(x, y, false, 5*x.set.Sync) {
 			cutOff++
 		}
-		is, ok := y.held[was.Key]
-		if !ok || is.Generation != was.Generation || f.now-y.startedAt < convergenceLimit {
+		other, ok := y.held[was.Key]
+		if !ok || other.Generation != was.Generation || f.now-y.startedAt < convergenceLimit {
 			continue
 		}
 		// Activity that y saw during the last round trips of the agreement may be too late to prevent the end.
-		if f.linkFor(x, y, true, 5*x.set.Sync) && is.Idle < y.nominalTimeout(is.Class, is.State) &&
-			f.now-y.activityAt[was.Key] > 3*x.set.Lag && is.Replica && was.Replica {
+		if f.linkFor(x, y, true, 5*x.set.Sync) && other.Idle < y.nominalTimeout(other.Class, other.State) &&
+			f.now-y.activityAt[was.Key] > 3*x.set.Lag && other.Replica && was.Replica {
 			f.failf(1, "%s ends %s generation %d %v, which %s holds as %v, idle %v",
-				x.name, tr.key, was.Generation, was.State, y.name, is.State, is.Idle)
+				x.name, record.key, was.Generation, was.State, y.name, other.State, other.Idle)
 		}
 	}
 	if cutOff == n-1 && n > 1 && was.Replica && was.Idle < timeout+x.set.Bound {
 		f.failf(4, "%s, while cut off, ends %s generation %d %v, idle %v, limit %v",
-			x.name, tr.key, was.Generation, was.State, was.Idle, timeout+x.set.Bound)
+			x.name, record.key, was.Generation, was.State, was.Idle, timeout+x.set.Bound)
 	}
 }
 
-func (f *fleet) checkEvicted(x *node, gone []Info, old, left map[Key]Info) {
+func (f *fleet) checkEvicted(x *node, gone []Info, old, remaining map[Key]Info) {
 	order := func(a, b Info) int {
-		over := func(i Info) int {
+		activeRank := func(i Info) int {
 			if i.State >= Closing {
 				return 0
 			}
 			return 1
 		}
-		return cmp.Or(cmp.Compare(over(a), over(b)), -cmp.Compare(a.Idle/evictionIdleStep,
+		return cmp.Or(cmp.Compare(activeRank(a), activeRank(b)), -cmp.Compare(a.Idle/evictionIdleStep,
 			b.Idle/evictionIdleStep),
 			cmp.Compare(a.Key.hi, b.Key.hi))
 	}
-	for _, g := range gone {
-		if g.Class == keyed {
-			if g.Idle < x.nominalTimeout(keyed, g.State) {
-				f.failf(5, "%s evicts keyed generation %d %v", x.name, g.Generation, g.State)
+	for _, evicted := range gone {
+		if evicted.Class == keyed {
+			if evicted.Idle < x.nominalTimeout(keyed, evicted.State) {
+				f.failf(5, "%s evicts keyed generation %d %v", x.name, evicted.Generation, evicted.State)
 			}
 			continue
 		}
 		if !f.opening {
 			continue // a message can change more than one entry
 		}
-		for _, l := range sortedByKey(left) {
-			if l.Class != keyed && old[l.Key].Generation == l.Generation && l.Idle > old[l.Key].Idle &&
-				order(g, l) > 0 && g.Idle < x.nominalTimeout(flow, g.State) {
+		for _, kept := range sortedByKey(remaining) {
+			if kept.Class != keyed && old[kept.Key].Generation == kept.Generation &&
+				kept.Idle > old[kept.Key].Idle &&
+				order(evicted, kept) > 0 && evicted.Idle < x.nominalTimeout(flow, evicted.State) {
 				f.failf(5, "%s evicts generation %d %v idle %v before generation %d %v idle %v", x.name,
-					g.Generation, g.State, g.Idle, l.Generation, l.State, l.Idle)
+					evicted.Generation, evicted.State, evicted.Idle, kept.Generation, kept.State, kept.Idle)
 			}
 		}
 	}
@@ -546,27 +549,27 @@
 	if x.stopped {
 		return
 	}
-	asked := f.now
-	tab := x.table
-	then := func(v Verdict) {
+	requestedAt := f.now
+	table := x.table
+	complete := func(v Verdict) {
 		if v.Kind == Refused || v.Kind == Pending {
 			if v.Reason == TableFull && v.RetryAfter <= 0 {
 				f.failf(5, "%s: table full, but RetryAfter is not positive", x.name)
 			}
 			return
 		}
-		f.handleVerdict(x, tab, key, class, v, asked)
+		f.handleVerdict(x, table, key, class, v, requestedAt)
 	}
 	k := hashKey(7, key)
-	for _, tr := range f.generations[k] {
+	for _, record := range f.generations[k] {
 		// A replica may count the request as activity until the request is too old.
-		tr.activity = max(tr.activity, f.now+x.set.AskWithin+x.set.Lag)
+		record.activity = max(record.activity, f.now+x.set.AskWithin+x.set.Lag)
 	}
 	v := x.table.Open(x.clock(f.now), key, class, where)
 	if v.Kind == Pending {
-		f.waiting[x.name][v.Ticket] = then
+		f.waiting[x.name][v.Ticket] = complete
 	} else {
-		then(v)
+		complete(v)
 	}
 	f.opening = true
 	f.observe(x)
@@ -574,53 +577,54 @@
 	f.processOutput(x)
 }
 
-func (f *fleet) handleVerdict(x *node, tab *Table, key string, class int, v Verdict, asked time.Duration) {
+func (f *fleet) handleVerdict(x *node, table *Table, key string, class int, v Verdict,
+	requestedAt time.Duration) {
 	f.tracef("%s opens %s: %+v", x.name, key, v)
 	k := hashKey(7, key)
 	if f.generations[k] == nil {
 		f.generations[k] = map[generationID]*generationRecord{}
 	}
 	if v.Kind == New {
-		id := generationID{v.Generation, tab.selfID, tab.incarnation}
+		id := generationID{v.Generation, table.selfID, table.incarnation}
 		f.generations[k][id] = &generationRecord{key: key, generation: id, class: class, activity: f.now,
 			ownerActivity: f.now,
 			holders:       map[*node]bool{}}
 	}
-	for id, tr := range f.generations[k] {
+	for id, record := range f.generations[k] {
 		if id.number == v.Generation {
-			tr.activity, tr.ownerActivity = f.now, f.now
+			record.activity, record.ownerActivity = f.now, f.now
 		}
 	}
 	if class == flow {
-		f.flowLife(x, tab, key, v, 3+f.rng.IntN(10))
+		f.flowLife(x, table, key, v, 3+f.rng.IntN(10))
 		return
 	}
 	set := x.table.settings.Classes[keyed]
 	f.checkSend(x, key, v, set)
 	runTime := time.Duration(f.rng.Int64N(int64(set.MaxCallTime)))
-	at := len(f.sentCalls[key])
+	index := len(f.sentCalls[key])
 	f.sentCalls[key] = append(f.sentCalls[key], sentCall{v.Target, f.now, f.now + runTime})
 	how := Finished
 	reportAfter := runTime
 	if f.rng.IntN(4) == 0 {
 		// Abandoned before it ends.
 		how, reportAfter = MayStillRun, runTime/2
-		f.sentCalls[key][at].end = f.now + set.MaxCallTime
+		f.sentCalls[key][index].end = f.now + set.MaxCallTime
 	}
-	f.after(reportAfter, func() { f.done(x, tab, key, v.Generation, how) })
+	f.after(reportAfter, func() { f.done(x, table, key, v.Generation, how) })
 }
 
-func (f *fleet) done(x *node, tab *Table, key string, gen uint64, how Outcome) {
-	if x.stopped || x.table != tab {
+func (f *fleet) done(x *node, table *Table, key string, gen uint64, how Outcome) {
+	if x.stopped || x.table != table {
 		return
 	}
 	k := hashKey(7, key)
-	for id, tr := range f.generations[k] {
+	for id, record := range f.generations[k] {
 		if id.number == gen {
-			tr.finished, tr.activity = true, max(tr.activity, f.now)
+			record.finished, record.activity = true, max(record.activity, f.now)
 		}
 	}
-	tab.Done(x.clock(f.now), key, gen, how)
+	table.Done(x.clock(f.now), key, gen, how)
 	f.processOutput(x)
 	f.observe(x)
 }
@@ -644,26 +648,26 @@
 }
 
 // flowLife touches a flow at random intervals, then ends it.
-func (f *fleet) flowLife(x *node, tab *Table, key string, v Verdict, left int) {
+func (f *fleet) flowLife(x *node, table *Table, key string, v Verdict, left int) {
 	f.after(time.Duration(300+f.rng.IntN(4500))*ms, func() {
-		if x.stopped || x.table != tab {
+		if x.stopped || x.table != table {
 			return
 		}
 		if left == 0 {
-			f.done(x, tab, key, v.Generation, Finished)
+			f.done(x, table, key, v.Generation, Finished)
 			return
 		}
-		if !tab.Touch(x.clock(f.now), key, v.Generation) {
+		if !table.Touch(x.clock(f.now), key, v.Generation) {
 			return
 		}
-		for id, tr := range f.generations[hashKey(7, key)] {
+		for id, record := range f.generations[hashKey(7, key)] {
 			if id.number == v.Generation {
-				tr.activity = max(tr.activity, f.now)
+				record.activity = max(record.activity, f.now)
 			}
 		}
 		f.processOutput(x)
 		f.observe(x)
-		f.flowLife(x, tab, key, v, left-1)
+		f.flowLife(x, table, key, v, left-1)
 	})
 }
 
@@ -780,27 +784,27 @@
 		if a.stopped || !a.member || f.now-a.startedAt < convergenceLimit {
 			continue
 		}
-		for _, is := range sortedByKey(a.held) {
+		for _, entry := range sortedByKey(a.held) {
 			// Expired entries kept only for an unreachable replica are not copied.
-			if !is.Replica || is.Idle > a.nominalTimeout(is.Class, is.State)+2*a.set.Lag {
+			if !entry.Replica || entry.Idle > a.nominalTimeout(entry.Class, entry.State)+2*a.set.Lag {
 				continue
 			}
 			var replicas [maxReplicas]uint16
-			n := selectReplicas(a.table.candidates, is.Key, a.set.Replicas, &replicas)
+			n := selectReplicas(a.table.candidates, entry.Key, a.set.Replicas, &replicas)
 			for _, s := range replicas[:n] {
 				b := f.nodeOf(a.table.candidates[s].nameHash)
 				if b.stopped || f.now-b.startedAt < convergenceLimit ||
 					b.table.live+b.table.tombstones >= b.set.MaxEntries {
 					continue
 				}
-				if _, e := b.table.find(is.Key); e != nil && e.state == Prepared {
+				if _, e := b.table.find(entry.Key); e != nil && e.state == Prepared {
 					continue // its owner may be gone; Opens are refused, so nothing is lost
 				}
-				if other, ok := b.held[is.Key]; !ok || other.Generation != is.Generation ||
-					other.State != is.State {
+				if other, ok := b.held[entry.Key]; !ok || other.Generation != entry.Generation ||
+					other.State != entry.State {
 					return fmt.Sprintf("%s holds %v generation %d %v idle %v, %s holds %v generation %d",
 						a.name,
-						is.Key, is.Generation, is.State, is.Idle, b.name, other.State, other.Generation)
+						entry.Key, entry.Generation, entry.State, entry.Idle, b.name, other.State, other.Generation)
 				}
 			}
 		}
--- a/fleet/track/table.go
+++ b/fleet/track/table.go
@@ -199,7 +199,7 @@
 }
 
 // ErrNotAMember is returned by UpdateRoster if the roster lacks this member's name.
-var ErrNotAMember = errors.New("track: view: the roster does not have this member")
+var ErrNotAMember = errors.New("track: roster: this member is missing")
 
 func (t *Table) advanceClock(now time.Duration) time.Duration {
 	t.now = max(t.now, now)
@@ -213,14 +213,14 @@
 func (t *Table) UpdateRoster(now time.Duration, roster Roster) error {
 	now = t.advanceClock(now)
 	var self *Member
-	seats := candidatesOf(roster.Members)
-	if len(seats) != len(roster.Members) || len(seats) >= int(noReplica) {
-		return fmt.Errorf("track: view: epoch %d: two members of one name, or too many", roster.Epoch)
+	candidates := candidatesOf(roster.Members)
+	if len(candidates) != len(roster.Members) || len(candidates) >= int(noReplica) {
+		return fmt.Errorf("track: roster: epoch %d: duplicate member name, or too many members", roster.Epoch)
 	}
 	for i := range roster.Members {
 		m := &roster.Members[i]
 		if m.Name == "" || len(m.Name) > MaxName {
-			return fmt.Errorf("track: view: epoch %d: member %d: bad name %q", roster.Epoch, i, m.Name)
+			return fmt.Errorf("track: roster: epoch %d: member %d: invalid name %q", roster.Epoch, i, m.Name)
 		}
 		if m.Name == t.settings.Self {
 			self = m
@@ -235,9 +235,10 @@
 	case self == nil:
 		return ErrNotAMember
 	case t.hasRoster && roster.Epoch < t.epoch:
-		return fmt.Errorf("track: view: epoch %d comes after %d", roster.Epoch, t.epoch)
+		return fmt.Errorf("track: roster: epoch %d is older than the last, %d", roster.Epoch, t.epoch)
 	case t.hasRoster && self.Incarnation < t.incarnation:
-		return fmt.Errorf("track: view: own incarnation %d comes after %d", self.Incarnation, t.incarnation)
+		return fmt.Errorf("track: roster: own incarnation %d is lower than the last, %d",
+			self.Incarnation, t.incarnation)
 	}
 	t.rosterAt = now
 	firstRoster, restarted := !t.hasRoster, t.hasRoster && self.Incarnation > t.incarnation
@@ -255,7 +256,7 @@
 		t.updatePeer(now, m)
 	}
 	if epochChanged {
-		t.applyPlacement(now, seats, roster)
+		t.applyPlacement(now, candidates, roster)
 		t.startRecovery(now, roster, firstRoster || consecutive, wasCaughtUp)
 	}
 	if restarted || firstRoster && t.incarnation > 1 {
@@ -267,11 +268,11 @@
 
 // updatePeer applies a roster's data on one member.
 func (t *Table) updatePeer(now time.Duration, m Member) {
-	id := hashName(m.Name)
-	p := t.byNameHash[id]
+	hash := hashName(m.Name)
+	p := t.byNameHash[hash]
 	if p == nil {
-		p = &peer{Member: m, nameHash: id, compareAll: true, nextSync: now}
-		t.byNameHash[id] = p
+		p = &peer{Member: m, nameHash: hash, compareAll: true, nextSync: now}
+		t.byNameHash[hash] = p
 	}
 	if m.Incarnation > p.Incarnation {
 		p.hasStamp, p.hasReceived, p.compareAll = false, false, true
@@ -289,21 +290,21 @@
 	}
 	t.candidates, t.selfIndex = candidates, -1
 	t.peers = t.peers[:0]
-	keep := map[uint64]*peer{}
+	peersByHash := map[uint64]*peer{}
 	for i, s := range candidates {
 		if s.nameHash == t.selfID {
 			t.selfIndex = i
 		}
 		t.peers = append(t.peers, t.byNameHash[s.nameHash])
-		keep[s.nameHash] = t.byNameHash[s.nameHash]
+		peersByHash[s.nameHash] = t.byNameHash[s.nameHash]
 	}
 	for _, s := range candidatesOf(roster.Previous) {
-		if keep[s.nameHash] == nil {
+		if peersByHash[s.nameHash] == nil {
 			t.peers = append(t.peers, t.byNameHash[s.nameHash])
-			keep[s.nameHash] = t.byNameHash[s.nameHash]
+			peersByHash[s.nameHash] = t.byNameHash[s.nameHash]
 		}
 	}
-	t.byNameHash = keep
+	t.byNameHash = peersByHash
 	for _, p := range t.peers {
 		p.digests = [rangeCount]uint64{}
 		p.listedRanges, p.nextListedRanges, p.compareAll = 0, 0, true
