--- a/fleet/track/model_test.go
+++ b/fleet/track/model_test.go
@@ -279,8 +279,8 @@
 
 func (f *fleet) cut(a, b *node) bool { return f.cutUntil[[2]string{a.name, b.name}] > f.now }
 
-// linkFor reports whether both directions have been open, or cut, for at least d.
-func (f *fleet) linkFor(a, b *node, open bool, d time.Duration) bool {
+// linkHeld reports whether both directions have been open, or cut, for at least d.
+func (f *fleet) linkHeld(a, b *node, open bool, d time.Duration) bool {
 	for _, k := range [][2]string{{a.name, b.name}, {b.name, a.name}} {
 		until, since := f.cutUntil[k], f.cutSince[k]
 		if open && (until > f.now || until > 0 && f.now-until < d) {
@@ -482,7 +482,7 @@
 		if y == x || y.stopped {
 			continue
 		}
-		if f.linkFor(x, y, false, 5*x.set.Sync) {
+		if f.linkHeld(x, y, false, 5*x.set.Sync) {
 			cutOff++
 		}
 		other, ok := y.held[was.Key]
@@ -490,7 +490,7 @@
 			continue
 		}
 		// Activity that y saw during the last round trips of the agreement may be too late to prevent the end.
-		if f.linkFor(x, y, true, 5*x.set.Sync) && other.Idle < y.nominalTimeout(other.Class, other.State) &&
+		if f.linkHeld(x, y, true, 5*x.set.Sync) && other.Idle < y.nominalTimeout(other.Class, other.State) &&
 			f.now-y.activityAt[was.Key] > 3*x.set.Lag && other.Replica && was.Replica {
 			f.failf(1, "%s ends %s generation %d %v, which %s holds as %v, idle %v",
 				x.name, record.key, was.Generation, was.State, y.name, other.State, other.Idle)
@@ -545,7 +545,7 @@
 }
 
 // open simulates the arrival of a call or flow at a node.
-func (f *fleet) open(x *node, key string, class int, where string) {
+func (f *fleet) open(x *node, key string, class int, target string) {
 	if x.stopped {
 		return
 	}
@@ -565,7 +565,7 @@
 		// A replica may count the request as activity until the request is too old.
 		record.activity = max(record.activity, f.now+x.set.AskWithin+x.set.Lag)
 	}
-	v := x.table.Open(x.clock(f.now), key, class, where)
+	v := x.table.Open(x.clock(f.now), key, class, target)
 	if v.Kind == Pending {
 		f.waiting[x.name][v.Ticket] = complete
 	} else {
@@ -587,8 +587,7 @@
 	if v.Kind == New {
 		id := generationID{v.Generation, table.selfID, table.incarnation}
 		f.generations[k][id] = &generationRecord{key: key, generation: id, class: class, activity: f.now,
-			ownerActivity: f.now,
-			holders:       map[*node]bool{}}
+			ownerActivity: f.now, holders: map[*node]bool{}}
 	}
 	for id, record := range f.generations[k] {
 		if id.number == v.Generation {
@@ -641,8 +640,7 @@
 				f.now-s.at, s.target)
 		} else if f.now+c.MaxCallTime > s.at+c.DedupWindow {
 			f.failf(7, "%s: %s %v again %v after the first attempt: may miss the deduplication window",
-				x.name, key,
-				v.Kind, f.now-s.at)
+				x.name, key, v.Kind, f.now-s.at)
 		}
 	}
 }
@@ -721,10 +719,10 @@
 }
 
 func (f *fleet) partition(side func(*node) bool, d time.Duration) {
-	in := 0
+	sideSize := 0
 	for _, a := range f.nodes {
 		if side(a) {
-			in++
+			sideSize++
 		}
 		for _, b := range f.nodes {
 			if side(a) != side(b) {
@@ -733,7 +731,7 @@
 		}
 	}
 	for _, a := range f.nodes {
-		if side(a) == (in*2 < len(f.nodes)) {
+		if side(a) == (sideSize*2 < len(f.nodes)) {
 			a.rosterCut = true
 			f.after(d, func() { a.rosterCut = false })
 		}
--- a/fleet/track/open.go
+++ b/fleet/track/open.go
@@ -144,7 +144,7 @@
 // resolve completes a pending Open as soon as its votes decide it, or now if final.
 func (t *Table) resolve(now time.Duration, pending *pendingOpen, final bool) {
 	keyed, quorum := t.settings.Classes[pending.class].Keyed, t.quorumSize(pending.replicaCount)
-	yes, waiting, best, bestN := 0, 0, -1, 0
+	yes, waiting, best, bestCount := 0, 0, -1, 0
 	reason, retryAfter := NoQuorum, t.settings.AskWithin
 	for j := range pending.replicaCount {
 		v := &pending.votes[j]
@@ -168,8 +168,8 @@
 				}
 			}
 			newer := best < 0 || v.existing.compare(pending.votes[best].existing) > 0
-			if n > bestN || !keyed && newer {
-				best, bestN = j, n
+			if n > bestCount || !keyed && newer {
+				best, bestCount = j, n
 			}
 		}
 	}
@@ -177,11 +177,11 @@
 	switch {
 	case pending.replicaCount > 0 && yes >= quorum:
 		t.admit(now, pending, false)
-	case best >= 0 && (bestN >= quorum || !keyed && final):
+	case best >= 0 && (bestCount >= quorum || !keyed && final):
 		t.answerExisting(now, pending, &pending.votes[best])
 	case !keyed && final:
 		t.admit(now, pending, true)
-	case final, yes+waiting < quorum && bestN+waiting < quorum && keyed:
+	case final, yes+waiting < quorum && bestCount+waiting < quorum && keyed:
 		t.refuse(now, pending, reason, retryAfter)
 	}
 }
@@ -402,7 +402,7 @@
 		if t.calls[c.key] != c {
 			continue
 		}
-		if !t.allReachableAcked(c) && c.attempts < maxRoundAttempts {
+		if !t.allAliveAcked(c) && c.attempts < maxRoundAttempts {
 			if now-c.lastSentAt >= t.settings.Lag/2 {
 				t.sendRound(now, c)
 			}
@@ -438,8 +438,8 @@
 	}
 }
 
-// allReachableAcked reports whether all live replicas have acknowledged this round.
-func (t *Table) allReachableAcked(c *call) bool {
+// allAliveAcked reports whether all replicas believed alive have acknowledged this round.
+func (t *Table) allAliveAcked(c *call) bool {
 	for j, s := range c.replicas[:c.replicaCount] {
 		if c.acks&(1<<j) == 0 && int(s) != t.selfIndex && t.peers[s].Alive {
 			return false
--- a/fleet/track/sync.go
+++ b/fleet/track/sync.go
@@ -193,7 +193,7 @@
 }
 
 // maxRangesPerCompare limits the ranges that are compared entry by entry at once.
-// Constant changes can keep the digests of two members from ever being equal.
+// Under steady traffic the digests of two members may never be equal.
 const maxRangesPerCompare = 8
 
 func (t *Table) handleRangeDigests(p *peer, r *reader) {
--- a/fleet/track/table.go
+++ b/fleet/track/table.go
@@ -21,7 +21,7 @@
 	hasStamp         bool // lastStamp is set
 	lastReceived     time.Duration
 	hasReceived      bool // lastReceived is set
-	replyRequestedAt time.Duration
+	replyScheduledAt time.Duration
 	outBuffer        []byte
 	replyDue         bool // send a message even without records, for its timestamp
 	sameEpoch        bool // the message being handled has this member's epoch
@@ -438,11 +438,11 @@
 	switch {
 	case h.flags&flagEcho == 0, messageAge > t.maxMessageAge:
 		t.stats.TooOld++
-		t.requestReply(now, p)
+		t.scheduleReply(now, p)
 		return nil, nil
 	case h.echoedTimestamp > uint64(now), h.echoHoldTime > uint64(now), messageAge < -t.settings.Lag/10:
 		t.stats.BadTimestamp++
-		t.requestReply(now, p)
+		t.scheduleReply(now, p)
 		return nil, nil
 	}
 	t.logicalClock = max(t.logicalClock, h.logicalClock)
@@ -452,19 +452,19 @@
 	}
 	p.lastReceived, p.hasReceived = now, true
 	if h.flags&flagReplyWanted != 0 {
-		t.requestReply(now, p)
+		t.scheduleReply(now, p)
 	}
 	// Prepares, votes and pulls refer to the replicas of one epoch.
 	p.sameEpoch = h.epoch == t.epoch
 	return p, r
 }
 
-// requestReply schedules a message to p, so that p has a fresh timestamp to echo.
-func (t *Table) requestReply(now time.Duration, p *peer) {
-	if p.replyRequestedAt != 0 && now-p.replyRequestedAt < t.settings.Lag/8 {
+// scheduleReply schedules a message to p, so that p has a fresh timestamp to echo.
+func (t *Table) scheduleReply(now time.Duration, p *peer) {
+	if p.replyScheduledAt != 0 && now-p.replyScheduledAt < t.settings.Lag/8 {
 		return
 	}
-	p.replyRequestedAt = now
+	p.replyScheduledAt = now
 	p.replyDue = true
 }
 
