--- a/cmd/oxbowloft/main.go
+++ b/cmd/oxbowloft/main.go
@@ -48,8 +48,8 @@
 		Short: "Run the proxy until SIGTERM, with the configuration at the path or in $BALANCER_CONFIG",
 		Args:  cobra.MaximumNArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
-			// From here on no signal ends the process by default, however early it comes. SIGHUP
-			// must not do so during a drain either.
+			// From here on the signals don't have their default action of ending the process, however
+			// early they come. That holds for SIGHUP during a drain too.
 			ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 			context.AfterFunc(ctx, stop) // a second signal ends the process
 			hangups := make(chan os.Signal, 1)
