--- a/internal/host/lists.go
+++ b/internal/host/lists.go
@@ -10,60 +10,61 @@
 	"oxbowloft/logic"
 )
 
-// listNonces are the nonces of the waits before calls for the list: from here on, one each.
-// The module's are counted from 1.
-const listNonces = 1 << 52
+// firstListToken is the base of the tokens of list request timers, which count up from it.
+// The tokens of the module's timers count up from 1.
+const firstListToken = 1 << 52
 
-// listCalls are the calls of one instance for the list.
-type listCalls struct {
-	pacer  *pacing.Pacer
-	due    uint64     // nonce of the wait under way, or of the last one
-	called logic.Time // when the call under way began
-	told   bool       // it has brought a list
+// listRequests is the state of the list requests of an instance.
+type listRequests struct {
+	pacer      *pacing.Pacer
+	timerToken uint64     // of the latest timer
+	startedAt  logic.Time // of the latest request
+	answered   bool       // the latest request has brought a list or failed
 }
 
-func newListCalls(within time.Duration, seed uint64) *listCalls {
-	const stream = 1 // of random numbers, beside the module's
-	return &listCalls{
-		pacer: pacing.NewForService(within, rand.New(rand.NewPCG(seed, stream))),
-		due:   listNonces,
-		told:  true, // none is under way
+func newListRequests(within time.Duration, seed uint64) *listRequests {
+	const stream = 1 // separate from the module's stream of random numbers
+	return &listRequests{
+		pacer:      pacing.NewForService(within, rand.New(rand.NewPCG(seed, stream))),
+		timerToken: firstListToken,
+		answered:   true, // no request is outstanding
 	}
 }
 
-// callForList makes a call due after a wait, in place of any that was due.
-func (in *instance) callForList(wait time.Duration) {
-	in.lists.due++
-	nonce := in.lists.due
-	in.act(wire.Action{Type: "schedule", TimerToken: &nonce, WaitMs: settings.Milliseconds(wait)})
+// scheduleListRequest starts a timer for the next list request. It replaces any earlier timer.
+func (in *instance) scheduleListRequest(wait time.Duration) {
+	in.listRequests.timerToken++
+	token := in.listRequests.timerToken
+	in.emit(wire.Action{Type: "schedule", TimerToken: &token, WaitMs: settings.Milliseconds(wait)})
 }
 
-// listDue takes the end of a wait; one that another has replaced means nothing.
-func (in *instance) listDue(now logic.Time, nonce uint64) {
-	if in.lists == nil || nonce != in.lists.due {
+// listTimerFired sends a list request. It ignores timers that have been replaced.
+func (in *instance) listTimerFired(now logic.Time, token uint64) {
+	if in.listRequests == nil || token != in.listRequests.timerToken {
 		return
 	}
-	in.lists.called, in.lists.told = now, false
-	in.act(wire.Action{Type: "observe", Enable: true})
+	in.listRequests.startedAt, in.listRequests.answered = now, false
+	in.emit(wire.Action{Type: "observe", Enable: true})
 }
 
-// listTold takes that a list has come.
-func (in *instance) listTold() {
-	if in.lists != nil {
-		in.lists.told = true
-		in.lists.pacer.Succeeded()
+// listReceived records that a list has arrived.
+func (in *instance) listReceived() {
+	if in.listRequests != nil {
+		in.listRequests.answered = true
+		in.listRequests.pacer.Succeeded()
 	}
 }
 
-// listFailed takes that a call failed or a watch ended. The wire does not say how.
-func (in *instance) listFailed(now logic.Time) {
-	if in.lists == nil {
+// listRequestFailed schedules the next request after a request failed or its watch ended. The
+// simulator's protocol does not report how it failed.
+func (in *instance) listRequestFailed(now logic.Time) {
+	if in.listRequests == nil {
 		return
 	}
 	var waited time.Duration
-	if !in.lists.told {
-		waited = now - in.lists.called
+	if !in.listRequests.answered {
+		waited = now - in.listRequests.startedAt
 	}
-	in.lists.told = true
-	in.callForList(in.lists.pacer.Failed(waited, false))
+	in.listRequests.answered = true
+	in.scheduleListRequest(in.listRequests.pacer.Failed(waited, false))
 }
--- a/logic/outlier_test.go
+++ b/logic/outlier_test.go
@@ -1,4 +1,4 @@
-// Outlier ejection, and the trial calls that end it.
+// Tests of outlier ejection and the probes that end it.
 
 package logic
 
@@ -9,18 +9,18 @@
 	"testing"
 )
 
-// Guards against a backend that fails fast: it looks idle and draws the calls.
+// Prevents a backend that fails fast from attracting calls because it looks idle.
 func TestEjectionAndProbe(t *testing.T) {
-	b, f := startBalancer(testSettings(), zoneEntries("b", 4)...)
+	b, rec := startBalancer(testSettings(), zoneEntries("b", 4)...)
 	b.settings.Tier = 1
 	n := 0
-	call := func(now Time, bad bool) string {
+	call := func(now Time, fail bool) string {
 		id := fmt.Sprint("r", n)
 		n++
 		b.retryTokens = 0
 		b.StartRequest(now, Request{ID: id, Class: idempotent, Budget: 2000 * ms})
-		to := f.last(t).backend
-		if bad && to == "b2" {
+		to := rec.last(t).backend
+		if fail && to == "b2" {
 			b.AttemptDone(now+ms, Outcome{Request: id, Result: Error, Latency: ms})
 		} else {
 			b.AttemptDone(now+ms, Outcome{Request: id, Result: OK, Latency: ms, Final: true})
@@ -37,23 +37,23 @@
 	}
 	later := b.backends["b2"].probeAt
 	if call(later, true) != "b2" {
-		t.Fatal("no trial call when it is due")
+		t.Fatal("no probe when it is due")
 	}
 	if call(later+2*ms, true) == "b2" {
-		t.Fatal("in use again after a failed trial")
+		t.Fatal("in use again after a failed probe")
 	}
 	if next := b.backends["b2"].probeAt; next-later <= b.baseEjectionTime {
 		t.Errorf("second ejection lasts %v, want longer than the first", next-later)
 	}
 	later = b.backends["b2"].probeAt
 	if call(later, false) != "b2" || b.backends["b2"].ejections != 0 {
-		t.Error("a good trial did not bring the backend back")
+		t.Error("a successful probe did not bring the backend back")
 	}
 }
 
-// Failures that all backends share are no reason to eject any of them.
+// Failures common to all backends are no reason to eject any of them.
 func TestSharedFailureEjectsNobody(t *testing.T) {
-	b, f := startBalancer(testSettings(), zoneEntries("b", 4)...)
+	b, rec := startBalancer(testSettings(), zoneEntries("b", 4)...)
 	b.settings.Tier = 1
 	for i := range 100 {
 		id := fmt.Sprint("r", i)
@@ -65,22 +65,22 @@
 			t.Errorf("%s was ejected", id)
 		}
 	}
-	if len(f.sends) != 100 {
-		t.Errorf("%d sends, want 100: with all failing traffic stays", len(f.sends))
+	if len(rec.sends) != 100 {
+		t.Errorf("%d sends, want 100: with all failing, none is avoided", len(rec.sends))
 	}
 }
 
-// Guards against backends that are full or drain unheard: turning calls away at
-// once, they look the idlest of all.
+// Prevents calls from going to backends that are full, or draining before the list says so: since they
+// reject calls at once, they look the idlest of all.
 func TestRejectingBackendIsPaused(t *testing.T) {
-	b, f := startBalancer(testSettings(), zoneEntries("b", 3)...)
+	b, rec := startBalancer(testSettings(), zoneEntries("b", 3)...)
 	b.settings.Tier = 1
 	rejected := 0
 	for i := range 300 {
 		id := fmt.Sprint("r", i)
 		now := Time(i) * ms
 		b.StartRequest(now, Request{ID: id, Class: idempotent, Budget: 2000 * ms})
-		if f.last(t).backend == "b1" {
+		if rec.last(t).backend == "b1" {
 			rejected++
 			b.AttemptDone(now, Outcome{Request: id, Result: Rejected})
 			continue
@@ -88,14 +88,14 @@
 		b.AttemptDone(now+40*ms, Outcome{Request: id, Result: OK, Latency: 40 * ms, Final: true})
 	}
 	if rejected == 0 || rejected > 15 { // a pause is about half the mean latency, 20 ms
-		t.Errorf("%d calls to the full backend, want a few of 300", rejected)
+		t.Errorf("%d calls to the rejecting backend, want a few of 300", rejected)
 	}
 }
 
-// Guards against all traffic on one backend when every group fails, and against
-// calls at backends that are full where no other is left.
+// Prevents all traffic from going to one backend when every group fails, and calls to backends that just
+// rejected calls when no other is left.
 func TestAllFailing(t *testing.T) {
-	b, f := startBalancer(testSettings(), zoneEntries("b", 8)...)
+	b, rec := startBalancer(testSettings(), zoneEntries("b", 8)...)
 	b.settings.Tier = 1
 	for _, m := range b.listed[:5] {
 		b.summaryVersion++
@@ -104,7 +104,7 @@
 	got := map[string]int{}
 	for i := range 9 {
 		b.StartRequest(0, Request{ID: fmt.Sprint("r", i), Class: idempotent, Budget: 2000 * ms})
-		got[f.last(t).backend]++
+		got[rec.last(t).backend]++
 	}
 	if len(got) != 3 {
 		t.Errorf("calls %v, want them spread over the three in use", got)
@@ -113,23 +113,23 @@
 		m.pausedUntil = 50 * ms
 	}
 	b.StartRequest(ms, Request{ID: "full", Class: nonIdempotent, Budget: 2000 * ms})
-	if !f.onlyAnswer(t, "full").refused {
-		t.Error("not refused, though every backend was full just now")
+	if !rec.onlyAnswer(t, "full").refused {
+		t.Error("not refused, though every backend has just rejected a call")
 	}
 }
 
-// Guards against healthy backends left out where a few in a hundred answers are spoilt,
-// on any backend alike: two such in a row are chance.
+// Prevents the ejection of healthy backends where a few in a hundred answers are malformed on any
+// backend: two such answers in a row are chance.
 func TestOccasionalFailuresEjectNobody(t *testing.T) {
-	b, f := startBalancer(testSettings(), zoneEntries("b", 4)...)
+	b, rec := startBalancer(testSettings(), zoneEntries("b", 4)...)
 	b.settings.Tier = 1
 	rng := rand.New(rand.NewPCG(3, 0))
-	out, calls := 0, 4000
+	ejected, calls := 0, 4000
 	for i := range calls {
 		id, now := fmt.Sprint("r", i), Time(i)*10*ms
 		b.retryTokens = 0
 		b.StartRequest(now, Request{ID: id, Class: idempotent, Budget: 2000 * ms})
-		f.last(t)
+		rec.last(t)
 		if rng.Float64() < 0.08 {
 			b.AttemptDone(now+5*ms, Outcome{Request: id, Result: Error, Latency: 5 * ms})
 		} else {
@@ -137,62 +137,62 @@
 		}
 		for _, m := range b.listed {
 			if m.ejections > 0 {
-				out++
+				ejected++
 			}
 		}
 	}
-	if share := float64(out) / float64(calls*len(b.listed)); share > 0.03 {
-		t.Errorf("%.2f of the healthy fleet is left out", share)
+	if share := float64(ejected) / float64(calls*len(b.listed)); share > 0.03 {
+		t.Errorf("%.2f of the healthy fleet is ejected", share)
 	}
 }
 
-// Guards against a backend that is left out for good where allowances are long: no
-// request could then be tried again after a trial, so none was made.
+// Prevents a backend from staying ejected forever where attempt timeouts are long: no request could be
+// retried after a probe, so no probe was sent.
 func TestOverdueProbe(t *testing.T) {
 	for _, class := range []int{idempotent, nonIdempotent} {
-		b, f := startBalancer(testSettings(), zoneEntries("b", 4)...)
+		b, rec := startBalancer(testSettings(), zoneEntries("b", 4)...)
 		b.settings.Tier = 1
 		for i := range b.classes {
-			b.setAttemptTimeout(i, 1300*ms) // twice that fits no budget
+			b.setAttemptTimeout(i, 1300*ms) // twice that exceeds every time budget
 		}
 		b.eject(0, b.backends["b2"])
 		due := b.backends["b2"].probeAt
-		tried := func(now Time) bool {
+		probed := func(now Time) bool {
 			id := fmt.Sprint("r", now)
 			b.StartRequest(now, Request{ID: id, Class: class, Budget: 2000 * ms})
-			to := f.last(t).backend
+			to := rec.last(t).backend
 			b.AttemptDone(now, Outcome{Request: id, Result: OK, Latency: 100 * ms, Final: true})
 			return to == "b2"
 		}
-		if tried(due) || tried(due+b.baseEjectionTime-1) {
-			t.Error("a trial with a request that can't be tried again, before it is overdue")
+		if probed(due) || probed(due+b.baseEjectionTime-1) {
+			t.Error("a probe with a request that can't be retried, before it is overdue")
 		}
-		if !tried(due+b.baseEjectionTime) || b.backends["b2"].ejections != 0 {
-			t.Error("no trial when overdue")
+		if !probed(due+b.baseEjectionTime) || b.backends["b2"].ejections != 0 {
+			t.Error("no probe when overdue")
 		}
 	}
 }
 
-// observed is Actions that observes.
+// statusRecorder implements Actions and Observer.
 type statusRecorder struct {
 	*recorder
 	changes []string
 }
 
-func (o *statusRecorder) BackendStatusChanged(backend string, s BackendStatus, _ float64) {
-	o.changes = append(o.changes, backend+" "+s.String())
+func (rec *statusRecorder) BackendStatusChanged(backend string, s BackendStatus, _ float64) {
+	rec.changes = append(rec.changes, backend+" "+s.String())
 }
 
-// Each change of a backend's standing is told once: not again while it stays ejected.
+// Each change of a backend's status is reported once, and not again while it stays ejected.
 func TestStatusChangesAreReported(t *testing.T) {
-	o := &statusRecorder{recorder: newRecorder()}
-	b := New(0, testSettings(), o)
+	rec := &statusRecorder{recorder: newRecorder()}
+	b := New(0, testSettings(), rec)
 	b.UpdateList(0, true, zoneEntries("b", 4))
 	m := b.backends["b0"]
 	b.eject(0, m)
-	b.eject(0, m) // a trial has failed
+	b.eject(0, m) // a failed probe
 	b.updateEjection(0, &attempt{backend: m, probe: true}, &b.classes[idempotent], OK)
-	if want := []string{"b0 ejected", "b0 in_use"}; !slices.Equal(o.changes, want) {
-		t.Errorf("told %v, want %v", o.changes, want)
+	if want := []string{"b0 ejected", "b0 in_use"}; !slices.Equal(rec.changes, want) {
+		t.Errorf("reported %v, want %v", rec.changes, want)
 	}
 }
--- a/proxy/request.go
+++ b/proxy/request.go
@@ -84,7 +84,7 @@
 	var attempts []attemptTrace
 	logEnd := func(end requestEnd, cause string) { p.endLog.write(&info, end, cause, start, attempts) }
 	keepOpen := func(open bool) bool { // reads the rest of a request that has been answered
-		return open && (rest == nil || rest.Discard(p.transfers) == nil)
+		return open && (rest == nil || rest.Discard(p.streamPool) == nil)
 	}
 
 	// Execute steps until the request is answered.
@@ -95,7 +95,7 @@
 		}
 		switch step.kind {
 		case stepSend:
-			upstreamRequest := &upstream.Request{Timeout: step.timeout, DecidedAt: step.sentAt, BodyRest: rest, Transfers: p.transfers}
+			upstreamRequest := &upstream.Request{Timeout: step.timeout, DecidedAt: step.sentAt, BodyRest: rest, Transfers: p.streamPool}
 			upstreamRequest.ShouldSend = func() bool {
 				if c.conn.PeerClosed() { // noticed here even behind an unread body
 					p.driver.clientGone(r)
@@ -301,7 +301,8 @@
 // forwardResponse forwards a backend's response and counts the request's outcome: before
 // writing if the response is here completely, so that a client that has read it finds it
 // counted, else after its last byte.
-func (p *Proxy) forwardResponse(c *clientConn, req *http.Request, response *upstream.ExchangeResult, outcomes *[outcomeCount]atomic.Int64) bool {
+func (p *Proxy) forwardResponse(c *clientConn, req *http.Request, response *upstream.ExchangeResult,
+	outcomes *[outcomeCount]atomic.Int64) bool {
 	var header []string
 	for _, name := range []string{"Content-Type", "Content-Encoding"} {
 		if v := response.Header.Get(name); v != "" {
@@ -333,7 +334,8 @@
 
 // streamResponse writes a response as it arrives from the backend. An HTTP/1.0 client
 // gets a response of unknown length up to the end of the connection.
-func (p *Proxy) streamResponse(c *clientConn, req *http.Request, response *upstream.ExchangeResult, header []string, last bool) (err error) {
+func (p *Proxy) streamResponse(c *clientConn, req *http.Request, response *upstream.ExchangeResult,
+	header []string, last bool) (err error) {
 	http10, first := !req.ProtoAtLeast(1, 1), response.Body
 	switch {
 	case response.BodyRest.TotalSize >= 0:
@@ -362,7 +364,7 @@
 	if err != nil {
 		return fmt.Errorf("%w: %w", http1.ErrDestination, err)
 	}
-	return p.transfers.Forward(c.conn, response.BodyRest, http10, func(passed int64) error {
+	return p.streamPool.Forward(c.conn, response.BodyRest, http10, func(passed int64) error {
 		extendDeadline(passed)
 		return nil
 	})
