--- a/cmd/oxbowvoter/main_test.go
+++ b/cmd/oxbowvoter/main_test.go
@@ -177,8 +177,8 @@
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
-	b := window.Backend{ID: fmt.Sprint("b", want), Region: "r", Zone: "z", Size: 1, Ready: true}
-	if a := ask(t, k, window.Backends{Put: []window.Backend{b}}); a.Result != window.OK {
+	b := window.Backend{ID: fmt.Sprint("b", want), Region: "r", Zone: "z", Size: 1, SkipWarmUp: true}
+	if a := ask(t, k, window.PutBackends{Put: []window.Backend{b}}); a.Result != window.OK {
 		t.Fatal(a.Describe())
 	}
 	if got, err := count(ctx, k); got != want || err != nil {
--- a/cmd/oxbowvoter/window_test.go
+++ b/cmd/oxbowvoter/window_test.go
@@ -45,24 +45,24 @@
 	ok := func(e window.Entry) schedule.Answer {
 		t.Helper()
 		a := ask(t, k, e)
-		if a.Result != window.OK && a.Result != window.Repeat {
+		if a.Result != window.OK && a.Result != window.Duplicate {
 			t.Fatal(a.Describe())
 		}
 		return a
 	}
 	var put []window.Backend
 	for i := range 4 {
-		put = append(put, window.Backend{ID: fmt.Sprint("b", i), Region: "r", Zone: "z", Size: 10, Ready: true})
+		put = append(put, window.Backend{ID: fmt.Sprint("b", i), Region: "r", Zone: "z", Size: 10, SkipWarmUp: true})
 	}
-	ok(window.Backends{Put: put})
-	ok(window.Serving{Members: []string{"n1", "n2"}})
-	ok(window.SetFloor{Steps: []window.Step{{Floor: 30}}}) // of 40: one at a time
-	plan := func(id, backend string) window.Ask {
-		return window.Ask{ID: id, Region: "r", Backends: []string{backend}, Duration: time.Hour, Latest: 100 * time.Hour}
+	ok(window.PutBackends{Put: put})
+	ok(window.SetServing{Members: []string{"n1", "n2"}})
+	ok(window.SetFloor{Steps: []window.Step{{Capacity: 30}}}) // of 40: one at a time
+	plan := func(id, backend string) window.Request {
+		return window.Request{ID: id, Region: "r", Backends: []string{backend}, Duration: time.Hour, LatestEnd: 100 * time.Hour}
 	}
 	ok(plan("p1", "b0"))
 	ok(plan("p2", "b1"))
-	if a := ok(plan("p1", "b0")); a.Result != window.Repeat {
+	if a := ok(plan("p1", "b0")); a.Result != window.Duplicate {
 		t.Errorf("the same plan again: %s", a.Describe())
 	}
 	first := shown(t, k, "p1", "fence=")
--- a/fleet/schedule/encoding_test.go
+++ b/fleet/schedule/encoding_test.go
@@ -15,19 +15,19 @@
 // fullAnswer is an answer in which every field is set.
 func fullAnswer() schedule.Answer {
 	plan := window.Window{
-		Ask: window.Ask{ID: "p1", Region: "r", Zone: "z", Amount: 5, Duration: time.Hour, Earliest: time.Minute,
-			Latest: 50 * time.Hour, Priority: 2, Notice: time.Second, Recall: true},
-		State: window.Refused, First: 1, Start: 2, End: 3, Fence: 4, Drained: 5, Serving: 6, Why: "no room", Could: 7,
+		Request: window.Request{ID: "p1", Region: "r", Zone: "z", Amount: 5, Duration: time.Hour, EarliestStart: time.Minute,
+			LatestEnd: 50 * time.Hour, Priority: 2, Notice: time.Second, Recallable: true},
+		State: window.Refused, FirstStart: 1, Start: 2, End: 3, Fence: 4, Drained: 5, Serving: 6, Reason: "no room", EarliestFeasible: 7,
 	}
 	moved := plan
-	moved.Ask.Backends = []string{"b0", "b1"}
+	moved.Request.Backends = []string{"b0", "b1"}
 	return schedule.Answer{
 		Answer: window.Answer{
-			Index: 11, Now: time.Minute, Result: window.Bad, Err: "window: ask", Known: true, Window: plan,
-			Events: []window.Event{{Kind: window.EventMoved, Window: moved,
-				Scope: window.Scope{Region: "r", Zone: "z"}, Floor: 30, Have: 29}},
+			Index: 11, Now: time.Minute, Result: window.Invalid, Err: "window: ask", HasWindow: true, Window: plan,
+			Events: []window.Event{{Kind: window.EventStartMoved, Window: moved,
+				Scope: window.Scope{Region: "r", Zone: "z"}, Required: 30, Available: 29}},
 		},
-		Left: 8,
+		OmittedEvents: 8,
 	}
 }
 
--- a/fleet/schedule/large_test.go
+++ b/fleet/schedule/large_test.go
@@ -19,7 +19,7 @@
 	var names []string
 	for number := range count {
 		name := fmt.Sprintf("%s-%04d-", kind, number)
-		names = append(names, name+strings.Repeat("x", window.MaxID-len(name)))
+		names = append(names, name+strings.Repeat("x", window.MaxIDBytes-len(name)))
 	}
 	return names
 }
@@ -28,37 +28,37 @@
 // and so does the answer, with the names in it. Guards against a bound on counts that can't
 // be met because the bound on bytes comes first.
 func TestLargeEntriesFit(t *testing.T) {
-	ids := longNames("backend", max(window.MaxPart, manyNames))
-	plan := window.Ask{ID: "p", Region: "r", Backends: ids, Duration: time.Hour, Latest: 10 * time.Hour}
+	ids := longNames("backend", max(window.MaxPlanBackends, manyNames))
+	plan := window.Request{ID: "p", Region: "r", Backends: ids, Duration: time.Hour, LatestEnd: 10 * time.Hour}
 	for _, c := range []struct {
 		name string
 		e    window.Entry
 	}{
 		{"a plan of as many backends as there may be", plan},
-		{"members that serve", window.Serving{Members: longNames("member", 1024)}},
-		{"backends that failed", window.Failed{IDs: ids[:manyNames]}},
-		{"backends that recovered", window.Recovered{IDs: ids[:manyNames]}},
-		{"backends that are removed", window.Remove{IDs: ids[:manyNames]}},
+		{"members that serve", window.SetServing{Members: longNames("member", 1024)}},
+		{"backends that failed", window.BackendsFailed{IDs: ids[:manyNames]}},
+		{"backends that recovered", window.BackendsRecovered{IDs: ids[:manyNames]}},
+		{"backends that are removed", window.RemoveBackends{IDs: ids[:manyNames]}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			m := machine(t)
 			index := uint64(0)
 			apply := func(e window.Entry) []byte { index++; return m.Apply(index, entry(t, e)) }
 			for _, id := range ids {
-				apply(window.Backends{Put: []window.Backend{{ID: id, Region: "r", Zone: "z", Size: 1, Ready: true}}})
+				apply(window.PutBackends{Put: []window.Backend{{ID: id, Region: "r", Zone: "z", Size: 1, SkipWarmUp: true}}})
 			}
 			if size := len(entry(t, c.e)); size > agree.MaxEntry {
 				t.Errorf("an entry of %d bytes, %d at most", size, agree.MaxEntry)
 			}
 			text := apply(c.e)
 			a, err := schedule.Parse(text)
-			if err != nil || len(text) > agree.MaxEntry || a.Result != window.OK && a.Result != window.Repeat {
+			if err != nil || len(text) > agree.MaxEntry || a.Result != window.OK && a.Result != window.Duplicate {
 				t.Fatalf("%d bytes: %s, %v", len(text), a.Describe(), err)
 			}
-			if a.Known && len(a.Window.Ask.Backends) != len(ids) {
-				t.Errorf("the answer names %d backends", len(a.Window.Ask.Backends))
+			if a.HasWindow && len(a.Window.Request.Backends) != len(ids) {
+				t.Errorf("the answer names %d backends", len(a.Window.Request.Backends))
 			}
-			if a.Known && !bytes.Contains(m.Query([]byte("SHOW p")), []byte(ids[len(ids)-1])) {
+			if a.HasWindow && !bytes.Contains(m.Query([]byte("SHOW p")), []byte(ids[len(ids)-1])) {
 				t.Error("SHOW does not name the last of them")
 			}
 		})
--- a/fleet/schedule/schedule.go
+++ b/fleet/schedule/schedule.go
@@ -21,7 +21,7 @@
 // Answer is what the machine answers to an entry, the same at all voters.
 type Answer struct {
 	window.Answer
-	Left int `cbor:"Left"` // events that did not fit into an answer; the windows have what they told
+	OmittedEvents int `cbor:"Left"` // events that did not fit into an answer; the windows have what they told
 }
 
 // Machine is an agree.Machine and agree.Querier. It is not safe for concurrent use.
@@ -53,7 +53,7 @@
 // so that subscribers hear of changes alone.
 func (m *Machine) Apply(index uint64, entry []byte) []byte {
 	a := m.windows.Apply(index, entry)
-	if a.Result == window.OK && !a.Known && len(a.Events) == 0 && window.IsTick(entry) {
+	if a.Result == window.OK && !a.HasWindow && len(a.Events) == 0 && window.IsTick(entry) {
 		return nil
 	}
 	return encode(Answer{Answer: a})
@@ -68,12 +68,12 @@
 			return append([]byte{version}, text...)
 		}
 		switch n := len(a.Events); {
-		case n > 0 && a.Left == 0 && trim(a.Events):
+		case n > 0 && a.OmittedEvents == 0 && trim(a.Events):
 		case n > 0:
-			a.Left += n - n/2
+			a.OmittedEvents += n - n/2
 			a.Events = a.Events[:n/2]
-		case len(a.Window.Ask.Backends) > 0:
-			a.Window.Ask.Backends = nil
+		case len(a.Window.Request.Backends) > 0:
+			a.Window.Request.Backends = nil
 		default:
 			return []byte{version} // it is bounded; Parse says that it can't be read
 		}
@@ -83,7 +83,7 @@
 // trim takes the backends out of the windows of events. It tells whether there were any.
 func trim(events []window.Event) (some bool) {
 	for i := range events {
-		ask := &events[i].Window.Ask
+		ask := &events[i].Window.Request
 		some = some || len(ask.Backends) > 0
 		ask.Backends = nil
 	}
--- a/fleet/schedule/schedule_test.go
+++ b/fleet/schedule/schedule_test.go
@@ -35,10 +35,10 @@
 	return m
 }
 
-func backends(region string, n int, id string) window.Backends {
-	var all window.Backends
+func backends(region string, n int, id string) window.PutBackends {
+	var all window.PutBackends
 	for i := range n {
-		all.Put = append(all.Put, window.Backend{ID: fmt.Sprintf("%s%d", id, i), Region: region, Zone: "z", Size: 10, Ready: true})
+		all.Put = append(all.Put, window.Backend{ID: fmt.Sprintf("%s%d", id, i), Region: region, Zone: "z", Size: 10, SkipWarmUp: true})
 	}
 	return all
 }
@@ -48,10 +48,10 @@
 	index := uint64(0)
 	apply := func(e window.Entry) []byte { index++; return m.Apply(index, entry(t, e)) }
 	apply(backends("r", 4, "b"))
-	apply(window.SetFloor{Steps: []window.Step{{Floor: 30}}})
-	text := apply(window.Ask{ID: "p1", Region: "r", Backends: []string{"b0"}, Duration: time.Hour, Latest: 50 * time.Hour})
+	apply(window.SetFloor{Steps: []window.Step{{Capacity: 30}}})
+	text := apply(window.Request{ID: "p1", Region: "r", Backends: []string{"b0"}, Duration: time.Hour, LatestEnd: 50 * time.Hour})
 	a, err := schedule.Parse(text)
-	if err != nil || a.Result != window.OK || a.Window.Ask.ID != "p1" || a.Left != 0 {
+	if err != nil || a.Result != window.OK || a.Window.Request.ID != "p1" || a.OmittedEvents != 0 {
 		t.Fatalf("%+v, %v", a, err)
 	}
 	if text := m.Apply(9, schedule.Tick(time.Second)); text != nil {
@@ -60,7 +60,7 @@
 	if text := m.Apply(10, schedule.Tick(-time.Hour)); text != nil {
 		t.Errorf("a tick of no time: %q", text)
 	}
-	if a, err := schedule.Parse(m.Apply(11, []byte("noise"))); err != nil || a.Result != window.Bad || a.Err == "" {
+	if a, err := schedule.Parse(m.Apply(11, []byte("noise"))); err != nil || a.Result != window.Invalid || a.Err == "" {
 		t.Errorf("noise: %+v, %v", a, err)
 	}
 	for _, c := range []struct{ query, want string }{
@@ -89,7 +89,7 @@
 func TestSnapshot(t *testing.T) {
 	m, twin := machine(t), machine(t)
 	m.Apply(1, entry(t, backends("r", 4, "b")))
-	m.Apply(2, entry(t, window.SetFloor{Steps: []window.Step{{Floor: 30}}}))
+	m.Apply(2, entry(t, window.SetFloor{Steps: []window.Step{{Capacity: 30}}}))
 	if err := twin.Restore(m.Snapshot()); err != nil {
 		t.Fatal(err)
 	}
@@ -97,7 +97,7 @@
 	if twin.Restore([]byte("noise")) == nil || !bytes.Equal(before, twin.Snapshot()) {
 		t.Error("a spoilt snapshot was taken, or has changed the state")
 	}
-	plan := entry(t, window.Ask{ID: "p1", Region: "r", Backends: []string{"b0"}, Duration: time.Hour, Latest: 50 * time.Hour})
+	plan := entry(t, window.Request{ID: "p1", Region: "r", Backends: []string{"b0"}, Duration: time.Hour, LatestEnd: 50 * time.Hour})
 	for i, e := range [][]byte{plan, schedule.Tick(time.Second), schedule.Tick(time.Hour)} {
 		if x, y := m.Apply(uint64(3+i), e), twin.Apply(uint64(3+i), e); !bytes.Equal(x, y) {
 			t.Errorf("entry %d: %q and %q", i, x, y)
@@ -118,7 +118,7 @@
 		apply(backends("r", 256, strings.Repeat("long", 10)+fmt.Sprint(i, "-")))
 	}
 	for i := range 100 {
-		plan := window.Ask{ID: fmt.Sprint("p", i), Region: "r", Duration: time.Hour, Earliest: time.Hour, Latest: 300 * time.Hour}
+		plan := window.Request{ID: fmt.Sprint("p", i), Region: "r", Duration: time.Hour, EarliestStart: time.Hour, LatestEnd: 300 * time.Hour}
 		for j := range 24 {
 			plan.Backends = append(plan.Backends, fmt.Sprint(strings.Repeat("long", 10), i%4, "-", (i*24+j)%256))
 		}
@@ -126,10 +126,10 @@
 			t.Fatalf("%s, %v", a.Describe(), err)
 		}
 	}
-	text := apply(window.SetFloor{Steps: []window.Step{{Floor: 10240 - 240}}}) // one at a time: nearly all move
+	text := apply(window.SetFloor{Steps: []window.Step{{Capacity: 10240 - 240}}}) // one at a time: nearly all move
 	a, err := schedule.Parse(text)
-	if err != nil || len(text) > agree.MaxEntry || len(a.Events)+a.Left < 90 {
-		t.Errorf("%d bytes, %d events and %d left, %v", len(text), len(a.Events), a.Left, err)
+	if err != nil || len(text) > agree.MaxEntry || len(a.Events)+a.OmittedEvents < 90 {
+		t.Errorf("%d bytes, %d events and %d left, %v", len(text), len(a.Events), a.OmittedEvents, err)
 	}
 	if list := m.Query([]byte("LIST")); len(list) > agree.MaxEntry || !bytes.Contains(list, []byte("MORE left=")) {
 		t.Errorf("%d bytes of list, and no word of more", len(list))
--- a/fleet/window/bench_test.go
+++ b/fleet/window/bench_test.go
@@ -22,7 +22,7 @@
 		for j := range 256 {
 			put = append(put, Backend{fmt.Sprintf("b%04d", i*256+j), fmt.Sprint("r", i/4), fmt.Sprint("z", i%4), 10, 10 * minute, 300, true})
 		}
-		do(Backends{put})
+		do(PutBackends{put})
 	}
 	for r := range 4 {
 		for z := range 4 {
@@ -30,14 +30,14 @@
 		}
 	}
 	for i := range 127 {
-		e := Ask{ID: fmt.Sprint("p", i), Region: fmt.Sprint("r", i%4), Zone: fmt.Sprint("z", i/4%4), Amount: 40,
-			Duration: 60 * minute, Latest: 13 * day, Priority: i % 4}
+		e := Request{ID: fmt.Sprint("p", i), Region: fmt.Sprint("r", i%4), Zone: fmt.Sprint("z", i/4%4), Amount: 40,
+			Duration: 60 * minute, LatestEnd: 13 * day, Priority: i % 4}
 		if a := do(e); a.Result != OK {
 			b.Fatal(a.Describe())
 		}
 	}
 	for b.Loop() {
-		do(Ask{ID: "last", Region: "r0", Zone: "z0", Amount: 40, Duration: 60 * minute, Latest: 13 * day, Priority: 9})
+		do(Request{ID: "last", Region: "r0", Zone: "z0", Amount: 40, Duration: 60 * minute, LatestEnd: 13 * day, Priority: 9})
 		do(Cancel{"last"})
 		m.ended = nil
 	}
--- a/fleet/window/describe.go
+++ b/fleet/window/describe.go
@@ -33,19 +33,19 @@
 // Describe is a window in one line of the door.
 func (w Window) Describe() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "WINDOW %s state=%v region=%s", w.Ask.ID, w.State, w.Ask.Region)
-	if w.Ask.Amount > 0 {
-		fmt.Fprintf(&b, " zone=%s amount=%d", w.Ask.Zone, w.Ask.Amount)
+	fmt.Fprintf(&b, "WINDOW %s state=%v region=%s", w.Request.ID, w.State, w.Request.Region)
+	if w.Request.Amount > 0 {
+		fmt.Fprintf(&b, " zone=%s amount=%d", w.Request.Zone, w.Request.Amount)
 	} else {
-		fmt.Fprintf(&b, " backends=%s", strings.Join(w.Ask.Backends, ","))
+		fmt.Fprintf(&b, " backends=%s", strings.Join(w.Request.Backends, ","))
 	}
-	fmt.Fprintf(&b, " priority=%d", w.Ask.Priority)
+	fmt.Fprintf(&b, " priority=%d", w.Request.Priority)
 	switch {
-	case w.State == Refused && w.Could >= 0:
-		fmt.Fprintf(&b, " earliest=%s", stamp(w.Could))
+	case w.State == Refused && w.EarliestFeasible >= 0:
+		fmt.Fprintf(&b, " earliest=%s", stamp(w.EarliestFeasible))
 	case w.State == Refused:
 		b.WriteString(" earliest=none")
-	case w.State != Asked && w.State != Cancelled:
+	case w.State != Requested && w.State != Cancelled:
 		fmt.Fprintf(&b, " start=%s end=%s", stamp(w.Start), stamp(w.End))
 	}
 	if w.Fence != 0 {
@@ -54,8 +54,8 @@
 	if w.State == Granted || w.State == Draining {
 		fmt.Fprintf(&b, " drained=%d/%d", w.Drained, w.Serving)
 	}
-	if w.Why != "" {
-		fmt.Fprintf(&b, " why=%q", w.Why)
+	if w.Reason != "" {
+		fmt.Fprintf(&b, " why=%q", w.Reason)
 	}
 	return b.String()
 }
@@ -65,14 +65,14 @@
 	switch e.Kind {
 	case EventState:
 		return e.Window.Describe()
-	case EventMoved:
+	case EventStartMoved:
 		return e.Window.Describe() + " moved=yes"
-	case EventShort:
-		return fmt.Sprintf("FLOOR %s state=short floor=%d have=%d", name(e.Scope), e.Floor, e.Have)
-	case EventHeld:
-		return fmt.Sprintf("FLOOR %s state=held floor=%d have=%d", name(e.Scope), e.Floor, e.Have)
+	case EventBelowFloor:
+		return fmt.Sprintf("FLOOR %s state=short floor=%d have=%d", name(e.Scope), e.Required, e.Available)
+	case EventFloorRestored:
+		return fmt.Sprintf("FLOOR %s state=held floor=%d have=%d", name(e.Scope), e.Required, e.Available)
 	default:
-		return fmt.Sprintf("FLOOR %s state=in-force floor=%d", name(e.Scope), e.Floor)
+		return fmt.Sprintf("FLOOR %s state=in-force floor=%d", name(e.Scope), e.Required)
 	}
 }
 
@@ -80,7 +80,7 @@
 // the reason.
 func (a Answer) Describe() string {
 	s := fmt.Sprintf("%s now=%s index=%d", strings.ToUpper(a.Result.String()), stamp(a.Now), a.Index)
-	if a.Known {
+	if a.HasWindow {
 		s += " " + a.Window.Describe()
 	}
 	if a.Err != "" {
@@ -91,12 +91,12 @@
 
 // Floor is a scope's floor as operators see it.
 type Floor struct {
-	Scope   Scope
-	Steps   []Step // in force
-	Pending []Step // not in force yet; grants keep to it already
-	Total   int64  // size of all backends
-	Have    int64  // of that, what is not out, by itself or by windows
-	Floor   int64  // in force now
+	Scope     Scope
+	Steps     []Step // in force
+	Pending   []Step // not in force yet; grants keep to it already
+	Total     int64  // size of all backends
+	Available int64  // of that, what is not out, by itself or by windows
+	Required  int64  // in force now
 }
 
 // Floors returns the floors in the order of their scopes.
@@ -105,8 +105,8 @@
 	v := m.view(true)
 	for _, f := range m.floors {
 		all = append(all, Floor{Scope: f.Scope, Steps: append([]Step(nil), f.Steps...),
-			Pending: append([]Step(nil), f.Next...), Total: m.totals[f.Scope], Have: v.room(f.Scope, m.now),
-			Floor: at(f.Steps, m.now)})
+			Pending: append([]Step(nil), f.Next...), Total: m.totals[f.Scope], Available: v.room(f.Scope, m.now),
+			Required: at(f.Steps, m.now)})
 	}
 	return all
 }
@@ -114,11 +114,11 @@
 // Describe is a floor in one line of the door.
 func (f Floor) Describe() string {
 	state := "held"
-	if f.Have < f.Floor {
+	if f.Available < f.Required {
 		state = "short"
 	}
 	s := fmt.Sprintf("FLOOR %s state=%s floor=%d have=%d total=%d steps=%s",
-		name(f.Scope), state, f.Floor, f.Have, f.Total, stepsText(f.Steps))
+		name(f.Scope), state, f.Required, f.Available, f.Total, stepsText(f.Steps))
 	if len(f.Pending) > 0 {
 		s += " pending=" + stepsText(f.Pending)
 	}
@@ -129,7 +129,7 @@
 	var all []string
 	for _, s := range steps {
 		at := s.From
-		all = append(all, fmt.Sprintf("%02d:%02d=%d", at/time.Hour, at%time.Hour/time.Minute, s.Floor))
+		all = append(all, fmt.Sprintf("%02d:%02d=%d", at/time.Hour, at%time.Hour/time.Minute, s.Capacity))
 	}
 	if all == nil {
 		return "none"
--- a/fleet/window/encoding_test.go
+++ b/fleet/window/encoding_test.go
@@ -27,14 +27,14 @@
 		t.Fatal(err)
 	}
 	for i, e := range []window.Entry{
-		window.Backends{Put: []window.Backend{
-			{ID: "b0", Region: "r", Zone: "z", Size: 10, Warm: time.Minute, Cold: 300, Ready: true},
-			{ID: "b1", Region: "r", Zone: "z", Size: 20, Warm: time.Minute, Cold: 300},
+		window.PutBackends{Put: []window.Backend{
+			{ID: "b0", Region: "r", Zone: "z", Size: 10, WarmUpTime: time.Minute, InitialPermille: 300, SkipWarmUp: true},
+			{ID: "b1", Region: "r", Zone: "z", Size: 20, WarmUpTime: time.Minute, InitialPermille: 300},
 		}},
-		window.SetFloor{Scope: window.Scope{Region: "r"}, Steps: []window.Step{{Floor: 5}, {From: time.Hour, Floor: 6}}},
-		window.Ask{ID: "p1", Region: "r", Backends: []string{"b0"}, Duration: time.Hour, Latest: 40 * time.Hour,
-			Priority: 1, Notice: time.Second, Recall: true},
-		window.Ask{ID: "p2", Region: "r", Zone: "z", Amount: 1000, Duration: time.Hour, Latest: 40 * time.Hour},
+		window.SetFloor{Scope: window.Scope{Region: "r"}, Steps: []window.Step{{Capacity: 5}, {From: time.Hour, Capacity: 6}}},
+		window.Request{ID: "p1", Region: "r", Backends: []string{"b0"}, Duration: time.Hour, LatestEnd: 40 * time.Hour,
+			Priority: 1, Notice: time.Second, Recallable: true},
+		window.Request{ID: "p2", Region: "r", Zone: "z", Amount: 1000, Duration: time.Hour, LatestEnd: 40 * time.Hour},
 		window.Tick{Elapsed: 3 * time.Second},
 	} {
 		text, err := window.Encode(e)
--- a/fleet/window/entry.go
+++ b/fleet/window/entry.go
@@ -26,47 +26,47 @@
 
 // Backend is one backend as the fleet knows it.
 type Backend struct {
-	ID     string        `cbor:"1,keyasint"`
-	Region string        `cbor:"2,keyasint"`
-	Zone   string        `cbor:"3,keyasint"`
-	Size   int64         `cbor:"4,keyasint"`           // in units that all backends share
-	Warm   time.Duration `cbor:"5,keyasint,omitempty"` // length of the warm-up, at most 24 h
-	Cold   int64         `cbor:"6,keyasint,omitempty"` // thousandths of Size that it has at its start
-	Ready  bool          `cbor:"7,keyasint,omitempty"` // when it is new: it is warm already
+	ID              string        `cbor:"1,keyasint"`
+	Region          string        `cbor:"2,keyasint"`
+	Zone            string        `cbor:"3,keyasint"`
+	Size            int64         `cbor:"4,keyasint"`           // in units that all backends share
+	WarmUpTime      time.Duration `cbor:"5,keyasint,omitempty"` // length of the warm-up, at most 24 h
+	InitialPermille int64         `cbor:"6,keyasint,omitempty"` // thousandths of Size that it has at its start
+	SkipWarmUp      bool          `cbor:"7,keyasint,omitempty"` // when it is new: it is warm already
 }
 
 // Backends registers backends, or updates them. A backend's region and zone can't
 // change while an open plan names it.
-type Backends struct {
+type PutBackends struct {
 	Put []Backend `cbor:"1,keyasint"`
 }
 
 // Remove takes backends off the list. It is refused while an open plan names one;
 // a backend that is gone is reported by Failed until then.
-type Remove struct {
+type RemoveBackends struct {
 	IDs []string `cbor:"1,keyasint"`
 }
 
 // Failed reports that backends have failed by themselves.
-type Failed struct {
+type BackendsFailed struct {
 	IDs []string `cbor:"1,keyasint"`
 }
 
 // Recovered reports that failed backends serve again; their warm-up begins.
-type Recovered struct {
+type BackendsRecovered struct {
 	IDs []string `cbor:"1,keyasint"`
 }
 
 // Serving names all members whose confirmation a drain needs, in place of those
 // named before. While none is named no drain is complete.
-type Serving struct {
+type SetServing struct {
 	Members []string `cbor:"1,keyasint"`
 }
 
 // Step is a part of a floor: from this time of day until the next step.
 type Step struct {
-	From  time.Duration `cbor:"1,keyasint,omitempty"` // 0 to under 24 h
-	Floor int64         `cbor:"2,keyasint,omitempty"`
+	From     time.Duration `cbor:"1,keyasint,omitempty"` // 0 to under 24 h
+	Capacity int64         `cbor:"2,keyasint,omitempty"`
 }
 
 // SetFloor agrees on the floor of a scope: one step for all day, or several with
@@ -77,18 +77,18 @@
 }
 
 // Ask asks for a window. Times are log time.
-type Ask struct {
-	ID       string        `cbor:"1,keyasint"` // the asker's: asked twice it is one plan
-	Region   string        `cbor:"2,keyasint"`
-	Backends []string      `cbor:"3,keyasint,omitempty"` // of the region; or:
-	Zone     string        `cbor:"4,keyasint,omitempty"` // with Amount, a zone of the region
-	Amount   int64         `cbor:"5,keyasint,omitempty"`
-	Duration time.Duration `cbor:"6,keyasint"` // from the grant to the return, without the warm-up
-	Earliest time.Duration `cbor:"7,keyasint,omitempty"`
-	Latest   time.Duration `cbor:"8,keyasint"`            // the window ends by this, its warm-up may come after
-	Priority int           `cbor:"9,keyasint,omitempty"`  // 0 to MaxPriority, the higher first
-	Notice   time.Duration `cbor:"10,keyasint,omitempty"` // a start is told at least this long before
-	Recall   bool          `cbor:"14,keyasint,omitempty"` // may be called back even when it is out
+type Request struct {
+	ID            string        `cbor:"1,keyasint"` // the asker's: asked twice it is one plan
+	Region        string        `cbor:"2,keyasint"`
+	Backends      []string      `cbor:"3,keyasint,omitempty"` // of the region; or:
+	Zone          string        `cbor:"4,keyasint,omitempty"` // with Amount, a zone of the region
+	Amount        int64         `cbor:"5,keyasint,omitempty"`
+	Duration      time.Duration `cbor:"6,keyasint"` // from the grant to the return, without the warm-up
+	EarliestStart time.Duration `cbor:"7,keyasint,omitempty"`
+	LatestEnd     time.Duration `cbor:"8,keyasint"`            // the window ends by this, its warm-up may come after
+	Priority      int           `cbor:"9,keyasint,omitempty"`  // 0 to MaxPriority, the higher first
+	Notice        time.Duration `cbor:"10,keyasint,omitempty"` // a start is told at least this long before
+	Recallable    bool          `cbor:"14,keyasint,omitempty"` // may be called back even when it is out
 }
 
 // Cancel ends a plan that is not granted, and calls a granted one back.
@@ -116,18 +116,18 @@
 	Fence Fence  `cbor:"2,keyasint"`
 }
 
-func (Tick) kind() byte      { return 1 }
-func (Backends) kind() byte  { return 2 }
-func (Remove) kind() byte    { return 3 }
-func (Failed) kind() byte    { return 4 }
-func (Recovered) kind() byte { return 5 }
-func (Serving) kind() byte   { return 6 }
-func (SetFloor) kind() byte  { return 7 }
-func (Ask) kind() byte       { return 8 }
-func (Cancel) kind() byte    { return 9 }
-func (Drained) kind() byte   { return 10 }
-func (Return) kind() byte    { return 11 }
-func (Returned) kind() byte  { return 12 }
+func (Tick) kind() byte              { return 1 }
+func (PutBackends) kind() byte       { return 2 }
+func (RemoveBackends) kind() byte    { return 3 }
+func (BackendsFailed) kind() byte    { return 4 }
+func (BackendsRecovered) kind() byte { return 5 }
+func (SetServing) kind() byte        { return 6 }
+func (SetFloor) kind() byte          { return 7 }
+func (Request) kind() byte           { return 8 }
+func (Cancel) kind() byte            { return 9 }
+func (Drained) kind() byte           { return 10 }
+func (Return) kind() byte            { return 11 }
+func (Returned) kind() byte          { return 12 }
 
 // codec returns CBOR (RFC 8949) in its core deterministic form, with limits that
 // keep a decoder from taking more memory than its input is worth.
@@ -152,8 +152,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("window: encode: %w", err)
 	}
-	if len(body)+2 > MaxEntry {
-		return nil, fmt.Errorf("window: encode: %d bytes are over %d", len(body)+2, MaxEntry)
+	if len(body)+2 > MaxEntryBytes {
+		return nil, fmt.Errorf("window: encode: %d bytes are over %d", len(body)+2, MaxEntryBytes)
 	}
 	return append([]byte{Version, e.kind()}, body...), nil
 }
@@ -163,8 +163,8 @@
 
 // Decode reads an entry. It says nothing of what the entry means to a machine.
 func Decode(data []byte) (Entry, error) {
-	if len(data) < 2 || len(data) > MaxEntry {
-		return nil, fmt.Errorf("window: entry of %d bytes: not in 2 to %d", len(data), MaxEntry)
+	if len(data) < 2 || len(data) > MaxEntryBytes {
+		return nil, fmt.Errorf("window: entry of %d bytes: not in 2 to %d", len(data), MaxEntryBytes)
 	}
 	if data[0] != Version {
 		return nil, fmt.Errorf("window: entry: unknown version %d", data[0])
@@ -173,19 +173,19 @@
 	case 1:
 		return decode[Tick](body)
 	case 2:
-		return decode[Backends](body)
+		return decode[PutBackends](body)
 	case 3:
-		return decode[Remove](body)
+		return decode[RemoveBackends](body)
 	case 4:
-		return decode[Failed](body)
+		return decode[BackendsFailed](body)
 	case 5:
-		return decode[Recovered](body)
+		return decode[BackendsRecovered](body)
 	case 6:
-		return decode[Serving](body)
+		return decode[SetServing](body)
 	case 7:
 		return decode[SetFloor](body)
 	case 8:
-		return decode[Ask](body)
+		return decode[Request](body)
 	case 9:
 		return decode[Cancel](body)
 	case 10:
@@ -213,8 +213,8 @@
 
 // checkName says whether an id or a name can stand in a line of the door.
 func checkName(what, key, s string) error {
-	if s == "" || len(s) > MaxID {
-		return fmt.Errorf("window: %s: %s: %d bytes, not 1 to %d", what, key, len(s), MaxID)
+	if s == "" || len(s) > MaxIDBytes {
+		return fmt.Errorf("window: %s: %s: %d bytes, not 1 to %d", what, key, len(s), MaxIDBytes)
 	}
 	for _, c := range []byte(s) {
 		if !(c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' ||
@@ -227,7 +227,7 @@
 
 func (e Tick) apply(m *Machine) (*plan, Result, error) {
 	if e.Elapsed <= 0 || e.Elapsed > m.set.MaxTick || m.now+e.Elapsed > maxTime {
-		return nil, Bad, fmt.Errorf("window: tick: elapsed: %v is not over 0 and at most %v",
+		return nil, Invalid, fmt.Errorf("window: tick: elapsed: %v is not over 0 and at most %v",
 			e.Elapsed, m.set.MaxTick)
 	}
 	m.now += e.Elapsed
@@ -241,8 +241,8 @@
 		checkName(what, "region", b.Region),
 		checkName(what, "zone", b.Zone),
 		within(what, "size", b.Size, 1, MaxSize),
-		within(what, "warm", int64(b.Warm), 0, int64(day)),
-		within(what, "cold", b.Cold, 0, 1000))
+		within(what, "warm", int64(b.WarmUpTime), 0, int64(day)),
+		within(what, "cold", b.InitialPermille, 0, 1000))
 }
 
 func within(what, key string, v, least, most int64) error {
@@ -252,26 +252,26 @@
 	return nil
 }
 
-func (e Backends) apply(m *Machine) (*plan, Result, error) {
+func (e PutBackends) apply(m *Machine) (*plan, Result, error) {
 	fresh, seen := 0, map[string]bool{}
 	for i := range e.Put {
 		b := &e.Put[i]
 		if err := b.check(); err != nil {
-			return nil, Bad, err
+			return nil, Invalid, err
 		}
 		if seen[b.ID] {
-			return nil, Bad, fmt.Errorf("window: backend %s: id: twice in one entry", b.ID)
+			return nil, Invalid, fmt.Errorf("window: backend %s: id: twice in one entry", b.ID)
 		}
 		seen[b.ID] = true
 		old := m.backend(b.ID)
 		if old == nil {
 			fresh++
 		} else if p := m.user(b.ID); p != nil && (old.Region != b.Region || old.Zone != b.Zone) {
-			return nil, Bad, fmt.Errorf("window: backend %s: zone: can't change while plan %s names it", b.ID, p.ID)
+			return nil, Invalid, fmt.Errorf("window: backend %s: zone: can't change while plan %s names it", b.ID, p.ID)
 		}
 	}
 	if len(m.backends)+fresh > m.set.MaxBackends {
-		return nil, Bad, fmt.Errorf("window: backends: %d more would be over %d", fresh, m.set.MaxBackends)
+		return nil, Invalid, fmt.Errorf("window: backends: %d more would be over %d", fresh, m.set.MaxBackends)
 	}
 	for _, b := range e.Put {
 		if old := m.backend(b.ID); old != nil {
@@ -280,7 +280,7 @@
 		}
 		i, _ := slices.BinarySearchFunc(m.backends, b.ID,
 			func(o *backend, id string) int { return cmp.Compare(o.ID, id) })
-		m.backends = slices.Insert(m.backends, i, &backend{Backend: b, Ramp: !b.Ready, Since: m.now})
+		m.backends = slices.Insert(m.backends, i, &backend{Backend: b, Ramp: !b.SkipWarmUp, Since: m.now})
 	}
 	m.count()
 	return nil, OK, nil
@@ -311,13 +311,13 @@
 	return [3]Scope{{}, {Region: region}, {Region: region, Zone: zone}}
 }
 
-func (e Remove) apply(m *Machine) (*plan, Result, error) {
+func (e RemoveBackends) apply(m *Machine) (*plan, Result, error) {
 	if err := m.known("remove", e.IDs); err != nil {
-		return nil, Bad, err
+		return nil, Invalid, err
 	}
 	for _, id := range e.IDs {
 		if p := m.user(id); p != nil {
-			return nil, Bad, fmt.Errorf("window: remove: backend %s: plan %s names it", id, p.ID)
+			return nil, Invalid, fmt.Errorf("window: remove: backend %s: plan %s names it", id, p.ID)
 		}
 	}
 	m.backends = slices.DeleteFunc(m.backends, func(b *backend) bool { return slices.Contains(e.IDs, b.ID) })
@@ -334,11 +334,11 @@
 	return nil
 }
 
-func (e Failed) apply(m *Machine) (*plan, Result, error) {
+func (e BackendsFailed) apply(m *Machine) (*plan, Result, error) {
 	if err := m.known("failed", e.IDs); err != nil {
-		return nil, Bad, err
+		return nil, Invalid, err
 	}
-	result := Repeat
+	result := Duplicate
 	for _, id := range e.IDs {
 		if b := m.backend(id); !b.Failed {
 			b.Failed, b.Ramp, b.Since = true, false, m.now
@@ -348,11 +348,11 @@
 	return nil, result, nil
 }
 
-func (e Recovered) apply(m *Machine) (*plan, Result, error) {
+func (e BackendsRecovered) apply(m *Machine) (*plan, Result, error) {
 	if err := m.known("recovered", e.IDs); err != nil {
-		return nil, Bad, err
+		return nil, Invalid, err
 	}
-	result := Repeat
+	result := Duplicate
 	for _, id := range e.IDs {
 		if b := m.backend(id); b.Failed {
 			b.Failed, b.Ramp, b.Since = false, true, m.now
@@ -362,13 +362,13 @@
 	return nil, result, nil
 }
 
-func (e Serving) apply(m *Machine) (*plan, Result, error) {
+func (e SetServing) apply(m *Machine) (*plan, Result, error) {
 	if len(e.Members) > m.set.MaxServing {
-		return nil, Bad, fmt.Errorf("window: serving: %d members are over %d", len(e.Members), m.set.MaxServing)
+		return nil, Invalid, fmt.Errorf("window: serving: %d members are over %d", len(e.Members), m.set.MaxServing)
 	}
 	for _, s := range e.Members {
 		if err := checkName("serving", "member", s); err != nil {
-			return nil, Bad, err
+			return nil, Invalid, err
 		}
 	}
 	m.serving = slices.Compact(slices.Sorted(slices.Values(e.Members)))
@@ -382,7 +382,7 @@
 // drainedAll takes a window out once all that serve have confirmed.
 func (m *Machine) drainedAll(p *plan) {
 	if (p.State == Granted || p.State == Draining) && len(m.serving) > 0 && len(p.Drained) == len(m.serving) {
-		m.become(p, Out, "")
+		m.become(p, OutOfService, "")
 	}
 }
 
@@ -401,12 +401,12 @@
 }
 
 func checkSteps(steps []Step) error {
-	if len(steps) > MaxSteps {
-		return fmt.Errorf("window: floor: %d steps are over %d", len(steps), MaxSteps)
+	if len(steps) > MaxFloorSteps {
+		return fmt.Errorf("window: floor: %d steps are over %d", len(steps), MaxFloorSteps)
 	}
 	for i, s := range steps {
 		if err := cmp.Or(within("floor", "from", int64(s.From), 0, int64(day)-1),
-			within("floor", "floor", s.Floor, 0, MaxSize*8192)); err != nil {
+			within("floor", "floor", s.Capacity, 0, MaxSize*8192)); err != nil {
 			return err
 		}
 		if i > 0 && s.From <= steps[i-1].From {
@@ -418,12 +418,12 @@
 
 func (e SetFloor) apply(m *Machine) (*plan, Result, error) {
 	if err := cmp.Or(e.Scope.check("floor"), checkSteps(e.Steps)); err != nil {
-		return nil, Bad, err
+		return nil, Invalid, err
 	}
 	f := m.floor(e.Scope)
 	if f == nil {
 		if len(m.floors) >= MaxFloors {
-			return nil, Bad, fmt.Errorf("window: floor: %d scopes have one already", MaxFloors)
+			return nil, Invalid, fmt.Errorf("window: floor: %d scopes have one already", MaxFloors)
 		}
 		f = &floor{Scope: e.Scope}
 		m.floors = append(m.floors, f)
@@ -453,24 +453,24 @@
 }
 
 // check reads an ask by itself and puts its backends in order.
-func (e *Ask) check(m *Machine) error {
+func (e *Request) check(m *Machine) error {
 	if err := checkName("ask", "id", e.ID); err != nil {
 		return err
 	}
 	what := "plan " + e.ID
 	if err := cmp.Or(checkName(what, "region", e.Region),
 		within(what, "duration", int64(e.Duration), 1, int64(day)),
-		within(what, "earliest", int64(e.Earliest), 0, int64(maxTime)),
-		within(what, "latest", int64(e.Latest), 0, int64(maxTime)),
+		within(what, "earliest", int64(e.EarliestStart), 0, int64(maxTime)),
+		within(what, "latest", int64(e.LatestEnd), 0, int64(maxTime)),
 		within(what, "priority", int64(e.Priority), 0, MaxPriority),
 		within(what, "notice", int64(e.Notice), 0, int64(m.set.Horizon))); err != nil {
 		return err
 	}
-	if e.Latest < e.Earliest {
+	if e.LatestEnd < e.EarliestStart {
 		return fmt.Errorf("window: %s: end before start", what)
 	}
-	if len(e.Backends) > MaxPart {
-		return fmt.Errorf("window: %s: backends: %d are over %d", what, len(e.Backends), MaxPart)
+	if len(e.Backends) > MaxPlanBackends {
+		return fmt.Errorf("window: %s: backends: %d are over %d", what, len(e.Backends), MaxPlanBackends)
 	}
 	if (len(e.Backends) == 0) == (e.Amount == 0) || (e.Zone == "") != (e.Amount == 0) {
 		return fmt.Errorf("window: %s: backends: either these, or zone and amount", what)
@@ -491,7 +491,7 @@
 }
 
 // differs names the first key in which two asks of one id differ.
-func (e *Ask) differs(o *Ask) string {
+func (e *Request) differs(o *Request) string {
 	switch {
 	case e.Region != o.Region:
 		return "region"
@@ -503,22 +503,22 @@
 		return "amount"
 	case e.Duration != o.Duration:
 		return "duration"
-	case e.Earliest != o.Earliest:
+	case e.EarliestStart != o.EarliestStart:
 		return "earliest"
-	case e.Latest != o.Latest:
+	case e.LatestEnd != o.LatestEnd:
 		return "latest"
 	case e.Priority != o.Priority:
 		return "priority"
 	case e.Notice != o.Notice:
 		return "notice"
-	case e.Recall != o.Recall:
+	case e.Recallable != o.Recallable:
 		return "recall"
 	}
 	return ""
 }
 
 // fits checks an ask against what the machine knows.
-func (e *Ask) fits(m *Machine) error {
+func (e *Request) fits(m *Machine) error {
 	what := "plan " + e.ID
 	for _, id := range e.Backends {
 		b := m.backend(id)
@@ -532,43 +532,43 @@
 	if e.Amount > 0 && m.totals[Scope{e.Region, e.Zone}] == 0 {
 		return fmt.Errorf("window: %s: zone: %s/%s has no backends", what, e.Region, e.Zone)
 	}
-	if e.Latest > m.now+m.set.Horizon {
+	if e.LatestEnd > m.now+m.set.Horizon {
 		return fmt.Errorf("window: %s: latest: over %v ahead", what, m.set.Horizon)
 	}
-	first := max(e.Earliest, m.now+e.Notice)
-	if need := first + e.Duration + m.set.MaxTick; need > e.Latest {
+	first := max(e.EarliestStart, m.now+e.Notice)
+	if need := first + e.Duration + m.set.MaxTick; need > e.LatestEnd {
 		return fmt.Errorf("window: %s: latest: needs to be %s at least (start %s, duration, and %v "+
 			"since a grant falls on an entry)", what, stamp(need), stamp(first), m.set.MaxTick)
 	}
 	return nil
 }
 
-func (e Ask) apply(m *Machine) (*plan, Result, error) {
+func (e Request) apply(m *Machine) (*plan, Result, error) {
 	if err := e.check(m); err != nil {
-		return nil, Bad, err
+		return nil, Invalid, err
 	}
 	if old := m.plan(e.ID); old != nil {
-		if key := e.differs(&old.Ask); key != "" {
-			return old, Bad, fmt.Errorf("window: plan %s: %s: differs from the plan that has this id", e.ID, key)
+		if key := e.differs(&old.Request); key != "" {
+			return old, Invalid, fmt.Errorf("window: plan %s: %s: differs from the plan that has this id", e.ID, key)
 		}
 		if old.Seq == 0 { // it was refused when asked
-			return old, Refuse, fmt.Errorf("window: plan %s: %s", e.ID, old.Why)
+			return old, Rejected, fmt.Errorf("window: plan %s: %s", e.ID, old.Why)
 		}
-		return old, Repeat, nil
+		return old, Duplicate, nil
 	}
 	if err := e.fits(m); err != nil {
-		return nil, Bad, err
+		return nil, Invalid, err
 	}
-	p := &plan{Ask: e}
+	p := &plan{Request: e}
 	if len(m.open) >= m.set.MaxPlans {
 		p.State, p.Why = Refused, fmt.Sprintf("busy: %d plans are open", len(m.open))
 		p.Could, p.Placeable = m.firstEnd(), true
-		return p, Refuse, fmt.Errorf("window: plan %s: %s", e.ID, p.Why)
+		return p, Rejected, fmt.Errorf("window: plan %s: %s", e.ID, p.Why)
 	}
 	if why := m.admit(p); why != "" {
 		m.could(p)
 		m.become(p, Refused, why)
-		return p, Refuse, fmt.Errorf("window: plan %s: %s", e.ID, why)
+		return p, Rejected, fmt.Errorf("window: plan %s: %s", e.ID, why)
 	}
 	return p, OK, nil
 }
@@ -577,15 +577,15 @@
 	p := m.plan(e.ID)
 	switch {
 	case p == nil:
-		return nil, Bad, fmt.Errorf("window: cancel: plan %q is not known", e.ID)
+		return nil, Invalid, fmt.Errorf("window: cancel: plan %q is not known", e.ID)
 	case p.State <= Planned:
 		m.become(p, Cancelled, "cancelled by its asker")
 		m.dirty = true
-	case p.State == Granted || p.State == Draining || p.State == Out:
+	case p.State == Granted || p.State == Draining || p.State == OutOfService:
 		p.Called = true
 		m.become(p, Recalled, "recalled: cancelled by its asker")
 	default:
-		return p, Repeat, nil
+		return p, Duplicate, nil
 	}
 	return p, OK, nil
 }
@@ -594,7 +594,7 @@
 func (m *Machine) granted(what, id string, f Fence) (*plan, Result, error) {
 	p := m.plan(id)
 	if p == nil {
-		return nil, Bad, fmt.Errorf("window: %s: plan %q is not known", what, id)
+		return nil, Invalid, fmt.Errorf("window: %s: plan %q is not known", what, id)
 	}
 	if f == 0 || p.Fence != f {
 		return p, Stale, fmt.Errorf("window: %s: plan %s: fence: %v is not that of the grant", what, id, f)
@@ -608,12 +608,12 @@
 		return p, result, err
 	}
 	if !slices.Contains(m.serving, e.Member) {
-		return p, Bad, fmt.Errorf("window: drained: plan %s: member: %q is not among those that serve",
+		return p, Invalid, fmt.Errorf("window: drained: plan %s: member: %q is not among those that serve",
 			e.ID, e.Member)
 	}
 	i, was := slices.BinarySearch(p.Drained, e.Member)
 	if was || !p.State.holding() {
-		return p, Repeat, nil
+		return p, Duplicate, nil
 	}
 	p.Drained = slices.Insert(p.Drained, i, e.Member)
 	if p.State == Granted {
@@ -629,7 +629,7 @@
 	case err != nil:
 		return p, result, err
 	case !p.State.holding() || p.State == Returning || p.State == Overdue:
-		return p, Repeat, nil
+		return p, Duplicate, nil
 	}
 	m.become(p, Returning, "")
 	return p, OK, nil
@@ -641,10 +641,10 @@
 	case err != nil:
 		return p, result, err
 	case !p.State.holding():
-		return p, Repeat, nil
+		return p, Duplicate, nil
 	}
 	p.Returned = m.now
 	m.dirty = m.dirty || m.now != p.End // else the plans count on it already
-	m.become(p, Warm, "")
+	m.become(p, WarmingUp, "")
 	return p, OK, nil
 }
--- a/fleet/window/large_test.go
+++ b/fleet/window/large_test.go
@@ -15,7 +15,7 @@
 	var names []string
 	for number := range manyNames {
 		name := fmt.Sprintf("%s-%04d-", kind, number)
-		names = append(names, name+strings.Repeat("x", MaxID-len(name)))
+		names = append(names, name+strings.Repeat("x", MaxIDBytes-len(name)))
 	}
 	return names
 }
@@ -30,7 +30,7 @@
 	b := &bench{t: t, m: m}
 	for number, id := range ids {
 		zone := fmt.Sprintf("zone-%04d", number)
-		b.want(Backends{[]Backend{{ID: id, Region: "r", Zone: zone, Size: 1, Ready: true}}}, OK, "")
+		b.want(PutBackends{[]Backend{{ID: id, Region: "r", Zone: zone, Size: 1, SkipWarmUp: true}}}, OK, "")
 	}
 	return b
 }
@@ -46,22 +46,22 @@
 		right   func(m *Machine) bool
 	}{
 		{"backends in one plan", func() []Entry {
-			return []Entry{Ask{ID: "p", Region: "r", Backends: ids, Duration: time.Hour, Latest: 10 * time.Hour}}
+			return []Entry{Request{ID: "p", Region: "r", Backends: ids, Duration: time.Hour, LatestEnd: 10 * time.Hour}}
 		}, func(m *Machine) bool {
 			w, ok := m.Window("p")
-			return ok && w.State == Granted && len(w.Ask.Backends) == manyNames
+			return ok && w.State == Granted && len(w.Request.Backends) == manyNames
 		}},
 		{"members that serve", func() []Entry {
-			return []Entry{Serving{members}}
+			return []Entry{SetServing{members}}
 		}, func(m *Machine) bool { return len(m.serving) == manyNames }},
 		{"scopes with a floor", func() (floors []Entry) {
 			for number := range manyNames {
-				floors = append(floors, SetFloor{zone(number), []Step{{Floor: 1}}})
+				floors = append(floors, SetFloor{zone(number), []Step{{Capacity: 1}}})
 			}
 			return floors
 		}, func(m *Machine) bool { return len(m.Floors()) == manyNames }},
 		{"backends that fail and recover", func() []Entry {
-			return []Entry{Failed{ids}, Recovered{ids}}
+			return []Entry{BackendsFailed{ids}, BackendsRecovered{ids}}
 		}, func(m *Machine) bool { return len(m.backends) == manyNames && !m.backends[0].Failed }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/fleet/window/machine_test.go
+++ b/fleet/window/machine_test.go
@@ -21,10 +21,10 @@
 		t.Fatal(err)
 	}
 	b := &bench{t: t, m: m}
-	b.do(Backends{[]Backend{
+	b.do(PutBackends{[]Backend{
 		{"a", "north", "n1", 10, 10 * minute, 500, true}, {"b", "north", "n1", 10, 10 * minute, 500, true},
 		{"c", "north", "n2", 10, 0, 0, true}, {"d", "south", "s1", 10, 0, 0, true}}})
-	b.do(Serving{[]string{"m1", "m2"}})
+	b.do(SetServing{[]string{"m1", "m2"}})
 	return b
 }
 
@@ -58,8 +58,8 @@
 }
 
 // ask is a plan for backend a that can start at once.
-func ask(change func(*Ask)) Ask {
-	e := Ask{ID: "p", Region: "north", Backends: []string{"a"}, Duration: 30 * minute, Latest: 10 * time.Hour}
+func ask(change func(*Request)) Request {
+	e := Request{ID: "p", Region: "north", Backends: []string{"a"}, Duration: 30 * minute, LatestEnd: 10 * time.Hour}
 	if change != nil {
 		change(&e)
 	}
@@ -67,7 +67,7 @@
 }
 
 func TestStates(t *testing.T) {
-	later := ask(func(e *Ask) { e.Earliest = time.Hour })
+	later := ask(func(e *Request) { e.EarliestStart = time.Hour })
 	grant := []Entry{ask(nil)}
 	for _, c := range []struct {
 		name    string
@@ -77,49 +77,49 @@
 		why     string
 	}{
 		{"asked to planned", nil, []Entry{later}, Planned, ""},
-		{"planned to asked", nil, []Entry{later, SetFloor{Scope{"north", "n1"}, []Step{{0, 20}}}}, Asked, "no place: north/n1 would have 10"},
+		{"planned to asked", nil, []Entry{later, SetFloor{Scope{"north", "n1"}, []Step{{0, 20}}}}, Requested, "no place: north/n1 would have 10"},
 		{"asked to planned again", nil, []Entry{later, SetFloor{Scope{"north", "n1"}, []Step{{0, 20}}},
 			SetFloor{Scope{"north", "n1"}, []Step{{0, 10}}}}, Planned, ""},
 		{"asked to cancelled", nil, []Entry{later, SetFloor{Scope{"north", "n1"}, []Step{{0, 20}}}, Cancel{"p"}}, Cancelled, "by its asker"},
 		{"planned to cancelled", nil, []Entry{later, Cancel{"p"}}, Cancelled, "by its asker"},
-		{"planned to refused", nil, []Entry{ask(func(e *Ask) { e.Earliest, e.Latest = time.Hour, 3*time.Hour }),
-			Failed{[]string{"b"}}, SetFloor{Scope{"north", "n1"}, []Step{{0, 10}}}, Tick{time.Hour}, Tick{time.Hour}, Tick{time.Hour}},
+		{"planned to refused", nil, []Entry{ask(func(e *Request) { e.EarliestStart, e.LatestEnd = time.Hour, 3*time.Hour }),
+			BackendsFailed{[]string{"b"}}, SetFloor{Scope{"north", "n1"}, []Step{{0, 10}}}, Tick{time.Hour}, Tick{time.Hour}, Tick{time.Hour}},
 			Refused, "end: no room before the latest end"},
 		{"planned to granted", nil, grant, Granted, ""},
 		{"planned to granted by time", nil, []Entry{later, Tick{time.Hour}}, Granted, ""},
 		{"granted to draining", func(f Fence) []Entry { return []Entry{Drained{"p", f, "m1"}} }, grant, Draining, ""},
-		{"draining to out", func(f Fence) []Entry { return []Entry{Drained{"p", f, "m1"}, Drained{"p", f, "m2"}} }, grant, Out, ""},
+		{"draining to out", func(f Fence) []Entry { return []Entry{Drained{"p", f, "m1"}, Drained{"p", f, "m2"}} }, grant, OutOfService, ""},
 		{"draining to out, as one no longer serves", func(f Fence) []Entry {
-			return []Entry{Drained{"p", f, "m1"}, Serving{[]string{"m1"}}}
-		}, grant, Out, ""},
+			return []Entry{Drained{"p", f, "m1"}, SetServing{[]string{"m1"}}}
+		}, grant, OutOfService, ""},
 		{"draining goes on with none that serves", func(f Fence) []Entry {
-			return []Entry{Drained{"p", f, "m1"}, Serving{}}
+			return []Entry{Drained{"p", f, "m1"}, SetServing{}}
 		}, grant, Draining, ""},
 		{"granted to returning", func(f Fence) []Entry { return []Entry{Return{"p", f}} }, grant, Returning, ""},
-		{"granted to warm", func(f Fence) []Entry { return []Entry{Returned{"p", f}} }, grant, Warm, ""},
+		{"granted to warm", func(f Fence) []Entry { return []Entry{Returned{"p", f}} }, grant, WarmingUp, ""},
 		{"out to returning", func(f Fence) []Entry {
 			return []Entry{Drained{"p", f, "m1"}, Drained{"p", f, "m2"}, Return{"p", f}}
 		}, grant, Returning, ""},
-		{"returning to warm", func(f Fence) []Entry { return []Entry{Return{"p", f}, Returned{"p", f}} }, grant, Warm, ""},
+		{"returning to warm", func(f Fence) []Entry { return []Entry{Return{"p", f}, Returned{"p", f}} }, grant, WarmingUp, ""},
 		{"warm stays to the end of the warm-up", func(f Fence) []Entry {
 			return []Entry{Returned{"p", f}, Tick{10*minute - 1}}
-		}, grant, Warm, ""},
+		}, grant, WarmingUp, ""},
 		{"warm to done", func(f Fence) []Entry { return []Entry{Returned{"p", f}, Tick{10 * minute}} }, grant, Done, ""},
 		{"granted to recalled by cancel", func(f Fence) []Entry { return []Entry{Cancel{"p"}} }, grant, Recalled, "cancelled by its asker"},
 		{"granted to recalled by a failure", func(f Fence) []Entry {
-			return []Entry{SetFloor{Scope{"north", "n1"}, []Step{{0, 10}}}, Failed{[]string{"b"}}}
+			return []Entry{SetFloor{Scope{"north", "n1"}, []Step{{0, 10}}}, BackendsFailed{[]string{"b"}}}
 		}, grant, Recalled, "north/n1 is below its floor 10"},
 		{"out is not recalled", func(f Fence) []Entry {
-			return []Entry{SetFloor{Scope{"north", "n1"}, []Step{{0, 10}}}, Drained{"p", f, "m1"}, Drained{"p", f, "m2"}, Failed{[]string{"b"}}}
-		}, grant, Out, ""},
+			return []Entry{SetFloor{Scope{"north", "n1"}, []Step{{0, 10}}}, Drained{"p", f, "m1"}, Drained{"p", f, "m2"}, BackendsFailed{[]string{"b"}}}
+		}, grant, OutOfService, ""},
 		{"out to recalled, as its asker allows", func(f Fence) []Entry {
-			return []Entry{SetFloor{Scope{"north", "n1"}, []Step{{0, 10}}}, Drained{"p", f, "m1"}, Drained{"p", f, "m2"}, Failed{[]string{"b"}}}
-		}, []Entry{ask(func(e *Ask) { e.Recall = true })}, Recalled, "below its floor"},
+			return []Entry{SetFloor{Scope{"north", "n1"}, []Step{{0, 10}}}, Drained{"p", f, "m1"}, Drained{"p", f, "m2"}, BackendsFailed{[]string{"b"}}}
+		}, []Entry{ask(func(e *Request) { e.Recallable = true })}, Recalled, "below its floor"},
 		{"its own backend's failure does not recall", func(f Fence) []Entry {
-			return []Entry{SetFloor{Scope{"north", "n1"}, []Step{{0, 10}}}, Failed{[]string{"a"}}}
+			return []Entry{SetFloor{Scope{"north", "n1"}, []Step{{0, 10}}}, BackendsFailed{[]string{"a"}}}
 		}, grant, Granted, ""},
 		{"recalled to returning", func(f Fence) []Entry { return []Entry{Cancel{"p"}, Return{"p", f}} }, grant, Returning, ""},
-		{"recalled to warm", func(f Fence) []Entry { return []Entry{Cancel{"p"}, Returned{"p", f}} }, grant, Warm, ""},
+		{"recalled to warm", func(f Fence) []Entry { return []Entry{Cancel{"p"}, Returned{"p", f}} }, grant, WarmingUp, ""},
 		{"recalled to done", func(f Fence) []Entry {
 			return []Entry{Cancel{"p"}, Returned{"p", f}, Tick{10 * minute}}
 		}, grant, Done, "cancelled by its asker"},
@@ -128,7 +128,7 @@
 		{"returning to overdue", func(f Fence) []Entry { return []Entry{Return{"p", f}, Tick{31 * minute}} }, grant, Overdue, ""},
 		{"recalled to overdue", func(f Fence) []Entry { return []Entry{Cancel{"p"}, Tick{31 * minute}} }, grant, Overdue, "cancelled"},
 		{"overdue stays so by Return", func(f Fence) []Entry { return []Entry{Tick{31 * minute}, Return{"p", f}} }, grant, Overdue, ""},
-		{"overdue to warm", func(f Fence) []Entry { return []Entry{Tick{31 * minute}, Returned{"p", f}} }, grant, Warm, ""},
+		{"overdue to warm", func(f Fence) []Entry { return []Entry{Tick{31 * minute}, Returned{"p", f}} }, grant, WarmingUp, ""},
 		{"stale confirmations do nothing", func(f Fence) []Entry {
 			return []Entry{Drained{"p", f - 1, "m1"}, Return{"p", f + 1}, Returned{"p", 0}}
 		}, grant, Granted, ""},
@@ -143,8 +143,8 @@
 					b.do(e)
 				}
 			}
-			if w := b.state("p", c.want); !strings.Contains(w.Why, c.why) {
-				t.Errorf("why %q, want %q", w.Why, c.why)
+			if w := b.state("p", c.want); !strings.Contains(w.Reason, c.why) {
+				t.Errorf("why %q, want %q", w.Reason, c.why)
 			}
 		})
 	}
@@ -154,9 +154,9 @@
 	put := func(change func(*Backend)) Entry {
 		x := Backend{"x", "north", "n1", 1, 0, 0, true}
 		change(&x)
-		return Backends{[]Backend{x}}
+		return PutBackends{[]Backend{x}}
 	}
-	many := make([]string, MaxPart+1)
+	many := make([]string, MaxPlanBackends+1)
 	for i := range many {
 		many[i] = fmt.Sprint("b", i)
 	}
@@ -166,63 +166,63 @@
 		want  Result
 		part  string
 	}{
-		{nil, Tick{0}, Bad, "tick: elapsed: 0s"},
-		{nil, Tick{time.Hour + 1}, Bad, "elapsed"},
-		{nil, put(func(x *Backend) { x.ID = "" }), Bad, "backend: id"},
-		{nil, put(func(x *Backend) { x.Region = "a b" }), Bad, "region: \\\"a b\\\" has other signs"},
-		{nil, put(func(x *Backend) { x.Size = 0 }), Bad, "size: 0"},
-		{nil, put(func(x *Backend) { x.Cold = 1001 }), Bad, "cold: 1001"},
-		{nil, put(func(x *Backend) { x.Warm = -1 }), Bad, "warm: -1"},
-		{nil, Backends{[]Backend{{"x", "r", "z", 1, 0, 0, true}, {"x", "r", "z", 1, 0, 0, true}}}, Bad, "twice"},
-		{[]Entry{ask(nil)}, Backends{[]Backend{{"a", "north", "n2", 1, 0, 0, true}}}, Bad, "zone: can't change while plan p"},
-		{[]Entry{ask(nil)}, Remove{[]string{"a"}}, Bad, "plan p names it"},
-		{nil, Remove{[]string{"x"}}, Bad, "remove: backend \\\"x\\\" is not known"},
-		{nil, Failed{[]string{"x"}}, Bad, "failed: backend"},
-		{nil, Recovered{[]string{"x"}}, Bad, "recovered: backend"},
-		{nil, Recovered{[]string{"a"}}, Repeat, ""},
-		{nil, Serving{[]string{""}}, Bad, "serving: member"},
-		{nil, SetFloor{Scope{"", "z"}, nil}, Bad, "zone: \\\"z\\\" without a region"},
-		{nil, SetFloor{Scope{}, []Step{{day, 1}}}, Bad, "from"},
-		{nil, SetFloor{Scope{}, []Step{{0, -1}}}, Bad, "floor: -1"},
-		{nil, SetFloor{Scope{}, []Step{{minute, 1}, {minute, 2}}}, Bad, "is not after"},
-		{nil, SetFloor{Scope{}, make([]Step, MaxSteps+1)}, Bad, "steps are over"},
+		{nil, Tick{0}, Invalid, "tick: elapsed: 0s"},
+		{nil, Tick{time.Hour + 1}, Invalid, "elapsed"},
+		{nil, put(func(x *Backend) { x.ID = "" }), Invalid, "backend: id"},
+		{nil, put(func(x *Backend) { x.Region = "a b" }), Invalid, "region: \\\"a b\\\" has other signs"},
+		{nil, put(func(x *Backend) { x.Size = 0 }), Invalid, "size: 0"},
+		{nil, put(func(x *Backend) { x.InitialPermille = 1001 }), Invalid, "cold: 1001"},
+		{nil, put(func(x *Backend) { x.WarmUpTime = -1 }), Invalid, "warm: -1"},
+		{nil, PutBackends{[]Backend{{"x", "r", "z", 1, 0, 0, true}, {"x", "r", "z", 1, 0, 0, true}}}, Invalid, "twice"},
+		{[]Entry{ask(nil)}, PutBackends{[]Backend{{"a", "north", "n2", 1, 0, 0, true}}}, Invalid, "zone: can't change while plan p"},
+		{[]Entry{ask(nil)}, RemoveBackends{[]string{"a"}}, Invalid, "plan p names it"},
+		{nil, RemoveBackends{[]string{"x"}}, Invalid, "remove: backend \\\"x\\\" is not known"},
+		{nil, BackendsFailed{[]string{"x"}}, Invalid, "failed: backend"},
+		{nil, BackendsRecovered{[]string{"x"}}, Invalid, "recovered: backend"},
+		{nil, BackendsRecovered{[]string{"a"}}, Duplicate, ""},
+		{nil, SetServing{[]string{""}}, Invalid, "serving: member"},
+		{nil, SetFloor{Scope{"", "z"}, nil}, Invalid, "zone: \\\"z\\\" without a region"},
+		{nil, SetFloor{Scope{}, []Step{{day, 1}}}, Invalid, "from"},
+		{nil, SetFloor{Scope{}, []Step{{0, -1}}}, Invalid, "floor: -1"},
+		{nil, SetFloor{Scope{}, []Step{{minute, 1}, {minute, 2}}}, Invalid, "is not after"},
+		{nil, SetFloor{Scope{}, make([]Step, MaxFloorSteps+1)}, Invalid, "steps are over"},
 		{[]Entry{ask(nil)}, SetFloor{Scope{}, []Step{{0, 35}}}, Pending, "floor: all: pending"},
-		{nil, ask(func(e *Ask) { e.ID = strings.Repeat("x", MaxID+1) }), Bad, "ask: id: 65 bytes"},
-		{nil, ask(func(e *Ask) { e.Region = "" }), Bad, "plan p: region"},
-		{nil, ask(func(e *Ask) { e.Duration = 0 }), Bad, "duration: 0"},
-		{nil, ask(func(e *Ask) { e.Earliest, e.Latest = 2, 1 }), Bad, "window: plan p: end before start"},
-		{nil, ask(func(e *Ask) { e.Latest = time.Hour }), Bad, "latest: needs to be 0d01:30:00 at least"},
-		{nil, ask(func(e *Ask) { e.Latest = 15 * day }), Bad, "latest: over 336h"},
-		{nil, ask(func(e *Ask) { e.Priority = 10 }), Bad, "priority: 10"},
-		{nil, ask(func(e *Ask) { e.Notice = -1 }), Bad, "notice: -1"},
-		{nil, ask(func(e *Ask) { e.Backends = nil }), Bad, "backends: either these"},
-		{nil, ask(func(e *Ask) { e.Zone, e.Amount = "n1", 1 }), Bad, "backends: either these"},
-		{nil, ask(func(e *Ask) { e.Backends = []string{"a", "a"} }), Bad, "named twice"},
-		{nil, ask(func(e *Ask) { e.Backends = many }), Bad, "backends: 1281 are over 1280"},
-		{nil, ask(func(e *Ask) { e.Backends = []string{"x"} }), Bad, "backends: x is not known"},
-		{nil, ask(func(e *Ask) { e.Backends = []string{"d"} }), Bad, "backends: d is in region south"},
-		{nil, ask(func(e *Ask) { e.Backends, e.Zone, e.Amount = nil, "n9", 1 }), Bad, "zone: north/n9 has no backends"},
-		{nil, ask(func(e *Ask) { e.Backends, e.Zone, e.Amount = nil, "n1", 21 }), Refuse, "earliest=none"},
-		{[]Entry{SetFloor{Scope{"north", ""}, []Step{{0, 30}}}}, ask(nil), Refuse, "no room: north would have 20"},
-		{[]Entry{SetFloor{Scope{}, []Step{{0, 40}, {12 * time.Hour, 0}}}}, ask(nil), Refuse, "earliest=0d12:00:00"},
-		{[]Entry{ask(nil)}, ask(func(e *Ask) { e.ID, e.Latest = "q", 100*minute }), Refuse, "plan p has a backend of it"},
-		{[]Entry{ask(func(e *Ask) { e.Latest = 100 * minute })},
-			ask(func(e *Ask) { e.ID, e.Priority, e.Latest = "q", 9, 100*minute }), Refuse, "earliest=0d00:40:00"},
-		{[]Entry{ask(nil)}, ask(nil), Repeat, "state=granted"},
-		{[]Entry{ask(nil)}, ask(func(e *Ask) { e.Duration++ }), Bad, "plan p: duration: differs"},
-		{[]Entry{ask(nil)}, ask(func(e *Ask) { e.Recall = true }), Bad, "plan p: recall: differs"},
-		{[]Entry{ask(nil)}, ask(func(e *Ask) { e.Backends = []string{"b"} }), Bad, "plan p: backends: differs"},
-		{[]Entry{SetFloor{Scope{"north", ""}, []Step{{0, 30}}}, ask(nil)}, ask(nil), Refuse, "no room: north would have 20"},
-		{[]Entry{ask(nil), ask(func(e *Ask) { e.ID = "q" }), ask(func(e *Ask) { e.ID = "r" })},
-			ask(func(e *Ask) { e.ID = "s" }), Refuse, "busy: 3 plans are open"},
-		{nil, Cancel{"x"}, Bad, "cancel: plan \\\"x\\\" is not known"},
-		{[]Entry{ask(nil), Cancel{"p"}}, Cancel{"p"}, Repeat, ""},
-		{nil, Drained{"x", 1, "m1"}, Bad, "drained: plan \\\"x\\\""},
+		{nil, ask(func(e *Request) { e.ID = strings.Repeat("x", MaxIDBytes+1) }), Invalid, "ask: id: 65 bytes"},
+		{nil, ask(func(e *Request) { e.Region = "" }), Invalid, "plan p: region"},
+		{nil, ask(func(e *Request) { e.Duration = 0 }), Invalid, "duration: 0"},
+		{nil, ask(func(e *Request) { e.EarliestStart, e.LatestEnd = 2, 1 }), Invalid, "window: plan p: end before start"},
+		{nil, ask(func(e *Request) { e.LatestEnd = time.Hour }), Invalid, "latest: needs to be 0d01:30:00 at least"},
+		{nil, ask(func(e *Request) { e.LatestEnd = 15 * day }), Invalid, "latest: over 336h"},
+		{nil, ask(func(e *Request) { e.Priority = 10 }), Invalid, "priority: 10"},
+		{nil, ask(func(e *Request) { e.Notice = -1 }), Invalid, "notice: -1"},
+		{nil, ask(func(e *Request) { e.Backends = nil }), Invalid, "backends: either these"},
+		{nil, ask(func(e *Request) { e.Zone, e.Amount = "n1", 1 }), Invalid, "backends: either these"},
+		{nil, ask(func(e *Request) { e.Backends = []string{"a", "a"} }), Invalid, "named twice"},
+		{nil, ask(func(e *Request) { e.Backends = many }), Invalid, "backends: 1281 are over 1280"},
+		{nil, ask(func(e *Request) { e.Backends = []string{"x"} }), Invalid, "backends: x is not known"},
+		{nil, ask(func(e *Request) { e.Backends = []string{"d"} }), Invalid, "backends: d is in region south"},
+		{nil, ask(func(e *Request) { e.Backends, e.Zone, e.Amount = nil, "n9", 1 }), Invalid, "zone: north/n9 has no backends"},
+		{nil, ask(func(e *Request) { e.Backends, e.Zone, e.Amount = nil, "n1", 21 }), Rejected, "earliest=none"},
+		{[]Entry{SetFloor{Scope{"north", ""}, []Step{{0, 30}}}}, ask(nil), Rejected, "no room: north would have 20"},
+		{[]Entry{SetFloor{Scope{}, []Step{{0, 40}, {12 * time.Hour, 0}}}}, ask(nil), Rejected, "earliest=0d12:00:00"},
+		{[]Entry{ask(nil)}, ask(func(e *Request) { e.ID, e.LatestEnd = "q", 100*minute }), Rejected, "plan p has a backend of it"},
+		{[]Entry{ask(func(e *Request) { e.LatestEnd = 100 * minute })},
+			ask(func(e *Request) { e.ID, e.Priority, e.LatestEnd = "q", 9, 100*minute }), Rejected, "earliest=0d00:40:00"},
+		{[]Entry{ask(nil)}, ask(nil), Duplicate, "state=granted"},
+		{[]Entry{ask(nil)}, ask(func(e *Request) { e.Duration++ }), Invalid, "plan p: duration: differs"},
+		{[]Entry{ask(nil)}, ask(func(e *Request) { e.Recallable = true }), Invalid, "plan p: recall: differs"},
+		{[]Entry{ask(nil)}, ask(func(e *Request) { e.Backends = []string{"b"} }), Invalid, "plan p: backends: differs"},
+		{[]Entry{SetFloor{Scope{"north", ""}, []Step{{0, 30}}}, ask(nil)}, ask(nil), Rejected, "no room: north would have 20"},
+		{[]Entry{ask(nil), ask(func(e *Request) { e.ID = "q" }), ask(func(e *Request) { e.ID = "r" })},
+			ask(func(e *Request) { e.ID = "s" }), Rejected, "busy: 3 plans are open"},
+		{nil, Cancel{"x"}, Invalid, "cancel: plan \\\"x\\\" is not known"},
+		{[]Entry{ask(nil), Cancel{"p"}}, Cancel{"p"}, Duplicate, ""},
+		{nil, Drained{"x", 1, "m1"}, Invalid, "drained: plan \\\"x\\\""},
 		{[]Entry{ask(nil)}, Drained{"p", 1, "m1"}, Stale, "fence: 0.1 is not that of the grant"},
-		{[]Entry{ask(nil)}, Drained{"p", 3 << fenceBits, "m9"}, Bad, "member: \\\"m9\\\" is not among"},
+		{[]Entry{ask(nil)}, Drained{"p", 3 << fenceBits, "m9"}, Invalid, "member: \\\"m9\\\" is not among"},
 		{[]Entry{ask(nil)}, Return{"p", 1}, Stale, "return: plan p: fence"},
-		{[]Entry{ask(nil), Returned{"p", 3 << fenceBits}}, Returned{"p", 3 << fenceBits}, Repeat, ""},
-		{[]Entry{ask(func(e *Ask) { e.Earliest = 1 })}, Returned{"p", 0}, Stale, "returned: plan p: fence"},
+		{[]Entry{ask(nil), Returned{"p", 3 << fenceBits}}, Returned{"p", 3 << fenceBits}, Duplicate, ""},
+		{[]Entry{ask(func(e *Request) { e.EarliestStart = 1 })}, Returned{"p", 0}, Stale, "returned: plan p: fence"},
 	} {
 		t.Run(fmt.Sprintf("%T %s", c.e, c.part), func(t *testing.T) {
 			b := newBench(t)
@@ -244,14 +244,14 @@
 	}{
 		{nil, "entry of 0 bytes"}, {[]byte{9, 1, 0xa0}, "unknown version 9"}, {[]byte{Version, 99, 0xa0}, "unknown kind 99"},
 		{good[:len(good)-1], "entry of kind 1"}, {append(good[:len(good):len(good)], 0), "entry of kind 1"},
-		{[]byte{Version, 1, 0xa1, 0x18, 99, 0}, "unknown field"}, {make([]byte, MaxEntry+1), "bytes"},
+		{[]byte{Version, 1, 0xa1, 0x18, 99, 0}, "unknown field"}, {make([]byte, MaxEntryBytes+1), "bytes"},
 	} {
 		b.index++
-		if a := b.m.Apply(b.index, c.data); a.Result != Bad || !strings.Contains(a.Err, c.part) {
+		if a := b.m.Apply(b.index, c.data); a.Result != Invalid || !strings.Contains(a.Err, c.part) {
 			t.Errorf("%x: %v %q, want %q", c.data[:min(8, len(c.data))], a.Result, a.Err, c.part)
 		}
 	}
-	if a := b.m.Apply(b.index, good); a.Result != Bad || b.m.Now() != 0 {
+	if a := b.m.Apply(b.index, good); a.Result != Invalid || b.m.Now() != 0 {
 		t.Errorf("an index applied again: %s", a.Describe())
 	}
 	b.m.index = 2 // of before; entries that can't be read change nothing else
@@ -271,9 +271,9 @@
 		e    Entry
 		have int64
 	}{{Tick{minute}, 10}, {Return{"p", f}, 10}, {Returned{"p", f}, 15}, {Tick{5 * minute}, 17}, {Tick{4 * minute}, 19},
-		{Tick{minute}, 20}, {Failed{[]string{"b"}}, 10}, {Recovered{[]string{"b"}}, 15}, {Tick{10 * minute}, 20}} {
+		{Tick{minute}, 20}, {BackendsFailed{[]string{"b"}}, 10}, {BackendsRecovered{[]string{"b"}}, 15}, {Tick{10 * minute}, 20}} {
 		b.do(c.e)
-		if got := b.m.Floors()[0].Have; got != c.have {
+		if got := b.m.Floors()[0].Available; got != c.have {
 			t.Fatalf("after %T%+v: %d, want %d", c.e, c.e, got, c.have)
 		}
 	}
@@ -288,7 +288,7 @@
 	if line := b.m.Floors()[0].Describe(); line != "FLOOR north/n1 state=held floor=0 have=10 total=20 steps=none pending=00:00=20" {
 		t.Error(line)
 	}
-	b.want(ask(func(e *Ask) { e.ID, e.Backends = "q", []string{"b"} }), Refuse, "floor is 20")
+	b.want(ask(func(e *Request) { e.ID, e.Backends = "q", []string{"b"} }), Rejected, "floor is 20")
 	b.do(Returned{"p", f})
 	a := b.do(Tick{10 * minute})
 	if last := a.Events[len(a.Events)-1].Describe(); last != "FLOOR north/n1 state=in-force floor=20" {
@@ -301,8 +301,8 @@
 	b := newBench(t)
 	b.do(SetFloor{Scope{"north", ""}, []Step{{0, 10}}})
 	b.do(ask(nil))
-	b.do(ask(func(e *Ask) { e.ID, e.Backends = "q", []string{"b"} }))
-	a := b.do(Failed{[]string{"c"}})
+	b.do(ask(func(e *Request) { e.ID, e.Backends = "q", []string{"b"} }))
+	a := b.do(BackendsFailed{[]string{"c"}})
 	b.state("p", Granted)
 	b.state("q", Recalled)
 	if !strings.Contains(a.Events[len(a.Events)-1].Describe(), "FLOOR north state=short floor=10 have=0") {
@@ -316,19 +316,19 @@
 	b.m.set.MaxTick = minute
 	b.do(SetFloor{Scope{"north", ""}, []Step{{0, 10}}})
 	b.do(ask(nil)) // a until 0:30, warm at 0:40
-	b.do(ask(func(e *Ask) { e.ID, e.Backends, e.Priority = "large", []string{"b", "c"}, 5 }))
+	b.do(ask(func(e *Request) { e.ID, e.Backends, e.Priority = "large", []string{"b", "c"}, 5 }))
 	large := b.state("large", Planned)
 	if large.Start != 40*minute {
 		t.Errorf("large at %v", large.Start)
 	}
-	b.do(ask(func(e *Ask) { e.ID, e.Backends, e.Duration = "small", []string{"c"}, 20*minute }))
+	b.do(ask(func(e *Request) { e.ID, e.Backends, e.Duration = "small", []string{"c"}, 20*minute }))
 	b.state("small", Granted)
 	if got := b.state("large", Planned); got.Start != large.Start {
 		t.Errorf("large moved from %v to %v", large.Start, got.Start)
 	}
 	b.do(Returned{"small", b.state("small", Granted).Fence})
 	b.do(Tick{minute})
-	b.do(ask(func(e *Ask) { e.ID, e.Backends, e.Duration = "long", []string{"c"}, 50*minute }))
+	b.do(ask(func(e *Request) { e.ID, e.Backends, e.Duration = "long", []string{"c"}, 50*minute }))
 	if long := b.state("long", Planned); long.Start < large.Start+30*minute {
 		t.Errorf("long at %v, before large is back", long.Start)
 	}
@@ -341,13 +341,13 @@
 func TestOldAnswers(t *testing.T) {
 	b := newBench(t)
 	for _, id := range []string{"p", "q", "r"} {
-		b.do(ask(func(e *Ask) { e.ID = id }))
+		b.do(ask(func(e *Request) { e.ID = id }))
 		b.do(Cancel{id})
 		b.do(Returned{id, Fence(b.index-1) << fenceBits})
 		b.do(Tick{10 * minute})
 	}
-	b.want(ask(func(e *Ask) { e.ID = "r" }), Repeat, "state=done")
-	b.want(ask(func(e *Ask) { e.ID = "q" }), Repeat, "state=done")
+	b.want(ask(func(e *Request) { e.ID = "r" }), Duplicate, "state=done")
+	b.want(ask(func(e *Request) { e.ID = "q" }), Duplicate, "state=done")
 	b.want(ask(nil), OK, "state=granted")                                 // forgotten: a new plan
 	b.want(Returned{"p", 3 << fenceBits}, Stale, "not that of the grant") // of its first life
 }
@@ -367,7 +367,7 @@
 func FuzzDecode(f *testing.F) {
 	for seed := range uint64(4) {
 		r := newRun(seeded(seed), breaker{})
-		r.asks = []Ask{ask(nil)}
+		r.asks = []Request{ask(nil)}
 		for range 40 {
 			if data, err := Encode(r.next()); err == nil {
 				f.Add(data)
--- a/fleet/window/makespan_test.go
+++ b/fleet/window/makespan_test.go
@@ -19,7 +19,7 @@
 	index    uint64
 	backends []Backend
 	floors   map[Scope][]Step
-	plans    []Ask
+	plans    []Request
 	named    map[string]int
 	share    float64       // a plan takes no more of the least room of a scope; 0: any
 	last     time.Duration // end of the last warm-up
@@ -48,11 +48,11 @@
 			for i := range s.between(14, 24) {
 				s.backends = append(s.backends, Backend{ID: fmt.Sprintf("b-%d-%d-%d", r, z, i),
 					Region: fmt.Sprint("r", r), Zone: fmt.Sprint("z", z), Size: int64(s.between(1, 4)),
-					Warm: time.Duration(s.between(0, 10)) * minute, Cold: int64(s.between(200, 600)), Ready: true})
+					WarmUpTime: time.Duration(s.between(0, 10)) * minute, InitialPermille: int64(s.between(200, 600)), SkipWarmUp: true})
 			}
 		}
 	}
-	s.apply(t, Backends{s.backends})
+	s.apply(t, PutBackends{s.backends})
 	totals := map[Scope]int64{}
 	var order []Scope
 	for _, b := range s.backends {
@@ -73,8 +73,8 @@
 		}
 		steps := []Step{{0, totals[sc] * int64(s.between(least, most)) / 100}}
 		if daily {
-			steps = append(steps, Step{6 * time.Hour, steps[0].Floor + (totals[sc]-steps[0].Floor)*int64(s.between(0, 25))/100},
-				Step{22 * time.Hour, steps[0].Floor})
+			steps = append(steps, Step{6 * time.Hour, steps[0].Capacity + (totals[sc]-steps[0].Capacity)*int64(s.between(0, 25))/100},
+				Step{22 * time.Hour, steps[0].Capacity})
 		}
 		s.floors[sc] = steps
 		s.apply(t, SetFloor{sc, steps})
@@ -83,8 +83,8 @@
 
 func (s *makespanSet) ask(t *testing.T, n int) {
 	first := s.backends[s.rng.IntN(len(s.backends))]
-	e := Ask{ID: fmt.Sprint("p", n), Region: first.Region, Duration: time.Duration(s.between(10, 40)) * minute,
-		Earliest: time.Duration(max(0, s.between(-90, 30))) * minute, Latest: 13 * day, Priority: s.rng.IntN(4),
+	e := Request{ID: fmt.Sprint("p", n), Region: first.Region, Duration: time.Duration(s.between(10, 40)) * minute,
+		EarliestStart: time.Duration(max(0, s.between(-90, 30))) * minute, LatestEnd: 13 * day, Priority: s.rng.IntN(4),
 		Notice: time.Duration(s.between(0, 2)*5) * minute}
 	if s.rng.IntN(4) == 0 {
 		e.Zone, e.Amount = first.Zone, int64(s.between(1, 6))
@@ -124,7 +124,7 @@
 		byID[b.ID] = b
 	}
 	for _, p := range s.plans {
-		first := max(p.Earliest, p.Notice)
+		first := max(p.EarliestStart, p.Notice)
 		warm := time.Duration(0)
 		add := func(region, zone string, size, cold int64, w time.Duration) {
 			warm = max(warm, w)
@@ -139,14 +139,14 @@
 			cold, w := int64(1000), time.Duration(0)
 			for _, b := range s.backends {
 				if b.Region == p.Region && b.Zone == p.Zone {
-					cold, w = min(cold, b.Cold), max(w, b.Warm)
+					cold, w = min(cold, b.InitialPermille), max(w, b.WarmUpTime)
 				}
 			}
 			add(p.Region, p.Zone, p.Amount, cold, w)
 		}
 		for _, id := range p.Backends {
 			b := byID[id]
-			add(b.Region, b.Zone, b.Size, b.Cold, b.Warm)
+			add(b.Region, b.Zone, b.Size, b.InitialPermille, b.WarmUpTime)
 		}
 		most = max(most, first+p.Duration+warm)
 		for _, id := range p.Backends {
@@ -178,7 +178,7 @@
 }
 
 // largest is the most that a plan takes of the least room of a scope.
-func (s *makespanSet) largest(e Ask) (most float64) {
+func (s *makespanSet) largest(e Request) (most float64) {
 	for sc, steps := range s.floors {
 		var room, size, floor int64
 		if in(sc, e.Region, e.Zone) {
@@ -194,7 +194,7 @@
 			}
 		}
 		for _, step := range steps {
-			floor = max(floor, step.Floor)
+			floor = max(floor, step.Capacity)
 		}
 		most = max(most, float64(size)/float64(room-floor))
 	}
@@ -213,7 +213,7 @@
 		}
 	}
 	for _, step := range s.floors[sc] {
-		least = min(least, step.Floor)
+		least = min(least, step.Capacity)
 	}
 	sum, first := time.Duration(0), time.Duration(never64)
 	for _, p := range s.plans {
@@ -228,7 +228,7 @@
 		}
 		if 2*size > total-least {
 			sum += p.Duration
-			first = min(first, max(p.Earliest, p.Notice))
+			first = min(first, max(p.EarliestStart, p.Notice))
 		}
 	}
 	if sum == 0 {
@@ -243,7 +243,7 @@
 	for len(s.m.open) > 0 {
 		for _, w := range s.m.List() {
 			if w.State.holding() && s.m.Now() >= w.End {
-				s.apply(t, Returned{w.Ask.ID, w.Fence})
+				s.apply(t, Returned{w.Request.ID, w.Fence})
 			}
 		}
 		s.apply(t, Tick{minute / 4})
--- a/fleet/window/model_test.go
+++ b/fleet/window/model_test.go
@@ -15,7 +15,7 @@
 // plan and knows nothing of the planner.
 
 type held struct {
-	ask        Ask
+	ask        Request
 	fence      Fence
 	start, end time.Duration
 	returned   time.Duration // -1: not yet
@@ -24,7 +24,7 @@
 }
 
 type promise struct {
-	ask   Ask
+	ask   Request
 	index uint64 // of the entry that took it
 	at    time.Duration
 	start time.Duration // last told
@@ -82,7 +82,7 @@
 		if h.ask.Amount > 0 {
 			for _, b := range o.backends {
 				if b.Region == h.ask.Region && b.Zone == h.ask.Zone {
-					cold, warm = min(cold, b.Cold), max(warm, b.Warm)
+					cold, warm = min(cold, b.InitialPermille), max(warm, b.WarmUpTime)
 				}
 			}
 			if in(sc, h.ask.Region, h.ask.Zone) {
@@ -90,7 +90,7 @@
 			}
 		}
 		for _, b := range ids {
-			taken[b] = max(taken[b], o.share(h, t, o.backends[b].Cold, o.backends[b].Warm))
+			taken[b] = max(taken[b], o.share(h, t, o.backends[b].InitialPermille, o.backends[b].WarmUpTime))
 		}
 	}
 	for id, b := range o.backends {
@@ -101,7 +101,7 @@
 		if o.failed[id] {
 			lack = 1
 		} else if since, ok := o.ramp[id]; ok {
-			lack = max(lack, lacks(b.Cold, b.Warm, t-since))
+			lack = max(lack, lacks(b.InitialPermille, b.WarmUpTime, t-since))
 		}
 		sum += float64(b.Size) * (1 - lack)
 	}
@@ -123,7 +123,7 @@
 	for pass := range 2 { // the day before, then this day
 		for _, s := range steps {
 			if pass == 0 || s.From <= t%(24*time.Hour) {
-				v = float64(s.Floor)
+				v = float64(s.Capacity)
 			}
 		}
 	}
@@ -144,15 +144,15 @@
 			if err := o.turns(ev.Window); err != nil {
 				return err
 			}
-		case EventMoved:
-			p := o.promises[ev.Window.Ask.ID]
+		case EventStartMoved:
+			p := o.promises[ev.Window.Request.ID]
 			if s := ev.Window.Start; s < min(p.start, o.now+p.ask.Notice) {
 				return fmt.Errorf("notice: %s moved from %v to %v at %v", p.ask.ID, p.start, s, o.now)
-			} else if _, isAsk := e.(Ask); isAsk && p.start > o.now && p.start-o.now < p.ask.Notice && !o.troubled() {
+			} else if _, isAsk := e.(Request); isAsk && p.start > o.now && p.start-o.now < p.ask.Notice && !o.troubled() {
 				return fmt.Errorf("notice: %s moved within its notice by another plan", p.ask.ID)
 			}
 			p.start = ev.Window.Start
-		case EventInForce:
+		case EventFloorInForce:
 			o.inForce[ev.Scope] = o.floors[ev.Scope]
 		}
 	}
@@ -192,39 +192,39 @@
 		}
 	}
 	for id, since := range o.ramp {
-		if o.now-since >= o.backends[id].Warm {
+		if o.now-since >= o.backends[id].WarmUpTime {
 			delete(o.ramp, id)
 		}
 	}
 	if c, ok := confirmation(e); ok {
 		return o.confirms(e, c, a)
 	}
-	if a.Result == Bad {
+	if a.Result == Invalid {
 		return nil
 	}
 	switch e := e.(type) {
-	case Backends:
+	case PutBackends:
 		o.disturbed = o.index
 		for _, b := range e.Put {
-			if _, known := o.backends[b.ID]; !known && !b.Ready {
+			if _, known := o.backends[b.ID]; !known && !b.SkipWarmUp {
 				o.ramp[b.ID] = o.now
 			}
 			o.backends[b.ID] = b
 		}
-	case Remove:
+	case RemoveBackends:
 		o.disturbed = o.index
 		for _, id := range e.IDs {
 			delete(o.backends, id)
 			delete(o.failed, id)
 			delete(o.ramp, id)
 		}
-	case Failed:
+	case BackendsFailed:
 		o.disturbed = o.index
 		for _, id := range e.IDs {
 			o.failed[id] = true
 			delete(o.ramp, id)
 		}
-	case Recovered:
+	case BackendsRecovered:
 		o.disturbed = o.index
 		for _, id := range e.IDs {
 			if o.failed[id] {
@@ -232,7 +232,7 @@
 				o.ramp[id] = o.now
 			}
 		}
-	case Serving:
+	case SetServing:
 		o.serving = map[string]bool{}
 		for _, s := range e.Members {
 			o.serving[s] = true
@@ -247,7 +247,7 @@
 		if a.Result == OK {
 			o.inForce[e.Scope] = e.Steps
 		}
-	case Ask:
+	case Request:
 		return o.asked(e, a)
 	}
 	return nil
@@ -286,38 +286,38 @@
 	return nil
 }
 
-func (o *model) asked(e Ask, a Answer) error {
+func (o *model) asked(e Request, a Answer) error {
 	p := o.promises[e.ID]
 	slices.Sort(e.Backends)
-	if p != nil && (a.Result == OK || a.Result == Refuse) {
+	if p != nil && (a.Result == OK || a.Result == Rejected) {
 		return fmt.Errorf("id: %s was taken once and is answered %v", e.ID, a.Result)
 	}
 	if p != nil && fmt.Sprint(e) != fmt.Sprint(p.ask) {
 		return fmt.Errorf("id: %s with other content is answered %v", e.ID, a.Result)
 	}
 	if a.Result == OK {
-		o.promises[e.ID] = &promise{ask: e, index: o.index, at: o.now, start: a.Window.First,
-			hope: strings.HasPrefix(a.Window.Why, "counts on")}
+		o.promises[e.ID] = &promise{ask: e, index: o.index, at: o.now, start: a.Window.FirstStart,
+			hope: strings.HasPrefix(a.Window.Reason, "counts on")}
 	}
 	return nil
 }
 
 // follows is the table of states in doc.go.
 var follows = map[State][]State{
-	Asked:     {Planned, Cancelled, Refused},
-	Planned:   {Granted, Asked, Cancelled, Refused},
-	Granted:   {Draining, Returning, Warm, Recalled, Overdue, Out},
-	Draining:  {Out, Returning, Warm, Recalled, Overdue},
-	Out:       {Returning, Warm, Recalled, Overdue},
-	Recalled:  {Returning, Warm, Overdue},
-	Returning: {Warm, Overdue},
-	Overdue:   {Warm},
-	Warm:      {Done},
+	Requested:    {Planned, Cancelled, Refused},
+	Planned:      {Granted, Requested, Cancelled, Refused},
+	Granted:      {Draining, Returning, WarmingUp, Recalled, Overdue, OutOfService},
+	Draining:     {OutOfService, Returning, WarmingUp, Recalled, Overdue},
+	OutOfService: {Returning, WarmingUp, Recalled, Overdue},
+	Recalled:     {Returning, WarmingUp, Overdue},
+	Returning:    {WarmingUp, Overdue},
+	Overdue:      {WarmingUp},
+	WarmingUp:    {Done},
 }
 
 // turns checks one change of a plan's state.
 func (o *model) turns(w Window) error {
-	id := w.Ask.ID
+	id := w.Request.ID
 	p := o.promises[id]
 	if p == nil {
 		if w.State == Refused {
@@ -341,7 +341,7 @@
 	switch w.State {
 	case Planned:
 		p.start = w.Start
-	case Out:
+	case OutOfService:
 		for s := range o.serving {
 			if !h.drained[s] {
 				return fmt.Errorf("drained: %s is out and %s has not confirmed", id, s)
@@ -349,27 +349,27 @@
 		}
 	case Recalled:
 		h.called = true
-	case Warm, Done:
+	case WarmingUp, Done:
 		if h != nil && h.returned < 0 {
 			return fmt.Errorf("return: %s is %v and did not return", id, w.State)
 		}
 	case Refused:
 		if o.disturbed <= p.index && !p.hope {
-			return fmt.Errorf("kept: %s was taken and is refused, and nothing happened: %s", id, w.Why)
+			return fmt.Errorf("kept: %s was taken and is refused, and nothing happened: %s", id, w.Reason)
 		}
 	}
 	return nil
 }
 
 func (o *model) grants(w Window, p *promise) error {
-	id := w.Ask.ID
+	id := w.Request.ID
 	if _, twice := o.holds[id]; twice || p.state > Planned {
 		return fmt.Errorf("once: %s is granted twice", id)
 	}
 	if w.Fence.Index() != o.index {
 		return fmt.Errorf("fence: %s has %v at entry %d", id, w.Fence, o.index)
 	}
-	for _, b := range w.Ask.Backends {
+	for _, b := range w.Request.Backends {
 		if o.lastFence[b] >= w.Fence {
 			return fmt.Errorf("fence: of backend %s is %v after %v", b, w.Fence, o.lastFence[b])
 		}
@@ -380,10 +380,10 @@
 			}
 		}
 	}
-	if o.now < p.at+p.ask.Notice || o.now < p.ask.Earliest || o.now < p.start {
+	if o.now < p.at+p.ask.Notice || o.now < p.ask.EarliestStart || o.now < p.start {
 		return fmt.Errorf("notice: %s, asked at %v for %v, is granted at %v", id, p.at, p.start, o.now)
 	}
-	if o.now+p.ask.Duration > p.ask.Latest {
+	if o.now+p.ask.Duration > p.ask.LatestEnd {
 		return fmt.Errorf("end: %s is granted too late", id)
 	}
 	o.holds[id] = &held{ask: p.ask, fence: w.Fence, start: o.now, end: o.now + p.ask.Duration, returned: -1,
@@ -399,7 +399,7 @@
 	for _, b := range o.backends {
 		if slices.Contains(h.ask.Backends, b.ID) || h.ask.Amount > 0 && h.ask.Zone == b.Zone && h.ask.Region == b.Region {
 			regions[Scope{b.Region, b.Zone}] = true
-			last = max(last, h.end+b.Warm)
+			last = max(last, h.end+b.WarmUpTime)
 		}
 	}
 	times := []time.Duration{o.now}
@@ -452,7 +452,7 @@
 		}
 		for id, h := range o.holds {
 			s := o.promises[id].state
-			can := s == Granted || s == Draining || s == Out && h.ask.Recall
+			can := s == Granted || s == Draining || s == OutOfService && h.ask.Recallable
 			without := func(x *held) bool { return coming(x) || x == h }
 			if can && o.have(sc, o.now, without) > o.have(sc, o.now, coming)+1 {
 				return fmt.Errorf("recall: %v is short of %v and %s is %v", sc, want, id, s)
@@ -466,10 +466,10 @@
 func (o *model) kept(list []Window) error {
 	rows, ended := map[string]Window{}, 0
 	for _, w := range list {
-		if _, twice := rows[w.Ask.ID]; twice {
-			return fmt.Errorf("id: %s is two plans", w.Ask.ID)
+		if _, twice := rows[w.Request.ID]; twice {
+			return fmt.Errorf("id: %s is two plans", w.Request.ID)
 		}
-		rows[w.Ask.ID] = w
+		rows[w.Request.ID] = w
 		if w.State.Ended() {
 			ended++
 		}
@@ -507,7 +507,7 @@
 	a, b    *Machine
 	model   *model
 	index   uint64
-	asks    []Ask
+	asks    []Request
 	log     []string
 	verbose bool
 	stats   map[string]int
@@ -617,14 +617,14 @@
 
 func (r *run) put(i int, ready bool) Backend {
 	return Backend{ID: fmt.Sprintf("b%02d", i), Region: fmt.Sprintf("r%d", i%2), Zone: fmt.Sprintf("z%d", i/2%2),
-		Size: int64(5 + r.draw(16)), Warm: r.minutes(0, 20), Cold: int64(r.draw(600)), Ready: ready}
+		Size: int64(5 + r.draw(16)), WarmUpTime: r.minutes(0, 20), InitialPermille: int64(r.draw(600)), SkipWarmUp: ready}
 }
 
-func (r *run) ask() Ask {
-	e := Ask{ID: fmt.Sprintf("p%d", len(r.asks)), Region: fmt.Sprintf("r%d", r.draw(2)),
-		Duration: r.minutes(3, 90), Earliest: r.model.now + r.minutes(0, 60), Priority: r.draw(3),
-		Notice: r.minutes(0, 2) * time.Duration(r.draw(10)), Recall: r.draw(2) == 0}
-	e.Latest = max(e.Earliest, r.model.now+e.Notice) + e.Duration + r.minutes(5, 400)
+func (r *run) ask() Request {
+	e := Request{ID: fmt.Sprintf("p%d", len(r.asks)), Region: fmt.Sprintf("r%d", r.draw(2)),
+		Duration: r.minutes(3, 90), EarliestStart: r.model.now + r.minutes(0, 60), Priority: r.draw(3),
+		Notice: r.minutes(0, 2) * time.Duration(r.draw(10)), Recallable: r.draw(2) == 0}
+	e.LatestEnd = max(e.EarliestStart, r.model.now+e.Notice) + e.Duration + r.minutes(5, 400)
 	if r.draw(4) == 0 {
 		e.Zone, e.Amount = fmt.Sprintf("z%d", r.draw(2)), int64(1+r.draw(25))
 		return e
@@ -683,23 +683,23 @@
 		id, f := r.pick()
 		return Returned{id, f}
 	case k < 86:
-		return Failed{some()}
+		return BackendsFailed{some()}
 	case k < 90:
 		for _, id := range slices.Sorted(maps.Keys(r.model.failed)) {
-			return Recovered{[]string{id}}
+			return BackendsRecovered{[]string{id}}
 		}
-		return Recovered{some()}
+		return BackendsRecovered{some()}
 	case k < 93:
 		sc := testScopes[r.draw(len(testScopes))]
 		return SetFloor{sc, r.steps(r.total(sc))}
 	case k < 95:
 		return Cancel{fmt.Sprintf("p%d", r.draw(len(r.asks)+1))}
 	case k < 97:
-		return Serving{[]string{"m0", "m1", "m2"}[:r.draw(4)]}
+		return SetServing{[]string{"m0", "m1", "m2"}[:r.draw(4)]}
 	case k < 99:
-		return Backends{[]Backend{r.put(r.draw(13), r.draw(2) == 0)}}
+		return PutBackends{[]Backend{r.put(r.draw(13), r.draw(2) == 0)}}
 	default:
-		return Remove{some()}
+		return RemoveBackends{some()}
 	}
 }
 
@@ -709,7 +709,7 @@
 	for i := range 12 {
 		all = append(all, r.put(i, true))
 	}
-	first := []Entry{Backends{all}, Serving{[]string{"m0", "m1"}}}
+	first := []Entry{PutBackends{all}, SetServing{[]string{"m0", "m1"}}}
 	for _, e := range first {
 		if err := r.apply(e); err != nil {
 			return err
--- a/fleet/window/plan.go
+++ b/fleet/window/plan.go
@@ -14,12 +14,12 @@
 		return 0
 	}
 	t %= day
-	v := steps[len(steps)-1].Floor
+	v := steps[len(steps)-1].Capacity
 	for _, s := range steps {
 		if s.From > t {
 			break
 		}
-		v = s.Floor
+		v = s.Capacity
 	}
 	return v
 }
@@ -85,16 +85,16 @@
 			s.parts = append(s.parts, m.backend(id))
 		}
 	} else {
-		b := &backend{Backend: Backend{Region: p.Region, Zone: p.Zone, Size: p.Amount, Cold: 1000}}
+		b := &backend{Backend: Backend{Region: p.Region, Zone: p.Zone, Size: p.Amount, InitialPermille: 1000}}
 		for _, o := range m.backends {
 			if o.Region == p.Region && o.Zone == p.Zone {
-				b.Warm, b.Cold = max(b.Warm, o.Warm), min(b.Cold, o.Cold)
+				b.WarmUpTime, b.InitialPermille = max(b.WarmUpTime, o.WarmUpTime), min(b.InitialPermille, o.InitialPermille)
 			}
 		}
 		s.parts = []*backend{b}
 	}
 	for _, b := range s.parts {
-		s.warm = max(s.warm, b.Warm)
+		s.warm = max(s.warm, b.WarmUpTime)
 		s.ails = s.ails || b.Failed || b.Ramp
 		if sc := (Scope{b.Region, b.Zone}); !slices.Contains(s.scopes, sc) {
 			s.scopes = append(s.scopes, sc)
@@ -103,7 +103,7 @@
 	s.whole = make([]int64, len(s.scopes))
 	for i, sc := range s.scopes {
 		for _, b := range s.parts {
-			if sc.holds(b.Region, b.Zone) {
+			if sc.contains(b.Region, b.Zone) {
 				s.whole[i] += b.Size
 			}
 		}
@@ -111,7 +111,7 @@
 	switch {
 	case p.State <= Planned:
 		s.move(p.Start, p.Duration+m.set.MaxTick)
-	case p.State == Warm:
+	case p.State == WarmingUp:
 		s.move(p.Start, p.Returned-p.Start)
 	case m.now < p.End, m.now == p.End && !strict: // by the last entry at its end it may be back in time
 		s.move(p.Start, p.End-p.Start)
@@ -146,12 +146,12 @@
 	}
 	var sum int64
 	for _, b := range s.parts {
-		if !sc.holds(b.Region, b.Zone) {
+		if !sc.contains(b.Region, b.Zone) {
 			continue
 		}
 		lack := b.Size
 		if t >= s.end {
-			lack = missing(b.Size, b.Cold, b.Warm, t-s.end)
+			lack = missing(b.Size, b.InitialPermille, b.WarmUpTime, t-s.end)
 		}
 		sum += max(0, lack-v.ailing(b, t))
 	}
@@ -228,9 +228,9 @@
 	case b.Failed && (v.strict || t < v.back(b)):
 		return b.Size
 	case b.Failed:
-		return missing(b.Size, b.Cold, b.Warm, t-v.back(b))
+		return missing(b.Size, b.InitialPermille, b.WarmUpTime, t-v.back(b))
 	case b.Ramp:
-		return missing(b.Size, b.Cold, b.Warm, t-b.Since)
+		return missing(b.Size, b.InitialPermille, b.WarmUpTime, t-b.Since)
 	}
 	return 0
 }
@@ -239,7 +239,7 @@
 func (v *view) room(sc Scope, t time.Duration) int64 {
 	have := v.m.totals[sc]
 	for _, b := range v.sick {
-		if sc.holds(b.Region, b.Zone) {
+		if sc.contains(b.Region, b.Zone) {
 			have -= v.ailing(b, t)
 		}
 	}
@@ -332,9 +332,9 @@
 	}
 	for _, b := range v.sick {
 		if b.Failed {
-			ramp(v.back(b), v.back(b)+b.Warm)
+			ramp(v.back(b), v.back(b)+b.WarmUpTime)
 		} else {
-			ramp(b.Since, b.Since+b.Warm)
+			ramp(b.Since, b.Since+b.WarmUpTime)
 		}
 	}
 	for _, sc := range s.scopes {
@@ -358,11 +358,11 @@
 // byList is the order of list scheduling.
 func byList(a, b *plan) int {
 	return cmp.Or(cmp.Compare(b.Priority, a.Priority),
-		cmp.Compare(a.Latest, b.Latest), cmp.Compare(a.Seq, b.Seq))
+		cmp.Compare(a.LatestEnd, b.LatestEnd), cmp.Compare(a.Seq, b.Seq))
 }
 
 func byLatest(a, b *plan) int {
-	return cmp.Or(cmp.Compare(a.Latest, b.Latest),
+	return cmp.Or(cmp.Compare(a.LatestEnd, b.LatestEnd),
 		cmp.Compare(b.Priority, a.Priority), cmp.Compare(a.Seq, b.Seq))
 }
 
@@ -402,10 +402,10 @@
 	for _, p := range rest {
 		s := m.span(p, false)
 		length := p.Duration + m.set.MaxTick
-		first := max(m.now, p.Earliest, min(p.Start, m.now+p.Notice))
-		last := p.Latest - length
+		first := max(m.now, p.EarliestStart, min(p.Start, m.now+p.Notice))
+		last := p.LatestEnd - length
 		if first == m.now && p.Seq > 0 { // granted by this entry if at all: it needs no tick more
-			last = max(last, min(first, p.Latest-p.Duration))
+			last = max(last, min(first, p.LatestEnd-p.Duration))
 		}
 		c, ok := v.place(s, length, first, last)
 		if !ok {
@@ -453,7 +453,7 @@
 // admit takes a new plan in if it finds a place and takes none from a planned one.
 // Else it returns the reason.
 func (m *Machine) admit(p *plan) string {
-	p.Start = max(p.Earliest, m.now+p.Notice)
+	p.Start = max(p.EarliestStart, m.now+p.Notice)
 	had := 0 // planned ones that had lost their place before the new one came
 	if m.dirty {
 		_, had = m.choose(m.waiting())
@@ -516,15 +516,15 @@
 		case s.place < 0:
 			p.Why = "no place: " + s.why.String()
 			if p.State == Planned {
-				m.become(p, Asked, "")
+				m.become(p, Requested, "")
 			}
 			continue
-		case p.State == Asked:
+		case p.State == Requested:
 			p.Start, p.Why = s.place, ""
 			m.become(p, Planned, "")
 		case s.place != was && (was > m.now || s.place > m.now):
 			p.Start = s.place
-			m.events = append(m.events, Event{Kind: EventMoved, Window: m.row(p)})
+			m.events = append(m.events, Event{Kind: EventStartMoved, Window: m.row(p)})
 		default:
 			p.Start = s.place
 		}
@@ -541,7 +541,7 @@
 		}
 	}
 	s := m.span(p, false)
-	first := max(m.now+p.Notice, p.Earliest)
+	first := max(m.now+p.Notice, p.EarliestStart)
 	_, p.Placeable = v.place(s, p.Duration+m.set.MaxTick, first, max(first, m.now+m.set.Horizon))
 	if p.Could = 0; p.Placeable {
 		p.Could = s.start
--- a/fleet/window/schedule_test.go
+++ b/fleet/window/schedule_test.go
@@ -57,16 +57,16 @@
 			return e
 		}}},
 		{"failures unseen", "floor:", breaker{before: func(m *Machine, e Entry) Entry {
-			if _, ok := e.(Failed); ok {
-				return Failed{}
+			if _, ok := e.(BackendsFailed); ok {
+				return BackendsFailed{}
 			}
 			return e
 		}}},
 		{"no warm-up", "floor:", breaker{before: func(m *Machine, e Entry) Entry {
-			if b, ok := e.(Backends); ok {
+			if b, ok := e.(PutBackends); ok {
 				b.Put = slices.Clone(b.Put)
 				for i := range b.Put {
-					b.Put[i].Warm = 0
+					b.Put[i].WarmUpTime = 0
 				}
 				return b
 			}
@@ -79,7 +79,7 @@
 			return e
 		}}},
 		{"overdue unseen", "overdue:", breaker{before: func(m *Machine, e Entry) Entry {
-			eachOpen(m, Out, func(p *plan) { p.End = never / 2 })
+			eachOpen(m, OutOfService, func(p *plan) { p.End = never / 2 })
 			return e
 		}}},
 		{"granted twice", "once:", breaker{before: func(m *Machine, e Entry) Entry {
@@ -100,7 +100,7 @@
 			}
 		}}},
 		{"plan refused for nothing", "kept:", breaker{before: func(m *Machine, e Entry) Entry {
-			eachOpen(m, Planned, func(p *plan) { p.Latest = min(p.Latest, p.Start+p.Duration-1) })
+			eachOpen(m, Planned, func(p *plan) { p.LatestEnd = min(p.LatestEnd, p.Start+p.Duration-1) })
 			return e
 		}}},
 		{"stale confirmation taken", "stale:", breaker{before: func(m *Machine, e Entry) Entry {
@@ -110,21 +110,21 @@
 			return e
 		}}},
 		{"id taken twice", "id:", breaker{before: func(m *Machine, e Entry) Entry {
-			if a, ok := e.(Ask); ok && m.plan(a.ID) != nil {
-				m.plan(a.ID).Ask = a
+			if a, ok := e.(Request); ok && m.plan(a.ID) != nil {
+				m.plan(a.ID).Request = a
 			}
 			return e
 		}}},
 		{"two plans of one id", "id:", breaker{after: func(m *Machine, e Entry, a *Answer) {
-			if _, ok := e.(Ask); ok && a.Result == Repeat {
-				m.ended = append(m.ended, m.plan(a.Window.Ask.ID))
+			if _, ok := e.(Request); ok && a.Result == Duplicate {
+				m.ended = append(m.ended, m.plan(a.Window.Request.ID))
 			}
 		}}},
 		{"nothing recalled", "recall:", breaker{after: func(m *Machine, e Entry, a *Answer) {
 			if _, ok := e.(Cancel); !ok {
 				a.Events = slices.DeleteFunc(a.Events, func(ev Event) bool {
 					if ev.Kind == EventState && ev.Window.State == Recalled {
-						p := m.plan(ev.Window.Ask.ID)
+						p := m.plan(ev.Window.Request.ID)
 						p.State, p.Called = Granted, false
 						return true
 					}
@@ -139,7 +139,7 @@
 			}
 		}}},
 		{"no notice", "notice:", breaker{before: func(m *Machine, e Entry) Entry {
-			if a, ok := e.(Ask); ok {
+			if a, ok := e.(Request); ok {
 				a.Notice = 0
 				return a
 			}
@@ -156,7 +156,7 @@
 		{"state passed over", "states:", breaker{after: func(m *Machine, e Entry, a *Answer) {
 			for i := range a.Events {
 				if w := &a.Events[i].Window; w.State == Granted && a.Events[i].Kind == EventState {
-					w.State, m.plan(w.Ask.ID).State = Out, Out
+					w.State, m.plan(w.Request.ID).State = OutOfService, OutOfService
 				}
 			}
 		}}},
--- a/fleet/window/snapshot.go
+++ b/fleet/window/snapshot.go
@@ -104,7 +104,7 @@
 		return fmt.Errorf("window: plan %s: backends: not in order", p.ID)
 	}
 	what, most := "plan "+p.ID, int64(maxTime)
-	if err := cmp.Or(p.Ask.check(m), within(what, "first", int64(p.First), 0, most),
+	if err := cmp.Or(p.Request.check(m), within(what, "first", int64(p.First), 0, most),
 		within(what, "start", int64(p.Start), 0, most), within(what, "end", int64(p.End), 0, most),
 		within(what, "returned", int64(p.Returned), 0, int64(m.now)),
 		within(what, "could", int64(p.Could), 0, int64(never))); err != nil {
@@ -114,7 +114,7 @@
 		return nil
 	}
 	if p.State > Planned && (p.Fence == 0 || p.Start > m.now || p.End < p.Start) ||
-		p.State == Warm && p.Returned < p.Start {
+		p.State == WarmingUp && p.Returned < p.Start {
 		return fmt.Errorf("window: %s: granted without a fence, or out of time", what)
 	}
 	for _, id := range p.Backends {
--- a/fleet/window/window.go
+++ b/fleet/window/window.go
@@ -9,13 +9,13 @@
 
 // Limits on single entries. Longer ones are refused with an error.
 const (
-	MaxID       = 64      // bytes of an id or a name
-	MaxSize     = 1 << 30 // of a backend, an amount or a floor's step
-	MaxEntry    = 1 << 17 // bytes of an encoded entry
-	MaxPart     = 1280    // backends in one plan; with the longest ids they fit in an entry of agree
-	MaxSteps    = 24      // steps of one floor
-	MaxFloors   = 2048    // scopes with a floor
-	MaxPriority = 9
+	MaxIDBytes      = 64      // bytes of an id or a name
+	MaxSize         = 1 << 30 // of a backend, an amount or a floor's step
+	MaxEntryBytes   = 1 << 17 // bytes of an encoded entry
+	MaxPlanBackends = 1280    // backends in one plan; with the longest ids they fit in an entry of agree
+	MaxFloorSteps   = 24      // steps of one floor
+	MaxFloors       = 2048    // scopes with a floor
+	MaxPriority     = 9
 
 	day     = 24 * time.Hour
 	never   = time.Duration(1) << 62
@@ -69,7 +69,7 @@
 	Zone   string `cbor:"2,keyasint,omitempty"`
 }
 
-func (s Scope) holds(region, zone string) bool {
+func (s Scope) contains(region, zone string) bool {
 	return (s.Region == "" || s.Region == region) && (s.Zone == "" || s.Zone == zone)
 }
 
@@ -82,15 +82,15 @@
 
 // The states of a plan.
 const (
-	Asked State = iota
+	Requested State = iota
 	Planned
 	Granted
 	Draining
-	Out
+	OutOfService
 	Returning
 	Recalled
 	Overdue
-	Warm
+	WarmingUp
 	Done
 	Cancelled
 	Refused
@@ -140,7 +140,7 @@
 
 // plan is an Ask and where it stands.
 type plan struct {
-	Ask
+	Request
 	State     State         `cbor:"21,keyasint,omitempty"`
 	Seq       uint64        `cbor:"22,keyasint,omitempty"` // order of asking
 	First     time.Duration `cbor:"23,keyasint,omitempty"` // the start first told
@@ -196,12 +196,12 @@
 
 // The results of an entry.
 const (
-	OK      Result = iota // done; with an Ask: the plan was taken
-	Repeat                // was done before: a repeated id, cancel or confirmation
-	Pending               // a floor that is not in force yet
-	Stale                 // a confirmation with another fencing number: nothing was done
-	Refuse                // a plan that was not taken, with the reason and the earliest start
-	Bad                   // the entry is wrong: nothing was done
+	OK        Result = iota // done; with an Ask: the plan was taken
+	Duplicate               // was done before: a repeated id, cancel or confirmation
+	Pending                 // a floor that is not in force yet
+	Stale                   // a confirmation with another fencing number: nothing was done
+	Rejected                // a plan that was not taken, with the reason and the earliest start
+	Invalid                 // the entry is wrong: nothing was done
 )
 
 var resultNames = [...]string{"ok", "repeat", "pending", "stale", "refused", "error"}
@@ -213,56 +213,56 @@
 
 // The kinds of events.
 const (
-	EventState   EventKind = iota // a plan has another state: its row tells which, and why
-	EventMoved                    // a planned start has moved
-	EventShort                    // a scope has less than its floor
-	EventHeld                     // and has it again
-	EventInForce                  // a pending floor is in force
+	EventState         EventKind = iota // a plan has another state: its row tells which, and why
+	EventStartMoved                     // a planned start has moved
+	EventBelowFloor                     // a scope has less than its floor
+	EventFloorRestored                  // and has it again
+	EventFloorInForce                   // a pending floor is in force
 )
 
 // Event is one thing that an applied entry brought about.
 type Event struct {
-	Kind   EventKind `cbor:"Kind"`
-	Window Window    `cbor:"Window"` // of EventState and EventMoved
-	Scope  Scope     `cbor:"Scope"`  // of the others
-	Floor  int64     `cbor:"Floor"`
-	Have   int64     `cbor:"Have"`
+	Kind      EventKind `cbor:"Kind"`
+	Window    Window    `cbor:"Window"` // of EventState and EventMoved
+	Scope     Scope     `cbor:"Scope"`  // of the others
+	Required  int64     `cbor:"Floor"`
+	Available int64     `cbor:"Have"`
 }
 
 // Answer is what an entry came to. It is the same at all voters.
 type Answer struct {
-	Index  uint64        `cbor:"Index"`
-	Now    time.Duration `cbor:"Now"` // log time after the entry
-	Result Result        `cbor:"Result"`
-	Err    string        `cbor:"Err"`    // of all results but OK: the reason, naming the key
-	Known  bool          `cbor:"Known"`  // Window is set
-	Window Window        `cbor:"Window"` // the plan that the entry is about, as it stands after the entry
-	Events []Event       `cbor:"Events"`
+	Index     uint64        `cbor:"Index"`
+	Now       time.Duration `cbor:"Now"` // log time after the entry
+	Result    Result        `cbor:"Result"`
+	Err       string        `cbor:"Err"`    // of all results but OK: the reason, naming the key
+	HasWindow bool          `cbor:"Known"`  // Window is set
+	Window    Window        `cbor:"Window"` // the plan that the entry is about, as it stands after the entry
+	Events    []Event       `cbor:"Events"`
 }
 
 // Window is a plan as operators and members see it. Times are log time.
 type Window struct {
-	Ask     Ask           `cbor:"Ask"`
-	State   State         `cbor:"State"`
-	First   time.Duration `cbor:"First"`   // the start that the first answer told
-	Start   time.Duration `cbor:"Start"`   // planned start; once granted, the time of the grant
-	End     time.Duration `cbor:"End"`     // planned end; once granted, it is overdue after this
-	Fence   Fence         `cbor:"Fence"`   // 0 before the grant
-	Drained int           `cbor:"Drained"` // members that have confirmed
-	Serving int           `cbor:"Serving"` // members that are to confirm
-	Why     string        `cbor:"Why"`
-	Could   time.Duration `cbor:"Could"` // of a refused one: the earliest start that would do, as things stood; -1: none
+	Request          Request       `cbor:"Ask"`
+	State            State         `cbor:"State"`
+	FirstStart       time.Duration `cbor:"First"`   // the start that the first answer told
+	Start            time.Duration `cbor:"Start"`   // planned start; once granted, the time of the grant
+	End              time.Duration `cbor:"End"`     // planned end; once granted, it is overdue after this
+	Fence            Fence         `cbor:"Fence"`   // 0 before the grant
+	Drained          int           `cbor:"Drained"` // members that have confirmed
+	Serving          int           `cbor:"Serving"` // members that are to confirm
+	Reason           string        `cbor:"Why"`
+	EarliestFeasible time.Duration `cbor:"Could"` // of a refused one: the earliest start that would do, as things stood; -1: none
 }
 
 func (m *Machine) row(p *plan) Window {
-	w := Window{Ask: p.Ask, State: p.State, First: p.First, Start: p.Start, End: p.End, Fence: p.Fence,
-		Drained: len(p.Drained), Serving: len(m.serving), Why: p.Why, Could: p.Could}
-	w.Ask.Backends = slices.Clone(p.Backends)
+	w := Window{Request: p.Request, State: p.State, FirstStart: p.First, Start: p.Start, End: p.End, Fence: p.Fence,
+		Drained: len(p.Drained), Serving: len(m.serving), Reason: p.Why, EarliestFeasible: p.Could}
+	w.Request.Backends = slices.Clone(p.Backends)
 	if p.Fence == 0 {
 		w.End = p.Start + p.Duration
 	}
 	if p.State == Refused && !p.Placeable {
-		w.Could = -1
+		w.EarliestFeasible = -1
 	}
 	return w
 }
@@ -326,13 +326,13 @@
 func (m *Machine) Apply(index uint64, data []byte) Answer {
 	a := Answer{Index: index, Now: m.now}
 	if index <= m.index || index > maxIndex {
-		a.Result, a.Err = Bad, fmt.Sprintf("window: entry %d: not above %d, the last one applied", index, m.index)
+		a.Result, a.Err = Invalid, fmt.Sprintf("window: entry %d: not above %d, the last one applied", index, m.index)
 		return a
 	}
 	m.index = index
 	e, err := Decode(data)
 	if err != nil {
-		a.Result, a.Err = Bad, err.Error()
+		a.Result, a.Err = Invalid, err.Error()
 		return a
 	}
 	m.events, m.sub = nil, 0
@@ -343,7 +343,7 @@
 		a.Err = err.Error()
 	}
 	if p != nil {
-		a.Known, a.Window = true, m.row(p)
+		a.HasWindow, a.Window = true, m.row(p)
 	}
 	m.events = nil
 	return a
@@ -385,13 +385,13 @@
 // age ends warm-ups that are over and marks windows that are late.
 func (m *Machine) age() {
 	for _, b := range m.backends {
-		if b.Ramp && m.now-b.Since >= b.Warm {
+		if b.Ramp && m.now-b.Since >= b.WarmUpTime {
 			b.Ramp = false
 		}
 	}
 	for _, p := range slices.Clone(m.open) {
 		switch {
-		case p.State == Warm && m.span(p, false).finish <= m.now:
+		case p.State == WarmingUp && m.span(p, false).finish <= m.now:
 			m.become(p, Done, "")
 		case p.State.holding() && p.State != Overdue && m.now > p.End:
 			m.become(p, Overdue, "")
@@ -406,7 +406,7 @@
 		if f.Next != nil && m.wouldHold(f.Scope, f.Next) {
 			f.Steps, f.Next = f.Next, nil
 			m.dirty = true
-			m.events = append(m.events, Event{Kind: EventInForce, Scope: f.Scope, Floor: at(f.Steps, m.now)})
+			m.events = append(m.events, Event{Kind: EventFloorInForce, Scope: f.Scope, Required: at(f.Steps, m.now)})
 		}
 	}
 }
@@ -423,7 +423,7 @@
 		if next < m.now {
 			next += day
 		}
-		if v.room(sc, next) < s.Floor {
+		if v.room(sc, next) < s.Capacity {
 			return false
 		}
 	}
@@ -447,7 +447,7 @@
 			case out == 0:
 			case s.p.Called || s.p.State == Returning || s.p.State == Overdue:
 				have += out
-			case s.p.State == Granted, s.p.State == Draining, s.p.State == Out && s.p.Recall:
+			case s.p.State == Granted, s.p.State == Draining, s.p.State == OutOfService && s.p.Recallable:
 				can = append(can, s)
 			}
 		}
@@ -466,7 +466,7 @@
 // grantDue grants what is due, as far as the floors allow it now.
 func (m *Machine) grantDue() {
 	due := slices.DeleteFunc(slices.Clone(m.open), func(p *plan) bool {
-		return p.State != Planned || p.Start > m.now || m.now+p.Duration > p.Latest
+		return p.State != Planned || p.Start > m.now || m.now+p.Duration > p.LatestEnd
 	})
 	slices.SortFunc(due, byList)
 	for _, p := range due {
@@ -489,7 +489,7 @@
 // expire refuses what can't end in time any more.
 func (m *Machine) expire() {
 	for _, p := range slices.Clone(m.open) {
-		if p.State <= Planned && m.now+p.Duration > p.Latest {
+		if p.State <= Planned && m.now+p.Duration > p.LatestEnd {
 			why := p.Why
 			m.could(p)
 			m.become(p, Refused, "end: no room before the latest end; "+cmp.Or(why, "its time is over"))
@@ -505,11 +505,11 @@
 		have, want := v.room(f.Scope, m.now), at(f.Steps, m.now)
 		if short := have < want; short != f.Short {
 			f.Short = short
-			kind := EventHeld
+			kind := EventFloorRestored
 			if short {
-				kind = EventShort
+				kind = EventBelowFloor
 			}
-			m.events = append(m.events, Event{Kind: kind, Scope: f.Scope, Floor: want, Have: have})
+			m.events = append(m.events, Event{Kind: kind, Scope: f.Scope, Required: want, Available: have})
 		}
 	}
 }
