--- a/fleet/schedule/large_test.go
+++ b/fleet/schedule/large_test.go
@@ -41,13 +41,13 @@
 		{"backends that are removed", window.RemoveBackends{IDs: ids[:manyNames]}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			m := machine(t)
+			m := newMachine(t)
 			index := uint64(0)
-			apply := func(e window.Entry) []byte { index++; return m.Apply(index, entry(t, e)) }
+			apply := func(e window.Entry) []byte { index++; return m.Apply(index, encodeEntry(t, e)) }
 			for _, id := range ids {
 				apply(window.PutBackends{Put: []window.Backend{{ID: id, Region: "r", Zone: "z", Size: 1, SkipWarmUp: true}}})
 			}
-			if size := len(entry(t, c.e)); size > agree.MaxEntry {
+			if size := len(encodeEntry(t, c.e)); size > agree.MaxEntry {
 				t.Errorf("an entry of %d bytes, %d at most", size, agree.MaxEntry)
 			}
 			text := apply(c.e)
--- a/fleet/schedule/schedule.go
+++ b/fleet/schedule/schedule.go
@@ -16,7 +16,7 @@
 )
 
 // version is the form of answers, in their first byte.
-const version = 1
+const answerVersion = 1
 
 // Answer is what the machine answers to an entry, the same at all voters.
 type Answer struct {
@@ -31,18 +31,18 @@
 
 // New returns a machine without backends, floors and plans. The error names the
 // setting that is wrong.
-func New(set window.Settings) (*Machine, error) {
-	w, err := window.New(set)
+func New(settings window.Settings) (*Machine, error) {
+	windows, err := window.New(settings)
 	if err != nil {
 		return nil, err
 	}
-	return &Machine{w}, nil
+	return &Machine{windows}, nil
 }
 
 // Tick is the entry that says that time has passed, as much of it as one entry may
 // tell. What is over that is lost: log time may stand still, and never jumps.
-func Tick(passed time.Duration) []byte {
-	entry, err := window.Encode(window.Tick{Elapsed: max(1, min(passed, window.DefaultMaxTick))})
+func Tick(elapsed time.Duration) []byte {
+	entry, err := window.Encode(window.Tick{Elapsed: max(1, min(elapsed, window.DefaultMaxTick))})
 	if err != nil {
 		return nil // a tick is always encoded
 	}
@@ -56,44 +56,44 @@
 	if a.Result == window.OK && !a.HasWindow && len(a.Events) == 0 && window.IsTick(entry) {
 		return nil
 	}
-	return encode(Answer{Answer: a})
+	return encodeBounded(Answer{Answer: a})
 }
 
 // encode fits an answer into the bound of agree: it leaves out the backends of the
 // windows that events tell of, then the last events, then the backends of its own.
-func encode(a Answer) []byte {
+func encodeBounded(a Answer) []byte {
 	for {
 		text, err := cbor.Marshal(a)
 		if err == nil && len(text) < agree.MaxEntry {
-			return append([]byte{version}, text...)
+			return append([]byte{answerVersion}, text...)
 		}
 		switch n := len(a.Events); {
-		case n > 0 && a.OmittedEvents == 0 && trim(a.Events):
+		case n > 0 && a.OmittedEvents == 0 && dropBackends(a.Events):
 		case n > 0:
 			a.OmittedEvents += n - n/2
 			a.Events = a.Events[:n/2]
 		case len(a.Window.Request.Backends) > 0:
 			a.Window.Request.Backends = nil
 		default:
-			return []byte{version} // it is bounded; Parse says that it can't be read
+			return []byte{answerVersion} // it is bounded; Parse says that it can't be read
 		}
 	}
 }
 
 // trim takes the backends out of the windows of events. It tells whether there were any.
-func trim(events []window.Event) (some bool) {
+func dropBackends(events []window.Event) (dropped bool) {
 	for i := range events {
 		ask := &events[i].Window.Request
-		some = some || len(ask.Backends) > 0
+		dropped = dropped || len(ask.Backends) > 0
 		ask.Backends = nil
 	}
-	return some
+	return dropped
 }
 
 // Parse reads an answer of the machine.
 func Parse(text []byte) (Answer, error) {
 	var a Answer
-	if len(text) == 0 || text[0] != version {
+	if len(text) == 0 || text[0] != answerVersion {
 		return a, errors.New("schedule: answer of an unknown version")
 	}
 	if err := cbor.Unmarshal(text[1:], &a); err != nil {
@@ -145,20 +145,20 @@
 	default:
 		return []byte("ERR not STATUS, LIST, FLOORS or SHOW id\n")
 	}
-	return bounded(lines)
+	return joinBounded(lines)
 }
 
 // bounded joins lines within the bound of an answer. The last line says how many
 // are left out, where some are.
-func bounded(lines []string) []byte {
-	const room = 64 // for that line
+func joinBounded(lines []string) []byte {
+	const moreLineBytes = 64 // for that line
 	var b strings.Builder
-	for i, l := range lines {
-		if b.Len()+len(l)+room > agree.MaxEntry {
+	for i, line := range lines {
+		if b.Len()+len(line)+moreLineBytes > agree.MaxEntry {
 			fmt.Fprintf(&b, "MORE left=%d\n", len(lines)-i)
 			break
 		}
-		b.WriteString(l)
+		b.WriteString(line)
 		b.WriteByte('\n')
 	}
 	return []byte(b.String())
--- a/fleet/schedule/schedule_test.go
+++ b/fleet/schedule/schedule_test.go
@@ -17,7 +17,7 @@
 	_ agree.Querier = (*schedule.Machine)(nil)
 )
 
-func entry(t *testing.T, e window.Entry) []byte {
+func encodeEntry(t *testing.T, e window.Entry) []byte {
 	t.Helper()
 	text, err := window.Encode(e)
 	if err != nil {
@@ -26,7 +26,7 @@
 	return text
 }
 
-func machine(t *testing.T) *schedule.Machine {
+func newMachine(t *testing.T) *schedule.Machine {
 	t.Helper()
 	m, err := schedule.New(window.Settings{})
 	if err != nil {
@@ -35,7 +35,7 @@
 	return m
 }
 
-func backends(region string, n int, id string) window.PutBackends {
+func newBackends(region string, n int, id string) window.PutBackends {
 	var all window.PutBackends
 	for i := range n {
 		all.Put = append(all.Put, window.Backend{ID: fmt.Sprintf("%s%d", id, i), Region: region, Zone: "z", Size: 10, SkipWarmUp: true})
@@ -44,10 +44,10 @@
 }
 
 func TestAnswersAndQueries(t *testing.T) {
-	m := machine(t)
+	m := newMachine(t)
 	index := uint64(0)
-	apply := func(e window.Entry) []byte { index++; return m.Apply(index, entry(t, e)) }
-	apply(backends("r", 4, "b"))
+	apply := func(e window.Entry) []byte { index++; return m.Apply(index, encodeEntry(t, e)) }
+	apply(newBackends("r", 4, "b"))
 	apply(window.SetFloor{Steps: []window.Step{{Capacity: 30}}})
 	text := apply(window.Request{ID: "p1", Region: "r", Backends: []string{"b0"}, Duration: time.Hour, LatestEnd: 50 * time.Hour})
 	a, err := schedule.Parse(text)
@@ -86,24 +86,24 @@
 }
 
 // A snapshot is the machine: what goes on from it gives the same to the byte.
-func TestSnapshot(t *testing.T) {
-	m, twin := machine(t), machine(t)
-	m.Apply(1, entry(t, backends("r", 4, "b")))
-	m.Apply(2, entry(t, window.SetFloor{Steps: []window.Step{{Capacity: 30}}}))
-	if err := twin.Restore(m.Snapshot()); err != nil {
+func TestRestoredMachineMatchesOriginal(t *testing.T) {
+	m, restored := newMachine(t), newMachine(t)
+	m.Apply(1, encodeEntry(t, newBackends("r", 4, "b")))
+	m.Apply(2, encodeEntry(t, window.SetFloor{Steps: []window.Step{{Capacity: 30}}}))
+	if err := restored.Restore(m.Snapshot()); err != nil {
 		t.Fatal(err)
 	}
-	before := twin.Snapshot()
-	if twin.Restore([]byte("noise")) == nil || !bytes.Equal(before, twin.Snapshot()) {
+	before := restored.Snapshot()
+	if restored.Restore([]byte("noise")) == nil || !bytes.Equal(before, restored.Snapshot()) {
 		t.Error("a spoilt snapshot was taken, or has changed the state")
 	}
-	plan := entry(t, window.Request{ID: "p1", Region: "r", Backends: []string{"b0"}, Duration: time.Hour, LatestEnd: 50 * time.Hour})
+	plan := encodeEntry(t, window.Request{ID: "p1", Region: "r", Backends: []string{"b0"}, Duration: time.Hour, LatestEnd: 50 * time.Hour})
 	for i, e := range [][]byte{plan, schedule.Tick(time.Second), schedule.Tick(time.Hour)} {
-		if x, y := m.Apply(uint64(3+i), e), twin.Apply(uint64(3+i), e); !bytes.Equal(x, y) {
+		if x, y := m.Apply(uint64(3+i), e), restored.Apply(uint64(3+i), e); !bytes.Equal(x, y) {
 			t.Errorf("entry %d: %q and %q", i, x, y)
 		}
 	}
-	if !bytes.Equal(m.Snapshot(), twin.Snapshot()) {
+	if !bytes.Equal(m.Snapshot(), restored.Snapshot()) {
 		t.Error("the states differ")
 	}
 }
@@ -111,11 +111,11 @@
 // What one entry brings about may be more than an answer holds. Guards against an
 // answer that can't be sent, which would end the voters one after the other.
 func TestLongAnswers(t *testing.T) {
-	m := machine(t)
+	m := newMachine(t)
 	index := uint64(0)
-	apply := func(e window.Entry) []byte { index++; return m.Apply(index, entry(t, e)) }
+	apply := func(e window.Entry) []byte { index++; return m.Apply(index, encodeEntry(t, e)) }
 	for i := range 4 {
-		apply(backends("r", 256, strings.Repeat("long", 10)+fmt.Sprint(i, "-")))
+		apply(newBackends("r", 256, strings.Repeat("long", 10)+fmt.Sprint(i, "-")))
 	}
 	for i := range 100 {
 		plan := window.Request{ID: fmt.Sprint("p", i), Region: "r", Duration: time.Hour, EarliestStart: time.Hour, LatestEnd: 300 * time.Hour}
--- a/fleet/window/bench_test.go
+++ b/fleet/window/bench_test.go
@@ -39,6 +39,6 @@
 	for b.Loop() {
 		do(Request{ID: "last", Region: "r0", Zone: "z0", Amount: 40, Duration: 60 * minute, LatestEnd: 13 * day, Priority: 9})
 		do(Cancel{"last"})
-		m.ended = nil
+		m.endedPlans = nil
 	}
 }
--- a/fleet/window/describe.go
+++ b/fleet/window/describe.go
@@ -7,8 +7,8 @@
 )
 
 // stamp writes log time as days and time of day, to the millisecond.
-func stamp(t time.Duration) string {
-	if t >= never-maxTime {
+func formatLogTime(t time.Duration) string {
+	if t >= unboundedTime-maxLogTime {
 		return "never"
 	}
 	s := fmt.Sprintf("%dd%02d:%02d:%02d",
@@ -20,7 +20,7 @@
 }
 
 // name is how a scope is called in lines: all, region, or region/zone.
-func name(s Scope) string {
+func scopeName(s Scope) string {
 	switch {
 	case s.Region == "":
 		return "all"
@@ -42,11 +42,11 @@
 	fmt.Fprintf(&b, " priority=%d", w.Request.Priority)
 	switch {
 	case w.State == Refused && w.EarliestFeasible >= 0:
-		fmt.Fprintf(&b, " earliest=%s", stamp(w.EarliestFeasible))
+		fmt.Fprintf(&b, " earliest=%s", formatLogTime(w.EarliestFeasible))
 	case w.State == Refused:
 		b.WriteString(" earliest=none")
 	case w.State != Requested && w.State != Cancelled:
-		fmt.Fprintf(&b, " start=%s end=%s", stamp(w.Start), stamp(w.End))
+		fmt.Fprintf(&b, " start=%s end=%s", formatLogTime(w.Start), formatLogTime(w.End))
 	}
 	if w.Fence != 0 {
 		fmt.Fprintf(&b, " fence=%v", w.Fence)
@@ -68,18 +68,18 @@
 	case EventStartMoved:
 		return e.Window.Describe() + " moved=yes"
 	case EventBelowFloor:
-		return fmt.Sprintf("FLOOR %s state=short floor=%d have=%d", name(e.Scope), e.Required, e.Available)
+		return fmt.Sprintf("FLOOR %s state=short floor=%d have=%d", scopeName(e.Scope), e.Required, e.Available)
 	case EventFloorRestored:
-		return fmt.Sprintf("FLOOR %s state=held floor=%d have=%d", name(e.Scope), e.Required, e.Available)
+		return fmt.Sprintf("FLOOR %s state=held floor=%d have=%d", scopeName(e.Scope), e.Required, e.Available)
 	default:
-		return fmt.Sprintf("FLOOR %s state=in-force floor=%d", name(e.Scope), e.Required)
+		return fmt.Sprintf("FLOOR %s state=in-force floor=%d", scopeName(e.Scope), e.Required)
 	}
 }
 
 // Describe is an answer in one line: the result, the log time, then the window or
 // the reason.
 func (a Answer) Describe() string {
-	s := fmt.Sprintf("%s now=%s index=%d", strings.ToUpper(a.Result.String()), stamp(a.Now), a.Index)
+	s := fmt.Sprintf("%s now=%s index=%d", strings.ToUpper(a.Result.String()), formatLogTime(a.Now), a.Index)
 	if a.HasWindow {
 		s += " " + a.Window.Describe()
 	}
@@ -101,14 +101,14 @@
 
 // Floors returns the floors in the order of their scopes.
 func (m *Machine) Floors() []Floor {
-	var all []Floor
-	v := m.view(true)
+	var floors []Floor
+	forecast := m.forecastWith(true)
 	for _, f := range m.floors {
-		all = append(all, Floor{Scope: f.Scope, Steps: append([]Step(nil), f.Steps...),
-			Pending: append([]Step(nil), f.Next...), Total: m.totals[f.Scope], Available: v.room(f.Scope, m.now),
-			Required: at(f.Steps, m.now)})
+		floors = append(floors, Floor{Scope: f.Scope, Steps: append([]Step(nil), f.Steps...),
+			Pending: append([]Step(nil), f.Pending...), Total: m.totalSizes[f.Scope], Available: forecast.available(f.Scope, m.now),
+			Required: requiredAt(f.Steps, m.now)})
 	}
-	return all
+	return floors
 }
 
 // Describe is a floor in one line of the door.
@@ -118,7 +118,7 @@
 		state = "short"
 	}
 	s := fmt.Sprintf("FLOOR %s state=%s floor=%d have=%d total=%d steps=%s",
-		name(f.Scope), state, f.Required, f.Available, f.Total, stepsText(f.Steps))
+		scopeName(f.Scope), state, f.Required, f.Available, f.Total, stepsText(f.Steps))
 	if len(f.Pending) > 0 {
 		s += " pending=" + stepsText(f.Pending)
 	}
@@ -126,19 +126,19 @@
 }
 
 func stepsText(steps []Step) string {
-	var all []string
+	var parts []string
 	for _, s := range steps {
-		at := s.From
-		all = append(all, fmt.Sprintf("%02d:%02d=%d", at/time.Hour, at%time.Hour/time.Minute, s.Capacity))
+		from := s.From
+		parts = append(parts, fmt.Sprintf("%02d:%02d=%d", from/time.Hour, from%time.Hour/time.Minute, s.Capacity))
 	}
-	if all == nil {
+	if parts == nil {
 		return "none"
 	}
-	return strings.Join(all, ",")
+	return strings.Join(parts, ",")
 }
 
 // Status is the machine in one line of the door.
 func (m *Machine) Status() string {
 	return fmt.Sprintf("STATUS now=%s index=%d backends=%d serving=%d open=%d ended=%d",
-		stamp(m.now), m.index, len(m.backends), len(m.serving), len(m.open), len(m.ended))
+		formatLogTime(m.now), m.index, len(m.backends), len(m.servingMembers), len(m.openPlans), len(m.endedPlans))
 }
--- a/fleet/window/entry.go
+++ b/fleet/window/entry.go
@@ -131,7 +131,7 @@
 
 // codec returns CBOR (RFC 8949) in its core deterministic form, with limits that
 // keep a decoder from taking more memory than its input is worth.
-func codec() (cbor.EncMode, cbor.DecMode) {
+func cborModes() (cbor.EncMode, cbor.DecMode) {
 	enc, err := cbor.CoreDetEncOptions().EncMode()
 	if err != nil {
 		panic(err) // fixed options: can't fail
@@ -147,7 +147,7 @@
 
 // Encode returns the bytes of an entry: the version, the kind, and a CBOR map.
 func Encode(e Entry) ([]byte, error) {
-	enc, _ := codec()
+	enc, _ := cborModes()
 	body, err := enc.Marshal(e)
 	if err != nil {
 		return nil, fmt.Errorf("window: encode: %w", err)
@@ -201,7 +201,7 @@
 
 func decode[E Entry](body []byte) (Entry, error) {
 	var e E
-	_, dec := codec()
+	_, dec := cborModes()
 	if err := dec.Unmarshal(body, &e); err != nil {
 		return nil, fmt.Errorf("window: entry of kind %d: %w", e.kind(), err)
 	}
@@ -209,7 +209,7 @@
 }
 
 // nameBytes says which bytes checkName allows.
-const nameBytes = "letters, digits and ._-/:"
+const allowedNameBytes = "letters, digits and ._-/:"
 
 // checkName says whether an id or a name can stand in a line of the door.
 func checkName(what, key, s string) error {
@@ -219,16 +219,16 @@
 	for _, c := range []byte(s) {
 		if !(c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' ||
 			c == '.' || c == '_' || c == '-' || c == '/' || c == ':') {
-			return fmt.Errorf("window: %s: %s: %q has other signs than %s", what, key, s, nameBytes)
+			return fmt.Errorf("window: %s: %s: %q has other signs than %s", what, key, s, allowedNameBytes)
 		}
 	}
 	return nil
 }
 
 func (e Tick) apply(m *Machine) (*plan, Result, error) {
-	if e.Elapsed <= 0 || e.Elapsed > m.set.MaxTick || m.now+e.Elapsed > maxTime {
+	if e.Elapsed <= 0 || e.Elapsed > m.settings.MaxTick || m.now+e.Elapsed > maxLogTime {
 		return nil, Invalid, fmt.Errorf("window: tick: elapsed: %v is not over 0 and at most %v",
-			e.Elapsed, m.set.MaxTick)
+			e.Elapsed, m.settings.MaxTick)
 	}
 	m.now += e.Elapsed
 	return nil, OK, nil
@@ -240,20 +240,20 @@
 		checkName("backend", "id", b.ID),
 		checkName(what, "region", b.Region),
 		checkName(what, "zone", b.Zone),
-		within(what, "size", b.Size, 1, MaxSize),
-		within(what, "warm", int64(b.WarmUpTime), 0, int64(day)),
-		within(what, "cold", b.InitialPermille, 0, 1000))
+		checkRange(what, "size", b.Size, 1, MaxSize),
+		checkRange(what, "warm", int64(b.WarmUpTime), 0, int64(day)),
+		checkRange(what, "cold", b.InitialPermille, 0, 1000))
 }
 
-func within(what, key string, v, least, most int64) error {
-	if v < least || v > most {
-		return fmt.Errorf("window: %s: %s: %d is not in %d to %d", what, key, v, least, most)
+func checkRange(what, key string, value, lowest, highest int64) error {
+	if value < lowest || value > highest {
+		return fmt.Errorf("window: %s: %s: %d is not in %d to %d", what, key, value, lowest, highest)
 	}
 	return nil
 }
 
 func (e PutBackends) apply(m *Machine) (*plan, Result, error) {
-	fresh, seen := 0, map[string]bool{}
+	added, seen := 0, map[string]bool{}
 	for i := range e.Put {
 		b := &e.Put[i]
 		if err := b.check(); err != nil {
@@ -263,32 +263,32 @@
 			return nil, Invalid, fmt.Errorf("window: backend %s: id: twice in one entry", b.ID)
 		}
 		seen[b.ID] = true
-		old := m.backend(b.ID)
+		old := m.findBackend(b.ID)
 		if old == nil {
-			fresh++
-		} else if p := m.user(b.ID); p != nil && (old.Region != b.Region || old.Zone != b.Zone) {
+			added++
+		} else if p := m.planNaming(b.ID); p != nil && (old.Region != b.Region || old.Zone != b.Zone) {
 			return nil, Invalid, fmt.Errorf("window: backend %s: zone: can't change while plan %s names it", b.ID, p.ID)
 		}
 	}
-	if len(m.backends)+fresh > m.set.MaxBackends {
-		return nil, Invalid, fmt.Errorf("window: backends: %d more would be over %d", fresh, m.set.MaxBackends)
+	if len(m.backends)+added > m.settings.MaxBackends {
+		return nil, Invalid, fmt.Errorf("window: backends: %d more would be over %d", added, m.settings.MaxBackends)
 	}
 	for _, b := range e.Put {
-		if old := m.backend(b.ID); old != nil {
+		if old := m.findBackend(b.ID); old != nil {
 			old.Backend = b
 			continue
 		}
 		i, _ := slices.BinarySearchFunc(m.backends, b.ID,
 			func(o *backend, id string) int { return cmp.Compare(o.ID, id) })
-		m.backends = slices.Insert(m.backends, i, &backend{Backend: b, Ramp: !b.SkipWarmUp, Since: m.now})
+		m.backends = slices.Insert(m.backends, i, &backend{Backend: b, WarmingUp: !b.SkipWarmUp, Since: m.now})
 	}
-	m.count()
+	m.recomputeTotals()
 	return nil, OK, nil
 }
 
 // user is the open plan that names a backend, if any.
-func (m *Machine) user(id string) *plan {
-	for _, p := range m.open {
+func (m *Machine) planNaming(id string) *plan {
+	for _, p := range m.openPlans {
 		if _, ok := slices.BinarySearch(p.Backends, id); ok {
 			return p
 		}
@@ -297,14 +297,14 @@
 }
 
 // count sums up the sizes of each scope.
-func (m *Machine) count() {
-	clear(m.totals)
+func (m *Machine) recomputeTotals() {
+	clear(m.totalSizes)
 	for _, b := range m.backends {
 		for _, sc := range scopesOf(b.Region, b.Zone) {
-			m.totals[sc] += b.Size
+			m.totalSizes[sc] += b.Size
 		}
 	}
-	m.dirty = true
+	m.needsReplan = true
 }
 
 func scopesOf(region, zone string) [3]Scope {
@@ -312,22 +312,22 @@
 }
 
 func (e RemoveBackends) apply(m *Machine) (*plan, Result, error) {
-	if err := m.known("remove", e.IDs); err != nil {
+	if err := m.checkBackendsKnown("remove", e.IDs); err != nil {
 		return nil, Invalid, err
 	}
 	for _, id := range e.IDs {
-		if p := m.user(id); p != nil {
+		if p := m.planNaming(id); p != nil {
 			return nil, Invalid, fmt.Errorf("window: remove: backend %s: plan %s names it", id, p.ID)
 		}
 	}
 	m.backends = slices.DeleteFunc(m.backends, func(b *backend) bool { return slices.Contains(e.IDs, b.ID) })
-	m.count()
+	m.recomputeTotals()
 	return nil, OK, nil
 }
 
-func (m *Machine) known(what string, ids []string) error {
+func (m *Machine) checkBackendsKnown(what string, ids []string) error {
 	for _, id := range ids {
-		if m.backend(id) == nil {
+		if m.findBackend(id) == nil {
 			return fmt.Errorf("window: %s: backend %q is not known", what, id)
 		}
 	}
@@ -335,54 +335,54 @@
 }
 
 func (e BackendsFailed) apply(m *Machine) (*plan, Result, error) {
-	if err := m.known("failed", e.IDs); err != nil {
+	if err := m.checkBackendsKnown("failed", e.IDs); err != nil {
 		return nil, Invalid, err
 	}
 	result := Duplicate
 	for _, id := range e.IDs {
-		if b := m.backend(id); !b.Failed {
-			b.Failed, b.Ramp, b.Since = true, false, m.now
-			m.dirty, result = true, OK
+		if b := m.findBackend(id); !b.Failed {
+			b.Failed, b.WarmingUp, b.Since = true, false, m.now
+			m.needsReplan, result = true, OK
 		}
 	}
 	return nil, result, nil
 }
 
 func (e BackendsRecovered) apply(m *Machine) (*plan, Result, error) {
-	if err := m.known("recovered", e.IDs); err != nil {
+	if err := m.checkBackendsKnown("recovered", e.IDs); err != nil {
 		return nil, Invalid, err
 	}
 	result := Duplicate
 	for _, id := range e.IDs {
-		if b := m.backend(id); b.Failed {
-			b.Failed, b.Ramp, b.Since = false, true, m.now
-			m.dirty, result = true, OK
+		if b := m.findBackend(id); b.Failed {
+			b.Failed, b.WarmingUp, b.Since = false, true, m.now
+			m.needsReplan, result = true, OK
 		}
 	}
 	return nil, result, nil
 }
 
 func (e SetServing) apply(m *Machine) (*plan, Result, error) {
-	if len(e.Members) > m.set.MaxServing {
-		return nil, Invalid, fmt.Errorf("window: serving: %d members are over %d", len(e.Members), m.set.MaxServing)
+	if len(e.Members) > m.settings.MaxServing {
+		return nil, Invalid, fmt.Errorf("window: serving: %d members are over %d", len(e.Members), m.settings.MaxServing)
 	}
 	for _, s := range e.Members {
 		if err := checkName("serving", "member", s); err != nil {
 			return nil, Invalid, err
 		}
 	}
-	m.serving = slices.Compact(slices.Sorted(slices.Values(e.Members)))
-	for _, p := range m.open {
-		p.Drained = slices.DeleteFunc(p.Drained, func(s string) bool { return !slices.Contains(m.serving, s) })
-		m.drainedAll(p)
+	m.servingMembers = slices.Compact(slices.Sorted(slices.Values(e.Members)))
+	for _, p := range m.openPlans {
+		p.Drained = slices.DeleteFunc(p.Drained, func(s string) bool { return !slices.Contains(m.servingMembers, s) })
+		m.completeDrain(p)
 	}
 	return nil, OK, nil
 }
 
 // drainedAll takes a window out once all that serve have confirmed.
-func (m *Machine) drainedAll(p *plan) {
-	if (p.State == Granted || p.State == Draining) && len(m.serving) > 0 && len(p.Drained) == len(m.serving) {
-		m.become(p, OutOfService, "")
+func (m *Machine) completeDrain(p *plan) {
+	if (p.State == Granted || p.State == Draining) && len(m.servingMembers) > 0 && len(p.Drained) == len(m.servingMembers) {
+		m.setState(p, OutOfService, "")
 	}
 }
 
@@ -405,8 +405,8 @@
 		return fmt.Errorf("window: floor: %d steps are over %d", len(steps), MaxFloorSteps)
 	}
 	for i, s := range steps {
-		if err := cmp.Or(within("floor", "from", int64(s.From), 0, int64(day)-1),
-			within("floor", "floor", s.Capacity, 0, MaxSize*8192)); err != nil {
+		if err := cmp.Or(checkRange("floor", "from", int64(s.From), 0, int64(day)-1),
+			checkRange("floor", "floor", s.Capacity, 0, MaxSize*8192)); err != nil {
 			return err
 		}
 		if i > 0 && s.From <= steps[i-1].From {
@@ -420,7 +420,7 @@
 	if err := cmp.Or(e.Scope.check("floor"), checkSteps(e.Steps)); err != nil {
 		return nil, Invalid, err
 	}
-	f := m.floor(e.Scope)
+	f := m.findFloor(e.Scope)
 	if f == nil {
 		if len(m.floors) >= MaxFloors {
 			return nil, Invalid, fmt.Errorf("window: floor: %d scopes have one already", MaxFloors)
@@ -429,13 +429,13 @@
 		m.floors = append(m.floors, f)
 		slices.SortFunc(m.floors, func(a, b *floor) int { return a.Scope.compare(b.Scope) })
 	}
-	m.dirty = true
-	if raises(f.Steps, e.Steps) && !m.wouldHold(e.Scope, e.Steps) {
-		f.Next = e.Steps
+	m.needsReplan = true
+	if raisesFloor(f.Steps, e.Steps) && !m.floorWouldHold(e.Scope, e.Steps) {
+		f.Pending = e.Steps
 		return nil, Pending, fmt.Errorf("window: floor: %s: pending: what is out would breach it; grants wait for it",
-			name(e.Scope))
+			scopeName(e.Scope))
 	}
-	f.Steps, f.Next = e.Steps, nil
+	f.Steps, f.Pending = e.Steps, nil
 	if len(f.Steps) == 0 {
 		m.floors = slices.DeleteFunc(m.floors, func(o *floor) bool { return o == f })
 	}
@@ -443,9 +443,9 @@
 }
 
 // raises says whether steps are above old at some time of day.
-func raises(old, steps []Step) bool {
-	for _, s := range slices.Concat(old, steps) {
-		if at(steps, s.From) > at(old, s.From) {
+func raisesFloor(current, proposed []Step) bool {
+	for _, s := range slices.Concat(current, proposed) {
+		if requiredAt(proposed, s.From) > requiredAt(current, s.From) {
 			return true
 		}
 	}
@@ -459,11 +459,11 @@
 	}
 	what := "plan " + e.ID
 	if err := cmp.Or(checkName(what, "region", e.Region),
-		within(what, "duration", int64(e.Duration), 1, int64(day)),
-		within(what, "earliest", int64(e.EarliestStart), 0, int64(maxTime)),
-		within(what, "latest", int64(e.LatestEnd), 0, int64(maxTime)),
-		within(what, "priority", int64(e.Priority), 0, MaxPriority),
-		within(what, "notice", int64(e.Notice), 0, int64(m.set.Horizon))); err != nil {
+		checkRange(what, "duration", int64(e.Duration), 1, int64(day)),
+		checkRange(what, "earliest", int64(e.EarliestStart), 0, int64(maxLogTime)),
+		checkRange(what, "latest", int64(e.LatestEnd), 0, int64(maxLogTime)),
+		checkRange(what, "priority", int64(e.Priority), 0, MaxPriority),
+		checkRange(what, "notice", int64(e.Notice), 0, int64(m.settings.Horizon))); err != nil {
 		return err
 	}
 	if e.LatestEnd < e.EarliestStart {
@@ -476,7 +476,7 @@
 		return fmt.Errorf("window: %s: backends: either these, or zone and amount", what)
 	}
 	if e.Amount != 0 {
-		return cmp.Or(within(what, "amount", e.Amount, 1, MaxSize), checkName(what, "zone", e.Zone))
+		return cmp.Or(checkRange(what, "amount", e.Amount, 1, MaxSize), checkName(what, "zone", e.Zone))
 	}
 	for _, id := range e.Backends {
 		if err := checkName(what, "backends", id); err != nil {
@@ -491,7 +491,7 @@
 }
 
 // differs names the first key in which two asks of one id differ.
-func (e *Request) differs(o *Request) string {
+func (e *Request) firstDifference(o *Request) string {
 	switch {
 	case e.Region != o.Region:
 		return "region"
@@ -518,10 +518,10 @@
 }
 
 // fits checks an ask against what the machine knows.
-func (e *Request) fits(m *Machine) error {
+func (e *Request) checkAgainst(m *Machine) error {
 	what := "plan " + e.ID
 	for _, id := range e.Backends {
-		b := m.backend(id)
+		b := m.findBackend(id)
 		if b == nil {
 			return fmt.Errorf("window: %s: backends: %s is not known", what, id)
 		}
@@ -529,16 +529,16 @@
 			return fmt.Errorf("window: %s: backends: %s is in region %s", what, id, b.Region)
 		}
 	}
-	if e.Amount > 0 && m.totals[Scope{e.Region, e.Zone}] == 0 {
+	if e.Amount > 0 && m.totalSizes[Scope{e.Region, e.Zone}] == 0 {
 		return fmt.Errorf("window: %s: zone: %s/%s has no backends", what, e.Region, e.Zone)
 	}
-	if e.LatestEnd > m.now+m.set.Horizon {
-		return fmt.Errorf("window: %s: latest: over %v ahead", what, m.set.Horizon)
+	if e.LatestEnd > m.now+m.settings.Horizon {
+		return fmt.Errorf("window: %s: latest: over %v ahead", what, m.settings.Horizon)
 	}
 	first := max(e.EarliestStart, m.now+e.Notice)
-	if need := first + e.Duration + m.set.MaxTick; need > e.LatestEnd {
+	if need := first + e.Duration + m.settings.MaxTick; need > e.LatestEnd {
 		return fmt.Errorf("window: %s: latest: needs to be %s at least (start %s, duration, and %v "+
-			"since a grant falls on an entry)", what, stamp(need), stamp(first), m.set.MaxTick)
+			"since a grant falls on an entry)", what, formatLogTime(need), formatLogTime(first), m.settings.MaxTick)
 	}
 	return nil
 }
@@ -547,43 +547,43 @@
 	if err := e.check(m); err != nil {
 		return nil, Invalid, err
 	}
-	if old := m.plan(e.ID); old != nil {
-		if key := e.differs(&old.Request); key != "" {
+	if old := m.findPlan(e.ID); old != nil {
+		if key := e.firstDifference(&old.Request); key != "" {
 			return old, Invalid, fmt.Errorf("window: plan %s: %s: differs from the plan that has this id", e.ID, key)
 		}
 		if old.Seq == 0 { // it was refused when asked
-			return old, Rejected, fmt.Errorf("window: plan %s: %s", e.ID, old.Why)
+			return old, Rejected, fmt.Errorf("window: plan %s: %s", e.ID, old.Reason)
 		}
 		return old, Duplicate, nil
 	}
-	if err := e.fits(m); err != nil {
+	if err := e.checkAgainst(m); err != nil {
 		return nil, Invalid, err
 	}
 	p := &plan{Request: e}
-	if len(m.open) >= m.set.MaxPlans {
-		p.State, p.Why = Refused, fmt.Sprintf("busy: %d plans are open", len(m.open))
-		p.Could, p.Placeable = m.firstEnd(), true
-		return p, Rejected, fmt.Errorf("window: plan %s: %s", e.ID, p.Why)
+	if len(m.openPlans) >= m.settings.MaxPlans {
+		p.State, p.Reason = Refused, fmt.Sprintf("busy: %d plans are open", len(m.openPlans))
+		p.EarliestFeasible, p.HasFeasible = m.earliestRelease(), true
+		return p, Rejected, fmt.Errorf("window: plan %s: %s", e.ID, p.Reason)
 	}
-	if why := m.admit(p); why != "" {
-		m.could(p)
-		m.become(p, Refused, why)
-		return p, Rejected, fmt.Errorf("window: plan %s: %s", e.ID, why)
+	if reason := m.admit(p); reason != "" {
+		m.findEarliestFeasible(p)
+		m.setState(p, Refused, reason)
+		return p, Rejected, fmt.Errorf("window: plan %s: %s", e.ID, reason)
 	}
 	return p, OK, nil
 }
 
 func (e Cancel) apply(m *Machine) (*plan, Result, error) {
-	p := m.plan(e.ID)
+	p := m.findPlan(e.ID)
 	switch {
 	case p == nil:
 		return nil, Invalid, fmt.Errorf("window: cancel: plan %q is not known", e.ID)
 	case p.State <= Planned:
-		m.become(p, Cancelled, "cancelled by its asker")
-		m.dirty = true
+		m.setState(p, Cancelled, "cancelled by its asker")
+		m.needsReplan = true
 	case p.State == Granted || p.State == Draining || p.State == OutOfService:
-		p.Called = true
-		m.become(p, Recalled, "recalled: cancelled by its asker")
+		p.WasRecalled = true
+		m.setState(p, Recalled, "recalled: cancelled by its asker")
 	default:
 		return p, Duplicate, nil
 	}
@@ -591,8 +591,8 @@
 }
 
 // granted finds the window that a confirmation is for.
-func (m *Machine) granted(what, id string, f Fence) (*plan, Result, error) {
-	p := m.plan(id)
+func (m *Machine) planWithFence(what, id string, f Fence) (*plan, Result, error) {
+	p := m.findPlan(id)
 	if p == nil {
 		return nil, Invalid, fmt.Errorf("window: %s: plan %q is not known", what, id)
 	}
@@ -603,48 +603,48 @@
 }
 
 func (e Drained) apply(m *Machine) (*plan, Result, error) {
-	p, result, err := m.granted("drained", e.ID, e.Fence)
+	p, result, err := m.planWithFence("drained", e.ID, e.Fence)
 	if err != nil {
 		return p, result, err
 	}
-	if !slices.Contains(m.serving, e.Member) {
+	if !slices.Contains(m.servingMembers, e.Member) {
 		return p, Invalid, fmt.Errorf("window: drained: plan %s: member: %q is not among those that serve",
 			e.ID, e.Member)
 	}
 	i, was := slices.BinarySearch(p.Drained, e.Member)
-	if was || !p.State.holding() {
+	if was || !p.State.holdsCapacity() {
 		return p, Duplicate, nil
 	}
 	p.Drained = slices.Insert(p.Drained, i, e.Member)
 	if p.State == Granted {
-		m.become(p, Draining, "")
+		m.setState(p, Draining, "")
 	}
-	m.drainedAll(p)
+	m.completeDrain(p)
 	return p, OK, nil
 }
 
 func (e Return) apply(m *Machine) (*plan, Result, error) {
-	p, result, err := m.granted("return", e.ID, e.Fence)
+	p, result, err := m.planWithFence("return", e.ID, e.Fence)
 	switch {
 	case err != nil:
 		return p, result, err
-	case !p.State.holding() || p.State == Returning || p.State == Overdue:
+	case !p.State.holdsCapacity() || p.State == Returning || p.State == Overdue:
 		return p, Duplicate, nil
 	}
-	m.become(p, Returning, "")
+	m.setState(p, Returning, "")
 	return p, OK, nil
 }
 
 func (e Returned) apply(m *Machine) (*plan, Result, error) {
-	p, result, err := m.granted("returned", e.ID, e.Fence)
+	p, result, err := m.planWithFence("returned", e.ID, e.Fence)
 	switch {
 	case err != nil:
 		return p, result, err
-	case !p.State.holding():
+	case !p.State.holdsCapacity():
 		return p, Duplicate, nil
 	}
 	p.Returned = m.now
-	m.dirty = m.dirty || m.now != p.End // else the plans count on it already
-	m.become(p, WarmingUp, "")
+	m.needsReplan = m.needsReplan || m.now != p.End // else the plans count on it already
+	m.setState(p, WarmingUp, "")
 	return p, OK, nil
 }
--- a/fleet/window/large_test.go
+++ b/fleet/window/large_test.go
@@ -21,16 +21,16 @@
 }
 
 // newLargeBench is a machine with the backends ids, of one zone each in the region r.
-func newLargeBench(t *testing.T, ids []string) *bench {
+func newLargeHarness(t *testing.T, ids []string) *harness {
 	t.Helper()
 	m, err := New(Settings{MaxServing: manyNames})
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &bench{t: t, m: m}
+	b := &harness{t: t, m: m}
 	for number, id := range ids {
 		zone := fmt.Sprintf("zone-%04d", number)
-		b.want(PutBackends{[]Backend{{ID: id, Region: "r", Zone: zone, Size: 1, SkipWarmUp: true}}}, OK, "")
+		b.applyWant(PutBackends{[]Backend{{ID: id, Region: "r", Zone: zone, Size: 1, SkipWarmUp: true}}}, OK, "")
 	}
 	return b
 }
@@ -53,7 +53,7 @@
 		}},
 		{"members that serve", func() []Entry {
 			return []Entry{SetServing{members}}
-		}, func(m *Machine) bool { return len(m.serving) == manyNames }},
+		}, func(m *Machine) bool { return len(m.servingMembers) == manyNames }},
 		{"scopes with a floor", func() (floors []Entry) {
 			for number := range manyNames {
 				floors = append(floors, SetFloor{zone(number), []Step{{Capacity: 1}}})
@@ -65,9 +65,9 @@
 		}, func(m *Machine) bool { return len(m.backends) == manyNames && !m.backends[0].Failed }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			b := newLargeBench(t, ids)
+			b := newLargeHarness(t, ids)
 			for _, e := range c.entries() {
-				b.want(e, OK, "")
+				b.applyWant(e, OK, "")
 			}
 			if !c.right(b.m) {
 				t.Error("it is not there")
--- a/fleet/window/machine_test.go
+++ b/fleet/window/machine_test.go
@@ -9,26 +9,26 @@
 )
 
 // bench is one machine that a table test drives.
-type bench struct {
+type harness struct {
 	t     *testing.T
 	m     *Machine
 	index uint64
 }
 
-func newBench(t *testing.T) *bench {
+func newHarness(t *testing.T) *harness {
 	m, err := New(Settings{MaxTick: time.Hour, MaxPlans: 3, History: 2})
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &bench{t: t, m: m}
-	b.do(PutBackends{[]Backend{
+	b := &harness{t: t, m: m}
+	b.apply(PutBackends{[]Backend{
 		{"a", "north", "n1", 10, 10 * minute, 500, true}, {"b", "north", "n1", 10, 10 * minute, 500, true},
 		{"c", "north", "n2", 10, 0, 0, true}, {"d", "south", "s1", 10, 0, 0, true}}})
-	b.do(SetServing{[]string{"m1", "m2"}})
+	b.apply(SetServing{[]string{"m1", "m2"}})
 	return b
 }
 
-func (b *bench) do(e Entry) Answer {
+func (b *harness) apply(e Entry) Answer {
 	b.t.Helper()
 	data, err := Encode(e)
 	if err != nil {
@@ -39,16 +39,16 @@
 }
 
 // want does an entry and checks the result and a part of the answer's line.
-func (b *bench) want(e Entry, r Result, part string) Answer {
+func (b *harness) applyWant(e Entry, r Result, part string) Answer {
 	b.t.Helper()
-	a := b.do(e)
+	a := b.apply(e)
 	if line := a.Describe(); a.Result != r || !strings.Contains(line, part) {
 		b.t.Fatalf("%T%+v: %s\nwant %v and %q", e, e, line, r, part)
 	}
 	return a
 }
 
-func (b *bench) state(id string, s State) Window {
+func (b *harness) wantState(id string, s State) Window {
 	b.t.Helper()
 	w, ok := b.m.Window(id)
 	if !ok || w.State != s {
@@ -58,7 +58,7 @@
 }
 
 // ask is a plan for backend a that can start at once.
-func ask(change func(*Request)) Request {
+func newRequest(change func(*Request)) Request {
 	e := Request{ID: "p", Region: "north", Backends: []string{"a"}, Duration: 30 * minute, LatestEnd: 10 * time.Hour}
 	if change != nil {
 		change(&e)
@@ -66,9 +66,9 @@
 	return e
 }
 
-func TestStates(t *testing.T) {
-	later := ask(func(e *Request) { e.EarliestStart = time.Hour })
-	grant := []Entry{ask(nil)}
+func TestStateTransitions(t *testing.T) {
+	later := newRequest(func(e *Request) { e.EarliestStart = time.Hour })
+	grant := []Entry{newRequest(nil)}
 	for _, c := range []struct {
 		name    string
 		entries func(f Fence) []Entry // after the grant's, f being its fence
@@ -82,7 +82,7 @@
 			SetFloor{Scope{"north", "n1"}, []Step{{0, 10}}}}, Planned, ""},
 		{"asked to cancelled", nil, []Entry{later, SetFloor{Scope{"north", "n1"}, []Step{{0, 20}}}, Cancel{"p"}}, Cancelled, "by its asker"},
 		{"planned to cancelled", nil, []Entry{later, Cancel{"p"}}, Cancelled, "by its asker"},
-		{"planned to refused", nil, []Entry{ask(func(e *Request) { e.EarliestStart, e.LatestEnd = time.Hour, 3*time.Hour }),
+		{"planned to refused", nil, []Entry{newRequest(func(e *Request) { e.EarliestStart, e.LatestEnd = time.Hour, 3*time.Hour }),
 			BackendsFailed{[]string{"b"}}, SetFloor{Scope{"north", "n1"}, []Step{{0, 10}}}, Tick{time.Hour}, Tick{time.Hour}, Tick{time.Hour}},
 			Refused, "end: no room before the latest end"},
 		{"planned to granted", nil, grant, Granted, ""},
@@ -114,7 +114,7 @@
 		}, grant, OutOfService, ""},
 		{"out to recalled, as its asker allows", func(f Fence) []Entry {
 			return []Entry{SetFloor{Scope{"north", "n1"}, []Step{{0, 10}}}, Drained{"p", f, "m1"}, Drained{"p", f, "m2"}, BackendsFailed{[]string{"b"}}}
-		}, []Entry{ask(func(e *Request) { e.Recallable = true })}, Recalled, "below its floor"},
+		}, []Entry{newRequest(func(e *Request) { e.Recallable = true })}, Recalled, "below its floor"},
 		{"its own backend's failure does not recall", func(f Fence) []Entry {
 			return []Entry{SetFloor{Scope{"north", "n1"}, []Step{{0, 10}}}, BackendsFailed{[]string{"a"}}}
 		}, grant, Granted, ""},
@@ -134,16 +134,16 @@
 		}, grant, Granted, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			b := newBench(t)
+			b := newHarness(t)
 			for _, e := range c.first {
-				b.do(e)
+				b.apply(e)
 			}
 			if c.entries != nil {
-				for _, e := range c.entries(b.state("p", Granted).Fence) {
-					b.do(e)
+				for _, e := range c.entries(b.wantState("p", Granted).Fence) {
+					b.apply(e)
 				}
 			}
-			if w := b.state("p", c.want); !strings.Contains(w.Reason, c.why) {
+			if w := b.wantState("p", c.want); !strings.Contains(w.Reason, c.why) {
 				t.Errorf("why %q, want %q", w.Reason, c.why)
 			}
 		})
@@ -174,8 +174,8 @@
 		{nil, put(func(x *Backend) { x.InitialPermille = 1001 }), Invalid, "cold: 1001"},
 		{nil, put(func(x *Backend) { x.WarmUpTime = -1 }), Invalid, "warm: -1"},
 		{nil, PutBackends{[]Backend{{"x", "r", "z", 1, 0, 0, true}, {"x", "r", "z", 1, 0, 0, true}}}, Invalid, "twice"},
-		{[]Entry{ask(nil)}, PutBackends{[]Backend{{"a", "north", "n2", 1, 0, 0, true}}}, Invalid, "zone: can't change while plan p"},
-		{[]Entry{ask(nil)}, RemoveBackends{[]string{"a"}}, Invalid, "plan p names it"},
+		{[]Entry{newRequest(nil)}, PutBackends{[]Backend{{"a", "north", "n2", 1, 0, 0, true}}}, Invalid, "zone: can't change while plan p"},
+		{[]Entry{newRequest(nil)}, RemoveBackends{[]string{"a"}}, Invalid, "plan p names it"},
 		{nil, RemoveBackends{[]string{"x"}}, Invalid, "remove: backend \\\"x\\\" is not known"},
 		{nil, BackendsFailed{[]string{"x"}}, Invalid, "failed: backend"},
 		{nil, BackendsRecovered{[]string{"x"}}, Invalid, "recovered: backend"},
@@ -186,56 +186,56 @@
 		{nil, SetFloor{Scope{}, []Step{{0, -1}}}, Invalid, "floor: -1"},
 		{nil, SetFloor{Scope{}, []Step{{minute, 1}, {minute, 2}}}, Invalid, "is not after"},
 		{nil, SetFloor{Scope{}, make([]Step, MaxFloorSteps+1)}, Invalid, "steps are over"},
-		{[]Entry{ask(nil)}, SetFloor{Scope{}, []Step{{0, 35}}}, Pending, "floor: all: pending"},
-		{nil, ask(func(e *Request) { e.ID = strings.Repeat("x", MaxIDBytes+1) }), Invalid, "ask: id: 65 bytes"},
-		{nil, ask(func(e *Request) { e.Region = "" }), Invalid, "plan p: region"},
-		{nil, ask(func(e *Request) { e.Duration = 0 }), Invalid, "duration: 0"},
-		{nil, ask(func(e *Request) { e.EarliestStart, e.LatestEnd = 2, 1 }), Invalid, "window: plan p: end before start"},
-		{nil, ask(func(e *Request) { e.LatestEnd = time.Hour }), Invalid, "latest: needs to be 0d01:30:00 at least"},
-		{nil, ask(func(e *Request) { e.LatestEnd = 15 * day }), Invalid, "latest: over 336h"},
-		{nil, ask(func(e *Request) { e.Priority = 10 }), Invalid, "priority: 10"},
-		{nil, ask(func(e *Request) { e.Notice = -1 }), Invalid, "notice: -1"},
-		{nil, ask(func(e *Request) { e.Backends = nil }), Invalid, "backends: either these"},
-		{nil, ask(func(e *Request) { e.Zone, e.Amount = "n1", 1 }), Invalid, "backends: either these"},
-		{nil, ask(func(e *Request) { e.Backends = []string{"a", "a"} }), Invalid, "named twice"},
-		{nil, ask(func(e *Request) { e.Backends = many }), Invalid, "backends: 1281 are over 1280"},
-		{nil, ask(func(e *Request) { e.Backends = []string{"x"} }), Invalid, "backends: x is not known"},
-		{nil, ask(func(e *Request) { e.Backends = []string{"d"} }), Invalid, "backends: d is in region south"},
-		{nil, ask(func(e *Request) { e.Backends, e.Zone, e.Amount = nil, "n9", 1 }), Invalid, "zone: north/n9 has no backends"},
-		{nil, ask(func(e *Request) { e.Backends, e.Zone, e.Amount = nil, "n1", 21 }), Rejected, "earliest=none"},
-		{[]Entry{SetFloor{Scope{"north", ""}, []Step{{0, 30}}}}, ask(nil), Rejected, "no room: north would have 20"},
-		{[]Entry{SetFloor{Scope{}, []Step{{0, 40}, {12 * time.Hour, 0}}}}, ask(nil), Rejected, "earliest=0d12:00:00"},
-		{[]Entry{ask(nil)}, ask(func(e *Request) { e.ID, e.LatestEnd = "q", 100*minute }), Rejected, "plan p has a backend of it"},
-		{[]Entry{ask(func(e *Request) { e.LatestEnd = 100 * minute })},
-			ask(func(e *Request) { e.ID, e.Priority, e.LatestEnd = "q", 9, 100*minute }), Rejected, "earliest=0d00:40:00"},
-		{[]Entry{ask(nil)}, ask(nil), Duplicate, "state=granted"},
-		{[]Entry{ask(nil)}, ask(func(e *Request) { e.Duration++ }), Invalid, "plan p: duration: differs"},
-		{[]Entry{ask(nil)}, ask(func(e *Request) { e.Recallable = true }), Invalid, "plan p: recall: differs"},
-		{[]Entry{ask(nil)}, ask(func(e *Request) { e.Backends = []string{"b"} }), Invalid, "plan p: backends: differs"},
-		{[]Entry{SetFloor{Scope{"north", ""}, []Step{{0, 30}}}, ask(nil)}, ask(nil), Rejected, "no room: north would have 20"},
-		{[]Entry{ask(nil), ask(func(e *Request) { e.ID = "q" }), ask(func(e *Request) { e.ID = "r" })},
-			ask(func(e *Request) { e.ID = "s" }), Rejected, "busy: 3 plans are open"},
+		{[]Entry{newRequest(nil)}, SetFloor{Scope{}, []Step{{0, 35}}}, Pending, "floor: all: pending"},
+		{nil, newRequest(func(e *Request) { e.ID = strings.Repeat("x", MaxIDBytes+1) }), Invalid, "ask: id: 65 bytes"},
+		{nil, newRequest(func(e *Request) { e.Region = "" }), Invalid, "plan p: region"},
+		{nil, newRequest(func(e *Request) { e.Duration = 0 }), Invalid, "duration: 0"},
+		{nil, newRequest(func(e *Request) { e.EarliestStart, e.LatestEnd = 2, 1 }), Invalid, "window: plan p: end before start"},
+		{nil, newRequest(func(e *Request) { e.LatestEnd = time.Hour }), Invalid, "latest: needs to be 0d01:30:00 at least"},
+		{nil, newRequest(func(e *Request) { e.LatestEnd = 15 * day }), Invalid, "latest: over 336h"},
+		{nil, newRequest(func(e *Request) { e.Priority = 10 }), Invalid, "priority: 10"},
+		{nil, newRequest(func(e *Request) { e.Notice = -1 }), Invalid, "notice: -1"},
+		{nil, newRequest(func(e *Request) { e.Backends = nil }), Invalid, "backends: either these"},
+		{nil, newRequest(func(e *Request) { e.Zone, e.Amount = "n1", 1 }), Invalid, "backends: either these"},
+		{nil, newRequest(func(e *Request) { e.Backends = []string{"a", "a"} }), Invalid, "named twice"},
+		{nil, newRequest(func(e *Request) { e.Backends = many }), Invalid, "backends: 1281 are over 1280"},
+		{nil, newRequest(func(e *Request) { e.Backends = []string{"x"} }), Invalid, "backends: x is not known"},
+		{nil, newRequest(func(e *Request) { e.Backends = []string{"d"} }), Invalid, "backends: d is in region south"},
+		{nil, newRequest(func(e *Request) { e.Backends, e.Zone, e.Amount = nil, "n9", 1 }), Invalid, "zone: north/n9 has no backends"},
+		{nil, newRequest(func(e *Request) { e.Backends, e.Zone, e.Amount = nil, "n1", 21 }), Rejected, "earliest=none"},
+		{[]Entry{SetFloor{Scope{"north", ""}, []Step{{0, 30}}}}, newRequest(nil), Rejected, "no room: north would have 20"},
+		{[]Entry{SetFloor{Scope{}, []Step{{0, 40}, {12 * time.Hour, 0}}}}, newRequest(nil), Rejected, "earliest=0d12:00:00"},
+		{[]Entry{newRequest(nil)}, newRequest(func(e *Request) { e.ID, e.LatestEnd = "q", 100*minute }), Rejected, "plan p has a backend of it"},
+		{[]Entry{newRequest(func(e *Request) { e.LatestEnd = 100 * minute })},
+			newRequest(func(e *Request) { e.ID, e.Priority, e.LatestEnd = "q", 9, 100*minute }), Rejected, "earliest=0d00:40:00"},
+		{[]Entry{newRequest(nil)}, newRequest(nil), Duplicate, "state=granted"},
+		{[]Entry{newRequest(nil)}, newRequest(func(e *Request) { e.Duration++ }), Invalid, "plan p: duration: differs"},
+		{[]Entry{newRequest(nil)}, newRequest(func(e *Request) { e.Recallable = true }), Invalid, "plan p: recall: differs"},
+		{[]Entry{newRequest(nil)}, newRequest(func(e *Request) { e.Backends = []string{"b"} }), Invalid, "plan p: backends: differs"},
+		{[]Entry{SetFloor{Scope{"north", ""}, []Step{{0, 30}}}, newRequest(nil)}, newRequest(nil), Rejected, "no room: north would have 20"},
+		{[]Entry{newRequest(nil), newRequest(func(e *Request) { e.ID = "q" }), newRequest(func(e *Request) { e.ID = "r" })},
+			newRequest(func(e *Request) { e.ID = "s" }), Rejected, "busy: 3 plans are open"},
 		{nil, Cancel{"x"}, Invalid, "cancel: plan \\\"x\\\" is not known"},
-		{[]Entry{ask(nil), Cancel{"p"}}, Cancel{"p"}, Duplicate, ""},
+		{[]Entry{newRequest(nil), Cancel{"p"}}, Cancel{"p"}, Duplicate, ""},
 		{nil, Drained{"x", 1, "m1"}, Invalid, "drained: plan \\\"x\\\""},
-		{[]Entry{ask(nil)}, Drained{"p", 1, "m1"}, Stale, "fence: 0.1 is not that of the grant"},
-		{[]Entry{ask(nil)}, Drained{"p", 3 << fenceBits, "m9"}, Invalid, "member: \\\"m9\\\" is not among"},
-		{[]Entry{ask(nil)}, Return{"p", 1}, Stale, "return: plan p: fence"},
-		{[]Entry{ask(nil), Returned{"p", 3 << fenceBits}}, Returned{"p", 3 << fenceBits}, Duplicate, ""},
-		{[]Entry{ask(func(e *Request) { e.EarliestStart = 1 })}, Returned{"p", 0}, Stale, "returned: plan p: fence"},
+		{[]Entry{newRequest(nil)}, Drained{"p", 1, "m1"}, Stale, "fence: 0.1 is not that of the grant"},
+		{[]Entry{newRequest(nil)}, Drained{"p", 3 << fenceGrantBits, "m9"}, Invalid, "member: \\\"m9\\\" is not among"},
+		{[]Entry{newRequest(nil)}, Return{"p", 1}, Stale, "return: plan p: fence"},
+		{[]Entry{newRequest(nil), Returned{"p", 3 << fenceGrantBits}}, Returned{"p", 3 << fenceGrantBits}, Duplicate, ""},
+		{[]Entry{newRequest(func(e *Request) { e.EarliestStart = 1 })}, Returned{"p", 0}, Stale, "returned: plan p: fence"},
 	} {
 		t.Run(fmt.Sprintf("%T %s", c.e, c.part), func(t *testing.T) {
-			b := newBench(t)
+			b := newHarness(t)
 			for _, e := range c.first {
-				b.do(e)
+				b.apply(e)
 			}
-			b.want(c.e, c.want, c.part)
+			b.applyWant(c.e, c.want, c.part)
 		})
 	}
 }
 
 func TestBytesAreChecked(t *testing.T) {
-	b := newBench(t)
+	b := newHarness(t)
 	before, _ := b.m.Snapshot()
 	good, _ := Encode(Tick{minute})
 	for _, c := range []struct {
@@ -263,16 +263,16 @@
 // TestWarmUp follows what counts as out: all of it to the return, then the cold
 // share, rising.
 func TestWarmUp(t *testing.T) {
-	b := newBench(t)
-	b.do(SetFloor{Scope{"north", "n1"}, []Step{{0, 1}}})
-	b.do(ask(nil))
-	f := b.state("p", Granted).Fence
+	b := newHarness(t)
+	b.apply(SetFloor{Scope{"north", "n1"}, []Step{{0, 1}}})
+	b.apply(newRequest(nil))
+	f := b.wantState("p", Granted).Fence
 	for _, c := range []struct {
 		e    Entry
 		have int64
 	}{{Tick{minute}, 10}, {Return{"p", f}, 10}, {Returned{"p", f}, 15}, {Tick{5 * minute}, 17}, {Tick{4 * minute}, 19},
 		{Tick{minute}, 20}, {BackendsFailed{[]string{"b"}}, 10}, {BackendsRecovered{[]string{"b"}}, 15}, {Tick{10 * minute}, 20}} {
-		b.do(c.e)
+		b.apply(c.e)
 		if got := b.m.Floors()[0].Available; got != c.have {
 			t.Fatalf("after %T%+v: %d, want %d", c.e, c.e, got, c.have)
 		}
@@ -281,16 +281,16 @@
 
 // TestPendingFloor: not in force while it would be breached, and no grant meanwhile.
 func TestPendingFloor(t *testing.T) {
-	b := newBench(t)
-	b.do(ask(nil))
-	f := b.state("p", Granted).Fence
-	b.want(SetFloor{Scope{"north", "n1"}, []Step{{0, 20}}}, Pending, "grants wait for it")
+	b := newHarness(t)
+	b.apply(newRequest(nil))
+	f := b.wantState("p", Granted).Fence
+	b.applyWant(SetFloor{Scope{"north", "n1"}, []Step{{0, 20}}}, Pending, "grants wait for it")
 	if line := b.m.Floors()[0].Describe(); line != "FLOOR north/n1 state=held floor=0 have=10 total=20 steps=none pending=00:00=20" {
 		t.Error(line)
 	}
-	b.want(ask(func(e *Request) { e.ID, e.Backends = "q", []string{"b"} }), Rejected, "floor is 20")
-	b.do(Returned{"p", f})
-	a := b.do(Tick{10 * minute})
+	b.applyWant(newRequest(func(e *Request) { e.ID, e.Backends = "q", []string{"b"} }), Rejected, "floor is 20")
+	b.apply(Returned{"p", f})
+	a := b.apply(Tick{10 * minute})
 	if last := a.Events[len(a.Events)-1].Describe(); last != "FLOOR north/n1 state=in-force floor=20" {
 		t.Error(last)
 	}
@@ -298,13 +298,13 @@
 
 // TestLatestGrantIsRecalledFirst, and no more than it takes.
 func TestLatestGrantIsRecalledFirst(t *testing.T) {
-	b := newBench(t)
-	b.do(SetFloor{Scope{"north", ""}, []Step{{0, 10}}})
-	b.do(ask(nil))
-	b.do(ask(func(e *Request) { e.ID, e.Backends = "q", []string{"b"} }))
-	a := b.do(BackendsFailed{[]string{"c"}})
-	b.state("p", Granted)
-	b.state("q", Recalled)
+	b := newHarness(t)
+	b.apply(SetFloor{Scope{"north", ""}, []Step{{0, 10}}})
+	b.apply(newRequest(nil))
+	b.apply(newRequest(func(e *Request) { e.ID, e.Backends = "q", []string{"b"} }))
+	a := b.apply(BackendsFailed{[]string{"c"}})
+	b.wantState("p", Granted)
+	b.wantState("q", Recalled)
 	if !strings.Contains(a.Events[len(a.Events)-1].Describe(), "FLOOR north state=short floor=10 have=0") {
 		t.Errorf("%v", a.Events)
 	}
@@ -312,44 +312,44 @@
 
 // TestBackfill: a small plan passes a large one that waits, and does not delay it.
 func TestBackfill(t *testing.T) {
-	b := newBench(t)
-	b.m.set.MaxTick = minute
-	b.do(SetFloor{Scope{"north", ""}, []Step{{0, 10}}})
-	b.do(ask(nil)) // a until 0:30, warm at 0:40
-	b.do(ask(func(e *Request) { e.ID, e.Backends, e.Priority = "large", []string{"b", "c"}, 5 }))
-	large := b.state("large", Planned)
+	b := newHarness(t)
+	b.m.settings.MaxTick = minute
+	b.apply(SetFloor{Scope{"north", ""}, []Step{{0, 10}}})
+	b.apply(newRequest(nil)) // a until 0:30, warm at 0:40
+	b.apply(newRequest(func(e *Request) { e.ID, e.Backends, e.Priority = "large", []string{"b", "c"}, 5 }))
+	large := b.wantState("large", Planned)
 	if large.Start != 40*minute {
 		t.Errorf("large at %v", large.Start)
 	}
-	b.do(ask(func(e *Request) { e.ID, e.Backends, e.Duration = "small", []string{"c"}, 20*minute }))
-	b.state("small", Granted)
-	if got := b.state("large", Planned); got.Start != large.Start {
+	b.apply(newRequest(func(e *Request) { e.ID, e.Backends, e.Duration = "small", []string{"c"}, 20*minute }))
+	b.wantState("small", Granted)
+	if got := b.wantState("large", Planned); got.Start != large.Start {
 		t.Errorf("large moved from %v to %v", large.Start, got.Start)
 	}
-	b.do(Returned{"small", b.state("small", Granted).Fence})
-	b.do(Tick{minute})
-	b.do(ask(func(e *Request) { e.ID, e.Backends, e.Duration = "long", []string{"c"}, 50*minute }))
-	if long := b.state("long", Planned); long.Start < large.Start+30*minute {
+	b.apply(Returned{"small", b.wantState("small", Granted).Fence})
+	b.apply(Tick{minute})
+	b.apply(newRequest(func(e *Request) { e.ID, e.Backends, e.Duration = "long", []string{"c"}, 50*minute }))
+	if long := b.wantState("long", Planned); long.Start < large.Start+30*minute {
 		t.Errorf("long at %v, before large is back", long.Start)
 	}
-	if got := b.state("large", Planned); got.Start != large.Start {
+	if got := b.wantState("large", Planned); got.Start != large.Start {
 		t.Errorf("large moved from %v to %v", large.Start, got.Start)
 	}
 }
 
 // TestOldAnswers: a repeated id has its old answer as long as the history goes.
-func TestOldAnswers(t *testing.T) {
-	b := newBench(t)
+func TestRepeatedIDGetsStoredAnswer(t *testing.T) {
+	b := newHarness(t)
 	for _, id := range []string{"p", "q", "r"} {
-		b.do(ask(func(e *Request) { e.ID = id }))
-		b.do(Cancel{id})
-		b.do(Returned{id, Fence(b.index-1) << fenceBits})
-		b.do(Tick{10 * minute})
+		b.apply(newRequest(func(e *Request) { e.ID = id }))
+		b.apply(Cancel{id})
+		b.apply(Returned{id, Fence(b.index-1) << fenceGrantBits})
+		b.apply(Tick{10 * minute})
 	}
-	b.want(ask(func(e *Request) { e.ID = "r" }), Duplicate, "state=done")
-	b.want(ask(func(e *Request) { e.ID = "q" }), Duplicate, "state=done")
-	b.want(ask(nil), OK, "state=granted")                                 // forgotten: a new plan
-	b.want(Returned{"p", 3 << fenceBits}, Stale, "not that of the grant") // of its first life
+	b.applyWant(newRequest(func(e *Request) { e.ID = "r" }), Duplicate, "state=done")
+	b.applyWant(newRequest(func(e *Request) { e.ID = "q" }), Duplicate, "state=done")
+	b.applyWant(newRequest(nil), OK, "state=granted")                               // forgotten: a new plan
+	b.applyWant(Returned{"p", 3 << fenceGrantBits}, Stale, "not that of the grant") // of its first life
 }
 
 func TestSettings(t *testing.T) {
@@ -366,20 +366,20 @@
 
 func FuzzDecode(f *testing.F) {
 	for seed := range uint64(4) {
-		r := newRun(seeded(seed), breaker{})
-		r.asks = []Request{ask(nil)}
+		r := newRun(seededDraw(seed), faultInjection{})
+		r.requests = []Request{newRequest(nil)}
 		for range 40 {
-			if data, err := Encode(r.next()); err == nil {
+			if data, err := Encode(r.nextEntry()); err == nil {
 				f.Add(data)
 			}
 		}
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		b := newBench(t)
-		b.do(ask(nil))
+		b := newHarness(t)
+		b.apply(newRequest(nil))
 		b.index++
 		b.m.Apply(b.index, data)
-		b.do(Tick{time.Hour})
+		b.apply(Tick{time.Hour})
 		e, err := Decode(data)
 		if err != nil {
 			return
@@ -396,9 +396,9 @@
 
 func FuzzRestore(f *testing.F) {
 	for seed := range uint64(4) {
-		r := newRun(seeded(seed), breaker{})
-		_ = r.schedule(60)
-		data, _ := r.a.Snapshot()
+		r := newRun(seededDraw(seed), faultInjection{})
+		_ = r.play(60)
+		data, _ := r.first.Snapshot()
 		f.Add(data)
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
--- a/fleet/window/makespan_test.go
+++ b/fleet/window/makespan_test.go
@@ -14,15 +14,15 @@
 // makespanSet is one random set of plans, all asked at the start, that are drained
 // at once and returned at their end.
 type makespanSet struct {
-	rng      *rand.Rand
-	m        *Machine
-	index    uint64
-	backends []Backend
-	floors   map[Scope][]Step
-	plans    []Request
-	named    map[string]int
-	share    float64       // a plan takes no more of the least room of a scope; 0: any
-	last     time.Duration // end of the last warm-up
+	rng        *rand.Rand
+	m          *Machine
+	index      uint64
+	backends   []Backend
+	floors     map[Scope][]Step
+	plans      []Request
+	nameCounts map[string]int
+	maxShare   float64       // a plan takes no more of the least room of a scope; 0: any
+	lastDone   time.Duration // end of the last warm-up
 }
 
 func (s *makespanSet) apply(t *testing.T, e Entry) Answer {
@@ -34,7 +34,7 @@
 	a := s.m.Apply(s.index, data)
 	for _, ev := range a.Events {
 		if ev.Kind == EventState && ev.Window.State == Done {
-			s.last = a.Now
+			s.lastDone = a.Now
 		}
 	}
 	return a
@@ -81,7 +81,7 @@
 	}
 }
 
-func (s *makespanSet) ask(t *testing.T, n int) {
+func (s *makespanSet) request(t *testing.T, n int) {
 	first := s.backends[s.rng.IntN(len(s.backends))]
 	e := Request{ID: fmt.Sprint("p", n), Region: first.Region, Duration: time.Duration(s.between(10, 40)) * minute,
 		EarliestStart: time.Duration(max(0, s.between(-90, 30))) * minute, LatestEnd: 13 * day, Priority: s.rng.IntN(4),
@@ -96,16 +96,16 @@
 			}
 		}
 	}
-	if s.share > 0 && s.largest(e) > s.share {
+	if s.maxShare > 0 && s.largestShare(e) > s.maxShare {
 		return
 	}
 	for _, id := range e.Backends {
-		if s.named[id] >= 1 {
+		if s.nameCounts[id] >= 1 {
 			return
 		}
 	}
 	for _, id := range e.Backends {
-		s.named[id]++
+		s.nameCounts[id]++
 	}
 	if s.apply(t, e).Result == OK { // else it is larger than the room at any time
 		s.plans = append(s.plans, e)
@@ -114,7 +114,7 @@
 
 // bound is the lower bound: in each scope the work, warm-ups in, over the room; the
 // longest plan; and for each backend the plans that name it one after the other.
-func (s *makespanSet) bound() time.Duration {
+func (s *makespanSet) lowerBound() time.Duration {
 	var most time.Duration
 	work := map[Scope]map[time.Duration]float64{} // size times minutes, by the earliest start
 	chain := map[string]time.Duration{}
@@ -158,10 +158,10 @@
 		}
 	}
 	for sc, w := range work {
-		most = max(most, s.oneByOne(sc))
+		most = max(most, s.exclusiveChain(sc))
 		var total int64
 		for _, b := range s.backends {
-			if in(sc, b.Region, b.Zone) {
+			if scopeContains(sc, b.Region, b.Zone) {
 				total += b.Size
 			}
 		}
@@ -170,7 +170,7 @@
 			if more, ok := w[t]; ok {
 				open, ahead = open+more, ahead-1
 			}
-			open = max(0, open-max(0, float64(total)-floorAt(s.floors[sc], t)))
+			open = max(0, open-max(0, float64(total)-modelFloorAt(s.floors[sc], t)))
 		}
 		most = max(most, t)
 	}
@@ -178,14 +178,14 @@
 }
 
 // largest is the most that a plan takes of the least room of a scope.
-func (s *makespanSet) largest(e Request) (most float64) {
+func (s *makespanSet) largestShare(e Request) (most float64) {
 	for sc, steps := range s.floors {
 		var room, size, floor int64
-		if in(sc, e.Region, e.Zone) {
+		if scopeContains(sc, e.Region, e.Zone) {
 			size = e.Amount
 		}
 		for _, b := range s.backends {
-			if !in(sc, b.Region, b.Zone) {
+			if !scopeContains(sc, b.Region, b.Zone) {
 				continue
 			}
 			room += b.Size
@@ -203,26 +203,26 @@
 
 // oneByOne is the chain of the plans of a scope of which no two can be out
 // together, as each takes more than half of the most room there ever is.
-func (s *makespanSet) oneByOne(sc Scope) time.Duration {
-	var total, least int64 = 0, never64
+func (s *makespanSet) exclusiveChain(sc Scope) time.Duration {
+	var total, least int64 = 0, unboundedTime64
 	sizes := map[string]Backend{}
 	for _, b := range s.backends {
 		sizes[b.ID] = b
-		if in(sc, b.Region, b.Zone) {
+		if scopeContains(sc, b.Region, b.Zone) {
 			total += b.Size
 		}
 	}
 	for _, step := range s.floors[sc] {
 		least = min(least, step.Capacity)
 	}
-	sum, first := time.Duration(0), time.Duration(never64)
+	sum, first := time.Duration(0), time.Duration(unboundedTime64)
 	for _, p := range s.plans {
 		var size int64
-		if in(sc, p.Region, p.Zone) {
+		if scopeContains(sc, p.Region, p.Zone) {
 			size = p.Amount
 		}
 		for _, id := range p.Backends {
-			if b := sizes[id]; in(sc, b.Region, b.Zone) {
+			if b := sizes[id]; scopeContains(sc, b.Region, b.Zone) {
 				size += b.Size
 			}
 		}
@@ -237,12 +237,12 @@
 	return first + sum
 }
 
-const never64 = int64(never)
+const unboundedTime64 = int64(unboundedTime)
 
 func (s *makespanSet) run(t *testing.T) {
-	for len(s.m.open) > 0 {
+	for len(s.m.openPlans) > 0 {
 		for _, w := range s.m.List() {
-			if w.State.holding() && s.m.Now() >= w.End {
+			if w.State.holdsCapacity() && s.m.Now() >= w.End {
 				s.apply(t, Returned{w.Request.ID, w.Fence})
 			}
 		}
@@ -269,19 +269,19 @@
 			t.Fatal(err)
 		}
 		s := &makespanSet{rng: rand.New(rand.NewPCG(seed, 7)), m: m, floors: map[Scope][]Step{},
-			share: 1. / 3, named: map[string]int{}}
+			maxShare: 1. / 3, nameCounts: map[string]int{}}
 		s.build(t, seed%2 == 1)
 		want := s.between(80, 110)
 		for n := 0; n < 400 && len(s.plans) < want; n++ {
-			s.ask(t, n)
+			s.request(t, n)
 		}
-		bound := s.bound()
+		bound := s.lowerBound()
 		s.run(t)
-		ratio := float64(s.last) / float64(bound)
+		ratio := float64(s.lastDone) / float64(bound)
 		worst, sum = max(worst, ratio), sum+ratio
 		count += len(s.plans)
 		if ratio > 1.3 {
-			t.Errorf("set %d: %d plans end at %v, bound %v: %.3f", seed, len(s.plans), s.last, bound, ratio)
+			t.Errorf("set %d: %d plans end at %v, bound %v: %.3f", seed, len(s.plans), s.lastDone, bound, ratio)
 		}
 	}
 	t.Logf("%d sets, %d plans: end over lower bound: mean %.3f, worst %.3f", sets, count, sum/float64(sets), worst)
--- a/fleet/window/model_test.go
+++ b/fleet/window/model_test.go
@@ -14,54 +14,54 @@
 // from outside: entries and answers, and the list where it says so. It keeps no
 // plan and knows nothing of the planner.
 
-type held struct {
-	ask        Request
+type activeWindow struct {
+	request    Request
 	fence      Fence
 	start, end time.Duration
 	returned   time.Duration // -1: not yet
-	called     bool
+	recalled   bool
 	drained    map[string]bool
 }
 
-type promise struct {
-	ask   Request
-	index uint64 // of the entry that took it
-	at    time.Duration
-	start time.Duration // last told
-	state State
-	hope  bool // it was told that it counts on what is out by itself to come back
+type acceptedPlan struct {
+	request           Request
+	index             uint64 // of the entry that took it
+	requestedAt       time.Duration
+	announcedStart    time.Duration // last told
+	state             State
+	dependsOnRecovery bool // it was told that it counts on what is out by itself to come back
 }
 
 type model struct {
-	set       Settings
-	now       time.Duration
-	index     uint64
-	backends  map[string]Backend
-	failed    map[string]bool
-	ramp      map[string]time.Duration // start of a warm-up of its own
-	floors    map[Scope][]Step         // asked last
-	inForce   map[Scope][]Step
-	serving   map[string]bool
-	holds     map[string]*held
-	promises  map[string]*promise
-	lastFence map[string]Fence
-	disturbed uint64 // index of the last entry after which less may be there than was known
-	lastGrant map[Scope]uint64
-}
-
-func newModel(set Settings) *model {
-	return &model{set: set, backends: map[string]Backend{}, failed: map[string]bool{},
-		ramp: map[string]time.Duration{}, floors: map[Scope][]Step{}, inForce: map[Scope][]Step{},
-		serving: map[string]bool{}, holds: map[string]*held{}, promises: map[string]*promise{},
-		lastFence: map[string]Fence{}, lastGrant: map[Scope]uint64{}}
-}
-
-func in(sc Scope, region, zone string) bool {
+	settings        Settings
+	now             time.Duration
+	index           uint64
+	backends        map[string]Backend
+	failed          map[string]bool
+	warmUpStart     map[string]time.Duration // start of a warm-up of its own
+	requestedFloors map[Scope][]Step         // asked last
+	activeFloors    map[Scope][]Step
+	serving         map[string]bool
+	active          map[string]*activeWindow
+	accepted        map[string]*acceptedPlan
+	lastFence       map[string]Fence
+	lastDisturbance uint64 // index of the last entry after which less may be there than was known
+	lastGrantIndex  map[Scope]uint64
+}
+
+func newModel(settings Settings) *model {
+	return &model{settings: settings, backends: map[string]Backend{}, failed: map[string]bool{},
+		warmUpStart: map[string]time.Duration{}, requestedFloors: map[Scope][]Step{}, activeFloors: map[Scope][]Step{},
+		serving: map[string]bool{}, active: map[string]*activeWindow{}, accepted: map[string]*acceptedPlan{},
+		lastFence: map[string]Fence{}, lastGrantIndex: map[Scope]uint64{}}
+}
+
+func scopeContains(sc Scope, region, zone string) bool {
 	return sc == Scope{} || sc == Scope{Region: region} || sc == Scope{region, zone}
 }
 
 // lacks is the part of the whole that is missing into a warm-up.
-func lacks(cold int64, warm, into time.Duration) float64 {
+func warmUpLoss(cold int64, warm, into time.Duration) float64 {
 	if into >= warm {
 		return 0
 	}
@@ -70,55 +70,55 @@
 
 // have is what a scope has at t (now or later) as far as is known: windows end at
 // their end, those past it and what failed do not come back.
-func (o *model) have(sc Scope, t time.Duration, without func(*held) bool) float64 {
+func (o *model) available(sc Scope, t time.Duration, without func(*activeWindow) bool) float64 {
 	var sum float64
 	taken := map[string]float64{}
-	for _, id := range slices.Sorted(maps.Keys(o.holds)) {
-		h := o.holds[id]
+	for _, id := range slices.Sorted(maps.Keys(o.active)) {
+		h := o.active[id]
 		if without != nil && without(h) {
 			continue
 		}
-		ids, cold, warm := h.ask.Backends, int64(1000), time.Duration(0)
-		if h.ask.Amount > 0 {
+		ids, cold, warm := h.request.Backends, int64(1000), time.Duration(0)
+		if h.request.Amount > 0 {
 			for _, b := range o.backends {
-				if b.Region == h.ask.Region && b.Zone == h.ask.Zone {
+				if b.Region == h.request.Region && b.Zone == h.request.Zone {
 					cold, warm = min(cold, b.InitialPermille), max(warm, b.WarmUpTime)
 				}
 			}
-			if in(sc, h.ask.Region, h.ask.Zone) {
-				sum -= float64(h.ask.Amount) * o.share(h, t, cold, warm)
+			if scopeContains(sc, h.request.Region, h.request.Zone) {
+				sum -= float64(h.request.Amount) * o.unavailableShare(h, t, cold, warm)
 			}
 		}
 		for _, b := range ids {
-			taken[b] = max(taken[b], o.share(h, t, o.backends[b].InitialPermille, o.backends[b].WarmUpTime))
+			taken[b] = max(taken[b], o.unavailableShare(h, t, o.backends[b].InitialPermille, o.backends[b].WarmUpTime))
 		}
 	}
 	for id, b := range o.backends {
-		if !in(sc, b.Region, b.Zone) {
+		if !scopeContains(sc, b.Region, b.Zone) {
 			continue
 		}
 		lack := taken[id]
 		if o.failed[id] {
 			lack = 1
-		} else if since, ok := o.ramp[id]; ok {
-			lack = max(lack, lacks(b.InitialPermille, b.WarmUpTime, t-since))
+		} else if since, ok := o.warmUpStart[id]; ok {
+			lack = max(lack, warmUpLoss(b.InitialPermille, b.WarmUpTime, t-since))
 		}
 		sum += float64(b.Size) * (1 - lack)
 	}
 	return sum
 }
 
-func (o *model) share(h *held, t time.Duration, cold int64, warm time.Duration) float64 {
+func (o *model) unavailableShare(h *activeWindow, t time.Duration, cold int64, warm time.Duration) float64 {
 	switch {
 	case h.returned >= 0:
-		return lacks(cold, warm, t-h.returned)
+		return warmUpLoss(cold, warm, t-h.returned)
 	case t < h.end || o.now >= h.end:
 		return 1
 	}
-	return lacks(cold, warm, t-h.end)
+	return warmUpLoss(cold, warm, t-h.end)
 }
 
-func floorAt(steps []Step, t time.Duration) float64 {
+func modelFloorAt(steps []Step, t time.Duration) float64 {
 	v := 0.0
 	for pass := range 2 { // the day before, then this day
 		for _, s := range steps {
@@ -130,36 +130,36 @@
 	return v
 }
 
-const eps = 1e-6
+const tolerance = 1e-6
 
 // watch checks one entry and its answer, and the list after it.
-func (o *model) watch(e Entry, a Answer, list []Window) error {
+func (o *model) check(e Entry, a Answer, list []Window) error {
 	o.index = a.Index
-	if err := o.facts(e, a); err != nil {
+	if err := o.applyEntry(e, a); err != nil {
 		return err
 	}
 	for _, ev := range a.Events {
 		switch ev.Kind {
 		case EventState:
-			if err := o.turns(ev.Window); err != nil {
+			if err := o.checkTransition(ev.Window); err != nil {
 				return err
 			}
 		case EventStartMoved:
-			p := o.promises[ev.Window.Request.ID]
-			if s := ev.Window.Start; s < min(p.start, o.now+p.ask.Notice) {
-				return fmt.Errorf("notice: %s moved from %v to %v at %v", p.ask.ID, p.start, s, o.now)
-			} else if _, isAsk := e.(Request); isAsk && p.start > o.now && p.start-o.now < p.ask.Notice && !o.troubled() {
-				return fmt.Errorf("notice: %s moved within its notice by another plan", p.ask.ID)
+			p := o.accepted[ev.Window.Request.ID]
+			if s := ev.Window.Start; s < min(p.announcedStart, o.now+p.request.Notice) {
+				return fmt.Errorf("notice: %s moved from %v to %v at %v", p.request.ID, p.announcedStart, s, o.now)
+			} else if _, isAsk := e.(Request); isAsk && p.announcedStart > o.now && p.announcedStart-o.now < p.request.Notice && !o.hasUnplannedLoss() {
+				return fmt.Errorf("notice: %s moved within its notice by another plan", p.request.ID)
 			}
-			p.start = ev.Window.Start
+			p.announcedStart = ev.Window.Start
 		case EventFloorInForce:
-			o.inForce[ev.Scope] = o.floors[ev.Scope]
+			o.activeFloors[ev.Scope] = o.requestedFloors[ev.Scope]
 		}
 	}
-	return cmpErr(o.floorsHeld(), o.recalls(), o.kept(list))
+	return firstError(o.checkActiveFloors(), o.checkRecalls(), o.checkListed(list))
 }
 
-func cmpErr(errs ...error) error {
+func firstError(errs ...error) error {
 	for _, err := range errs {
 		if err != nil {
 			return err
@@ -169,67 +169,67 @@
 }
 
 // troubled says whether something is out that is not as planned.
-func (o *model) troubled() bool {
-	for _, h := range o.holds {
+func (o *model) hasUnplannedLoss() bool {
+	for _, h := range o.active {
 		if h.returned < 0 && o.now >= h.end {
 			return true
 		}
 	}
-	return len(o.failed) > 0 || len(o.ramp) > 0
+	return len(o.failed) > 0 || len(o.warmUpStart) > 0
 }
 
 // facts takes in what the entry says, judging by itself what it does.
-func (o *model) facts(e Entry, a Answer) error {
+func (o *model) applyEntry(e Entry, a Answer) error {
 	if t, ok := e.(Tick); ok && a.Result == OK {
 		o.now += t.Elapsed
 	}
 	if a.Now != o.now {
 		return fmt.Errorf("time: %v, not %v", a.Now, o.now)
 	}
-	for _, h := range o.holds {
+	for _, h := range o.active {
 		if h.returned < 0 && o.now > h.end {
-			o.disturbed = o.index
+			o.lastDisturbance = o.index
 		}
 	}
-	for id, since := range o.ramp {
+	for id, since := range o.warmUpStart {
 		if o.now-since >= o.backends[id].WarmUpTime {
-			delete(o.ramp, id)
+			delete(o.warmUpStart, id)
 		}
 	}
 	if c, ok := confirmation(e); ok {
-		return o.confirms(e, c, a)
+		return o.checkConfirmation(e, c, a)
 	}
 	if a.Result == Invalid {
 		return nil
 	}
 	switch e := e.(type) {
 	case PutBackends:
-		o.disturbed = o.index
+		o.lastDisturbance = o.index
 		for _, b := range e.Put {
 			if _, known := o.backends[b.ID]; !known && !b.SkipWarmUp {
-				o.ramp[b.ID] = o.now
+				o.warmUpStart[b.ID] = o.now
 			}
 			o.backends[b.ID] = b
 		}
 	case RemoveBackends:
-		o.disturbed = o.index
+		o.lastDisturbance = o.index
 		for _, id := range e.IDs {
 			delete(o.backends, id)
 			delete(o.failed, id)
-			delete(o.ramp, id)
+			delete(o.warmUpStart, id)
 		}
 	case BackendsFailed:
-		o.disturbed = o.index
+		o.lastDisturbance = o.index
 		for _, id := range e.IDs {
 			o.failed[id] = true
-			delete(o.ramp, id)
+			delete(o.warmUpStart, id)
 		}
 	case BackendsRecovered:
-		o.disturbed = o.index
+		o.lastDisturbance = o.index
 		for _, id := range e.IDs {
 			if o.failed[id] {
 				delete(o.failed, id)
-				o.ramp[id] = o.now
+				o.warmUpStart[id] = o.now
 			}
 		}
 	case SetServing:
@@ -238,17 +238,17 @@
 			o.serving[s] = true
 		}
 	case SetFloor:
-		o.disturbed = o.index
-		o.floors[e.Scope] = e.Steps
-		want := floorAt(e.Steps, o.now)
-		if a.Result == OK && o.have(e.Scope, o.now, nil) < want-eps && want > floorAt(o.inForce[e.Scope], o.now) {
-			return fmt.Errorf("pending: floor %v of %v in force, and there is %v", want, e.Scope, o.have(e.Scope, o.now, nil))
+		o.lastDisturbance = o.index
+		o.requestedFloors[e.Scope] = e.Steps
+		want := modelFloorAt(e.Steps, o.now)
+		if a.Result == OK && o.available(e.Scope, o.now, nil) < want-tolerance && want > modelFloorAt(o.activeFloors[e.Scope], o.now) {
+			return fmt.Errorf("pending: floor %v of %v in force, and there is %v", want, e.Scope, o.available(e.Scope, o.now, nil))
 		}
 		if a.Result == OK {
-			o.inForce[e.Scope] = e.Steps
+			o.activeFloors[e.Scope] = e.Steps
 		}
 	case Request:
-		return o.asked(e, a)
+		return o.checkRequest(e, a)
 	}
 	return nil
 }
@@ -265,8 +265,8 @@
 	return Returned{}, false
 }
 
-func (o *model) confirms(e Entry, c Returned, a Answer) error {
-	h := o.holds[c.ID]
+func (o *model) checkConfirmation(e Entry, c Returned, a Answer) error {
+	h := o.active[c.ID]
 	if h == nil || h.fence != c.Fence {
 		if a.Result == OK {
 			return fmt.Errorf("stale: a confirmation of %s with fence %v was taken", c.ID, c.Fence)
@@ -286,24 +286,24 @@
 	return nil
 }
 
-func (o *model) asked(e Request, a Answer) error {
-	p := o.promises[e.ID]
+func (o *model) checkRequest(e Request, a Answer) error {
+	p := o.accepted[e.ID]
 	slices.Sort(e.Backends)
 	if p != nil && (a.Result == OK || a.Result == Rejected) {
 		return fmt.Errorf("id: %s was taken once and is answered %v", e.ID, a.Result)
 	}
-	if p != nil && fmt.Sprint(e) != fmt.Sprint(p.ask) {
+	if p != nil && fmt.Sprint(e) != fmt.Sprint(p.request) {
 		return fmt.Errorf("id: %s with other content is answered %v", e.ID, a.Result)
 	}
 	if a.Result == OK {
-		o.promises[e.ID] = &promise{ask: e, index: o.index, at: o.now, start: a.Window.FirstStart,
-			hope: strings.HasPrefix(a.Window.Reason, "counts on")}
+		o.accepted[e.ID] = &acceptedPlan{request: e, index: o.index, requestedAt: o.now, announcedStart: a.Window.FirstStart,
+			dependsOnRecovery: strings.HasPrefix(a.Window.Reason, "counts on")}
 	}
 	return nil
 }
 
 // follows is the table of states in doc.go.
-var follows = map[State][]State{
+var allowedTransitions = map[State][]State{
 	Requested:    {Planned, Cancelled, Refused},
 	Planned:      {Granted, Requested, Cancelled, Refused},
 	Granted:      {Draining, Returning, WarmingUp, Recalled, Overdue, OutOfService},
@@ -316,9 +316,9 @@
 }
 
 // turns checks one change of a plan's state.
-func (o *model) turns(w Window) error {
+func (o *model) checkTransition(w Window) error {
 	id := w.Request.ID
-	p := o.promises[id]
+	p := o.accepted[id]
 	if p == nil {
 		if w.State == Refused {
 			return nil // when asked
@@ -326,21 +326,21 @@
 		return fmt.Errorf("kept: %s is %v and was never taken", id, w.State)
 	}
 	if w.State == Granted {
-		if err := o.grants(w, p); err != nil {
+		if err := o.checkGrant(w, p); err != nil {
 			return err
 		}
 	}
-	if !slices.Contains(follows[p.state], w.State) {
+	if !slices.Contains(allowedTransitions[p.state], w.State) {
 		return fmt.Errorf("states: %s from %v to %v", id, p.state, w.State)
 	}
 	p.state = w.State
-	h := o.holds[id]
+	h := o.active[id]
 	if w.State == Done {
-		defer delete(o.holds, id)
+		defer delete(o.active, id)
 	}
 	switch w.State {
 	case Planned:
-		p.start = w.Start
+		p.announcedStart = w.Start
 	case OutOfService:
 		for s := range o.serving {
 			if !h.drained[s] {
@@ -348,22 +348,22 @@
 			}
 		}
 	case Recalled:
-		h.called = true
+		h.recalled = true
 	case WarmingUp, Done:
 		if h != nil && h.returned < 0 {
 			return fmt.Errorf("return: %s is %v and did not return", id, w.State)
 		}
 	case Refused:
-		if o.disturbed <= p.index && !p.hope {
+		if o.lastDisturbance <= p.index && !p.dependsOnRecovery {
 			return fmt.Errorf("kept: %s was taken and is refused, and nothing happened: %s", id, w.Reason)
 		}
 	}
 	return nil
 }
 
-func (o *model) grants(w Window, p *promise) error {
+func (o *model) checkGrant(w Window, p *acceptedPlan) error {
 	id := w.Request.ID
-	if _, twice := o.holds[id]; twice || p.state > Planned {
+	if _, twice := o.active[id]; twice || p.state > Planned {
 		return fmt.Errorf("once: %s is granted twice", id)
 	}
 	if w.Fence.Index() != o.index {
@@ -374,30 +374,30 @@
 			return fmt.Errorf("fence: of backend %s is %v after %v", b, w.Fence, o.lastFence[b])
 		}
 		o.lastFence[b] = w.Fence
-		for _, other := range slices.Sorted(maps.Keys(o.holds)) {
-			if h := o.holds[other]; h.returned < 0 && slices.Contains(h.ask.Backends, b) {
+		for _, other := range slices.Sorted(maps.Keys(o.active)) {
+			if h := o.active[other]; h.returned < 0 && slices.Contains(h.request.Backends, b) {
 				return fmt.Errorf("once: backend %s is out by %s and %s", b, other, id)
 			}
 		}
 	}
-	if o.now < p.at+p.ask.Notice || o.now < p.ask.EarliestStart || o.now < p.start {
-		return fmt.Errorf("notice: %s, asked at %v for %v, is granted at %v", id, p.at, p.start, o.now)
+	if o.now < p.requestedAt+p.request.Notice || o.now < p.request.EarliestStart || o.now < p.announcedStart {
+		return fmt.Errorf("notice: %s, asked at %v for %v, is granted at %v", id, p.requestedAt, p.announcedStart, o.now)
 	}
-	if o.now+p.ask.Duration > p.ask.LatestEnd {
+	if o.now+p.request.Duration > p.request.LatestEnd {
 		return fmt.Errorf("end: %s is granted too late", id)
 	}
-	o.holds[id] = &held{ask: p.ask, fence: w.Fence, start: o.now, end: o.now + p.ask.Duration, returned: -1,
+	o.active[id] = &activeWindow{request: p.request, fence: w.Fence, start: o.now, end: o.now + p.request.Duration, returned: -1,
 		drained: map[string]bool{}}
-	return o.leaves(id)
+	return o.checkFloorsAfterGrant(id)
 }
 
 // leaves looks over a new window, moment by moment, for what it leaves.
-func (o *model) leaves(id string) error {
-	h := o.holds[id]
-	regions := map[Scope]bool{{}: true, {Region: h.ask.Region}: true}
+func (o *model) checkFloorsAfterGrant(id string) error {
+	h := o.active[id]
+	regions := map[Scope]bool{{}: true, {Region: h.request.Region}: true}
 	last := h.end
 	for _, b := range o.backends {
-		if slices.Contains(h.ask.Backends, b.ID) || h.ask.Amount > 0 && h.ask.Zone == b.Zone && h.ask.Region == b.Region {
+		if slices.Contains(h.request.Backends, b.ID) || h.request.Amount > 0 && h.request.Zone == b.Zone && h.request.Region == b.Region {
 			regions[Scope{b.Region, b.Zone}] = true
 			last = max(last, h.end+b.WarmUpTime)
 		}
@@ -407,8 +407,8 @@
 		times = append(times, o.now+(last-o.now)/12*k)
 	}
 	for sc := range regions {
-		o.lastGrant[sc] = o.index
-		for _, steps := range [][]Step{o.floors[sc], o.inForce[sc]} {
+		o.lastGrantIndex[sc] = o.index
+		for _, steps := range [][]Step{o.requestedFloors[sc], o.activeFloors[sc]} {
 			for _, s := range steps {
 				for d := o.now - o.now%day; d < last; d += day {
 					if t := d + s.From; t > o.now && t < last {
@@ -417,7 +417,7 @@
 				}
 			}
 			for _, t := range times {
-				if have, want := o.have(sc, t, nil), floorAt(steps, t); have < want-eps {
+				if have, want := o.available(sc, t, nil), modelFloorAt(steps, t); have < want-tolerance {
 					return fmt.Errorf("floor: %s granted at %v leaves %v of %v at %v, floor %v", id, o.now, have, sc, t, want)
 				}
 			}
@@ -427,9 +427,9 @@
 }
 
 // floorsHeld: a floor in force is breached only by what came after the last grant.
-func (o *model) floorsHeld() error {
-	for sc, steps := range o.inForce {
-		if have, want := o.have(sc, o.now, nil), floorAt(steps, o.now); have < want-eps && o.disturbed < o.lastGrant[sc] {
+func (o *model) checkActiveFloors() error {
+	for sc, steps := range o.activeFloors {
+		if have, want := o.available(sc, o.now, nil), modelFloorAt(steps, o.now); have < want-tolerance && o.lastDisturbance < o.lastGrantIndex[sc] {
 			return fmt.Errorf("floor: %v has %v at %v, floor %v, and nothing happened", sc, have, o.now, want)
 		}
 	}
@@ -437,24 +437,24 @@
 }
 
 // recalls: where a floor is short, what can be called back is, as far as it takes.
-func (o *model) recalls() error {
-	for sc, steps := range o.inForce {
-		want := floorAt(steps, o.now)
-		if o.have(sc, o.now, nil) >= want-eps {
+func (o *model) checkRecalls() error {
+	for sc, steps := range o.activeFloors {
+		want := modelFloorAt(steps, o.now)
+		if o.available(sc, o.now, nil) >= want-tolerance {
 			continue
 		}
-		coming := func(h *held) bool {
-			s := o.promises[h.ask.ID].state
-			return h.called || s == Returning || s == Overdue
+		coming := func(h *activeWindow) bool {
+			s := o.accepted[h.request.ID].state
+			return h.recalled || s == Returning || s == Overdue
 		}
-		if o.have(sc, o.now, coming) >= want-1 { // sums are rounded in the machine
+		if o.available(sc, o.now, coming) >= want-1 { // sums are rounded in the machine
 			continue
 		}
-		for id, h := range o.holds {
-			s := o.promises[id].state
-			can := s == Granted || s == Draining || s == OutOfService && h.ask.Recallable
-			without := func(x *held) bool { return coming(x) || x == h }
-			if can && o.have(sc, o.now, without) > o.have(sc, o.now, coming)+1 {
+		for id, h := range o.active {
+			s := o.accepted[id].state
+			can := s == Granted || s == Draining || s == OutOfService && h.request.Recallable
+			without := func(x *activeWindow) bool { return coming(x) || x == h }
+			if can && o.available(sc, o.now, without) > o.available(sc, o.now, coming)+1 {
 				return fmt.Errorf("recall: %v is short of %v and %s is %v", sc, want, id, s)
 			}
 		}
@@ -463,7 +463,7 @@
 }
 
 // kept: what was taken is in the list, in the state that was told.
-func (o *model) kept(list []Window) error {
+func (o *model) checkListed(list []Window) error {
 	rows, ended := map[string]Window{}, 0
 	for _, w := range list {
 		if _, twice := rows[w.Request.ID]; twice {
@@ -474,19 +474,19 @@
 			ended++
 		}
 	}
-	if ended > o.set.History || len(list)-ended > o.set.MaxPlans {
+	if ended > o.settings.History || len(list)-ended > o.settings.MaxPlans {
 		return fmt.Errorf("bounds: %d open and %d ended plans", len(list)-ended, ended)
 	}
-	for id, p := range o.promises {
+	for id, p := range o.accepted {
 		w, ok := rows[id]
 		if !ok && p.state.Ended() {
-			delete(o.promises, id) // compacted
+			delete(o.accepted, id) // compacted
 			continue
 		}
 		if !ok || w.State != p.state {
 			return fmt.Errorf("kept: %s is listed as %v (%v), told %v", id, w.State, ok, p.state)
 		}
-		if h := o.holds[id]; h != nil && h.returned < 0 && o.now > h.end && w.State != Overdue {
+		if h := o.active[id]; h != nil && h.returned < 0 && o.now > h.end && w.State != Overdue {
 			return fmt.Errorf("overdue: %s is %v", id, w.State)
 		}
 	}
@@ -494,59 +494,59 @@
 }
 
 // breaker is a planted violation: it meddles with entries, state or answers.
-type breaker struct {
-	before func(m *Machine, e Entry) Entry
-	after  func(m *Machine, e Entry, a *Answer)
-	other  func(m *Machine) // with the second replica only, now and then
+type faultInjection struct {
+	beforeApply     func(m *Machine, e Entry) Entry
+	afterApply      func(m *Machine, e Entry, a *Answer)
+	onSecondReplica func(m *Machine) // with the second replica only, now and then
 }
 
 // run is one schedule over two replicas, the second now and then restored.
-type run struct {
-	draw    func(n int) int
-	br      breaker
-	a, b    *Machine
-	model   *model
-	index   uint64
-	asks    []Request
-	log     []string
-	verbose bool
-	stats   map[string]int
+type scheduleRun struct {
+	draw          func(n int) int
+	fault         faultInjection
+	first, second *Machine
+	model         *model
+	index         uint64
+	requests      []Request
+	log           []string
+	verbose       bool
+	stats         map[string]int
 }
 
-var testSet = Settings{MaxTick: 5 * time.Minute, History: 8, MaxPlans: 12}
+var testSettings = Settings{MaxTick: 5 * time.Minute, History: 8, MaxPlans: 12}
 
 const minute = time.Minute
 
-func newRun(draw func(n int) int, br breaker) *run {
-	r := &run{draw: draw, br: br, stats: map[string]int{}}
-	r.a, _ = New(testSet)
-	r.b, _ = New(testSet)
-	set := testSet
-	_ = set.check()
-	r.model = newModel(set)
+func newRun(draw func(n int) int, br faultInjection) *scheduleRun {
+	r := &scheduleRun{draw: draw, fault: br, stats: map[string]int{}}
+	r.first, _ = New(testSettings)
+	r.second, _ = New(testSettings)
+	settings := testSettings
+	_ = settings.check()
+	r.model = newModel(settings)
 	return r
 }
 
-func (r *run) apply(e Entry) error {
+func (r *scheduleRun) apply(e Entry) error {
 	data, err := Encode(e)
 	if err != nil {
 		return err
 	}
 	r.index += 1 + uint64(r.draw(2))
 	var answers [2]string
-	for i, m := range []*Machine{r.a, r.b} {
+	for i, m := range []*Machine{r.first, r.second} {
 		x, d := e, data
-		if r.br.before != nil {
-			if x = r.br.before(m, e); x != nil {
+		if r.fault.beforeApply != nil {
+			if x = r.fault.beforeApply(m, e); x != nil {
 				d, _ = Encode(x)
 			}
 		}
 		ans := m.Apply(r.index, d)
-		if r.br.after != nil {
-			r.br.after(m, e, &ans)
+		if r.fault.afterApply != nil {
+			r.fault.afterApply(m, e, &ans)
 		}
-		if i == 1 && r.br.other != nil && r.draw(10) == 0 {
-			r.br.other(m)
+		if i == 1 && r.fault.onSecondReplica != nil && r.draw(10) == 0 {
+			r.fault.onSecondReplica(m)
 		}
 		answers[i] = fmt.Sprintf("%+v", ans)
 		if i == 0 {
@@ -556,8 +556,8 @@
 					r.log = append(r.log, "  "+ev.Describe())
 				}
 			}
-			r.note(e, ans)
-			if err := r.model.watch(e, ans, m.List()); err != nil {
+			r.countStats(e, ans)
+			if err := r.model.check(e, ans, m.List()); err != nil {
 				return err
 			}
 		}
@@ -565,23 +565,23 @@
 	if answers[0] != answers[1] {
 		return fmt.Errorf("same: answers differ:\n%s\n%s", answers[0], answers[1])
 	}
-	sa, err := r.a.Snapshot()
+	sa, err := r.first.Snapshot()
 	if err != nil {
 		return err
 	}
-	sb, _ := r.b.Snapshot()
+	sb, _ := r.second.Snapshot()
 	if !bytes.Equal(sa, sb) {
 		return fmt.Errorf("same: states differ")
 	}
 	if r.draw(12) == 0 {
-		if r.b, err = Restore(sb); err != nil {
+		if r.second, err = Restore(sb); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (r *run) note(e Entry, a Answer) {
+func (r *scheduleRun) countStats(e Entry, a Answer) {
 	r.stats[strings.TrimPrefix(fmt.Sprintf("%T ", e), "window.")+a.Result.String()]++
 	for _, ev := range a.Events {
 		if ev.Kind == EventState {
@@ -590,13 +590,13 @@
 	}
 }
 
-func (r *run) minutes(least, most int) time.Duration {
+func (r *scheduleRun) minutes(least, most int) time.Duration {
 	return time.Duration(least+r.draw(most-least+1)) * minute
 }
 
 var testScopes = []Scope{{}, {Region: "r0"}, {Region: "r1"}, {"r0", "z0"}, {"r0", "z1"}, {"r1", "z0"}, {"r1", "z1"}}
 
-func (r *run) steps(total int64) []Step {
+func (r *scheduleRun) steps(total int64) []Step {
 	var steps []Step
 	from := r.minutes(0, 100)
 	for range 1 + r.draw(3) {
@@ -606,22 +606,22 @@
 	return steps
 }
 
-func (r *run) total(sc Scope) (sum int64) {
+func (r *scheduleRun) total(sc Scope) (sum int64) {
 	for _, b := range r.model.backends {
-		if in(sc, b.Region, b.Zone) {
+		if scopeContains(sc, b.Region, b.Zone) {
 			sum += b.Size
 		}
 	}
 	return sum
 }
 
-func (r *run) put(i int, ready bool) Backend {
+func (r *scheduleRun) backend(i int, ready bool) Backend {
 	return Backend{ID: fmt.Sprintf("b%02d", i), Region: fmt.Sprintf("r%d", i%2), Zone: fmt.Sprintf("z%d", i/2%2),
 		Size: int64(5 + r.draw(16)), WarmUpTime: r.minutes(0, 20), InitialPermille: int64(r.draw(600)), SkipWarmUp: ready}
 }
 
-func (r *run) ask() Request {
-	e := Request{ID: fmt.Sprintf("p%d", len(r.asks)), Region: fmt.Sprintf("r%d", r.draw(2)),
+func (r *scheduleRun) request() Request {
+	e := Request{ID: fmt.Sprintf("p%d", len(r.requests)), Region: fmt.Sprintf("r%d", r.draw(2)),
 		Duration: r.minutes(3, 90), EarliestStart: r.model.now + r.minutes(0, 60), Priority: r.draw(3),
 		Notice: r.minutes(0, 2) * time.Duration(r.draw(10)), Recallable: r.draw(2) == 0}
 	e.LatestEnd = max(e.EarliestStart, r.model.now+e.Notice) + e.Duration + r.minutes(5, 400)
@@ -638,10 +638,10 @@
 }
 
 // pick is a window that is not back: mostly one of those that have to come back.
-func (r *run) pick() (string, Fence) {
+func (r *scheduleRun) pickConfirmation() (string, Fence) {
 	var ids []string
-	for _, id := range slices.Sorted(maps.Keys(r.model.holds)) {
-		if r.model.holds[id].returned < 0 || r.draw(20) == 0 {
+	for _, id := range slices.Sorted(maps.Keys(r.model.active)) {
+		if r.model.active[id].returned < 0 || r.draw(20) == 0 {
 			ids = append(ids, id)
 		}
 	}
@@ -649,14 +649,14 @@
 		return "p0", 1024
 	}
 	id := ids[r.draw(len(ids))]
-	f := r.model.holds[id].fence
+	f := r.model.active[id].fence
 	if r.draw(8) == 0 {
 		f -= Fence(1 + r.draw(2000))
 	}
 	return id, f
 }
 
-func (r *run) next() Entry {
+func (r *scheduleRun) nextEntry() Entry {
 	some := func() []string { return []string{fmt.Sprintf("b%02d", r.draw(12))} }
 	switch k := r.draw(100); {
 	case k < 38:
@@ -664,23 +664,23 @@
 	case k < 40:
 		return Tick{time.Duration(r.draw(int(6 * minute)))}
 	case k < 56:
-		e := r.ask()
-		r.asks = append(r.asks, e)
+		e := r.request()
+		r.requests = append(r.requests, e)
 		return e
-	case k < 60 && len(r.asks) > 0:
-		e := r.asks[r.draw(len(r.asks))]
+	case k < 60 && len(r.requests) > 0:
+		e := r.requests[r.draw(len(r.requests))]
 		if r.draw(2) == 0 {
 			e.Duration += minute
 		}
 		return e
 	case k < 72:
-		id, f := r.pick()
+		id, f := r.pickConfirmation()
 		return Drained{id, f, fmt.Sprintf("m%d", r.draw(3))}
 	case k < 75:
-		id, f := r.pick()
+		id, f := r.pickConfirmation()
 		return Return{id, f}
 	case k < 83:
-		id, f := r.pick()
+		id, f := r.pickConfirmation()
 		return Returned{id, f}
 	case k < 86:
 		return BackendsFailed{some()}
@@ -693,21 +693,21 @@
 		sc := testScopes[r.draw(len(testScopes))]
 		return SetFloor{sc, r.steps(r.total(sc))}
 	case k < 95:
-		return Cancel{fmt.Sprintf("p%d", r.draw(len(r.asks)+1))}
+		return Cancel{fmt.Sprintf("p%d", r.draw(len(r.requests)+1))}
 	case k < 97:
 		return SetServing{[]string{"m0", "m1", "m2"}[:r.draw(4)]}
 	case k < 99:
-		return PutBackends{[]Backend{r.put(r.draw(13), r.draw(2) == 0)}}
+		return PutBackends{[]Backend{r.backend(r.draw(13), r.draw(2) == 0)}}
 	default:
 		return RemoveBackends{some()}
 	}
 }
 
 // schedule plays one world and returns the first violation.
-func (r *run) schedule(steps int) error {
+func (r *scheduleRun) play(steps int) error {
 	var all []Backend
 	for i := range 12 {
-		all = append(all, r.put(i, true))
+		all = append(all, r.backend(i, true))
 	}
 	first := []Entry{PutBackends{all}, SetServing{[]string{"m0", "m1"}}}
 	for _, e := range first {
@@ -723,13 +723,13 @@
 		}
 	}
 	for range steps {
-		if err := r.apply(r.next()); err != nil {
+		if err := r.apply(r.nextEntry()); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func seeded(seed uint64) func(int) int {
+func seededDraw(seed uint64) func(int) int {
 	return rand.New(rand.NewPCG(seed, 1)).IntN
 }
--- a/fleet/window/snapshot.go
+++ b/fleet/window/snapshot.go
@@ -9,23 +9,23 @@
 
 // state is the machine as a snapshot has it.
 type state struct {
-	Set      Settings      `cbor:"1,keyasint"`
-	Index    uint64        `cbor:"2,keyasint"`
-	Now      time.Duration `cbor:"3,keyasint"`
-	Seq      uint64        `cbor:"4,keyasint"`
-	Backends []*backend    `cbor:"5,keyasint,omitempty"`
-	Serving  []string      `cbor:"6,keyasint,omitempty"`
-	Floors   []*floor      `cbor:"7,keyasint,omitempty"`
-	Open     []*plan       `cbor:"8,keyasint,omitempty"`
-	Ended    []*plan       `cbor:"9,keyasint,omitempty"`
+	Settings   Settings      `cbor:"1,keyasint"`
+	Index      uint64        `cbor:"2,keyasint"`
+	Now        time.Duration `cbor:"3,keyasint"`
+	Seq        uint64        `cbor:"4,keyasint"`
+	Backends   []*backend    `cbor:"5,keyasint,omitempty"`
+	Serving    []string      `cbor:"6,keyasint,omitempty"`
+	Floors     []*floor      `cbor:"7,keyasint,omitempty"`
+	OpenPlans  []*plan       `cbor:"8,keyasint,omitempty"`
+	EndedPlans []*plan       `cbor:"9,keyasint,omitempty"`
 }
 
 // Snapshot returns the whole state: the same bytes wherever the same entries have
 // been applied.
 func (m *Machine) Snapshot() ([]byte, error) {
-	enc, _ := codec()
-	body, err := enc.Marshal(state{m.set, m.index, m.now, m.seq,
-		m.backends, m.serving, m.floors, m.open, m.ended})
+	enc, _ := cborModes()
+	body, err := enc.Marshal(state{m.settings, m.index, m.now, m.lastSeq,
+		m.backends, m.servingMembers, m.floors, m.openPlans, m.endedPlans})
 	if err != nil {
 		return nil, fmt.Errorf("window: snapshot: %w", err)
 	}
@@ -39,29 +39,29 @@
 		return nil, fmt.Errorf("window: restore: unknown version")
 	}
 	var s state
-	_, dec := codec()
+	_, dec := cborModes()
 	if err := dec.Unmarshal(data[1:], &s); err != nil {
 		return nil, fmt.Errorf("window: restore: %w", err)
 	}
-	m := &Machine{set: s.Set, index: s.Index, now: s.Now, seq: s.Seq, backends: s.Backends,
-		serving: s.Serving, floors: s.Floors, open: s.Open, ended: s.Ended, totals: map[Scope]int64{}}
-	if err := m.check(); err != nil {
+	m := &Machine{settings: s.Settings, index: s.Index, now: s.Now, lastSeq: s.Seq, backends: s.Backends,
+		servingMembers: s.Serving, floors: s.Floors, openPlans: s.OpenPlans, endedPlans: s.EndedPlans, totalSizes: map[Scope]int64{}}
+	if err := m.checkRestored(); err != nil {
 		return nil, fmt.Errorf("window: restore: %w", err)
 	}
-	m.count()
-	m.dirty = false
+	m.recomputeTotals()
+	m.needsReplan = false
 	return m, nil
 }
 
 // check reads a restored state: a snapshot that another program has made, or that
 // is damaged, must not get further.
-func (m *Machine) check() error {
-	if err := cmp.Or(m.set.check(), within("state", "now", int64(m.now), 0, int64(maxTime)),
-		within("state", "backends", int64(len(m.backends)), 0, int64(m.set.MaxBackends)),
-		within("state", "serving", int64(len(m.serving)), 0, int64(m.set.MaxServing)),
-		within("state", "floors", int64(len(m.floors)), 0, MaxFloors),
-		within("state", "open", int64(len(m.open)), 0, int64(m.set.MaxPlans)),
-		within("state", "ended", int64(len(m.ended)), 0, int64(m.set.History))); err != nil {
+func (m *Machine) checkRestored() error {
+	if err := cmp.Or(m.settings.check(), checkRange("state", "now", int64(m.now), 0, int64(maxLogTime)),
+		checkRange("state", "backends", int64(len(m.backends)), 0, int64(m.settings.MaxBackends)),
+		checkRange("state", "serving", int64(len(m.servingMembers)), 0, int64(m.settings.MaxServing)),
+		checkRange("state", "floors", int64(len(m.floors)), 0, MaxFloors),
+		checkRange("state", "open", int64(len(m.openPlans)), 0, int64(m.settings.MaxPlans)),
+		checkRange("state", "ended", int64(len(m.endedPlans)), 0, int64(m.settings.History))); err != nil {
 		return err
 	}
 	if m.index > maxIndex {
@@ -71,43 +71,43 @@
 		if b == nil || i > 0 && m.backends[i-1].ID >= b.ID {
 			return fmt.Errorf("window: state: backends: not in order")
 		}
-		if err := cmp.Or(b.check(), within("backend "+b.ID, "since", int64(b.Since), 0, int64(m.now))); err != nil {
+		if err := cmp.Or(b.check(), checkRange("backend "+b.ID, "since", int64(b.Since), 0, int64(m.now))); err != nil {
 			return err
 		}
 	}
-	if !slices.IsSorted(m.serving) {
+	if !slices.IsSorted(m.servingMembers) {
 		return fmt.Errorf("window: state: serving: not in order")
 	}
 	for i, f := range m.floors {
 		if f == nil || i > 0 && m.floors[i-1].Scope.compare(f.Scope) >= 0 {
 			return fmt.Errorf("window: state: floors: not in order")
 		}
-		if err := cmp.Or(f.Scope.check("floor"), checkSteps(f.Steps), checkSteps(f.Next)); err != nil {
+		if err := cmp.Or(f.Scope.check("floor"), checkSteps(f.Steps), checkSteps(f.Pending)); err != nil {
 			return err
 		}
 	}
 	ids := map[string]bool{}
-	for i, p := range slices.Concat(m.open, m.ended) {
-		if p == nil || ids[p.ID] || p.State > Refused || p.State.Ended() == (i < len(m.open)) {
+	for i, p := range slices.Concat(m.openPlans, m.endedPlans) {
+		if p == nil || ids[p.ID] || p.State > Refused || p.State.Ended() == (i < len(m.openPlans)) {
 			return fmt.Errorf("window: state: plans: one is missing, twice or misplaced")
 		}
 		ids[p.ID] = true
-		if err := p.checkTimes(m); err != nil {
+		if err := p.checkRestored(m); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (p *plan) checkTimes(m *Machine) error {
+func (p *plan) checkRestored(m *Machine) error {
 	if !slices.IsSorted(p.Backends) {
 		return fmt.Errorf("window: plan %s: backends: not in order", p.ID)
 	}
-	what, most := "plan "+p.ID, int64(maxTime)
-	if err := cmp.Or(p.Request.check(m), within(what, "first", int64(p.First), 0, most),
-		within(what, "start", int64(p.Start), 0, most), within(what, "end", int64(p.End), 0, most),
-		within(what, "returned", int64(p.Returned), 0, int64(m.now)),
-		within(what, "could", int64(p.Could), 0, int64(never))); err != nil {
+	what, most := "plan "+p.ID, int64(maxLogTime)
+	if err := cmp.Or(p.Request.check(m), checkRange(what, "first", int64(p.FirstStart), 0, most),
+		checkRange(what, "start", int64(p.Start), 0, most), checkRange(what, "end", int64(p.End), 0, most),
+		checkRange(what, "returned", int64(p.Returned), 0, int64(m.now)),
+		checkRange(what, "could", int64(p.EarliestFeasible), 0, int64(unboundedTime))); err != nil {
 		return err
 	}
 	if p.State.Ended() {
@@ -118,7 +118,7 @@
 		return fmt.Errorf("window: %s: granted without a fence, or out of time", what)
 	}
 	for _, id := range p.Backends {
-		if m.backend(id) == nil {
+		if m.findBackend(id) == nil {
 			return fmt.Errorf("window: %s: backends: %s is not known", what, id)
 		}
 	}
--- a/fleet/window/window.go
+++ b/fleet/window/window.go
@@ -17,9 +17,9 @@
 	MaxFloors       = 2048    // scopes with a floor
 	MaxPriority     = 9
 
-	day     = 24 * time.Hour
-	never   = time.Duration(1) << 62
-	maxTime = time.Duration(1) << 60 // of log time: 36 years
+	day           = 24 * time.Hour
+	unboundedTime = time.Duration(1) << 62
+	maxLogTime    = time.Duration(1) << 60 // of log time: 36 years
 )
 
 // DefaultMaxTick is the longest time that one Tick tells where the settings name none.
@@ -39,26 +39,26 @@
 
 func (s *Settings) check() error {
 	var err error
-	limit := func(key string, v *int64, def, least, most int64) {
-		if *v == 0 {
-			*v = def
+	applyLimit := func(key string, value *int64, fallback, lowest, highest int64) {
+		if *value == 0 {
+			*value = fallback
 		}
-		if *v < least || *v > most {
-			err = cmp.Or(err, fmt.Errorf("window: settings: %s: %d is not in %d to %d", key, *v, least, most))
+		if *value < lowest || *value > highest {
+			err = cmp.Or(err, fmt.Errorf("window: settings: %s: %d is not in %d to %d", key, *value, lowest, highest))
 		}
 	}
-	count := func(key string, v *int, def, most int64) {
-		n := int64(*v)
-		limit(key, &n, def, 1, most)
-		*v = int(n)
+	applyCount := func(key string, value *int, fallback, highest int64) {
+		n := int64(*value)
+		applyLimit(key, &n, fallback, 1, highest)
+		*value = int(n)
 	}
-	limit("max tick", (*int64)(&s.MaxTick), int64(DefaultMaxTick), int64(time.Millisecond), int64(time.Hour))
-	limit("overrun", (*int64)(&s.Overrun), int64(10*time.Minute), int64(time.Millisecond), int64(day))
-	limit("horizon", (*int64)(&s.Horizon), int64(14*day), int64(time.Hour), int64(60*day))
-	count("max plans", &s.MaxPlans, 128, 512)
-	count("max backends", &s.MaxBackends, 4096, 8192)
-	count("max serving", &s.MaxServing, 1024, 8192)
-	count("history", &s.History, 256, 8192)
+	applyLimit("max tick", (*int64)(&s.MaxTick), int64(DefaultMaxTick), int64(time.Millisecond), int64(time.Hour))
+	applyLimit("overrun", (*int64)(&s.Overrun), int64(10*time.Minute), int64(time.Millisecond), int64(day))
+	applyLimit("horizon", (*int64)(&s.Horizon), int64(14*day), int64(time.Hour), int64(60*day))
+	applyCount("max plans", &s.MaxPlans, 128, 512)
+	applyCount("max backends", &s.MaxBackends, 4096, 8192)
+	applyCount("max serving", &s.MaxServing, 1024, 8192)
+	applyCount("history", &s.History, 256, 8192)
 	return err
 }
 
@@ -110,7 +110,7 @@
 func (s State) Ended() bool { return s >= Done }
 
 // holding says whether all of the plan's capacity counts as out.
-func (s State) holding() bool { return s >= Granted && s <= Overdue }
+func (s State) holdsCapacity() bool { return s >= Granted && s <= Overdue }
 
 // Fence is the fencing token of a grant (as in Chubby: Burrows, OSDI 2006): the
 // index of the log entry that granted, and a number among that entry's grants. It
@@ -119,76 +119,76 @@
 type Fence uint64
 
 const (
-	fenceBits = 10 // over the most open plans, so over the most grants of one entry
-	maxIndex  = 1<<(64-fenceBits) - 1
+	fenceGrantBits = 10 // over the most open plans, so over the most grants of one entry
+	maxIndex       = 1<<(64-fenceGrantBits) - 1
 )
 
 // Index is the index of the log entry that granted.
-func (f Fence) Index() uint64 { return uint64(f) >> fenceBits }
+func (f Fence) Index() uint64 { return uint64(f) >> fenceGrantBits }
 
 func (f Fence) String() string {
-	return fmt.Sprintf("%d.%d", f.Index(), uint64(f)&(1<<fenceBits-1))
+	return fmt.Sprintf("%d.%d", f.Index(), uint64(f)&(1<<fenceGrantBits-1))
 }
 
 // backend is a backend and how it fares.
 type backend struct {
 	Backend
-	Failed bool          `cbor:"11,keyasint,omitempty"`
-	Ramp   bool          `cbor:"12,keyasint,omitempty"` // warms up by itself, after a failure or as new
-	Since  time.Duration `cbor:"13,keyasint,omitempty"` // of the failure or the warm-up
+	Failed    bool          `cbor:"11,keyasint,omitempty"`
+	WarmingUp bool          `cbor:"12,keyasint,omitempty"` // warms up by itself, after a failure or as new
+	Since     time.Duration `cbor:"13,keyasint,omitempty"` // of the failure or the warm-up
 }
 
 // plan is an Ask and where it stands.
 type plan struct {
 	Request
-	State     State         `cbor:"21,keyasint,omitempty"`
-	Seq       uint64        `cbor:"22,keyasint,omitempty"` // order of asking
-	First     time.Duration `cbor:"23,keyasint,omitempty"` // the start first told
-	Start     time.Duration `cbor:"24,keyasint,omitempty"` // last told; of a granted one, its grant
-	End       time.Duration `cbor:"25,keyasint,omitempty"` // of a granted one: overdue after this
-	Fence     Fence         `cbor:"26,keyasint,omitempty"`
-	Drained   []string      `cbor:"27,keyasint,omitempty"` // members that have confirmed, sorted
-	Returned  time.Duration `cbor:"28,keyasint,omitempty"`
-	Called    bool          `cbor:"29,keyasint,omitempty"` // was recalled
-	Why       string        `cbor:"30,keyasint,omitempty"`
-	Could     time.Duration `cbor:"31,keyasint,omitempty"` // of a refused one: the earliest start that would do
-	Placeable bool          `cbor:"32,keyasint,omitempty"` // Could is known
+	State            State         `cbor:"21,keyasint,omitempty"`
+	Seq              uint64        `cbor:"22,keyasint,omitempty"` // order of asking
+	FirstStart       time.Duration `cbor:"23,keyasint,omitempty"` // the start first told
+	Start            time.Duration `cbor:"24,keyasint,omitempty"` // last told; of a granted one, its grant
+	End              time.Duration `cbor:"25,keyasint,omitempty"` // of a granted one: overdue after this
+	Fence            Fence         `cbor:"26,keyasint,omitempty"`
+	Drained          []string      `cbor:"27,keyasint,omitempty"` // members that have confirmed, sorted
+	Returned         time.Duration `cbor:"28,keyasint,omitempty"`
+	WasRecalled      bool          `cbor:"29,keyasint,omitempty"` // was recalled
+	Reason           string        `cbor:"30,keyasint,omitempty"`
+	EarliestFeasible time.Duration `cbor:"31,keyasint,omitempty"` // of a refused one: the earliest start that would do
+	HasFeasible      bool          `cbor:"32,keyasint,omitempty"` // Could is known
 }
 
 // floor is what is agreed for a scope.
 type floor struct {
-	Scope Scope  `cbor:"1,keyasint"`
-	Steps []Step `cbor:"2,keyasint,omitempty"` // in force
-	Next  []Step `cbor:"3,keyasint,omitempty"` // pending
-	Short bool   `cbor:"4,keyasint,omitempty"` // what is there is less
+	Scope      Scope  `cbor:"1,keyasint"`
+	Steps      []Step `cbor:"2,keyasint,omitempty"` // in force
+	Pending    []Step `cbor:"3,keyasint,omitempty"` // pending
+	BelowFloor bool   `cbor:"4,keyasint,omitempty"` // what is there is less
 }
 
 // Machine is the state machine. It is not safe for concurrent use: the task that
 // applies the log owns it. All of state is slices in a stated order, so that a
 // snapshot is the same everywhere.
 type Machine struct {
-	set      Settings
-	index    uint64
-	now      time.Duration
-	seq      uint64
-	backends []*backend // by id
-	serving  []string   // sorted
-	floors   []*floor   // by scope
-	open     []*plan    // by order of asking
-	ended    []*plan    // by time of their end
-
-	totals map[Scope]int64 // derived from backends
-	dirty  bool            // plans are to be placed anew; false between entries
-	sub    uint64          // grants of this entry
-	events []Event
+	settings       Settings
+	index          uint64
+	now            time.Duration
+	lastSeq        uint64
+	backends       []*backend // by id
+	servingMembers []string   // sorted
+	floors         []*floor   // by scope
+	openPlans      []*plan    // by order of asking
+	endedPlans     []*plan    // by time of their end
+
+	totalSizes    map[Scope]int64 // derived from backends
+	needsReplan   bool            // plans are to be placed anew; false between entries
+	grantsInEntry uint64          // grants of this entry
+	events        []Event
 }
 
 // New returns an empty machine, or an error that names the setting that is wrong.
-func New(set Settings) (*Machine, error) {
-	if err := set.check(); err != nil {
+func New(settings Settings) (*Machine, error) {
+	if err := settings.check(); err != nil {
 		return nil, err
 	}
-	return &Machine{set: set, totals: map[Scope]int64{}}, nil
+	return &Machine{settings: settings, totalSizes: map[Scope]int64{}}, nil
 }
 
 // Result is the kind of an Answer.
@@ -254,14 +254,14 @@
 	EarliestFeasible time.Duration `cbor:"Could"` // of a refused one: the earliest start that would do, as things stood; -1: none
 }
 
-func (m *Machine) row(p *plan) Window {
-	w := Window{Request: p.Request, State: p.State, FirstStart: p.First, Start: p.Start, End: p.End, Fence: p.Fence,
-		Drained: len(p.Drained), Serving: len(m.serving), Reason: p.Why, EarliestFeasible: p.Could}
+func (m *Machine) windowOf(p *plan) Window {
+	w := Window{Request: p.Request, State: p.State, FirstStart: p.FirstStart, Start: p.Start, End: p.End, Fence: p.Fence,
+		Drained: len(p.Drained), Serving: len(m.servingMembers), Reason: p.Reason, EarliestFeasible: p.EarliestFeasible}
 	w.Request.Backends = slices.Clone(p.Backends)
 	if p.Fence == 0 {
 		w.End = p.Start + p.Duration
 	}
-	if p.State == Refused && !p.Placeable {
+	if p.State == Refused && !p.HasFeasible {
 		w.EarliestFeasible = -1
 	}
 	return w
@@ -276,23 +276,23 @@
 // List returns the open windows in the order of asking, then the ended ones that
 // are still kept, in the order of their end.
 func (m *Machine) List() []Window {
-	var all []Window
-	for _, p := range slices.Concat(m.open, m.ended) {
-		all = append(all, m.row(p))
+	var windows []Window
+	for _, p := range slices.Concat(m.openPlans, m.endedPlans) {
+		windows = append(windows, m.windowOf(p))
 	}
-	return all
+	return windows
 }
 
 // Window returns the window of an id.
 func (m *Machine) Window(id string) (Window, bool) {
-	if p := m.plan(id); p != nil {
-		return m.row(p), true
+	if p := m.findPlan(id); p != nil {
+		return m.windowOf(p), true
 	}
 	return Window{}, false
 }
 
-func (m *Machine) plan(id string) *plan {
-	for _, list := range [][]*plan{m.open, m.ended} {
+func (m *Machine) findPlan(id string) *plan {
+	for _, list := range [][]*plan{m.openPlans, m.endedPlans} {
 		for _, p := range list {
 			if p.ID == id {
 				return p
@@ -302,7 +302,7 @@
 	return nil
 }
 
-func (m *Machine) backend(id string) *backend {
+func (m *Machine) findBackend(id string) *backend {
 	i, ok := slices.BinarySearchFunc(m.backends, id,
 		func(b *backend, id string) int { return cmp.Compare(b.ID, id) })
 	if !ok {
@@ -311,7 +311,7 @@
 	return m.backends[i]
 }
 
-func (m *Machine) floor(sc Scope) *floor {
+func (m *Machine) findFloor(sc Scope) *floor {
 	i, ok := slices.BinarySearchFunc(m.floors, sc, func(f *floor, sc Scope) int { return f.Scope.compare(sc) })
 	if !ok {
 		return nil
@@ -335,7 +335,7 @@
 		a.Result, a.Err = Invalid, err.Error()
 		return a
 	}
-	m.events, m.sub = nil, 0
+	m.events, m.grantsInEntry = nil, 0
 	p, result, err := e.apply(m)
 	m.settle()
 	a.Now, a.Result, a.Events = m.now, result, m.events
@@ -343,7 +343,7 @@
 		a.Err = err.Error()
 	}
 	if p != nil {
-		a.HasWindow, a.Window = true, m.row(p)
+		a.HasWindow, a.Window = true, m.windowOf(p)
 	}
 	m.events = nil
 	return a
@@ -351,71 +351,71 @@
 
 // settle does what time and facts ask for: it runs after each entry.
 func (m *Machine) settle() {
-	m.age()
-	m.enforce()
-	m.recall()
-	m.grantDue()
-	m.expire()
-	if m.dirty {
-		m.dirty = false
+	m.endWarmUpsAndMarkOverdue()
+	m.activatePendingFloors()
+	m.recallForFloors()
+	m.grantDuePlans()
+	m.refuseExpired()
+	if m.needsReplan {
+		m.needsReplan = false
 		m.replan()
-		m.grantDue()
-		m.dirty = false
+		m.grantDuePlans()
+		m.needsReplan = false
 	}
-	m.report()
+	m.reportFloorChanges()
 }
 
 // become puts a plan into a state and tells of it.
-func (m *Machine) become(p *plan, s State, why string) {
-	p.State = s
-	if why != "" {
-		p.Why = why
+func (m *Machine) setState(p *plan, state State, reason string) {
+	p.State = state
+	if reason != "" {
+		p.Reason = reason
 	}
-	if s.Ended() {
+	if state.Ended() {
 		p.Drained = nil
-		m.open = slices.DeleteFunc(m.open, func(o *plan) bool { return o == p })
-		m.ended = append(m.ended, p)
-		if over := len(m.ended) - m.set.History; over > 0 {
-			m.ended = slices.Delete(m.ended, 0, over)
+		m.openPlans = slices.DeleteFunc(m.openPlans, func(o *plan) bool { return o == p })
+		m.endedPlans = append(m.endedPlans, p)
+		if excess := len(m.endedPlans) - m.settings.History; excess > 0 {
+			m.endedPlans = slices.Delete(m.endedPlans, 0, excess)
 		}
 	}
-	m.events = append(m.events, Event{Kind: EventState, Window: m.row(p)})
+	m.events = append(m.events, Event{Kind: EventState, Window: m.windowOf(p)})
 }
 
 // age ends warm-ups that are over and marks windows that are late.
-func (m *Machine) age() {
+func (m *Machine) endWarmUpsAndMarkOverdue() {
 	for _, b := range m.backends {
-		if b.Ramp && m.now-b.Since >= b.WarmUpTime {
-			b.Ramp = false
+		if b.WarmingUp && m.now-b.Since >= b.WarmUpTime {
+			b.WarmingUp = false
 		}
 	}
-	for _, p := range slices.Clone(m.open) {
+	for _, p := range slices.Clone(m.openPlans) {
 		switch {
-		case p.State == WarmingUp && m.span(p, false).finish <= m.now:
-			m.become(p, Done, "")
-		case p.State.holding() && p.State != Overdue && m.now > p.End:
-			m.become(p, Overdue, "")
-			m.dirty = true
+		case p.State == WarmingUp && m.reservationOf(p, false).finish <= m.now:
+			m.setState(p, Done, "")
+		case p.State.holdsCapacity() && p.State != Overdue && m.now > p.End:
+			m.setState(p, Overdue, "")
+			m.needsReplan = true
 		}
 	}
 }
 
 // enforce puts pending floors in force that hold by now.
-func (m *Machine) enforce() {
+func (m *Machine) activatePendingFloors() {
 	for _, f := range m.floors {
-		if f.Next != nil && m.wouldHold(f.Scope, f.Next) {
-			f.Steps, f.Next = f.Next, nil
-			m.dirty = true
-			m.events = append(m.events, Event{Kind: EventFloorInForce, Scope: f.Scope, Required: at(f.Steps, m.now)})
+		if f.Pending != nil && m.floorWouldHold(f.Scope, f.Pending) {
+			f.Steps, f.Pending = f.Pending, nil
+			m.needsReplan = true
+			m.events = append(m.events, Event{Kind: EventFloorInForce, Scope: f.Scope, Required: requiredAt(f.Steps, m.now)})
 		}
 	}
 }
 
 // wouldHold says whether steps would hold now and by the running windows. As these
 // give back and nothing else is known to go, each step need be looked at once.
-func (m *Machine) wouldHold(sc Scope, steps []Step) bool {
-	v := m.view(true)
-	if v.room(sc, m.now) < at(steps, m.now) {
+func (m *Machine) floorWouldHold(sc Scope, steps []Step) bool {
+	forecast := m.forecastWith(true)
+	if forecast.available(sc, m.now) < requiredAt(steps, m.now) {
 		return false
 	}
 	for _, s := range steps {
@@ -423,7 +423,7 @@
 		if next < m.now {
 			next += day
 		}
-		if v.room(sc, next) < s.Capacity {
+		if forecast.available(sc, next) < s.Capacity {
 			return false
 		}
 	}
@@ -432,84 +432,84 @@
 
 // recall calls back windows, the latest grant first, until each floor that is short
 // would hold with what is on its way back.
-func (m *Machine) recall() {
-	v := m.view(true)
+func (m *Machine) recallForFloors() {
+	forecast := m.forecastWith(true)
 	for _, f := range m.floors {
-		want := at(f.Steps, m.now)
-		have := v.room(f.Scope, m.now)
-		if have >= want {
+		required := requiredAt(f.Steps, m.now)
+		available := forecast.available(f.Scope, m.now)
+		if available >= required {
 			continue
 		}
-		var can []*span
-		for _, s := range v.spans {
-			out := s.out(v, f.Scope, m.now)
+		var recallable []*reservation
+		for _, s := range forecast.reservations {
+			freed := s.capacityOut(forecast, f.Scope, m.now)
 			switch {
-			case out == 0:
-			case s.p.Called || s.p.State == Returning || s.p.State == Overdue:
-				have += out
-			case s.p.State == Granted, s.p.State == Draining, s.p.State == OutOfService && s.p.Recallable:
-				can = append(can, s)
+			case freed == 0:
+			case s.plan.WasRecalled || s.plan.State == Returning || s.plan.State == Overdue:
+				available += freed
+			case s.plan.State == Granted, s.plan.State == Draining, s.plan.State == OutOfService && s.plan.Recallable:
+				recallable = append(recallable, s)
 			}
 		}
-		slices.SortFunc(can, func(a, b *span) int { return cmp.Compare(b.p.Fence, a.p.Fence) })
-		for _, s := range can {
-			if have >= want {
+		slices.SortFunc(recallable, func(a, b *reservation) int { return cmp.Compare(b.plan.Fence, a.plan.Fence) })
+		for _, s := range recallable {
+			if available >= required {
 				break
 			}
-			have += s.out(v, f.Scope, m.now)
-			s.p.Called = true
-			m.become(s.p, Recalled, fmt.Sprintf("recalled: %s is below its floor %d", name(f.Scope), want))
+			available += s.capacityOut(forecast, f.Scope, m.now)
+			s.plan.WasRecalled = true
+			m.setState(s.plan, Recalled, fmt.Sprintf("recalled: %s is below its floor %d", scopeName(f.Scope), required))
 		}
 	}
 }
 
 // grantDue grants what is due, as far as the floors allow it now.
-func (m *Machine) grantDue() {
-	due := slices.DeleteFunc(slices.Clone(m.open), func(p *plan) bool {
+func (m *Machine) grantDuePlans() {
+	due := slices.DeleteFunc(slices.Clone(m.openPlans), func(p *plan) bool {
 		return p.State != Planned || p.Start > m.now || m.now+p.Duration > p.LatestEnd
 	})
-	slices.SortFunc(due, byList)
+	slices.SortFunc(due, byPriority)
 	for _, p := range due {
-		v := m.view(true)
-		s := m.span(p, true)
-		s.move(m.now, p.Duration)
-		if c, clash := v.clash(s); clash {
-			p.Why = "waits: " + c.String()
-			m.dirty = true
+		forecast := m.forecastWith(true)
+		candidate := m.reservationOf(p, true)
+		candidate.setInterval(m.now, p.Duration)
+		if conflict, found := forecast.findConflict(candidate); found {
+			p.Reason = "waits: " + conflict.String()
+			m.needsReplan = true
 			continue
 		}
 		p.Start, p.End = m.now, m.now+p.Duration
-		p.Fence = Fence(m.index<<fenceBits | m.sub)
-		m.sub++
-		p.Why = ""
-		m.become(p, Granted, "")
+		p.Fence = Fence(m.index<<fenceGrantBits | m.grantsInEntry)
+		m.grantsInEntry++
+		p.Reason = ""
+		m.setState(p, Granted, "")
 	}
 }
 
 // expire refuses what can't end in time any more.
-func (m *Machine) expire() {
-	for _, p := range slices.Clone(m.open) {
+func (m *Machine) refuseExpired() {
+	for _, p := range slices.Clone(m.openPlans) {
 		if p.State <= Planned && m.now+p.Duration > p.LatestEnd {
-			why := p.Why
-			m.could(p)
-			m.become(p, Refused, "end: no room before the latest end; "+cmp.Or(why, "its time is over"))
-			m.dirty = true
+			reason := p.Reason
+			m.findEarliestFeasible(p)
+			m.setState(p, Refused, "end: no room before the latest end; "+cmp.Or(reason, "its time is over"))
+			m.needsReplan = true
 		}
 	}
 }
 
 // report tells of floors that became short, or hold again.
-func (m *Machine) report() {
-	v := m.view(true)
+func (m *Machine) reportFloorChanges() {
+	forecast := m.forecastWith(true)
 	for _, f := range m.floors {
-		have, want := v.room(f.Scope, m.now), at(f.Steps, m.now)
-		if short := have < want; short != f.Short {
-			f.Short = short
+		available, required := forecast.available(f.Scope, m.now), requiredAt(f.Steps, m.now)
+		if belowFloor := available < required; belowFloor != f.BelowFloor {
+			f.BelowFloor = belowFloor
 			kind := EventFloorRestored
-			if short {
+			if belowFloor {
 				kind = EventBelowFloor
 			}
-			m.events = append(m.events, Event{Kind: kind, Scope: f.Scope, Required: want, Available: have})
+			m.events = append(m.events, Event{Kind: kind, Scope: f.Scope, Required: required, Available: available})
 		}
 	}
 }
