--- a/fleet/schedule/schedule.go
+++ b/fleet/schedule/schedule.go
@@ -1,6 +1,6 @@
-// Package schedule is what a fleet's voters agree on: the maintenance windows of
-// fleet/window as a machine of fleet/agree. Entries are those of window.Encode;
-// answers are read by Parse; queries are lines, as operators write them.
+// Package schedule runs the maintenance windows of fleet/window as a replicated state
+// machine of fleet/agree. Entries are encoded by window.Encode, answers are decoded by
+// Parse, and queries are lines of text as operators type them.
 package schedule
 
 import (
@@ -15,13 +15,14 @@
 	"oxbowloft/fleet/window"
 )
 
-// version is the form of answers, in their first byte.
+// answerVersion is the version of the answer encoding, the first byte of an answer.
 const answerVersion = 1
 
-// Answer is what the machine answers to an entry, the same at all voters.
+// Answer is the machine's answer to an entry. It is the same on all voters.
 type Answer struct {
 	window.Answer
-	OmittedEvents int `cbor:"Left"` // events that did not fit into an answer; the windows have what they told
+	// number of events that did not fit into the answer; a query for the windows shows their effect
+	OmittedEvents int `cbor:"Left"`
 }
 
 // Machine is an agree.Machine and agree.Querier. It is not safe for concurrent use.
@@ -29,8 +30,8 @@
 	windows *window.Machine
 }
 
-// New returns a machine without backends, floors and plans. The error names the
-// setting that is wrong.
+// New returns a machine without backends, floors and plans, or an error that names the
+// invalid setting.
 func New(settings window.Settings) (*Machine, error) {
 	windows, err := window.New(settings)
 	if err != nil {
@@ -39,18 +40,19 @@
 	return &Machine{windows}, nil
 }
 
-// Tick is the entry that says that time has passed, as much of it as one entry may
-// tell. What is over that is lost: log time may stand still, and never jumps.
+// Tick returns the entry that advances log time by elapsed, limited to
+// window.DefaultMaxTick. Time beyond that limit is dropped: log time may stand still,
+// but never jumps.
 func Tick(elapsed time.Duration) []byte {
 	entry, err := window.Encode(window.Tick{Elapsed: max(1, min(elapsed, window.DefaultMaxTick))})
 	if err != nil {
-		return nil // a tick is always encoded
+		return nil // can't happen: a tick always has an encoding
 	}
 	return entry
 }
 
-// Apply implements agree.Machine. A tick that brings nothing about has no answer,
-// so that subscribers hear of changes alone.
+// Apply implements agree.Machine. A tick that changes nothing has no answer, so that
+// subscribers only hear of changes.
 func (m *Machine) Apply(index uint64, entry []byte) []byte {
 	a := m.windows.Apply(index, entry)
 	if a.Result == window.OK && !a.HasWindow && len(a.Events) == 0 && window.IsTick(entry) {
@@ -59,8 +61,9 @@
 	return encodeBounded(Answer{Answer: a})
 }
 
-// encode fits an answer into the bound of agree: it leaves out the backends of the
-// windows that events tell of, then the last events, then the backends of its own.
+// encodeBounded encodes an answer within the size limit of agree. As far as needed it
+// drops the backend lists of the windows in events, then the last events, then the
+// backend list of the answer's own window.
 func encodeBounded(a Answer) []byte {
 	for {
 		text, err := cbor.Marshal(a)
@@ -75,12 +78,14 @@
 		case len(a.Window.Request.Backends) > 0:
 			a.Window.Request.Backends = nil
 		default:
-			return []byte{answerVersion} // it is bounded; Parse says that it can't be read
+			// not expected, as the rest has a bounded size; Parse reports it as unreadable
+			return []byte{answerVersion}
 		}
 	}
 }
 
-// trim takes the backends out of the windows of events. It tells whether there were any.
+// dropBackends removes the backend lists from the windows of events and reports whether
+// there were any.
 func dropBackends(events []window.Event) (dropped bool) {
 	for i := range events {
 		ask := &events[i].Window.Request
@@ -90,7 +95,7 @@
 	return dropped
 }
 
-// Parse reads an answer of the machine.
+// Parse decodes an answer of the machine.
 func Parse(text []byte) (Answer, error) {
 	var a Answer
 	if len(text) == 0 || text[0] != answerVersion {
@@ -106,7 +111,7 @@
 func (m *Machine) Snapshot() []byte {
 	text, err := m.windows.Snapshot()
 	if err != nil {
-		return nil // it can't be: the state holds nothing that has no encoding
+		return nil // can't happen: every state has an encoding
 	}
 	return text
 }
@@ -120,8 +125,9 @@
 	return err
 }
 
-// Query implements agree.Querier. It answers a line of the door with lines: STATUS,
-// LIST, FLOORS, or SHOW and an id. What is not known, or not there, is one line ERR.
+// Query implements agree.Querier. It answers a line of the admin endpoint with one or
+// more lines: STATUS, LIST, FLOORS, or SHOW and an id. An unknown query or id gets a
+// single ERR line.
 func (m *Machine) Query(query []byte) []byte {
 	words := strings.Fields(string(query))
 	var lines []string
@@ -148,10 +154,10 @@
 	return joinBounded(lines)
 }
 
-// bounded joins lines within the bound of an answer. The last line says how many
-// are left out, where some are.
+// joinBounded joins lines within the size limit of an answer. If lines had to be left
+// out, the last line says how many.
 func joinBounded(lines []string) []byte {
-	const moreLineBytes = 64 // for that line
+	const moreLineBytes = 64 // reserved for the line that counts the omitted ones
 	var b strings.Builder
 	for i, line := range lines {
 		if b.Len()+len(line)+moreLineBytes > agree.MaxEntry {
--- a/fleet/schedule/schedule_test.go
+++ b/fleet/schedule/schedule_test.go
@@ -118,7 +118,8 @@
 		apply(newBackends("r", 256, strings.Repeat("long", 10)+fmt.Sprint(i, "-")))
 	}
 	for i := range 100 {
-		plan := window.Request{ID: fmt.Sprint("p", i), Region: "r", Duration: time.Hour, EarliestStart: time.Hour, LatestEnd: 300 * time.Hour}
+		plan := window.Request{ID: fmt.Sprint("p", i), Region: "r", Duration: time.Hour, EarliestStart: time.Hour,
+			LatestEnd: 300 * time.Hour}
 		for j := range 24 {
 			plan.Backends = append(plan.Backends, fmt.Sprint(strings.Repeat("long", 10), i%4, "-", (i*24+j)%256))
 		}
--- a/fleet/window/bench_test.go
+++ b/fleet/window/bench_test.go
@@ -20,7 +20,8 @@
 	for i := range 16 {
 		var put []Backend
 		for j := range 256 {
-			put = append(put, Backend{fmt.Sprintf("b%04d", i*256+j), fmt.Sprint("r", i/4), fmt.Sprint("z", i%4), 10, 10 * minute, 300, true})
+			put = append(put, Backend{fmt.Sprintf("b%04d", i*256+j), fmt.Sprint("r", i/4), fmt.Sprint("z", i%4),
+				10, 10 * minute, 300, true})
 		}
 		do(PutBackends{put})
 	}
--- a/fleet/window/describe.go
+++ b/fleet/window/describe.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// stamp writes log time as days and time of day, to the millisecond.
+// formatLogTime formats log time as days and time of day, with milliseconds if there are
+// any.
 func formatLogTime(t time.Duration) string {
 	if t >= unboundedTime-maxLogTime {
 		return "never"
@@ -19,7 +20,7 @@
 	return s
 }
 
-// name is how a scope is called in lines: all, region, or region/zone.
+// scopeName returns the name of a scope in output lines: all, region, or region/zone.
 func scopeName(s Scope) string {
 	switch {
 	case s.Region == "":
@@ -30,7 +31,7 @@
 	return s.Region + "/" + s.Zone
 }
 
-// Describe is a window in one line of the door.
+// Describe formats a window as one line of the admin endpoint.
 func (w Window) Describe() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "WINDOW %s state=%v region=%s", w.Request.ID, w.State, w.Request.Region)
@@ -60,7 +61,7 @@
 	return b.String()
 }
 
-// Describe is an event in one line.
+// Describe formats an event as one line.
 func (e Event) Describe() string {
 	switch e.Kind {
 	case EventState:
@@ -68,15 +69,17 @@
 	case EventStartMoved:
 		return e.Window.Describe() + " moved=yes"
 	case EventBelowFloor:
-		return fmt.Sprintf("FLOOR %s state=short floor=%d have=%d", scopeName(e.Scope), e.Required, e.Available)
+		return fmt.Sprintf("FLOOR %s state=short floor=%d have=%d", scopeName(e.Scope), e.Required,
+			e.Available)
 	case EventFloorRestored:
-		return fmt.Sprintf("FLOOR %s state=held floor=%d have=%d", scopeName(e.Scope), e.Required, e.Available)
+		return fmt.Sprintf("FLOOR %s state=held floor=%d have=%d", scopeName(e.Scope), e.Required,
+			e.Available)
 	default:
 		return fmt.Sprintf("FLOOR %s state=in-force floor=%d", scopeName(e.Scope), e.Required)
 	}
 }
 
-// Describe is an answer in one line: the result, the log time, then the window or
+// Describe formats an answer as one line: the result, the log time, then the window or
 // the reason.
 func (a Answer) Describe() string {
 	s := fmt.Sprintf("%s now=%s index=%d", strings.ToUpper(a.Result.String()), formatLogTime(a.Now), a.Index)
@@ -89,29 +92,30 @@
 	return s
 }
 
-// Floor is a scope's floor as operators see it.
+// Floor is the view of a scope's floor that operators get. Sizes are capacity units.
 type Floor struct {
 	Scope     Scope
 	Steps     []Step // in force
-	Pending   []Step // not in force yet; grants keep to it already
-	Total     int64  // size of all backends
-	Available int64  // of that, what is not out, by itself or by windows
-	Required  int64  // in force now
+	Pending   []Step // not in force yet, but already binding for grants
+	Total     int64  // size of all backends of the scope
+	Available int64  // part of Total that is neither failed, warming up nor in a window
+	Required  int64  // capacity required by Steps now
 }
 
-// Floors returns the floors in the order of their scopes.
+// Floors returns the floors in order of scope.
 func (m *Machine) Floors() []Floor {
 	var floors []Floor
-	forecast := m.forecastWith(true)
+	forecast := m.forecast(true)
 	for _, f := range m.floors {
 		floors = append(floors, Floor{Scope: f.Scope, Steps: append([]Step(nil), f.Steps...),
-			Pending: append([]Step(nil), f.Pending...), Total: m.totalSizes[f.Scope], Available: forecast.available(f.Scope, m.now),
-			Required: requiredAt(f.Steps, m.now)})
+			Pending: append([]Step(nil), f.Pending...), Total: m.totalSizes[f.Scope],
+			Available: forecast.available(f.Scope, m.now),
+			Required:  requiredAt(f.Steps, m.now)})
 	}
 	return floors
 }
 
-// Describe is a floor in one line of the door.
+// Describe formats a floor as one line of the admin endpoint.
 func (f Floor) Describe() string {
 	state := "held"
 	if f.Available < f.Required {
@@ -129,7 +133,8 @@
 	var parts []string
 	for _, s := range steps {
 		from := s.From
-		parts = append(parts, fmt.Sprintf("%02d:%02d=%d", from/time.Hour, from%time.Hour/time.Minute, s.Capacity))
+		parts = append(parts, fmt.Sprintf("%02d:%02d=%d", from/time.Hour, from%time.Hour/time.Minute,
+			s.Capacity))
 	}
 	if parts == nil {
 		return "none"
@@ -137,8 +142,9 @@
 	return strings.Join(parts, ",")
 }
 
-// Status is the machine in one line of the door.
+// Status formats a summary of the machine as one line of the admin endpoint.
 func (m *Machine) Status() string {
 	return fmt.Sprintf("STATUS now=%s index=%d backends=%d serving=%d open=%d ended=%d",
-		formatLogTime(m.now), m.index, len(m.backends), len(m.servingMembers), len(m.openPlans), len(m.endedPlans))
+		formatLogTime(m.now), m.index, len(m.backends), len(m.servingMembers), len(m.openPlans),
+		len(m.endedPlans))
 }
--- a/fleet/window/entry.go
+++ b/fleet/window/entry.go
@@ -12,105 +12,115 @@
 // Version is the first byte of each entry and each snapshot.
 const Version = 1
 
-// Entry is one of the entry types below.
+// Entry is a log entry: one of the types below.
 type Entry interface {
 	kind() byte
-	// apply carries the entry out. With Bad nothing may have changed.
+	// apply changes the machine. If it returns Invalid, it has changed nothing.
 	apply(m *Machine) (*plan, Result, error)
 }
 
-// Tick says that time has passed, by the leader's monotonic clock.
+// Tick advances log time by a duration of the leader's monotonic clock.
 type Tick struct {
-	Elapsed time.Duration `cbor:"1,keyasint"` // over 0, at most Settings.MaxTick
+	Elapsed time.Duration `cbor:"1,keyasint"` // positive, at most Settings.MaxTick
 }
 
-// Backend is one backend as the fleet knows it.
+// Backend describes a backend for scheduling.
 type Backend struct {
-	ID              string        `cbor:"1,keyasint"`
-	Region          string        `cbor:"2,keyasint"`
-	Zone            string        `cbor:"3,keyasint"`
-	Size            int64         `cbor:"4,keyasint"`           // in units that all backends share
-	WarmUpTime      time.Duration `cbor:"5,keyasint,omitempty"` // length of the warm-up, at most 24 h
-	InitialPermille int64         `cbor:"6,keyasint,omitempty"` // thousandths of Size that it has at its start
-	SkipWarmUp      bool          `cbor:"7,keyasint,omitempty"` // when it is new: it is warm already
-}
-
-// Backends registers backends, or updates them. A backend's region and zone can't
+	ID         string        `cbor:"1,keyasint"`
+	Region     string        `cbor:"2,keyasint"`
+	Zone       string        `cbor:"3,keyasint"`
+	Size       int64         `cbor:"4,keyasint"`           // capacity, in a unit common to all backends
+	WarmUpTime time.Duration `cbor:"5,keyasint,omitempty"` // duration of the slow start, at most 24 h
+	// thousandths of Size available when the warm-up starts
+	InitialPermille int64 `cbor:"6,keyasint,omitempty"`
+	// a newly registered backend counts at full Size at once
+	SkipWarmUp bool `cbor:"7,keyasint,omitempty"`
+}
+
+// PutBackends registers or updates backends. The region and zone of a backend can't
 // change while an open plan names it.
 type PutBackends struct {
 	Put []Backend `cbor:"1,keyasint"`
 }
 
-// Remove takes backends off the list. It is refused while an open plan names one;
-// a backend that is gone is reported by Failed until then.
+// RemoveBackends unregisters backends. It is rejected while an open plan names one of
+// them; until then a backend that no longer exists is reported with BackendsFailed.
 type RemoveBackends struct {
 	IDs []string `cbor:"1,keyasint"`
 }
 
-// Failed reports that backends have failed by themselves.
+// BackendsFailed reports unplanned failures of backends.
 type BackendsFailed struct {
 	IDs []string `cbor:"1,keyasint"`
 }
 
-// Recovered reports that failed backends serve again; their warm-up begins.
+// BackendsRecovered reports that failed backends serve again; their warm-up starts.
 type BackendsRecovered struct {
 	IDs []string `cbor:"1,keyasint"`
 }
 
-// Serving names all members whose confirmation a drain needs, in place of those
-// named before. While none is named no drain is complete.
+// SetServing replaces the list of members that must confirm each drain: those that send
+// traffic to backends. While the list is empty no drain completes.
 type SetServing struct {
 	Members []string `cbor:"1,keyasint"`
 }
 
-// Step is a part of a floor: from this time of day until the next step.
+// Step is one step of a floor: the capacity required from this time of day until the
+// next step.
 type Step struct {
-	From     time.Duration `cbor:"1,keyasint,omitempty"` // 0 to under 24 h
+	From     time.Duration `cbor:"1,keyasint,omitempty"` // time of day, 0 to less than 24 h
 	Capacity int64         `cbor:"2,keyasint,omitempty"`
 }
 
-// SetFloor agrees on the floor of a scope: one step for all day, or several with
-// times that grow; before the first the last one holds. No steps: no floor.
+// SetFloor sets the floor of a scope: one step for the whole day, or several in
+// ascending order; before the first step of a day the last one applies. Without steps
+// the floor is removed.
 type SetFloor struct {
 	Scope Scope  `cbor:"1,keyasint"`
 	Steps []Step `cbor:"2,keyasint"`
 }
 
-// Ask asks for a window. Times are log time.
+// Request asks for a maintenance window. Times are log time.
 type Request struct {
-	ID            string        `cbor:"1,keyasint"` // the asker's: asked twice it is one plan
-	Region        string        `cbor:"2,keyasint"`
-	Backends      []string      `cbor:"3,keyasint,omitempty"` // of the region; or:
-	Zone          string        `cbor:"4,keyasint,omitempty"` // with Amount, a zone of the region
+	// chosen by the requester; repeating it requests the same plan
+	ID       string   `cbor:"1,keyasint"`
+	Region   string   `cbor:"2,keyasint"`
+	Backends []string `cbor:"3,keyasint,omitempty"` // backends of the region, or instead:
+	// a zone of the region, from which Amount is taken
+	Zone          string        `cbor:"4,keyasint,omitempty"`
 	Amount        int64         `cbor:"5,keyasint,omitempty"`
 	Duration      time.Duration `cbor:"6,keyasint"` // from the grant to the return, without the warm-up
 	EarliestStart time.Duration `cbor:"7,keyasint,omitempty"`
-	LatestEnd     time.Duration `cbor:"8,keyasint"`            // the window ends by this, its warm-up may come after
-	Priority      int           `cbor:"9,keyasint,omitempty"`  // 0 to MaxPriority, the higher first
-	Notice        time.Duration `cbor:"10,keyasint,omitempty"` // a start is told at least this long before
-	Recallable    bool          `cbor:"14,keyasint,omitempty"` // may be called back even when it is out
+	// the window has to end by this; its warm-up may end later
+	LatestEnd time.Duration `cbor:"8,keyasint"`
+	Priority  int           `cbor:"9,keyasint,omitempty"` // 0 to MaxPriority, the highest first
+	// a start is announced at least this long ahead
+	Notice time.Duration `cbor:"10,keyasint,omitempty"`
+	// may be recalled even after its drain has completed
+	Recallable bool `cbor:"14,keyasint,omitempty"`
 }
 
-// Cancel ends a plan that is not granted, and calls a granted one back.
+// Cancel ends a plan that is not granted yet, and recalls a granted one.
 type Cancel struct {
 	ID string `cbor:"1,keyasint"`
 }
 
-// Drained is a serving member's confirmation that it sends nothing more to the
-// window's backends.
+// Drained is a member's confirmation that it no longer sends traffic to the backends of
+// the window.
 type Drained struct {
 	ID     string `cbor:"1,keyasint"`
 	Fence  Fence  `cbor:"2,keyasint"`
 	Member string `cbor:"3,keyasint"`
 }
 
-// Return is the asker's word that its work is over and the backends come back.
+// Return reports that the requester's work is done and that the backends are coming
+// back.
 type Return struct {
 	ID    string `cbor:"1,keyasint"`
 	Fence Fence  `cbor:"2,keyasint"`
 }
 
-// Returned confirms that the window's backends serve again; their warm-up begins.
+// Returned confirms that the backends of the window serve again; their warm-up starts.
 type Returned struct {
 	ID    string `cbor:"1,keyasint"`
 	Fence Fence  `cbor:"2,keyasint"`
@@ -129,12 +139,12 @@
 func (Return) kind() byte            { return 11 }
 func (Returned) kind() byte          { return 12 }
 
-// codec returns CBOR (RFC 8949) in its core deterministic form, with limits that
-// keep a decoder from taking more memory than its input is worth.
+// cborModes returns CBOR (RFC 8949) in its core deterministic form, with limits that
+// bound the memory which the decoder takes for a malformed input.
 func cborModes() (cbor.EncMode, cbor.DecMode) {
 	enc, err := cbor.CoreDetEncOptions().EncMode()
 	if err != nil {
-		panic(err) // fixed options: can't fail
+		panic(err) // the options are constant and valid
 	}
 	dec, err := cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF, IndefLength: cbor.IndefLengthForbidden,
 		TagsMd: cbor.TagsForbidden, ExtraReturnErrors: cbor.ExtraDecErrorUnknownField, MaxNestedLevels: 8,
@@ -145,7 +155,7 @@
 	return enc, dec
 }
 
-// Encode returns the bytes of an entry: the version, the kind, and a CBOR map.
+// Encode returns the encoded entry: the version, the kind, and a CBOR map.
 func Encode(e Entry) ([]byte, error) {
 	enc, _ := cborModes()
 	body, err := enc.Marshal(e)
@@ -158,10 +168,10 @@
 	return append([]byte{Version, e.kind()}, body...), nil
 }
 
-// IsTick tells whether data is an entry for passed time.
+// IsTick reports whether data is an encoded Tick.
 func IsTick(data []byte) bool { return len(data) > 1 && data[1] == Tick{}.kind() }
 
-// Decode reads an entry. It says nothing of what the entry means to a machine.
+// Decode decodes an entry. It does not check the entry against the state of a machine.
 func Decode(data []byte) (Entry, error) {
 	if len(data) < 2 || len(data) > MaxEntryBytes {
 		return nil, fmt.Errorf("window: entry of %d bytes: not in 2 to %d", len(data), MaxEntryBytes)
@@ -208,10 +218,11 @@
 	return e, nil
 }
 
-// nameBytes says which bytes checkName allows.
+// allowedNameBytes describes, for error messages, the bytes that checkName accepts.
 const allowedNameBytes = "letters, digits and ._-/:"
 
-// checkName says whether an id or a name can stand in a line of the door.
+// checkName checks that an id or a name can be written unquoted in a line of the admin
+// endpoint.
 func checkName(what, key, s string) error {
 	if s == "" || len(s) > MaxIDBytes {
 		return fmt.Errorf("window: %s: %s: %d bytes, not 1 to %d", what, key, len(s), MaxIDBytes)
@@ -267,11 +278,13 @@
 		if old == nil {
 			added++
 		} else if p := m.planNaming(b.ID); p != nil && (old.Region != b.Region || old.Zone != b.Zone) {
-			return nil, Invalid, fmt.Errorf("window: backend %s: zone: can't change while plan %s names it", b.ID, p.ID)
+			return nil, Invalid, fmt.Errorf("window: backend %s: zone: can't change while plan %s names it",
+				b.ID, p.ID)
 		}
 	}
 	if len(m.backends)+added > m.settings.MaxBackends {
-		return nil, Invalid, fmt.Errorf("window: backends: %d more would be over %d", added, m.settings.MaxBackends)
+		return nil, Invalid, fmt.Errorf("window: backends: %d more would be over %d", added,
+			m.settings.MaxBackends)
 	}
 	for _, b := range e.Put {
 		if old := m.findBackend(b.ID); old != nil {
@@ -280,13 +293,14 @@
 		}
 		i, _ := slices.BinarySearchFunc(m.backends, b.ID,
 			func(o *backend, id string) int { return cmp.Compare(o.ID, id) })
-		m.backends = slices.Insert(m.backends, i, &backend{Backend: b, WarmingUp: !b.SkipWarmUp, Since: m.now})
+		m.backends = slices.Insert(m.backends, i, &backend{Backend: b, WarmingUp: !b.SkipWarmUp,
+			Since: m.now})
 	}
 	m.recomputeTotals()
 	return nil, OK, nil
 }
 
-// user is the open plan that names a backend, if any.
+// planNaming returns the open plan that names the backend, or nil.
 func (m *Machine) planNaming(id string) *plan {
 	for _, p := range m.openPlans {
 		if _, ok := slices.BinarySearch(p.Backends, id); ok {
@@ -296,7 +310,7 @@
 	return nil
 }
 
-// count sums up the sizes of each scope.
+// recomputeTotals recomputes the total size of each scope.
 func (m *Machine) recomputeTotals() {
 	clear(m.totalSizes)
 	for _, b := range m.backends {
@@ -364,7 +378,8 @@
 
 func (e SetServing) apply(m *Machine) (*plan, Result, error) {
 	if len(e.Members) > m.settings.MaxServing {
-		return nil, Invalid, fmt.Errorf("window: serving: %d members are over %d", len(e.Members), m.settings.MaxServing)
+		return nil, Invalid, fmt.Errorf("window: serving: %d members are over %d", len(e.Members),
+			m.settings.MaxServing)
 	}
 	for _, s := range e.Members {
 		if err := checkName("serving", "member", s); err != nil {
@@ -373,15 +388,17 @@
 	}
 	m.servingMembers = slices.Compact(slices.Sorted(slices.Values(e.Members)))
 	for _, p := range m.openPlans {
-		p.Drained = slices.DeleteFunc(p.Drained, func(s string) bool { return !slices.Contains(m.servingMembers, s) })
+		p.Drained = slices.DeleteFunc(p.Drained,
+			func(s string) bool { return !slices.Contains(m.servingMembers, s) })
 		m.completeDrain(p)
 	}
 	return nil, OK, nil
 }
 
-// drainedAll takes a window out once all that serve have confirmed.
+// completeDrain moves a plan to OutOfService once all serving members have confirmed.
 func (m *Machine) completeDrain(p *plan) {
-	if (p.State == Granted || p.State == Draining) && len(m.servingMembers) > 0 && len(p.Drained) == len(m.servingMembers) {
+	if (p.State == Granted || p.State == Draining) && len(m.servingMembers) > 0 &&
+		len(p.Drained) == len(m.servingMembers) {
 		m.setState(p, OutOfService, "")
 	}
 }
@@ -432,7 +449,8 @@
 	m.needsReplan = true
 	if raisesFloor(f.Steps, e.Steps) && !m.floorWouldHold(e.Scope, e.Steps) {
 		f.Pending = e.Steps
-		return nil, Pending, fmt.Errorf("window: floor: %s: pending: what is out would breach it; grants wait for it",
+		return nil, Pending, fmt.Errorf(
+			"window: floor: %s: pending: what is out would breach it; grants wait for it",
 			scopeName(e.Scope))
 	}
 	f.Steps, f.Pending = e.Steps, nil
@@ -442,7 +460,7 @@
 	return nil, OK, nil
 }
 
-// raises says whether steps are above old at some time of day.
+// raisesFloor reports whether proposed is above current at some time of day.
 func raisesFloor(current, proposed []Step) bool {
 	for _, s := range slices.Concat(current, proposed) {
 		if requiredAt(proposed, s.From) > requiredAt(current, s.From) {
@@ -452,7 +470,7 @@
 	return false
 }
 
-// check reads an ask by itself and puts its backends in order.
+// check validates a request on its own and sorts its backends.
 func (e *Request) check(m *Machine) error {
 	if err := checkName("ask", "id", e.ID); err != nil {
 		return err
@@ -490,7 +508,8 @@
 	return nil
 }
 
-// differs names the first key in which two asks of one id differ.
+// firstDifference returns the name of the first field in which two requests with the
+// same id differ, or "".
 func (e *Request) firstDifference(o *Request) string {
 	switch {
 	case e.Region != o.Region:
@@ -517,7 +536,7 @@
 	return ""
 }
 
-// fits checks an ask against what the machine knows.
+// checkAgainst validates a request against the state of the machine.
 func (e *Request) checkAgainst(m *Machine) error {
 	what := "plan " + e.ID
 	for _, id := range e.Backends {
@@ -538,7 +557,8 @@
 	first := max(e.EarliestStart, m.now+e.Notice)
 	if need := first + e.Duration + m.settings.MaxTick; need > e.LatestEnd {
 		return fmt.Errorf("window: %s: latest: needs to be %s at least (start %s, duration, and %v "+
-			"since a grant falls on an entry)", what, formatLogTime(need), formatLogTime(first), m.settings.MaxTick)
+			"since a grant falls on an entry)", what, formatLogTime(need), formatLogTime(first),
+			m.settings.MaxTick)
 	}
 	return nil
 }
@@ -549,9 +569,10 @@
 	}
 	if old := m.findPlan(e.ID); old != nil {
 		if key := e.firstDifference(&old.Request); key != "" {
-			return old, Invalid, fmt.Errorf("window: plan %s: %s: differs from the plan that has this id", e.ID, key)
+			return old, Invalid, fmt.Errorf("window: plan %s: %s: differs from the plan that has this id",
+				e.ID, key)
 		}
-		if old.Seq == 0 { // it was refused when asked
+		if old.Seq == 0 { // refused when requested
 			return old, Rejected, fmt.Errorf("window: plan %s: %s", e.ID, old.Reason)
 		}
 		return old, Duplicate, nil
@@ -590,7 +611,8 @@
 	return p, OK, nil
 }
 
-// granted finds the window that a confirmation is for.
+// planWithFence returns the plan that a confirmation refers to, and checks its fencing
+// token.
 func (m *Machine) planWithFence(what, id string, f Fence) (*plan, Result, error) {
 	p := m.findPlan(id)
 	if p == nil {
@@ -644,7 +666,7 @@
 		return p, Duplicate, nil
 	}
 	p.Returned = m.now
-	m.needsReplan = m.needsReplan || m.now != p.End // else the plans count on it already
+	m.needsReplan = m.needsReplan || m.now != p.End // an exact return is what the plans already assume
 	m.setState(p, WarmingUp, "")
 	return p, OK, nil
 }
--- a/fleet/window/machine_test.go
+++ b/fleet/window/machine_test.go
@@ -77,18 +77,22 @@
 		why     string
 	}{
 		{"asked to planned", nil, []Entry{later}, Planned, ""},
-		{"planned to asked", nil, []Entry{later, SetFloor{Scope{"north", "n1"}, []Step{{0, 20}}}}, Requested, "no place: north/n1 would have 10"},
+		{"planned to asked", nil, []Entry{later, SetFloor{Scope{"north", "n1"}, []Step{{0, 20}}}}, Requested,
+			"no place: north/n1 would have 10"},
 		{"asked to planned again", nil, []Entry{later, SetFloor{Scope{"north", "n1"}, []Step{{0, 20}}},
 			SetFloor{Scope{"north", "n1"}, []Step{{0, 10}}}}, Planned, ""},
-		{"asked to cancelled", nil, []Entry{later, SetFloor{Scope{"north", "n1"}, []Step{{0, 20}}}, Cancel{"p"}}, Cancelled, "by its asker"},
+		{"asked to cancelled", nil, []Entry{later, SetFloor{Scope{"north", "n1"}, []Step{{0, 20}}}, Cancel{"p"}}, Cancelled,
+			"by its asker"},
 		{"planned to cancelled", nil, []Entry{later, Cancel{"p"}}, Cancelled, "by its asker"},
 		{"planned to refused", nil, []Entry{newRequest(func(e *Request) { e.EarliestStart, e.LatestEnd = time.Hour, 3*time.Hour }),
-			BackendsFailed{[]string{"b"}}, SetFloor{Scope{"north", "n1"}, []Step{{0, 10}}}, Tick{time.Hour}, Tick{time.Hour}, Tick{time.Hour}},
+			BackendsFailed{[]string{"b"}}, SetFloor{Scope{"north", "n1"}, []Step{{0, 10}}}, Tick{time.Hour}, Tick{time.Hour},
+			Tick{time.Hour}},
 			Refused, "end: no room before the latest end"},
 		{"planned to granted", nil, grant, Granted, ""},
 		{"planned to granted by time", nil, []Entry{later, Tick{time.Hour}}, Granted, ""},
 		{"granted to draining", func(f Fence) []Entry { return []Entry{Drained{"p", f, "m1"}} }, grant, Draining, ""},
-		{"draining to out", func(f Fence) []Entry { return []Entry{Drained{"p", f, "m1"}, Drained{"p", f, "m2"}} }, grant, OutOfService, ""},
+		{"draining to out", func(f Fence) []Entry { return []Entry{Drained{"p", f, "m1"}, Drained{"p", f, "m2"}} }, grant,
+			OutOfService, ""},
 		{"draining to out, as one no longer serves", func(f Fence) []Entry {
 			return []Entry{Drained{"p", f, "m1"}, SetServing{[]string{"m1"}}}
 		}, grant, OutOfService, ""},
@@ -110,10 +114,12 @@
 			return []Entry{SetFloor{Scope{"north", "n1"}, []Step{{0, 10}}}, BackendsFailed{[]string{"b"}}}
 		}, grant, Recalled, "north/n1 is below its floor 10"},
 		{"out is not recalled", func(f Fence) []Entry {
-			return []Entry{SetFloor{Scope{"north", "n1"}, []Step{{0, 10}}}, Drained{"p", f, "m1"}, Drained{"p", f, "m2"}, BackendsFailed{[]string{"b"}}}
+			return []Entry{SetFloor{Scope{"north", "n1"}, []Step{{0, 10}}}, Drained{"p", f, "m1"}, Drained{"p", f, "m2"},
+				BackendsFailed{[]string{"b"}}}
 		}, grant, OutOfService, ""},
 		{"out to recalled, as its asker allows", func(f Fence) []Entry {
-			return []Entry{SetFloor{Scope{"north", "n1"}, []Step{{0, 10}}}, Drained{"p", f, "m1"}, Drained{"p", f, "m2"}, BackendsFailed{[]string{"b"}}}
+			return []Entry{SetFloor{Scope{"north", "n1"}, []Step{{0, 10}}}, Drained{"p", f, "m1"}, Drained{"p", f, "m2"},
+				BackendsFailed{[]string{"b"}}}
 		}, []Entry{newRequest(func(e *Request) { e.Recallable = true })}, Recalled, "below its floor"},
 		{"its own backend's failure does not recall", func(f Fence) []Entry {
 			return []Entry{SetFloor{Scope{"north", "n1"}, []Step{{0, 10}}}, BackendsFailed{[]string{"a"}}}
@@ -205,14 +211,16 @@
 		{nil, newRequest(func(e *Request) { e.Backends, e.Zone, e.Amount = nil, "n1", 21 }), Rejected, "earliest=none"},
 		{[]Entry{SetFloor{Scope{"north", ""}, []Step{{0, 30}}}}, newRequest(nil), Rejected, "no room: north would have 20"},
 		{[]Entry{SetFloor{Scope{}, []Step{{0, 40}, {12 * time.Hour, 0}}}}, newRequest(nil), Rejected, "earliest=0d12:00:00"},
-		{[]Entry{newRequest(nil)}, newRequest(func(e *Request) { e.ID, e.LatestEnd = "q", 100*minute }), Rejected, "plan p has a backend of it"},
+		{[]Entry{newRequest(nil)}, newRequest(func(e *Request) { e.ID, e.LatestEnd = "q", 100*minute }), Rejected,
+			"plan p has a backend of it"},
 		{[]Entry{newRequest(func(e *Request) { e.LatestEnd = 100 * minute })},
 			newRequest(func(e *Request) { e.ID, e.Priority, e.LatestEnd = "q", 9, 100*minute }), Rejected, "earliest=0d00:40:00"},
 		{[]Entry{newRequest(nil)}, newRequest(nil), Duplicate, "state=granted"},
 		{[]Entry{newRequest(nil)}, newRequest(func(e *Request) { e.Duration++ }), Invalid, "plan p: duration: differs"},
 		{[]Entry{newRequest(nil)}, newRequest(func(e *Request) { e.Recallable = true }), Invalid, "plan p: recall: differs"},
 		{[]Entry{newRequest(nil)}, newRequest(func(e *Request) { e.Backends = []string{"b"} }), Invalid, "plan p: backends: differs"},
-		{[]Entry{SetFloor{Scope{"north", ""}, []Step{{0, 30}}}, newRequest(nil)}, newRequest(nil), Rejected, "no room: north would have 20"},
+		{[]Entry{SetFloor{Scope{"north", ""}, []Step{{0, 30}}}, newRequest(nil)}, newRequest(nil), Rejected,
+			"no room: north would have 20"},
 		{[]Entry{newRequest(nil), newRequest(func(e *Request) { e.ID = "q" }), newRequest(func(e *Request) { e.ID = "r" })},
 			newRequest(func(e *Request) { e.ID = "s" }), Rejected, "busy: 3 plans are open"},
 		{nil, Cancel{"x"}, Invalid, "cancel: plan \\\"x\\\" is not known"},
--- a/fleet/window/model_test.go
+++ b/fleet/window/model_test.go
@@ -148,7 +148,8 @@
 			p := o.accepted[ev.Window.Request.ID]
 			if s := ev.Window.Start; s < min(p.announcedStart, o.now+p.request.Notice) {
 				return fmt.Errorf("notice: %s moved from %v to %v at %v", p.request.ID, p.announcedStart, s, o.now)
-			} else if _, isAsk := e.(Request); isAsk && p.announcedStart > o.now && p.announcedStart-o.now < p.request.Notice && !o.hasUnplannedLoss() {
+			} else if _, isAsk := e.(Request); isAsk && p.announcedStart > o.now && p.announcedStart-o.now < p.request.Notice &&
+				!o.hasUnplannedLoss() {
 				return fmt.Errorf("notice: %s moved within its notice by another plan", p.request.ID)
 			}
 			p.announcedStart = ev.Window.Start
@@ -429,7 +430,8 @@
 // floorsHeld: a floor in force is breached only by what came after the last grant.
 func (o *model) checkActiveFloors() error {
 	for sc, steps := range o.activeFloors {
-		if have, want := o.available(sc, o.now, nil), modelFloorAt(steps, o.now); have < want-tolerance && o.lastDisturbance < o.lastGrantIndex[sc] {
+		if have, want := o.available(sc, o.now, nil), modelFloorAt(steps, o.now); have < want-tolerance &&
+			o.lastDisturbance < o.lastGrantIndex[sc] {
 			return fmt.Errorf("floor: %v has %v at %v, floor %v, and nothing happened", sc, have, o.now, want)
 		}
 	}
--- a/fleet/window/plan.go
+++ b/fleet/window/plan.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// at is what steps ask for at time t.
+// requiredAt returns the capacity that steps require at logTime.
 func requiredAt(steps []Step, logTime time.Duration) int64 {
 	if len(steps) == 0 {
 		return 0
@@ -24,8 +24,8 @@
 	return required
 }
 
-// required is what grants must leave in a scope at t: the floor in force, and the
-// one that is pending.
+// required returns the capacity that grants must leave in a scope at t: the higher one
+// of the floor in force and the pending floor.
 func (f *floor) required(t time.Duration) int64 {
 	if f == nil {
 		return 0
@@ -33,7 +33,8 @@
 	return max(requiredAt(f.Steps, t), requiredAt(f.Pending, t))
 }
 
-// eachStep calls do for each step of the floors over (from, to), until it says no.
+// eachStep calls visit with the time of each floor step between from and to, both
+// exclusive, until visit returns false.
 func (f *floor) eachStep(from, to time.Duration, visit func(time.Duration) bool) {
 	if f == nil {
 		return
@@ -49,8 +50,9 @@
 	}
 }
 
-// missing is what a backend of this size lacks for a time into its warm-up: linear,
-// rounded up so that a sum never promises more than there is.
+// warmUpDeficit returns the capacity that a backend of this size lacks when elapsed of
+// its warm-up has passed. The deficit falls linearly and is rounded up, so that a sum of
+// capacities never exceeds what is available.
 func warmUpDeficit(size, initialPermille int64, warmUp, elapsed time.Duration) int64 {
 	if elapsed >= warmUp {
 		return 0
@@ -63,107 +65,111 @@
 	return int64(deficit)
 }
 
-// span is a window on the planner's time line: its parts are wholly out from start
-// to end, and missing what their warm-up lacks until finish.
+// reservation is a window on the planner's time line: its backends are out of service
+// from start to end, and then warm up until finish.
 type reservation struct {
 	plan          *plan
 	start, end    time.Duration
 	finish        time.Duration
-	longestWarmUp time.Duration // the longest of its parts
-	backends      []*backend    // for an amount: one that stands for it
+	longestWarmUp time.Duration // longest warm-up of its backends
+	backends      []*backend    // for an amount: a single synthetic backend of that size
 	namesBackends bool
 	scopes        []Scope
-	fullSizes     []int64 // by scope, while it is wholly out
-	hasImpaired   bool    // some part is out by itself as well
+	fullSizes     []int64 // per scope: capacity taken between start and end
+	hasImpaired   bool    // some backend has failed or warms up for another reason
 }
 
-// span lays out a plan as it stands; strict is about windows past their end.
-func (m *Machine) reservationOf(p *plan, strict bool) *reservation {
-	r := &reservation{plan: p, namesBackends: p.Amount == 0, scopes: []Scope{{}, {Region: p.Region}}}
-	if r.namesBackends {
+// reservationOf returns the reservation of a plan in its present state. With strict set,
+// a window past its end does not end; otherwise it is assumed to end later.
+func (m *Machine) reservation(p *plan, strict bool) *reservation {
+	reserved := &reservation{plan: p, namesBackends: p.Amount == 0, scopes: []Scope{{}, {Region: p.Region}}}
+	if reserved.namesBackends {
 		for _, id := range p.Backends {
-			r.backends = append(r.backends, m.findBackend(id))
+			reserved.backends = append(reserved.backends, m.findBackend(id))
 		}
 	} else {
 		b := &backend{Backend: Backend{Region: p.Region, Zone: p.Zone, Size: p.Amount, InitialPermille: 1000}}
 		for _, zoneBackend := range m.backends {
 			if zoneBackend.Region == p.Region && zoneBackend.Zone == p.Zone {
-				b.WarmUpTime, b.InitialPermille = max(b.WarmUpTime, zoneBackend.WarmUpTime), min(b.InitialPermille, zoneBackend.InitialPermille)
+				b.WarmUpTime, b.InitialPermille = max(b.WarmUpTime, zoneBackend.WarmUpTime),
+					min(b.InitialPermille, zoneBackend.InitialPermille)
 			}
 		}
-		r.backends = []*backend{b}
+		reserved.backends = []*backend{b}
 	}
-	for _, b := range r.backends {
-		r.longestWarmUp = max(r.longestWarmUp, b.WarmUpTime)
-		r.hasImpaired = r.hasImpaired || b.Failed || b.WarmingUp
-		if sc := (Scope{b.Region, b.Zone}); !slices.Contains(r.scopes, sc) {
-			r.scopes = append(r.scopes, sc)
+	for _, b := range reserved.backends {
+		reserved.longestWarmUp = max(reserved.longestWarmUp, b.WarmUpTime)
+		reserved.hasImpaired = reserved.hasImpaired || b.Failed || b.WarmingUp
+		if sc := (Scope{b.Region, b.Zone}); !slices.Contains(reserved.scopes, sc) {
+			reserved.scopes = append(reserved.scopes, sc)
 		}
 	}
-	r.fullSizes = make([]int64, len(r.scopes))
-	for i, sc := range r.scopes {
-		for _, b := range r.backends {
+	reserved.fullSizes = make([]int64, len(reserved.scopes))
+	for i, sc := range reserved.scopes {
+		for _, b := range reserved.backends {
 			if sc.contains(b.Region, b.Zone) {
-				r.fullSizes[i] += b.Size
+				reserved.fullSizes[i] += b.Size
 			}
 		}
 	}
 	switch {
 	case p.State <= Planned:
-		r.setInterval(p.Start, p.Duration+m.settings.MaxTick)
+		reserved.setInterval(p.Start, p.Duration+m.settings.MaxTick)
 	case p.State == WarmingUp:
-		r.setInterval(p.Start, p.Returned-p.Start)
-	case m.now < p.End, m.now == p.End && !strict: // by the last entry at its end it may be back in time
-		r.setInterval(p.Start, p.End-p.Start)
-	case strict: // not back, and nobody knows when it will be
-		r.start, r.end, r.finish = p.Start, unboundedTime, unboundedTime
-	default: // as long again as it is late
-		r.setInterval(p.Start, m.now+max(m.settings.Overrun, m.now-p.End)-p.Start)
+		reserved.setInterval(p.Start, p.Returned-p.Start)
+	case m.now < p.End, m.now == p.End && !strict: // an entry at exactly the end may still confirm the return
+		reserved.setInterval(p.Start, p.End-p.Start)
+	case strict: // not returned: the end is unknown
+		reserved.start, reserved.end, reserved.finish = p.Start, unboundedTime, unboundedTime
+	default: // assume that it stays overdue for as long again, or for Overrun
+		reserved.setInterval(p.Start, m.now+max(m.settings.Overrun, m.now-p.End)-p.Start)
 	}
-	return r
+	return reserved
 }
 
-func (s *reservation) setInterval(start, length time.Duration) {
-	s.start, s.end = start, start+length
-	s.finish = s.end + s.longestWarmUp
+func (r *reservation) setInterval(start, length time.Duration) {
+	r.start, r.end = start, start+length
+	r.finish = r.end + r.longestWarmUp
 }
 
-// all is what the window takes from a scope while it is wholly out.
-func (s *reservation) fullSize(sc Scope) int64 {
-	if i := slices.Index(s.scopes, sc); i >= 0 {
-		return s.fullSizes[i]
+// fullSize returns the capacity that the window takes from a scope between start and
+// end.
+func (r *reservation) fullSize(sc Scope) int64 {
+	if i := slices.Index(r.scopes, sc); i >= 0 {
+		return r.fullSizes[i]
 	}
 	return 0
 }
 
-// out is what the window takes from a scope at t, beyond what is out by itself.
-func (s *reservation) capacityOut(forecast *forecast, sc Scope, t time.Duration) int64 {
-	if t < s.start || t >= s.finish {
+// capacityOut returns the capacity that the window takes from a scope at t, not counting
+// what its backends lack at that time for other reasons.
+func (r *reservation) capacityOut(forecast *forecast, sc Scope, t time.Duration) int64 {
+	if t < r.start || t >= r.finish {
 		return 0
 	}
-	if t < s.end && !s.hasImpaired {
-		return s.fullSize(sc)
+	if t < r.end && !r.hasImpaired {
+		return r.fullSize(sc)
 	}
 	var sum int64
-	for _, b := range s.backends {
+	for _, b := range r.backends {
 		if !sc.contains(b.Region, b.Zone) {
 			continue
 		}
 		deficit := b.Size
-		if t >= s.end {
-			deficit = warmUpDeficit(b.Size, b.InitialPermille, b.WarmUpTime, t-s.end)
+		if t >= r.end {
+			deficit = warmUpDeficit(b.Size, b.InitialPermille, b.WarmUpTime, t-r.end)
 		}
 		sum += max(0, deficit-forecast.impairment(b, t))
 	}
 	return sum
 }
 
-// shares says whether two windows want the same backend.
-func (s *reservation) sharesBackend(other *reservation) bool {
-	if !s.namesBackends || !other.namesBackends {
+// sharesBackend reports whether both windows name a common backend.
+func (r *reservation) sharesBackend(other *reservation) bool {
+	if !r.namesBackends || !other.namesBackends {
 		return false
 	}
-	a, b := s.plan.Backends, other.plan.Backends
+	a, b := r.plan.Backends, other.plan.Backends
 	for i, j := 0, 0; i < len(a) && j < len(b); {
 		switch c := cmp.Compare(a[i], b[j]); {
 		case c == 0:
@@ -177,88 +183,90 @@
 	return false
 }
 
-// view is what is known of the time from now on. Strict, what is overdue or failed
-// stays so: that is what a grant rests on. Else it comes back after a while, which
-// is what a plan is made on.
+// forecast is the known capacity from now on. If strict, overdue windows and failed
+// backends stay out; grants are decided on this. Otherwise they are assumed to come back
+// after a while; plans are made on that.
 type forecast struct {
 	machine      *Machine
 	strict       bool
 	reservations []*reservation
-	byScope      map[Scope][]scopeReservation // of spans, by scope
-	impaired     []*backend                   // out by themselves, wholly or by warm-up
+	byScope      map[Scope][]scopeReservation // the reservations by scope
+	impaired     []*backend                   // failed, or warming up after a failure or registration
 }
 
-// take is a window as one scope sees it.
+// scopeReservation is a reservation with its full size in one scope.
 type scopeReservation struct {
 	*reservation
 	size int64
 }
 
-func (v *forecast) add(s *reservation) {
-	v.reservations = append(v.reservations, s)
-	for i, sc := range s.scopes {
-		v.byScope[sc] = append(v.byScope[sc], scopeReservation{s, s.fullSizes[i]})
+func (fc *forecast) add(reserved *reservation) {
+	fc.reservations = append(fc.reservations, reserved)
+	for i, sc := range reserved.scopes {
+		fc.byScope[sc] = append(fc.byScope[sc], scopeReservation{reserved, reserved.fullSizes[i]})
 	}
 }
 
-// view has the windows that are running.
-func (m *Machine) forecastWith(strict bool) *forecast {
-	v := &forecast{machine: m, strict: strict, byScope: map[Scope][]scopeReservation{}}
+// forecastWith returns a forecast that holds the granted windows.
+func (m *Machine) forecast(strict bool) *forecast {
+	fc := &forecast{machine: m, strict: strict, byScope: map[Scope][]scopeReservation{}}
 	for _, p := range m.openPlans {
 		if p.State > Planned {
-			v.add(m.reservationOf(p, strict))
+			fc.add(m.reservation(p, strict))
 		}
 	}
 	for _, b := range m.backends {
 		if b.Failed || b.WarmingUp {
-			v.impaired = append(v.impaired, b)
+			fc.impaired = append(fc.impaired, b)
 		}
 	}
-	return v
+	return fc
 }
 
-// back is when a failed backend is taken to come back.
-func (v *forecast) assumedRecovery(b *backend) time.Duration {
-	return v.machine.now + max(v.machine.settings.Overrun, v.machine.now-b.Since)
+// assumedRecovery returns the time at which a failed backend is assumed to be back:
+// after it has been down for as long again, and no sooner than Overrun from now.
+func (fc *forecast) assumedRecovery(b *backend) time.Duration {
+	return fc.machine.now + max(fc.machine.settings.Overrun, fc.machine.now-b.Since)
 }
 
-// ailing is what a backend lacks by itself at t.
-func (v *forecast) impairment(b *backend, t time.Duration) int64 {
+// impairment returns the capacity that a backend lacks at t through a failure or a
+// warm-up that is not part of a window.
+func (fc *forecast) impairment(b *backend, t time.Duration) int64 {
 	switch {
-	case b.Failed && (v.strict || t < v.assumedRecovery(b)):
+	case b.Failed && (fc.strict || t < fc.assumedRecovery(b)):
 		return b.Size
 	case b.Failed:
-		return warmUpDeficit(b.Size, b.InitialPermille, b.WarmUpTime, t-v.assumedRecovery(b))
+		return warmUpDeficit(b.Size, b.InitialPermille, b.WarmUpTime, t-fc.assumedRecovery(b))
 	case b.WarmingUp:
 		return warmUpDeficit(b.Size, b.InitialPermille, b.WarmUpTime, t-b.Since)
 	}
 	return 0
 }
 
-// room is what a scope has at t.
-func (v *forecast) available(sc Scope, t time.Duration) int64 {
-	available := v.machine.totalSizes[sc]
-	for _, b := range v.impaired {
+// available returns the capacity that a scope has at t.
+func (fc *forecast) available(sc Scope, t time.Duration) int64 {
+	available := fc.machine.totalSizes[sc]
+	for _, b := range fc.impaired {
 		if sc.contains(b.Region, b.Zone) {
-			available -= v.impairment(b, t)
+			available -= fc.impairment(b, t)
 		}
 	}
-	for _, s := range v.byScope[sc] {
+	for _, reserved := range fc.byScope[sc] {
 		switch {
-		case t < s.start || t >= s.finish:
-		case t < s.end && !s.hasImpaired:
-			available -= s.size
+		case t < reserved.start || t >= reserved.finish:
+		case t < reserved.end && !reserved.hasImpaired:
+			available -= reserved.size
 		default:
-			available -= s.capacityOut(v, sc, t)
+			available -= reserved.capacityOut(fc, sc, t)
 		}
 	}
 	return available
 }
 
-// clash is why a window can't be at a place.
+// conflict is the reason why a window can't have a certain start.
 type conflict struct {
-	time                time.Duration // any start from the one tried to this clashes as well
-	plan                string        // that has a backend of it; or:
+	time                time.Duration // every start from the tried one up to this time conflicts too
+	plan                string        // the plan that shares a backend; or, if empty, the floor:
 	scope               Scope
 	available, required int64
 }
@@ -267,38 +275,40 @@
 	if c.plan != "" {
 		return "plan " + c.plan + " has a backend of it"
 	}
-	return fmt.Sprintf("%s would have %d at %s and its floor is %d", scopeName(c.scope), c.available, formatLogTime(c.time), c.required)
+	return fmt.Sprintf("%s would have %d at %s and its floor is %d", scopeName(c.scope), c.available,
+		formatLogTime(c.time), c.required)
 }
 
-// clash looks for a moment at which s leaves too little. What is out only grows at
-// the starts of windows and what is asked for only at steps, so these are all the
-// moments to look at.
-func (v *forecast) findConflict(s *reservation) (conflict, bool) {
-	for _, other := range v.reservations {
-		if s.start < other.finish && other.start < s.finish && s.sharesBackend(other) {
+// findConflict returns the first conflict of candidate with the other reservations or a floor.
+// Capacity out of service only grows when a window starts, and requirements only change
+// at floor steps, so checking those times is enough.
+func (fc *forecast) findConflict(candidate *reservation) (conflict, bool) {
+	for _, other := range fc.reservations {
+		if candidate.start < other.finish && other.start < candidate.finish &&
+			candidate.sharesBackend(other) {
 			return conflict{time: other.finish - 1, plan: other.plan.ID}, true
 		}
 	}
 	var found conflict
-	for _, sc := range s.scopes {
-		floor := v.machine.findFloor(sc)
+	for _, sc := range candidate.scopes {
+		floor := fc.machine.findFloor(sc)
 		violatesAt := func(t time.Duration) bool {
-			available, required := v.available(sc, t)-s.capacityOut(v, sc, t), floor.required(t)
+			available, required := fc.available(sc, t)-candidate.capacityOut(fc, sc, t), floor.required(t)
 			if available < required {
 				found = conflict{time: t, scope: sc, available: available, required: required}
 			}
 			return available < required
 		}
-		if violatesAt(s.start) {
+		if violatesAt(candidate.start) {
 			return found, true
 		}
-		for _, other := range v.byScope[sc] {
-			if other.start > s.start && other.start < s.finish && violatesAt(other.start) {
+		for _, other := range fc.byScope[sc] {
+			if other.start > candidate.start && other.start < candidate.finish && violatesAt(other.start) {
 				return found, true
 			}
 		}
 		violated := false
-		floor.eachStep(s.start, s.finish, func(t time.Duration) bool {
+		floor.eachStep(candidate.start, candidate.finish, func(t time.Duration) bool {
 			violated = violatesAt(t)
 			return !violated
 		})
@@ -309,11 +319,13 @@
 	return conflict{}, false
 }
 
-// place moves s to the earliest start from first to last, and returns why not.
-// Room only grows when something comes back or a floor falls, so these are the
-// starts to try (with some moments of each warm-up). Where one clashes at a moment,
-// each start up to that moment does.
-func (v *forecast) placeEarliest(s *reservation, length, first, last time.Duration) (reason conflict, ok bool) {
+// placeEarliest moves candidate to the earliest start between first and last that has no
+// conflict. If there is none, it returns false with a conflict. Available capacity only
+// grows when something comes back or a floor falls, so those times are the candidates
+// (with some samples within each warm-up). A conflict at some time rules out all starts
+// up to that time.
+func (fc *forecast) placeEarliest(candidate *reservation, length, first,
+	last time.Duration) (reason conflict, ok bool) {
 	starts := []time.Duration{first}
 	addStart := func(t time.Duration) {
 		if t > first && t <= last {
@@ -327,27 +339,28 @@
 		}
 		addStart(to)
 	}
-	for _, o := range v.reservations {
-		addWarmUp(o.end, o.finish)
+	for _, reserved := range fc.reservations {
+		addWarmUp(reserved.end, reserved.finish)
 	}
-	for _, b := range v.impaired {
+	for _, b := range fc.impaired {
 		if b.Failed {
-			addWarmUp(v.assumedRecovery(b), v.assumedRecovery(b)+b.WarmUpTime)
+			addWarmUp(fc.assumedRecovery(b), fc.assumedRecovery(b)+b.WarmUpTime)
 		} else {
 			addWarmUp(b.Since, b.Since+b.WarmUpTime)
 		}
 	}
-	for _, sc := range s.scopes {
-		v.machine.findFloor(sc).eachStep(first, last+1, func(t time.Duration) bool { addStart(t); return true })
+	for _, sc := range candidate.scopes {
+		fc.machine.findFloor(sc).eachStep(first, last+1,
+			func(t time.Duration) bool { addStart(t); return true })
 	}
 	slices.Sort(starts)
 	for notBefore, i := first, 0; i < len(starts) && starts[i] <= last; i++ {
 		if starts[i] < notBefore {
 			continue
 		}
-		s.setInterval(starts[i], length)
+		candidate.setInterval(starts[i], length)
 		conflicts := false
-		if reason, conflicts = v.findConflict(s); !conflicts {
+		if reason, conflicts = fc.findConflict(candidate); !conflicts {
 			return reason, true
 		}
 		notBefore = reason.time + 1
@@ -355,7 +368,7 @@
 	return reason, false
 }
 
-// byList is the order of list scheduling.
+// byPriority is the order of the list scheduler.
 func byPriority(a, b *plan) int {
 	return cmp.Or(cmp.Compare(b.Priority, a.Priority),
 		cmp.Compare(a.LatestEnd, b.LatestEnd), cmp.Compare(a.Seq, b.Seq))
@@ -368,17 +381,18 @@
 
 func byStart(a, b *plan) int { return cmp.Or(cmp.Compare(a.Start, b.Start), byPriority(a, b)) }
 
-// slot is where a plan may be: place is -1 for nowhere.
+// placement is the start found for a plan; start is -1 if there is none.
 type placement struct {
 	plan   *plan
 	start  time.Duration
 	reason conflict
 }
 
-// lay places plans. Those that keep says keep their starts are laid first, by
-// start; the others, and those of them whose start does not do, by order.
+// placeAll places plans. Those for which keep returns true are placed first, at their
+// current starts and in order of start. The others, and those whose current start has a
+// conflict, follow in the given order.
 func (m *Machine) placeAll(plans []*plan, keep func(*plan) bool, order func(a, b *plan) int) []placement {
-	forecast := m.forecastWith(false)
+	forecast := m.forecast(false)
 	var placements []placement
 	var remaining []*plan
 	fixed := slices.DeleteFunc(slices.Clone(plans), func(p *plan) bool {
@@ -389,7 +403,7 @@
 	})
 	slices.SortFunc(fixed, byStart)
 	for _, p := range fixed {
-		candidate := m.reservationOf(p, false)
+		candidate := m.reservation(p, false)
 		candidate.setInterval(max(p.Start, m.now), p.Duration+m.settings.MaxTick)
 		if _, conflicts := forecast.findConflict(candidate); conflicts {
 			remaining = append(remaining, p)
@@ -400,11 +414,11 @@
 	}
 	slices.SortFunc(remaining, order)
 	for _, p := range remaining {
-		candidate := m.reservationOf(p, false)
+		candidate := m.reservation(p, false)
 		length := p.Duration + m.settings.MaxTick
 		first := max(m.now, p.EarliestStart, min(p.Start, m.now+p.Notice))
 		last := p.LatestEnd - length
-		if first == m.now && p.Seq > 0 { // granted by this entry if at all: it needs no tick more
+		if first == m.now && p.Seq > 0 { // a grant by this entry needs no reserve of MaxTick
 			last = max(last, min(first, p.LatestEnd-p.Duration))
 		}
 		reason, ok := forecast.placeEarliest(candidate, length, first, last)
@@ -418,12 +432,15 @@
 	return placements
 }
 
-// choose lays plans by the list, and only where this leaves a planned one without a
-// place, in two more ways; it takes the first that leaves most of them one. The last
-// way keeps present starts, and so can only fail a plan that has none, or by a change
-// of what is out.
+// choosePlacements places plans in list order. If that leaves a planned plan without a
+// start, it tries two more strategies, and returns the first result with the fewest such
+// plans. The last strategy keeps all current starts, so it can only fail for a plan
+// without one, or because the capacity out of service has changed.
 func (m *Machine) choosePlacements(plans []*plan) (best []placement, unplaced int) {
-	withinNotice := func(p *plan) bool { return p.State == Planned && p.Start > m.now && p.Start-m.now < p.Notice }
+	withinNotice := func(p *plan) bool {
+		return p.State == Planned && p.Start > m.now &&
+			p.Start-m.now < p.Notice
+	}
 	planned := func(p *plan) bool { return p.State == Planned }
 	for i, strategy := range []struct {
 		keep  func(*plan) bool
@@ -445,16 +462,16 @@
 	return best, unplaced
 }
 
-// waiting are the plans that are not granted.
+// ungrantedPlans returns the open plans that are not granted yet.
 func (m *Machine) ungrantedPlans() []*plan {
 	return slices.DeleteFunc(slices.Clone(m.openPlans), func(p *plan) bool { return p.State > Planned })
 }
 
-// admit takes a new plan in if it finds a place and takes none from a planned one.
-// Else it returns the reason.
+// admit accepts a new plan if a start is found for it and no planned plan loses its own.
+// Otherwise it returns the reason.
 func (m *Machine) admit(p *plan) string {
 	p.Start = max(p.EarliestStart, m.now+p.Notice)
-	unplacedBefore := 0 // planned ones that had lost their place before the new one came
+	unplacedBefore := 0 // planned plans that had no start even before the new one
 	if m.needsReplan {
 		_, unplacedBefore = m.choosePlacements(m.ungrantedPlans())
 	}
@@ -478,19 +495,20 @@
 	return ""
 }
 
-// firm says whether all plans would do where they are if what has failed or is
-// overdue did not come back.
+// holdsWithoutRecovery reports whether all placements would stay free of conflicts if
+// failed backends and overdue windows never came back.
 func (m *Machine) holdsWithoutRecovery(placements []placement) bool {
-	forecast := m.forecastWith(true)
+	forecast := m.forecast(true)
 	if !slices.ContainsFunc(forecast.impaired, func(b *backend) bool { return b.Failed }) &&
-		!slices.ContainsFunc(forecast.reservations, func(s *reservation) bool { return s.finish == unboundedTime }) {
+		!slices.ContainsFunc(forecast.reservations,
+			func(planned *reservation) bool { return planned.finish == unboundedTime }) {
 		return true
 	}
-	for _, s := range placements {
-		if s.start < 0 {
+	for _, planned := range placements {
+		if planned.start < 0 {
 			return false
 		}
-		reserved := m.reservationOf(s.plan, true)
+		reserved := m.reservation(planned.plan, true)
 		if _, conflicts := forecast.findConflict(reserved); conflicts {
 			return false
 		}
@@ -499,7 +517,7 @@
 	return true
 }
 
-// replan lays all plans anew.
+// replan places all plans that are not granted again.
 func (m *Machine) replan() {
 	if plans := m.ungrantedPlans(); len(plans) > 0 {
 		placements, _ := m.choosePlacements(plans)
@@ -507,7 +525,7 @@
 	}
 }
 
-// take makes slots the plan, and tells what changed in the order of asking.
+// adopt applies placements and records the changes as events, in order of acceptance.
 func (m *Machine) adopt(placements []placement) {
 	slices.SortFunc(placements, func(a, b placement) int { return cmp.Compare(a.plan.Seq, b.plan.Seq) })
 	for _, s := range placements {
@@ -531,28 +549,29 @@
 	}
 }
 
-// could finds the earliest start that a refused plan would have had without its
-// latest end.
+// findEarliestFeasible sets the earliest start that a refused plan could have had
+// without its latest end.
 func (m *Machine) findEarliestFeasible(p *plan) {
-	forecast := m.forecastWith(false)
-	for _, o := range m.ungrantedPlans() {
-		if o != p && o.State == Planned {
-			forecast.add(m.reservationOf(o, false))
+	forecast := m.forecast(false)
+	for _, other := range m.ungrantedPlans() {
+		if other != p && other.State == Planned {
+			forecast.add(m.reservation(other, false))
 		}
 	}
-	candidate := m.reservationOf(p, false)
+	candidate := m.reservation(p, false)
 	first := max(m.now+p.Notice, p.EarliestStart)
-	_, p.HasFeasible = forecast.placeEarliest(candidate, p.Duration+m.settings.MaxTick, first, max(first, m.now+m.settings.Horizon))
+	_, p.HasFeasible = forecast.placeEarliest(candidate, p.Duration+m.settings.MaxTick, first,
+		max(first, m.now+m.settings.Horizon))
 	if p.EarliestFeasible = 0; p.HasFeasible {
 		p.EarliestFeasible = candidate.start
 	}
 }
 
-// firstEnd is when the first of the running windows is due back.
+// earliestRelease returns the earliest time at which an open plan is due to be finished.
 func (m *Machine) earliestRelease() time.Duration {
 	first := unboundedTime
-	for _, s := range m.forecastWith(false).reservations {
-		first = min(first, s.finish)
+	for _, reserved := range m.forecast(false).reservations {
+		first = min(first, reserved.finish)
 	}
 	for _, p := range m.ungrantedPlans() {
 		first = min(first, max(p.Start, m.now)+p.Duration)
--- a/fleet/window/schedule_test.go
+++ b/fleet/window/schedule_test.go
@@ -171,7 +171,10 @@
 				m.endedPlans = m.endedPlans[1:]
 			}
 		}}},
-		{"time that skips", "time:", faultInjection{afterApply: func(m *Machine, e Entry, a *Answer) { a.Now += time.Duration(a.Index % 2) }}},
+		{"time that skips", "time:", faultInjection{afterApply: func(m *Machine, e Entry,
+			a *Answer) {
+			a.Now += time.Duration(a.Index % 2)
+		}}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			others := map[string]int{}
--- a/fleet/window/snapshot.go
+++ b/fleet/window/snapshot.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// state is the machine as a snapshot has it.
+// state is the encoded form of a machine in a snapshot.
 type state struct {
 	Settings   Settings      `cbor:"1,keyasint"`
 	Index      uint64        `cbor:"2,keyasint"`
@@ -20,8 +20,8 @@
 	EndedPlans []*plan       `cbor:"9,keyasint,omitempty"`
 }
 
-// Snapshot returns the whole state: the same bytes wherever the same entries have
-// been applied.
+// Snapshot encodes the whole state: the same bytes wherever the same entries have been
+// applied.
 func (m *Machine) Snapshot() ([]byte, error) {
 	enc, _ := cborModes()
 	body, err := enc.Marshal(state{m.settings, m.index, m.now, m.lastSeq,
@@ -32,8 +32,8 @@
 	return append([]byte{Version}, body...), nil
 }
 
-// Restore returns the machine of a snapshot, or an error that says what is wrong
-// with it.
+// Restore returns the machine that a snapshot describes, or an error that says what is
+// invalid in it.
 func Restore(data []byte) (*Machine, error) {
 	if len(data) == 0 || data[0] != Version {
 		return nil, fmt.Errorf("window: restore: unknown version")
@@ -44,7 +44,8 @@
 		return nil, fmt.Errorf("window: restore: %w", err)
 	}
 	m := &Machine{settings: s.Settings, index: s.Index, now: s.Now, lastSeq: s.Seq, backends: s.Backends,
-		servingMembers: s.Serving, floors: s.Floors, openPlans: s.OpenPlans, endedPlans: s.EndedPlans, totalSizes: map[Scope]int64{}}
+		servingMembers: s.Serving, floors: s.Floors, openPlans: s.OpenPlans, endedPlans: s.EndedPlans,
+		totalSizes: map[Scope]int64{}}
 	if err := m.checkRestored(); err != nil {
 		return nil, fmt.Errorf("window: restore: %w", err)
 	}
@@ -53,8 +54,8 @@
 	return m, nil
 }
 
-// check reads a restored state: a snapshot that another program has made, or that
-// is damaged, must not get further.
+// checkRestored validates a restored state, so that a snapshot from another program or a
+// corrupt one is not used.
 func (m *Machine) checkRestored() error {
 	if err := cmp.Or(m.settings.check(), checkRange("state", "now", int64(m.now), 0, int64(maxLogTime)),
 		checkRange("state", "backends", int64(len(m.backends)), 0, int64(m.settings.MaxBackends)),
@@ -71,7 +72,8 @@
 		if b == nil || i > 0 && m.backends[i-1].ID >= b.ID {
 			return fmt.Errorf("window: state: backends: not in order")
 		}
-		if err := cmp.Or(b.check(), checkRange("backend "+b.ID, "since", int64(b.Since), 0, int64(m.now))); err != nil {
+		if err := cmp.Or(b.check(), checkRange("backend "+b.ID, "since", int64(b.Since), 0,
+			int64(m.now))); err != nil {
 			return err
 		}
 	}
--- a/fleet/window/window.go
+++ b/fleet/window/window.go
@@ -7,34 +7,38 @@
 	"time"
 )
 
-// Limits on single entries. Longer ones are refused with an error.
+// Limits on a single entry. An entry that exceeds one gets an error.
 const (
-	MaxIDBytes      = 64      // bytes of an id or a name
-	MaxSize         = 1 << 30 // of a backend, an amount or a floor's step
-	MaxEntryBytes   = 1 << 17 // bytes of an encoded entry
-	MaxPlanBackends = 1280    // backends in one plan; with the longest ids they fit in an entry of agree
-	MaxFloorSteps   = 24      // steps of one floor
-	MaxFloors       = 2048    // scopes with a floor
+	MaxIDBytes    = 64      // bytes of an id or a name
+	MaxSize       = 1 << 30 // capacity units of a backend, an amount or a floor step
+	MaxEntryBytes = 1 << 17 // bytes of an encoded entry
+	// backends in one plan; with the longest ids they still fit in an entry of fleet/agree
+	MaxPlanBackends = 1280
+	MaxFloorSteps   = 24   // steps of one floor
+	MaxFloors       = 2048 // scopes with a floor
 	MaxPriority     = 9
 
 	day           = 24 * time.Hour
 	unboundedTime = time.Duration(1) << 62
-	maxLogTime    = time.Duration(1) << 60 // of log time: 36 years
+	maxLogTime    = time.Duration(1) << 60 // end of log time: 36 years
 )
 
-// DefaultMaxTick is the longest time that one Tick tells where the settings name none.
+// DefaultMaxTick is the longest time that one Tick can add when Settings.MaxTick is
+// zero.
 const DefaultMaxTick = 10 * time.Second
 
-// Settings are the same at all voters for the life of the log; a snapshot carries
-// them. A zero field takes its default.
+// Settings are the same on all voters for the life of the log; snapshots carry them. A
+// zero field takes its default.
 type Settings struct {
-	MaxTick     time.Duration `cbor:"MaxTick"`     // longest Tick taken; default 10 s, at most 1 h
-	Overrun     time.Duration `cbor:"Overrun"`     // plans count on what is overdue or failed after this; default 10 min
-	Horizon     time.Duration `cbor:"Horizon"`     // a latest end is at most this far ahead; default 14 d, at most 60 d
+	MaxTick time.Duration `cbor:"MaxTick"` // longest Tick accepted; default 10 s, at most 1 h
+	// overdue or failed capacity is planned to be back after this; default 10 min
+	Overrun time.Duration `cbor:"Overrun"`
+	// how far ahead LatestEnd may lie; default 14 d, at most 60 d
+	Horizon     time.Duration `cbor:"Horizon"`
 	MaxPlans    int           `cbor:"MaxPlans"`    // open plans; default 128, at most 512
-	MaxBackends int           `cbor:"MaxBackends"` // default 4096, at most 8192
-	MaxServing  int           `cbor:"MaxServing"`  // members that serve; default 1024, at most 8192
-	History     int           `cbor:"History"`     // ended plans kept; default 256, at most 8192
+	MaxBackends int           `cbor:"MaxBackends"` // registered backends; default 4096, at most 8192
+	MaxServing  int           `cbor:"MaxServing"`  // members that confirm drains; default 1024, at most 8192
+	History     int           `cbor:"History"`     // ended plans that are kept; default 256, at most 8192
 }
 
 func (s *Settings) check() error {
@@ -44,7 +48,8 @@
 			*value = fallback
 		}
 		if *value < lowest || *value > highest {
-			err = cmp.Or(err, fmt.Errorf("window: settings: %s: %d is not in %d to %d", key, *value, lowest, highest))
+			err = cmp.Or(err, fmt.Errorf("window: settings: %s: %d is not in %d to %d", key, *value, lowest,
+				highest))
 		}
 	}
 	applyCount := func(key string, value *int, fallback, highest int64) {
@@ -52,7 +57,8 @@
 		applyLimit(key, &n, fallback, 1, highest)
 		*value = int(n)
 	}
-	applyLimit("max tick", (*int64)(&s.MaxTick), int64(DefaultMaxTick), int64(time.Millisecond), int64(time.Hour))
+	applyLimit("max tick", (*int64)(&s.MaxTick), int64(DefaultMaxTick), int64(time.Millisecond),
+		int64(time.Hour))
 	applyLimit("overrun", (*int64)(&s.Overrun), int64(10*time.Minute), int64(time.Millisecond), int64(day))
 	applyLimit("horizon", (*int64)(&s.Horizon), int64(14*day), int64(time.Hour), int64(60*day))
 	applyCount("max plans", &s.MaxPlans, 128, 512)
@@ -62,8 +68,8 @@
 	return err
 }
 
-// Scope is what a floor is for: the whole (both names empty), a region (zone
-// empty), or a zone of a region.
+// Scope is the part of the fleet that a floor applies to: all of it (both names empty),
+// a region (Zone empty), or one zone of a region.
 type Scope struct {
 	Region string `cbor:"1,keyasint,omitempty"`
 	Zone   string `cbor:"2,keyasint,omitempty"`
@@ -77,10 +83,10 @@
 	return cmp.Or(cmp.Compare(s.Region, o.Region), cmp.Compare(s.Zone, o.Zone))
 }
 
-// State is where a plan stands; the package comment has the table.
+// State is the state of a plan; the package comment has the transition table.
 type State uint8
 
-// The states of a plan.
+// The states of a plan. Their numbers are part of the encoding.
 const (
 	Requested State = iota
 	Planned
@@ -106,66 +112,72 @@
 	return fmt.Sprintf("state(%d)", uint8(s))
 }
 
-// Ended says whether the plan is over.
+// Ended reports whether the plan has reached a final state.
 func (s State) Ended() bool { return s >= Done }
 
-// holding says whether all of the plan's capacity counts as out.
+// holdsCapacity reports whether all of the plan's capacity counts as out of service.
 func (s State) holdsCapacity() bool { return s >= Granted && s <= Overdue }
 
-// Fence is the fencing token of a grant (as in Chubby: Burrows, OSDI 2006): the
-// index of the log entry that granted, and a number among that entry's grants. It
-// only grows, so a member keeps the highest seen for each backend and ignores what
-// carries less. Zero is no grant.
+// Fence is the fencing token of a grant (as in Chubby: Burrows, OSDI 2006): the index of
+// the log entry that granted it, and the ordinal of the grant within that entry. Tokens
+// only grow, so a member keeps the highest one seen for each backend and ignores
+// messages with a lower one. Zero means that nothing has been granted.
 type Fence uint64
 
 const (
-	fenceGrantBits = 10 // over the most open plans, so over the most grants of one entry
+	fenceGrantBits = 10 // 1024 exceeds the largest MaxPlans, and so the grants of one entry
 	maxIndex       = 1<<(64-fenceGrantBits) - 1
 )
 
-// Index is the index of the log entry that granted.
+// Index returns the index of the log entry that issued the grant.
 func (f Fence) Index() uint64 { return uint64(f) >> fenceGrantBits }
 
 func (f Fence) String() string {
 	return fmt.Sprintf("%d.%d", f.Index(), uint64(f)&(1<<fenceGrantBits-1))
 }
 
-// backend is a backend and how it fares.
+// backend is a registered backend with its health.
 type backend struct {
 	Backend
-	Failed    bool          `cbor:"11,keyasint,omitempty"`
-	WarmingUp bool          `cbor:"12,keyasint,omitempty"` // warms up by itself, after a failure or as new
-	Since     time.Duration `cbor:"13,keyasint,omitempty"` // of the failure or the warm-up
+	Failed bool `cbor:"11,keyasint,omitempty"`
+	// in a warm-up after a failure or registration, not after a window
+	WarmingUp bool          `cbor:"12,keyasint,omitempty"`
+	Since     time.Duration `cbor:"13,keyasint,omitempty"` // start of the failure or the warm-up, in log time
 }
 
-// plan is an Ask and where it stands.
+// plan is a Request with its scheduling state. Times are log time.
 type plan struct {
 	Request
-	State            State         `cbor:"21,keyasint,omitempty"`
-	Seq              uint64        `cbor:"22,keyasint,omitempty"` // order of asking
-	FirstStart       time.Duration `cbor:"23,keyasint,omitempty"` // the start first told
-	Start            time.Duration `cbor:"24,keyasint,omitempty"` // last told; of a granted one, its grant
-	End              time.Duration `cbor:"25,keyasint,omitempty"` // of a granted one: overdue after this
-	Fence            Fence         `cbor:"26,keyasint,omitempty"`
-	Drained          []string      `cbor:"27,keyasint,omitempty"` // members that have confirmed, sorted
-	Returned         time.Duration `cbor:"28,keyasint,omitempty"`
-	WasRecalled      bool          `cbor:"29,keyasint,omitempty"` // was recalled
-	Reason           string        `cbor:"30,keyasint,omitempty"`
-	EarliestFeasible time.Duration `cbor:"31,keyasint,omitempty"` // of a refused one: the earliest start that would do
-	HasFeasible      bool          `cbor:"32,keyasint,omitempty"` // Could is known
+	State State `cbor:"21,keyasint,omitempty"`
+	// order of acceptance, from 1; 0: refused at once
+	Seq        uint64        `cbor:"22,keyasint,omitempty"`
+	FirstStart time.Duration `cbor:"23,keyasint,omitempty"` // first announced start
+	// announced start; after the grant, the time of the grant
+	Start time.Duration `cbor:"24,keyasint,omitempty"`
+	// set by the grant: after this time the plan is overdue
+	End   time.Duration `cbor:"25,keyasint,omitempty"`
+	Fence Fence         `cbor:"26,keyasint,omitempty"`
+	// members that have confirmed the drain, sorted
+	Drained     []string      `cbor:"27,keyasint,omitempty"`
+	Returned    time.Duration `cbor:"28,keyasint,omitempty"`
+	WasRecalled bool          `cbor:"29,keyasint,omitempty"`
+	Reason      string        `cbor:"30,keyasint,omitempty"`
+	// of a refused plan: earliest feasible start
+	EarliestFeasible time.Duration `cbor:"31,keyasint,omitempty"`
+	HasFeasible      bool          `cbor:"32,keyasint,omitempty"` // EarliestFeasible is set
 }
 
-// floor is what is agreed for a scope.
+// floor is the minimum capacity agreed for a scope.
 type floor struct {
 	Scope      Scope  `cbor:"1,keyasint"`
 	Steps      []Step `cbor:"2,keyasint,omitempty"` // in force
-	Pending    []Step `cbor:"3,keyasint,omitempty"` // pending
-	BelowFloor bool   `cbor:"4,keyasint,omitempty"` // what is there is less
+	Pending    []Step `cbor:"3,keyasint,omitempty"` // accepted, but not in force yet
+	BelowFloor bool   `cbor:"4,keyasint,omitempty"` // available capacity is below the floor
 }
 
-// Machine is the state machine. It is not safe for concurrent use: the task that
-// applies the log owns it. All of state is slices in a stated order, so that a
-// snapshot is the same everywhere.
+// Machine is the state machine. It is not safe for concurrent use: the goroutine that
+// applies the log owns it. All replicated state is kept in slices of a defined order, so
+// that a snapshot has the same bytes on every voter.
 type Machine struct {
 	settings       Settings
 	index          uint64
@@ -174,16 +186,16 @@
 	backends       []*backend // by id
 	servingMembers []string   // sorted
 	floors         []*floor   // by scope
-	openPlans      []*plan    // by order of asking
-	endedPlans     []*plan    // by time of their end
+	openPlans      []*plan    // in order of acceptance
+	endedPlans     []*plan    // in the order in which they ended
 
 	totalSizes    map[Scope]int64 // derived from backends
-	needsReplan   bool            // plans are to be placed anew; false between entries
-	grantsInEntry uint64          // grants of this entry
+	needsReplan   bool            // plans have to be placed again; false between entries
+	grantsInEntry uint64          // grants issued by the entry being applied
 	events        []Event
 }
 
-// New returns an empty machine, or an error that names the setting that is wrong.
+// New returns an empty machine, or an error that names the invalid setting.
 func New(settings Settings) (*Machine, error) {
 	if err := settings.check(); err != nil {
 		return nil, err
@@ -191,72 +203,78 @@
 	return &Machine{settings: settings, totalSizes: map[Scope]int64{}}, nil
 }
 
-// Result is the kind of an Answer.
+// Result is the outcome of an entry.
 type Result uint8
 
-// The results of an entry.
+// The outcomes of an entry. Their numbers are part of the encoding.
 const (
-	OK        Result = iota // done; with an Ask: the plan was taken
-	Duplicate               // was done before: a repeated id, cancel or confirmation
-	Pending                 // a floor that is not in force yet
-	Stale                   // a confirmation with another fencing number: nothing was done
-	Rejected                // a plan that was not taken, with the reason and the earliest start
-	Invalid                 // the entry is wrong: nothing was done
+	OK        Result = iota // applied; for a Request: the plan was accepted
+	Duplicate               // already applied: a repeated id, cancel or confirmation
+	Pending                 // the floor was accepted, but is not in force yet
+	Stale                   // a confirmation with the wrong fencing token: nothing changed
+	// the plan was not accepted; the answer has the reason and the earliest feasible start
+	Rejected
+	Invalid // the entry is invalid: nothing changed
 )
 
 var resultNames = [...]string{"ok", "repeat", "pending", "stale", "refused", "error"}
 
 func (r Result) String() string { return resultNames[r] }
 
-// EventKind is what an applied entry brought about.
+// EventKind says what an applied entry changed.
 type EventKind uint8
 
-// The kinds of events.
+// The kinds of events. Their numbers are part of the encoding.
 const (
-	EventState         EventKind = iota // a plan has another state: its row tells which, and why
-	EventStartMoved                     // a planned start has moved
-	EventBelowFloor                     // a scope has less than its floor
-	EventFloorRestored                  // and has it again
-	EventFloorInForce                   // a pending floor is in force
+	EventState         EventKind = iota // a plan changed its state; Window has the new state and the reason
+	EventStartMoved                     // a planned start was moved
+	EventBelowFloor                     // the available capacity of a scope fell below its floor
+	EventFloorRestored                  // the scope is at or above its floor again
+	EventFloorInForce                   // a pending floor came into force
 )
 
-// Event is one thing that an applied entry brought about.
+// Event is one change that an applied entry caused.
 type Event struct {
 	Kind      EventKind `cbor:"Kind"`
-	Window    Window    `cbor:"Window"` // of EventState and EventMoved
-	Scope     Scope     `cbor:"Scope"`  // of the others
+	Window    Window    `cbor:"Window"` // set for EventState and EventStartMoved
+	Scope     Scope     `cbor:"Scope"`  // set for the other kinds
 	Required  int64     `cbor:"Floor"`
 	Available int64     `cbor:"Have"`
 }
 
-// Answer is what an entry came to. It is the same at all voters.
+// Answer is the outcome of an entry. It is the same on all voters.
 type Answer struct {
-	Index     uint64        `cbor:"Index"`
-	Now       time.Duration `cbor:"Now"` // log time after the entry
-	Result    Result        `cbor:"Result"`
-	Err       string        `cbor:"Err"`    // of all results but OK: the reason, naming the key
-	HasWindow bool          `cbor:"Known"`  // Window is set
-	Window    Window        `cbor:"Window"` // the plan that the entry is about, as it stands after the entry
-	Events    []Event       `cbor:"Events"`
+	Index  uint64        `cbor:"Index"`
+	Now    time.Duration `cbor:"Now"` // log time after the entry
+	Result Result        `cbor:"Result"`
+	// for every result except OK and Duplicate: the reason, naming the field
+	Err       string  `cbor:"Err"`
+	HasWindow bool    `cbor:"Known"`  // Window is set
+	Window    Window  `cbor:"Window"` // the plan that the entry refers to, as it is after the entry
+	Events    []Event `cbor:"Events"`
 }
 
-// Window is a plan as operators and members see it. Times are log time.
+// Window is the view of a plan that operators and members get. Times are log time.
 type Window struct {
-	Request          Request       `cbor:"Ask"`
-	State            State         `cbor:"State"`
-	FirstStart       time.Duration `cbor:"First"`   // the start that the first answer told
-	Start            time.Duration `cbor:"Start"`   // planned start; once granted, the time of the grant
-	End              time.Duration `cbor:"End"`     // planned end; once granted, it is overdue after this
-	Fence            Fence         `cbor:"Fence"`   // 0 before the grant
-	Drained          int           `cbor:"Drained"` // members that have confirmed
-	Serving          int           `cbor:"Serving"` // members that are to confirm
-	Reason           string        `cbor:"Why"`
-	EarliestFeasible time.Duration `cbor:"Could"` // of a refused one: the earliest start that would do, as things stood; -1: none
+	Request    Request       `cbor:"Ask"`
+	State      State         `cbor:"State"`
+	FirstStart time.Duration `cbor:"First"` // start announced in the first answer
+	Start      time.Duration `cbor:"Start"` // planned start; once granted, the time of the grant
+	// planned end; once granted, the plan is overdue after this
+	End     time.Duration `cbor:"End"`
+	Fence   Fence         `cbor:"Fence"`   // 0 before the grant
+	Drained int           `cbor:"Drained"` // members that have confirmed the drain
+	Serving int           `cbor:"Serving"` // members that have to confirm it
+	Reason  string        `cbor:"Why"`
+	// of a refused plan: earliest feasible start when refused; -1: none
+	EarliestFeasible time.Duration `cbor:"Could"`
 }
 
 func (m *Machine) windowOf(p *plan) Window {
-	w := Window{Request: p.Request, State: p.State, FirstStart: p.FirstStart, Start: p.Start, End: p.End, Fence: p.Fence,
-		Drained: len(p.Drained), Serving: len(m.servingMembers), Reason: p.Reason, EarliestFeasible: p.EarliestFeasible}
+	w := Window{Request: p.Request, State: p.State, FirstStart: p.FirstStart, Start: p.Start, End: p.End,
+		Fence:   p.Fence,
+		Drained: len(p.Drained), Serving: len(m.servingMembers), Reason: p.Reason,
+		EarliestFeasible: p.EarliestFeasible}
 	w.Request.Backends = slices.Clone(p.Backends)
 	if p.Fence == 0 {
 		w.End = p.Start + p.Duration
@@ -267,14 +285,14 @@
 	return w
 }
 
-// Now is the log time.
+// Now returns the log time.
 func (m *Machine) Now() time.Duration { return m.now }
 
-// Index is the index of the last entry applied.
+// Index returns the index of the last applied entry.
 func (m *Machine) Index() uint64 { return m.index }
 
-// List returns the open windows in the order of asking, then the ended ones that
-// are still kept, in the order of their end.
+// List returns the open windows in order of acceptance, then the ended ones that are
+// still kept, in the order in which they ended.
 func (m *Machine) List() []Window {
 	var windows []Window
 	for _, p := range slices.Concat(m.openPlans, m.endedPlans) {
@@ -283,7 +301,7 @@
 	return windows
 }
 
-// Window returns the window of an id.
+// Window returns the window with the given id.
 func (m *Machine) Window(id string) (Window, bool) {
 	if p := m.findPlan(id); p != nil {
 		return m.windowOf(p), true
@@ -312,21 +330,23 @@
 }
 
 func (m *Machine) findFloor(sc Scope) *floor {
-	i, ok := slices.BinarySearchFunc(m.floors, sc, func(f *floor, sc Scope) int { return f.Scope.compare(sc) })
+	i, ok := slices.BinarySearchFunc(m.floors, sc,
+		func(f *floor, sc Scope) int { return f.Scope.compare(sc) })
 	if !ok {
 		return nil
 	}
 	return m.floors[i]
 }
 
-// Apply applies the log entry at index, encoded by Encode. An entry that can't be
-// read, is of an unknown version or kind, or is wrong in itself gets an answer that
-// says so and changes nothing but the index. An index that is not above the last
-// one applied changes nothing at all.
+// Apply applies the log entry at index, as encoded by Encode. An entry that can't be
+// decoded, has an unknown version or kind, or is invalid gets an error answer and
+// changes nothing but the index. An index that is not above the last applied one changes
+// nothing at all.
 func (m *Machine) Apply(index uint64, data []byte) Answer {
 	a := Answer{Index: index, Now: m.now}
 	if index <= m.index || index > maxIndex {
-		a.Result, a.Err = Invalid, fmt.Sprintf("window: entry %d: not above %d, the last one applied", index, m.index)
+		a.Result, a.Err = Invalid, fmt.Sprintf("window: entry %d: not above %d, the last one applied",
+			index, m.index)
 		return a
 	}
 	m.index = index
@@ -349,7 +369,9 @@
 	return a
 }
 
-// settle does what time and facts ask for: it runs after each entry.
+// settle runs after each entry and makes every transition that the new time or the new
+// facts call for: it ends warm-ups, activates floors, recalls, grants, refuses and
+// replans.
 func (m *Machine) settle() {
 	m.endWarmUpsAndMarkOverdue()
 	m.activatePendingFloors()
@@ -365,7 +387,8 @@
 	m.reportFloorChanges()
 }
 
-// become puts a plan into a state and tells of it.
+// setState changes the state of a plan and records the event. An ended plan moves to the
+// history, which drops its oldest entries beyond Settings.History.
 func (m *Machine) setState(p *plan, state State, reason string) {
 	p.State = state
 	if reason != "" {
@@ -382,7 +405,8 @@
 	m.events = append(m.events, Event{Kind: EventState, Window: m.windowOf(p)})
 }
 
-// age ends warm-ups that are over and marks windows that are late.
+// endWarmUpsAndMarkOverdue ends completed warm-ups and marks windows past their end as
+// overdue.
 func (m *Machine) endWarmUpsAndMarkOverdue() {
 	for _, b := range m.backends {
 		if b.WarmingUp && m.now-b.Since >= b.WarmUpTime {
@@ -391,7 +415,7 @@
 	}
 	for _, p := range slices.Clone(m.openPlans) {
 		switch {
-		case p.State == WarmingUp && m.reservationOf(p, false).finish <= m.now:
+		case p.State == WarmingUp && m.reservation(p, false).finish <= m.now:
 			m.setState(p, Done, "")
 		case p.State.holdsCapacity() && p.State != Overdue && m.now > p.End:
 			m.setState(p, Overdue, "")
@@ -400,21 +424,24 @@
 	}
 }
 
-// enforce puts pending floors in force that hold by now.
+// activatePendingFloors puts each pending floor in force that the available capacity now
+// meets.
 func (m *Machine) activatePendingFloors() {
 	for _, f := range m.floors {
 		if f.Pending != nil && m.floorWouldHold(f.Scope, f.Pending) {
 			f.Steps, f.Pending = f.Pending, nil
 			m.needsReplan = true
-			m.events = append(m.events, Event{Kind: EventFloorInForce, Scope: f.Scope, Required: requiredAt(f.Steps, m.now)})
+			m.events = append(m.events, Event{Kind: EventFloorInForce, Scope: f.Scope,
+				Required: requiredAt(f.Steps, m.now)})
 		}
 	}
 }
 
-// wouldHold says whether steps would hold now and by the running windows. As these
-// give back and nothing else is known to go, each step need be looked at once.
+// floorWouldHold reports whether the available capacity would meet the steps now and at
+// each step of the next 24 h. Running windows only give capacity back and no other loss
+// is known in advance, so checking each step once is enough.
 func (m *Machine) floorWouldHold(sc Scope, steps []Step) bool {
-	forecast := m.forecastWith(true)
+	forecast := m.forecast(true)
 	if forecast.available(sc, m.now) < requiredAt(steps, m.now) {
 		return false
 	}
@@ -430,48 +457,55 @@
 	return true
 }
 
-// recall calls back windows, the latest grant first, until each floor that is short
-// would hold with what is on its way back.
+// recallForFloors recalls windows, the latest grant first, until each floor that is
+// breached would be met with the capacity that is on its way back.
 func (m *Machine) recallForFloors() {
-	forecast := m.forecastWith(true)
-	for _, f := range m.floors {
-		required := requiredAt(f.Steps, m.now)
-		available := forecast.available(f.Scope, m.now)
+	forecast := m.forecast(true)
+	for _, floor := range m.floors {
+		required := requiredAt(floor.Steps, m.now)
+		available := forecast.available(floor.Scope, m.now)
 		if available >= required {
 			continue
 		}
 		var recallable []*reservation
-		for _, s := range forecast.reservations {
-			freed := s.capacityOut(forecast, f.Scope, m.now)
+		for _, reserved := range forecast.reservations {
+			freed := reserved.capacityOut(forecast, floor.Scope, m.now)
 			switch {
 			case freed == 0:
-			case s.plan.WasRecalled || s.plan.State == Returning || s.plan.State == Overdue:
+			case reserved.plan.WasRecalled || reserved.plan.State == Returning ||
+				reserved.plan.State == Overdue:
 				available += freed
-			case s.plan.State == Granted, s.plan.State == Draining, s.plan.State == OutOfService && s.plan.Recallable:
-				recallable = append(recallable, s)
+			case reserved.plan.State == Granted, reserved.plan.State == Draining,
+				reserved.plan.State == OutOfService && reserved.plan.Recallable:
+				recallable = append(recallable, reserved)
 			}
 		}
-		slices.SortFunc(recallable, func(a, b *reservation) int { return cmp.Compare(b.plan.Fence, a.plan.Fence) })
-		for _, s := range recallable {
+		slices.SortFunc(recallable, func(a, b *reservation) int {
+			return cmp.Compare(b.plan.Fence,
+				a.plan.Fence)
+		})
+		for _, reserved := range recallable {
 			if available >= required {
 				break
 			}
-			available += s.capacityOut(forecast, f.Scope, m.now)
-			s.plan.WasRecalled = true
-			m.setState(s.plan, Recalled, fmt.Sprintf("recalled: %s is below its floor %d", scopeName(f.Scope), required))
+			available += reserved.capacityOut(forecast, floor.Scope, m.now)
+			reserved.plan.WasRecalled = true
+			m.setState(reserved.plan, Recalled, fmt.Sprintf("recalled: %s is below its floor %d",
+				scopeName(floor.Scope), required))
 		}
 	}
 }
 
-// grantDue grants what is due, as far as the floors allow it now.
+// grantDuePlans grants the plans whose start has come, as far as the floors allow it
+// now.
 func (m *Machine) grantDuePlans() {
 	due := slices.DeleteFunc(slices.Clone(m.openPlans), func(p *plan) bool {
 		return p.State != Planned || p.Start > m.now || m.now+p.Duration > p.LatestEnd
 	})
 	slices.SortFunc(due, byPriority)
 	for _, p := range due {
-		forecast := m.forecastWith(true)
-		candidate := m.reservationOf(p, true)
+		forecast := m.forecast(true)
+		candidate := m.reservation(p, true)
 		candidate.setInterval(m.now, p.Duration)
 		if conflict, found := forecast.findConflict(candidate); found {
 			p.Reason = "waits: " + conflict.String()
@@ -486,7 +520,7 @@
 	}
 }
 
-// expire refuses what can't end in time any more.
+// refuseExpired refuses plans that can no longer end by their latest end.
 func (m *Machine) refuseExpired() {
 	for _, p := range slices.Clone(m.openPlans) {
 		if p.State <= Planned && m.now+p.Duration > p.LatestEnd {
@@ -498,18 +532,20 @@
 	}
 }
 
-// report tells of floors that became short, or hold again.
+// reportFloorChanges records an event for each floor that became breached or is met
+// again.
 func (m *Machine) reportFloorChanges() {
-	forecast := m.forecastWith(true)
-	for _, f := range m.floors {
-		available, required := forecast.available(f.Scope, m.now), requiredAt(f.Steps, m.now)
-		if belowFloor := available < required; belowFloor != f.BelowFloor {
-			f.BelowFloor = belowFloor
+	forecast := m.forecast(true)
+	for _, floor := range m.floors {
+		available, required := forecast.available(floor.Scope, m.now), requiredAt(floor.Steps, m.now)
+		if belowFloor := available < required; belowFloor != floor.BelowFloor {
+			floor.BelowFloor = belowFloor
 			kind := EventFloorRestored
 			if belowFloor {
 				kind = EventBelowFloor
 			}
-			m.events = append(m.events, Event{Kind: kind, Scope: f.Scope, Required: required, Available: available})
+			m.events = append(m.events, Event{Kind: kind, Scope: floor.Scope, Required: required,
+				Available: available})
 		}
 	}
 }
