--- a/internal/soak/rogue_test.go
+++ b/internal/soak/faulty_proxy_test.go
@@ -21,21 +21,21 @@
 	"time"
 )
 
-// rogueVariable names the rule that a rogue proxy breaks now and then; "none" breaks none.
-const rogueVariable = "OXBOWSOAK_ROGUE"
+// faultVariable names the rule that the faulty proxy violates now and then; "none" violates none.
+const faultVariable = "OXBOWSOAK_ROGUE"
 
-// TestMain is the rogue proxy where it is started as one, and runs the tests otherwise.
+// TestMain runs the faulty proxy if the process was started as that, and the tests otherwise.
 func TestMain(m *testing.M) {
-	if rule := os.Getenv(rogueVariable); rule != "" {
-		rogue(Rule(rule))
+	if rule := os.Getenv(faultVariable); rule != "" {
+		runFaultyProxy(Rule(rule))
 		return
 	}
 	os.Exit(m.Run())
 }
 
-// rogue is a small proxy with a planted fault: it sends each request to one backend of the
-// list that it started with, or that it was told of last.
-func rogue(plant Rule) {
+// runFaultyProxy is a small proxy with an injected fault. It sends each request to one backend of
+// its list, which is from its configuration or from discovery.
+func runFaultyProxy(violated Rule) {
 	var config struct {
 		Listen    string
 		Discovery string
@@ -52,17 +52,17 @@
 	var targets atomic.Pointer[[]wireTarget]
 	targets.Store(&config.Known.Targets)
 	followed := &targets
-	if plant == RuleDrain { // it is told, and goes by the old list
+	if violated == RuleDrain { // it watches the list, but uses the old one
 		followed = &atomic.Pointer[[]wireTarget]{}
 		followed.Store(&config.Known.Targets)
 	}
 	go followList(config.Discovery, followed)
 	ended := make(chan os.Signal, 1)
 	signal.Notify(ended, syscall.SIGTERM)
-	if plant != RuleCrash {
+	if violated != RuleCrash {
 		go func() {
 			<-ended
-			time.Sleep(time.Second) // what is under way is answered
+			time.Sleep(time.Second) // requests in flight are finished
 			os.Exit(0)
 		}()
 	}
@@ -71,11 +71,11 @@
 		if err != nil {
 			os.Exit(5)
 		}
-		go serveRogue(c, plant, &targets)
+		go serveFaulty(c, violated, &targets)
 	}
 }
 
-// followList keeps the list by a watch.
+// followList keeps the list up to date from a watch.
 func followList(addr string, targets *atomic.Pointer[[]wireTarget]) {
 	for ; ; time.Sleep(50 * time.Millisecond) {
 		resp, err := http.Get("http://" + addr + "/v1/servers?stream=1&index=0")
@@ -107,16 +107,16 @@
 	}
 }
 
-func serveRogue(c net.Conn, plant Rule, targets *atomic.Pointer[[]wireTarget]) {
+func serveFaulty(c net.Conn, violated Rule, targets *atomic.Pointer[[]wireTarget]) {
 	defer c.Close()
 	in := bufio.NewReader(c)
 	for {
-		if plant != RuleBadClient {
+		if violated != RuleBadClient {
 			c.SetReadDeadline(time.Now().Add(2500 * time.Millisecond))
 		}
 		req, err := http.ReadRequest(in)
 		if err != nil {
-			if plant == RuleBadClient {
+			if violated == RuleBadClient {
 				time.Sleep(time.Hour)
 			}
 			return
@@ -128,40 +128,40 @@
 			reply(c, http.StatusOK, "", "ok\n")
 			continue
 		}
-		if !forwardRogue(c, req, plant, *targets.Load()) {
+		if !forwardFaulty(c, req, violated, *targets.Load()) {
 			return
 		}
 	}
 }
 
-// forwardRogue sends a request on and answers it, with the planted fault one time in ten.
-func forwardRogue(c net.Conn, req *http.Request, plant Rule, targets []wireTarget) bool {
-	planted := rand.IntN(10) == 0
+// forwardFaulty forwards a request and its response. One time in ten it injects the fault.
+func forwardFaulty(c net.Conn, req *http.Request, violated Rule, targets []wireTarget) bool {
+	inject := rand.IntN(10) == 0
 	if len(targets) == 0 {
 		return reply(c, http.StatusServiceUnavailable, "", "none\n")
 	}
-	if plant == RuleGone { // whether its client is there or not
+	if violated == RuleGone { // even if the client disconnects meanwhile
 		time.Sleep(400 * time.Millisecond)
 	}
 	to := targets[rand.IntN(len(targets))].Endpoint
-	told := req.Header.Get("X-Timeout-Ms")
-	if planted && plant == RuleDeadline {
-		told = "3000"
+	timeoutMs := req.Header.Get("X-Timeout-Ms")
+	if inject && violated == RuleDeadline {
+		timeoutMs = "3000"
 	}
-	status, body := sendRogue(to, req, told)
+	status, body := sendAttempt(to, req, timeoutMs)
 	if status == 0 {
 		return reply(c, http.StatusBadGateway, "", "failed\n")
 	}
-	if !planted {
+	if !inject {
 		return reply(c, status, "", body)
 	}
-	switch plant {
+	switch violated {
 	case RuleLost:
 		return false
 	case RuleForeign:
 		body = "something else\n"
 	case RuleDuplicate:
-		sendRogue(to, req, told)
+		sendAttempt(to, req, timeoutMs)
 	case RuleRefused:
 		status = http.StatusServiceUnavailable
 	case RuleCrash:
@@ -170,8 +170,8 @@
 	return reply(c, status, "", body)
 }
 
-// sendRogue makes one attempt; status 0 is none.
-func sendRogue(addr string, req *http.Request, told string) (status int, body string) {
+// sendAttempt makes one attempt. Status 0 means that there was no response.
+func sendAttempt(addr string, req *http.Request, timeoutMs string) (status int, body string) {
 	c, err := net.DialTimeout("tcp", addr, time.Second)
 	if err != nil {
 		return 0, ""
@@ -183,7 +183,7 @@
 		length = "Content-Length: 0\r\n"
 	}
 	fmt.Fprintf(c, "%s /api HTTP/1.1\r\nHost: h\r\nX-Request-ID: %s\r\nX-Timeout-Ms: %s\r\n%s\r\n", req.Method,
-		req.Header.Get("X-Request-ID"), told, length)
+		req.Header.Get("X-Request-ID"), timeoutMs, length)
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
 		return 0, ""
@@ -195,25 +195,25 @@
 	return resp.StatusCode, string(text)
 }
 
-// planted is a plan whose program is the rogue proxy.
-func planted(t *testing.T, rule Rule) *Plan {
+// faultyProxyPlan returns a plan with the faulty proxy as its program.
+func faultyProxyPlan(t *testing.T, rule Rule) *Plan {
 	t.Helper()
 	dir := t.TempDir()
-	program := filepath.Join(dir, "rogue")
+	program := filepath.Join(dir, "faulty-proxy")
 	self, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
-	script := fmt.Sprintf("#!/bin/sh\n%s=%s exec %s\n", rogueVariable, rule, self)
+	script := fmt.Sprintf("#!/bin/sh\n%s=%s exec %s\n", faultVariable, rule, self)
 	if err := os.WriteFile(program, []byte(script), 0o700); err != nil {
 		t.Fatal(err)
 	}
 	return &Plan{Program: program, Dir: dir, Proxies: 2, Backends: 3, Clients: 3, Length: 4 * time.Second}
 }
 
-// A planted breach of each rule is seen, and told as what it is.
+// An injected violation of each rule is detected, under the right rule.
 func TestPlantedFaults(t *testing.T) {
-	leavers := []Event{{At: 500 * time.Millisecond, Kind: Leavers, Span: 3 * time.Second}}
+	leavers := []Event{{At: 500 * time.Millisecond, Kind: ClientsLeave, Span: 3 * time.Second}}
 	for _, c := range []struct {
 		rule   Rule
 		events []Event
@@ -230,19 +230,19 @@
 	} {
 		t.Run(string(c.rule), func(t *testing.T) {
 			t.Parallel()
-			plan := planted(t, c.rule)
+			plan := faultyProxyPlan(t, c.rule)
 			report, err := Run(context.Background(), plan, 1, c.events)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if !report.breaks(c.rule) {
-				t.Errorf("not seen: %s; void %q", report.Summary, report.Void)
+			if !report.violates(c.rule) {
+				t.Errorf("violation not detected: %s; void %q", report.Summary, report.Void)
 			}
 		})
 	}
 }
 
-// A short run of the built proxy, without system calls that fail, breaks no rule.
+// A short run of the built proxy, without failing system calls, violates no rule.
 func TestSoakShort(t *testing.T) {
 	dir := t.TempDir()
 	program := filepath.Join(dir, "oxbowloft")
@@ -254,8 +254,8 @@
 		plan Plan
 	}{
 		{1, Plan{Proxies: 6, Backends: 4, Clients: 2, Length: 6 * time.Second}},
-		// Lists get old while backends drain: 284 sends past the grace before
-		// docs/incidents/herd-day-drains.md was mended.
+		// Lists get stale while backends drain: there were 284 attempts past the grace before
+		// docs/incidents/herd-day-drains.md was fixed.
 		{49014, Plan{Proxies: 8, Backends: 8, Clients: 2, Length: 16 * time.Second}},
 	} {
 		t.Run(fmt.Sprint("seed ", c.seed), func(t *testing.T) {
@@ -265,7 +265,7 @@
 				t.Fatal(err)
 			}
 			if report.Outcomes["served"] == 0 {
-				t.Errorf("nothing was served: %s", report.Summary)
+				t.Errorf("no request was served: %s", report.Summary)
 			}
 			for _, v := range report.Violations {
 				t.Errorf("%s: %s\n%s", v.Rule, v.Detail, strings.Join(v.Trace, "\n"))
@@ -274,22 +274,22 @@
 	}
 }
 
-// The same seed draws the same troubles, and another seed others.
+// The same seed gives the same events, and another seed gives others.
 func TestScheduleIsDrawn(t *testing.T) {
 	plan := &Plan{Length: 10 * time.Second}
 	if !slices.Equal(Schedule(7, plan), Schedule(7, plan)) {
-		t.Error("one seed, two schedules")
+		t.Error("the same seed gives two schedules")
 	}
 	if slices.Equal(Schedule(7, plan), Schedule(8, plan)) {
-		t.Error("two seeds, one schedule")
+		t.Error("two seeds give the same schedule")
 	}
-	kinds := map[Trouble]bool{}
+	kinds := map[EventKind]bool{}
 	for seed := range uint64(50) {
 		for _, e := range Schedule(seed, plan) {
 			kinds[e.Kind] = true
 		}
 	}
-	for _, kind := range troubles {
+	for _, kind := range eventKinds {
 		if !kinds[kind] {
 			t.Errorf("%s is never drawn", kind)
 		}
