--- a/fleet/schedule/encoding_test.go
+++ b/fleet/schedule/encoding_test.go
@@ -12,7 +12,7 @@
 	"oxbowloft/fleet/window"
 )
 
-// fullAnswer is an answer in which every field is set.
+// fullAnswer returns an answer in which every field is set.
 func fullAnswer() schedule.Answer {
 	plan := window.Window{
 		Request: window.Request{ID: "p1", Region: "r", Zone: "z", Amount: 5, Duration: time.Hour, EarliestStart: time.Minute,
@@ -31,8 +31,9 @@
 	}
 }
 
-// fullAnswerBytes is fullAnswer as voters of earlier builds write it. Voters of two builds read each
-// other's answers, and answers are stored: a field that is written under another name is lost.
+// fullAnswerBytes is fullAnswer as earlier builds encode it. Answers are stored, and
+// voters of different builds read each other's, so a field encoded under another name
+// would be lost.
 const fullAnswerBytes = "a865496e6465780b634e6f771b0000000df847580066526573756c7405634572726b77696e646f773a2061736b654b6e6f77" +
 	"6ef56657696e646f77aa6341736baa0162703102617204617a0505061b0000034630b8a000071b0000000df8475800081b00" +
 	"00a3b5840f400009020a1a3b9aca000ef56553746174650b654669727374016553746172740263456e64036546656e636504" +
--- a/fleet/schedule/large_test.go
+++ b/fleet/schedule/large_test.go
@@ -12,7 +12,7 @@
 	"oxbowloft/fleet/window"
 )
 
-// manyNames is over a thousand, as a large fleet has of backends and members.
+// manyNames is over a thousand: the number of backends and members in a large fleet.
 const manyNames = 1100
 
 func longNames(kind string, count int) []string {
@@ -24,9 +24,9 @@
 	return names
 }
 
-// What names each backend or member of a large fleet fits in an entry that voters agree on,
-// and so does the answer, with the names in it. Guards against a bound on counts that can't
-// be met because the bound on bytes comes first.
+// An entry that names every backend or member of a large fleet fits into an entry of the
+// replicated log, and so does the answer with the names in it. Prevents a limit on
+// counts that can't be reached because the limit on bytes applies first.
 func TestLargeEntriesFit(t *testing.T) {
 	ids := longNames("backend", max(window.MaxPlanBackends, manyNames))
 	plan := window.Request{ID: "p", Region: "r", Backends: ids, Duration: time.Hour, LatestEnd: 10 * time.Hour}
--- a/fleet/schedule/schedule.go
+++ b/fleet/schedule/schedule.go
@@ -21,7 +21,7 @@
 // Answer is the machine's answer to an entry. It is the same on all voters.
 type Answer struct {
 	window.Answer
-	// number of events that did not fit into the answer; a query for the windows shows their effect
+	// Number of events that did not fit into the answer; a query for the windows shows their effect.
 	OmittedEvents int `cbor:"Left"`
 }
 
@@ -88,9 +88,9 @@
 // there were any.
 func dropBackends(events []window.Event) (dropped bool) {
 	for i := range events {
-		ask := &events[i].Window.Request
-		dropped = dropped || len(ask.Backends) > 0
-		ask.Backends = nil
+		request := &events[i].Window.Request
+		dropped = dropped || len(request.Backends) > 0
+		request.Backends = nil
 	}
 	return dropped
 }
--- a/fleet/schedule/schedule_test.go
+++ b/fleet/schedule/schedule_test.go
@@ -85,7 +85,7 @@
 	}
 }
 
-// A snapshot is the machine: what goes on from it gives the same to the byte.
+// A machine restored from a snapshot gives byte-identical answers to further entries.
 func TestRestoredMachineMatchesOriginal(t *testing.T) {
 	m, restored := newMachine(t), newMachine(t)
 	m.Apply(1, encodeEntry(t, newBackends("r", 4, "b")))
@@ -108,8 +108,8 @@
 	}
 }
 
-// What one entry brings about may be more than an answer holds. Guards against an
-// answer that can't be sent, which would end the voters one after the other.
+// One entry can cause more events than an answer holds. Prevents an answer that is too
+// large to send, which would stop the voters one after the other.
 func TestLongAnswers(t *testing.T) {
 	m := newMachine(t)
 	index := uint64(0)
@@ -127,7 +127,7 @@
 			t.Fatalf("%s, %v", a.Describe(), err)
 		}
 	}
-	text := apply(window.SetFloor{Steps: []window.Step{{Capacity: 10240 - 240}}}) // one at a time: nearly all move
+	text := apply(window.SetFloor{Steps: []window.Step{{Capacity: 10240 - 240}}}) // only one window at a time fits: nearly all are moved
 	a, err := schedule.Parse(text)
 	if err != nil || len(text) > agree.MaxEntry || len(a.Events)+a.OmittedEvents < 90 {
 		t.Errorf("%d bytes, %d events and %d left, %v", len(text), len(a.Events), a.OmittedEvents, err)
--- a/fleet/window/bench_test.go
+++ b/fleet/window/bench_test.go
@@ -5,8 +5,9 @@
 	"testing"
 )
 
-// BenchmarkAskFull is an ask where all bounds but one are met: 4,096 backends, 127 open plans.
-func BenchmarkAskFull(b *testing.B) {
+// BenchmarkRequestAtLimits measures a request to a machine near its default limits:
+// 4,096 backends and 127 open plans.
+func BenchmarkRequestAtLimits(b *testing.B) {
 	m, _ := New(Settings{})
 	index := uint64(0)
 	do := func(e Entry) Answer {
--- a/fleet/window/encoding_test.go
+++ b/fleet/window/encoding_test.go
@@ -9,8 +9,9 @@
 	"oxbowloft/fleet/window"
 )
 
-// storedSnapshot is a snapshot as earlier builds write it. Voters of two builds exchange snapshots, and
-// they are stored: a field that is written under another name is lost.
+// storedSnapshot is a snapshot as earlier builds write it. Snapshots are stored, and
+// voters of different builds exchange them, so a field encoded under another name would
+// be lost.
 const storedSnapshot = "01a801a767486973746f72790667486f72697a6f6e1b00009d29229e0000674d61785469636b1b000000012a05f200674f76" +
 	"657272756e1b0000000df8475800684d6178506c616e73076a4d617853657276696e67096b4d61784261636b656e64730802" +
 	"05031ab2d05e0004010582a70162623002617203617a040a051b0000000df84758000619012c07f5a7016262310261720361" +
--- a/fleet/window/entry.go
+++ b/fleet/window/entry.go
@@ -31,9 +31,9 @@
 	Zone       string        `cbor:"3,keyasint"`
 	Size       int64         `cbor:"4,keyasint"`           // capacity, in a unit common to all backends
 	WarmUpTime time.Duration `cbor:"5,keyasint,omitempty"` // duration of the slow start, at most 24 h
-	// thousandths of Size available when the warm-up starts
+	// Thousandths of Size available when the warm-up starts.
 	InitialPermille int64 `cbor:"6,keyasint,omitempty"`
-	// a newly registered backend counts at full Size at once
+	// A newly registered backend counts at full Size at once.
 	SkipWarmUp bool `cbor:"7,keyasint,omitempty"`
 }
 
@@ -82,21 +82,21 @@
 
 // Request asks for a maintenance window. Times are log time.
 type Request struct {
-	// chosen by the requester; repeating it requests the same plan
+	// Chosen by the requester; repeating it requests the same plan.
 	ID       string   `cbor:"1,keyasint"`
 	Region   string   `cbor:"2,keyasint"`
 	Backends []string `cbor:"3,keyasint,omitempty"` // backends of the region, or instead:
-	// a zone of the region, from which Amount is taken
+	// A zone of the region, from which Amount is taken.
 	Zone          string        `cbor:"4,keyasint,omitempty"`
 	Amount        int64         `cbor:"5,keyasint,omitempty"`
 	Duration      time.Duration `cbor:"6,keyasint"` // from the grant to the return, without the warm-up
 	EarliestStart time.Duration `cbor:"7,keyasint,omitempty"`
-	// the window has to end by this; its warm-up may end later
+	// The window has to end by this; its warm-up may end later.
 	LatestEnd time.Duration `cbor:"8,keyasint"`
 	Priority  int           `cbor:"9,keyasint,omitempty"` // 0 to MaxPriority, the highest first
-	// a start is announced at least this long ahead
+	// A start is announced at least this long ahead.
 	Notice time.Duration `cbor:"10,keyasint,omitempty"`
-	// may be recalled even after its drain has completed
+	// May be recalled even after its drain has completed.
 	Recallable bool `cbor:"14,keyasint,omitempty"`
 }
 
--- a/fleet/window/large_test.go
+++ b/fleet/window/large_test.go
@@ -7,10 +7,11 @@
 	"time"
 )
 
-// manyNames is over a thousand, as a large fleet has of backends, members and scopes.
+// manyNames is over a thousand: the number of backends, members and scopes in a large
+// fleet.
 const manyNames = 1100
 
-// longNames are ids of the longest kind, in order.
+// longNames returns ids of the maximum length, in ascending order.
 func longNames(kind string) []string {
 	var names []string
 	for number := range manyNames {
@@ -20,30 +21,31 @@
 	return names
 }
 
-// newLargeBench is a machine with the backends ids, of one zone each in the region r.
+// newLargeHarness returns a harness with the given backends, each in a zone of its own
+// of region r.
 func newLargeHarness(t *testing.T, ids []string) *harness {
 	t.Helper()
 	m, err := New(Settings{MaxServing: manyNames})
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &harness{t: t, m: m}
+	h := &harness{t: t, machine: m}
 	for number, id := range ids {
 		zone := fmt.Sprintf("zone-%04d", number)
-		b.applyWant(PutBackends{[]Backend{{ID: id, Region: "r", Zone: zone, Size: 1, SkipWarmUp: true}}}, OK, "")
+		h.applyWant(PutBackends{[]Backend{{ID: id, Region: "r", Zone: zone, Size: 1, SkipWarmUp: true}}}, OK, "")
 	}
-	return b
+	return h
 }
 
-// Each list that grows with the fleet holds over a thousand, and a snapshot with it is read
-// again. Guards against a bound that a large fleet's operators meet first.
+// Every list that grows with the fleet can hold over a thousand items and survives a
+// snapshot. Prevents a limit that only operators of large fleets run into.
 func TestLargeFleet(t *testing.T) {
 	ids, members := longNames("backend"), longNames("member")
 	zone := func(number int) Scope { return Scope{Region: "r", Zone: fmt.Sprintf("zone-%04d", number)} }
 	for _, c := range []struct {
 		name    string
 		entries func() []Entry
-		right   func(m *Machine) bool
+		holds   func(m *Machine) bool
 	}{
 		{"backends in one plan", func() []Entry {
 			return []Entry{Request{ID: "p", Region: "r", Backends: ids, Duration: time.Hour, LatestEnd: 10 * time.Hour}}
@@ -69,18 +71,18 @@
 			for _, e := range c.entries() {
 				b.applyWant(e, OK, "")
 			}
-			if !c.right(b.m) {
+			if !c.holds(b.machine) {
 				t.Error("it is not there")
 			}
-			snapshot, err := b.m.Snapshot()
+			snapshot, err := b.machine.Snapshot()
 			if err != nil {
 				t.Fatal(err)
 			}
-			again, err := Restore(snapshot)
+			restored, err := Restore(snapshot)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if !c.right(again) {
+			if !c.holds(restored) {
 				t.Error("it is not in the snapshot")
 			}
 		})
--- a/fleet/window/machine_test.go
+++ b/fleet/window/machine_test.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// bench is one machine that a table test drives.
+// harness drives one machine in a table test.
 type harness struct {
-	t     *testing.T
-	m     *Machine
-	index uint64
+	t       *testing.T
+	machine *Machine
+	index   uint64
 }
 
 func newHarness(t *testing.T) *harness {
@@ -20,44 +20,45 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &harness{t: t, m: m}
-	b.apply(PutBackends{[]Backend{
+	h := &harness{t: t, machine: m}
+	h.apply(PutBackends{[]Backend{
 		{"a", "north", "n1", 10, 10 * minute, 500, true}, {"b", "north", "n1", 10, 10 * minute, 500, true},
 		{"c", "north", "n2", 10, 0, 0, true}, {"d", "south", "s1", 10, 0, 0, true}}})
-	b.apply(SetServing{[]string{"m1", "m2"}})
-	return b
+	h.apply(SetServing{[]string{"m1", "m2"}})
+	return h
 }
 
-func (b *harness) apply(e Entry) Answer {
-	b.t.Helper()
+func (h *harness) apply(e Entry) Answer {
+	h.t.Helper()
 	data, err := Encode(e)
 	if err != nil {
-		b.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	b.index++
-	return b.m.Apply(b.index, data)
+	h.index++
+	return h.machine.Apply(h.index, data)
 }
 
-// want does an entry and checks the result and a part of the answer's line.
-func (b *harness) applyWant(e Entry, r Result, part string) Answer {
-	b.t.Helper()
-	a := b.apply(e)
-	if line := a.Describe(); a.Result != r || !strings.Contains(line, part) {
-		b.t.Fatalf("%T%+v: %s\nwant %v and %q", e, e, line, r, part)
+// applyWant applies an entry and checks the result and a part of the answer's line.
+func (h *harness) applyWant(e Entry, wantResult Result, wantText string) Answer {
+	h.t.Helper()
+	a := h.apply(e)
+	if line := a.Describe(); a.Result != wantResult || !strings.Contains(line, wantText) {
+		h.t.Fatalf("%T%+v: %s\nwant %v and %q", e, e, line, wantResult, wantText)
 	}
 	return a
 }
 
-func (b *harness) wantState(id string, s State) Window {
-	b.t.Helper()
-	w, ok := b.m.Window(id)
-	if !ok || w.State != s {
-		b.t.Fatalf("%s: %s (%v), want %v", id, w.Describe(), ok, s)
+func (h *harness) wantState(id string, want State) Window {
+	h.t.Helper()
+	w, ok := h.machine.Window(id)
+	if !ok || w.State != want {
+		h.t.Fatalf("%s: %s (%v), want %v", id, w.Describe(), ok, want)
 	}
 	return w
 }
 
-// ask is a plan for backend a that can start at once.
+// newRequest returns a request for backend a that can start at once, after change has
+// modified it.
 func newRequest(change func(*Request)) Request {
 	e := Request{ID: "p", Region: "north", Backends: []string{"a"}, Duration: 30 * minute, LatestEnd: 10 * time.Hour}
 	if change != nil {
@@ -71,7 +72,7 @@
 	grant := []Entry{newRequest(nil)}
 	for _, c := range []struct {
 		name    string
-		entries func(f Fence) []Entry // after the grant's, f being its fence
+		entries func(f Fence) []Entry // entries after the grant with fence f
 		first   []Entry
 		want    State
 		why     string
@@ -244,7 +245,7 @@
 
 func TestBytesAreChecked(t *testing.T) {
 	b := newHarness(t)
-	before, _ := b.m.Snapshot()
+	before, _ := b.machine.Snapshot()
 	good, _ := Encode(Tick{minute})
 	for _, c := range []struct {
 		data []byte
@@ -255,21 +256,21 @@
 		{[]byte{Version, 1, 0xa1, 0x18, 99, 0}, "unknown field"}, {make([]byte, MaxEntryBytes+1), "bytes"},
 	} {
 		b.index++
-		if a := b.m.Apply(b.index, c.data); a.Result != Invalid || !strings.Contains(a.Err, c.part) {
+		if a := b.machine.Apply(b.index, c.data); a.Result != Invalid || !strings.Contains(a.Err, c.part) {
 			t.Errorf("%x: %v %q, want %q", c.data[:min(8, len(c.data))], a.Result, a.Err, c.part)
 		}
 	}
-	if a := b.m.Apply(b.index, good); a.Result != Invalid || b.m.Now() != 0 {
+	if a := b.machine.Apply(b.index, good); a.Result != Invalid || b.machine.Now() != 0 {
 		t.Errorf("an index applied again: %s", a.Describe())
 	}
-	b.m.index = 2 // of before; entries that can't be read change nothing else
-	if after, _ := b.m.Snapshot(); !bytes.Equal(before, after) {
+	b.machine.index = 2 // the index before them; entries that can't be decoded change nothing else
+	if after, _ := b.machine.Snapshot(); !bytes.Equal(before, after) {
 		t.Error("entries that can't be read changed the state")
 	}
 }
 
-// TestWarmUp follows what counts as out: all of it to the return, then the cold
-// share, rising.
+// TestWarmUp checks the available capacity: without the backend until its return, then
+// with its initial fraction, rising.
 func TestWarmUp(t *testing.T) {
 	b := newHarness(t)
 	b.apply(SetFloor{Scope{"north", "n1"}, []Step{{0, 1}}})
@@ -281,19 +282,20 @@
 	}{{Tick{minute}, 10}, {Return{"p", f}, 10}, {Returned{"p", f}, 15}, {Tick{5 * minute}, 17}, {Tick{4 * minute}, 19},
 		{Tick{minute}, 20}, {BackendsFailed{[]string{"b"}}, 10}, {BackendsRecovered{[]string{"b"}}, 15}, {Tick{10 * minute}, 20}} {
 		b.apply(c.e)
-		if got := b.m.Floors()[0].Available; got != c.have {
+		if got := b.machine.Floors()[0].Available; got != c.have {
 			t.Fatalf("after %T%+v: %d, want %d", c.e, c.e, got, c.have)
 		}
 	}
 }
 
-// TestPendingFloor: not in force while it would be breached, and no grant meanwhile.
+// TestPendingFloor checks that a floor stays pending while it would be breached, and
+// blocks grants meanwhile.
 func TestPendingFloor(t *testing.T) {
 	b := newHarness(t)
 	b.apply(newRequest(nil))
 	f := b.wantState("p", Granted).Fence
 	b.applyWant(SetFloor{Scope{"north", "n1"}, []Step{{0, 20}}}, Pending, "grants wait for it")
-	if line := b.m.Floors()[0].Describe(); line != "FLOOR north/n1 state=held floor=0 have=10 total=20 steps=none pending=00:00=20" {
+	if line := b.machine.Floors()[0].Describe(); line != "FLOOR north/n1 state=held floor=0 have=10 total=20 steps=none pending=00:00=20" {
 		t.Error(line)
 	}
 	b.applyWant(newRequest(func(e *Request) { e.ID, e.Backends = "q", []string{"b"} }), Rejected, "floor is 20")
@@ -304,7 +306,8 @@
 	}
 }
 
-// TestLatestGrantIsRecalledFirst, and no more than it takes.
+// TestLatestGrantIsRecalledFirst checks that the latest grant is recalled, and no more
+// than the floor needs.
 func TestLatestGrantIsRecalledFirst(t *testing.T) {
 	b := newHarness(t)
 	b.apply(SetFloor{Scope{"north", ""}, []Step{{0, 10}}})
@@ -318,12 +321,13 @@
 	}
 }
 
-// TestBackfill: a small plan passes a large one that waits, and does not delay it.
+// TestBackfill checks that a small plan overtakes a large waiting one without delaying
+// it.
 func TestBackfill(t *testing.T) {
 	b := newHarness(t)
-	b.m.settings.MaxTick = minute
+	b.machine.settings.MaxTick = minute
 	b.apply(SetFloor{Scope{"north", ""}, []Step{{0, 10}}})
-	b.apply(newRequest(nil)) // a until 0:30, warm at 0:40
+	b.apply(newRequest(nil)) // backend a is out until 0:30 and warm at 0:40
 	b.apply(newRequest(func(e *Request) { e.ID, e.Backends, e.Priority = "large", []string{"b", "c"}, 5 }))
 	large := b.wantState("large", Planned)
 	if large.Start != 40*minute {
@@ -345,7 +349,8 @@
 	}
 }
 
-// TestOldAnswers: a repeated id has its old answer as long as the history goes.
+// TestRepeatedIDGetsStoredAnswer checks that a repeated id gets its stored answer as
+// long as the history holds it.
 func TestRepeatedIDGetsStoredAnswer(t *testing.T) {
 	b := newHarness(t)
 	for _, id := range []string{"p", "q", "r"} {
@@ -356,8 +361,8 @@
 	}
 	b.applyWant(newRequest(func(e *Request) { e.ID = "r" }), Duplicate, "state=done")
 	b.applyWant(newRequest(func(e *Request) { e.ID = "q" }), Duplicate, "state=done")
-	b.applyWant(newRequest(nil), OK, "state=granted")                               // forgotten: a new plan
-	b.applyWant(Returned{"p", 3 << fenceGrantBits}, Stale, "not that of the grant") // of its first life
+	b.applyWant(newRequest(nil), OK, "state=granted")                               // no longer in the history: a new plan
+	b.applyWant(Returned{"p", 3 << fenceGrantBits}, Stale, "not that of the grant") // the fence of the earlier plan
 }
 
 func TestSettings(t *testing.T) {
@@ -386,17 +391,17 @@
 		b := newHarness(t)
 		b.apply(newRequest(nil))
 		b.index++
-		b.m.Apply(b.index, data)
+		b.machine.Apply(b.index, data)
 		b.apply(Tick{time.Hour})
 		e, err := Decode(data)
 		if err != nil {
 			return
 		}
-		again, err := Encode(e)
+		reencoded, err := Encode(e)
 		if err != nil {
-			t.Skip() // longer in its plain form
+			t.Skip() // the re-encoding exceeds MaxEntryBytes
 		}
-		if _, err := Decode(again); err != nil {
+		if _, err := Decode(reencoded); err != nil {
 			t.Errorf("%x: encoded again: %v", data, err)
 		}
 	})
@@ -422,11 +427,11 @@
 			}
 			_ = m.Floors()
 		}
-		again, err := m.Snapshot()
+		snapshot, err := m.Snapshot()
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := Restore(again); err != nil {
+		if _, err := Restore(snapshot); err != nil {
 			t.Errorf("restored, applied, and restored again: %v", err)
 		}
 	})
--- a/fleet/window/main_test.go
+++ b/fleet/window/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// A plain go test plays 300 schedules; -rapid.checks says otherwise.
+// TestMain runs 300 random schedules by default; -rapid.checks sets another number.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	checksSet := false
--- a/fleet/window/makespan_test.go
+++ b/fleet/window/makespan_test.go
@@ -11,18 +11,18 @@
 
 var makespanSets = flag.Int("window.sets", 12, "random sets of plans in TestMakespan")
 
-// makespanSet is one random set of plans, all asked at the start, that are drained
-// at once and returned at their end.
+// makespanSet is a random set of plans that are all requested at the start, drained at
+// once and returned at their end.
 type makespanSet struct {
 	rng        *rand.Rand
-	m          *Machine
+	machine    *Machine
 	index      uint64
 	backends   []Backend
 	floors     map[Scope][]Step
 	plans      []Request
 	nameCounts map[string]int
-	maxShare   float64       // a plan takes no more of the least room of a scope; 0: any
-	lastDone   time.Duration // end of the last warm-up
+	maxShare   float64       // limit of a plan's share of the smallest free capacity of a scope; 0: none
+	lastDone   time.Duration // time at which the last plan was done
 }
 
 func (s *makespanSet) apply(t *testing.T, e Entry) Answer {
@@ -31,7 +31,7 @@
 		t.Fatal(err)
 	}
 	s.index++
-	a := s.m.Apply(s.index, data)
+	a := s.machine.Apply(s.index, data)
 	for _, ev := range a.Events {
 		if ev.Kind == EventState && ev.Window.State == Done {
 			s.lastDone = a.Now
@@ -107,18 +107,19 @@
 	for _, id := range e.Backends {
 		s.nameCounts[id]++
 	}
-	if s.apply(t, e).Result == OK { // else it is larger than the room at any time
+	if s.apply(t, e).Result == OK { // otherwise it never fits
 		s.plans = append(s.plans, e)
 	}
 }
 
-// bound is the lower bound: in each scope the work, warm-ups in, over the room; the
-// longest plan; and for each backend the plans that name it one after the other.
+// lowerBound returns a lower bound of the makespan, the largest of: in each scope the
+// work, with warm-ups, over the free capacity; the longest plan; and for each backend
+// the sum of the plans that name it.
 func (s *makespanSet) lowerBound() time.Duration {
-	var most time.Duration
-	work := map[Scope]map[time.Duration]float64{} // size times minutes, by the earliest start
-	chain := map[string]time.Duration{}
-	start := map[string]time.Duration{}
+	var longest time.Duration
+	work := map[Scope]map[time.Duration]float64{} // size times minutes, by earliest start
+	chainLength := map[string]time.Duration{}
+	chainStart := map[string]time.Duration{}
 	byID := map[string]Backend{}
 	for _, b := range s.backends {
 		byID[b.ID] = b
@@ -126,58 +127,59 @@
 	for _, p := range s.plans {
 		first := max(p.EarliestStart, p.Notice)
 		warm := time.Duration(0)
-		add := func(region, zone string, size, cold int64, w time.Duration) {
-			warm = max(warm, w)
+		add := func(region, zone string, size, cold int64, workByStart time.Duration) {
+			warm = max(warm, workByStart)
 			for _, sc := range scopesOf(region, zone) {
 				if work[sc] == nil {
 					work[sc] = map[time.Duration]float64{}
 				}
-				work[sc][first] += float64(size) * (p.Duration.Minutes() + w.Minutes()*(1-float64(cold)/1000)/2)
+				work[sc][first] += float64(size) * (p.Duration.Minutes() + workByStart.Minutes()*(1-float64(cold)/1000)/2)
 			}
 		}
 		if p.Amount > 0 {
-			cold, w := int64(1000), time.Duration(0)
+			cold, workByStart := int64(1000), time.Duration(0)
 			for _, b := range s.backends {
 				if b.Region == p.Region && b.Zone == p.Zone {
-					cold, w = min(cold, b.InitialPermille), max(w, b.WarmUpTime)
+					cold, workByStart = min(cold, b.InitialPermille), max(workByStart, b.WarmUpTime)
 				}
 			}
-			add(p.Region, p.Zone, p.Amount, cold, w)
+			add(p.Region, p.Zone, p.Amount, cold, workByStart)
 		}
 		for _, id := range p.Backends {
 			b := byID[id]
 			add(b.Region, b.Zone, b.Size, b.InitialPermille, b.WarmUpTime)
 		}
-		most = max(most, first+p.Duration+warm)
+		longest = max(longest, first+p.Duration+warm)
 		for _, id := range p.Backends {
-			if old, ok := start[id]; !ok || first < old {
-				start[id] = first
+			if old, ok := chainStart[id]; !ok || first < old {
+				chainStart[id] = first
 			}
-			chain[id] += p.Duration + warm
-			most = max(most, start[id]+chain[id])
+			chainLength[id] += p.Duration + warm
+			longest = max(longest, chainStart[id]+chainLength[id])
 		}
 	}
-	for sc, w := range work {
-		most = max(most, s.exclusiveChain(sc))
+	for sc, workByStart := range work {
+		longest = max(longest, s.exclusiveChain(sc))
 		var total int64
 		for _, b := range s.backends {
 			if scopeContains(sc, b.Region, b.Zone) {
 				total += b.Size
 			}
 		}
-		t, open, ahead := time.Duration(0), 0.0, len(w)
-		for ; ahead > 0 || open > 0; t += minute {
-			if more, ok := w[t]; ok {
-				open, ahead = open+more, ahead-1
+		t, remaining, unreleased := time.Duration(0), 0.0, len(workByStart)
+		for ; unreleased > 0 || remaining > 0; t += minute {
+			if more, ok := workByStart[t]; ok {
+				remaining, unreleased = remaining+more, unreleased-1
 			}
-			open = max(0, open-max(0, float64(total)-modelFloorAt(s.floors[sc], t)))
+			remaining = max(0, remaining-max(0, float64(total)-modelFloorAt(s.floors[sc], t)))
 		}
-		most = max(most, t)
+		longest = max(longest, t)
 	}
-	return most
+	return longest
 }
 
-// largest is the most that a plan takes of the least room of a scope.
+// largestShare returns the largest share that the request takes of the smallest free
+// capacity of any of its scopes.
 func (s *makespanSet) largestShare(e Request) (most float64) {
 	for sc, steps := range s.floors {
 		var room, size, floor int64
@@ -201,8 +203,8 @@
 	return most
 }
 
-// oneByOne is the chain of the plans of a scope of which no two can be out
-// together, as each takes more than half of the most room there ever is.
+// exclusiveChain returns the end of the chain of those plans of a scope that can't
+// overlap, as each takes more than half of the largest free capacity.
 func (s *makespanSet) exclusiveChain(sc Scope) time.Duration {
 	var total, least int64 = 0, unboundedTime64
 	sizes := map[string]Backend{}
@@ -240,25 +242,25 @@
 const unboundedTime64 = int64(unboundedTime)
 
 func (s *makespanSet) run(t *testing.T) {
-	for len(s.m.openPlans) > 0 {
-		for _, w := range s.m.List() {
-			if w.State.holdsCapacity() && s.m.Now() >= w.End {
+	for len(s.machine.openPlans) > 0 {
+		for _, w := range s.machine.List() {
+			if w.State.holdsCapacity() && s.machine.Now() >= w.End {
 				s.apply(t, Returned{w.Request.ID, w.Fence})
 			}
 		}
 		s.apply(t, Tick{minute / 4})
 	}
-	for _, w := range s.m.List() {
+	for _, w := range s.machine.List() {
 		if w.State != Done && w.Fence != 0 {
 			t.Errorf("%s", w.Describe())
 		}
 	}
 }
 
-// TestMakespan holds the time to the end of the last window against the bound, where
-// the queue is long (80 to 110 plans of 10 to 40 minutes) and no plan takes more than
-// a third of the room of a scope: Graham's bound is work by room plus the longest plan,
-// so with few or large plans no list scheduler can be near work by room alone.
+// TestMakespan compares the end of the last window with the lower bound. The queue is
+// long (80 to 110 plans of 10 to 40 minutes) and no plan takes more than a third of the
+// free capacity of a scope: Graham's bound is work over capacity plus the longest plan,
+// so with few or large plans no list scheduler comes close to work over capacity alone.
 func TestMakespan(t *testing.T) {
 	var worst, sum float64
 	sets := *makespanSets
@@ -268,7 +270,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s := &makespanSet{rng: rand.New(rand.NewPCG(seed, 7)), m: m, floors: map[Scope][]Step{},
+		s := &makespanSet{rng: rand.New(rand.NewPCG(seed, 7)), machine: m, floors: map[Scope][]Step{},
 			maxShare: 1. / 3, nameCounts: map[string]int{}}
 		s.build(t, seed%2 == 1)
 		want := s.between(80, 110)
--- a/fleet/window/model_test.go
+++ b/fleet/window/model_test.go
@@ -10,26 +10,26 @@
 	"time"
 )
 
-// This file is a model of capacity, small and of its own, that watches a machine
-// from outside: entries and answers, and the list where it says so. It keeps no
-// plan and knows nothing of the planner.
+// This file is a small independent model of capacity that checks a machine from outside,
+// by its entries, its answers and, where noted, its list of windows. It keeps no
+// schedule and does not know the planner.
 
 type activeWindow struct {
 	request    Request
 	fence      Fence
 	start, end time.Duration
-	returned   time.Duration // -1: not yet
+	returned   time.Duration // -1: not returned yet
 	recalled   bool
 	drained    map[string]bool
 }
 
 type acceptedPlan struct {
 	request           Request
-	index             uint64 // of the entry that took it
+	index             uint64 // of the entry that accepted it
 	requestedAt       time.Duration
-	announcedStart    time.Duration // last told
+	announcedStart    time.Duration
 	state             State
-	dependsOnRecovery bool // it was told that it counts on what is out by itself to come back
+	dependsOnRecovery bool // the answer said that it relies on failed or overdue capacity to come back
 }
 
 type model struct {
@@ -38,14 +38,14 @@
 	index           uint64
 	backends        map[string]Backend
 	failed          map[string]bool
-	warmUpStart     map[string]time.Duration // start of a warm-up of its own
-	requestedFloors map[Scope][]Step         // asked last
+	warmUpStart     map[string]time.Duration // start of a warm-up outside windows
+	requestedFloors map[Scope][]Step         // last accepted
 	activeFloors    map[Scope][]Step
 	serving         map[string]bool
 	active          map[string]*activeWindow
 	accepted        map[string]*acceptedPlan
 	lastFence       map[string]Fence
-	lastDisturbance uint64 // index of the last entry after which less may be there than was known
+	lastDisturbance uint64 // index of the last entry that may have left less capacity than was known before
 	lastGrantIndex  map[Scope]uint64
 }
 
@@ -60,7 +60,8 @@
 	return sc == Scope{} || sc == Scope{Region: region} || sc == Scope{region, zone}
 }
 
-// lacks is the part of the whole that is missing into a warm-up.
+// warmUpLoss returns the missing fraction of a backend's size when elapsed of its
+// warm-up has passed.
 func warmUpLoss(cold int64, warm, into time.Duration) float64 {
 	if into >= warm {
 		return 0
@@ -68,59 +69,60 @@
 	return (1 - float64(cold)/1000) * (1 - float64(into)/float64(warm))
 }
 
-// have is what a scope has at t (now or later) as far as is known: windows end at
-// their end, those past it and what failed do not come back.
-func (o *model) available(sc Scope, t time.Duration, without func(*activeWindow) bool) float64 {
+// available returns the capacity of a scope at t (now or later) as far as is known:
+// windows end at their end, while overdue windows and failed backends do not come back.
+// Windows for which exclude returns true are left out.
+func (m *model) available(sc Scope, t time.Duration, exclude func(*activeWindow) bool) float64 {
 	var sum float64
-	taken := map[string]float64{}
-	for _, id := range slices.Sorted(maps.Keys(o.active)) {
-		h := o.active[id]
-		if without != nil && without(h) {
+	inWindow := map[string]float64{}
+	for _, id := range slices.Sorted(maps.Keys(m.active)) {
+		active := m.active[id]
+		if exclude != nil && exclude(active) {
 			continue
 		}
-		ids, cold, warm := h.request.Backends, int64(1000), time.Duration(0)
-		if h.request.Amount > 0 {
-			for _, b := range o.backends {
-				if b.Region == h.request.Region && b.Zone == h.request.Zone {
+		ids, cold, warm := active.request.Backends, int64(1000), time.Duration(0)
+		if active.request.Amount > 0 {
+			for _, b := range m.backends {
+				if b.Region == active.request.Region && b.Zone == active.request.Zone {
 					cold, warm = min(cold, b.InitialPermille), max(warm, b.WarmUpTime)
 				}
 			}
-			if scopeContains(sc, h.request.Region, h.request.Zone) {
-				sum -= float64(h.request.Amount) * o.unavailableShare(h, t, cold, warm)
+			if scopeContains(sc, active.request.Region, active.request.Zone) {
+				sum -= float64(active.request.Amount) * m.unavailableShare(active, t, cold, warm)
 			}
 		}
 		for _, b := range ids {
-			taken[b] = max(taken[b], o.unavailableShare(h, t, o.backends[b].InitialPermille, o.backends[b].WarmUpTime))
+			inWindow[b] = max(inWindow[b], m.unavailableShare(active, t, m.backends[b].InitialPermille, m.backends[b].WarmUpTime))
 		}
 	}
-	for id, b := range o.backends {
+	for id, b := range m.backends {
 		if !scopeContains(sc, b.Region, b.Zone) {
 			continue
 		}
-		lack := taken[id]
-		if o.failed[id] {
-			lack = 1
-		} else if since, ok := o.warmUpStart[id]; ok {
-			lack = max(lack, warmUpLoss(b.InitialPermille, b.WarmUpTime, t-since))
+		lost := inWindow[id]
+		if m.failed[id] {
+			lost = 1
+		} else if since, ok := m.warmUpStart[id]; ok {
+			lost = max(lost, warmUpLoss(b.InitialPermille, b.WarmUpTime, t-since))
 		}
-		sum += float64(b.Size) * (1 - lack)
+		sum += float64(b.Size) * (1 - lost)
 	}
 	return sum
 }
 
-func (o *model) unavailableShare(h *activeWindow, t time.Duration, cold int64, warm time.Duration) float64 {
+func (m *model) unavailableShare(active *activeWindow, t time.Duration, cold int64, warm time.Duration) float64 {
 	switch {
-	case h.returned >= 0:
-		return warmUpLoss(cold, warm, t-h.returned)
-	case t < h.end || o.now >= h.end:
+	case active.returned >= 0:
+		return warmUpLoss(cold, warm, t-active.returned)
+	case t < active.end || m.now >= active.end:
 		return 1
 	}
-	return warmUpLoss(cold, warm, t-h.end)
+	return warmUpLoss(cold, warm, t-active.end)
 }
 
 func modelFloorAt(steps []Step, t time.Duration) float64 {
 	v := 0.0
-	for pass := range 2 { // the day before, then this day
+	for pass := range 2 { // the previous day, then this day
 		for _, s := range steps {
 			if pass == 0 || s.From <= t%(24*time.Hour) {
 				v = float64(s.Capacity)
@@ -132,32 +134,32 @@
 
 const tolerance = 1e-6
 
-// watch checks one entry and its answer, and the list after it.
-func (o *model) check(e Entry, a Answer, list []Window) error {
-	o.index = a.Index
-	if err := o.applyEntry(e, a); err != nil {
+// check checks one entry, its answer, and the list of windows after it.
+func (m *model) check(e Entry, a Answer, windows []Window) error {
+	m.index = a.Index
+	if err := m.applyEntry(e, a); err != nil {
 		return err
 	}
 	for _, ev := range a.Events {
 		switch ev.Kind {
 		case EventState:
-			if err := o.checkTransition(ev.Window); err != nil {
+			if err := m.checkTransition(ev.Window); err != nil {
 				return err
 			}
 		case EventStartMoved:
-			p := o.accepted[ev.Window.Request.ID]
-			if s := ev.Window.Start; s < min(p.announcedStart, o.now+p.request.Notice) {
-				return fmt.Errorf("notice: %s moved from %v to %v at %v", p.request.ID, p.announcedStart, s, o.now)
-			} else if _, isAsk := e.(Request); isAsk && p.announcedStart > o.now && p.announcedStart-o.now < p.request.Notice &&
-				!o.hasUnplannedLoss() {
+			p := m.accepted[ev.Window.Request.ID]
+			if s := ev.Window.Start; s < min(p.announcedStart, m.now+p.request.Notice) {
+				return fmt.Errorf("notice: %s moved from %v to %v at %v", p.request.ID, p.announcedStart, s, m.now)
+			} else if _, isAsk := e.(Request); isAsk && p.announcedStart > m.now && p.announcedStart-m.now < p.request.Notice &&
+				!m.hasUnplannedLoss() {
 				return fmt.Errorf("notice: %s moved within its notice by another plan", p.request.ID)
 			}
 			p.announcedStart = ev.Window.Start
 		case EventFloorInForce:
-			o.activeFloors[ev.Scope] = o.requestedFloors[ev.Scope]
+			m.activeFloors[ev.Scope] = m.requestedFloors[ev.Scope]
 		}
 	}
-	return firstError(o.checkActiveFloors(), o.checkRecalls(), o.checkListed(list))
+	return firstError(m.checkActiveFloors(), m.checkRecalls(), m.checkListed(windows))
 }
 
 func firstError(errs ...error) error {
@@ -169,87 +171,88 @@
 	return nil
 }
 
-// troubled says whether something is out that is not as planned.
-func (o *model) hasUnplannedLoss() bool {
-	for _, h := range o.active {
-		if h.returned < 0 && o.now >= h.end {
+// hasUnplannedLoss reports whether an overdue window, a failure or a warm-up outside
+// windows reduces capacity.
+func (m *model) hasUnplannedLoss() bool {
+	for _, active := range m.active {
+		if active.returned < 0 && m.now >= active.end {
 			return true
 		}
 	}
-	return len(o.failed) > 0 || len(o.warmUpStart) > 0
+	return len(m.failed) > 0 || len(m.warmUpStart) > 0
 }
 
-// facts takes in what the entry says, judging by itself what it does.
-func (o *model) applyEntry(e Entry, a Answer) error {
+// applyEntry updates the model from an entry, by its own rules.
+func (m *model) applyEntry(e Entry, a Answer) error {
 	if t, ok := e.(Tick); ok && a.Result == OK {
-		o.now += t.Elapsed
+		m.now += t.Elapsed
 	}
-	if a.Now != o.now {
-		return fmt.Errorf("time: %v, not %v", a.Now, o.now)
+	if a.Now != m.now {
+		return fmt.Errorf("time: %v, not %v", a.Now, m.now)
 	}
-	for _, h := range o.active {
-		if h.returned < 0 && o.now > h.end {
-			o.lastDisturbance = o.index
+	for _, active := range m.active {
+		if active.returned < 0 && m.now > active.end {
+			m.lastDisturbance = m.index
 		}
 	}
-	for id, since := range o.warmUpStart {
-		if o.now-since >= o.backends[id].WarmUpTime {
-			delete(o.warmUpStart, id)
+	for id, since := range m.warmUpStart {
+		if m.now-since >= m.backends[id].WarmUpTime {
+			delete(m.warmUpStart, id)
 		}
 	}
 	if c, ok := confirmation(e); ok {
-		return o.checkConfirmation(e, c, a)
+		return m.checkConfirmation(e, c, a)
 	}
 	if a.Result == Invalid {
 		return nil
 	}
 	switch e := e.(type) {
 	case PutBackends:
-		o.lastDisturbance = o.index
+		m.lastDisturbance = m.index
 		for _, b := range e.Put {
-			if _, known := o.backends[b.ID]; !known && !b.SkipWarmUp {
-				o.warmUpStart[b.ID] = o.now
+			if _, known := m.backends[b.ID]; !known && !b.SkipWarmUp {
+				m.warmUpStart[b.ID] = m.now
 			}
-			o.backends[b.ID] = b
+			m.backends[b.ID] = b
 		}
 	case RemoveBackends:
-		o.lastDisturbance = o.index
+		m.lastDisturbance = m.index
 		for _, id := range e.IDs {
-			delete(o.backends, id)
-			delete(o.failed, id)
-			delete(o.warmUpStart, id)
+			delete(m.backends, id)
+			delete(m.failed, id)
+			delete(m.warmUpStart, id)
 		}
 	case BackendsFailed:
-		o.lastDisturbance = o.index
+		m.lastDisturbance = m.index
 		for _, id := range e.IDs {
-			o.failed[id] = true
-			delete(o.warmUpStart, id)
+			m.failed[id] = true
+			delete(m.warmUpStart, id)
 		}
 	case BackendsRecovered:
-		o.lastDisturbance = o.index
+		m.lastDisturbance = m.index
 		for _, id := range e.IDs {
-			if o.failed[id] {
-				delete(o.failed, id)
-				o.warmUpStart[id] = o.now
+			if m.failed[id] {
+				delete(m.failed, id)
+				m.warmUpStart[id] = m.now
 			}
 		}
 	case SetServing:
-		o.serving = map[string]bool{}
+		m.serving = map[string]bool{}
 		for _, s := range e.Members {
-			o.serving[s] = true
+			m.serving[s] = true
 		}
 	case SetFloor:
-		o.lastDisturbance = o.index
-		o.requestedFloors[e.Scope] = e.Steps
-		want := modelFloorAt(e.Steps, o.now)
-		if a.Result == OK && o.available(e.Scope, o.now, nil) < want-tolerance && want > modelFloorAt(o.activeFloors[e.Scope], o.now) {
-			return fmt.Errorf("pending: floor %v of %v in force, and there is %v", want, e.Scope, o.available(e.Scope, o.now, nil))
+		m.lastDisturbance = m.index
+		m.requestedFloors[e.Scope] = e.Steps
+		want := modelFloorAt(e.Steps, m.now)
+		if a.Result == OK && m.available(e.Scope, m.now, nil) < want-tolerance && want > modelFloorAt(m.activeFloors[e.Scope], m.now) {
+			return fmt.Errorf("pending: floor %v of %v in force, and there is %v", want, e.Scope, m.available(e.Scope, m.now, nil))
 		}
 		if a.Result == OK {
-			o.activeFloors[e.Scope] = e.Steps
+			m.activeFloors[e.Scope] = e.Steps
 		}
 	case Request:
-		return o.checkRequest(e, a)
+		return m.checkRequest(e, a)
 	}
 	return nil
 }
@@ -266,44 +269,44 @@
 	return Returned{}, false
 }
 
-func (o *model) checkConfirmation(e Entry, c Returned, a Answer) error {
-	h := o.active[c.ID]
-	if h == nil || h.fence != c.Fence {
+func (m *model) checkConfirmation(e Entry, confirmed Returned, a Answer) error {
+	active := m.active[confirmed.ID]
+	if active == nil || active.fence != confirmed.Fence {
 		if a.Result == OK {
-			return fmt.Errorf("stale: a confirmation of %s with fence %v was taken", c.ID, c.Fence)
+			return fmt.Errorf("stale: a confirmation of %s with fence %v was taken", confirmed.ID, confirmed.Fence)
 		}
 		return nil
 	}
 	switch e := e.(type) {
 	case Drained:
-		if o.serving[e.Member] {
-			h.drained[e.Member] = true
+		if m.serving[e.Member] {
+			active.drained[e.Member] = true
 		}
 	case Returned:
-		if h.returned < 0 {
-			h.returned = o.now
+		if active.returned < 0 {
+			active.returned = m.now
 		}
 	}
 	return nil
 }
 
-func (o *model) checkRequest(e Request, a Answer) error {
-	p := o.accepted[e.ID]
+func (m *model) checkRequest(e Request, a Answer) error {
+	known := m.accepted[e.ID]
 	slices.Sort(e.Backends)
-	if p != nil && (a.Result == OK || a.Result == Rejected) {
+	if known != nil && (a.Result == OK || a.Result == Rejected) {
 		return fmt.Errorf("id: %s was taken once and is answered %v", e.ID, a.Result)
 	}
-	if p != nil && fmt.Sprint(e) != fmt.Sprint(p.request) {
+	if known != nil && fmt.Sprint(e) != fmt.Sprint(known.request) {
 		return fmt.Errorf("id: %s with other content is answered %v", e.ID, a.Result)
 	}
 	if a.Result == OK {
-		o.accepted[e.ID] = &acceptedPlan{request: e, index: o.index, requestedAt: o.now, announcedStart: a.Window.FirstStart,
+		m.accepted[e.ID] = &acceptedPlan{request: e, index: m.index, requestedAt: m.now, announcedStart: a.Window.FirstStart,
 			dependsOnRecovery: strings.HasPrefix(a.Window.Reason, "counts on")}
 	}
 	return nil
 }
 
-// follows is the table of states in doc.go.
+// allowedTransitions is the table of states in doc.go.
 var allowedTransitions = map[State][]State{
 	Requested:    {Planned, Cancelled, Refused},
 	Planned:      {Granted, Requested, Cancelled, Refused},
@@ -316,110 +319,113 @@
 	WarmingUp:    {Done},
 }
 
-// turns checks one change of a plan's state.
-func (o *model) checkTransition(w Window) error {
+// checkTransition checks one state change of a plan.
+func (m *model) checkTransition(w Window) error {
 	id := w.Request.ID
-	p := o.accepted[id]
-	if p == nil {
+	accepted := m.accepted[id]
+	if accepted == nil {
 		if w.State == Refused {
-			return nil // when asked
+			return nil // refused when requested
 		}
 		return fmt.Errorf("kept: %s is %v and was never taken", id, w.State)
 	}
 	if w.State == Granted {
-		if err := o.checkGrant(w, p); err != nil {
+		if err := m.checkGrant(w, accepted); err != nil {
 			return err
 		}
 	}
-	if !slices.Contains(allowedTransitions[p.state], w.State) {
-		return fmt.Errorf("states: %s from %v to %v", id, p.state, w.State)
+	if !slices.Contains(allowedTransitions[accepted.state], w.State) {
+		return fmt.Errorf("states: %s from %v to %v", id, accepted.state, w.State)
 	}
-	p.state = w.State
-	h := o.active[id]
+	accepted.state = w.State
+	active := m.active[id]
 	if w.State == Done {
-		defer delete(o.active, id)
+		defer delete(m.active, id)
 	}
 	switch w.State {
 	case Planned:
-		p.announcedStart = w.Start
+		accepted.announcedStart = w.Start
 	case OutOfService:
-		for s := range o.serving {
-			if !h.drained[s] {
+		for s := range m.serving {
+			if !active.drained[s] {
 				return fmt.Errorf("drained: %s is out and %s has not confirmed", id, s)
 			}
 		}
 	case Recalled:
-		h.recalled = true
+		active.recalled = true
 	case WarmingUp, Done:
-		if h != nil && h.returned < 0 {
+		if active != nil && active.returned < 0 {
 			return fmt.Errorf("return: %s is %v and did not return", id, w.State)
 		}
 	case Refused:
-		if o.lastDisturbance <= p.index && !p.dependsOnRecovery {
+		if m.lastDisturbance <= accepted.index && !accepted.dependsOnRecovery {
 			return fmt.Errorf("kept: %s was taken and is refused, and nothing happened: %s", id, w.Reason)
 		}
 	}
 	return nil
 }
 
-func (o *model) checkGrant(w Window, p *acceptedPlan) error {
+func (m *model) checkGrant(w Window, accepted *acceptedPlan) error {
 	id := w.Request.ID
-	if _, twice := o.active[id]; twice || p.state > Planned {
+	if _, already := m.active[id]; already || accepted.state > Planned {
 		return fmt.Errorf("once: %s is granted twice", id)
 	}
-	if w.Fence.Index() != o.index {
-		return fmt.Errorf("fence: %s has %v at entry %d", id, w.Fence, o.index)
+	if w.Fence.Index() != m.index {
+		return fmt.Errorf("fence: %s has %v at entry %d", id, w.Fence, m.index)
 	}
 	for _, b := range w.Request.Backends {
-		if o.lastFence[b] >= w.Fence {
-			return fmt.Errorf("fence: of backend %s is %v after %v", b, w.Fence, o.lastFence[b])
+		if m.lastFence[b] >= w.Fence {
+			return fmt.Errorf("fence: of backend %s is %v after %v", b, w.Fence, m.lastFence[b])
 		}
-		o.lastFence[b] = w.Fence
-		for _, other := range slices.Sorted(maps.Keys(o.active)) {
-			if h := o.active[other]; h.returned < 0 && slices.Contains(h.request.Backends, b) {
+		m.lastFence[b] = w.Fence
+		for _, other := range slices.Sorted(maps.Keys(m.active)) {
+			if h := m.active[other]; h.returned < 0 && slices.Contains(h.request.Backends, b) {
 				return fmt.Errorf("once: backend %s is out by %s and %s", b, other, id)
 			}
 		}
 	}
-	if o.now < p.requestedAt+p.request.Notice || o.now < p.request.EarliestStart || o.now < p.announcedStart {
-		return fmt.Errorf("notice: %s, asked at %v for %v, is granted at %v", id, p.requestedAt, p.announcedStart, o.now)
+	if m.now < accepted.requestedAt+accepted.request.Notice || m.now < accepted.request.EarliestStart || m.now < accepted.announcedStart {
+		return fmt.Errorf("notice: %s, asked at %v for %v, is granted at %v", id, accepted.requestedAt, accepted.announcedStart, m.now)
 	}
-	if o.now+p.request.Duration > p.request.LatestEnd {
+	if m.now+accepted.request.Duration > accepted.request.LatestEnd {
 		return fmt.Errorf("end: %s is granted too late", id)
 	}
-	o.active[id] = &activeWindow{request: p.request, fence: w.Fence, start: o.now, end: o.now + p.request.Duration, returned: -1,
-		drained: map[string]bool{}}
-	return o.checkFloorsAfterGrant(id)
+	m.active[id] = &activeWindow{request: accepted.request, fence: w.Fence, start: m.now, end: m.now + accepted.request.Duration,
+		returned: -1,
+		drained:  map[string]bool{}}
+	return m.checkFloorsAfterGrant(id)
 }
 
-// leaves looks over a new window, moment by moment, for what it leaves.
-func (o *model) checkFloorsAfterGrant(id string) error {
-	h := o.active[id]
-	regions := map[Scope]bool{{}: true, {Region: h.request.Region}: true}
-	last := h.end
-	for _, b := range o.backends {
-		if slices.Contains(h.request.Backends, b.ID) || h.request.Amount > 0 && h.request.Zone == b.Zone && h.request.Region == b.Region {
-			regions[Scope{b.Region, b.Zone}] = true
-			last = max(last, h.end+b.WarmUpTime)
+// checkFloorsAfterGrant checks at sampled times that a newly granted window leaves the
+// floors intact.
+func (m *model) checkFloorsAfterGrant(id string) error {
+	granted := m.active[id]
+	scopes := map[Scope]bool{{}: true, {Region: granted.request.Region}: true}
+	last := granted.end
+	for _, b := range m.backends {
+		if slices.Contains(granted.request.Backends, b.ID) || granted.request.Amount > 0 && granted.request.Zone == b.Zone &&
+			granted.request.Region == b.Region {
+			scopes[Scope{b.Region, b.Zone}] = true
+			last = max(last, granted.end+b.WarmUpTime)
 		}
 	}
-	times := []time.Duration{o.now}
+	times := []time.Duration{m.now}
 	for k := range time.Duration(12) {
-		times = append(times, o.now+(last-o.now)/12*k)
+		times = append(times, m.now+(last-m.now)/12*k)
 	}
-	for sc := range regions {
-		o.lastGrantIndex[sc] = o.index
-		for _, steps := range [][]Step{o.requestedFloors[sc], o.activeFloors[sc]} {
+	for sc := range scopes {
+		m.lastGrantIndex[sc] = m.index
+		for _, steps := range [][]Step{m.requestedFloors[sc], m.activeFloors[sc]} {
 			for _, s := range steps {
-				for d := o.now - o.now%day; d < last; d += day {
-					if t := d + s.From; t > o.now && t < last {
+				for d := m.now - m.now%day; d < last; d += day {
+					if t := d + s.From; t > m.now && t < last {
 						times = append(times, t)
 					}
 				}
 			}
 			for _, t := range times {
-				if have, want := o.available(sc, t, nil), modelFloorAt(steps, t); have < want-tolerance {
-					return fmt.Errorf("floor: %s granted at %v leaves %v of %v at %v, floor %v", id, o.now, have, sc, t, want)
+				if have, want := m.available(sc, t, nil), modelFloorAt(steps, t); have < want-tolerance {
+					return fmt.Errorf("floor: %s granted at %v leaves %v of %v at %v, floor %v", id, m.now, have, sc, t, want)
 				}
 			}
 		}
@@ -427,36 +433,38 @@
 	return nil
 }
 
-// floorsHeld: a floor in force is breached only by what came after the last grant.
-func (o *model) checkActiveFloors() error {
-	for sc, steps := range o.activeFloors {
-		if have, want := o.available(sc, o.now, nil), modelFloorAt(steps, o.now); have < want-tolerance &&
-			o.lastDisturbance < o.lastGrantIndex[sc] {
-			return fmt.Errorf("floor: %v has %v at %v, floor %v, and nothing happened", sc, have, o.now, want)
+// checkActiveFloors checks that a floor in force is only breached by what happened after
+// the last grant.
+func (m *model) checkActiveFloors() error {
+	for sc, steps := range m.activeFloors {
+		if have, want := m.available(sc, m.now, nil), modelFloorAt(steps, m.now); have < want-tolerance &&
+			m.lastDisturbance < m.lastGrantIndex[sc] {
+			return fmt.Errorf("floor: %v has %v at %v, floor %v, and nothing happened", sc, have, m.now, want)
 		}
 	}
 	return nil
 }
 
-// recalls: where a floor is short, what can be called back is, as far as it takes.
-func (o *model) checkRecalls() error {
-	for sc, steps := range o.activeFloors {
-		want := modelFloorAt(steps, o.now)
-		if o.available(sc, o.now, nil) >= want-tolerance {
+// checkRecalls checks that, while a floor is breached, every window whose recall would
+// help is recalled.
+func (m *model) checkRecalls() error {
+	for sc, steps := range m.activeFloors {
+		want := modelFloorAt(steps, m.now)
+		if m.available(sc, m.now, nil) >= want-tolerance {
 			continue
 		}
-		coming := func(h *activeWindow) bool {
-			s := o.accepted[h.request.ID].state
-			return h.recalled || s == Returning || s == Overdue
+		returning := func(active *activeWindow) bool {
+			s := m.accepted[active.request.ID].state
+			return active.recalled || s == Returning || s == Overdue
 		}
-		if o.available(sc, o.now, coming) >= want-1 { // sums are rounded in the machine
+		if m.available(sc, m.now, returning) >= want-1 { // the machine rounds sums
 			continue
 		}
-		for id, h := range o.active {
-			s := o.accepted[id].state
-			can := s == Granted || s == Draining || s == OutOfService && h.request.Recallable
-			without := func(x *activeWindow) bool { return coming(x) || x == h }
-			if can && o.available(sc, o.now, without) > o.available(sc, o.now, coming)+1 {
+		for id, active := range m.active {
+			s := m.accepted[id].state
+			recallable := s == Granted || s == Draining || s == OutOfService && active.request.Recallable
+			without := func(x *activeWindow) bool { return returning(x) || x == active }
+			if recallable && m.available(sc, m.now, without) > m.available(sc, m.now, returning)+1 {
 				return fmt.Errorf("recall: %v is short of %v and %s is %v", sc, want, id, s)
 			}
 		}
@@ -464,45 +472,47 @@
 	return nil
 }
 
-// kept: what was taken is in the list, in the state that was told.
-func (o *model) checkListed(list []Window) error {
-	rows, ended := map[string]Window{}, 0
-	for _, w := range list {
-		if _, twice := rows[w.Request.ID]; twice {
+// checkListed checks that every accepted plan is listed, in its last announced state.
+func (m *model) checkListed(windows []Window) error {
+	byID, ended := map[string]Window{}, 0
+	for _, w := range windows {
+		if _, duplicate := byID[w.Request.ID]; duplicate {
 			return fmt.Errorf("id: %s is two plans", w.Request.ID)
 		}
-		rows[w.Request.ID] = w
+		byID[w.Request.ID] = w
 		if w.State.Ended() {
 			ended++
 		}
 	}
-	if ended > o.settings.History || len(list)-ended > o.settings.MaxPlans {
-		return fmt.Errorf("bounds: %d open and %d ended plans", len(list)-ended, ended)
+	if ended > m.settings.History || len(windows)-ended > m.settings.MaxPlans {
+		return fmt.Errorf("bounds: %d open and %d ended plans", len(windows)-ended, ended)
 	}
-	for id, p := range o.accepted {
-		w, ok := rows[id]
-		if !ok && p.state.Ended() {
-			delete(o.accepted, id) // compacted
+	for id, accepted := range m.accepted {
+		w, ok := byID[id]
+		if !ok && accepted.state.Ended() {
+			delete(m.accepted, id) // dropped from the history
 			continue
 		}
-		if !ok || w.State != p.state {
-			return fmt.Errorf("kept: %s is listed as %v (%v), told %v", id, w.State, ok, p.state)
+		if !ok || w.State != accepted.state {
+			return fmt.Errorf("kept: %s is listed as %v (%v), told %v", id, w.State, ok, accepted.state)
 		}
-		if h := o.active[id]; h != nil && h.returned < 0 && o.now > h.end && w.State != Overdue {
+		if active := m.active[id]; active != nil && active.returned < 0 && m.now > active.end && w.State != Overdue {
 			return fmt.Errorf("overdue: %s is %v", id, w.State)
 		}
 	}
 	return nil
 }
 
-// breaker is a planted violation: it meddles with entries, state or answers.
+// faultInjection makes a machine violate an invariant by changing entries, state or
+// answers.
 type faultInjection struct {
 	beforeApply     func(m *Machine, e Entry) Entry
 	afterApply      func(m *Machine, e Entry, a *Answer)
-	onSecondReplica func(m *Machine) // with the second replica only, now and then
+	onSecondReplica func(m *Machine) // on the second replica only, at random
 }
 
-// run is one schedule over two replicas, the second now and then restored.
+// scheduleRun is one random schedule on two replicas; the second is sometimes restored
+// from a snapshot.
 type scheduleRun struct {
 	draw          func(n int) int
 	fault         faultInjection
@@ -536,30 +546,30 @@
 	}
 	r.index += 1 + uint64(r.draw(2))
 	var answers [2]string
-	for i, m := range []*Machine{r.first, r.second} {
-		x, d := e, data
+	for i, replica := range []*Machine{r.first, r.second} {
+		applied, encoded := e, data
 		if r.fault.beforeApply != nil {
-			if x = r.fault.beforeApply(m, e); x != nil {
-				d, _ = Encode(x)
+			if applied = r.fault.beforeApply(replica, e); applied != nil {
+				encoded, _ = Encode(applied)
 			}
 		}
-		ans := m.Apply(r.index, d)
+		answer := replica.Apply(r.index, encoded)
 		if r.fault.afterApply != nil {
-			r.fault.afterApply(m, e, &ans)
+			r.fault.afterApply(replica, e, &answer)
 		}
 		if i == 1 && r.fault.onSecondReplica != nil && r.draw(10) == 0 {
-			r.fault.onSecondReplica(m)
+			r.fault.onSecondReplica(replica)
 		}
-		answers[i] = fmt.Sprintf("%+v", ans)
+		answers[i] = fmt.Sprintf("%+v", answer)
 		if i == 0 {
 			if r.verbose {
-				r.log = append(r.log, fmt.Sprintf("%T%+v", e, e), "  "+ans.Describe())
-				for _, ev := range ans.Events {
+				r.log = append(r.log, fmt.Sprintf("%T%+v", e, e), "  "+answer.Describe())
+				for _, ev := range answer.Events {
 					r.log = append(r.log, "  "+ev.Describe())
 				}
 			}
-			r.countStats(e, ans)
-			if err := r.model.check(e, ans, m.List()); err != nil {
+			r.countStats(e, answer)
+			if err := r.model.check(e, answer, replica.List()); err != nil {
 				return err
 			}
 		}
@@ -567,16 +577,16 @@
 	if answers[0] != answers[1] {
 		return fmt.Errorf("same: answers differ:\n%s\n%s", answers[0], answers[1])
 	}
-	sa, err := r.first.Snapshot()
+	firstSnapshot, err := r.first.Snapshot()
 	if err != nil {
 		return err
 	}
-	sb, _ := r.second.Snapshot()
-	if !bytes.Equal(sa, sb) {
+	secondSnapshot, _ := r.second.Snapshot()
+	if !bytes.Equal(firstSnapshot, secondSnapshot) {
 		return fmt.Errorf("same: states differ")
 	}
 	if r.draw(12) == 0 {
-		if r.second, err = Restore(sb); err != nil {
+		if r.second, err = Restore(secondSnapshot); err != nil {
 			return err
 		}
 	}
@@ -639,7 +649,8 @@
 	return e
 }
 
-// pick is a window that is not back: mostly one of those that have to come back.
+// pickConfirmation returns the id and fence of a window, mostly one that has not
+// returned yet, and sometimes an outdated fence.
 func (r *scheduleRun) pickConfirmation() (string, Fence) {
 	var ids []string
 	for _, id := range slices.Sorted(maps.Keys(r.model.active)) {
@@ -659,53 +670,54 @@
 }
 
 func (r *scheduleRun) nextEntry() Entry {
-	some := func() []string { return []string{fmt.Sprintf("b%02d", r.draw(12))} }
-	switch k := r.draw(100); {
-	case k < 38:
+	randomBackend := func() []string { return []string{fmt.Sprintf("b%02d", r.draw(12))} }
+	switch choice := r.draw(100); {
+	case choice < 38:
 		return Tick{time.Duration(1+r.draw(5)) * minute}
-	case k < 40:
+	case choice < 40:
 		return Tick{time.Duration(r.draw(int(6 * minute)))}
-	case k < 56:
+	case choice < 56:
 		e := r.request()
 		r.requests = append(r.requests, e)
 		return e
-	case k < 60 && len(r.requests) > 0:
+	case choice < 60 && len(r.requests) > 0:
 		e := r.requests[r.draw(len(r.requests))]
 		if r.draw(2) == 0 {
 			e.Duration += minute
 		}
 		return e
-	case k < 72:
+	case choice < 72:
 		id, f := r.pickConfirmation()
 		return Drained{id, f, fmt.Sprintf("m%d", r.draw(3))}
-	case k < 75:
+	case choice < 75:
 		id, f := r.pickConfirmation()
 		return Return{id, f}
-	case k < 83:
+	case choice < 83:
 		id, f := r.pickConfirmation()
 		return Returned{id, f}
-	case k < 86:
-		return BackendsFailed{some()}
-	case k < 90:
+	case choice < 86:
+		return BackendsFailed{randomBackend()}
+	case choice < 90:
 		for _, id := range slices.Sorted(maps.Keys(r.model.failed)) {
 			return BackendsRecovered{[]string{id}}
 		}
-		return BackendsRecovered{some()}
-	case k < 93:
+		return BackendsRecovered{randomBackend()}
+	case choice < 93:
 		sc := testScopes[r.draw(len(testScopes))]
 		return SetFloor{sc, r.steps(r.total(sc))}
-	case k < 95:
+	case choice < 95:
 		return Cancel{fmt.Sprintf("p%d", r.draw(len(r.requests)+1))}
-	case k < 97:
+	case choice < 97:
 		return SetServing{[]string{"m0", "m1", "m2"}[:r.draw(4)]}
-	case k < 99:
+	case choice < 99:
 		return PutBackends{[]Backend{r.backend(r.draw(13), r.draw(2) == 0)}}
 	default:
-		return RemoveBackends{some()}
+		return RemoveBackends{randomBackend()}
 	}
 }
 
-// schedule plays one world and returns the first violation.
+// play runs a schedule with the given number of random entries and returns the first
+// violation.
 func (r *scheduleRun) play(steps int) error {
 	var all []Backend
 	for i := range 12 {
--- a/fleet/window/plan.go
+++ b/fleet/window/plan.go
@@ -79,7 +79,7 @@
 	hasImpaired   bool    // some backend has failed or warms up for another reason
 }
 
-// reservationOf returns the reservation of a plan in its present state. With strict set,
+// reservation returns the reservation of a plan in its present state. With strict set,
 // a window past its end does not end; otherwise it is assumed to end later.
 func (m *Machine) reservation(p *plan, strict bool) *reservation {
 	reserved := &reservation{plan: p, namesBackends: p.Amount == 0, scopes: []Scope{{}, {Region: p.Region}}}
@@ -207,7 +207,7 @@
 	}
 }
 
-// forecastWith returns a forecast that holds the granted windows.
+// forecast returns a forecast that holds the granted windows.
 func (m *Machine) forecast(strict bool) *forecast {
 	fc := &forecast{machine: m, strict: strict, byScope: map[Scope][]scopeReservation{}}
 	for _, p := range m.openPlans {
@@ -324,8 +324,9 @@
 // grows when something comes back or a floor falls, so those times are the candidates
 // (with some samples within each warm-up). A conflict at some time rules out all starts
 // up to that time.
-func (fc *forecast) placeEarliest(candidate *reservation, length, first,
-	last time.Duration) (reason conflict, ok bool) {
+func (fc *forecast) placeEarliest(
+	candidate *reservation, length, first, last time.Duration,
+) (reason conflict, ok bool) {
 	starts := []time.Duration{first}
 	addStart := func(t time.Duration) {
 		if t > first && t <= last {
@@ -374,7 +375,7 @@
 		cmp.Compare(a.LatestEnd, b.LatestEnd), cmp.Compare(a.Seq, b.Seq))
 }
 
-func byLatest(a, b *plan) int {
+func byLatestEnd(a, b *plan) int {
 	return cmp.Or(cmp.Compare(a.LatestEnd, b.LatestEnd),
 		cmp.Compare(b.Priority, a.Priority), cmp.Compare(a.Seq, b.Seq))
 }
@@ -445,7 +446,7 @@
 	for i, strategy := range []struct {
 		keep  func(*plan) bool
 		order func(a, b *plan) int
-	}{{withinNotice, byPriority}, {withinNotice, byLatest}, {planned, byPriority}} {
+	}{{withinNotice, byPriority}, {withinNotice, byLatestEnd}, {planned, byPriority}} {
 		placements, count := m.placeAll(plans, strategy.keep, strategy.order), 0
 		for _, s := range placements {
 			if s.start < 0 && (s.plan.State == Planned || s.plan.Seq == 0) {
--- a/fleet/window/schedule_test.go
+++ b/fleet/window/schedule_test.go
@@ -11,12 +11,13 @@
 	"pgregory.net/rapid"
 )
 
-// TestSchedules plays random schedules; -rapid.checks=N sets their number.
+// TestSchedules runs random schedules against the model; -rapid.checks=N sets their
+// number.
 func TestSchedules(t *testing.T) {
 	total := map[string]int{}
 	rapid.Check(t, func(rt *rapid.T) {
-		// A draw of rapid's for each choice leans to small numbers, and so to schedules
-		// in which little happens: it draws the length and a seed instead.
+		// Drawing each choice with rapid favors small numbers, and so schedules in which
+		// little happens. Only the length and a seed are drawn instead.
 		seed := xxhash.Sum64(rapid.SliceOfN(rapid.Byte(), 16, 16).Draw(rt, "seed"))
 		r := newRun(seededDraw(seed), faultInjection{})
 		if err := r.play(rapid.IntRange(40, 160).Draw(rt, "steps")); err != nil {
@@ -31,9 +32,10 @@
 	}
 }
 
-// TestPlanted sees to it that the model catches a break of each invariant.
+// TestModelCatchesInjectedFaults checks that the model detects a violation of each
+// invariant.
 func TestModelCatchesInjectedFaults(t *testing.T) {
-	eachOpen := func(m *Machine, s State, do func(*plan)) {
+	eachOpenIn := func(m *Machine, s State, do func(*plan)) {
 		for _, p := range slices.Clone(m.openPlans) {
 			if p.State == s {
 				do(p)
@@ -74,20 +76,20 @@
 		}}},
 		{"overdue taken for returned", "return:", faultInjection{beforeApply: func(m *Machine, e Entry) Entry {
 			if _, ok := e.(Drained); ok {
-				eachOpen(m, Overdue, func(p *plan) { e = Returned{p.ID, p.Fence} })
+				eachOpenIn(m, Overdue, func(p *plan) { e = Returned{p.ID, p.Fence} })
 			}
 			return e
 		}}},
 		{"overdue unseen", "overdue:", faultInjection{beforeApply: func(m *Machine, e Entry) Entry {
-			eachOpen(m, OutOfService, func(p *plan) { p.End = unboundedTime / 2 })
+			eachOpenIn(m, OutOfService, func(p *plan) { p.End = unboundedTime / 2 })
 			return e
 		}}},
 		{"granted twice", "once:", faultInjection{beforeApply: func(m *Machine, e Entry) Entry {
-			eachOpen(m, Granted, func(p *plan) { p.State = Planned })
+			eachOpenIn(m, Granted, func(p *plan) { p.State = Planned })
 			return e
 		}}},
 		{"fence that stands still", "fence:", faultInjection{afterApply: func(m *Machine, e Entry, a *Answer) {
-			eachOpen(m, Granted, func(p *plan) { p.Fence = 1 << fenceGrantBits })
+			eachOpenIn(m, Granted, func(p *plan) { p.Fence = 1 << fenceGrantBits })
 			for i := range a.Events {
 				if w := &a.Events[i].Window; w.State == Granted {
 					w.Fence = 1 << fenceGrantBits
@@ -100,7 +102,7 @@
 			}
 		}}},
 		{"plan refused for nothing", "kept:", faultInjection{beforeApply: func(m *Machine, e Entry) Entry {
-			eachOpen(m, Planned, func(p *plan) { p.LatestEnd = min(p.LatestEnd, p.Start+p.Duration-1) })
+			eachOpenIn(m, Planned, func(p *plan) { p.LatestEnd = min(p.LatestEnd, p.Start+p.Duration-1) })
 			return e
 		}}},
 		{"stale confirmation taken", "stale:", faultInjection{beforeApply: func(m *Machine, e Entry) Entry {
@@ -146,7 +148,7 @@
 			return e
 		}}},
 		{"out with one confirmation", "drained:", faultInjection{beforeApply: func(m *Machine, e Entry) Entry {
-			eachOpen(m, Draining, func(p *plan) {
+			eachOpenIn(m, Draining, func(p *plan) {
 				if d, ok := e.(Drained); ok && d.ID == p.ID && d.Fence == p.Fence && slices.Contains(m.servingMembers, d.Member) {
 					p.Drained = slices.DeleteFunc(slices.Clone(m.servingMembers), func(s string) bool { return s == d.Member })
 				}
--- a/fleet/window/window.go
+++ b/fleet/window/window.go
@@ -12,7 +12,7 @@
 	MaxIDBytes    = 64      // bytes of an id or a name
 	MaxSize       = 1 << 30 // capacity units of a backend, an amount or a floor step
 	MaxEntryBytes = 1 << 17 // bytes of an encoded entry
-	// backends in one plan; with the longest ids they still fit in an entry of fleet/agree
+	// Backends in one plan; with the longest ids they still fit in an entry of fleet/agree.
 	MaxPlanBackends = 1280
 	MaxFloorSteps   = 24   // steps of one floor
 	MaxFloors       = 2048 // scopes with a floor
@@ -31,9 +31,9 @@
 // zero field takes its default.
 type Settings struct {
 	MaxTick time.Duration `cbor:"MaxTick"` // longest Tick accepted; default 10 s, at most 1 h
-	// overdue or failed capacity is planned to be back after this; default 10 min
+	// Overdue or failed capacity is planned to be back after this; default 10 min.
 	Overrun time.Duration `cbor:"Overrun"`
-	// how far ahead LatestEnd may lie; default 14 d, at most 60 d
+	// How far ahead LatestEnd may lie; default 14 d, at most 60 d.
 	Horizon     time.Duration `cbor:"Horizon"`
 	MaxPlans    int           `cbor:"MaxPlans"`    // open plans; default 128, at most 512
 	MaxBackends int           `cbor:"MaxBackends"` // registered backends; default 4096, at most 8192
@@ -140,7 +140,7 @@
 type backend struct {
 	Backend
 	Failed bool `cbor:"11,keyasint,omitempty"`
-	// in a warm-up after a failure or registration, not after a window
+	// In a warm-up after a failure or registration, not after a window.
 	WarmingUp bool          `cbor:"12,keyasint,omitempty"`
 	Since     time.Duration `cbor:"13,keyasint,omitempty"` // start of the failure or the warm-up, in log time
 }
@@ -149,20 +149,20 @@
 type plan struct {
 	Request
 	State State `cbor:"21,keyasint,omitempty"`
-	// order of acceptance, from 1; 0: refused at once
+	// Order of acceptance, from 1; 0: refused at once.
 	Seq        uint64        `cbor:"22,keyasint,omitempty"`
 	FirstStart time.Duration `cbor:"23,keyasint,omitempty"` // first announced start
-	// announced start; after the grant, the time of the grant
+	// Announced start; after the grant, the time of the grant.
 	Start time.Duration `cbor:"24,keyasint,omitempty"`
-	// set by the grant: after this time the plan is overdue
+	// Set by the grant: after this time the plan is overdue.
 	End   time.Duration `cbor:"25,keyasint,omitempty"`
 	Fence Fence         `cbor:"26,keyasint,omitempty"`
-	// members that have confirmed the drain, sorted
+	// Members that have confirmed the drain, sorted.
 	Drained     []string      `cbor:"27,keyasint,omitempty"`
 	Returned    time.Duration `cbor:"28,keyasint,omitempty"`
 	WasRecalled bool          `cbor:"29,keyasint,omitempty"`
 	Reason      string        `cbor:"30,keyasint,omitempty"`
-	// of a refused plan: earliest feasible start
+	// Of a refused plan: earliest feasible start.
 	EarliestFeasible time.Duration `cbor:"31,keyasint,omitempty"`
 	HasFeasible      bool          `cbor:"32,keyasint,omitempty"` // EarliestFeasible is set
 }
@@ -212,7 +212,7 @@
 	Duplicate               // already applied: a repeated id, cancel or confirmation
 	Pending                 // the floor was accepted, but is not in force yet
 	Stale                   // a confirmation with the wrong fencing token: nothing changed
-	// the plan was not accepted; the answer has the reason and the earliest feasible start
+	// The plan was not accepted; the answer has the reason and the earliest feasible start.
 	Rejected
 	Invalid // the entry is invalid: nothing changed
 )
@@ -247,7 +247,7 @@
 	Index  uint64        `cbor:"Index"`
 	Now    time.Duration `cbor:"Now"` // log time after the entry
 	Result Result        `cbor:"Result"`
-	// for every result except OK and Duplicate: the reason, naming the field
+	// For every result except OK and Duplicate: the reason, naming the field.
 	Err       string  `cbor:"Err"`
 	HasWindow bool    `cbor:"Known"`  // Window is set
 	Window    Window  `cbor:"Window"` // the plan that the entry refers to, as it is after the entry
@@ -260,13 +260,13 @@
 	State      State         `cbor:"State"`
 	FirstStart time.Duration `cbor:"First"` // start announced in the first answer
 	Start      time.Duration `cbor:"Start"` // planned start; once granted, the time of the grant
-	// planned end; once granted, the plan is overdue after this
+	// Planned end; once granted, the plan is overdue after this.
 	End     time.Duration `cbor:"End"`
 	Fence   Fence         `cbor:"Fence"`   // 0 before the grant
 	Drained int           `cbor:"Drained"` // members that have confirmed the drain
 	Serving int           `cbor:"Serving"` // members that have to confirm it
 	Reason  string        `cbor:"Why"`
-	// of a refused plan: earliest feasible start when refused; -1: none
+	// Of a refused plan: earliest feasible start when refused; -1: none.
 	EarliestFeasible time.Duration `cbor:"Could"`
 }
 
