--- a/fleet/schedule/encoding_test.go
+++ b/fleet/schedule/encoding_test.go
@@ -58,6 +58,6 @@
 	const version = 1
 	got, err := schedule.Parse(append([]byte{version}, stored...))
 	if err != nil || !reflect.DeepEqual(got, fullAnswer()) {
-		t.Errorf("read as %+v, %v, want %+v", got, err, fullAnswer())
+		t.Errorf("decoded as %+v, %v, want %+v", got, err, fullAnswer())
 	}
 }
--- a/fleet/schedule/large_test.go
+++ b/fleet/schedule/large_test.go
@@ -34,11 +34,11 @@
 		name string
 		e    window.Entry
 	}{
-		{"a plan of as many backends as there may be", plan},
-		{"members that serve", window.SetServing{Members: longNames("member", 1024)}},
-		{"backends that failed", window.BackendsFailed{IDs: ids[:manyNames]}},
-		{"backends that recovered", window.BackendsRecovered{IDs: ids[:manyNames]}},
-		{"backends that are removed", window.RemoveBackends{IDs: ids[:manyNames]}},
+		{"plan with the maximum number of backends", plan},
+		{"serving members", window.SetServing{Members: longNames("member", 1024)}},
+		{"failed backends", window.BackendsFailed{IDs: ids[:manyNames]}},
+		{"recovered backends", window.BackendsRecovered{IDs: ids[:manyNames]}},
+		{"removed backends", window.RemoveBackends{IDs: ids[:manyNames]}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			m := newMachine(t)
@@ -48,18 +48,18 @@
 				apply(window.PutBackends{Put: []window.Backend{{ID: id, Region: "r", Zone: "z", Size: 1, SkipWarmUp: true}}})
 			}
 			if size := len(encodeEntry(t, c.e)); size > agree.MaxEntry {
-				t.Errorf("an entry of %d bytes, %d at most", size, agree.MaxEntry)
+				t.Errorf("the entry has %d bytes, at most %d allowed", size, agree.MaxEntry)
 			}
 			text := apply(c.e)
 			a, err := schedule.Parse(text)
 			if err != nil || len(text) > agree.MaxEntry || a.Result != window.OK && a.Result != window.Duplicate {
-				t.Fatalf("%d bytes: %s, %v", len(text), a.Describe(), err)
+				t.Fatalf("answer of %d bytes: %s, %v", len(text), a.Describe(), err)
 			}
 			if a.HasWindow && len(a.Window.Request.Backends) != len(ids) {
 				t.Errorf("the answer names %d backends", len(a.Window.Request.Backends))
 			}
 			if a.HasWindow && !bytes.Contains(m.Query([]byte("SHOW p")), []byte(ids[len(ids)-1])) {
-				t.Error("SHOW does not name the last of them")
+				t.Error("SHOW does not list the last backend")
 			}
 		})
 	}
--- a/fleet/schedule/schedule_test.go
+++ b/fleet/schedule/schedule_test.go
@@ -55,13 +55,13 @@
 		t.Fatalf("%+v, %v", a, err)
 	}
 	if text := m.Apply(9, schedule.Tick(time.Second)); text != nil {
-		t.Errorf("a tick that brings nothing about is told: %q", text)
+		t.Errorf("a tick without effect was answered: %q", text)
 	}
 	if text := m.Apply(10, schedule.Tick(-time.Hour)); text != nil {
-		t.Errorf("a tick of no time: %q", text)
+		t.Errorf("a tick of a negative duration was answered: %q", text)
 	}
 	if a, err := schedule.Parse(m.Apply(11, []byte("noise"))); err != nil || a.Result != window.Invalid || a.Err == "" {
-		t.Errorf("noise: %+v, %v", a, err)
+		t.Errorf("malformed entry: %+v, %v", a, err)
 	}
 	for _, c := range []struct{ query, want string }{
 		{"STATUS", "STATUS now="},
@@ -80,7 +80,7 @@
 	}
 	for _, bad := range []string{"", "\x02", "\x01", "\x01noise"} {
 		if _, err := schedule.Parse([]byte(bad)); err == nil {
-			t.Errorf("%q was read", bad)
+			t.Errorf("%q was parsed without an error", bad)
 		}
 	}
 }
@@ -95,16 +95,16 @@
 	}
 	before := restored.Snapshot()
 	if restored.Restore([]byte("noise")) == nil || !bytes.Equal(before, restored.Snapshot()) {
-		t.Error("a spoilt snapshot was taken, or has changed the state")
+		t.Error("a corrupt snapshot was accepted, or changed the state")
 	}
 	plan := encodeEntry(t, window.Request{ID: "p1", Region: "r", Backends: []string{"b0"}, Duration: time.Hour, LatestEnd: 50 * time.Hour})
 	for i, e := range [][]byte{plan, schedule.Tick(time.Second), schedule.Tick(time.Hour)} {
-		if x, y := m.Apply(uint64(3+i), e), restored.Apply(uint64(3+i), e); !bytes.Equal(x, y) {
-			t.Errorf("entry %d: %q and %q", i, x, y)
+		if original, copied := m.Apply(uint64(3+i), e), restored.Apply(uint64(3+i), e); !bytes.Equal(original, copied) {
+			t.Errorf("entry %d: answers %q and %q differ", i, original, copied)
 		}
 	}
 	if !bytes.Equal(m.Snapshot(), restored.Snapshot()) {
-		t.Error("the states differ")
+		t.Error("the snapshots differ")
 	}
 }
 
@@ -130,9 +130,9 @@
 	text := apply(window.SetFloor{Steps: []window.Step{{Capacity: 10240 - 240}}}) // only one window at a time fits: nearly all are moved
 	a, err := schedule.Parse(text)
 	if err != nil || len(text) > agree.MaxEntry || len(a.Events)+a.OmittedEvents < 90 {
-		t.Errorf("%d bytes, %d events and %d left, %v", len(text), len(a.Events), a.OmittedEvents, err)
+		t.Errorf("%d bytes, %d events and %d omitted, %v", len(text), len(a.Events), a.OmittedEvents, err)
 	}
 	if list := m.Query([]byte("LIST")); len(list) > agree.MaxEntry || !bytes.Contains(list, []byte("MORE left=")) {
-		t.Errorf("%d bytes of list, and no word of more", len(list))
+		t.Errorf("LIST gave %d bytes; want a bounded list that ends with MORE", len(list))
 	}
 }
--- a/fleet/window/describe.go
+++ b/fleet/window/describe.go
@@ -122,14 +122,14 @@
 		state = "short"
 	}
 	s := fmt.Sprintf("FLOOR %s state=%s floor=%d have=%d total=%d steps=%s",
-		scopeName(f.Scope), state, f.Required, f.Available, f.Total, stepsText(f.Steps))
+		scopeName(f.Scope), state, f.Required, f.Available, f.Total, formatSteps(f.Steps))
 	if len(f.Pending) > 0 {
-		s += " pending=" + stepsText(f.Pending)
+		s += " pending=" + formatSteps(f.Pending)
 	}
 	return s
 }
 
-func stepsText(steps []Step) string {
+func formatSteps(steps []Step) string {
 	var parts []string
 	for _, s := range steps {
 		from := s.From
--- a/fleet/window/encoding_test.go
+++ b/fleet/window/encoding_test.go
@@ -49,7 +49,7 @@
 		t.Fatal(err)
 	}
 	if got := hex.EncodeToString(text); got != storedSnapshot {
-		t.Errorf("written as\n%s, want\n%s", got, storedSnapshot)
+		t.Errorf("encoded as\n%s, want\n%s", got, storedSnapshot)
 	}
 	stored, err := hex.DecodeString(storedSnapshot)
 	if err != nil {
@@ -61,6 +61,6 @@
 	}
 	again, err := restored.Snapshot()
 	if err != nil || !bytes.Equal(again, stored) {
-		t.Errorf("read and written again as\n%x, %v, want\n%x", again, err, stored)
+		t.Errorf("decoded and encoded again as\n%x, %v, want\n%x", again, err, stored)
 	}
 }
--- a/fleet/window/large_test.go
+++ b/fleet/window/large_test.go
@@ -25,11 +25,11 @@
 // of region r.
 func newLargeHarness(t *testing.T, ids []string) *harness {
 	t.Helper()
-	m, err := New(Settings{MaxServing: manyNames})
+	machine, err := New(Settings{MaxServing: manyNames})
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := &harness{t: t, machine: m}
+	h := &harness{t: t, machine: machine}
 	for number, id := range ids {
 		zone := fmt.Sprintf("zone-%04d", number)
 		h.applyWant(PutBackends{[]Backend{{ID: id, Region: "r", Zone: zone, Size: 1, SkipWarmUp: true}}}, OK, "")
@@ -53,7 +53,7 @@
 			w, ok := m.Window("p")
 			return ok && w.State == Granted && len(w.Request.Backends) == manyNames
 		}},
-		{"members that serve", func() []Entry {
+		{"serving members", func() []Entry {
 			return []Entry{SetServing{members}}
 		}, func(m *Machine) bool { return len(m.servingMembers) == manyNames }},
 		{"scopes with a floor", func() (floors []Entry) {
@@ -67,14 +67,14 @@
 		}, func(m *Machine) bool { return len(m.backends) == manyNames && !m.backends[0].Failed }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			b := newLargeHarness(t, ids)
+			h := newLargeHarness(t, ids)
 			for _, e := range c.entries() {
-				b.applyWant(e, OK, "")
+				h.applyWant(e, OK, "")
 			}
-			if !c.holds(b.machine) {
-				t.Error("it is not there")
+			if !c.holds(h.machine) {
+				t.Error("the machine does not hold all of them")
 			}
-			snapshot, err := b.machine.Snapshot()
+			snapshot, err := h.machine.Snapshot()
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -83,7 +83,7 @@
 				t.Fatal(err)
 			}
 			if !c.holds(restored) {
-				t.Error("it is not in the snapshot")
+				t.Error("the restored machine does not hold all of them")
 			}
 		})
 	}
--- a/fleet/window/machine_test.go
+++ b/fleet/window/machine_test.go
@@ -16,11 +16,11 @@
 }
 
 func newHarness(t *testing.T) *harness {
-	m, err := New(Settings{MaxTick: time.Hour, MaxPlans: 3, History: 2})
+	machine, err := New(Settings{MaxTick: time.Hour, MaxPlans: 3, History: 2})
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := &harness{t: t, machine: m}
+	h := &harness{t: t, machine: machine}
 	h.apply(PutBackends{[]Backend{
 		{"a", "north", "n1", 10, 10 * minute, 500, true}, {"b", "north", "n1", 10, 10 * minute, 500, true},
 		{"c", "north", "n2", 10, 0, 0, true}, {"d", "south", "s1", 10, 0, 0, true}}})
@@ -94,10 +94,10 @@
 		{"granted to draining", func(f Fence) []Entry { return []Entry{Drained{"p", f, "m1"}} }, grant, Draining, ""},
 		{"draining to out", func(f Fence) []Entry { return []Entry{Drained{"p", f, "m1"}, Drained{"p", f, "m2"}} }, grant,
 			OutOfService, ""},
-		{"draining to out, as one no longer serves", func(f Fence) []Entry {
+		{"draining to out when a member stops serving", func(f Fence) []Entry {
 			return []Entry{Drained{"p", f, "m1"}, SetServing{[]string{"m1"}}}
 		}, grant, OutOfService, ""},
-		{"draining goes on with none that serves", func(f Fence) []Entry {
+		{"draining continues while no member serves", func(f Fence) []Entry {
 			return []Entry{Drained{"p", f, "m1"}, SetServing{}}
 		}, grant, Draining, ""},
 		{"granted to returning", func(f Fence) []Entry { return []Entry{Return{"p", f}} }, grant, Returning, ""},
@@ -106,7 +106,7 @@
 			return []Entry{Drained{"p", f, "m1"}, Drained{"p", f, "m2"}, Return{"p", f}}
 		}, grant, Returning, ""},
 		{"returning to warm", func(f Fence) []Entry { return []Entry{Return{"p", f}, Returned{"p", f}} }, grant, WarmingUp, ""},
-		{"warm stays to the end of the warm-up", func(f Fence) []Entry {
+		{"warm until the end of the warm-up", func(f Fence) []Entry {
 			return []Entry{Returned{"p", f}, Tick{10*minute - 1}}
 		}, grant, WarmingUp, ""},
 		{"warm to done", func(f Fence) []Entry { return []Entry{Returned{"p", f}, Tick{10 * minute}} }, grant, Done, ""},
@@ -118,11 +118,11 @@
 			return []Entry{SetFloor{Scope{"north", "n1"}, []Step{{0, 10}}}, Drained{"p", f, "m1"}, Drained{"p", f, "m2"},
 				BackendsFailed{[]string{"b"}}}
 		}, grant, OutOfService, ""},
-		{"out to recalled, as its asker allows", func(f Fence) []Entry {
+		{"out to recalled if the request allows it", func(f Fence) []Entry {
 			return []Entry{SetFloor{Scope{"north", "n1"}, []Step{{0, 10}}}, Drained{"p", f, "m1"}, Drained{"p", f, "m2"},
 				BackendsFailed{[]string{"b"}}}
 		}, []Entry{newRequest(func(e *Request) { e.Recallable = true })}, Recalled, "below its floor"},
-		{"its own backend's failure does not recall", func(f Fence) []Entry {
+		{"failure of its own backend does not recall", func(f Fence) []Entry {
 			return []Entry{SetFloor{Scope{"north", "n1"}, []Step{{0, 10}}}, BackendsFailed{[]string{"a"}}}
 		}, grant, Granted, ""},
 		{"recalled to returning", func(f Fence) []Entry { return []Entry{Cancel{"p"}, Return{"p", f}} }, grant, Returning, ""},
@@ -134,38 +134,39 @@
 		{"granted to overdue", func(f Fence) []Entry { return []Entry{Tick{30*minute + 1}} }, grant, Overdue, ""},
 		{"returning to overdue", func(f Fence) []Entry { return []Entry{Return{"p", f}, Tick{31 * minute}} }, grant, Overdue, ""},
 		{"recalled to overdue", func(f Fence) []Entry { return []Entry{Cancel{"p"}, Tick{31 * minute}} }, grant, Overdue, "cancelled"},
-		{"overdue stays so by Return", func(f Fence) []Entry { return []Entry{Tick{31 * minute}, Return{"p", f}} }, grant, Overdue, ""},
+		{"Return leaves overdue unchanged", func(f Fence) []Entry { return []Entry{Tick{31 * minute}, Return{"p", f}} }, grant, Overdue,
+			""},
 		{"overdue to warm", func(f Fence) []Entry { return []Entry{Tick{31 * minute}, Returned{"p", f}} }, grant, WarmingUp, ""},
 		{"stale confirmations do nothing", func(f Fence) []Entry {
 			return []Entry{Drained{"p", f - 1, "m1"}, Return{"p", f + 1}, Returned{"p", 0}}
 		}, grant, Granted, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			b := newHarness(t)
+			h := newHarness(t)
 			for _, e := range c.first {
-				b.apply(e)
+				h.apply(e)
 			}
 			if c.entries != nil {
-				for _, e := range c.entries(b.wantState("p", Granted).Fence) {
-					b.apply(e)
+				for _, e := range c.entries(h.wantState("p", Granted).Fence) {
+					h.apply(e)
 				}
 			}
-			if w := b.wantState("p", c.want); !strings.Contains(w.Reason, c.why) {
-				t.Errorf("why %q, want %q", w.Reason, c.why)
+			if w := h.wantState("p", c.want); !strings.Contains(w.Reason, c.why) {
+				t.Errorf("reason %q, want %q", w.Reason, c.why)
 			}
 		})
 	}
 }
 
 func TestRefusals(t *testing.T) {
-	put := func(change func(*Backend)) Entry {
+	putBackend := func(change func(*Backend)) Entry {
 		x := Backend{"x", "north", "n1", 1, 0, 0, true}
 		change(&x)
 		return PutBackends{[]Backend{x}}
 	}
-	many := make([]string, MaxPlanBackends+1)
-	for i := range many {
-		many[i] = fmt.Sprint("b", i)
+	tooMany := make([]string, MaxPlanBackends+1)
+	for i := range tooMany {
+		tooMany[i] = fmt.Sprint("b", i)
 	}
 	for _, c := range []struct {
 		first []Entry
@@ -175,11 +176,11 @@
 	}{
 		{nil, Tick{0}, Invalid, "tick: elapsed: 0s"},
 		{nil, Tick{time.Hour + 1}, Invalid, "elapsed"},
-		{nil, put(func(x *Backend) { x.ID = "" }), Invalid, "backend: id"},
-		{nil, put(func(x *Backend) { x.Region = "a b" }), Invalid, "region: \\\"a b\\\" has other signs"},
-		{nil, put(func(x *Backend) { x.Size = 0 }), Invalid, "size: 0"},
-		{nil, put(func(x *Backend) { x.InitialPermille = 1001 }), Invalid, "cold: 1001"},
-		{nil, put(func(x *Backend) { x.WarmUpTime = -1 }), Invalid, "warm: -1"},
+		{nil, putBackend(func(x *Backend) { x.ID = "" }), Invalid, "backend: id"},
+		{nil, putBackend(func(x *Backend) { x.Region = "a b" }), Invalid, "region: \\\"a b\\\" has other signs"},
+		{nil, putBackend(func(x *Backend) { x.Size = 0 }), Invalid, "size: 0"},
+		{nil, putBackend(func(x *Backend) { x.InitialPermille = 1001 }), Invalid, "cold: 1001"},
+		{nil, putBackend(func(x *Backend) { x.WarmUpTime = -1 }), Invalid, "warm: -1"},
 		{nil, PutBackends{[]Backend{{"x", "r", "z", 1, 0, 0, true}, {"x", "r", "z", 1, 0, 0, true}}}, Invalid, "twice"},
 		{[]Entry{newRequest(nil)}, PutBackends{[]Backend{{"a", "north", "n2", 1, 0, 0, true}}}, Invalid, "zone: can't change while plan p"},
 		{[]Entry{newRequest(nil)}, RemoveBackends{[]string{"a"}}, Invalid, "plan p names it"},
@@ -205,7 +206,7 @@
 		{nil, newRequest(func(e *Request) { e.Backends = nil }), Invalid, "backends: either these"},
 		{nil, newRequest(func(e *Request) { e.Zone, e.Amount = "n1", 1 }), Invalid, "backends: either these"},
 		{nil, newRequest(func(e *Request) { e.Backends = []string{"a", "a"} }), Invalid, "named twice"},
-		{nil, newRequest(func(e *Request) { e.Backends = many }), Invalid, "backends: 1281 are over 1280"},
+		{nil, newRequest(func(e *Request) { e.Backends = tooMany }), Invalid, "backends: 1281 are over 1280"},
 		{nil, newRequest(func(e *Request) { e.Backends = []string{"x"} }), Invalid, "backends: x is not known"},
 		{nil, newRequest(func(e *Request) { e.Backends = []string{"d"} }), Invalid, "backends: d is in region south"},
 		{nil, newRequest(func(e *Request) { e.Backends, e.Zone, e.Amount = nil, "n9", 1 }), Invalid, "zone: north/n9 has no backends"},
@@ -234,56 +235,56 @@
 		{[]Entry{newRequest(func(e *Request) { e.EarliestStart = 1 })}, Returned{"p", 0}, Stale, "returned: plan p: fence"},
 	} {
 		t.Run(fmt.Sprintf("%T %s", c.e, c.part), func(t *testing.T) {
-			b := newHarness(t)
+			h := newHarness(t)
 			for _, e := range c.first {
-				b.apply(e)
+				h.apply(e)
 			}
-			b.applyWant(c.e, c.want, c.part)
+			h.applyWant(c.e, c.want, c.part)
 		})
 	}
 }
 
 func TestBytesAreChecked(t *testing.T) {
-	b := newHarness(t)
-	before, _ := b.machine.Snapshot()
-	good, _ := Encode(Tick{minute})
+	h := newHarness(t)
+	before, _ := h.machine.Snapshot()
+	validTick, _ := Encode(Tick{minute})
 	for _, c := range []struct {
 		data []byte
 		part string
 	}{
 		{nil, "entry of 0 bytes"}, {[]byte{9, 1, 0xa0}, "unknown version 9"}, {[]byte{Version, 99, 0xa0}, "unknown kind 99"},
-		{good[:len(good)-1], "entry of kind 1"}, {append(good[:len(good):len(good)], 0), "entry of kind 1"},
+		{validTick[:len(validTick)-1], "entry of kind 1"}, {append(validTick[:len(validTick):len(validTick)], 0), "entry of kind 1"},
 		{[]byte{Version, 1, 0xa1, 0x18, 99, 0}, "unknown field"}, {make([]byte, MaxEntryBytes+1), "bytes"},
 	} {
-		b.index++
-		if a := b.machine.Apply(b.index, c.data); a.Result != Invalid || !strings.Contains(a.Err, c.part) {
+		h.index++
+		if a := h.machine.Apply(h.index, c.data); a.Result != Invalid || !strings.Contains(a.Err, c.part) {
 			t.Errorf("%x: %v %q, want %q", c.data[:min(8, len(c.data))], a.Result, a.Err, c.part)
 		}
 	}
-	if a := b.machine.Apply(b.index, good); a.Result != Invalid || b.machine.Now() != 0 {
-		t.Errorf("an index applied again: %s", a.Describe())
+	if a := h.machine.Apply(h.index, validTick); a.Result != Invalid || h.machine.Now() != 0 {
+		t.Errorf("an index that was applied before: %s", a.Describe())
 	}
-	b.machine.index = 2 // the index before them; entries that can't be decoded change nothing else
-	if after, _ := b.machine.Snapshot(); !bytes.Equal(before, after) {
-		t.Error("entries that can't be read changed the state")
+	h.machine.index = 2 // the index before them; entries that can't be decoded change nothing else
+	if after, _ := h.machine.Snapshot(); !bytes.Equal(before, after) {
+		t.Error("entries that can't be decoded changed the state")
 	}
 }
 
 // TestWarmUp checks the available capacity: without the backend until its return, then
 // with its initial fraction, rising.
 func TestWarmUp(t *testing.T) {
-	b := newHarness(t)
-	b.apply(SetFloor{Scope{"north", "n1"}, []Step{{0, 1}}})
-	b.apply(newRequest(nil))
-	f := b.wantState("p", Granted).Fence
+	h := newHarness(t)
+	h.apply(SetFloor{Scope{"north", "n1"}, []Step{{0, 1}}})
+	h.apply(newRequest(nil))
+	f := h.wantState("p", Granted).Fence
 	for _, c := range []struct {
 		e    Entry
 		have int64
 	}{{Tick{minute}, 10}, {Return{"p", f}, 10}, {Returned{"p", f}, 15}, {Tick{5 * minute}, 17}, {Tick{4 * minute}, 19},
 		{Tick{minute}, 20}, {BackendsFailed{[]string{"b"}}, 10}, {BackendsRecovered{[]string{"b"}}, 15}, {Tick{10 * minute}, 20}} {
-		b.apply(c.e)
-		if got := b.machine.Floors()[0].Available; got != c.have {
-			t.Fatalf("after %T%+v: %d, want %d", c.e, c.e, got, c.have)
+		h.apply(c.e)
+		if got := h.machine.Floors()[0].Available; got != c.have {
+			t.Fatalf("after %T%+v: available %d, want %d", c.e, c.e, got, c.have)
 		}
 	}
 }
@@ -291,16 +292,16 @@
 // TestPendingFloor checks that a floor stays pending while it would be breached, and
 // blocks grants meanwhile.
 func TestPendingFloor(t *testing.T) {
-	b := newHarness(t)
-	b.apply(newRequest(nil))
-	f := b.wantState("p", Granted).Fence
-	b.applyWant(SetFloor{Scope{"north", "n1"}, []Step{{0, 20}}}, Pending, "grants wait for it")
-	if line := b.machine.Floors()[0].Describe(); line != "FLOOR north/n1 state=held floor=0 have=10 total=20 steps=none pending=00:00=20" {
+	h := newHarness(t)
+	h.apply(newRequest(nil))
+	f := h.wantState("p", Granted).Fence
+	h.applyWant(SetFloor{Scope{"north", "n1"}, []Step{{0, 20}}}, Pending, "grants wait for it")
+	if line := h.machine.Floors()[0].Describe(); line != "FLOOR north/n1 state=held floor=0 have=10 total=20 steps=none pending=00:00=20" {
 		t.Error(line)
 	}
-	b.applyWant(newRequest(func(e *Request) { e.ID, e.Backends = "q", []string{"b"} }), Rejected, "floor is 20")
-	b.apply(Returned{"p", f})
-	a := b.apply(Tick{10 * minute})
+	h.applyWant(newRequest(func(e *Request) { e.ID, e.Backends = "q", []string{"b"} }), Rejected, "floor is 20")
+	h.apply(Returned{"p", f})
+	a := h.apply(Tick{10 * minute})
 	if last := a.Events[len(a.Events)-1].Describe(); last != "FLOOR north/n1 state=in-force floor=20" {
 		t.Error(last)
 	}
@@ -309,13 +310,13 @@
 // TestLatestGrantIsRecalledFirst checks that the latest grant is recalled, and no more
 // than the floor needs.
 func TestLatestGrantIsRecalledFirst(t *testing.T) {
-	b := newHarness(t)
-	b.apply(SetFloor{Scope{"north", ""}, []Step{{0, 10}}})
-	b.apply(newRequest(nil))
-	b.apply(newRequest(func(e *Request) { e.ID, e.Backends = "q", []string{"b"} }))
-	a := b.apply(BackendsFailed{[]string{"c"}})
-	b.wantState("p", Granted)
-	b.wantState("q", Recalled)
+	h := newHarness(t)
+	h.apply(SetFloor{Scope{"north", ""}, []Step{{0, 10}}})
+	h.apply(newRequest(nil))
+	h.apply(newRequest(func(e *Request) { e.ID, e.Backends = "q", []string{"b"} }))
+	a := h.apply(BackendsFailed{[]string{"c"}})
+	h.wantState("p", Granted)
+	h.wantState("q", Recalled)
 	if !strings.Contains(a.Events[len(a.Events)-1].Describe(), "FLOOR north state=short floor=10 have=0") {
 		t.Errorf("%v", a.Events)
 	}
@@ -324,27 +325,27 @@
 // TestBackfill checks that a small plan overtakes a large waiting one without delaying
 // it.
 func TestBackfill(t *testing.T) {
-	b := newHarness(t)
-	b.machine.settings.MaxTick = minute
-	b.apply(SetFloor{Scope{"north", ""}, []Step{{0, 10}}})
-	b.apply(newRequest(nil)) // backend a is out until 0:30 and warm at 0:40
-	b.apply(newRequest(func(e *Request) { e.ID, e.Backends, e.Priority = "large", []string{"b", "c"}, 5 }))
-	large := b.wantState("large", Planned)
+	h := newHarness(t)
+	h.machine.settings.MaxTick = minute
+	h.apply(SetFloor{Scope{"north", ""}, []Step{{0, 10}}})
+	h.apply(newRequest(nil)) // backend a is out until 0:30 and warm at 0:40
+	h.apply(newRequest(func(e *Request) { e.ID, e.Backends, e.Priority = "large", []string{"b", "c"}, 5 }))
+	large := h.wantState("large", Planned)
 	if large.Start != 40*minute {
-		t.Errorf("large at %v", large.Start)
+		t.Errorf("large planned at %v, want 40 min", large.Start)
 	}
-	b.apply(newRequest(func(e *Request) { e.ID, e.Backends, e.Duration = "small", []string{"c"}, 20*minute }))
-	b.wantState("small", Granted)
-	if got := b.wantState("large", Planned); got.Start != large.Start {
+	h.apply(newRequest(func(e *Request) { e.ID, e.Backends, e.Duration = "small", []string{"c"}, 20*minute }))
+	h.wantState("small", Granted)
+	if got := h.wantState("large", Planned); got.Start != large.Start {
 		t.Errorf("large moved from %v to %v", large.Start, got.Start)
 	}
-	b.apply(Returned{"small", b.wantState("small", Granted).Fence})
-	b.apply(Tick{minute})
-	b.apply(newRequest(func(e *Request) { e.ID, e.Backends, e.Duration = "long", []string{"c"}, 50*minute }))
-	if long := b.wantState("long", Planned); long.Start < large.Start+30*minute {
-		t.Errorf("long at %v, before large is back", long.Start)
+	h.apply(Returned{"small", h.wantState("small", Granted).Fence})
+	h.apply(Tick{minute})
+	h.apply(newRequest(func(e *Request) { e.ID, e.Backends, e.Duration = "long", []string{"c"}, 50*minute }))
+	if long := h.wantState("long", Planned); long.Start < large.Start+30*minute {
+		t.Errorf("long planned at %v, before the end of large", long.Start)
 	}
-	if got := b.wantState("large", Planned); got.Start != large.Start {
+	if got := h.wantState("large", Planned); got.Start != large.Start {
 		t.Errorf("large moved from %v to %v", large.Start, got.Start)
 	}
 }
@@ -352,17 +353,17 @@
 // TestRepeatedIDGetsStoredAnswer checks that a repeated id gets its stored answer as
 // long as the history holds it.
 func TestRepeatedIDGetsStoredAnswer(t *testing.T) {
-	b := newHarness(t)
+	h := newHarness(t)
 	for _, id := range []string{"p", "q", "r"} {
-		b.apply(newRequest(func(e *Request) { e.ID = id }))
-		b.apply(Cancel{id})
-		b.apply(Returned{id, Fence(b.index-1) << fenceGrantBits})
-		b.apply(Tick{10 * minute})
+		h.apply(newRequest(func(e *Request) { e.ID = id }))
+		h.apply(Cancel{id})
+		h.apply(Returned{id, Fence(h.index-1) << fenceGrantBits})
+		h.apply(Tick{10 * minute})
 	}
-	b.applyWant(newRequest(func(e *Request) { e.ID = "r" }), Duplicate, "state=done")
-	b.applyWant(newRequest(func(e *Request) { e.ID = "q" }), Duplicate, "state=done")
-	b.applyWant(newRequest(nil), OK, "state=granted")                               // no longer in the history: a new plan
-	b.applyWant(Returned{"p", 3 << fenceGrantBits}, Stale, "not that of the grant") // the fence of the earlier plan
+	h.applyWant(newRequest(func(e *Request) { e.ID = "r" }), Duplicate, "state=done")
+	h.applyWant(newRequest(func(e *Request) { e.ID = "q" }), Duplicate, "state=done")
+	h.applyWant(newRequest(nil), OK, "state=granted")                               // no longer in the history: a new plan
+	h.applyWant(Returned{"p", 3 << fenceGrantBits}, Stale, "not that of the grant") // the fence of the earlier plan
 }
 
 func TestSettings(t *testing.T) {
@@ -388,11 +389,11 @@
 		}
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		b := newHarness(t)
-		b.apply(newRequest(nil))
-		b.index++
-		b.machine.Apply(b.index, data)
-		b.apply(Tick{time.Hour})
+		h := newHarness(t)
+		h.apply(newRequest(nil))
+		h.index++
+		h.machine.Apply(h.index, data)
+		h.apply(Tick{time.Hour})
 		e, err := Decode(data)
 		if err != nil {
 			return
@@ -402,7 +403,7 @@
 			t.Skip() // the re-encoding exceeds MaxEntryBytes
 		}
 		if _, err := Decode(reencoded); err != nil {
-			t.Errorf("%x: encoded again: %v", data, err)
+			t.Errorf("%x: decoding the re-encoded entry: %v", data, err)
 		}
 	})
 }
@@ -432,7 +433,7 @@
 			t.Fatal(err)
 		}
 		if _, err := Restore(snapshot); err != nil {
-			t.Errorf("restored, applied, and restored again: %v", err)
+			t.Errorf("restoring a snapshot of the restored machine: %v", err)
 		}
 	})
 }
--- a/fleet/window/makespan_test.go
+++ b/fleet/window/makespan_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-var makespanSets = flag.Int("window.sets", 12, "random sets of plans in TestMakespan")
+var makespanSets = flag.Int("window.sets", 12, "number of random sets of plans in TestMakespan")
 
 // makespanSet is a random set of plans that are all requested at the start, drained at
 // once and returned at their end.
@@ -40,7 +40,7 @@
 	return a
 }
 
-func (s *makespanSet) between(least, most int) int { return least + s.rng.IntN(most-least+1) }
+func (s *makespanSet) between(lowest, highest int) int { return lowest + s.rng.IntN(highest-lowest+1) }
 
 func (s *makespanSet) build(t *testing.T, daily bool) {
 	for r := range s.between(2, 3) {
@@ -54,24 +54,24 @@
 	}
 	s.apply(t, PutBackends{s.backends})
 	totals := map[Scope]int64{}
-	var order []Scope
+	var scopes []Scope
 	for _, b := range s.backends {
 		for _, sc := range scopesOf(b.Region, b.Zone) {
 			if totals[sc] == 0 {
-				order = append(order, sc)
+				scopes = append(scopes, sc)
 			}
 			totals[sc] += b.Size
 		}
 	}
-	for _, sc := range order {
-		least, most := 60, 80
+	for _, sc := range scopes {
+		lowestPercent, highestPercent := 60, 80
 		if sc.Zone == "" {
-			least, most = 70, 80
+			lowestPercent, highestPercent = 70, 80
 		}
 		if sc.Region == "" {
-			least, most = 91, 95
+			lowestPercent, highestPercent = 91, 95
 		}
-		steps := []Step{{0, totals[sc] * int64(s.between(least, most)) / 100}}
+		steps := []Step{{0, totals[sc] * int64(s.between(lowestPercent, highestPercent)) / 100}}
 		if daily {
 			steps = append(steps, Step{6 * time.Hour, steps[0].Capacity + (totals[sc]-steps[0].Capacity)*int64(s.between(0, 25))/100},
 				Step{22 * time.Hour, steps[0].Capacity})
@@ -127,23 +127,23 @@
 	for _, p := range s.plans {
 		first := max(p.EarliestStart, p.Notice)
 		warm := time.Duration(0)
-		add := func(region, zone string, size, cold int64, workByStart time.Duration) {
+		add := func(region, zone string, size, initialPermille int64, workByStart time.Duration) {
 			warm = max(warm, workByStart)
 			for _, sc := range scopesOf(region, zone) {
 				if work[sc] == nil {
 					work[sc] = map[time.Duration]float64{}
 				}
-				work[sc][first] += float64(size) * (p.Duration.Minutes() + workByStart.Minutes()*(1-float64(cold)/1000)/2)
+				work[sc][first] += float64(size) * (p.Duration.Minutes() + workByStart.Minutes()*(1-float64(initialPermille)/1000)/2)
 			}
 		}
 		if p.Amount > 0 {
-			cold, workByStart := int64(1000), time.Duration(0)
+			initialPermille, workByStart := int64(1000), time.Duration(0)
 			for _, b := range s.backends {
 				if b.Region == p.Region && b.Zone == p.Zone {
-					cold, workByStart = min(cold, b.InitialPermille), max(workByStart, b.WarmUpTime)
+					initialPermille, workByStart = min(initialPermille, b.InitialPermille), max(workByStart, b.WarmUpTime)
 				}
 			}
-			add(p.Region, p.Zone, p.Amount, cold, workByStart)
+			add(p.Region, p.Zone, p.Amount, initialPermille, workByStart)
 		}
 		for _, id := range p.Backends {
 			b := byID[id]
@@ -180,9 +180,9 @@
 
 // largestShare returns the largest share that the request takes of the smallest free
 // capacity of any of its scopes.
-func (s *makespanSet) largestShare(e Request) (most float64) {
+func (s *makespanSet) largestShare(e Request) (largest float64) {
 	for sc, steps := range s.floors {
-		var room, size, floor int64
+		var total, size, floor int64
 		if scopeContains(sc, e.Region, e.Zone) {
 			size = e.Amount
 		}
@@ -190,7 +190,7 @@
 			if !scopeContains(sc, b.Region, b.Zone) {
 				continue
 			}
-			room += b.Size
+			total += b.Size
 			if slices.Contains(e.Backends, b.ID) {
 				size += b.Size
 			}
@@ -198,24 +198,24 @@
 		for _, step := range steps {
 			floor = max(floor, step.Capacity)
 		}
-		most = max(most, float64(size)/float64(room-floor))
+		largest = max(largest, float64(size)/float64(total-floor))
 	}
-	return most
+	return largest
 }
 
 // exclusiveChain returns the end of the chain of those plans of a scope that can't
 // overlap, as each takes more than half of the largest free capacity.
 func (s *makespanSet) exclusiveChain(sc Scope) time.Duration {
-	var total, least int64 = 0, unboundedTime64
-	sizes := map[string]Backend{}
+	var total, lowestFloor int64 = 0, unboundedTime64
+	byID := map[string]Backend{}
 	for _, b := range s.backends {
-		sizes[b.ID] = b
+		byID[b.ID] = b
 		if scopeContains(sc, b.Region, b.Zone) {
 			total += b.Size
 		}
 	}
 	for _, step := range s.floors[sc] {
-		least = min(least, step.Capacity)
+		lowestFloor = min(lowestFloor, step.Capacity)
 	}
 	sum, first := time.Duration(0), time.Duration(unboundedTime64)
 	for _, p := range s.plans {
@@ -224,11 +224,11 @@
 			size = p.Amount
 		}
 		for _, id := range p.Backends {
-			if b := sizes[id]; scopeContains(sc, b.Region, b.Zone) {
+			if b := byID[id]; scopeContains(sc, b.Region, b.Zone) {
 				size += b.Size
 			}
 		}
-		if 2*size > total-least {
+		if 2*size > total-lowestFloor {
 			sum += p.Duration
 			first = min(first, max(p.EarliestStart, p.Notice))
 		}
@@ -252,7 +252,7 @@
 	}
 	for _, w := range s.machine.List() {
 		if w.State != Done && w.Fence != 0 {
-			t.Errorf("%s", w.Describe())
+			t.Errorf("granted, but not done: %s", w.Describe())
 		}
 	}
 }
@@ -283,8 +283,8 @@
 		worst, sum = max(worst, ratio), sum+ratio
 		count += len(s.plans)
 		if ratio > 1.3 {
-			t.Errorf("set %d: %d plans end at %v, bound %v: %.3f", seed, len(s.plans), s.lastDone, bound, ratio)
+			t.Errorf("set %d: %d plans end at %v, lower bound %v: ratio %.3f", seed, len(s.plans), s.lastDone, bound, ratio)
 		}
 	}
-	t.Logf("%d sets, %d plans: end over lower bound: mean %.3f, worst %.3f", sets, count, sum/float64(sets), worst)
+	t.Logf("%d sets, %d plans: makespan over lower bound: mean %.3f, worst %.3f", sets, count, sum/float64(sets), worst)
 }
--- a/fleet/window/model_test.go
+++ b/fleet/window/model_test.go
@@ -62,11 +62,11 @@
 
 // warmUpLoss returns the missing fraction of a backend's size when elapsed of its
 // warm-up has passed.
-func warmUpLoss(cold int64, warm, into time.Duration) float64 {
-	if into >= warm {
+func warmUpLoss(initialPermille int64, warmUp, elapsed time.Duration) float64 {
+	if elapsed >= warmUp {
 		return 0
 	}
-	return (1 - float64(cold)/1000) * (1 - float64(into)/float64(warm))
+	return (1 - float64(initialPermille)/1000) * (1 - float64(elapsed)/float64(warmUp))
 }
 
 // available returns the capacity of a scope at t (now or later) as far as is known:
@@ -80,15 +80,15 @@
 		if exclude != nil && exclude(active) {
 			continue
 		}
-		ids, cold, warm := active.request.Backends, int64(1000), time.Duration(0)
+		ids, initialPermille, warmUp := active.request.Backends, int64(1000), time.Duration(0)
 		if active.request.Amount > 0 {
 			for _, b := range m.backends {
 				if b.Region == active.request.Region && b.Zone == active.request.Zone {
-					cold, warm = min(cold, b.InitialPermille), max(warm, b.WarmUpTime)
+					initialPermille, warmUp = min(initialPermille, b.InitialPermille), max(warmUp, b.WarmUpTime)
 				}
 			}
 			if scopeContains(sc, active.request.Region, active.request.Zone) {
-				sum -= float64(active.request.Amount) * m.unavailableShare(active, t, cold, warm)
+				sum -= float64(active.request.Amount) * m.unavailableShare(active, t, initialPermille, warmUp)
 			}
 		}
 		for _, b := range ids {
@@ -110,14 +110,14 @@
 	return sum
 }
 
-func (m *model) unavailableShare(active *activeWindow, t time.Duration, cold int64, warm time.Duration) float64 {
+func (m *model) unavailableShare(active *activeWindow, t time.Duration, initialPermille int64, warmUp time.Duration) float64 {
 	switch {
 	case active.returned >= 0:
-		return warmUpLoss(cold, warm, t-active.returned)
+		return warmUpLoss(initialPermille, warmUp, t-active.returned)
 	case t < active.end || m.now >= active.end:
 		return 1
 	}
-	return warmUpLoss(cold, warm, t-active.end)
+	return warmUpLoss(initialPermille, warmUp, t-active.end)
 }
 
 func modelFloorAt(steps []Step, t time.Duration) float64 {
@@ -147,14 +147,15 @@
 				return err
 			}
 		case EventStartMoved:
-			p := m.accepted[ev.Window.Request.ID]
-			if s := ev.Window.Start; s < min(p.announcedStart, m.now+p.request.Notice) {
-				return fmt.Errorf("notice: %s moved from %v to %v at %v", p.request.ID, p.announcedStart, s, m.now)
-			} else if _, isAsk := e.(Request); isAsk && p.announcedStart > m.now && p.announcedStart-m.now < p.request.Notice &&
+			accepted := m.accepted[ev.Window.Request.ID]
+			if newStart := ev.Window.Start; newStart < min(accepted.announcedStart, m.now+accepted.request.Notice) {
+				return fmt.Errorf("notice: %s moved from %v to %v at %v", accepted.request.ID, accepted.announcedStart, newStart, m.now)
+			} else if _, isRequest := e.(Request); isRequest && accepted.announcedStart > m.now &&
+				accepted.announcedStart-m.now < accepted.request.Notice &&
 				!m.hasUnplannedLoss() {
-				return fmt.Errorf("notice: %s moved within its notice by another plan", p.request.ID)
+				return fmt.Errorf("notice: another plan moved %s within its notice", accepted.request.ID)
 			}
-			p.announcedStart = ev.Window.Start
+			accepted.announcedStart = ev.Window.Start
 		case EventFloorInForce:
 			m.activeFloors[ev.Scope] = m.requestedFloors[ev.Scope]
 		}
@@ -188,7 +189,7 @@
 		m.now += t.Elapsed
 	}
 	if a.Now != m.now {
-		return fmt.Errorf("time: %v, not %v", a.Now, m.now)
+		return fmt.Errorf("time: log time is %v, want %v", a.Now, m.now)
 	}
 	for _, active := range m.active {
 		if active.returned < 0 && m.now > active.end {
@@ -246,7 +247,7 @@
 		m.requestedFloors[e.Scope] = e.Steps
 		want := modelFloorAt(e.Steps, m.now)
 		if a.Result == OK && m.available(e.Scope, m.now, nil) < want-tolerance && want > modelFloorAt(m.activeFloors[e.Scope], m.now) {
-			return fmt.Errorf("pending: floor %v of %v in force, and there is %v", want, e.Scope, m.available(e.Scope, m.now, nil))
+			return fmt.Errorf("pending: floor %v of %v in force, but only %v is available", want, e.Scope, m.available(e.Scope, m.now, nil))
 		}
 		if a.Result == OK {
 			m.activeFloors[e.Scope] = e.Steps
@@ -273,7 +274,7 @@
 	active := m.active[confirmed.ID]
 	if active == nil || active.fence != confirmed.Fence {
 		if a.Result == OK {
-			return fmt.Errorf("stale: a confirmation of %s with fence %v was taken", confirmed.ID, confirmed.Fence)
+			return fmt.Errorf("stale: a confirmation of %s with fence %v was accepted", confirmed.ID, confirmed.Fence)
 		}
 		return nil
 	}
@@ -294,10 +295,10 @@
 	known := m.accepted[e.ID]
 	slices.Sort(e.Backends)
 	if known != nil && (a.Result == OK || a.Result == Rejected) {
-		return fmt.Errorf("id: %s was taken once and is answered %v", e.ID, a.Result)
+		return fmt.Errorf("id: %s was accepted before, and the repeated request got %v", e.ID, a.Result)
 	}
 	if known != nil && fmt.Sprint(e) != fmt.Sprint(known.request) {
-		return fmt.Errorf("id: %s with other content is answered %v", e.ID, a.Result)
+		return fmt.Errorf("id: a request that reuses %s with other content got %v", e.ID, a.Result)
 	}
 	if a.Result == OK {
 		m.accepted[e.ID] = &acceptedPlan{request: e, index: m.index, requestedAt: m.now, announcedStart: a.Window.FirstStart,
@@ -327,7 +328,7 @@
 		if w.State == Refused {
 			return nil // refused when requested
 		}
-		return fmt.Errorf("kept: %s is %v and was never taken", id, w.State)
+		return fmt.Errorf("kept: %s is %v, but was never accepted", id, w.State)
 	}
 	if w.State == Granted {
 		if err := m.checkGrant(w, accepted); err != nil {
@@ -335,7 +336,7 @@
 		}
 	}
 	if !slices.Contains(allowedTransitions[accepted.state], w.State) {
-		return fmt.Errorf("states: %s from %v to %v", id, accepted.state, w.State)
+		return fmt.Errorf("states: %s changed from %v to %v", id, accepted.state, w.State)
 	}
 	accepted.state = w.State
 	active := m.active[id]
@@ -348,18 +349,18 @@
 	case OutOfService:
 		for s := range m.serving {
 			if !active.drained[s] {
-				return fmt.Errorf("drained: %s is out and %s has not confirmed", id, s)
+				return fmt.Errorf("drained: %s is out, but %s has not confirmed", id, s)
 			}
 		}
 	case Recalled:
 		active.recalled = true
 	case WarmingUp, Done:
 		if active != nil && active.returned < 0 {
-			return fmt.Errorf("return: %s is %v and did not return", id, w.State)
+			return fmt.Errorf("return: %s is %v, but its return was not confirmed", id, w.State)
 		}
 	case Refused:
 		if m.lastDisturbance <= accepted.index && !accepted.dependsOnRecovery {
-			return fmt.Errorf("kept: %s was taken and is refused, and nothing happened: %s", id, w.Reason)
+			return fmt.Errorf("kept: %s was accepted, and refused without a disturbance: %s", id, w.Reason)
 		}
 	}
 	return nil
@@ -371,24 +372,25 @@
 		return fmt.Errorf("once: %s is granted twice", id)
 	}
 	if w.Fence.Index() != m.index {
-		return fmt.Errorf("fence: %s has %v at entry %d", id, w.Fence, m.index)
+		return fmt.Errorf("fence: %s was granted with fence %v by entry %d", id, w.Fence, m.index)
 	}
 	for _, b := range w.Request.Backends {
 		if m.lastFence[b] >= w.Fence {
-			return fmt.Errorf("fence: of backend %s is %v after %v", b, w.Fence, m.lastFence[b])
+			return fmt.Errorf("fence: backend %s got fence %v after %v", b, w.Fence, m.lastFence[b])
 		}
 		m.lastFence[b] = w.Fence
 		for _, other := range slices.Sorted(maps.Keys(m.active)) {
 			if h := m.active[other]; h.returned < 0 && slices.Contains(h.request.Backends, b) {
-				return fmt.Errorf("once: backend %s is out by %s and %s", b, other, id)
+				return fmt.Errorf("once: backend %s is out for both %s and %s", b, other, id)
 			}
 		}
 	}
 	if m.now < accepted.requestedAt+accepted.request.Notice || m.now < accepted.request.EarliestStart || m.now < accepted.announcedStart {
-		return fmt.Errorf("notice: %s, asked at %v for %v, is granted at %v", id, accepted.requestedAt, accepted.announcedStart, m.now)
+		return fmt.Errorf("notice: %s, requested at %v and planned for %v, was granted at %v", id, accepted.requestedAt,
+			accepted.announcedStart, m.now)
 	}
 	if m.now+accepted.request.Duration > accepted.request.LatestEnd {
-		return fmt.Errorf("end: %s is granted too late", id)
+		return fmt.Errorf("end: %s was granted too late to end in time", id)
 	}
 	m.active[id] = &activeWindow{request: accepted.request, fence: w.Fence, start: m.now, end: m.now + accepted.request.Duration,
 		returned: -1,
@@ -425,7 +427,7 @@
 			}
 			for _, t := range times {
 				if have, want := m.available(sc, t, nil), modelFloorAt(steps, t); have < want-tolerance {
-					return fmt.Errorf("floor: %s granted at %v leaves %v of %v at %v, floor %v", id, m.now, have, sc, t, want)
+					return fmt.Errorf("floor: granting %s at %v leaves %v in %v at %v, floor %v", id, m.now, have, sc, t, want)
 				}
 			}
 		}
@@ -439,7 +441,7 @@
 	for sc, steps := range m.activeFloors {
 		if have, want := m.available(sc, m.now, nil), modelFloorAt(steps, m.now); have < want-tolerance &&
 			m.lastDisturbance < m.lastGrantIndex[sc] {
-			return fmt.Errorf("floor: %v has %v at %v, floor %v, and nothing happened", sc, have, m.now, want)
+			return fmt.Errorf("floor: %v has %v at %v, floor %v, without a disturbance", sc, have, m.now, want)
 		}
 	}
 	return nil
@@ -465,7 +467,7 @@
 			recallable := s == Granted || s == Draining || s == OutOfService && active.request.Recallable
 			without := func(x *activeWindow) bool { return returning(x) || x == active }
 			if recallable && m.available(sc, m.now, without) > m.available(sc, m.now, returning)+1 {
-				return fmt.Errorf("recall: %v is short of %v and %s is %v", sc, want, id, s)
+				return fmt.Errorf("recall: %v is below its floor %v, and %s is still %v", sc, want, id, s)
 			}
 		}
 	}
@@ -477,7 +479,7 @@
 	byID, ended := map[string]Window{}, 0
 	for _, w := range windows {
 		if _, duplicate := byID[w.Request.ID]; duplicate {
-			return fmt.Errorf("id: %s is two plans", w.Request.ID)
+			return fmt.Errorf("id: two plans have the id %s", w.Request.ID)
 		}
 		byID[w.Request.ID] = w
 		if w.State.Ended() {
@@ -494,10 +496,10 @@
 			continue
 		}
 		if !ok || w.State != accepted.state {
-			return fmt.Errorf("kept: %s is listed as %v (%v), told %v", id, w.State, ok, accepted.state)
+			return fmt.Errorf("kept: %s is listed as %v (found: %v), last announced as %v", id, w.State, ok, accepted.state)
 		}
 		if active := m.active[id]; active != nil && active.returned < 0 && m.now > active.end && w.State != Overdue {
-			return fmt.Errorf("overdue: %s is %v", id, w.State)
+			return fmt.Errorf("overdue: %s is past its end, but %v", id, w.State)
 		}
 	}
 	return nil
@@ -529,8 +531,8 @@
 
 const minute = time.Minute
 
-func newRun(draw func(n int) int, br faultInjection) *scheduleRun {
-	r := &scheduleRun{draw: draw, fault: br, stats: map[string]int{}}
+func newRun(draw func(n int) int, fault faultInjection) *scheduleRun {
+	r := &scheduleRun{draw: draw, fault: fault, stats: map[string]int{}}
 	r.first, _ = New(testSettings)
 	r.second, _ = New(testSettings)
 	settings := testSettings
@@ -583,7 +585,7 @@
 	}
 	secondSnapshot, _ := r.second.Snapshot()
 	if !bytes.Equal(firstSnapshot, secondSnapshot) {
-		return fmt.Errorf("same: states differ")
+		return fmt.Errorf("same: snapshots differ")
 	}
 	if r.draw(12) == 0 {
 		if r.second, err = Restore(secondSnapshot); err != nil {
@@ -602,8 +604,8 @@
 	}
 }
 
-func (r *scheduleRun) minutes(least, most int) time.Duration {
-	return time.Duration(least+r.draw(most-least+1)) * minute
+func (r *scheduleRun) minutes(lowest, highest int) time.Duration {
+	return time.Duration(lowest+r.draw(highest-lowest+1)) * minute
 }
 
 var testScopes = []Scope{{}, {Region: "r0"}, {Region: "r1"}, {"r0", "z0"}, {"r0", "z1"}, {"r1", "z0"}, {"r1", "z1"}}
--- a/fleet/window/plan.go
+++ b/fleet/window/plan.go
@@ -439,8 +439,7 @@
 // without one, or because the capacity out of service has changed.
 func (m *Machine) choosePlacements(plans []*plan) (best []placement, unplaced int) {
 	withinNotice := func(p *plan) bool {
-		return p.State == Planned && p.Start > m.now &&
-			p.Start-m.now < p.Notice
+		return p.State == Planned && p.Start > m.now && p.Start-m.now < p.Notice
 	}
 	planned := func(p *plan) bool { return p.State == Planned }
 	for i, strategy := range []struct {
@@ -448,8 +447,8 @@
 		order func(a, b *plan) int
 	}{{withinNotice, byPriority}, {withinNotice, byLatestEnd}, {planned, byPriority}} {
 		placements, count := m.placeAll(plans, strategy.keep, strategy.order), 0
-		for _, s := range placements {
-			if s.start < 0 && (s.plan.State == Planned || s.plan.Seq == 0) {
+		for _, placed := range placements {
+			if placed.start < 0 && (placed.plan.State == Planned || placed.plan.Seq == 0) {
 				count++
 			}
 		}
@@ -477,9 +476,9 @@
 		_, unplacedBefore = m.choosePlacements(m.ungrantedPlans())
 	}
 	placements, unplaced := m.choosePlacements(append(m.ungrantedPlans(), p))
-	for _, s := range placements {
-		if s.plan == p && s.start < 0 {
-			return "no room: " + s.reason.String()
+	for _, placed := range placements {
+		if placed.plan == p && placed.start < 0 {
+			return "no room: " + placed.reason.String()
 		}
 	}
 	if unplaced > unplacedBefore {
@@ -529,23 +528,23 @@
 // adopt applies placements and records the changes as events, in order of acceptance.
 func (m *Machine) adopt(placements []placement) {
 	slices.SortFunc(placements, func(a, b placement) int { return cmp.Compare(a.plan.Seq, b.plan.Seq) })
-	for _, s := range placements {
-		p, oldStart := s.plan, s.plan.Start
+	for _, placed := range placements {
+		p, oldStart := placed.plan, placed.plan.Start
 		switch {
-		case s.start < 0:
-			p.Reason = "no place: " + s.reason.String()
+		case placed.start < 0:
+			p.Reason = "no place: " + placed.reason.String()
 			if p.State == Planned {
 				m.setState(p, Requested, "")
 			}
 			continue
 		case p.State == Requested:
-			p.Start, p.Reason = s.start, ""
+			p.Start, p.Reason = placed.start, ""
 			m.setState(p, Planned, "")
-		case s.start != oldStart && (oldStart > m.now || s.start > m.now):
-			p.Start = s.start
+		case placed.start != oldStart && (oldStart > m.now || placed.start > m.now):
+			p.Start = placed.start
 			m.events = append(m.events, Event{Kind: EventStartMoved, Window: m.windowOf(p)})
 		default:
-			p.Start = s.start
+			p.Start = placed.start
 		}
 	}
 }
--- a/fleet/window/schedule_test.go
+++ b/fleet/window/schedule_test.go
@@ -44,7 +44,7 @@
 	}
 	for _, c := range []struct {
 		name, caught string
-		br           faultInjection
+		fault        faultInjection
 	}{
 		{"no floors", "floor:", faultInjection{beforeApply: func(m *Machine, e Entry) Entry {
 			if f, ok := e.(SetFloor); ok {
@@ -58,7 +58,7 @@
 			}
 			return e
 		}}},
-		{"failures unseen", "floor:", faultInjection{beforeApply: func(m *Machine, e Entry) Entry {
+		{"failures ignored", "floor:", faultInjection{beforeApply: func(m *Machine, e Entry) Entry {
 			if _, ok := e.(BackendsFailed); ok {
 				return BackendsFailed{}
 			}
@@ -74,13 +74,13 @@
 			}
 			return e
 		}}},
-		{"overdue taken for returned", "return:", faultInjection{beforeApply: func(m *Machine, e Entry) Entry {
+		{"overdue treated as returned", "return:", faultInjection{beforeApply: func(m *Machine, e Entry) Entry {
 			if _, ok := e.(Drained); ok {
 				eachOpenIn(m, Overdue, func(p *plan) { e = Returned{p.ID, p.Fence} })
 			}
 			return e
 		}}},
-		{"overdue unseen", "overdue:", faultInjection{beforeApply: func(m *Machine, e Entry) Entry {
+		{"overdue not detected", "overdue:", faultInjection{beforeApply: func(m *Machine, e Entry) Entry {
 			eachOpenIn(m, OutOfService, func(p *plan) { p.End = unboundedTime / 2 })
 			return e
 		}}},
@@ -88,7 +88,7 @@
 			eachOpenIn(m, Granted, func(p *plan) { p.State = Planned })
 			return e
 		}}},
-		{"fence that stands still", "fence:", faultInjection{afterApply: func(m *Machine, e Entry, a *Answer) {
+		{"fence does not grow", "fence:", faultInjection{afterApply: func(m *Machine, e Entry, a *Answer) {
 			eachOpenIn(m, Granted, func(p *plan) { p.Fence = 1 << fenceGrantBits })
 			for i := range a.Events {
 				if w := &a.Events[i].Window; w.State == Granted {
@@ -101,23 +101,23 @@
 				m.openPlans = m.openPlans[1:]
 			}
 		}}},
-		{"plan refused for nothing", "kept:", faultInjection{beforeApply: func(m *Machine, e Entry) Entry {
+		{"plan refused without cause", "kept:", faultInjection{beforeApply: func(m *Machine, e Entry) Entry {
 			eachOpenIn(m, Planned, func(p *plan) { p.LatestEnd = min(p.LatestEnd, p.Start+p.Duration-1) })
 			return e
 		}}},
-		{"stale confirmation taken", "stale:", faultInjection{beforeApply: func(m *Machine, e Entry) Entry {
+		{"stale confirmation accepted", "stale:", faultInjection{beforeApply: func(m *Machine, e Entry) Entry {
 			if c, ok := e.(Returned); ok && m.findPlan(c.ID) != nil {
 				return Returned{c.ID, m.findPlan(c.ID).Fence}
 			}
 			return e
 		}}},
-		{"id taken twice", "id:", faultInjection{beforeApply: func(m *Machine, e Entry) Entry {
+		{"id accepted with other content", "id:", faultInjection{beforeApply: func(m *Machine, e Entry) Entry {
 			if a, ok := e.(Request); ok && m.findPlan(a.ID) != nil {
 				m.findPlan(a.ID).Request = a
 			}
 			return e
 		}}},
-		{"two plans of one id", "id:", faultInjection{afterApply: func(m *Machine, e Entry, a *Answer) {
+		{"two plans with one id", "id:", faultInjection{afterApply: func(m *Machine, e Entry, a *Answer) {
 			if _, ok := e.(Request); ok && a.Result == Duplicate {
 				m.endedPlans = append(m.endedPlans, m.findPlan(a.Window.Request.ID))
 			}
@@ -134,20 +134,20 @@
 				})
 			}
 		}}},
-		{"floor in force at once", "pending:", faultInjection{afterApply: func(m *Machine, e Entry, a *Answer) {
+		{"breached floor put in force", "pending:", faultInjection{afterApply: func(m *Machine, e Entry, a *Answer) {
 			if f, ok := e.(SetFloor); ok && a.Result == Pending {
 				a.Result, a.Err = OK, ""
 				m.findFloor(f.Scope).Steps, m.findFloor(f.Scope).Pending = f.Steps, nil
 			}
 		}}},
-		{"no notice", "notice:", faultInjection{beforeApply: func(m *Machine, e Entry) Entry {
+		{"notice ignored", "notice:", faultInjection{beforeApply: func(m *Machine, e Entry) Entry {
 			if a, ok := e.(Request); ok {
 				a.Notice = 0
 				return a
 			}
 			return e
 		}}},
-		{"out with one confirmation", "drained:", faultInjection{beforeApply: func(m *Machine, e Entry) Entry {
+		{"out after one confirmation", "drained:", faultInjection{beforeApply: func(m *Machine, e Entry) Entry {
 			eachOpenIn(m, Draining, func(p *plan) {
 				if d, ok := e.(Drained); ok && d.ID == p.ID && d.Fence == p.Fence && slices.Contains(m.servingMembers, d.Member) {
 					p.Drained = slices.DeleteFunc(slices.Clone(m.servingMembers), func(s string) bool { return s == d.Member })
@@ -155,25 +155,25 @@
 			})
 			return e
 		}}},
-		{"state passed over", "states:", faultInjection{afterApply: func(m *Machine, e Entry, a *Answer) {
+		{"state skipped", "states:", faultInjection{afterApply: func(m *Machine, e Entry, a *Answer) {
 			for i := range a.Events {
 				if w := &a.Events[i].Window; w.State == Granted && a.Events[i].Kind == EventState {
 					w.State, m.findPlan(w.Request.ID).State = OutOfService, OutOfService
 				}
 			}
 		}}},
-		{"history without bound", "bounds:", faultInjection{beforeApply: func(m *Machine, e Entry) Entry {
+		{"unbounded history", "bounds:", faultInjection{beforeApply: func(m *Machine, e Entry) Entry {
 			m.settings.History = 1000
 			return e
 		}}},
-		{"replica apart in time", "same:", faultInjection{onSecondReplica: func(m *Machine) { m.now++ }}},
+		{"replica with another log time", "same:", faultInjection{onSecondReplica: func(m *Machine) { m.now++ }}},
 		{"replica with another order", "same:", faultInjection{onSecondReplica: func(m *Machine) { slices.Reverse(m.openPlans) }}},
 		{"replica that lost a plan", "same:", faultInjection{onSecondReplica: func(m *Machine) {
 			if len(m.endedPlans) > 0 {
 				m.endedPlans = m.endedPlans[1:]
 			}
 		}}},
-		{"time that skips", "time:", faultInjection{afterApply: func(m *Machine, e Entry,
+		{"log time off by one", "time:", faultInjection{afterApply: func(m *Machine, e Entry,
 			a *Answer) {
 			a.Now += time.Duration(a.Index % 2)
 		}}},
@@ -181,16 +181,16 @@
 		t.Run(c.name, func(t *testing.T) {
 			others := map[string]int{}
 			for seed := range uint64(400) {
-				err := newRun(seededDraw(seed), c.br).play(160)
+				err := newRun(seededDraw(seed), c.fault).play(160)
 				if err != nil && strings.HasPrefix(err.Error(), c.caught) {
-					t.Logf("caught by schedule %d: %v", seed, err)
+					t.Logf("detected by schedule %d: %v", seed, err)
 					return
 				}
 				if err != nil {
 					others[strings.SplitN(err.Error(), ":", 2)[0]]++
 				}
 			}
-			t.Errorf("not caught as %q; as %v", c.caught, others)
+			t.Errorf("no schedule failed with %q; other failures: %v", c.caught, others)
 		})
 	}
 }
