--- a/fleet/window/describe.go
+++ b/fleet/window/describe.go
@@ -105,11 +105,11 @@
 // Floors returns the floors in order of scope.
 func (m *Machine) Floors() []Floor {
 	var floors []Floor
-	forecast := m.forecast(true)
+	fc := m.forecast(true)
 	for _, f := range m.floors {
 		floors = append(floors, Floor{Scope: f.Scope, Steps: append([]Step(nil), f.Steps...),
 			Pending: append([]Step(nil), f.Pending...), Total: m.totalSizes[f.Scope],
-			Available: forecast.available(f.Scope, m.now),
+			Available: fc.available(f.Scope, m.now),
 			Required:  requiredAt(f.Steps, m.now)})
 	}
 	return floors
--- a/fleet/window/plan.go
+++ b/fleet/window/plan.go
@@ -143,7 +143,7 @@
 
 // capacityOut returns the capacity that the window takes from a scope at t, not counting
 // what its backends lack at that time for other reasons.
-func (r *reservation) capacityOut(forecast *forecast, sc Scope, t time.Duration) int64 {
+func (r *reservation) capacityOut(fc *forecast, sc Scope, t time.Duration) int64 {
 	if t < r.start || t >= r.finish {
 		return 0
 	}
@@ -159,7 +159,7 @@
 		if t >= r.end {
 			deficit = warmUpDeficit(b.Size, b.InitialPermille, b.WarmUpTime, t-r.end)
 		}
-		sum += max(0, deficit-forecast.impairment(b, t))
+		sum += max(0, deficit-fc.impairment(b, t))
 	}
 	return sum
 }
@@ -245,22 +245,22 @@
 
 // available returns the capacity that a scope has at t.
 func (fc *forecast) available(sc Scope, t time.Duration) int64 {
-	available := fc.machine.totalSizes[sc]
+	capacity := fc.machine.totalSizes[sc]
 	for _, b := range fc.impaired {
 		if sc.contains(b.Region, b.Zone) {
-			available -= fc.impairment(b, t)
+			capacity -= fc.impairment(b, t)
 		}
 	}
 	for _, reserved := range fc.byScope[sc] {
 		switch {
 		case t < reserved.start || t >= reserved.finish:
 		case t < reserved.end && !reserved.hasImpaired:
-			available -= reserved.size
+			capacity -= reserved.size
 		default:
-			available -= reserved.capacityOut(fc, sc, t)
+			capacity -= reserved.capacityOut(fc, sc, t)
 		}
 	}
-	return available
+	return capacity
 }
 
 // conflict is the reason why a window can't have a certain start.
@@ -291,9 +291,9 @@
 	}
 	var found conflict
 	for _, sc := range candidate.scopes {
-		floor := fc.machine.findFloor(sc)
+		f := fc.machine.findFloor(sc)
 		violatesAt := func(t time.Duration) bool {
-			available, required := fc.available(sc, t)-candidate.capacityOut(fc, sc, t), floor.required(t)
+			available, required := fc.available(sc, t)-candidate.capacityOut(fc, sc, t), f.required(t)
 			if available < required {
 				found = conflict{time: t, scope: sc, available: available, required: required}
 			}
@@ -308,7 +308,7 @@
 			}
 		}
 		violated := false
-		floor.eachStep(candidate.start, candidate.finish, func(t time.Duration) bool {
+		f.eachStep(candidate.start, candidate.finish, func(t time.Duration) bool {
 			violated = violatesAt(t)
 			return !violated
 		})
@@ -393,7 +393,7 @@
 // current starts and in order of start. The others, and those whose current start has a
 // conflict, follow in the given order.
 func (m *Machine) placeAll(plans []*plan, keep func(*plan) bool, order func(a, b *plan) int) []placement {
-	forecast := m.forecast(false)
+	fc := m.forecast(false)
 	var placements []placement
 	var remaining []*plan
 	fixed := slices.DeleteFunc(slices.Clone(plans), func(p *plan) bool {
@@ -406,11 +406,11 @@
 	for _, p := range fixed {
 		candidate := m.reservation(p, false)
 		candidate.setInterval(max(p.Start, m.now), p.Duration+m.settings.MaxTick)
-		if _, conflicts := forecast.findConflict(candidate); conflicts {
+		if _, conflicts := fc.findConflict(candidate); conflicts {
 			remaining = append(remaining, p)
 			continue
 		}
-		forecast.add(candidate)
+		fc.add(candidate)
 		placements = append(placements, placement{plan: p, start: candidate.start})
 	}
 	slices.SortFunc(remaining, order)
@@ -422,12 +422,12 @@
 		if first == m.now && p.Seq > 0 { // a grant by this entry needs no reserve of MaxTick
 			last = max(last, min(first, p.LatestEnd-p.Duration))
 		}
-		reason, ok := forecast.placeEarliest(candidate, length, first, last)
+		why, ok := fc.placeEarliest(candidate, length, first, last)
 		if !ok {
-			placements = append(placements, placement{plan: p, start: -1, reason: reason})
+			placements = append(placements, placement{plan: p, start: -1, reason: why})
 			continue
 		}
-		forecast.add(candidate)
+		fc.add(candidate)
 		placements = append(placements, placement{plan: p, start: candidate.start})
 	}
 	return placements
@@ -498,9 +498,9 @@
 // holdsWithoutRecovery reports whether all placements would stay free of conflicts if
 // failed backends and overdue windows never came back.
 func (m *Machine) holdsWithoutRecovery(placements []placement) bool {
-	forecast := m.forecast(true)
-	if !slices.ContainsFunc(forecast.impaired, func(b *backend) bool { return b.Failed }) &&
-		!slices.ContainsFunc(forecast.reservations,
+	fc := m.forecast(true)
+	if !slices.ContainsFunc(fc.impaired, func(b *backend) bool { return b.Failed }) &&
+		!slices.ContainsFunc(fc.reservations,
 			func(planned *reservation) bool { return planned.finish == unboundedTime }) {
 		return true
 	}
@@ -509,10 +509,10 @@
 			return false
 		}
 		reserved := m.reservation(planned.plan, true)
-		if _, conflicts := forecast.findConflict(reserved); conflicts {
+		if _, conflicts := fc.findConflict(reserved); conflicts {
 			return false
 		}
-		forecast.add(reserved)
+		fc.add(reserved)
 	}
 	return true
 }
@@ -552,15 +552,15 @@
 // findEarliestFeasible sets the earliest start that a refused plan could have had
 // without its latest end.
 func (m *Machine) findEarliestFeasible(p *plan) {
-	forecast := m.forecast(false)
+	fc := m.forecast(false)
 	for _, other := range m.ungrantedPlans() {
 		if other != p && other.State == Planned {
-			forecast.add(m.reservation(other, false))
+			fc.add(m.reservation(other, false))
 		}
 	}
 	candidate := m.reservation(p, false)
 	first := max(m.now+p.Notice, p.EarliestStart)
-	_, p.HasFeasible = forecast.placeEarliest(candidate, p.Duration+m.settings.MaxTick, first,
+	_, p.HasFeasible = fc.placeEarliest(candidate, p.Duration+m.settings.MaxTick, first,
 		max(first, m.now+m.settings.Horizon))
 	if p.EarliestFeasible = 0; p.HasFeasible {
 		p.EarliestFeasible = candidate.start
--- a/fleet/window/window.go
+++ b/fleet/window/window.go
@@ -441,8 +441,8 @@
 // each step of the next 24 h. Running windows only give capacity back and no other loss
 // is known in advance, so checking each step once is enough.
 func (m *Machine) floorWouldHold(sc Scope, steps []Step) bool {
-	forecast := m.forecast(true)
-	if forecast.available(sc, m.now) < requiredAt(steps, m.now) {
+	fc := m.forecast(true)
+	if fc.available(sc, m.now) < requiredAt(steps, m.now) {
 		return false
 	}
 	for _, s := range steps {
@@ -450,7 +450,7 @@
 		if next < m.now {
 			next += day
 		}
-		if forecast.available(sc, next) < s.Capacity {
+		if fc.available(sc, next) < s.Capacity {
 			return false
 		}
 	}
@@ -460,21 +460,21 @@
 // recallForFloors recalls windows, the latest grant first, until each floor that is
 // breached would be met with the capacity that is on its way back.
 func (m *Machine) recallForFloors() {
-	forecast := m.forecast(true)
-	for _, floor := range m.floors {
-		required := requiredAt(floor.Steps, m.now)
-		available := forecast.available(floor.Scope, m.now)
-		if available >= required {
+	fc := m.forecast(true)
+	for _, f := range m.floors {
+		required := requiredAt(f.Steps, m.now)
+		capacity := fc.available(f.Scope, m.now)
+		if capacity >= required {
 			continue
 		}
 		var recallable []*reservation
-		for _, reserved := range forecast.reservations {
-			freed := reserved.capacityOut(forecast, floor.Scope, m.now)
+		for _, reserved := range fc.reservations {
+			freed := reserved.capacityOut(fc, f.Scope, m.now)
 			switch {
 			case freed == 0:
 			case reserved.plan.WasRecalled || reserved.plan.State == Returning ||
 				reserved.plan.State == Overdue:
-				available += freed
+				capacity += freed
 			case reserved.plan.State == Granted, reserved.plan.State == Draining,
 				reserved.plan.State == OutOfService && reserved.plan.Recallable:
 				recallable = append(recallable, reserved)
@@ -485,13 +485,13 @@
 				a.plan.Fence)
 		})
 		for _, reserved := range recallable {
-			if available >= required {
+			if capacity >= required {
 				break
 			}
-			available += reserved.capacityOut(forecast, floor.Scope, m.now)
+			capacity += reserved.capacityOut(fc, f.Scope, m.now)
 			reserved.plan.WasRecalled = true
 			m.setState(reserved.plan, Recalled, fmt.Sprintf("recalled: %s is below its floor %d",
-				scopeName(floor.Scope), required))
+				scopeName(f.Scope), required))
 		}
 	}
 }
@@ -504,11 +504,11 @@
 	})
 	slices.SortFunc(due, byPriority)
 	for _, p := range due {
-		forecast := m.forecast(true)
+		fc := m.forecast(true)
 		candidate := m.reservation(p, true)
 		candidate.setInterval(m.now, p.Duration)
-		if conflict, found := forecast.findConflict(candidate); found {
-			p.Reason = "waits: " + conflict.String()
+		if reason, found := fc.findConflict(candidate); found {
+			p.Reason = "waits: " + reason.String()
 			m.needsReplan = true
 			continue
 		}
@@ -535,17 +535,17 @@
 // reportFloorChanges records an event for each floor that became breached or is met
 // again.
 func (m *Machine) reportFloorChanges() {
-	forecast := m.forecast(true)
-	for _, floor := range m.floors {
-		available, required := forecast.available(floor.Scope, m.now), requiredAt(floor.Steps, m.now)
-		if belowFloor := available < required; belowFloor != floor.BelowFloor {
-			floor.BelowFloor = belowFloor
+	fc := m.forecast(true)
+	for _, f := range m.floors {
+		capacity, required := fc.available(f.Scope, m.now), requiredAt(f.Steps, m.now)
+		if belowFloor := capacity < required; belowFloor != f.BelowFloor {
+			f.BelowFloor = belowFloor
 			kind := EventFloorRestored
 			if belowFloor {
 				kind = EventBelowFloor
 			}
-			m.events = append(m.events, Event{Kind: kind, Scope: floor.Scope, Required: required,
-				Available: available})
+			m.events = append(m.events, Event{Kind: kind, Scope: f.Scope, Required: required,
+				Available: capacity})
 		}
 	}
 }
