--- a/fleet/window/makespan_test.go
+++ b/fleet/window/makespan_test.go
@@ -113,8 +113,8 @@
 }
 
 // lowerBound returns a lower bound of the makespan, the largest of: in each scope the
-// work, with warm-ups, over the free capacity; the longest plan; and for each backend
-// the sum of the plans that name it.
+// work, with warm-ups, over the free capacity; the plans that can't overlap; the longest
+// plan; and for each backend the sum of the plans that name it.
 func (s *makespanSet) lowerBound() time.Duration {
 	var longest time.Duration
 	work := map[Scope]map[time.Duration]float64{} // size times minutes, by earliest start
@@ -126,35 +126,35 @@
 	}
 	for _, p := range s.plans {
 		first := max(p.EarliestStart, p.Notice)
-		warm := time.Duration(0)
-		add := func(region, zone string, size, initialPermille int64, workByStart time.Duration) {
-			warm = max(warm, workByStart)
+		longestWarmUp := time.Duration(0)
+		add := func(region, zone string, size, initialPermille int64, warmUp time.Duration) {
+			longestWarmUp = max(longestWarmUp, warmUp)
 			for _, sc := range scopesOf(region, zone) {
 				if work[sc] == nil {
 					work[sc] = map[time.Duration]float64{}
 				}
-				work[sc][first] += float64(size) * (p.Duration.Minutes() + workByStart.Minutes()*(1-float64(initialPermille)/1000)/2)
+				work[sc][first] += float64(size) * (p.Duration.Minutes() + warmUp.Minutes()*(1-float64(initialPermille)/1000)/2)
 			}
 		}
 		if p.Amount > 0 {
-			initialPermille, workByStart := int64(1000), time.Duration(0)
+			initialPermille, warmUp := int64(1000), time.Duration(0)
 			for _, b := range s.backends {
 				if b.Region == p.Region && b.Zone == p.Zone {
-					initialPermille, workByStart = min(initialPermille, b.InitialPermille), max(workByStart, b.WarmUpTime)
+					initialPermille, warmUp = min(initialPermille, b.InitialPermille), max(warmUp, b.WarmUpTime)
 				}
 			}
-			add(p.Region, p.Zone, p.Amount, initialPermille, workByStart)
+			add(p.Region, p.Zone, p.Amount, initialPermille, warmUp)
 		}
 		for _, id := range p.Backends {
 			b := byID[id]
 			add(b.Region, b.Zone, b.Size, b.InitialPermille, b.WarmUpTime)
 		}
-		longest = max(longest, first+p.Duration+warm)
+		longest = max(longest, first+p.Duration+longestWarmUp)
 		for _, id := range p.Backends {
 			if old, ok := chainStart[id]; !ok || first < old {
 				chainStart[id] = first
 			}
-			chainLength[id] += p.Duration + warm
+			chainLength[id] += p.Duration + longestWarmUp
 			longest = max(longest, chainStart[id]+chainLength[id])
 		}
 	}
--- a/fleet/window/window.go
+++ b/fleet/window/window.go
@@ -19,7 +19,7 @@
 	MaxPriority     = 9
 
 	day           = 24 * time.Hour
-	unboundedTime = time.Duration(1) << 62
+	unboundedTime = time.Duration(1) << 62 // after any log time
 	maxLogTime    = time.Duration(1) << 60 // end of log time: 36 years
 )
 
@@ -31,7 +31,8 @@
 // zero field takes its default.
 type Settings struct {
 	MaxTick time.Duration `cbor:"MaxTick"` // longest Tick accepted; default 10 s, at most 1 h
-	// Overdue or failed capacity is planned to be back after this; default 10 min.
+	// Plans assume that overdue or failed capacity is back after this time, or after as
+	// long again as it has been missing if that is longer; default 10 min.
 	Overrun time.Duration `cbor:"Overrun"`
 	// How far ahead LatestEnd may lie; default 14 d, at most 60 d.
 	Horizon     time.Duration `cbor:"Horizon"`
@@ -159,7 +160,7 @@
 	Fence Fence         `cbor:"26,keyasint,omitempty"`
 	// Members that have confirmed the drain, sorted.
 	Drained     []string      `cbor:"27,keyasint,omitempty"`
-	Returned    time.Duration `cbor:"28,keyasint,omitempty"`
+	Returned    time.Duration `cbor:"28,keyasint,omitempty"` // confirmed return
 	WasRecalled bool          `cbor:"29,keyasint,omitempty"`
 	Reason      string        `cbor:"30,keyasint,omitempty"`
 	// Of a refused plan: earliest feasible start.
@@ -266,7 +267,7 @@
 	Drained int           `cbor:"Drained"` // members that have confirmed the drain
 	Serving int           `cbor:"Serving"` // members that have to confirm it
 	Reason  string        `cbor:"Why"`
-	// Of a refused plan: earliest feasible start when refused; -1: none.
+	// Of a refused plan: the earliest start that was feasible when it was refused; -1: none.
 	EarliestFeasible time.Duration `cbor:"Could"`
 }
 
@@ -480,10 +481,8 @@
 				recallable = append(recallable, reserved)
 			}
 		}
-		slices.SortFunc(recallable, func(a, b *reservation) int {
-			return cmp.Compare(b.plan.Fence,
-				a.plan.Fence)
-		})
+		slices.SortFunc(recallable,
+			func(a, b *reservation) int { return cmp.Compare(b.plan.Fence, a.plan.Fence) })
 		for _, reserved := range recallable {
 			if capacity >= required {
 				break
