--- a/fleet/window/plan.go
+++ b/fleet/window/plan.go
@@ -8,40 +8,41 @@
 	"time"
 )
 
-// at is what steps ask for at time t.
-func at(steps []Step, t time.Duration) int64 {
+// requiredAt returns the capacity that steps require at logTime.
+func requiredAt(steps []Step, logTime time.Duration) int64 {
 	if len(steps) == 0 {
 		return 0
 	}
-	t %= day
-	v := steps[len(steps)-1].Floor
+	logTime %= day
+	required := steps[len(steps)-1].Capacity
 	for _, s := range steps {
-		if s.From > t {
+		if s.From > logTime {
 			break
 		}
-		v = s.Floor
+		required = s.Capacity
 	}
-	return v
+	return required
 }
 
-// required is what grants must leave in a scope at t: the floor in force, and the
-// one that is pending.
+// required returns the capacity that grants must leave in a scope at t: the higher one
+// of the floor in force and the pending floor.
 func (f *floor) required(t time.Duration) int64 {
 	if f == nil {
 		return 0
 	}
-	return max(at(f.Steps, t), at(f.Next, t))
+	return max(requiredAt(f.Steps, t), requiredAt(f.Pending, t))
 }
 
-// eachStep calls do for each step of the floors over (from, to), until it says no.
-func (f *floor) eachStep(from, to time.Duration, do func(time.Duration) bool) {
+// eachStep calls visit with the time of each floor step between from and to, both
+// exclusive, until visit returns false.
+func (f *floor) eachStep(from, to time.Duration, visit func(time.Duration) bool) {
 	if f == nil {
 		return
 	}
 	for midnight := from - from%day; midnight < to; midnight += day {
-		for _, steps := range [2][]Step{f.Steps, f.Next} {
+		for _, steps := range [2][]Step{f.Steps, f.Pending} {
 			for _, s := range steps {
-				if t := midnight + s.From; t > from && t < to && !do(t) {
+				if t := midnight + s.From; t > from && t < to && !visit(t) {
 					return
 				}
 			}
@@ -49,121 +50,126 @@
 	}
 }
 
-// missing is what a backend of this size lacks for a time into its warm-up: linear,
-// rounded up so that a sum never promises more than there is.
-func missing(size, cold int64, warm, into time.Duration) int64 {
-	if into >= warm {
+// warmUpDeficit returns the capacity that a backend of this size lacks when elapsed of
+// its warm-up has passed. The deficit falls linearly and is rounded up, so that a sum of
+// capacities never exceeds what is available.
+func warmUpDeficit(size, initialPermille int64, warmUp, elapsed time.Duration) int64 {
+	if elapsed >= warmUp {
 		return 0
 	}
-	hi, lo := bits.Mul64(uint64(size*(1000-cold)), uint64(warm-max(into, 0)))
-	q, r := bits.Div64(hi, lo, uint64(1000*warm))
-	if r > 0 {
-		q++
-	}
-	return int64(q)
-}
-
-// span is a window on the planner's time line: its parts are wholly out from start
-// to end, and missing what their warm-up lacks until finish.
-type span struct {
-	p          *plan
-	start, end time.Duration
-	finish     time.Duration
-	warm       time.Duration // the longest of its parts
-	parts      []*backend    // for an amount: one that stands for it
-	named      bool
-	scopes     []Scope
-	whole      []int64 // by scope, while it is wholly out
-	ails       bool    // some part is out by itself as well
-}
-
-// span lays out a plan as it stands; strict is about windows past their end.
-func (m *Machine) span(p *plan, strict bool) *span {
-	s := &span{p: p, named: p.Amount == 0, scopes: []Scope{{}, {Region: p.Region}}}
-	if s.named {
+	high, low := bits.Mul64(uint64(size*(1000-initialPermille)), uint64(warmUp-max(elapsed, 0)))
+	deficit, remainder := bits.Div64(high, low, uint64(1000*warmUp))
+	if remainder > 0 {
+		deficit++
+	}
+	return int64(deficit)
+}
+
+// reservation is a window on the planner's time line: its backends are out of service
+// from start to end, and then warm up until finish.
+type reservation struct {
+	plan          *plan
+	start, end    time.Duration
+	finish        time.Duration
+	longestWarmUp time.Duration // longest warm-up of its backends
+	backends      []*backend    // for an amount: a single synthetic backend of that size
+	namesBackends bool
+	scopes        []Scope
+	fullSizes     []int64 // per scope: capacity taken between start and end
+	hasImpaired   bool    // some backend has failed or warms up for another reason
+}
+
+// reservation returns the reservation of a plan in its present state. With strict set,
+// a window past its end does not end; otherwise it is assumed to end later.
+func (m *Machine) reservation(p *plan, strict bool) *reservation {
+	reserved := &reservation{plan: p, namesBackends: p.Amount == 0, scopes: []Scope{{}, {Region: p.Region}}}
+	if reserved.namesBackends {
 		for _, id := range p.Backends {
-			s.parts = append(s.parts, m.backend(id))
+			reserved.backends = append(reserved.backends, m.findBackend(id))
 		}
 	} else {
-		b := &backend{Backend: Backend{Region: p.Region, Zone: p.Zone, Size: p.Amount, Cold: 1000}}
-		for _, o := range m.backends {
-			if o.Region == p.Region && o.Zone == p.Zone {
-				b.Warm, b.Cold = max(b.Warm, o.Warm), min(b.Cold, o.Cold)
+		b := &backend{Backend: Backend{Region: p.Region, Zone: p.Zone, Size: p.Amount, InitialPermille: 1000}}
+		for _, zoneBackend := range m.backends {
+			if zoneBackend.Region == p.Region && zoneBackend.Zone == p.Zone {
+				b.WarmUpTime, b.InitialPermille = max(b.WarmUpTime, zoneBackend.WarmUpTime),
+					min(b.InitialPermille, zoneBackend.InitialPermille)
 			}
 		}
-		s.parts = []*backend{b}
+		reserved.backends = []*backend{b}
 	}
-	for _, b := range s.parts {
-		s.warm = max(s.warm, b.Warm)
-		s.ails = s.ails || b.Failed || b.Ramp
-		if sc := (Scope{b.Region, b.Zone}); !slices.Contains(s.scopes, sc) {
-			s.scopes = append(s.scopes, sc)
+	for _, b := range reserved.backends {
+		reserved.longestWarmUp = max(reserved.longestWarmUp, b.WarmUpTime)
+		reserved.hasImpaired = reserved.hasImpaired || b.Failed || b.WarmingUp
+		if sc := (Scope{b.Region, b.Zone}); !slices.Contains(reserved.scopes, sc) {
+			reserved.scopes = append(reserved.scopes, sc)
 		}
 	}
-	s.whole = make([]int64, len(s.scopes))
-	for i, sc := range s.scopes {
-		for _, b := range s.parts {
-			if sc.holds(b.Region, b.Zone) {
-				s.whole[i] += b.Size
+	reserved.fullSizes = make([]int64, len(reserved.scopes))
+	for i, sc := range reserved.scopes {
+		for _, b := range reserved.backends {
+			if sc.contains(b.Region, b.Zone) {
+				reserved.fullSizes[i] += b.Size
 			}
 		}
 	}
 	switch {
 	case p.State <= Planned:
-		s.move(p.Start, p.Duration+m.set.MaxTick)
-	case p.State == Warm:
-		s.move(p.Start, p.Returned-p.Start)
-	case m.now < p.End, m.now == p.End && !strict: // by the last entry at its end it may be back in time
-		s.move(p.Start, p.End-p.Start)
-	case strict: // not back, and nobody knows when it will be
-		s.start, s.end, s.finish = p.Start, never, never
-	default: // as long again as it is late
-		s.move(p.Start, m.now+max(m.set.Overrun, m.now-p.End)-p.Start)
+		reserved.setInterval(p.Start, p.Duration+m.settings.MaxTick)
+	case p.State == WarmingUp:
+		reserved.setInterval(p.Start, p.Returned-p.Start)
+	case m.now < p.End, m.now == p.End && !strict: // an entry at exactly the end may still confirm the return
+		reserved.setInterval(p.Start, p.End-p.Start)
+	case strict: // not returned: the end is unknown
+		reserved.start, reserved.end, reserved.finish = p.Start, unboundedTime, unboundedTime
+	default: // assume that it stays overdue for as long again, or for Overrun
+		reserved.setInterval(p.Start, m.now+max(m.settings.Overrun, m.now-p.End)-p.Start)
 	}
-	return s
+	return reserved
 }
 
-func (s *span) move(start, length time.Duration) {
-	s.start, s.end = start, start+length
-	s.finish = s.end + s.warm
+func (r *reservation) setInterval(start, length time.Duration) {
+	r.start, r.end = start, start+length
+	r.finish = r.end + r.longestWarmUp
 }
 
-// all is what the window takes from a scope while it is wholly out.
-func (s *span) all(sc Scope) int64 {
-	if i := slices.Index(s.scopes, sc); i >= 0 {
-		return s.whole[i]
+// fullSize returns the capacity that the window takes from a scope between start and
+// end.
+func (r *reservation) fullSize(sc Scope) int64 {
+	if i := slices.Index(r.scopes, sc); i >= 0 {
+		return r.fullSizes[i]
 	}
 	return 0
 }
 
-// out is what the window takes from a scope at t, beyond what is out by itself.
-func (s *span) out(v *view, sc Scope, t time.Duration) int64 {
-	if t < s.start || t >= s.finish {
+// capacityOut returns the capacity that the window takes from a scope at t, not counting
+// what its backends lack at that time for other reasons.
+func (r *reservation) capacityOut(fc *forecast, sc Scope, t time.Duration) int64 {
+	if t < r.start || t >= r.finish {
 		return 0
 	}
-	if t < s.end && !s.ails {
-		return s.all(sc)
+	if t < r.end && !r.hasImpaired {
+		return r.fullSize(sc)
 	}
 	var sum int64
-	for _, b := range s.parts {
-		if !sc.holds(b.Region, b.Zone) {
+	for _, b := range r.backends {
+		if !sc.contains(b.Region, b.Zone) {
 			continue
 		}
-		lack := b.Size
-		if t >= s.end {
-			lack = missing(b.Size, b.Cold, b.Warm, t-s.end)
+		deficit := b.Size
+		if t >= r.end {
+			deficit = warmUpDeficit(b.Size, b.InitialPermille, b.WarmUpTime, t-r.end)
 		}
-		sum += max(0, lack-v.ailing(b, t))
+		sum += max(0, deficit-fc.impairment(b, t))
 	}
 	return sum
 }
 
-// shares says whether two windows want the same backend.
-func (s *span) shares(o *span) bool {
-	if !s.named || !o.named {
+// sharesBackend reports whether both windows name a common backend.
+func (r *reservation) sharesBackend(other *reservation) bool {
+	if !r.namesBackends || !other.namesBackends {
 		return false
 	}
-	a, b := s.p.Backends, o.p.Backends
+	a, b := r.plan.Backends, other.plan.Backends
 	for i, j := 0, 0; i < len(a) && j < len(b); {
 		switch c := cmp.Compare(a[i], b[j]); {
 		case c == 0:
@@ -177,384 +183,397 @@
 	return false
 }
 
-// view is what is known of the time from now on. Strict, what is overdue or failed
-// stays so: that is what a grant rests on. Else it comes back after a while, which
-// is what a plan is made on.
-type view struct {
-	m      *Machine
-	strict bool
-	spans  []*span
-	takes  map[Scope][]take // of spans, by scope
-	sick   []*backend       // out by themselves, wholly or by warm-up
+// forecast is the known capacity from now on. If strict, overdue windows and failed
+// backends stay out; grants are decided on this. Otherwise they are assumed to come back
+// after a while; plans are made on that.
+type forecast struct {
+	machine      *Machine
+	strict       bool
+	reservations []*reservation
+	byScope      map[Scope][]scopeReservation // the reservations by scope
+	impaired     []*backend                   // failed, or warming up after a failure or registration
 }
 
-// take is a window as one scope sees it.
-type take struct {
-	*span
-	whole int64
+// scopeReservation is a reservation with its full size in one scope.
+type scopeReservation struct {
+	*reservation
+	size int64
 }
 
-func (v *view) add(s *span) {
-	v.spans = append(v.spans, s)
-	for i, sc := range s.scopes {
-		v.takes[sc] = append(v.takes[sc], take{s, s.whole[i]})
+func (fc *forecast) add(reserved *reservation) {
+	fc.reservations = append(fc.reservations, reserved)
+	for i, sc := range reserved.scopes {
+		fc.byScope[sc] = append(fc.byScope[sc], scopeReservation{reserved, reserved.fullSizes[i]})
 	}
 }
 
-// view has the windows that are running.
-func (m *Machine) view(strict bool) *view {
-	v := &view{m: m, strict: strict, takes: map[Scope][]take{}}
-	for _, p := range m.open {
+// forecast returns a forecast that holds the granted windows.
+func (m *Machine) forecast(strict bool) *forecast {
+	fc := &forecast{machine: m, strict: strict, byScope: map[Scope][]scopeReservation{}}
+	for _, p := range m.openPlans {
 		if p.State > Planned {
-			v.add(m.span(p, strict))
+			fc.add(m.reservation(p, strict))
 		}
 	}
 	for _, b := range m.backends {
-		if b.Failed || b.Ramp {
-			v.sick = append(v.sick, b)
+		if b.Failed || b.WarmingUp {
+			fc.impaired = append(fc.impaired, b)
 		}
 	}
-	return v
+	return fc
 }
 
-// back is when a failed backend is taken to come back.
-func (v *view) back(b *backend) time.Duration {
-	return v.m.now + max(v.m.set.Overrun, v.m.now-b.Since)
+// assumedRecovery returns the time at which a failed backend is assumed to be back:
+// after it has been down for as long again, and no sooner than Overrun from now.
+func (fc *forecast) assumedRecovery(b *backend) time.Duration {
+	return fc.machine.now + max(fc.machine.settings.Overrun, fc.machine.now-b.Since)
 }
 
-// ailing is what a backend lacks by itself at t.
-func (v *view) ailing(b *backend, t time.Duration) int64 {
+// impairment returns the capacity that a backend lacks at t through a failure or a
+// warm-up that is not part of a window.
+func (fc *forecast) impairment(b *backend, t time.Duration) int64 {
 	switch {
-	case b.Failed && (v.strict || t < v.back(b)):
+	case b.Failed && (fc.strict || t < fc.assumedRecovery(b)):
 		return b.Size
 	case b.Failed:
-		return missing(b.Size, b.Cold, b.Warm, t-v.back(b))
-	case b.Ramp:
-		return missing(b.Size, b.Cold, b.Warm, t-b.Since)
+		return warmUpDeficit(b.Size, b.InitialPermille, b.WarmUpTime, t-fc.assumedRecovery(b))
+	case b.WarmingUp:
+		return warmUpDeficit(b.Size, b.InitialPermille, b.WarmUpTime, t-b.Since)
 	}
 	return 0
 }
 
-// room is what a scope has at t.
-func (v *view) room(sc Scope, t time.Duration) int64 {
-	have := v.m.totals[sc]
-	for _, b := range v.sick {
-		if sc.holds(b.Region, b.Zone) {
-			have -= v.ailing(b, t)
+// available returns the capacity that a scope has at t.
+func (fc *forecast) available(sc Scope, t time.Duration) int64 {
+	capacity := fc.machine.totalSizes[sc]
+	for _, b := range fc.impaired {
+		if sc.contains(b.Region, b.Zone) {
+			capacity -= fc.impairment(b, t)
 		}
 	}
-	for _, s := range v.takes[sc] {
+	for _, reserved := range fc.byScope[sc] {
 		switch {
-		case t < s.start || t >= s.finish:
-		case t < s.end && !s.ails:
-			have -= s.whole
+		case t < reserved.start || t >= reserved.finish:
+		case t < reserved.end && !reserved.hasImpaired:
+			capacity -= reserved.size
 		default:
-			have -= s.out(v, sc, t)
+			capacity -= reserved.capacityOut(fc, sc, t)
 		}
 	}
-	return have
+	return capacity
 }
 
-// clash is why a window can't be at a place.
-type clash struct {
-	at         time.Duration // any start from the one tried to this clashes as well
-	plan       string        // that has a backend of it; or:
-	scope      Scope
-	have, want int64
+// conflict is the reason why a window can't have a certain start.
+type conflict struct {
+	time                time.Duration // every start from the tried one up to this time conflicts too
+	plan                string        // the plan that shares a backend; or, if empty, the floor:
+	scope               Scope
+	available, required int64
 }
 
-func (c clash) String() string {
+func (c conflict) String() string {
 	if c.plan != "" {
 		return "plan " + c.plan + " has a backend of it"
 	}
-	return fmt.Sprintf("%s would have %d at %s and its floor is %d", name(c.scope), c.have, stamp(c.at), c.want)
+	return fmt.Sprintf("%s would have %d at %s and its floor is %d", scopeName(c.scope), c.available,
+		formatLogTime(c.time), c.required)
 }
 
-// clash looks for a moment at which s leaves too little. What is out only grows at
-// the starts of windows and what is asked for only at steps, so these are all the
-// moments to look at.
-func (v *view) clash(s *span) (clash, bool) {
-	for _, o := range v.spans {
-		if s.start < o.finish && o.start < s.finish && s.shares(o) {
-			return clash{at: o.finish - 1, plan: o.p.ID}, true
+// findConflict returns the first conflict of candidate with the other reservations or a floor.
+// Capacity out of service only grows when a window starts, and requirements only change
+// at floor steps, so checking those times is enough.
+func (fc *forecast) findConflict(candidate *reservation) (conflict, bool) {
+	for _, other := range fc.reservations {
+		if candidate.start < other.finish && other.start < candidate.finish &&
+			candidate.sharesBackend(other) {
+			return conflict{time: other.finish - 1, plan: other.plan.ID}, true
 		}
 	}
-	var found clash
-	for _, sc := range s.scopes {
-		f := v.m.floor(sc)
-		fails := func(t time.Duration) bool {
-			have, want := v.room(sc, t)-s.out(v, sc, t), f.required(t)
-			if have < want {
-				found = clash{at: t, scope: sc, have: have, want: want}
+	var found conflict
+	for _, sc := range candidate.scopes {
+		f := fc.machine.findFloor(sc)
+		violatesAt := func(t time.Duration) bool {
+			available, required := fc.available(sc, t)-candidate.capacityOut(fc, sc, t), f.required(t)
+			if available < required {
+				found = conflict{time: t, scope: sc, available: available, required: required}
 			}
-			return have < want
+			return available < required
 		}
-		if fails(s.start) {
+		if violatesAt(candidate.start) {
 			return found, true
 		}
-		for _, o := range v.takes[sc] {
-			if o.start > s.start && o.start < s.finish && fails(o.start) {
+		for _, other := range fc.byScope[sc] {
+			if other.start > candidate.start && other.start < candidate.finish && violatesAt(other.start) {
 				return found, true
 			}
 		}
-		bad := false
-		f.eachStep(s.start, s.finish, func(t time.Duration) bool {
-			bad = fails(t)
-			return !bad
+		violated := false
+		f.eachStep(candidate.start, candidate.finish, func(t time.Duration) bool {
+			violated = violatesAt(t)
+			return !violated
 		})
-		if bad {
+		if violated {
 			return found, true
 		}
 	}
-	return clash{}, false
+	return conflict{}, false
 }
 
-// place moves s to the earliest start from first to last, and returns why not.
-// Room only grows when something comes back or a floor falls, so these are the
-// starts to try (with some moments of each warm-up). Where one clashes at a moment,
-// each start up to that moment does.
-func (v *view) place(s *span, length, first, last time.Duration) (c clash, ok bool) {
+// placeEarliest moves candidate to the earliest start between first and last that has no
+// conflict. If there is none, it returns false with a conflict. Available capacity only
+// grows when something comes back or a floor falls, so those times are the candidates
+// (with some samples within each warm-up). A conflict at some time rules out all starts
+// up to that time.
+func (fc *forecast) placeEarliest(
+	candidate *reservation, length, first, last time.Duration,
+) (reason conflict, ok bool) {
 	starts := []time.Duration{first}
-	add := func(t time.Duration) {
+	addStart := func(t time.Duration) {
 		if t > first && t <= last {
 			starts = append(starts, t)
 		}
 	}
-	ramp := func(from, to time.Duration) {
-		const parts = 8
-		for k := range time.Duration(parts) {
-			add(from + (to-from)/parts*k)
+	addWarmUp := func(from, to time.Duration) {
+		const samples = 8
+		for k := range time.Duration(samples) {
+			addStart(from + (to-from)/samples*k)
 		}
-		add(to)
+		addStart(to)
 	}
-	for _, o := range v.spans {
-		ramp(o.end, o.finish)
+	for _, reserved := range fc.reservations {
+		addWarmUp(reserved.end, reserved.finish)
 	}
-	for _, b := range v.sick {
+	for _, b := range fc.impaired {
 		if b.Failed {
-			ramp(v.back(b), v.back(b)+b.Warm)
+			addWarmUp(fc.assumedRecovery(b), fc.assumedRecovery(b)+b.WarmUpTime)
 		} else {
-			ramp(b.Since, b.Since+b.Warm)
+			addWarmUp(b.Since, b.Since+b.WarmUpTime)
 		}
 	}
-	for _, sc := range s.scopes {
-		v.m.floor(sc).eachStep(first, last+1, func(t time.Duration) bool { add(t); return true })
+	for _, sc := range candidate.scopes {
+		fc.machine.findFloor(sc).eachStep(first, last+1,
+			func(t time.Duration) bool { addStart(t); return true })
 	}
 	slices.Sort(starts)
-	for skip, i := first, 0; i < len(starts) && starts[i] <= last; i++ {
-		if starts[i] < skip {
+	for notBefore, i := first, 0; i < len(starts) && starts[i] <= last; i++ {
+		if starts[i] < notBefore {
 			continue
 		}
-		s.move(starts[i], length)
-		bad := false
-		if c, bad = v.clash(s); !bad {
-			return c, true
+		candidate.setInterval(starts[i], length)
+		conflicts := false
+		if reason, conflicts = fc.findConflict(candidate); !conflicts {
+			return reason, true
 		}
-		skip = c.at + 1
+		notBefore = reason.time + 1
 	}
-	return c, false
+	return reason, false
 }
 
-// byList is the order of list scheduling.
-func byList(a, b *plan) int {
+// byPriority is the order of the list scheduler.
+func byPriority(a, b *plan) int {
 	return cmp.Or(cmp.Compare(b.Priority, a.Priority),
-		cmp.Compare(a.Latest, b.Latest), cmp.Compare(a.Seq, b.Seq))
+		cmp.Compare(a.LatestEnd, b.LatestEnd), cmp.Compare(a.Seq, b.Seq))
 }
 
-func byLatest(a, b *plan) int {
-	return cmp.Or(cmp.Compare(a.Latest, b.Latest),
+func byLatestEnd(a, b *plan) int {
+	return cmp.Or(cmp.Compare(a.LatestEnd, b.LatestEnd),
 		cmp.Compare(b.Priority, a.Priority), cmp.Compare(a.Seq, b.Seq))
 }
 
-func byStart(a, b *plan) int { return cmp.Or(cmp.Compare(a.Start, b.Start), byList(a, b)) }
+func byStart(a, b *plan) int { return cmp.Or(cmp.Compare(a.Start, b.Start), byPriority(a, b)) }
 
-// slot is where a plan may be: place is -1 for nowhere.
-type slot struct {
-	p     *plan
-	place time.Duration
-	why   clash
+// placement is the start found for a plan; start is -1 if there is none.
+type placement struct {
+	plan   *plan
+	start  time.Duration
+	reason conflict
 }
 
-// lay places plans. Those that keep says keep their starts are laid first, by
-// start; the others, and those of them whose start does not do, by order.
-func (m *Machine) lay(plans []*plan, keep func(*plan) bool, order func(a, b *plan) int) []slot {
-	v := m.view(false)
-	var slots []slot
-	var rest []*plan
-	kept := slices.DeleteFunc(slices.Clone(plans), func(p *plan) bool {
+// placeAll places plans. Those for which keep returns true are placed first, at their
+// current starts and in order of start. The others, and those whose current start has a
+// conflict, follow in the given order.
+func (m *Machine) placeAll(plans []*plan, keep func(*plan) bool, order func(a, b *plan) int) []placement {
+	fc := m.forecast(false)
+	var placements []placement
+	var remaining []*plan
+	fixed := slices.DeleteFunc(slices.Clone(plans), func(p *plan) bool {
 		if !keep(p) {
-			rest = append(rest, p)
+			remaining = append(remaining, p)
 		}
 		return !keep(p)
 	})
-	slices.SortFunc(kept, byStart)
-	for _, p := range kept {
-		s := m.span(p, false)
-		s.move(max(p.Start, m.now), p.Duration+m.set.MaxTick)
-		if _, bad := v.clash(s); bad {
-			rest = append(rest, p)
+	slices.SortFunc(fixed, byStart)
+	for _, p := range fixed {
+		candidate := m.reservation(p, false)
+		candidate.setInterval(max(p.Start, m.now), p.Duration+m.settings.MaxTick)
+		if _, conflicts := fc.findConflict(candidate); conflicts {
+			remaining = append(remaining, p)
 			continue
 		}
-		v.add(s)
-		slots = append(slots, slot{p: p, place: s.start})
+		fc.add(candidate)
+		placements = append(placements, placement{plan: p, start: candidate.start})
 	}
-	slices.SortFunc(rest, order)
-	for _, p := range rest {
-		s := m.span(p, false)
-		length := p.Duration + m.set.MaxTick
-		first := max(m.now, p.Earliest, min(p.Start, m.now+p.Notice))
-		last := p.Latest - length
-		if first == m.now && p.Seq > 0 { // granted by this entry if at all: it needs no tick more
-			last = max(last, min(first, p.Latest-p.Duration))
+	slices.SortFunc(remaining, order)
+	for _, p := range remaining {
+		candidate := m.reservation(p, false)
+		length := p.Duration + m.settings.MaxTick
+		first := max(m.now, p.EarliestStart, min(p.Start, m.now+p.Notice))
+		last := p.LatestEnd - length
+		if first == m.now && p.Seq > 0 { // a grant by this entry needs no reserve of MaxTick
+			last = max(last, min(first, p.LatestEnd-p.Duration))
 		}
-		c, ok := v.place(s, length, first, last)
+		why, ok := fc.placeEarliest(candidate, length, first, last)
 		if !ok {
-			slots = append(slots, slot{p: p, place: -1, why: c})
+			placements = append(placements, placement{plan: p, start: -1, reason: why})
 			continue
 		}
-		v.add(s)
-		slots = append(slots, slot{p: p, place: s.start})
+		fc.add(candidate)
+		placements = append(placements, placement{plan: p, start: candidate.start})
 	}
-	return slots
+	return placements
 }
 
-// choose lays plans by the list, and only where this leaves a planned one without a
-// place, in two more ways; it takes the first that leaves most of them one. The last
-// way keeps present starts, and so can only fail a plan that has none, or by a change
-// of what is out.
-func (m *Machine) choose(plans []*plan) (best []slot, lost int) {
-	frozen := func(p *plan) bool { return p.State == Planned && p.Start > m.now && p.Start-m.now < p.Notice }
+// choosePlacements places plans in list order. If that leaves a planned plan without a
+// start, it tries two more strategies, and returns the first result with the fewest such
+// plans. The last strategy keeps all current starts, so it can only fail for a plan
+// without one, or because the capacity out of service has changed.
+func (m *Machine) choosePlacements(plans []*plan) (best []placement, unplaced int) {
+	withinNotice := func(p *plan) bool {
+		return p.State == Planned && p.Start > m.now && p.Start-m.now < p.Notice
+	}
 	planned := func(p *plan) bool { return p.State == Planned }
-	for i, way := range []struct {
+	for i, strategy := range []struct {
 		keep  func(*plan) bool
 		order func(a, b *plan) int
-	}{{frozen, byList}, {frozen, byLatest}, {planned, byList}} {
-		slots, n := m.lay(plans, way.keep, way.order), 0
-		for _, s := range slots {
-			if s.place < 0 && (s.p.State == Planned || s.p.Seq == 0) {
-				n++
+	}{{withinNotice, byPriority}, {withinNotice, byLatestEnd}, {planned, byPriority}} {
+		placements, count := m.placeAll(plans, strategy.keep, strategy.order), 0
+		for _, placed := range placements {
+			if placed.start < 0 && (placed.plan.State == Planned || placed.plan.Seq == 0) {
+				count++
 			}
 		}
-		if i == 0 || n < lost {
-			best, lost = slots, n
+		if i == 0 || count < unplaced {
+			best, unplaced = placements, count
 		}
-		if lost == 0 {
+		if unplaced == 0 {
 			break
 		}
 	}
-	return best, lost
+	return best, unplaced
 }
 
-// waiting are the plans that are not granted.
-func (m *Machine) waiting() []*plan {
-	return slices.DeleteFunc(slices.Clone(m.open), func(p *plan) bool { return p.State > Planned })
+// ungrantedPlans returns the open plans that are not granted yet.
+func (m *Machine) ungrantedPlans() []*plan {
+	return slices.DeleteFunc(slices.Clone(m.openPlans), func(p *plan) bool { return p.State > Planned })
 }
 
-// admit takes a new plan in if it finds a place and takes none from a planned one.
-// Else it returns the reason.
+// admit accepts a new plan if a start is found for it and no planned plan loses its own.
+// Otherwise it returns the reason.
 func (m *Machine) admit(p *plan) string {
-	p.Start = max(p.Earliest, m.now+p.Notice)
-	had := 0 // planned ones that had lost their place before the new one came
-	if m.dirty {
-		_, had = m.choose(m.waiting())
+	p.Start = max(p.EarliestStart, m.now+p.Notice)
+	unplacedBefore := 0 // planned plans that had no start even before the new one
+	if m.needsReplan {
+		_, unplacedBefore = m.choosePlacements(m.ungrantedPlans())
 	}
-	slots, lost := m.choose(append(m.waiting(), p))
-	for _, s := range slots {
-		if s.p == p && s.place < 0 {
-			return "no room: " + s.why.String()
+	placements, unplaced := m.choosePlacements(append(m.ungrantedPlans(), p))
+	for _, placed := range placements {
+		if placed.plan == p && placed.start < 0 {
+			return "no room: " + placed.reason.String()
 		}
 	}
-	if lost > had {
+	if unplaced > unplacedBefore {
 		return "no room: a plan that was taken before would lose its place"
 	}
-	m.seq++
-	p.Seq = m.seq
-	m.open = append(m.open, p)
-	m.take(slots)
-	p.First = p.Start
-	if !m.firm(slots) {
-		p.Why = "counts on what has failed or is overdue to come back"
+	m.lastSeq++
+	p.Seq = m.lastSeq
+	m.openPlans = append(m.openPlans, p)
+	m.adopt(placements)
+	p.FirstStart = p.Start
+	if !m.holdsWithoutRecovery(placements) {
+		p.Reason = "counts on what has failed or is overdue to come back"
 	}
 	return ""
 }
 
-// firm says whether all plans would do where they are if what has failed or is
-// overdue did not come back.
-func (m *Machine) firm(slots []slot) bool {
-	v := m.view(true)
-	if !slices.ContainsFunc(v.sick, func(b *backend) bool { return b.Failed }) &&
-		!slices.ContainsFunc(v.spans, func(s *span) bool { return s.finish == never }) {
+// holdsWithoutRecovery reports whether all placements would stay free of conflicts if
+// failed backends and overdue windows never came back.
+func (m *Machine) holdsWithoutRecovery(placements []placement) bool {
+	fc := m.forecast(true)
+	if !slices.ContainsFunc(fc.impaired, func(b *backend) bool { return b.Failed }) &&
+		!slices.ContainsFunc(fc.reservations,
+			func(planned *reservation) bool { return planned.finish == unboundedTime }) {
 		return true
 	}
-	for _, s := range slots {
-		if s.place < 0 {
+	for _, planned := range placements {
+		if planned.start < 0 {
 			return false
 		}
-		o := m.span(s.p, true)
-		if _, bad := v.clash(o); bad {
+		reserved := m.reservation(planned.plan, true)
+		if _, conflicts := fc.findConflict(reserved); conflicts {
 			return false
 		}
-		v.add(o)
+		fc.add(reserved)
 	}
 	return true
 }
 
-// replan lays all plans anew.
+// replan places all plans that are not granted again.
 func (m *Machine) replan() {
-	if plans := m.waiting(); len(plans) > 0 {
-		slots, _ := m.choose(plans)
-		m.take(slots)
+	if plans := m.ungrantedPlans(); len(plans) > 0 {
+		placements, _ := m.choosePlacements(plans)
+		m.adopt(placements)
 	}
 }
 
-// take makes slots the plan, and tells what changed in the order of asking.
-func (m *Machine) take(slots []slot) {
-	slices.SortFunc(slots, func(a, b slot) int { return cmp.Compare(a.p.Seq, b.p.Seq) })
-	for _, s := range slots {
-		p, was := s.p, s.p.Start
+// adopt applies placements and records the changes as events, in order of acceptance.
+func (m *Machine) adopt(placements []placement) {
+	slices.SortFunc(placements, func(a, b placement) int { return cmp.Compare(a.plan.Seq, b.plan.Seq) })
+	for _, placed := range placements {
+		p, oldStart := placed.plan, placed.plan.Start
 		switch {
-		case s.place < 0:
-			p.Why = "no place: " + s.why.String()
+		case placed.start < 0:
+			p.Reason = "no place: " + placed.reason.String()
 			if p.State == Planned {
-				m.become(p, Asked, "")
+				m.setState(p, Requested, "")
 			}
 			continue
-		case p.State == Asked:
-			p.Start, p.Why = s.place, ""
-			m.become(p, Planned, "")
-		case s.place != was && (was > m.now || s.place > m.now):
-			p.Start = s.place
-			m.events = append(m.events, Event{Kind: EventMoved, Window: m.row(p)})
+		case p.State == Requested:
+			p.Start, p.Reason = placed.start, ""
+			m.setState(p, Planned, "")
+		case placed.start != oldStart && (oldStart > m.now || placed.start > m.now):
+			p.Start = placed.start
+			m.events = append(m.events, Event{Kind: EventStartMoved, Window: m.windowOf(p)})
 		default:
-			p.Start = s.place
+			p.Start = placed.start
 		}
 	}
 }
 
-// could finds the earliest start that a refused plan would have had without its
-// latest end.
-func (m *Machine) could(p *plan) {
-	v := m.view(false)
-	for _, o := range m.waiting() {
-		if o != p && o.State == Planned {
-			v.add(m.span(o, false))
+// findEarliestFeasible sets the earliest start that a refused plan could have had
+// without its latest end.
+func (m *Machine) findEarliestFeasible(p *plan) {
+	fc := m.forecast(false)
+	for _, other := range m.ungrantedPlans() {
+		if other != p && other.State == Planned {
+			fc.add(m.reservation(other, false))
 		}
 	}
-	s := m.span(p, false)
-	first := max(m.now+p.Notice, p.Earliest)
-	_, p.Placeable = v.place(s, p.Duration+m.set.MaxTick, first, max(first, m.now+m.set.Horizon))
-	if p.Could = 0; p.Placeable {
-		p.Could = s.start
+	candidate := m.reservation(p, false)
+	first := max(m.now+p.Notice, p.EarliestStart)
+	_, p.HasFeasible = fc.placeEarliest(candidate, p.Duration+m.settings.MaxTick, first,
+		max(first, m.now+m.settings.Horizon))
+	if p.EarliestFeasible = 0; p.HasFeasible {
+		p.EarliestFeasible = candidate.start
 	}
 }
 
-// firstEnd is when the first of the running windows is due back.
-func (m *Machine) firstEnd() time.Duration {
-	first := never
-	for _, s := range m.view(false).spans {
-		first = min(first, s.finish)
+// earliestRelease returns the earliest time at which an open plan is due to be finished.
+func (m *Machine) earliestRelease() time.Duration {
+	first := unboundedTime
+	for _, reserved := range m.forecast(false).reservations {
+		first = min(first, reserved.finish)
 	}
-	for _, p := range m.waiting() {
+	for _, p := range m.ungrantedPlans() {
 		first = min(first, max(p.Start, m.now)+p.Duration)
 	}
 	return first
--- a/fleet/window/window.go
+++ b/fleet/window/window.go
@@ -7,69 +7,76 @@
 	"time"
 )
 
-// Limits on single entries. Longer ones are refused with an error.
+// Limits on a single entry. An entry that exceeds one gets an error.
 const (
-	MaxID       = 64      // bytes of an id or a name
-	MaxSize     = 1 << 30 // of a backend, an amount or a floor's step
-	MaxEntry    = 1 << 17 // bytes of an encoded entry
-	MaxPart     = 1280    // backends in one plan; with the longest ids they fit in an entry of agree
-	MaxSteps    = 24      // steps of one floor
-	MaxFloors   = 2048    // scopes with a floor
-	MaxPriority = 9
-
-	day     = 24 * time.Hour
-	never   = time.Duration(1) << 62
-	maxTime = time.Duration(1) << 60 // of log time: 36 years
+	MaxIDBytes    = 64      // bytes of an id or a name
+	MaxSize       = 1 << 30 // capacity units of a backend, an amount or a floor step
+	MaxEntryBytes = 1 << 17 // bytes of an encoded entry
+	// Backends in one plan; with the longest ids they still fit in an entry of fleet/agree.
+	MaxPlanBackends = 1280
+	MaxFloorSteps   = 24   // steps of one floor
+	MaxFloors       = 2048 // scopes with a floor
+	MaxPriority     = 9
+
+	day           = 24 * time.Hour
+	unboundedTime = time.Duration(1) << 62 // after any log time
+	maxLogTime    = time.Duration(1) << 60 // end of log time: 36 years
 )
 
-// DefaultMaxTick is the longest time that one Tick tells where the settings name none.
+// DefaultMaxTick is the longest time that one Tick can add when Settings.MaxTick is
+// zero.
 const DefaultMaxTick = 10 * time.Second
 
-// Settings are the same at all voters for the life of the log; a snapshot carries
-// them. A zero field takes its default.
+// Settings are the same on all voters for the life of the log; snapshots carry them. A
+// zero field takes its default.
 type Settings struct {
-	MaxTick     time.Duration `cbor:"MaxTick"`     // longest Tick taken; default 10 s, at most 1 h
-	Overrun     time.Duration `cbor:"Overrun"`     // plans count on what is overdue or failed after this; default 10 min
-	Horizon     time.Duration `cbor:"Horizon"`     // a latest end is at most this far ahead; default 14 d, at most 60 d
+	MaxTick time.Duration `cbor:"MaxTick"` // longest Tick accepted; default 10 s, at most 1 h
+	// Plans assume that overdue or failed capacity is back after this time, or after as
+	// long again as it has been missing if that is longer; default 10 min.
+	Overrun time.Duration `cbor:"Overrun"`
+	// How far ahead LatestEnd may lie; default 14 d, at most 60 d.
+	Horizon     time.Duration `cbor:"Horizon"`
 	MaxPlans    int           `cbor:"MaxPlans"`    // open plans; default 128, at most 512
-	MaxBackends int           `cbor:"MaxBackends"` // default 4096, at most 8192
-	MaxServing  int           `cbor:"MaxServing"`  // members that serve; default 1024, at most 8192
-	History     int           `cbor:"History"`     // ended plans kept; default 256, at most 8192
+	MaxBackends int           `cbor:"MaxBackends"` // registered backends; default 4096, at most 8192
+	MaxServing  int           `cbor:"MaxServing"`  // members that confirm drains; default 1024, at most 8192
+	History     int           `cbor:"History"`     // ended plans that are kept; default 256, at most 8192
 }
 
 func (s *Settings) check() error {
 	var err error
-	limit := func(key string, v *int64, def, least, most int64) {
-		if *v == 0 {
-			*v = def
+	applyLimit := func(key string, value *int64, fallback, lowest, highest int64) {
+		if *value == 0 {
+			*value = fallback
 		}
-		if *v < least || *v > most {
-			err = cmp.Or(err, fmt.Errorf("window: settings: %s: %d is not in %d to %d", key, *v, least, most))
+		if *value < lowest || *value > highest {
+			err = cmp.Or(err, fmt.Errorf("window: settings: %s: %d is not in %d to %d", key, *value, lowest,
+				highest))
 		}
 	}
-	count := func(key string, v *int, def, most int64) {
-		n := int64(*v)
-		limit(key, &n, def, 1, most)
-		*v = int(n)
+	applyCount := func(key string, value *int, fallback, highest int64) {
+		n := int64(*value)
+		applyLimit(key, &n, fallback, 1, highest)
+		*value = int(n)
 	}
-	limit("max tick", (*int64)(&s.MaxTick), int64(DefaultMaxTick), int64(time.Millisecond), int64(time.Hour))
-	limit("overrun", (*int64)(&s.Overrun), int64(10*time.Minute), int64(time.Millisecond), int64(day))
-	limit("horizon", (*int64)(&s.Horizon), int64(14*day), int64(time.Hour), int64(60*day))
-	count("max plans", &s.MaxPlans, 128, 512)
-	count("max backends", &s.MaxBackends, 4096, 8192)
-	count("max serving", &s.MaxServing, 1024, 8192)
-	count("history", &s.History, 256, 8192)
+	applyLimit("max tick", (*int64)(&s.MaxTick), int64(DefaultMaxTick), int64(time.Millisecond),
+		int64(time.Hour))
+	applyLimit("overrun", (*int64)(&s.Overrun), int64(10*time.Minute), int64(time.Millisecond), int64(day))
+	applyLimit("horizon", (*int64)(&s.Horizon), int64(14*day), int64(time.Hour), int64(60*day))
+	applyCount("max plans", &s.MaxPlans, 128, 512)
+	applyCount("max backends", &s.MaxBackends, 4096, 8192)
+	applyCount("max serving", &s.MaxServing, 1024, 8192)
+	applyCount("history", &s.History, 256, 8192)
 	return err
 }
 
-// Scope is what a floor is for: the whole (both names empty), a region (zone
-// empty), or a zone of a region.
+// Scope is the part of the fleet that a floor applies to: all of it (both names empty),
+// a region (Zone empty), or one zone of a region.
 type Scope struct {
 	Region string `cbor:"1,keyasint,omitempty"`
 	Zone   string `cbor:"2,keyasint,omitempty"`
 }
 
-func (s Scope) holds(region, zone string) bool {
+func (s Scope) contains(region, zone string) bool {
 	return (s.Region == "" || s.Region == region) && (s.Zone == "" || s.Zone == zone)
 }
 
@@ -77,20 +84,20 @@
 	return cmp.Or(cmp.Compare(s.Region, o.Region), cmp.Compare(s.Zone, o.Zone))
 }
 
-// State is where a plan stands; the package comment has the table.
+// State is the state of a plan; the package comment has the transition table.
 type State uint8
 
-// The states of a plan.
+// The states of a plan. Their numbers are part of the encoding.
 const (
-	Asked State = iota
+	Requested State = iota
 	Planned
 	Granted
 	Draining
-	Out
+	OutOfService
 	Returning
 	Recalled
 	Overdue
-	Warm
+	WarmingUp
 	Done
 	Cancelled
 	Refused
@@ -106,193 +113,205 @@
 	return fmt.Sprintf("state(%d)", uint8(s))
 }
 
-// Ended says whether the plan is over.
+// Ended reports whether the plan has reached a final state.
 func (s State) Ended() bool { return s >= Done }
 
-// holding says whether all of the plan's capacity counts as out.
-func (s State) holding() bool { return s >= Granted && s <= Overdue }
+// holdsCapacity reports whether all of the plan's capacity counts as out of service.
+func (s State) holdsCapacity() bool { return s >= Granted && s <= Overdue }
 
-// Fence is the fencing token of a grant (as in Chubby: Burrows, OSDI 2006): the
-// index of the log entry that granted, and a number among that entry's grants. It
-// only grows, so a member keeps the highest seen for each backend and ignores what
-// carries less. Zero is no grant.
+// Fence is the fencing token of a grant (as in Chubby: Burrows, OSDI 2006): the index of
+// the log entry that granted it, and the ordinal of the grant within that entry. Tokens
+// only grow, so a member keeps the highest one seen for each backend and ignores
+// messages with a lower one. Zero means that nothing has been granted.
 type Fence uint64
 
 const (
-	fenceBits = 10 // over the most open plans, so over the most grants of one entry
-	maxIndex  = 1<<(64-fenceBits) - 1
+	fenceGrantBits = 10 // 1024 exceeds the largest MaxPlans, and so the grants of one entry
+	maxIndex       = 1<<(64-fenceGrantBits) - 1
 )
 
-// Index is the index of the log entry that granted.
-func (f Fence) Index() uint64 { return uint64(f) >> fenceBits }
+// Index returns the index of the log entry that issued the grant.
+func (f Fence) Index() uint64 { return uint64(f) >> fenceGrantBits }
 
 func (f Fence) String() string {
-	return fmt.Sprintf("%d.%d", f.Index(), uint64(f)&(1<<fenceBits-1))
+	return fmt.Sprintf("%d.%d", f.Index(), uint64(f)&(1<<fenceGrantBits-1))
 }
 
-// backend is a backend and how it fares.
+// backend is a registered backend with its health.
 type backend struct {
 	Backend
-	Failed bool          `cbor:"11,keyasint,omitempty"`
-	Ramp   bool          `cbor:"12,keyasint,omitempty"` // warms up by itself, after a failure or as new
-	Since  time.Duration `cbor:"13,keyasint,omitempty"` // of the failure or the warm-up
+	Failed bool `cbor:"11,keyasint,omitempty"`
+	// In a warm-up after a failure or registration, not after a window.
+	WarmingUp bool          `cbor:"12,keyasint,omitempty"`
+	Since     time.Duration `cbor:"13,keyasint,omitempty"` // start of the failure or the warm-up, in log time
 }
 
-// plan is an Ask and where it stands.
+// plan is a Request with its scheduling state. Times are log time.
 type plan struct {
-	Ask
-	State     State         `cbor:"21,keyasint,omitempty"`
-	Seq       uint64        `cbor:"22,keyasint,omitempty"` // order of asking
-	First     time.Duration `cbor:"23,keyasint,omitempty"` // the start first told
-	Start     time.Duration `cbor:"24,keyasint,omitempty"` // last told; of a granted one, its grant
-	End       time.Duration `cbor:"25,keyasint,omitempty"` // of a granted one: overdue after this
-	Fence     Fence         `cbor:"26,keyasint,omitempty"`
-	Drained   []string      `cbor:"27,keyasint,omitempty"` // members that have confirmed, sorted
-	Returned  time.Duration `cbor:"28,keyasint,omitempty"`
-	Called    bool          `cbor:"29,keyasint,omitempty"` // was recalled
-	Why       string        `cbor:"30,keyasint,omitempty"`
-	Could     time.Duration `cbor:"31,keyasint,omitempty"` // of a refused one: the earliest start that would do
-	Placeable bool          `cbor:"32,keyasint,omitempty"` // Could is known
+	Request
+	State State `cbor:"21,keyasint,omitempty"`
+	// Order of acceptance, from 1; 0: refused at once.
+	Seq        uint64        `cbor:"22,keyasint,omitempty"`
+	FirstStart time.Duration `cbor:"23,keyasint,omitempty"` // first announced start
+	// Announced start; after the grant, the time of the grant.
+	Start time.Duration `cbor:"24,keyasint,omitempty"`
+	// Set by the grant: after this time the plan is overdue.
+	End   time.Duration `cbor:"25,keyasint,omitempty"`
+	Fence Fence         `cbor:"26,keyasint,omitempty"`
+	// Members that have confirmed the drain, sorted.
+	Drained     []string      `cbor:"27,keyasint,omitempty"`
+	Returned    time.Duration `cbor:"28,keyasint,omitempty"` // confirmed return
+	WasRecalled bool          `cbor:"29,keyasint,omitempty"`
+	Reason      string        `cbor:"30,keyasint,omitempty"`
+	// Of a refused plan: earliest feasible start.
+	EarliestFeasible time.Duration `cbor:"31,keyasint,omitempty"`
+	HasFeasible      bool          `cbor:"32,keyasint,omitempty"` // EarliestFeasible is set
 }
 
-// floor is what is agreed for a scope.
+// floor is the minimum capacity agreed for a scope.
 type floor struct {
-	Scope Scope  `cbor:"1,keyasint"`
-	Steps []Step `cbor:"2,keyasint,omitempty"` // in force
-	Next  []Step `cbor:"3,keyasint,omitempty"` // pending
-	Short bool   `cbor:"4,keyasint,omitempty"` // what is there is less
+	Scope      Scope  `cbor:"1,keyasint"`
+	Steps      []Step `cbor:"2,keyasint,omitempty"` // in force
+	Pending    []Step `cbor:"3,keyasint,omitempty"` // accepted, but not in force yet
+	BelowFloor bool   `cbor:"4,keyasint,omitempty"` // available capacity is below the floor
 }
 
-// Machine is the state machine. It is not safe for concurrent use: the task that
-// applies the log owns it. All of state is slices in a stated order, so that a
-// snapshot is the same everywhere.
+// Machine is the state machine. It is not safe for concurrent use: the goroutine that
+// applies the log owns it. All replicated state is kept in slices of a defined order, so
+// that a snapshot has the same bytes on every voter.
 type Machine struct {
-	set      Settings
-	index    uint64
-	now      time.Duration
-	seq      uint64
-	backends []*backend // by id
-	serving  []string   // sorted
-	floors   []*floor   // by scope
-	open     []*plan    // by order of asking
-	ended    []*plan    // by time of their end
-
-	totals map[Scope]int64 // derived from backends
-	dirty  bool            // plans are to be placed anew; false between entries
-	sub    uint64          // grants of this entry
-	events []Event
+	settings       Settings
+	index          uint64
+	now            time.Duration
+	lastSeq        uint64
+	backends       []*backend // by id
+	servingMembers []string   // sorted
+	floors         []*floor   // by scope
+	openPlans      []*plan    // in order of acceptance
+	endedPlans     []*plan    // in the order in which they ended
+
+	totalSizes    map[Scope]int64 // derived from backends
+	needsReplan   bool            // plans have to be placed again; false between entries
+	grantsInEntry uint64          // grants issued by the entry being applied
+	events        []Event
 }
 
-// New returns an empty machine, or an error that names the setting that is wrong.
-func New(set Settings) (*Machine, error) {
-	if err := set.check(); err != nil {
+// New returns an empty machine, or an error that names the invalid setting.
+func New(settings Settings) (*Machine, error) {
+	if err := settings.check(); err != nil {
 		return nil, err
 	}
-	return &Machine{set: set, totals: map[Scope]int64{}}, nil
+	return &Machine{settings: settings, totalSizes: map[Scope]int64{}}, nil
 }
 
-// Result is the kind of an Answer.
+// Result is the outcome of an entry.
 type Result uint8
 
-// The results of an entry.
+// The outcomes of an entry. Their numbers are part of the encoding.
 const (
-	OK      Result = iota // done; with an Ask: the plan was taken
-	Repeat                // was done before: a repeated id, cancel or confirmation
-	Pending               // a floor that is not in force yet
-	Stale                 // a confirmation with another fencing number: nothing was done
-	Refuse                // a plan that was not taken, with the reason and the earliest start
-	Bad                   // the entry is wrong: nothing was done
+	OK        Result = iota // applied; for a Request: the plan was accepted
+	Duplicate               // already applied: a repeated id, cancel or confirmation
+	Pending                 // the floor was accepted, but is not in force yet
+	Stale                   // a confirmation with the wrong fencing token: nothing changed
+	// The plan was not accepted; the answer has the reason and the earliest feasible start.
+	Rejected
+	Invalid // the entry is invalid: nothing changed
 )
 
 var resultNames = [...]string{"ok", "repeat", "pending", "stale", "refused", "error"}
 
 func (r Result) String() string { return resultNames[r] }
 
-// EventKind is what an applied entry brought about.
+// EventKind says what an applied entry changed.
 type EventKind uint8
 
-// The kinds of events.
+// The kinds of events. Their numbers are part of the encoding.
 const (
-	EventState   EventKind = iota // a plan has another state: its row tells which, and why
-	EventMoved                    // a planned start has moved
-	EventShort                    // a scope has less than its floor
-	EventHeld                     // and has it again
-	EventInForce                  // a pending floor is in force
+	EventState         EventKind = iota // a plan changed its state; Window has the new state and the reason
+	EventStartMoved                     // a planned start was moved
+	EventBelowFloor                     // the available capacity of a scope fell below its floor
+	EventFloorRestored                  // the scope is at or above its floor again
+	EventFloorInForce                   // a pending floor came into force
 )
 
-// Event is one thing that an applied entry brought about.
+// Event is one change that an applied entry caused.
 type Event struct {
-	Kind   EventKind `cbor:"Kind"`
-	Window Window    `cbor:"Window"` // of EventState and EventMoved
-	Scope  Scope     `cbor:"Scope"`  // of the others
-	Floor  int64     `cbor:"Floor"`
-	Have   int64     `cbor:"Have"`
+	Kind      EventKind `cbor:"Kind"`
+	Window    Window    `cbor:"Window"` // set for EventState and EventStartMoved
+	Scope     Scope     `cbor:"Scope"`  // set for the other kinds
+	Required  int64     `cbor:"Floor"`
+	Available int64     `cbor:"Have"`
 }
 
-// Answer is what an entry came to. It is the same at all voters.
+// Answer is the outcome of an entry. It is the same on all voters.
 type Answer struct {
 	Index  uint64        `cbor:"Index"`
 	Now    time.Duration `cbor:"Now"` // log time after the entry
 	Result Result        `cbor:"Result"`
-	Err    string        `cbor:"Err"`    // of all results but OK: the reason, naming the key
-	Known  bool          `cbor:"Known"`  // Window is set
-	Window Window        `cbor:"Window"` // the plan that the entry is about, as it stands after the entry
-	Events []Event       `cbor:"Events"`
+	// For every result except OK and Duplicate: the reason, naming the field.
+	Err       string  `cbor:"Err"`
+	HasWindow bool    `cbor:"Known"`  // Window is set
+	Window    Window  `cbor:"Window"` // the plan that the entry refers to, as it is after the entry
+	Events    []Event `cbor:"Events"`
 }
 
-// Window is a plan as operators and members see it. Times are log time.
+// Window is the view of a plan that operators and members get. Times are log time.
 type Window struct {
-	Ask     Ask           `cbor:"Ask"`
-	State   State         `cbor:"State"`
-	First   time.Duration `cbor:"First"`   // the start that the first answer told
-	Start   time.Duration `cbor:"Start"`   // planned start; once granted, the time of the grant
-	End     time.Duration `cbor:"End"`     // planned end; once granted, it is overdue after this
+	Request    Request       `cbor:"Ask"`
+	State      State         `cbor:"State"`
+	FirstStart time.Duration `cbor:"First"` // start announced in the first answer
+	Start      time.Duration `cbor:"Start"` // planned start; once granted, the time of the grant
+	// Planned end; once granted, the plan is overdue after this.
+	End     time.Duration `cbor:"End"`
 	Fence   Fence         `cbor:"Fence"`   // 0 before the grant
-	Drained int           `cbor:"Drained"` // members that have confirmed
-	Serving int           `cbor:"Serving"` // members that are to confirm
-	Why     string        `cbor:"Why"`
-	Could   time.Duration `cbor:"Could"` // of a refused one: the earliest start that would do, as things stood; -1: none
+	Drained int           `cbor:"Drained"` // members that have confirmed the drain
+	Serving int           `cbor:"Serving"` // members that have to confirm it
+	Reason  string        `cbor:"Why"`
+	// Of a refused plan: the earliest start that was feasible when it was refused; -1: none.
+	EarliestFeasible time.Duration `cbor:"Could"`
 }
 
-func (m *Machine) row(p *plan) Window {
-	w := Window{Ask: p.Ask, State: p.State, First: p.First, Start: p.Start, End: p.End, Fence: p.Fence,
-		Drained: len(p.Drained), Serving: len(m.serving), Why: p.Why, Could: p.Could}
-	w.Ask.Backends = slices.Clone(p.Backends)
+func (m *Machine) windowOf(p *plan) Window {
+	w := Window{Request: p.Request, State: p.State, FirstStart: p.FirstStart, Start: p.Start, End: p.End,
+		Fence:   p.Fence,
+		Drained: len(p.Drained), Serving: len(m.servingMembers), Reason: p.Reason,
+		EarliestFeasible: p.EarliestFeasible}
+	w.Request.Backends = slices.Clone(p.Backends)
 	if p.Fence == 0 {
 		w.End = p.Start + p.Duration
 	}
-	if p.State == Refused && !p.Placeable {
-		w.Could = -1
+	if p.State == Refused && !p.HasFeasible {
+		w.EarliestFeasible = -1
 	}
 	return w
 }
 
-// Now is the log time.
+// Now returns the log time.
 func (m *Machine) Now() time.Duration { return m.now }
 
-// Index is the index of the last entry applied.
+// Index returns the index of the last applied entry.
 func (m *Machine) Index() uint64 { return m.index }
 
-// List returns the open windows in the order of asking, then the ended ones that
-// are still kept, in the order of their end.
+// List returns the open windows in order of acceptance, then the ended ones that are
+// still kept, in the order in which they ended.
 func (m *Machine) List() []Window {
-	var all []Window
-	for _, p := range slices.Concat(m.open, m.ended) {
-		all = append(all, m.row(p))
+	var windows []Window
+	for _, p := range slices.Concat(m.openPlans, m.endedPlans) {
+		windows = append(windows, m.windowOf(p))
 	}
-	return all
+	return windows
 }
 
-// Window returns the window of an id.
+// Window returns the window with the given id.
 func (m *Machine) Window(id string) (Window, bool) {
-	if p := m.plan(id); p != nil {
-		return m.row(p), true
+	if p := m.findPlan(id); p != nil {
+		return m.windowOf(p), true
 	}
 	return Window{}, false
 }
 
-func (m *Machine) plan(id string) *plan {
-	for _, list := range [][]*plan{m.open, m.ended} {
+func (m *Machine) findPlan(id string) *plan {
+	for _, list := range [][]*plan{m.openPlans, m.endedPlans} {
 		for _, p := range list {
 			if p.ID == id {
 				return p
@@ -302,7 +321,7 @@
 	return nil
 }
 
-func (m *Machine) backend(id string) *backend {
+func (m *Machine) findBackend(id string) *backend {
 	i, ok := slices.BinarySearchFunc(m.backends, id,
 		func(b *backend, id string) int { return cmp.Compare(b.ID, id) })
 	if !ok {
@@ -311,31 +330,33 @@
 	return m.backends[i]
 }
 
-func (m *Machine) floor(sc Scope) *floor {
-	i, ok := slices.BinarySearchFunc(m.floors, sc, func(f *floor, sc Scope) int { return f.Scope.compare(sc) })
+func (m *Machine) findFloor(sc Scope) *floor {
+	i, ok := slices.BinarySearchFunc(m.floors, sc,
+		func(f *floor, sc Scope) int { return f.Scope.compare(sc) })
 	if !ok {
 		return nil
 	}
 	return m.floors[i]
 }
 
-// Apply applies the log entry at index, encoded by Encode. An entry that can't be
-// read, is of an unknown version or kind, or is wrong in itself gets an answer that
-// says so and changes nothing but the index. An index that is not above the last
-// one applied changes nothing at all.
+// Apply applies the log entry at index, as encoded by Encode. An entry that can't be
+// decoded, has an unknown version or kind, or is invalid gets an error answer and
+// changes nothing but the index. An index that is not above the last applied one changes
+// nothing at all.
 func (m *Machine) Apply(index uint64, data []byte) Answer {
 	a := Answer{Index: index, Now: m.now}
 	if index <= m.index || index > maxIndex {
-		a.Result, a.Err = Bad, fmt.Sprintf("window: entry %d: not above %d, the last one applied", index, m.index)
+		a.Result, a.Err = Invalid, fmt.Sprintf("window: entry %d: not above %d, the last one applied",
+			index, m.index)
 		return a
 	}
 	m.index = index
 	e, err := Decode(data)
 	if err != nil {
-		a.Result, a.Err = Bad, err.Error()
+		a.Result, a.Err = Invalid, err.Error()
 		return a
 	}
-	m.events, m.sub = nil, 0
+	m.events, m.grantsInEntry = nil, 0
 	p, result, err := e.apply(m)
 	m.settle()
 	a.Now, a.Result, a.Events = m.now, result, m.events
@@ -343,79 +364,86 @@
 		a.Err = err.Error()
 	}
 	if p != nil {
-		a.Known, a.Window = true, m.row(p)
+		a.HasWindow, a.Window = true, m.windowOf(p)
 	}
 	m.events = nil
 	return a
 }
 
-// settle does what time and facts ask for: it runs after each entry.
+// settle runs after each entry and makes every transition that the new time or the new
+// facts call for: it ends warm-ups, activates floors, recalls, grants, refuses and
+// replans.
 func (m *Machine) settle() {
-	m.age()
-	m.enforce()
-	m.recall()
-	m.grantDue()
-	m.expire()
-	if m.dirty {
-		m.dirty = false
+	m.endWarmUpsAndMarkOverdue()
+	m.activatePendingFloors()
+	m.recallForFloors()
+	m.grantDuePlans()
+	m.refuseExpired()
+	if m.needsReplan {
+		m.needsReplan = false
 		m.replan()
-		m.grantDue()
-		m.dirty = false
+		m.grantDuePlans()
+		m.needsReplan = false
 	}
-	m.report()
+	m.reportFloorChanges()
 }
 
-// become puts a plan into a state and tells of it.
-func (m *Machine) become(p *plan, s State, why string) {
-	p.State = s
-	if why != "" {
-		p.Why = why
+// setState changes the state of a plan and records the event. An ended plan moves to the
+// history, which drops its oldest entries beyond Settings.History.
+func (m *Machine) setState(p *plan, state State, reason string) {
+	p.State = state
+	if reason != "" {
+		p.Reason = reason
 	}
-	if s.Ended() {
+	if state.Ended() {
 		p.Drained = nil
-		m.open = slices.DeleteFunc(m.open, func(o *plan) bool { return o == p })
-		m.ended = append(m.ended, p)
-		if over := len(m.ended) - m.set.History; over > 0 {
-			m.ended = slices.Delete(m.ended, 0, over)
+		m.openPlans = slices.DeleteFunc(m.openPlans, func(o *plan) bool { return o == p })
+		m.endedPlans = append(m.endedPlans, p)
+		if excess := len(m.endedPlans) - m.settings.History; excess > 0 {
+			m.endedPlans = slices.Delete(m.endedPlans, 0, excess)
 		}
 	}
-	m.events = append(m.events, Event{Kind: EventState, Window: m.row(p)})
+	m.events = append(m.events, Event{Kind: EventState, Window: m.windowOf(p)})
 }
 
-// age ends warm-ups that are over and marks windows that are late.
-func (m *Machine) age() {
+// endWarmUpsAndMarkOverdue ends completed warm-ups and marks windows past their end as
+// overdue.
+func (m *Machine) endWarmUpsAndMarkOverdue() {
 	for _, b := range m.backends {
-		if b.Ramp && m.now-b.Since >= b.Warm {
-			b.Ramp = false
+		if b.WarmingUp && m.now-b.Since >= b.WarmUpTime {
+			b.WarmingUp = false
 		}
 	}
-	for _, p := range slices.Clone(m.open) {
+	for _, p := range slices.Clone(m.openPlans) {
 		switch {
-		case p.State == Warm && m.span(p, false).finish <= m.now:
-			m.become(p, Done, "")
-		case p.State.holding() && p.State != Overdue && m.now > p.End:
-			m.become(p, Overdue, "")
-			m.dirty = true
+		case p.State == WarmingUp && m.reservation(p, false).finish <= m.now:
+			m.setState(p, Done, "")
+		case p.State.holdsCapacity() && p.State != Overdue && m.now > p.End:
+			m.setState(p, Overdue, "")
+			m.needsReplan = true
 		}
 	}
 }
 
-// enforce puts pending floors in force that hold by now.
-func (m *Machine) enforce() {
+// activatePendingFloors puts each pending floor in force that the available capacity now
+// meets.
+func (m *Machine) activatePendingFloors() {
 	for _, f := range m.floors {
-		if f.Next != nil && m.wouldHold(f.Scope, f.Next) {
-			f.Steps, f.Next = f.Next, nil
-			m.dirty = true
-			m.events = append(m.events, Event{Kind: EventInForce, Scope: f.Scope, Floor: at(f.Steps, m.now)})
+		if f.Pending != nil && m.floorWouldHold(f.Scope, f.Pending) {
+			f.Steps, f.Pending = f.Pending, nil
+			m.needsReplan = true
+			m.events = append(m.events, Event{Kind: EventFloorInForce, Scope: f.Scope,
+				Required: requiredAt(f.Steps, m.now)})
 		}
 	}
 }
 
-// wouldHold says whether steps would hold now and by the running windows. As these
-// give back and nothing else is known to go, each step need be looked at once.
-func (m *Machine) wouldHold(sc Scope, steps []Step) bool {
-	v := m.view(true)
-	if v.room(sc, m.now) < at(steps, m.now) {
+// floorWouldHold reports whether the available capacity would meet the steps now and at
+// each step of the next 24 h. Running windows only give capacity back and no other loss
+// is known in advance, so checking each step once is enough.
+func (m *Machine) floorWouldHold(sc Scope, steps []Step) bool {
+	fc := m.forecast(true)
+	if fc.available(sc, m.now) < requiredAt(steps, m.now) {
 		return false
 	}
 	for _, s := range steps {
@@ -423,93 +451,100 @@
 		if next < m.now {
 			next += day
 		}
-		if v.room(sc, next) < s.Floor {
+		if fc.available(sc, next) < s.Capacity {
 			return false
 		}
 	}
 	return true
 }
 
-// recall calls back windows, the latest grant first, until each floor that is short
-// would hold with what is on its way back.
-func (m *Machine) recall() {
-	v := m.view(true)
+// recallForFloors recalls windows, the latest grant first, until each floor that is
+// breached would be met with the capacity that is on its way back.
+func (m *Machine) recallForFloors() {
+	fc := m.forecast(true)
 	for _, f := range m.floors {
-		want := at(f.Steps, m.now)
-		have := v.room(f.Scope, m.now)
-		if have >= want {
+		required := requiredAt(f.Steps, m.now)
+		capacity := fc.available(f.Scope, m.now)
+		if capacity >= required {
 			continue
 		}
-		var can []*span
-		for _, s := range v.spans {
-			out := s.out(v, f.Scope, m.now)
+		var recallable []*reservation
+		for _, reserved := range fc.reservations {
+			freed := reserved.capacityOut(fc, f.Scope, m.now)
 			switch {
-			case out == 0:
-			case s.p.Called || s.p.State == Returning || s.p.State == Overdue:
-				have += out
-			case s.p.State == Granted, s.p.State == Draining, s.p.State == Out && s.p.Recall:
-				can = append(can, s)
+			case freed == 0:
+			case reserved.plan.WasRecalled || reserved.plan.State == Returning ||
+				reserved.plan.State == Overdue:
+				capacity += freed
+			case reserved.plan.State == Granted, reserved.plan.State == Draining,
+				reserved.plan.State == OutOfService && reserved.plan.Recallable:
+				recallable = append(recallable, reserved)
 			}
 		}
-		slices.SortFunc(can, func(a, b *span) int { return cmp.Compare(b.p.Fence, a.p.Fence) })
-		for _, s := range can {
-			if have >= want {
+		slices.SortFunc(recallable,
+			func(a, b *reservation) int { return cmp.Compare(b.plan.Fence, a.plan.Fence) })
+		for _, reserved := range recallable {
+			if capacity >= required {
 				break
 			}
-			have += s.out(v, f.Scope, m.now)
-			s.p.Called = true
-			m.become(s.p, Recalled, fmt.Sprintf("recalled: %s is below its floor %d", name(f.Scope), want))
+			capacity += reserved.capacityOut(fc, f.Scope, m.now)
+			reserved.plan.WasRecalled = true
+			m.setState(reserved.plan, Recalled, fmt.Sprintf("recalled: %s is below its floor %d",
+				scopeName(f.Scope), required))
 		}
 	}
 }
 
-// grantDue grants what is due, as far as the floors allow it now.
-func (m *Machine) grantDue() {
-	due := slices.DeleteFunc(slices.Clone(m.open), func(p *plan) bool {
-		return p.State != Planned || p.Start > m.now || m.now+p.Duration > p.Latest
+// grantDuePlans grants the plans whose start has come, as far as the floors allow it
+// now.
+func (m *Machine) grantDuePlans() {
+	due := slices.DeleteFunc(slices.Clone(m.openPlans), func(p *plan) bool {
+		return p.State != Planned || p.Start > m.now || m.now+p.Duration > p.LatestEnd
 	})
-	slices.SortFunc(due, byList)
+	slices.SortFunc(due, byPriority)
 	for _, p := range due {
-		v := m.view(true)
-		s := m.span(p, true)
-		s.move(m.now, p.Duration)
-		if c, clash := v.clash(s); clash {
-			p.Why = "waits: " + c.String()
-			m.dirty = true
+		fc := m.forecast(true)
+		candidate := m.reservation(p, true)
+		candidate.setInterval(m.now, p.Duration)
+		if reason, found := fc.findConflict(candidate); found {
+			p.Reason = "waits: " + reason.String()
+			m.needsReplan = true
 			continue
 		}
 		p.Start, p.End = m.now, m.now+p.Duration
-		p.Fence = Fence(m.index<<fenceBits | m.sub)
-		m.sub++
-		p.Why = ""
-		m.become(p, Granted, "")
+		p.Fence = Fence(m.index<<fenceGrantBits | m.grantsInEntry)
+		m.grantsInEntry++
+		p.Reason = ""
+		m.setState(p, Granted, "")
 	}
 }
 
-// expire refuses what can't end in time any more.
-func (m *Machine) expire() {
-	for _, p := range slices.Clone(m.open) {
-		if p.State <= Planned && m.now+p.Duration > p.Latest {
-			why := p.Why
-			m.could(p)
-			m.become(p, Refused, "end: no room before the latest end; "+cmp.Or(why, "its time is over"))
-			m.dirty = true
+// refuseExpired refuses plans that can no longer end by their latest end.
+func (m *Machine) refuseExpired() {
+	for _, p := range slices.Clone(m.openPlans) {
+		if p.State <= Planned && m.now+p.Duration > p.LatestEnd {
+			reason := p.Reason
+			m.findEarliestFeasible(p)
+			m.setState(p, Refused, "end: no room before the latest end; "+cmp.Or(reason, "its time is over"))
+			m.needsReplan = true
 		}
 	}
 }
 
-// report tells of floors that became short, or hold again.
-func (m *Machine) report() {
-	v := m.view(true)
+// reportFloorChanges records an event for each floor that became breached or is met
+// again.
+func (m *Machine) reportFloorChanges() {
+	fc := m.forecast(true)
 	for _, f := range m.floors {
-		have, want := v.room(f.Scope, m.now), at(f.Steps, m.now)
-		if short := have < want; short != f.Short {
-			f.Short = short
-			kind := EventHeld
-			if short {
-				kind = EventShort
+		capacity, required := fc.available(f.Scope, m.now), requiredAt(f.Steps, m.now)
+		if belowFloor := capacity < required; belowFloor != f.BelowFloor {
+			f.BelowFloor = belowFloor
+			kind := EventFloorRestored
+			if belowFloor {
+				kind = EventBelowFloor
 			}
-			m.events = append(m.events, Event{Kind: kind, Scope: f.Scope, Floor: want, Have: have})
+			m.events = append(m.events, Event{Kind: kind, Scope: f.Scope, Required: required,
+				Available: capacity})
 		}
 	}
 }
