--- a/fleet/model/client.go
+++ b/fleet/model/client.go
@@ -57,15 +57,15 @@
 	q.id, q.sends, q.final = strconv.FormatUint(q.key, 36)+"."+strconv.Itoa(q.tries), nil, false
 	p := m.members[q.member]
 	if q.tries == 1 {
-		p.counters.First[q.class]++
+		p.counters.FirstAttempts[q.class]++
 	}
 	if m.cfg.Policy == Seeing {
 		m.decide(q)
 		return
 	}
-	if p.numbers.Shed(q.class, q.key) {
+	if p.numbers.ShouldShed(q.class, q.key) {
 		base := m.cfg.Classes[q.class].TargetLatency / 4
-		p.refused(q, p.numbers.ComeBack(q.key, base, 2*time.Second))
+		p.refused(q, p.numbers.RetryAfter(q.key, base, 2*time.Second))
 		return
 	}
 	p.calls[q.id] = q
--- a/fleet/model/member.go
+++ b/fleet/model/member.go
@@ -16,7 +16,7 @@
 	share    float64
 	balancer *logic.Balancer
 	fleet    *overload.Fleet
-	numbers  overload.Numbers
+	numbers  overload.Controls
 	calls    map[string]*clientCall
 	counters overload.Counters
 }
@@ -35,7 +35,7 @@
 	q := p.calls[id]
 	n, _ := strconv.Atoi(to)
 	if len(q.sends) > 0 && q.sends[len(q.sends)-1].mayRun {
-		p.counters.Repeats++
+		p.counters.Retries++
 		p.model.result.Repeats[p.model.now/time.Second]++
 	}
 	q.sends = append(q.sends, send{id: id, at: p.model.now, backend: n})
@@ -95,8 +95,8 @@
 	if e.result == logic.OK || e.result == logic.TimedOut {
 		// The target is that of the balancer's own limit.
 		const target = 0.25
-		p.counters.Answers++
-		p.counters.Strain += min(4, min(1, float64(latency)/float64(m.cfg.Classes[q.class].TargetLatency))/target)
+		p.counters.LatencySamples++
+		p.counters.LatencyRatioSum += min(4, min(1, float64(latency)/float64(m.cfg.Classes[q.class].TargetLatency))/target)
 	}
 	if ok {
 		p.counters.Served[q.class]++
@@ -113,14 +113,14 @@
 
 func (p *member) resetCounters() {
 	n := len(p.model.cfg.Classes)
-	p.counters = overload.Counters{First: make([]float64, n), Served: make([]float64, n), Refused: make([]float64, n)}
+	p.counters = overload.Counters{FirstAttempts: make([]float64, n), Served: make([]float64, n), Refused: make([]float64, n)}
 }
 
 func (p *member) report() {
-	p.fleet.Own(p.model.now, p.counters)
+	p.fleet.AddCounters(p.model.now, p.counters)
 	p.resetCounters()
-	p.numbers = p.fleet.Numbers(p.model.now)
-	p.model.result.Level[p.model.now/time.Second] += p.numbers.Cut[len(p.model.cfg.Classes)-1] / 2 / float64(len(p.model.members))
+	p.numbers = p.fleet.Controls(p.model.now)
+	p.model.result.Level[p.model.now/time.Second] += p.numbers.ShedFraction[len(p.model.cfg.Classes)-1] / 2 / float64(len(p.model.members))
 	if p.model.now < p.model.until {
 		p.model.after(time.Second/2, &event{kind: report, member: p.number})
 	}
@@ -128,7 +128,7 @@
 
 func (p *member) gossip() {
 	m := p.model
-	b := p.fleet.Digest(m.now)
+	b := p.fleet.NextDigest(m.now)
 	m.result.Size = len(b)
 	for range min(m.cfg.Fanout, len(m.members)-1) {
 		to := m.netRNG.IntN(len(m.members))
--- a/fleet/model/model.go
+++ b/fleet/model/model.go
@@ -101,7 +101,7 @@
 	classes := make([]logic.Class, len(cfg.Classes))
 	told := make([]overload.Class, len(cfg.Classes))
 	for i, c := range cfg.Classes {
-		classes[i], told[i] = c.Class, overload.Class{Worth: c.Value, Cost: c.Service.Seconds()}
+		classes[i], told[i] = c.Class, overload.Class{Value: c.Value, Cost: c.Service.Seconds()}
 	}
 	view := make([]overload.Member, cfg.Members)
 	for i := range view {
@@ -110,15 +110,15 @@
 	total := 0.0
 	for i, v := range view {
 		p := &member{model: m, number: i, name: v.Name, zone: v.Zone, calls: map[string]*clientCall{},
-			numbers: overload.Alone(), share: math.Exp(cfg.Sigma * m.rng.NormFloat64())}
+			numbers: overload.Standalone(), share: math.Exp(cfg.Sigma * m.rng.NormFloat64())}
 		p.balancer = logic.New(0, logic.Settings{
 			Seed: cfg.Seed*1000 + uint64(i), Zone: v.Zone, Zones: zones, Classes: classes,
 			BalancerCount: cfg.Members, BalancerIndex: i, UnevenTraffic: cfg.Uneven, MaxAttempts: 3,
 			MaxRetryAfter: 2 * time.Second, DrainGrace: time.Second,
 		}, p)
 		p.balancer.UpdateList(0, true, list)
-		p.fleet, _ = overload.New(0, overload.Settings{Classes: told, Compact: cfg.Compact}, v)
-		p.fleet.View(0, cfg.Members, view)
+		p.fleet, _ = overload.New(0, overload.Settings{Classes: told, CompactDigests: cfg.Compact}, v)
+		p.fleet.SetMembers(0, cfg.Members, view)
 		p.resetCounters()
 		total += p.share
 		m.members = append(m.members, p)
@@ -169,6 +169,6 @@
 	case gossip:
 		m.members[e.member].gossip()
 	case digest:
-		m.members[e.member].fleet.Take(m.now, e.bytes)
+		m.members[e.member].fleet.ReceiveDigest(m.now, e.bytes)
 	}
 }
--- a/fleet/overload/estimate.go
+++ b/fleet/overload/estimate.go
@@ -20,7 +20,7 @@
 		return 0
 	}
 	age := now - e.at + e.late
-	return max(0, min(1, float64(f.set.Timeout-age)/float64(f.set.Timeout-f.set.Fresh)))
+	return max(0, min(1, float64(f.set.ExpiryAge-age)/float64(f.set.ExpiryAge-f.set.FreshAge)))
 }
 
 // median is the lower median of what the members heard and this one say: of two, the lesser.
@@ -53,7 +53,7 @@
 
 func (f *Fleet) offered(v *Vector) (work float64) {
 	for i, c := range f.set.Classes {
-		work += c.Cost * v.First[i]
+		work += c.Cost * v.FirstAttempts[i]
 	}
 	return work
 }
@@ -69,9 +69,9 @@
 	return holder{
 		f:     f,
 		total: sayMost * f.most(),
-		part:  f.median(func(v *Vector, _ *Digest) float64 { return v.Part }),
+		part:  f.median(func(v *Vector, _ *Digest) float64 { return v.LimitShare }),
 		served: f.median(func(v *Vector, _ *Digest) float64 {
-			return v.Work / max(f.offered(v), 1e-9)
+			return v.ServedCost / max(f.offered(v), 1e-9)
 		}),
 	}
 }
@@ -83,34 +83,34 @@
 	}
 	if v.total() > h.total {
 		by := h.total / v.total()
-		for i := range v.First {
-			v.First[i] *= by
+		for i := range v.FirstAttempts {
+			v.FirstAttempts[i] *= by
 		}
-		v.Work, v.Strain, v.Turned, v.Repeats = v.Work*by, v.Strain*by, v.Turned*by, v.Repeats*by
+		v.ServedCost, v.WeightedLatency, v.RefusedCost, v.Retries = v.ServedCost*by, v.WeightedLatency*by, v.RefusedCost*by, v.Retries*by
 	}
 	offered := h.f.offered(&v)
-	if least := workLeast * h.served * offered; v.Work < least {
-		v.Strain, v.Work = v.Strain*least/max(v.Work, 1e-9), least
-		v.Strain = min(v.Strain, 4*v.Work)
+	if least := workLeast * h.served * offered; v.ServedCost < least {
+		v.WeightedLatency, v.ServedCost = v.WeightedLatency*least/max(v.ServedCost, 1e-9), least
+		v.WeightedLatency = min(v.WeightedLatency, 4*v.ServedCost)
 	}
-	v.Work = min(v.Work, max(offered, 0)) // nobody serves more than it was offered
-	v.Strain = min(v.Strain, 4*v.Work)
-	v.Turned = min(v.Turned, offered)
-	v.Repeats = min(v.Repeats, v.total())
-	v.Part = min(v.Part, sayMost*max(1, h.part))
+	v.ServedCost = min(v.ServedCost, max(offered, 0)) // nobody serves more than it was offered
+	v.WeightedLatency = min(v.WeightedLatency, 4*v.ServedCost)
+	v.RefusedCost = min(v.RefusedCost, offered)
+	v.Retries = min(v.Retries, v.total())
+	v.LimitShare = min(v.LimitShare, sayMost*max(1, h.part))
 	return v
 }
 
 func (v *Vector) add(x *Vector, weight float64) {
-	for i := range v.First {
-		v.First[i] += weight * x.First[i]
+	for i := range v.FirstAttempts {
+		v.FirstAttempts[i] += weight * x.FirstAttempts[i]
 	}
-	v.Work += weight * x.Work
-	v.Strain += weight * x.Strain
-	v.Turned += weight * x.Turned
-	v.Repeats += weight * x.Repeats
-	v.Part += weight * x.Part
-	v.Level += weight * x.Level
+	v.ServedCost += weight * x.ServedCost
+	v.WeightedLatency += weight * x.WeightedLatency
+	v.RefusedCost += weight * x.RefusedCost
+	v.Retries += weight * x.Retries
+	v.LimitShare += weight * x.LimitShare
+	v.AdmittedFraction += weight * x.AdmittedFraction
 }
 
 func (v *Vector) scale(by float64) {
@@ -123,7 +123,7 @@
 // the means that those heard have of others, for theirs are of other members.
 func (f *Fleet) estimate(sum, seconds float64) {
 	own := f.own
-	own.Part, own.Level = f.part, f.level
+	own.LimitShare, own.AdmittedFraction = f.part, f.level
 	if len(f.heard) == 0 { // while trust fades the means stay, but a queue is seen by oneself alone
 		f.strain, f.turned, f.repeating = strain(&own), f.share(&own), repeating(&own)
 		if f.trust == 0 {
@@ -137,7 +137,7 @@
 	for i, e := range f.heard {
 		v := h.hold(e.digest.Own)
 		layer.add(&v, f.weights[i]/sum)
-		if v.Work > 0 {
+		if v.ServedCost > 0 {
 			strains = append(strains, strain(&v))
 		}
 		turned, repeats = append(turned, f.share(&v)), append(repeats, repeating(&v))
@@ -160,7 +160,7 @@
 	if slow, is := f.offered(&f.means), f.offered(&now); is > changed*slow || slow > changed*is {
 		f.means = now
 	}
-	f.means.Level = f.agreedLevel()
+	f.means.AdmittedFraction = f.agreedLevel()
 	f.strain = min(strain(&now), tellMost*told(strains))
 	f.turned = min(f.share(&now), tellMost*told(turned))
 	f.repeating = min(repeating(&f.means), repeatsMost*lowerMedian(repeats))
@@ -174,8 +174,8 @@
 		levels = append(levels, f.level)
 	}
 	for _, e := range f.heard {
-		if e.digest.Own.Level < 1 {
-			levels = append(levels, e.digest.Own.Level)
+		if e.digest.Own.AdmittedFraction < 1 {
+			levels = append(levels, e.digest.Own.AdmittedFraction)
 		}
 	}
 	if 2*len(levels) <= all {
@@ -190,7 +190,7 @@
 	n := len(f.set.Classes)
 	said := make([]Vector, len(f.heard))
 	for i, e := range f.heard {
-		if said[i] = e.digest.Heard; said[i] == (Vector{}) {
+		if said[i] = e.digest.PeerMean; said[i] == (Vector{}) {
 			said[i] = *layer
 		}
 	}
@@ -210,17 +210,17 @@
 
 // strain is the mean over answers, 1 at its target.
 func strain(v *Vector) float64 {
-	if v.Work <= 0 {
+	if v.ServedCost <= 0 {
 		return 0
 	}
-	return min(4, v.Strain/v.Work)
+	return min(4, v.WeightedLatency/v.ServedCost)
 }
 
 // share is that of what was offered that limits turned away.
-func (f *Fleet) share(v *Vector) float64 { return min(1, v.Turned/max(f.offered(v), 1e-9)) }
+func (f *Fleet) share(v *Vector) float64 { return min(1, v.RefusedCost/max(f.offered(v), 1e-9)) }
 
 // repeating is how many repeats are made to a first try.
-func repeating(v *Vector) float64 { return min(1, v.Repeats/max(v.total(), 1e-9)) }
+func repeating(v *Vector) float64 { return min(1, v.Retries/max(v.total(), 1e-9)) }
 
 // told is what a fifth of all, and not one alone, say or more.
 func told(said []float64) float64 {
@@ -242,7 +242,7 @@
 	if wanted > f.trust {
 		f.trust = min(wanted, f.trust+0.5*seconds)
 	} else {
-		f.trust = max(wanted, f.trust-whole/f.set.BackOver.Seconds())
+		f.trust = max(wanted, f.trust-whole/f.set.FallbackTime.Seconds())
 	}
 	f.estimate(sum, seconds)
 	f.count(now)
@@ -266,7 +266,7 @@
 func (f *Fleet) count(now Time) {
 	same := 1
 	for i, e := range f.heard {
-		if f.weights[i] > 0.5 && !e.digest.Compact && e.digest.Gone == f.goneSum {
+		if f.weights[i] > 0.5 && !e.digest.Compact && e.digest.UnreachableHash == f.goneSum {
 			same++
 		}
 	}
@@ -292,7 +292,7 @@
 // whole. Where more is held than there is, as when some hear nobody and are heard, those who hold more than an
 // N-th give of that until it fits.
 func (f *Fleet) steerPart(seconds float64) {
-	if over := f.means.Part*(1-f.freed()) - partOver; over > 0 && len(f.heard) > 0 {
+	if over := f.means.LimitShare*(1-f.freed()) - partOver; over > 0 && len(f.heard) > 0 {
 		f.kept *= 1 - min(1, 2*over*seconds)
 	} else {
 		f.kept = min(1, f.kept+0.05*seconds)
@@ -315,7 +315,7 @@
 // steerRepeats cuts every member's repeats alike while all together make more than the budget.
 func (f *Fleet) steerRepeats() {
 	f.repeats = 1
-	if f.trust > 0 && f.repeating > f.set.Budget {
-		f.repeats = 1 + f.trust*(max(repeatsLeast, f.set.Budget/f.repeating)-1)
+	if f.trust > 0 && f.repeating > f.set.RetryBudget {
+		f.repeats = 1 + f.trust*(max(repeatsLeast, f.set.RetryBudget/f.repeating)-1)
 	}
 }
--- a/fleet/overload/numbers.go
+++ b/fleet/overload/numbers.go
@@ -9,62 +9,62 @@
 )
 
 // Numbers are this member's for now. They change slowly: a caller may hold them for some tenths of a second.
-type Numbers struct {
-	Trust       float64 // 0: alone; 1: the others are heard
-	LimitPart   float64 // own part of the shared limit, in N-ths
-	RepeatsPart float64 // of the repeats that alone allows
-	ColdPart    float64 // of the calls to a cold backend that alone allows
-	Cut         [ClassesMost]float64
-	Spell       uint8
+type Controls struct {
+	Confidence        float64 // 0: alone; 1: the others are heard
+	LimitShare        float64 // own part of the shared limit, in N-ths
+	RetryFraction     float64 // of the repeats that alone allows
+	SlowStartFraction float64 // of the calls to a cold backend that alone allows
+	ShedFraction      [MaxClasses]float64
+	Episode           uint8
 }
 
 // Alone returns the numbers of a member that hears nobody: they change nothing.
-func Alone() Numbers { return Numbers{LimitPart: 1, RepeatsPart: 1, ColdPart: 1} }
+func Standalone() Controls { return Controls{LimitShare: 1, RetryFraction: 1, SlowStartFraction: 1} }
 
 // Numbers returns this member's numbers.
-func (f *Fleet) Numbers(now Time) Numbers {
+func (f *Fleet) Controls(now Time) Controls {
 	f.advance(now)
-	return Numbers{
-		Trust: f.trust, LimitPart: f.part, RepeatsPart: f.repeats, ColdPart: min(1, f.part),
-		Cut: f.cut, Spell: f.spell,
+	return Controls{
+		Confidence: f.trust, LimitShare: f.part, RetryFraction: f.repeats, SlowStartFraction: min(1, f.part),
+		ShedFraction: f.cut, Episode: f.spell,
 	}
 }
 
 // Key is the hash of a request's key, to be the same at all members.
-func Key(key []byte) uint64 { return xxhash.Sum64(key) }
+func HashKey(key []byte) uint64 { return xxhash.Sum64(key) }
 
 // Shed tells whether a request of the class is to be turned away. It follows the key and the spell, so that
 // all members with the same cut answer all tries of a key alike, and another spell sheds other keys.
-func (n *Numbers) Shed(class int, key uint64) bool {
-	return class >= 0 && class < ClassesMost && n.Cut[class] > 0 && n.place(key, byte(class)) < n.Cut[class]
+func (n *Controls) ShouldShed(class int, key uint64) bool {
+	return class >= 0 && class < MaxClasses && n.ShedFraction[class] > 0 && n.place(key, byte(class)) < n.ShedFraction[class]
 }
 
 // ComeBack spreads what a refused client is told to wait over half to one and a half times base, by its key,
 // never over most.
-func (n *Numbers) ComeBack(key uint64, base, most time.Duration) time.Duration {
-	spread := 1 + n.Trust*(n.place(key, 0xff)-0.5)
+func (n *Controls) RetryAfter(key uint64, base, most time.Duration) time.Duration {
+	spread := 1 + n.Confidence*(n.place(key, 0xff)-0.5)
 	return min(most, time.Duration(spread*float64(base)))
 }
 
 // place is where a key lies from 0 to 1 in this spell.
-func (n *Numbers) place(key uint64, salt byte) float64 {
+func (n *Controls) place(key uint64, salt byte) float64 {
 	var b [10]byte
 	binary.BigEndian.PutUint64(b[:], key)
-	b[8], b[9] = n.Spell, salt
+	b[8], b[9] = n.Episode, salt
 	return float64(xxhash.Sum64(b[:])>>11) / (1 << 53)
 }
 
 // steerCut holds the level, the share of the work offered that the fleet bears, and cuts to it what is worth
 // least.
 func (f *Fleet) steerCut(now Time, seconds float64) {
-	offered, served := f.offered(&f.means), f.means.Work
+	offered, served := f.offered(&f.means), f.means.ServedCost
 	f.followSpell()
 	switch {
 	case f.trust == 0:
 		f.level = 1
 	case f.level < 1:
 		f.steerLevel(offered, served, seconds)
-	case f.strain >= strainRest && (f.turned >= turnedBegin || f.means.Level < 1):
+	case f.strain >= strainRest && (f.turned >= turnedBegin || f.means.AdmittedFraction < 1):
 		f.begin(now, offered, served)
 	}
 	target := f.target(offered)
@@ -83,8 +83,8 @@
 func (f *Fleet) begin(now Time, offered, served float64) {
 	f.base = offered
 	f.level = min(0.99, served/max(offered, 1e-9))
-	if f.means.Level < 1 {
-		f.level = f.means.Level
+	if f.means.AdmittedFraction < 1 {
+		f.level = f.means.AdmittedFraction
 	}
 	f.least = levelLeast * served
 	if f.spellFrom == 0 || now-f.spellFrom > spellLeast {
@@ -99,7 +99,7 @@
 		if d == nil {
 			return 128
 		}
-		return 128 + float64(int8(d.Spell-f.spell))
+		return 128 + float64(int8(d.Episode-f.spell))
 	})) - 128
 	if ahead > 0 {
 		f.spell += uint8(ahead)
@@ -126,21 +126,21 @@
 		free := max(0, strainFree-f.strain)
 		f.level *= 1 + levelGrowth*free*free*seconds
 	}
-	if f.means.Level < 1 && f.strain >= strainRest {
-		f.level += min(1, levelShare*seconds) * (f.means.Level - f.level)
+	if f.means.AdmittedFraction < 1 && f.strain >= strainRest {
+		f.level += min(1, levelShare*seconds) * (f.means.AdmittedFraction - f.level)
 	}
 	f.level = min(1, max(f.level, f.least/max(offered, 1e-9)))
 }
 
 // target is the share of each class to be shed so that what is offered fits the level.
-func (f *Fleet) target(offered float64) (cut [ClassesMost]float64) {
+func (f *Fleet) target(offered float64) (cut [MaxClasses]float64) {
 	if f.level == 1 {
 		return cut
 	}
 	room := f.level * offered
 	for _, i := range f.order {
-		need := f.set.Classes[i].Cost * f.means.First[i]
-		if f.set.EvenClasses {
+		need := f.set.Classes[i].Cost * f.means.FirstAttempts[i]
+		if f.set.UniformShedding {
 			cut[i] = 1 - f.level
 		} else if need > room {
 			cut[i] = 1 - room/need
@@ -153,7 +153,7 @@
 // Trial tells whether a trial call to a backend that is out is for this member to make: one of each zone
 // makes it, by rendezvous (Thaler, Ravishankar, IEEE/ACM ToN 1998), a member not heard of passed over. Once
 // another has found it serving, each may try it, at a moment of its own.
-func (f *Fleet) Trial(now Time, backend, zone string) bool {
+func (f *Fleet) MayProbe(now Time, backend, zone string) bool {
 	f.advance(now)
 	if f.trust == 0 {
 		return true
@@ -184,7 +184,7 @@
 }
 
 // Found takes that a trial call of this member's served: the others are told for some seconds.
-func (f *Fleet) Found(now Time, backend string) {
+func (f *Fleet) ProbeSucceeded(now Time, backend string) {
 	f.back(now, uint16(xxhash.Sum64String(backend)), true)
 }
 
@@ -224,10 +224,10 @@
 // members that have saved ten each would spend them in the same second. This needs nobody else's word and
 // so holds while the fleet is cut apart; it is the one thing that a member with a fleet does unlike one
 // without, heard or not.
-func (f *Fleet) Repeat(now Time) bool {
+func (f *Fleet) AllowRetry(now Time) bool {
 	f.advance(now)
 	s := &f.spending
-	budget := f.set.Budget * f.repeats * min(s.rate, s.before)
+	budget := f.set.RetryBudget * f.repeats * min(s.rate, s.before)
 	kept := s.spent[:0]
 	for _, at := range s.spent {
 		if now-at < time.Second {
--- a/fleet/overload/overload.go
+++ b/fleet/overload/overload.go
@@ -75,19 +75,19 @@
 
 // Class is what must be the same at all members for them to shed alike.
 type Class struct {
-	Worth float64 // of an answer
+	Value float64 // of an answer
 	Cost  float64 // work of one call, as a multiple of any unit; 0 counts as 1
 }
 
 // Settings is what a member is told at its start. Zero durations take the value named.
 type Settings struct {
-	Classes     []Class
-	EvenClasses bool          // no class is to be worse off than others for its worth
-	Budget      float64       // repeats, as a share of first tries; 0: 0.1
-	Compact     bool          // digests of 64 bytes, for up to four classes
-	Fresh       time.Duration // a digest counts whole for so long; 0: 1 s
-	Timeout     time.Duration // and not at all after this; 0: 4 s
-	BackOver    time.Duration // whole trust is lost over this, then the numbers are Alone; 0: 5 s
+	Classes         []Class
+	UniformShedding bool          // no class is to be worse off than others for its worth
+	RetryBudget     float64       // repeats, as a share of first tries; 0: 0.1
+	CompactDigests  bool          // digests of 64 bytes, for up to four classes
+	FreshAge        time.Duration // a digest counts whole for so long; 0: 1 s
+	ExpiryAge       time.Duration // and not at all after this; 0: 4 s
+	FallbackTime    time.Duration // whole trust is lost over this, then the numbers are Alone; 0: 5 s
 }
 
 // State is what membership says of a member.
@@ -95,9 +95,9 @@
 
 // The states of a member.
 const (
-	Alive State = iota
-	Gone        // seen dead, or not seen
-	Left        // it said that it leaves
+	Alive       State = iota
+	Unreachable       // seen dead, or not seen
+	Left              // it said that it leaves
 )
 
 // Member is one member as membership sees it.
@@ -110,22 +110,22 @@
 
 // Counters is what the caller counted since it last told, of this member alone.
 type Counters struct {
-	First, Served, Refused []float64 // by class; First before anything is shed, Refused first tries by the own limit
-	Strain                 float64   // sum over answers and time-outs: latency by its target, 4 at most
-	Answers                float64   // how many of these
-	Repeats, Trials        float64
-	Cold, InUse            float64 // now: parts of cold backends, calls in flight
+	FirstAttempts, Served, Refused []float64 // by class; First before anything is shed, Refused first tries by the own limit
+	LatencyRatioSum                float64   // sum over answers and time-outs: latency by its target, 4 at most
+	LatencySamples                 float64   // how many of these
+	Retries, Probes                float64
+	SlowStart, InFlight            float64 // now: parts of cold backends, calls in flight
 }
 
 // Errors of Take. Nothing that returns one has changed any number.
 var (
-	ErrUnknown = errors.New("not a member, or another life of it")
-	ErrOld     = errors.New("not newer than the last one")
-	ErrAbsurd  = errors.New("out of all proportion to the others")
+	ErrUnknownMember = errors.New("not a member, or another life of it")
+	ErrStaleDigest   = errors.New("not newer than the last one")
+	ErrOutlier       = errors.New("out of all proportion to the others")
 )
 
 // Dropped counts digests not taken, by why.
-type Dropped struct{ Malformed, Unknown, Old, Absurd int }
+type DropCounts struct{ Malformed, Unknown, Stale, Outlier int }
 
 type entry struct {
 	Member
@@ -147,7 +147,7 @@
 	left    int
 	gone    int
 	goneSum uint64
-	dropped Dropped
+	dropped DropCounts
 	started Time
 
 	own       Vector
@@ -167,7 +167,7 @@
 	part      float64
 	kept      float64 // of the part over an N-th: less while more is held than there is
 	repeats   float64
-	cut       [ClassesMost]float64
+	cut       [MaxClasses]float64
 	level     float64 // share of the work offered that the fleet bears; 1: no spell
 	base      float64 // work offered, by N, that the level is for
 	least     float64 // that the level is held over in this spell
@@ -188,29 +188,29 @@
 
 // New returns the member me, alone until it has a View and hears others.
 func New(now Time, set Settings, me Member) (*Fleet, error) {
-	most := ClassesMost
-	if set.Compact {
-		most = CompactClasses
+	most := MaxClasses
+	if set.CompactDigests {
+		most = MaxCompactClasses
 	}
 	if n := len(set.Classes); n < 1 || n > most {
 		return nil, fmt.Errorf("overload: %d classes: 1 to %d can be told", n, most)
 	}
 	set.Classes = slices.Clone(set.Classes)
-	set.Budget = cmp.Or(set.Budget, 0.1)
-	set.Fresh = cmp.Or(set.Fresh, time.Second)
-	set.Timeout = cmp.Or(set.Timeout, 4*time.Second)
-	set.BackOver = cmp.Or(set.BackOver, 5*time.Second)
-	if set.Fresh >= set.Timeout {
-		return nil, fmt.Errorf("overload: fresh %v is not under timeout %v", set.Fresh, set.Timeout)
+	set.RetryBudget = cmp.Or(set.RetryBudget, 0.1)
+	set.FreshAge = cmp.Or(set.FreshAge, time.Second)
+	set.ExpiryAge = cmp.Or(set.ExpiryAge, 4*time.Second)
+	set.FallbackTime = cmp.Or(set.FallbackTime, 5*time.Second)
+	if set.FreshAge >= set.ExpiryAge {
+		return nil, fmt.Errorf("overload: fresh %v is not under timeout %v", set.FreshAge, set.ExpiryAge)
 	}
 	f := &Fleet{set: set, by: map[uint64]*entry{}, roster: 1, part: 1, kept: 1, repeats: 1, level: 1, agreed: -1,
 		started: now, owned: now, last: now, me: entry{Member: me, hash: xxhash.Sum64String(me.Name)}}
 	for i := range set.Classes {
 		c := &set.Classes[i]
-		c.Cost, c.Worth = cmp.Or(sane(c.Cost), 1), sane(c.Worth)
+		c.Cost, c.Value = cmp.Or(sane(c.Cost), 1), sane(c.Value)
 		f.order = append(f.order, i)
 	}
-	value := func(i int) float64 { return set.Classes[i].Worth / set.Classes[i].Cost }
+	value := func(i int) float64 { return set.Classes[i].Value / set.Classes[i].Cost }
 	slices.SortStableFunc(f.order, func(i, j int) int { return cmp.Compare(value(j), value(i)) })
 	return f, nil
 }
@@ -225,7 +225,7 @@
 
 // View takes who is there as membership sees it, and how many the last agreed roster has. What was heard of
 // another life of a member is forgotten. This member's own incarnation is taken from it as well.
-func (f *Fleet) View(now Time, roster int, members []Member) {
+func (f *Fleet) SetMembers(now Time, roster int, members []Member) {
 	f.advance(now)
 	f.roster, f.left, f.gone, f.goneSum = max(roster, 1), 0, 0, 0
 	before := f.by
@@ -243,7 +243,7 @@
 		case Left:
 			f.left++
 			continue
-		case Gone:
+		case Unreachable:
 			f.gone++
 			f.goneSum ^= hash
 			continue
@@ -264,10 +264,10 @@
 // Take takes a digest of another member. One that is damaged, doubled, older than the last, of another life
 // or out of all proportion is counted and changes nothing. A late one counts for its age: each carries its
 // sender's own time, so that what it took beyond the quickest is known.
-func (f *Fleet) Take(now Time, b []byte) error {
+func (f *Fleet) ReceiveDigest(now Time, b []byte) error {
 	d, err := ParseDigest(b)
 	if err == nil && d.Classes != len(f.set.Classes) {
-		err = fmt.Errorf("digest: %d classes where there are %d: %w", d.Classes, len(f.set.Classes), ErrForm)
+		err = fmt.Errorf("digest: %d classes where there are %d: %w", d.Classes, len(f.set.Classes), ErrMalformed)
 	}
 	if err != nil {
 		f.dropped.Malformed++
@@ -276,15 +276,15 @@
 	e := f.by[d.Sender]
 	if e == nil || d.Incarnation != e.Incarnation {
 		f.dropped.Unknown++
-		return fmt.Errorf("digest: sender %x: %w", d.Sender, ErrUnknown)
+		return fmt.Errorf("digest: sender %x: %w", d.Sender, ErrUnknownMember)
 	}
 	if e.digest != nil && d.Sequence <= e.digest.Sequence {
-		f.dropped.Old++
-		return fmt.Errorf("digest: %s: %w", e.Name, ErrOld)
+		f.dropped.Stale++
+		return fmt.Errorf("digest: %s: %w", e.Name, ErrStaleDigest)
 	}
 	if f.absurd(d) {
-		f.dropped.Absurd++
-		return fmt.Errorf("digest: %s: %w", e.Name, ErrAbsurd)
+		f.dropped.Outlier++
+		return fmt.Errorf("digest: %s: %w", e.Name, ErrOutlier)
 	}
 	offset := now - Time(d.Sequence)*sequenceIs
 	if e.digest == nil {
@@ -293,7 +293,7 @@
 		e.offset = min(offset, e.offset+Time(driftMost*float64(now-e.at)))
 	}
 	e.digest, e.at, e.late = d, now, offset-e.offset
-	for _, hash := range d.Backs {
+	for _, hash := range d.Recovered {
 		f.back(now, hash, false)
 	}
 	return nil
@@ -309,14 +309,14 @@
 }
 
 func (v *Vector) total() (sum float64) {
-	for _, first := range v.First {
+	for _, first := range v.FirstAttempts {
 		sum += first
 	}
 	return sum
 }
 
 // Own takes this member's own counters since they were last told. Rates follow them within a second or two.
-func (f *Fleet) Own(now Time, c Counters) {
+func (f *Fleet) AddCounters(now Time, c Counters) {
 	dt := now - f.owned
 	if dt <= 0 {
 		return
@@ -336,45 +336,45 @@
 	}
 	work, turned := 0.0, 0.0
 	for i, class := range f.set.Classes {
-		follow(&f.own.First[i], at(c.First, i))
+		follow(&f.own.FirstAttempts[i], at(c.FirstAttempts, i))
 		follow(&f.detail.Served[i], at(c.Served, i))
 		follow(&f.detail.Refused[i], at(c.Refused, i))
 		work += at(c.Served, i) * class.Cost
 		turned += at(c.Refused, i) * class.Cost
 	}
 	strain := 0.0
-	if c.Answers > 0 {
-		strain = min(4, sane(c.Strain)/c.Answers)
+	if c.LatencySamples > 0 {
+		strain = min(4, sane(c.LatencyRatioSum)/c.LatencySamples)
 	}
-	follow(&f.own.Work, work)
-	follow(&f.own.Strain, work*strain)
-	follow(&f.own.Turned, turned)
+	follow(&f.own.ServedCost, work)
+	follow(&f.own.WeightedLatency, work*strain)
+	follow(&f.own.RefusedCost, turned)
 	// Few make more than one in some seconds: over less time a single one would look like far too many.
-	f.own.Repeats += (1 - math.Exp(-float64(dt)/float64(repeatsOver))) * (sane(c.Repeats)/seconds - f.own.Repeats)
-	follow(&f.detail.Trials, c.Trials)
-	f.detail.Cold, f.detail.InUse = sane(c.Cold), sane(c.InUse)
-	f.spending.seen(now, at, c.First, seconds)
+	f.own.Retries += (1 - math.Exp(-float64(dt)/float64(repeatsOver))) * (sane(c.Retries)/seconds - f.own.Retries)
+	follow(&f.detail.Probes, c.Probes)
+	f.detail.SlowStart, f.detail.InFlight = sane(c.SlowStart), sane(c.InFlight)
+	f.spending.seen(now, at, c.FirstAttempts, seconds)
 	f.advance(now)
 }
 
 // Digest is this member's next digest, to be sent to some others now.
-func (f *Fleet) Digest(now Time) []byte {
+func (f *Fleet) NextDigest(now Time) []byte {
 	f.advance(now)
 	f.sequence = max(f.sequence+1, uint32(min(math.MaxUint32, (now-f.started)/sequenceIs)))
 	d := f.detail
-	d.Compact, d.Classes = f.set.Compact, len(f.set.Classes)
+	d.Compact, d.Classes = f.set.CompactDigests, len(f.set.Classes)
 	d.Sender, d.Incarnation, d.Sequence = f.me.hash, f.me.Incarnation, f.sequence
-	d.Spell, d.Gone = f.spell, f.goneSum
-	d.Own, d.Heard = f.own, f.layer
-	d.Own.Part, d.Own.Level = f.part, f.level
+	d.Episode, d.UnreachableHash = f.spell, f.goneSum
+	d.Own, d.PeerMean = f.own, f.layer
+	d.Own.LimitShare, d.Own.AdmittedFraction = f.part, f.level
 	for _, b := range f.backs {
-		if b.here && len(d.Backs) < d.backs() {
-			d.Backs = append(d.Backs, b.hash)
+		if b.here && len(d.Recovered) < d.backs() {
+			d.Recovered = append(d.Recovered, b.hash)
 		}
 	}
 	return d.Append(nil)
 }
 
 // Heard is how many others are heard now, and Dropped what was not taken.
-func (f *Fleet) Heard() int       { return len(f.heard) }
-func (f *Fleet) Dropped() Dropped { return f.dropped }
+func (f *Fleet) PeersHeard() int     { return len(f.heard) }
+func (f *Fleet) Dropped() DropCounts { return f.dropped }
--- a/fleet/overload/overload_test.go
+++ b/fleet/overload/overload_test.go
@@ -12,10 +12,10 @@
 )
 
 func full(compact bool) *Digest {
-	d := &Digest{Compact: compact, Classes: CompactClasses, Sender: 1 << 60, Incarnation: 7, Sequence: 9, Spell: 3,
-		Backs: []uint16{5}}
+	d := &Digest{Compact: compact, Classes: MaxCompactClasses, Sender: 1 << 60, Incarnation: 7, Sequence: 9, Episode: 3,
+		Recovered: []uint16{5}}
 	if !compact {
-		d.Classes, d.Backs, d.Gone = ClassesMost, []uint16{1, 2, 3, 4}, 1<<63+1
+		d.Classes, d.Recovered, d.UnreachableHash = MaxClasses, []uint16{1, 2, 3, 4}, 1<<63+1
 	}
 	for i, v := range d.values() {
 		*v = value(code(float64(i) * 1.7))
@@ -27,7 +27,7 @@
 	for _, tt := range []struct {
 		compact bool
 		most    int
-	}{{true, CompactMost}, {false, DigestMost}} {
+	}{{true, MaxCompactSize}, {false, MaxDigestSize}} {
 		d := full(tt.compact)
 		b := d.Append(nil)
 		if len(b) > tt.most {
@@ -38,7 +38,7 @@
 			t.Errorf("compact %v: got %+v, %v; want %+v", tt.compact, got, err, d)
 		}
 		for n := range b {
-			if _, err := ParseDigest(b[:n]); !errors.Is(err, ErrForm) {
+			if _, err := ParseDigest(b[:n]); !errors.Is(err, ErrMalformed) {
 				t.Errorf("%d of %d bytes: %v", n, len(b), err)
 			}
 		}
@@ -71,7 +71,7 @@
 		if err != nil {
 			panic(err)
 		}
-		f.View(0, n, view)
+		f.SetMembers(0, n, view)
 		fleets = append(fleets, f)
 	}
 	return fleets, view
@@ -79,9 +79,9 @@
 
 // counters of half a second with so many first tries of a class, and a share of them turned away.
 func counters(first, turned float64) Counters {
-	c := Counters{Answers: first, Strain: first * (0.3 + min(0.7, 10*turned))}
+	c := Counters{LatencySamples: first, LatencyRatioSum: first * (0.3 + min(0.7, 10*turned))}
 	for range testClasses {
-		c.First = append(c.First, first)
+		c.FirstAttempts = append(c.FirstAttempts, first)
 		c.Served = append(c.Served, first*(1-turned))
 		c.Refused = append(c.Refused, first*turned)
 	}
@@ -92,13 +92,13 @@
 func talk(fleets []*Fleet, from, span Time, c Counters, apart func(i, j int) bool) Time {
 	for now := from; now < from+span; now += half {
 		for _, f := range fleets {
-			f.Own(now, c)
+			f.AddCounters(now, c)
 		}
 		for i, f := range fleets {
-			b := f.Digest(now)
+			b := f.NextDigest(now)
 			for j, to := range fleets {
 				if i != j && (apart == nil || !apart(i, j)) {
-					to.Take(now, b)
+					to.ReceiveDigest(now, b)
 				}
 			}
 		}
@@ -115,57 +115,57 @@
 	talk(twins, half, 5*time.Second, counters(5, 0), nil)
 	f, twin := fleets[0], twins[0]
 	digest := func(change func(*Digest)) []byte {
-		d, _ := ParseDigest(fleets[1].Digest(now))
+		d, _ := ParseDigest(fleets[1].NextDigest(now))
 		d.Sequence += 10
-		d.Own.First[0] *= 3
+		d.Own.FirstAttempts[0] *= 3
 		change(d)
 		return d.Append(nil)
 	}
 	unlike := func() bool {
 		now += half
-		f.Own(now, counters(5, 0))
-		twin.Own(now, counters(5, 0))
-		return f.Numbers(now) != twin.Numbers(now) || !bytes.Equal(f.Digest(now), twin.Digest(now))
+		f.AddCounters(now, counters(5, 0))
+		twin.AddCounters(now, counters(5, 0))
+		return f.Controls(now) != twin.Controls(now) || !bytes.Equal(f.NextDigest(now), twin.NextDigest(now))
 	}
 	tests := []struct {
 		name string
 		b    []byte
 		err  error
 	}{
-		{"doubled", digest(func(d *Digest) { d.Sequence = f.by[d.Sender].digest.Sequence }), ErrOld},
-		{"late, from before", digest(func(d *Digest) { d.Sequence = 1 }), ErrOld},
-		{"older life", digest(func(d *Digest) { d.Incarnation = 1 }), ErrUnknown},
-		{"life that membership knows nothing of", digest(func(d *Digest) { d.Incarnation = 3 }), ErrUnknown},
-		{"stranger", digest(func(d *Digest) { d.Sender++ }), ErrUnknown},
-		{"own, sent back", digest(func(d *Digest) { d.Sender = f.me.hash }), ErrUnknown},
-		{"huge", digest(func(d *Digest) { d.Own.First[0] = math.Inf(1) }), ErrAbsurd},
-		{"other classes", digest(func(d *Digest) { d.Classes = 2 }), ErrForm},
-		{"empty", nil, ErrForm},
+		{"doubled", digest(func(d *Digest) { d.Sequence = f.by[d.Sender].digest.Sequence }), ErrStaleDigest},
+		{"late, from before", digest(func(d *Digest) { d.Sequence = 1 }), ErrStaleDigest},
+		{"older life", digest(func(d *Digest) { d.Incarnation = 1 }), ErrUnknownMember},
+		{"life that membership knows nothing of", digest(func(d *Digest) { d.Incarnation = 3 }), ErrUnknownMember},
+		{"stranger", digest(func(d *Digest) { d.Sender++ }), ErrUnknownMember},
+		{"own, sent back", digest(func(d *Digest) { d.Sender = f.me.hash }), ErrUnknownMember},
+		{"huge", digest(func(d *Digest) { d.Own.FirstAttempts[0] = math.Inf(1) }), ErrOutlier},
+		{"other classes", digest(func(d *Digest) { d.Classes = 2 }), ErrMalformed},
+		{"empty", nil, ErrMalformed},
 	}
 	for _, tt := range tests {
-		if err := f.Take(now, tt.b); !errors.Is(err, tt.err) {
+		if err := f.ReceiveDigest(now, tt.b); !errors.Is(err, tt.err) {
 			t.Errorf("%s: %v", tt.name, err)
 		}
 		if unlike() {
-			t.Fatalf("%s: %+v, and without %+v", tt.name, f.Numbers(now), twin.Numbers(now))
+			t.Fatalf("%s: %+v, and without %+v", tt.name, f.Controls(now), twin.Controls(now))
 		}
 	}
-	if got, want := f.Dropped(), (Dropped{Malformed: 2, Unknown: 4, Old: 2, Absurd: 1}); got != want {
+	if got, want := f.Dropped(), (DropCounts{Malformed: 2, Unknown: 4, Stale: 2, Outlier: 1}); got != want {
 		t.Errorf("dropped %+v, want %+v", got, want)
 	}
 	// Planted: one that is taken shows.
-	if err := f.Take(now, digest(func(*Digest) {})); err != nil || !unlike() {
+	if err := f.ReceiveDigest(now, digest(func(*Digest) {})); err != nil || !unlike() {
 		t.Errorf("a good digest changes nothing, %v", err)
 	}
 	// A member in its next life is heard from its first digest on, and its old life no more.
-	old := fleets[1].Digest(now)
+	old := fleets[1].NextDigest(now)
 	view[1].Incarnation = 3
-	f.View(now, 5, view)
-	if err := f.Take(now, old); !errors.Is(err, ErrUnknown) {
+	f.SetMembers(now, 5, view)
+	if err := f.ReceiveDigest(now, old); !errors.Is(err, ErrUnknownMember) {
 		t.Errorf("the old life is heard: %v", err)
 	}
 	next, _ := New(now, Settings{Classes: testClasses}, view[1])
-	if err := f.Take(now, next.Digest(now)); err != nil {
+	if err := f.ReceiveDigest(now, next.NextDigest(now)); err != nil {
 		t.Errorf("the next life: %v", err)
 	}
 }
@@ -174,9 +174,9 @@
 func TestLate(t *testing.T) {
 	fleets, _ := team(2)
 	now := talk(fleets, half, 5*time.Second, counters(5, 0), nil)
-	b := fleets[1].Digest(now)
+	b := fleets[1].NextDigest(now)
 	e := fleets[0].others[0]
-	fleets[0].Take(now+3*time.Second, b)
+	fleets[0].ReceiveDigest(now+3*time.Second, b)
 	if w := fleets[0].weight(now+3*time.Second, e); w > 0.5 {
 		t.Errorf("3 s under way, and it weighs %.2f", w)
 	}
@@ -185,9 +185,9 @@
 // TestMalformedCounters: counters that no honest caller tells count as none.
 func TestMalformedCounters(t *testing.T) {
 	fleets, _ := team(1)
-	bad := Counters{First: []float64{math.NaN(), -5, math.Inf(1), 7, 8}, Strain: math.NaN(), Answers: 1, Repeats: -1}
-	fleets[0].Own(half, bad)
-	if f := fleets[0]; f.own != (Vector{}) || f.Numbers(half) != Alone() {
+	bad := Counters{FirstAttempts: []float64{math.NaN(), -5, math.Inf(1), 7, 8}, LatencyRatioSum: math.NaN(), LatencySamples: 1, Retries: -1}
+	fleets[0].AddCounters(half, bad)
+	if f := fleets[0]; f.own != (Vector{}) || f.Controls(half) != Standalone() {
 		t.Errorf("own %+v", f.own)
 	}
 }
@@ -197,11 +197,11 @@
 func TestShed(t *testing.T) {
 	fleets, _ := team(6)
 	talk(fleets, half, 15*time.Second, counters(50, 0.3), nil)
-	all := make([]Numbers, len(fleets))
+	all := make([]Controls, len(fleets))
 	for i, f := range fleets {
-		all[i] = f.Numbers(15 * time.Second)
+		all[i] = f.Controls(15 * time.Second)
 	}
-	if cut := all[0].Cut; cut[0] != 0 || cut[2] < 0.5 {
+	if cut := all[0].ShedFraction; cut[0] != 0 || cut[2] < 0.5 {
 		t.Fatalf("cut %v", cut)
 	}
 	rng := rand.New(rand.NewPCG(1, 1))
@@ -210,28 +210,28 @@
 	for range keys {
 		key := rng.Uint64()
 		next := all[0]
-		next.Spell++
-		is := all[0].Shed(1, key) || all[0].Shed(2, key)
+		next.Episode++
+		is := all[0].ShouldShed(1, key) || all[0].ShouldShed(2, key)
 		if is {
 			shed++
 		}
 		for i := range all[1:] {
-			if all[1+i].Spell != all[0].Spell || is != (all[1+i].Shed(1, key) || all[1+i].Shed(2, key)) {
+			if all[1+i].Episode != all[0].Episode || is != (all[1+i].ShouldShed(1, key) || all[1+i].ShouldShed(2, key)) {
 				unlike++
 				break
 			}
 		}
-		if all[0].Shed(2, key) != next.Shed(2, key) {
+		if all[0].ShouldShed(2, key) != next.ShouldShed(2, key) {
 			other++
 		}
 	}
 	if unlike > keys/20 {
 		t.Errorf("%d of %d keys are shed at some members alone", unlike, keys)
 	}
-	if cut := all[0].Cut[2]; cut < 0.99 && other == 0 {
+	if cut := all[0].ShedFraction[2]; cut < 0.99 && other == 0 {
 		t.Error("the next spell sheds the same keys")
 	}
-	dice := func() bool { return rng.Float64() < all[0].Cut[2]*0.9 } // planted: what dice would do
+	dice := func() bool { return rng.Float64() < all[0].ShedFraction[2]*0.9 } // planted: what dice would do
 	unlike = 0
 	for range keys {
 		if one, other := dice(), dice(); one != other {
@@ -245,14 +245,14 @@
 
 // TestComeBack: spread by the key, never over what clients obey, and exactly the base for one alone.
 func TestComeBack(t *testing.T) {
-	n := Alone()
-	if got := n.ComeBack(1, time.Second, time.Minute); got != time.Second {
+	n := Standalone()
+	if got := n.RetryAfter(1, time.Second, time.Minute); got != time.Second {
 		t.Errorf("alone: %v", got)
 	}
-	n.Trust = 1
+	n.Confidence = 1
 	least, most := time.Hour, time.Duration(0)
 	for key := range uint64(1000) {
-		got := n.ComeBack(key, time.Second, 1400*time.Millisecond)
+		got := n.RetryAfter(key, time.Second, 1400*time.Millisecond)
 		least, most = min(least, got), max(most, got)
 	}
 	if least > 550*time.Millisecond || most != 1400*time.Millisecond {
@@ -269,7 +269,7 @@
 		now := talk(fleets, half, 4*time.Second, counters(5, 0), far)
 		owners := func(backend string) (who []int) {
 			for i, f := range fleets {
-				if f.Trial(now, backend, f.me.Zone) {
+				if f.MayProbe(now, backend, f.me.Zone) {
 					who = append(who, i)
 				}
 			}
@@ -287,7 +287,7 @@
 		if after := owners("b"); len(after) != 4 || reflect.DeepEqual(first, after) {
 			t.Errorf("with %d cut off: %v try it", dead, after)
 		}
-		fleets[first[1]].Found(now, "b")
+		fleets[first[1]].ProbeSucceeded(now, "b")
 		now = talk(fleets, now, 3*time.Second, counters(5, 0), nil)
 		if found := owners("b"); len(found) != n {
 			t.Errorf("once found: %v try it", found)
@@ -307,10 +307,10 @@
 		planted     bool    // who is left takes itself for the roster
 	}{
 		{"left", Left, 3, 10, 7, 10.01, 9.8, false},
-		{"seen gone by all", Gone, 3, 10, 7, 7.9, 7.6, false},
-		{"seen gone by half", Gone, 3, 10, 5, 7.05, 6.8, false},
-		{"a minority sees the others gone", Gone, 6, 10, 4, 4.05, 3.8, false},
-		{"planted: a minority that asks itself", Gone, 6, 10, 4, 4.05, 3.8, true},
+		{"seen gone by all", Unreachable, 3, 10, 7, 7.9, 7.6, false},
+		{"seen gone by half", Unreachable, 3, 10, 5, 7.05, 6.8, false},
+		{"a minority sees the others gone", Unreachable, 6, 10, 4, 4.05, 3.8, false},
+		{"planted: a minority that asks itself", Unreachable, 6, 10, 4, 4.05, 3.8, true},
 	}
 	for _, tt := range tests {
 		fleets, view := team(tt.roster)
@@ -321,13 +321,13 @@
 		rest := fleets[tt.out:]
 		for i, f := range rest {
 			if i < tt.see {
-				f.View(now, map[bool]int{false: tt.roster, true: tt.roster - tt.out}[tt.planted], view)
+				f.SetMembers(now, map[bool]int{false: tt.roster, true: tt.roster - tt.out}[tt.planted], view)
 			}
 		}
 		now = talk(rest, now, 20*time.Second, counters(5, 0), nil)
 		sum := 0.0
 		for _, f := range rest {
-			sum += f.Numbers(now).LimitPart
+			sum += f.Controls(now).LimitShare
 		}
 		if broken := sum > tt.most || sum < tt.least; broken != tt.planted {
 			t.Errorf("%s: %.2f N-ths are held, want %v to %v", tt.name, sum, tt.least, tt.most)
@@ -348,20 +348,20 @@
 		for step := range 60 {
 			if step%5 == 0 {
 				for _, f := range fleets {
-					f.Own(now, counters(first, 0))
+					f.AddCounters(now, counters(first, 0))
 				}
 				for i, f := range fleets {
-					b := f.Digest(now)
+					b := f.NextDigest(now)
 					for range 3 {
 						if j := rng.IntN(n); i != j && (i < n/3) == (j < n/3) {
-							fleets[j].Take(now, b)
+							fleets[j].ReceiveDigest(now, b)
 						}
 					}
 				}
 			}
 			for i, f := range fleets {
 				for range 10 {
-					if f.Repeat(now) || plant && step == 30 && i < n/3 {
+					if f.AllowRetry(now) || plant && step == 30 && i < n/3 {
 						spent = append(spent, now)
 					}
 				}
@@ -392,16 +392,16 @@
 	f.Add(full(false).Append(nil))
 	f.Add([]byte{digestVersion, 1})
 	fleets, _ := team(3)
-	f.Add(fleets[1].Digest(half))
+	f.Add(fleets[1].NextDigest(half))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		fleets, _ := team(3)
-		fleets[0].Own(half, counters(5, 0.2))
+		fleets[0].AddCounters(half, counters(5, 0.2))
 		for i := range 5 {
 			now := Time(i+1) * half
-			fleets[0].Take(now, b)
-			fleets[0].Take(now, fleets[2].Digest(now))
-			n := fleets[0].Numbers(now)
-			for _, v := range append([]float64{n.Trust, n.RepeatsPart, n.ColdPart, n.LimitPart / shareMost}, n.Cut[:]...) {
+			fleets[0].ReceiveDigest(now, b)
+			fleets[0].ReceiveDigest(now, fleets[2].NextDigest(now))
+			n := fleets[0].Controls(now)
+			for _, v := range append([]float64{n.Confidence, n.RetryFraction, n.SlowStartFraction, n.LimitShare / shareMost}, n.ShedFraction[:]...) {
 				if !(v >= 0 && v <= 1) {
 					t.Fatalf("numbers %+v", n)
 				}
@@ -424,18 +424,18 @@
 			now := half
 			for b.Loop() {
 				for range 2 {
-					fleets[0].Own(now, counters(5, 0.1))
+					fleets[0].AddCounters(now, counters(5, 0.1))
 					now += half
 				}
 				for i := range 10 {
-					fleets[0].Numbers(now - time.Second + Time(i)*tick)
+					fleets[0].Controls(now - time.Second + Time(i)*tick)
 				}
 				for i := range heard {
 					b.StopTimer()
 					j := 1 + (int(now/time.Second)*heard+i)%300
-					d := fleets[j].Digest(now)
+					d := fleets[j].NextDigest(now)
 					b.StartTimer()
-					fleets[0].Take(now, d)
+					fleets[0].ReceiveDigest(now, d)
 				}
 			}
 		})
@@ -444,9 +444,9 @@
 
 // BenchmarkShed is what the fleet costs a request.
 func BenchmarkShed(b *testing.B) {
-	n := Alone()
-	n.Cut[0] = 0.5
+	n := Standalone()
+	n.ShedFraction[0] = 0.5
 	for i := uint64(0); b.Loop(); i++ {
-		n.Shed(0, i)
+		n.ShouldShed(0, i)
 	}
 }
--- a/fleet/overload/rules_test.go
+++ b/fleet/overload/rules_test.go
@@ -17,13 +17,13 @@
 
 // node is what the world asks of a member; a planted one overrides a part.
 type node interface {
-	View(Time, int, []Member)
-	Take(Time, []byte) error
-	Own(Time, Counters)
-	Digest(Time) []byte
-	Numbers(Time) Numbers
-	Repeat(Time) bool
-	Trial(Time, string, string) bool
+	SetMembers(Time, int, []Member)
+	ReceiveDigest(Time, []byte) error
+	AddCounters(Time, Counters)
+	NextDigest(Time) []byte
+	Controls(Time) Controls
+	AllowRetry(Time) bool
+	MayProbe(Time, string, string) bool
 }
 
 type phase struct {
@@ -67,7 +67,7 @@
 	return s
 }
 
-var testClasses = []Class{{Worth: 5, Cost: 1}, {Worth: 1, Cost: 1}, {Worth: 0.2, Cost: 1}}
+var testClasses = []Class{{Value: 5, Cost: 1}, {Value: 1, Cost: 1}, {Value: 0.2, Cost: 1}}
 
 const half = time.Second / 2
 
@@ -80,7 +80,7 @@
 	view    []Member
 	born    []Time
 	upset   Time // when not all heard all, last
-	numbers []Numbers
+	numbers []Controls
 	first   []float64 // first tries in the last halves, all members
 	repeats []float64 // in halves, and in windows staggered against the members' own seconds
 	mild    bool      // no overload so far
@@ -102,7 +102,7 @@
 	w.now = time.Hour
 	for i := range s.Members {
 		w.view = append(w.view, Member{Name: fmt.Sprint("m", i), Zone: fmt.Sprint("z", i%2), Incarnation: 1})
-		w.nodes, w.numbers, w.born = append(w.nodes, nil), append(w.numbers, Alone()), append(w.born, 0)
+		w.nodes, w.numbers, w.born = append(w.nodes, nil), append(w.numbers, Standalone()), append(w.born, 0)
 	}
 	for i := range s.Members {
 		w.start(i)
@@ -127,8 +127,8 @@
 		w.step(last)
 	}
 	for i, n := range w.numbers {
-		n.Spell = 0
-		if n != Alone() {
+		n.Episode = 0
+		if n != Standalone() {
 			w.fail("alone", "%d hears nobody and has %+v", i, n)
 		}
 	}
@@ -140,10 +140,10 @@
 	if err != nil {
 		panic(err)
 	}
-	w.nodes[i], w.born[i], w.numbers[i], w.upset = w.plant(f), w.now, Alone(), w.now
+	w.nodes[i], w.born[i], w.numbers[i], w.upset = w.plant(f), w.now, Standalone(), w.now
 	for j := range w.nodes {
 		if w.nodes[j] != nil {
-			w.nodes[j].View(w.now, w.Members, w.view)
+			w.nodes[j].SetMembers(w.now, w.Members, w.view)
 		}
 	}
 }
@@ -154,10 +154,10 @@
 		view := slices.Clone(w.view)
 		for j := range view {
 			if apart>>i&1 != apart>>j&1 {
-				view[j].State = Gone
+				view[j].State = Unreachable
 			}
 		}
-		n.View(w.now, w.Members, view)
+		n.SetMembers(w.now, w.Members, view)
 	}
 }
 
@@ -172,7 +172,7 @@
 	capacity, admitted := 0.0, make([]float64, w.Members)
 	for i := range w.nodes {
 		capacity += w.Rates[i]
-		for _, cut := range w.numbers[i].Cut[:3] {
+		for _, cut := range w.numbers[i].ShedFraction[:3] {
 			admitted[i] += w.Rates[i] * p.Load / 3 * (1 - cut)
 		}
 	}
@@ -183,27 +183,27 @@
 	share, strain := min(1, capacity/all), 0.3+0.7*min(1, all/capacity)*min(1, all/capacity)
 	sum, repeats := 0.0, 0.0
 	for i, n := range w.nodes {
-		c := Counters{Answers: admitted[i] * share / 2}
-		c.Strain = c.Answers * strain
+		c := Counters{LatencySamples: admitted[i] * share / 2}
+		c.LatencyRatioSum = c.LatencySamples * strain
 		for k := range 3 {
 			first := w.Rates[i] * p.Load / 3 / 2
-			in := first * (1 - w.numbers[i].Cut[k])
-			c.First, c.Served = append(c.First, first), append(c.Served, in*share)
+			in := first * (1 - w.numbers[i].ShedFraction[k])
+			c.FirstAttempts, c.Served = append(c.FirstAttempts, first), append(c.Served, in*share)
 			c.Refused = append(c.Refused, in*(1-share))
 			sum += first
 		}
 		for tries := range 20 { // all want to repeat whatever they may
-			if n.Repeat(w.now + Time(tries)*time.Millisecond) {
-				c.Repeats++
+			if n.AllowRetry(w.now + Time(tries)*time.Millisecond) {
+				c.Retries++
 				repeats++
 			}
 		}
-		n.Own(w.now, c)
+		n.AddCounters(w.now, c)
 	}
 	w.first, w.repeats = append(w.first, sum), append(w.repeats, repeats)
 	for i, n := range w.nodes {
 		if w.now/half%2 == Time(i%2) {
-			w.send(p, i, n.Digest(w.now))
+			w.send(p, i, n.NextDigest(w.now))
 		}
 	}
 	w.now += half
@@ -220,9 +220,9 @@
 			to = w.rng.IntN(w.Members)
 		}
 		if w.hears(p, from, to) {
-			w.nodes[to].Take(w.now, b)
+			w.nodes[to].ReceiveDigest(w.now, b)
 			if w.rng.IntN(4) == 0 {
-				if w.nodes[to].Take(w.now+time.Millisecond, b) == nil {
+				if w.nodes[to].ReceiveDigest(w.now+time.Millisecond, b) == nil {
 					w.fail("once", "a doubled digest was taken")
 				}
 			}
@@ -234,11 +234,11 @@
 func lie(b []byte) []byte {
 	d, _ := ParseDigest(b)
 	for i := range d.Classes {
-		d.Own.First[i], d.Heard.First[i] = 20*d.Own.First[i], 1e7
+		d.Own.FirstAttempts[i], d.PeerMean.FirstAttempts[i] = 20*d.Own.FirstAttempts[i], 1e7
 	}
-	d.Own.Work, d.Own.Strain, d.Own.Turned, d.Own.Repeats = 0, 1e7, 1e7, 1e7
-	d.Own.Part, d.Own.Level, d.Spell = 1e7, 1e-3, d.Spell+100
-	d.Heard = d.Own
+	d.Own.ServedCost, d.Own.WeightedLatency, d.Own.RefusedCost, d.Own.Retries = 0, 1e7, 1e7, 1e7
+	d.Own.LimitShare, d.Own.AdmittedFraction, d.Episode = 1e7, 1e-3, d.Episode+100
+	d.PeerMean = d.Own
 	return d.Append(nil)
 }
 
@@ -247,25 +247,25 @@
 	owners := map[string]int{}
 	weigh := 0.0
 	for i, n := range w.nodes {
-		was, is := w.numbers[i], n.Numbers(w.now)
+		was, is := w.numbers[i], n.Controls(w.now)
 		w.numbers[i] = is
-		parts += is.LimitPart
+		parts += is.LimitShare
 		weigh += w.Rates[i]
-		if w.now-w.born[i] <= time.Second && is.LimitPart > 1 {
-			w.fail("restart", "%d starts with %.2f N-ths", i, is.LimitPart)
+		if w.now-w.born[i] <= time.Second && is.LimitShare > 1 {
+			w.fail("restart", "%d starts with %.2f N-ths", i, is.LimitShare)
 		}
 		for k := range rise {
-			rise[k] += w.Rates[i] * max(0, was.Cut[k]-is.Cut[k])
+			rise[k] += w.Rates[i] * max(0, was.ShedFraction[k]-is.ShedFraction[k])
 		}
-		if is.RepeatsPart > 1 || is.ColdPart > 1 || is.RepeatsPart < 0 || math.IsNaN(is.LimitPart) ||
-			slices.ContainsFunc(is.Cut[:], func(c float64) bool { return !(c >= 0 && c <= 1) }) {
+		if is.RetryFraction > 1 || is.SlowStartFraction > 1 || is.RetryFraction < 0 || math.IsNaN(is.LimitShare) ||
+			slices.ContainsFunc(is.ShedFraction[:], func(c float64) bool { return !(c >= 0 && c <= 1) }) {
 			w.fail("bounds", "%d has %+v", i, is)
 		}
-		if w.Liar && w.mild && i < w.Members-1 && (is.Cut[2] > 0 || is.RepeatsPart < repeatsLeast || is.LimitPart < 0.05) {
+		if w.Liar && w.mild && i < w.Members-1 && (is.ShedFraction[2] > 0 || is.RetryFraction < repeatsLeast || is.LimitShare < 0.05) {
 			w.fail("liar", "%d believes a broken member: %+v", i, is)
 		}
 		// A broken member is not heard, and another makes its trials beside it.
-		if is.Trust == 1 && !(w.Liar && i == w.Members-1) && n.Trial(w.now, "b", w.view[i].Zone) {
+		if is.Confidence == 1 && !(w.Liar && i == w.Members-1) && n.MayProbe(w.now, "b", w.view[i].Zone) {
 			owners[w.view[i].Zone]++
 		}
 	}
@@ -313,9 +313,9 @@
 
 type whole struct{ *Fleet } // takes all of the limit for those that it hears
 
-func (n whole) Numbers(now Time) Numbers {
-	is := n.Fleet.Numbers(now)
-	is.LimitPart *= float64(n.roster) / float64(1+len(n.heard))
+func (n whole) Controls(now Time) Controls {
+	is := n.Fleet.Controls(now)
+	is.LimitShare *= float64(n.roster) / float64(1+len(n.heard))
 	return is
 }
 
@@ -324,12 +324,12 @@
 	saved *float64
 }
 
-func (n saver) Own(now Time, c Counters) {
-	n.Fleet.Own(now, c)
-	*n.saved = min(10, *n.saved+0.1*(c.First[0]+c.First[1]+c.First[2]))
+func (n saver) AddCounters(now Time, c Counters) {
+	n.Fleet.AddCounters(now, c)
+	*n.saved = min(10, *n.saved+0.1*(c.FirstAttempts[0]+c.FirstAttempts[1]+c.FirstAttempts[2]))
 }
 
-func (n saver) Repeat(now Time) bool {
+func (n saver) AllowRetry(now Time) bool {
 	if now < 2*time.Second+n.started || int(now/time.Second)%7 != 0 || *n.saved < 1 {
 		return false
 	}
@@ -339,35 +339,35 @@
 
 type trier struct{ *Fleet } // tries every backend by itself
 
-func (n trier) Trial(Time, string, string) bool { return true }
+func (n trier) MayProbe(Time, string, string) bool { return true }
 
 type opener struct{ *Fleet } // opens up at once
 
-func (n opener) Numbers(now Time) Numbers {
-	is := n.Fleet.Numbers(now)
+func (n opener) Controls(now Time) Controls {
+	is := n.Fleet.Controls(now)
 	if n.strain < 0.6 {
-		is.Cut, n.Fleet.cut = [ClassesMost]float64{}, [ClassesMost]float64{}
+		is.ShedFraction, n.Fleet.cut = [MaxClasses]float64{}, [MaxClasses]float64{}
 	}
 	return is
 }
 
 type heir struct{ *Fleet } // starts with the part of the life before
 
-func (n heir) Numbers(now Time) Numbers {
-	is := n.Fleet.Numbers(now)
+func (n heir) Controls(now Time) Controls {
+	is := n.Fleet.Controls(now)
 	if n.me.Incarnation > 1 && now-n.started < 2*time.Second {
-		is.LimitPart = 3
+		is.LimitShare = 3
 	}
 	return is
 }
 
 type keeper struct { // keeps its numbers though it hears nobody
 	*Fleet
-	last *Numbers
+	last *Controls
 }
 
-func (n keeper) Numbers(now Time) Numbers {
-	if is := n.Fleet.Numbers(now); len(n.heard) > 0 {
+func (n keeper) Controls(now Time) Controls {
+	if is := n.Fleet.Controls(now); len(n.heard) > 0 {
 		*n.last = is
 	}
 	return *n.last
@@ -378,24 +378,24 @@
 	worst *float64
 }
 
-func (n believer) Take(now Time, b []byte) error {
-	err := n.Fleet.Take(now, b)
-	if d, _ := ParseDigest(b); err == nil && d.Own.Turned > d.Own.Work {
+func (n believer) ReceiveDigest(now Time, b []byte) error {
+	err := n.Fleet.ReceiveDigest(now, b)
+	if d, _ := ParseDigest(b); err == nil && d.Own.RefusedCost > d.Own.ServedCost {
 		*n.worst = 0.5
 	}
 	return err
 }
 
-func (n believer) Numbers(now Time) Numbers {
-	is := n.Fleet.Numbers(now)
-	is.Cut[2] = max(is.Cut[2], *n.worst*is.Trust)
+func (n believer) Controls(now Time) Controls {
+	is := n.Fleet.Controls(now)
+	is.ShedFraction[2] = max(is.ShedFraction[2], *n.worst*is.Confidence)
 	return is
 }
 
 type doubler struct{ *Fleet } // takes what it has taken before
 
-func (n doubler) Take(now Time, b []byte) error {
-	if err := n.Fleet.Take(now, b); err != nil && !strings.Contains(err.Error(), ErrOld.Error()) {
+func (n doubler) ReceiveDigest(now Time, b []byte) error {
+	if err := n.Fleet.ReceiveDigest(now, b); err != nil && !strings.Contains(err.Error(), ErrStaleDigest.Error()) {
 		return err
 	}
 	return nil
@@ -403,9 +403,9 @@
 
 type giver struct{ *Fleet } // gives itself more than a member alone may
 
-func (n giver) Numbers(now Time) Numbers {
-	is := n.Fleet.Numbers(now)
-	is.RepeatsPart = 1 + is.Trust
+func (n giver) Controls(now Time) Controls {
+	is := n.Fleet.Controls(now)
+	is.RetryFraction = 1 + is.Confidence
 	return is
 }
 
@@ -428,7 +428,7 @@
 		{"trials", func(f *Fleet) node { return trier{f} }},
 		{"opens", func(f *Fleet) node { return opener{f} }},
 		{"restart", func(f *Fleet) node { return heir{f} }},
-		{"alone", func(f *Fleet) node { return keeper{f, &Numbers{}} }},
+		{"alone", func(f *Fleet) node { return keeper{f, &Controls{}} }},
 		{"liar", func(f *Fleet) node { return believer{f, new(float64)} }},
 		{"once", func(f *Fleet) node { return doubler{f} }},
 		{"bounds", func(f *Fleet) node { return giver{f} }},
