--- a/fleet/overload/digest.go
+++ b/fleet/overload/digest.go
@@ -13,11 +13,11 @@
 	MaxCompactSize    = 64
 	MaxClasses        = 8
 	MaxCompactClasses = 4
-	backsMost         = 4
+	maxRecovered      = 4
 
 	digestVersion = 1
 	compactBit    = 0x80
-	headSize      = 23
+	headerSize    = 23
 )
 
 // Errors of reading a digest. What is wrong with which part is wrapped round them.
@@ -57,27 +57,27 @@
 
 // code is a value on 16 bits: 0, or its logarithm in steps of 0.04% from 1e-4 to 1e8. What no honest
 // member says has no code: not a number and below nothing become 0, and too much becomes the most.
-func code(v float64) uint16 {
-	if !(v >= codeLeast) {
+func encodeValue(v float64) uint16 {
+	if !(v >= minEncodable) {
 		return 0
 	}
-	return uint16(min(math.MaxUint16, 1+math.Round(math.Log2(v/codeLeast)*codeSteps)))
+	return uint16(min(math.MaxUint16, 1+math.Round(math.Log2(v/minEncodable)*stepsPerDoubling)))
 }
 
 const (
-	codeLeast = 1e-4
-	codeSteps = 65534 / 40.0 // to a doubling
+	minEncodable     = 1e-4
+	stepsPerDoubling = 65534 / 40.0 // to a doubling
 )
 
-func value(c uint16) float64 {
+func decodeValue(c uint16) float64 {
 	if c == 0 {
 		return 0
 	}
-	return codeLeast * math.Exp2(float64(c-1)/codeSteps)
+	return minEncodable * math.Exp2(float64(c-1)/stepsPerDoubling)
 }
 
 // fields are the parts of a vector that travel, in order.
-func (v *Vector) fields(classes int) []*float64 {
+func (v *Vector) encodedFields(classes int) []*float64 {
 	var all []*float64
 	for c := range classes {
 		all = append(all, &v.FirstAttempts[c])
@@ -86,8 +86,8 @@
 }
 
 // values are all coded parts of d, in order, but for the hashes.
-func (d *Digest) values() []*float64 {
-	all := append(d.Own.fields(d.Classes), d.PeerMean.fields(d.Classes)...)
+func (d *Digest) encodedValues() []*float64 {
+	all := append(d.Own.encodedFields(d.Classes), d.PeerMean.encodedFields(d.Classes)...)
 	all = all[:len(all)-1] // a level is agreed on by those heard alone
 	if d.Compact {
 		return all
@@ -99,11 +99,11 @@
 }
 
 // backs is how many hashes of backends the form holds.
-func (d *Digest) backs() int {
+func (d *Digest) recoveredCapacity() int {
 	if d.Compact {
 		return 1
 	}
-	return backsMost
+	return maxRecovered
 }
 
 // Append appends the encoding of d to b. It panics on more classes than the form holds, which only a
@@ -121,10 +121,10 @@
 	b = binary.BigEndian.AppendUint64(b, d.Incarnation)
 	b = binary.BigEndian.AppendUint32(b, d.Sequence)
 	b = append(b, d.Episode)
-	for _, v := range d.values() {
-		b = binary.BigEndian.AppendUint16(b, code(*v))
+	for _, v := range d.encodedValues() {
+		b = binary.BigEndian.AppendUint16(b, encodeValue(*v))
 	}
-	for i := range d.backs() {
+	for i := range d.recoveredCapacity() {
 		var back uint16
 		if i < len(d.Recovered) {
 			back = d.Recovered[i]
@@ -139,7 +139,7 @@
 
 // ParseDigest reads an encoded digest. Its values are finite and not negative, whatever the bytes are.
 func ParseDigest(b []byte) (*Digest, error) {
-	if len(b) < headSize {
+	if len(b) < headerSize {
 		return nil, fmt.Errorf("digest: %d bytes: %w", len(b), ErrMalformed)
 	}
 	if b[0] != digestVersion {
@@ -149,8 +149,8 @@
 	if d.Classes < 1 || d.Classes > MaxClasses || d.Compact && d.Classes > MaxCompactClasses {
 		return nil, fmt.Errorf("digest: %d classes: %w", d.Classes, ErrMalformed)
 	}
-	values := d.values()
-	want := headSize + 2*len(values) + 2*d.backs()
+	values := d.encodedValues()
+	want := headerSize + 2*len(values) + 2*d.recoveredCapacity()
 	if !d.Compact {
 		want += 8
 	}
@@ -161,11 +161,11 @@
 	d.Incarnation = binary.BigEndian.Uint64(b[10:])
 	d.Sequence = binary.BigEndian.Uint32(b[18:])
 	d.Episode = b[22]
-	b = b[headSize:]
+	b = b[headerSize:]
 	for _, v := range values {
-		*v, b = value(binary.BigEndian.Uint16(b)), b[2:]
+		*v, b = decodeValue(binary.BigEndian.Uint16(b)), b[2:]
 	}
-	for range d.backs() {
+	for range d.recoveredCapacity() {
 		if back := binary.BigEndian.Uint16(b); back != 0 {
 			d.Recovered = append(d.Recovered, back)
 		}
--- a/fleet/overload/numbers.go
+++ b/fleet/overload/numbers.go
@@ -25,8 +25,8 @@
 func (f *Fleet) Controls(now Time) Controls {
 	f.advance(now)
 	return Controls{
-		Confidence: f.trust, LimitShare: f.part, RetryFraction: f.repeats, SlowStartFraction: min(1, f.part),
-		ShedFraction: f.cut, Episode: f.spell,
+		Confidence: f.confidence, LimitShare: f.limitShare, RetryFraction: f.retryFraction, SlowStartFraction: min(1, f.limitShare),
+		ShedFraction: f.shedFraction, Episode: f.episode,
 	}
 }
 
@@ -36,18 +36,18 @@
 // Shed tells whether a request of the class is to be turned away. It follows the key and the spell, so that
 // all members with the same cut answer all tries of a key alike, and another spell sheds other keys.
 func (n *Controls) ShouldShed(class int, key uint64) bool {
-	return class >= 0 && class < MaxClasses && n.ShedFraction[class] > 0 && n.place(key, byte(class)) < n.ShedFraction[class]
+	return class >= 0 && class < MaxClasses && n.ShedFraction[class] > 0 && n.keyPosition(key, byte(class)) < n.ShedFraction[class]
 }
 
 // ComeBack spreads what a refused client is told to wait over half to one and a half times base, by its key,
 // never over most.
-func (n *Controls) RetryAfter(key uint64, base, most time.Duration) time.Duration {
-	spread := 1 + n.Confidence*(n.place(key, 0xff)-0.5)
-	return min(most, time.Duration(spread*float64(base)))
+func (n *Controls) RetryAfter(key uint64, base, maxDelay time.Duration) time.Duration {
+	spread := 1 + n.Confidence*(n.keyPosition(key, 0xff)-0.5)
+	return min(maxDelay, time.Duration(spread*float64(base)))
 }
 
 // place is where a key lies from 0 to 1 in this spell.
-func (n *Controls) place(key uint64, salt byte) float64 {
+func (n *Controls) keyPosition(key uint64, salt byte) float64 {
 	var b [10]byte
 	binary.BigEndian.PutUint64(b[:], key)
 	b[8], b[9] = n.Episode, salt
@@ -56,54 +56,56 @@
 
 // steerCut holds the level, the share of the work offered that the fleet bears, and cuts to it what is worth
 // least.
-func (f *Fleet) steerCut(now Time, seconds float64) {
-	offered, served := f.offered(&f.means), f.means.ServedCost
-	f.followSpell()
+func (f *Fleet) updateShedding(now Time, seconds float64) {
+	offered, served := f.offeredCost(&f.fleetMean), f.fleetMean.ServedCost
+	f.adoptEpisode()
 	switch {
-	case f.trust == 0:
-		f.level = 1
-	case f.level < 1:
-		f.steerLevel(offered, served, seconds)
-	case f.strain >= strainRest && (f.turned >= turnedBegin || f.means.AdmittedFraction < 1):
-		f.begin(now, offered, served)
+	case f.confidence == 0:
+		f.admittedFraction = 1
+	case f.admittedFraction < 1:
+		f.updateAdmittedFraction(offered, served, seconds)
+	case f.latencyRatio >= uncongestedLatency && (f.refusedFraction >= episodeRefusals || f.fleetMean.AdmittedFraction < 1):
+		f.beginEpisode(now, offered, served)
 	}
-	target := f.target(offered)
-	for i := range f.cut {
-		f.cut[i] = max(f.cut[i]-cutFall*seconds, min(f.cut[i]+cutRise*seconds, f.trust*target[i]))
-		if f.trust == 0 {
-			f.cut[i] = 0
+	target := f.targetShedding(offered)
+	for i := range f.shedFraction {
+		f.shedFraction[i] = max(f.shedFraction[i]-shedFall*seconds, min(f.shedFraction[i]+shedRise*seconds, f.confidence*target[i]))
+		if f.confidence == 0 {
+			f.shedFraction[i] = 0
 		}
 	}
 }
 
 // full tells whether the fleet bears no more than it has.
-func (f *Fleet) full() bool { return f.strain >= strainFull || f.turned >= turnedFull }
+func (f *Fleet) saturated() bool {
+	return f.latencyRatio >= saturatedLatency || f.refusedFraction >= saturatedRefusals
+}
 
 // begin starts a spell of overload. Its number is new, unless others began it a moment ago.
-func (f *Fleet) begin(now Time, offered, served float64) {
-	f.base = offered
-	f.level = min(0.99, served/max(offered, 1e-9))
-	if f.means.AdmittedFraction < 1 {
-		f.level = f.means.AdmittedFraction
+func (f *Fleet) beginEpisode(now Time, offered, served float64) {
+	f.demand = offered
+	f.admittedFraction = min(0.99, served/max(offered, 1e-9))
+	if f.fleetMean.AdmittedFraction < 1 {
+		f.admittedFraction = f.fleetMean.AdmittedFraction
 	}
-	f.least = levelLeast * served
-	if f.spellFrom == 0 || now-f.spellFrom > spellLeast {
-		f.spell++
+	f.minServed = minServedFraction * served
+	if f.episodeStart == 0 || now-f.episodeStart > minEpisodeInterval {
+		f.episode++
 	}
-	f.spellFrom = now
+	f.episodeStart = now
 }
 
 // followSpell takes over the number that half of the members heard have reached.
-func (f *Fleet) followSpell() {
-	ahead := int(f.median(func(_ *Vector, d *Digest) float64 {
+func (f *Fleet) adoptEpisode() {
+	lead := int(f.medianOf(func(_ *Vector, d *Digest) float64 {
 		if d == nil {
 			return 128
 		}
-		return 128 + float64(int8(d.Episode-f.spell))
+		return 128 + float64(int8(d.Episode-f.episode))
 	})) - 128
-	if ahead > 0 {
-		f.spell += uint8(ahead)
-		f.spellFrom = f.last
+	if lead > 0 {
+		f.episode += uint8(lead)
+		f.episodeStart = f.lastAdvance
 	}
 }
 
@@ -111,43 +113,43 @@
 // is a share, so that chance in whom this member hears is in what is offered and served alike; only a change
 // of what is offered that is no chance moves it at once. It is drawn to the level of most others: each has
 // seen other members.
-func (f *Fleet) steerLevel(offered, served, seconds float64) {
-	if offered > jump*f.base || f.base > jump*offered {
-		f.level *= f.base / max(offered, 1e-9)
-		f.base = offered
+func (f *Fleet) updateAdmittedFraction(offered, served, seconds float64) {
+	if offered > demandJump*f.demand || f.demand > demandJump*offered {
+		f.admittedFraction *= f.demand / max(offered, 1e-9)
+		f.demand = offered
 	}
-	f.base += min(1, baseStep*seconds) * (offered - f.base)
-	f.least = max(levelLeast*served, f.least*(1-levelFade*seconds))
-	if f.full() {
-		bears := served / max(offered, 1e-9) * max(levelLeast, 1-levelFall*max(0, f.strain-strainFull))
-		bears = min(bears, f.level-max(0, f.turned-turnedFull)) // whom a mean counts for less is in it, too
-		f.level += min(1, levelStep*seconds) * (bears - f.level)
+	f.demand += min(1, demandStep*seconds) * (offered - f.demand)
+	f.minServed = max(minServedFraction*served, f.minServed*(1-minServedDecay*seconds))
+	if f.saturated() {
+		sustained := served / max(offered, 1e-9) * max(minServedFraction, 1-admittedLatencyPenalty*max(0, f.latencyRatio-saturatedLatency))
+		sustained = min(sustained, f.admittedFraction-max(0, f.refusedFraction-saturatedRefusals)) // whom a mean counts for less is in it, too
+		f.admittedFraction += min(1, admittedStep*seconds) * (sustained - f.admittedFraction)
 	} else {
-		free := max(0, strainFree-f.strain)
-		f.level *= 1 + levelGrowth*free*free*seconds
+		spare := max(0, spareLatency-f.latencyRatio)
+		f.admittedFraction *= 1 + admittedGrowth*spare*spare*seconds
 	}
-	if f.means.AdmittedFraction < 1 && f.strain >= strainRest {
-		f.level += min(1, levelShare*seconds) * (f.means.AdmittedFraction - f.level)
+	if f.fleetMean.AdmittedFraction < 1 && f.latencyRatio >= uncongestedLatency {
+		f.admittedFraction += min(1, peerAdmittedStep*seconds) * (f.fleetMean.AdmittedFraction - f.admittedFraction)
 	}
-	f.level = min(1, max(f.level, f.least/max(offered, 1e-9)))
+	f.admittedFraction = min(1, max(f.admittedFraction, f.minServed/max(offered, 1e-9)))
 }
 
 // target is the share of each class to be shed so that what is offered fits the level.
-func (f *Fleet) target(offered float64) (cut [MaxClasses]float64) {
-	if f.level == 1 {
-		return cut
+func (f *Fleet) targetShedding(offered float64) (shed [MaxClasses]float64) {
+	if f.admittedFraction == 1 {
+		return shed
 	}
-	room := f.level * offered
+	remaining := f.admittedFraction * offered
 	for _, i := range f.order {
-		need := f.set.Classes[i].Cost * f.means.FirstAttempts[i]
-		if f.set.UniformShedding {
-			cut[i] = 1 - f.level
-		} else if need > room {
-			cut[i] = 1 - room/need
+		demand := f.settings.Classes[i].Cost * f.fleetMean.FirstAttempts[i]
+		if f.settings.UniformShedding {
+			shed[i] = 1 - f.admittedFraction
+		} else if demand > remaining {
+			shed[i] = 1 - remaining/demand
 		}
-		room = max(0, room-need)
+		remaining = max(0, remaining-demand)
 	}
-	return cut
+	return shed
 }
 
 // Trial tells whether a trial call to a backend that is out is for this member to make: one of each zone
@@ -155,68 +157,68 @@
 // another has found it serving, each may try it, at a moment of its own.
 func (f *Fleet) MayProbe(now Time, backend, zone string) bool {
 	f.advance(now)
-	if f.trust == 0 {
+	if f.confidence == 0 {
 		return true
 	}
-	if zone != f.me.Zone {
+	if zone != f.self.Zone {
 		return false
 	}
 	hash := xxhash.Sum64String(backend)
-	for _, b := range f.backs {
-		if b.hash == uint16(hash) && now-b.at >= b.phase {
+	for _, b := range f.recovered {
+		if b.hash == uint16(hash) && now-b.reportedAt >= b.probeDelay {
 			return true
 		}
 	}
-	own, all := rendezvous(f.me.hash, hash), 2*len(f.heard) >= f.roster-1
-	for _, e := range f.others {
-		if e.Zone == zone && (!all || f.weight(now, e) > 0) && rendezvous(e.hash, hash) > own {
+	ownScore, majorityHeard := rendezvousScore(f.self.hash, hash), 2*len(f.heardPeers) >= f.rosterSize-1
+	for _, e := range f.peers {
+		if e.Zone == zone && (!majorityHeard || f.peerWeight(now, e) > 0) && rendezvousScore(e.hash, hash) > ownScore {
 			return false
 		}
 	}
 	return true
 }
 
-func rendezvous(member, backend uint64) uint64 {
+func rendezvousScore(memberHash, backendHash uint64) uint64 {
 	var b [16]byte
-	binary.BigEndian.PutUint64(b[:], member)
-	binary.BigEndian.PutUint64(b[8:], backend)
+	binary.BigEndian.PutUint64(b[:], memberHash)
+	binary.BigEndian.PutUint64(b[8:], backendHash)
 	return xxhash.Sum64(b[:])
 }
 
 // Found takes that a trial call of this member's served: the others are told for some seconds.
 func (f *Fleet) ProbeSucceeded(now Time, backend string) {
-	f.back(now, uint16(xxhash.Sum64String(backend)), true)
+	f.recordRecovery(now, uint16(xxhash.Sum64String(backend)), true)
 }
 
-func (f *Fleet) back(now Time, hash uint16, here bool) {
+func (f *Fleet) recordRecovery(now Time, hash uint16, here bool) {
 	if hash == 0 {
 		return
 	}
-	for i := range f.backs {
-		if b := &f.backs[i]; b.hash == hash {
-			b.here = b.here || here
+	for i := range f.recovered {
+		if b := &f.recovered[i]; b.hash == hash {
+			b.probedLocally = b.probedLocally || here
 			return
 		}
 	}
-	if len(f.backs) < 64 {
-		phase := float64(rendezvous(f.me.hash, uint64(hash))>>11) / (1 << 53)
-		f.backs = append(f.backs, found{hash, now, here, Time(phase * float64(backSpread))})
+	if len(f.recovered) < 64 {
+		phase := float64(rendezvousScore(f.self.hash, uint64(hash))>>11) / (1 << 53)
+		f.recovered = append(f.recovered, recoveredBackend{hash, now, here, Time(phase * float64(recoverySpread))})
 	}
 }
 
 // spending keeps repeats within the budget in each second, not only in the mean.
-type spending struct {
-	rate, before float64 // first tries a second, in the last two spans told
-	spent        []Time  // in the last second
-	slot         float64 // of the last repeat, where the budget is less than one a second
+type retryLimiter struct {
+	currentRate, previousRate float64 // first tries a second, in the last two spans told
+	recentRetries             []Time  // in the last second
+	lastSlot                  float64 // of the last repeat, where the budget is less than one a second
 }
 
-func (s *spending) seen(now Time, at func([]float64, int) float64, first []float64, seconds float64) {
-	sum := 0.0
+func (limiter *retryLimiter) recordRate(now Time, countOf func([]float64, int) float64, first []float64, seconds float64) {
+	total := 0.0
 	for i := range first {
-		sum += at(first, i)
+		total += countOf(first, i)
 	}
-	s.before, s.rate = s.rate, sum/seconds
+	limiter.previousRate, limiter.currentRate = limiter.currentRate, total/seconds
 }
 
 // Repeat asks whether an attempt that may have run may be made again now, and counts it if so. It is asked
@@ -226,36 +228,36 @@
 // without, heard or not.
 func (f *Fleet) AllowRetry(now Time) bool {
 	f.advance(now)
-	s := &f.spending
-	budget := f.set.RetryBudget * f.repeats * min(s.rate, s.before)
-	kept := s.spent[:0]
-	for _, at := range s.spent {
+	limiter := &f.retryLimiter
+	budget := f.settings.RetryBudget * f.retryFraction * min(limiter.currentRate, limiter.previousRate)
+	recent := limiter.recentRetries[:0]
+	for _, at := range limiter.recentRetries {
 		if now-at < time.Second {
-			kept = append(kept, at)
+			recent = append(recent, at)
 		}
 	}
-	s.spent = kept
+	limiter.recentRetries = recent
 	if budget < 1 {
-		return len(s.spent) == 0 && f.ownSecond(now, budget)
+		return len(limiter.recentRetries) == 0 && f.allowInSlot(now, budget)
 	}
-	if float64(len(s.spent))+1 > budget {
+	if float64(len(limiter.recentRetries))+1 > budget {
 		return false
 	}
-	s.spent = append(s.spent, now)
+	limiter.recentRetries = append(limiter.recentRetries, now)
 	return true
 }
 
 // ownSecond tells whether this second is one of those that a budget of less than one a second gives this
 // member, and takes it. Each has a phase of its own.
-func (f *Fleet) ownSecond(now Time, budget float64) bool {
-	s := &f.spending
-	phase := float64(rendezvous(f.me.hash, 0)>>11) / (1 << 53)
+func (f *Fleet) allowInSlot(now Time, budget float64) bool {
+	limiter := &f.retryLimiter
+	phase := float64(rendezvousScore(f.self.hash, 0)>>11) / (1 << 53)
 	second := math.Floor((now - f.started).Seconds())
-	of := func(second float64) float64 { return math.Floor(second*budget*repeatsFew + phase) }
-	if second == s.slot || of(second) == of(second-1) {
+	slotIndex := func(second float64) float64 { return math.Floor(second*budget*lowRetryBudgetFraction + phase) }
+	if second == limiter.lastSlot || slotIndex(second) == slotIndex(second-1) {
 		return false
 	}
-	s.slot = second
-	s.spent = append(s.spent, now)
+	limiter.lastSlot = second
+	limiter.recentRetries = append(limiter.recentRetries, now)
 	return true
 }
--- a/fleet/overload/overload.go
+++ b/fleet/overload/overload.go
@@ -29,48 +29,48 @@
 
 // What the constants balance. Rates are a second.
 const (
-	sayMost      = 4.0   // medians that a member's say in a sum is held to: broken ones against busy ones
-	sayAbsurd    = 100.0 // medians of traffic past which a digest is not taken at all
-	workLeast    = 0.5   // of the median share of its traffic that a member is taken to serve
-	tellMost     = 2     // of what a fifth of the members tell or more: a few can't make an overload up
-	tellers      = 0.2
-	quorum       = 3   // members to be heard for whole trust, where there are as many
-	changed      = 2.2 // by which a first layer must differ to be taken for a change, not for chance
-	meanOver     = 2.0 // seconds that the means of the second layer go over
-	freedMost    = 0.1 // of the whole that the dead may leave to the others; the slack of a partition
-	smoothing    = 600 * time.Millisecond
-	repeatsOver  = 10 * time.Second
-	tick         = 100 * time.Millisecond
-	sequenceIs   = 10 * time.Millisecond
-	driftMost    = 1e-3 // by which clocks may differ: older, lateness reckoned by them fades
-	partEven     = 0.1  // of the limit that goes by heads: a quiet member's first calls find some
-	shareMost    = 16.0 // N-ths that a member holds at most
-	partYoung    = 3    // times that counters are told before the part goes by them
-	partOver     = 1.05 // N-ths held in the mean from which members give: less is chance in whom they hear
-	partRise     = 0.1  // of an N-th, a second; it falls at once
-	cutRise      = 1.0
-	cutFall      = 0.5   // bounds what all open up a second
-	strainFull   = 1.2   // from there the fleet bears no more
-	turnedFull   = 0.015 // or from there: limits that turn work away hold their strain themselves
-	strainFree   = 0.75  // below it there is room, the more the further below
-	strainRest   = 0.6   // below it there is no queue to speak of: no spell begins, and it ends as each sees fit
-	probe        = 1.0   // times what is served, that the level is held to while it is full
-	levelStep    = 0.6   // a second, of the way to what is served
-	levelGrowth  = 2.5   // a second, by the square of the strain below that: fast once there is no queue
-	jump         = 2.0   // by which what is offered must change for the level to change at once
-	levelFall    = 0.3   // for each unit of strain over the full one
-	levelLeast   = 0.7   // of the most served in the spell: else slow backends alone would shut all out
-	levelFade    = 0.02  // a second, of that most
-	levelShare   = 1.0   // a second, of the way to the others' level
-	baseStep     = 0.3   // a second, at which the offered that a level is for follows
-	turnedBegin  = 0.06  // for a spell to begin: not for a burst or two
-	spellLeast   = 10 * time.Second
-	repeatsMost  = 1.25 // medians that the mean of repeats counts for: each keeps its own budget anyway
-	repeatsLeast = 0.4  // of them that no word of others takes: the own budget holds without
-	repeatsFew   = 0.5  // of the budget, where it is under one a second: two own seconds meet in one
-	backFor      = 5 * time.Second
-	backSpread   = 2 * time.Second
-	goneHold     = 5 * time.Second
+	maxMedianRatio         = 4.0   // medians that a member's say in a sum is held to: broken ones against busy ones
+	outlierMedianRatio     = 100.0 // medians of traffic past which a digest is not taken at all
+	minServedRatio         = 0.5   // of the median share of its traffic that a member is taken to serve
+	maxReportedRatio       = 2     // of what a fifth of the members tell or more: a few can't make an overload up
+	reporterFraction       = 0.2
+	minPeersHeard          = 3   // members to be heard for whole trust, where there are as many
+	changeFactor           = 2.2 // by which a first layer must differ to be taken for a change, not for chance
+	secondLayerSeconds     = 2.0 // seconds that the means of the second layer go over
+	maxFreedFraction       = 0.1 // of the whole that the dead may leave to the others; the slack of a partition
+	smoothingTime          = 600 * time.Millisecond
+	retrySmoothingTime     = 10 * time.Second
+	minStep                = 100 * time.Millisecond
+	sequenceUnit           = 10 * time.Millisecond
+	maxClockDrift          = 1e-3 // by which clocks may differ: older, lateness reckoned by them fades
+	evenShareFraction      = 0.1  // of the limit that goes by heads: a quiet member's first calls find some
+	maxLimitShare          = 16.0 // N-ths that a member holds at most
+	minReports             = 3    // times that counters are told before the part goes by them
+	overcommitThreshold    = 1.05 // N-ths held in the mean from which members give: less is chance in whom they hear
+	limitShareRise         = 0.1  // of an N-th, a second; it falls at once
+	shedRise               = 1.0
+	shedFall               = 0.5   // bounds what all open up a second
+	saturatedLatency       = 1.2   // from there the fleet bears no more
+	saturatedRefusals      = 0.015 // or from there: limits that turn work away hold their strain themselves
+	spareLatency           = 0.75  // below it there is room, the more the further below
+	uncongestedLatency     = 0.6   // below it there is no queue to speak of: no spell begins, and it ends as each sees fit
+	probeFactor            = 1.0   // times what is served, that the level is held to while it is full
+	admittedStep           = 0.6   // a second, of the way to what is served
+	admittedGrowth         = 2.5   // a second, by the square of the strain below that: fast once there is no queue
+	demandJump             = 2.0   // by which what is offered must change for the level to change at once
+	admittedLatencyPenalty = 0.3   // for each unit of strain over the full one
+	minServedFraction      = 0.7   // of the most served in the spell: else slow backends alone would shut all out
+	minServedDecay         = 0.02  // a second, of that most
+	peerAdmittedStep       = 1.0   // a second, of the way to the others' level
+	demandStep             = 0.3   // a second, at which the offered that a level is for follows
+	episodeRefusals        = 0.06  // for a spell to begin: not for a burst or two
+	minEpisodeInterval     = 10 * time.Second
+	maxRetryMedianRatio    = 1.25 // medians that the mean of repeats counts for: each keeps its own budget anyway
+	minRetryFraction       = 0.4  // of them that no word of others takes: the own budget holds without
+	lowRetryBudgetFraction = 0.5  // of the budget, where it is under one a second: two own seconds meet in one
+	recoveryLifetime       = 5 * time.Second
+	recoverySpread         = 2 * time.Second
+	unreachableHold        = 5 * time.Second
 )
 
 // Class is what must be the same at all members for them to shed alike.
@@ -127,73 +127,73 @@
 // Dropped counts digests not taken, by why.
 type DropCounts struct{ Malformed, Unknown, Stale, Outlier int }
 
-type entry struct {
+type peer struct {
 	Member
-	hash   uint64
-	digest *Digest // last taken; nil: none of this life
-	at     Time
-	offset Time // least seen of arrival less the sender's own time
-	late   Time // by which the last one was later than that
+	hash           uint64
+	digest         *Digest // last taken; nil: none of this life
+	receivedAt     Time
+	minClockOffset Time // least seen of arrival less the sender's own time
+	delay          Time // by which the last one was later than that
 }
 
 // Fleet is one member's knowledge of the others. It is not safe for concurrent use.
 type Fleet struct {
-	set     Settings
-	order   []int // classes, worthiest for their work first
-	me      entry
-	others  []*entry // in order of their hashes
-	by      map[uint64]*entry
-	roster  int
-	left    int
-	gone    int
-	goneSum uint64
-	dropped DropCounts
-	started Time
+	settings         Settings
+	order            []int // classes, worthiest for their work first
+	self             peer
+	peers            []*peer // in order of their hashes
+	peersByHash      map[uint64]*peer
+	rosterSize       int
+	leftCount        int
+	unreachableCount int
+	unreachableHash  uint64
+	dropped          DropCounts
+	started          Time
 
-	own       Vector
-	detail    Digest // the parts of the long form
-	owned     Time   // when own counters were last told
-	told      int    // how often
-	sequence  uint32
-	heard     []*entry // of weight, as of the last advance
-	weights   []float64
-	means     Vector  // of the fleet, for each member
-	layer     Vector  // of those heard, handed on
-	strain    float64 // 1 at the target
-	turned    float64 // share of the work offered that limits turn away
-	repeating float64 // repeats to a first try
-	last      Time
-	trust     float64
-	part      float64
-	kept      float64 // of the part over an N-th: less while more is held than there is
-	repeats   float64
-	cut       [MaxClasses]float64
-	level     float64 // share of the work offered that the fleet bears; 1: no spell
-	base      float64 // work offered, by N, that the level is for
-	least     float64 // that the level is held over in this spell
-	spell     uint8
-	spellFrom Time
-	agreed    Time // since when a majority sees the same gone; -1: it does not
-	backs     []found
-	spending  spending
+	ownRates         Vector
+	ownDetail        Digest // the parts of the long form
+	countedAt        Time   // when own counters were last told
+	reportCount      int    // how often
+	sequence         uint32
+	heardPeers       []*peer // of weight, as of the last advance
+	weights          []float64
+	fleetMean        Vector  // of the fleet, for each member
+	peerMean         Vector  // of those heard, handed on
+	latencyRatio     float64 // 1 at the target
+	refusedFraction  float64 // share of the work offered that limits turn away
+	retryRatio       float64 // repeats to a first try
+	lastAdvance      Time
+	confidence       float64
+	limitShare       float64
+	excessRetained   float64 // of the part over an N-th: less while more is held than there is
+	retryFraction    float64
+	shedFraction     [MaxClasses]float64
+	admittedFraction float64 // share of the work offered that the fleet bears; 1: no spell
+	demand           float64 // work offered, by N, that the level is for
+	minServed        float64 // that the level is held over in this spell
+	episode          uint8
+	episodeStart     Time
+	agreedSince      Time // since when a majority sees the same gone; -1: it does not
+	recovered        []recoveredBackend
+	retryLimiter     retryLimiter
 }
 
 // found is a backend whose trial served, here or at another.
-type found struct {
-	hash  uint16
-	at    Time
-	here  bool
-	phase Time
+type recoveredBackend struct {
+	hash          uint16
+	reportedAt    Time
+	probedLocally bool
+	probeDelay    Time
 }
 
 // New returns the member me, alone until it has a View and hears others.
 func New(now Time, set Settings, me Member) (*Fleet, error) {
-	most := MaxClasses
+	maxClasses := MaxClasses
 	if set.CompactDigests {
-		most = MaxCompactClasses
+		maxClasses = MaxCompactClasses
 	}
-	if n := len(set.Classes); n < 1 || n > most {
-		return nil, fmt.Errorf("overload: %d classes: 1 to %d can be told", n, most)
+	if n := len(set.Classes); n < 1 || n > maxClasses {
+		return nil, fmt.Errorf("overload: %d classes: 1 to %d can be told", n, maxClasses)
 	}
 	set.Classes = slices.Clone(set.Classes)
 	set.RetryBudget = cmp.Or(set.RetryBudget, 0.1)
@@ -203,11 +203,11 @@
 	if set.FreshAge >= set.ExpiryAge {
 		return nil, fmt.Errorf("overload: fresh %v is not under timeout %v", set.FreshAge, set.ExpiryAge)
 	}
-	f := &Fleet{set: set, by: map[uint64]*entry{}, roster: 1, part: 1, kept: 1, repeats: 1, level: 1, agreed: -1,
-		started: now, owned: now, last: now, me: entry{Member: me, hash: xxhash.Sum64String(me.Name)}}
+	f := &Fleet{settings: set, peersByHash: map[uint64]*peer{}, rosterSize: 1, limitShare: 1, excessRetained: 1, retryFraction: 1, admittedFraction: 1, agreedSince: -1,
+		started: now, countedAt: now, lastAdvance: now, self: peer{Member: me, hash: xxhash.Sum64String(me.Name)}}
 	for i := range set.Classes {
 		c := &set.Classes[i]
-		c.Cost, c.Value = cmp.Or(sane(c.Cost), 1), sane(c.Value)
+		c.Cost, c.Value = cmp.Or(sanitize(c.Cost), 1), sanitize(c.Value)
 		f.order = append(f.order, i)
 	}
 	value := func(i int) float64 { return set.Classes[i].Value / set.Classes[i].Cost }
@@ -216,7 +216,7 @@
 }
 
 // sane is v, or 0 for what no honest counter says.
-func sane(v float64) float64 {
+func sanitize(v float64) float64 {
 	if !(v > 0) || math.IsInf(v, 0) {
 		return 0
 	}
@@ -227,38 +227,38 @@
 // another life of a member is forgotten. This member's own incarnation is taken from it as well.
 func (f *Fleet) SetMembers(now Time, roster int, members []Member) {
 	f.advance(now)
-	f.roster, f.left, f.gone, f.goneSum = max(roster, 1), 0, 0, 0
-	before := f.by
-	f.by, f.others = make(map[uint64]*entry, len(members)), f.others[:0:0]
+	f.rosterSize, f.leftCount, f.unreachableCount, f.unreachableHash = max(roster, 1), 0, 0, 0
+	previous := f.peersByHash
+	f.peersByHash, f.peers = make(map[uint64]*peer, len(members)), f.peers[:0:0]
 	for _, m := range members {
-		if m.Name == f.me.Name {
-			f.me.Incarnation = max(f.me.Incarnation, m.Incarnation)
+		if m.Name == f.self.Name {
+			f.self.Incarnation = max(f.self.Incarnation, m.Incarnation)
 			continue
 		}
 		hash := xxhash.Sum64String(m.Name)
-		if f.by[hash] != nil {
+		if f.peersByHash[hash] != nil {
 			continue
 		}
 		switch m.State {
 		case Left:
-			f.left++
+			f.leftCount++
 			continue
 		case Unreachable:
-			f.gone++
-			f.goneSum ^= hash
+			f.unreachableCount++
+			f.unreachableHash ^= hash
 			continue
 		}
-		e := before[hash]
+		e := previous[hash]
 		if e == nil || e.Incarnation != m.Incarnation {
-			e = &entry{hash: hash}
+			e = &peer{hash: hash}
 		}
 		e.Member = m
-		f.by[hash] = e
-		f.others = append(f.others, e)
+		f.peersByHash[hash] = e
+		f.peers = append(f.peers, e)
 	}
-	slices.SortFunc(f.others, func(x, y *entry) int { return cmp.Compare(x.hash, y.hash) })
-	f.heard, f.weights = nil, nil
-	f.weigh(now)
+	slices.SortFunc(f.peers, func(x, y *peer) int { return cmp.Compare(x.hash, y.hash) })
+	f.heardPeers, f.weights = nil, nil
+	f.weighPeers(now)
 }
 
 // Take takes a digest of another member. One that is damaged, doubled, older than the last, of another life
@@ -266,49 +266,49 @@
 // sender's own time, so that what it took beyond the quickest is known.
 func (f *Fleet) ReceiveDigest(now Time, b []byte) error {
 	d, err := ParseDigest(b)
-	if err == nil && d.Classes != len(f.set.Classes) {
-		err = fmt.Errorf("digest: %d classes where there are %d: %w", d.Classes, len(f.set.Classes), ErrMalformed)
+	if err == nil && d.Classes != len(f.settings.Classes) {
+		err = fmt.Errorf("digest: %d classes where there are %d: %w", d.Classes, len(f.settings.Classes), ErrMalformed)
 	}
 	if err != nil {
 		f.dropped.Malformed++
 		return err
 	}
-	e := f.by[d.Sender]
-	if e == nil || d.Incarnation != e.Incarnation {
+	sender := f.peersByHash[d.Sender]
+	if sender == nil || d.Incarnation != sender.Incarnation {
 		f.dropped.Unknown++
 		return fmt.Errorf("digest: sender %x: %w", d.Sender, ErrUnknownMember)
 	}
-	if e.digest != nil && d.Sequence <= e.digest.Sequence {
+	if sender.digest != nil && d.Sequence <= sender.digest.Sequence {
 		f.dropped.Stale++
-		return fmt.Errorf("digest: %s: %w", e.Name, ErrStaleDigest)
+		return fmt.Errorf("digest: %s: %w", sender.Name, ErrStaleDigest)
 	}
-	if f.absurd(d) {
+	if f.isOutlier(d) {
 		f.dropped.Outlier++
-		return fmt.Errorf("digest: %s: %w", e.Name, ErrOutlier)
+		return fmt.Errorf("digest: %s: %w", sender.Name, ErrOutlier)
 	}
-	offset := now - Time(d.Sequence)*sequenceIs
-	if e.digest == nil {
-		e.offset = offset
+	offset := now - Time(d.Sequence)*sequenceUnit
+	if sender.digest == nil {
+		sender.minClockOffset = offset
 	} else {
-		e.offset = min(offset, e.offset+Time(driftMost*float64(now-e.at)))
+		sender.minClockOffset = min(offset, sender.minClockOffset+Time(maxClockDrift*float64(now-sender.receivedAt)))
 	}
-	e.digest, e.at, e.late = d, now, offset-e.offset
+	sender.digest, sender.receivedAt, sender.delay = d, now, offset-sender.minClockOffset
 	for _, hash := range d.Recovered {
-		f.back(now, hash, false)
+		f.recordRecovery(now, hash, false)
 	}
 	return nil
 }
 
 // absurd tells whether d says a hundred times what the others do. Below three there is no telling.
-func (f *Fleet) absurd(d *Digest) bool {
-	if len(f.heard) < quorum {
+func (f *Fleet) isOutlier(d *Digest) bool {
+	if len(f.heardPeers) < minPeersHeard {
 		return false
 	}
-	median := f.median(func(v *Vector, _ *Digest) float64 { return v.total() })
-	return median > 0 && d.Own.total() > sayAbsurd*median
+	median := f.medianOf(func(v *Vector, _ *Digest) float64 { return v.totalFirstAttempts() })
+	return median > 0 && d.Own.totalFirstAttempts() > outlierMedianRatio*median
 }
 
-func (v *Vector) total() (sum float64) {
+func (v *Vector) totalFirstAttempts() (sum float64) {
 	for _, first := range v.FirstAttempts {
 		sum += first
 	}
@@ -317,58 +317,58 @@
 
 // Own takes this member's own counters since they were last told. Rates follow them within a second or two.
 func (f *Fleet) AddCounters(now Time, c Counters) {
-	dt := now - f.owned
-	if dt <= 0 {
+	elapsed := now - f.countedAt
+	if elapsed <= 0 {
 		return
 	}
-	f.owned = now
-	f.told++
-	weight, seconds := 1-math.Exp(-float64(dt)/float64(smoothing)), dt.Seconds()
-	if f.own == (Vector{}) {
+	f.countedAt = now
+	f.reportCount++
+	weight, seconds := 1-math.Exp(-float64(elapsed)/float64(smoothingTime)), elapsed.Seconds()
+	if f.ownRates == (Vector{}) {
 		weight = 1
 	}
-	follow := func(mean *float64, count float64) { *mean += weight * (sane(count)/seconds - *mean) }
-	at := func(counts []float64, i int) float64 {
+	follow := func(mean *float64, count float64) { *mean += weight * (sanitize(count)/seconds - *mean) }
+	countOf := func(counts []float64, i int) float64 {
 		if i < len(counts) {
-			return sane(counts[i])
+			return sanitize(counts[i])
 		}
 		return 0
 	}
-	work, turned := 0.0, 0.0
-	for i, class := range f.set.Classes {
-		follow(&f.own.FirstAttempts[i], at(c.FirstAttempts, i))
-		follow(&f.detail.Served[i], at(c.Served, i))
-		follow(&f.detail.Refused[i], at(c.Refused, i))
-		work += at(c.Served, i) * class.Cost
-		turned += at(c.Refused, i) * class.Cost
+	servedCost, refusedCost := 0.0, 0.0
+	for i, class := range f.settings.Classes {
+		follow(&f.ownRates.FirstAttempts[i], countOf(c.FirstAttempts, i))
+		follow(&f.ownDetail.Served[i], countOf(c.Served, i))
+		follow(&f.ownDetail.Refused[i], countOf(c.Refused, i))
+		servedCost += countOf(c.Served, i) * class.Cost
+		refusedCost += countOf(c.Refused, i) * class.Cost
 	}
-	strain := 0.0
+	latencyRatio := 0.0
 	if c.LatencySamples > 0 {
-		strain = min(4, sane(c.LatencyRatioSum)/c.LatencySamples)
+		latencyRatio = min(4, sanitize(c.LatencyRatioSum)/c.LatencySamples)
 	}
-	follow(&f.own.ServedCost, work)
-	follow(&f.own.WeightedLatency, work*strain)
-	follow(&f.own.RefusedCost, turned)
+	follow(&f.ownRates.ServedCost, servedCost)
+	follow(&f.ownRates.WeightedLatency, servedCost*latencyRatio)
+	follow(&f.ownRates.RefusedCost, refusedCost)
 	// Few make more than one in some seconds: over less time a single one would look like far too many.
-	f.own.Retries += (1 - math.Exp(-float64(dt)/float64(repeatsOver))) * (sane(c.Retries)/seconds - f.own.Retries)
-	follow(&f.detail.Probes, c.Probes)
-	f.detail.SlowStart, f.detail.InFlight = sane(c.SlowStart), sane(c.InFlight)
-	f.spending.seen(now, at, c.FirstAttempts, seconds)
+	f.ownRates.Retries += (1 - math.Exp(-float64(elapsed)/float64(retrySmoothingTime))) * (sanitize(c.Retries)/seconds - f.ownRates.Retries)
+	follow(&f.ownDetail.Probes, c.Probes)
+	f.ownDetail.SlowStart, f.ownDetail.InFlight = sanitize(c.SlowStart), sanitize(c.InFlight)
+	f.retryLimiter.recordRate(now, countOf, c.FirstAttempts, seconds)
 	f.advance(now)
 }
 
 // Digest is this member's next digest, to be sent to some others now.
 func (f *Fleet) NextDigest(now Time) []byte {
 	f.advance(now)
-	f.sequence = max(f.sequence+1, uint32(min(math.MaxUint32, (now-f.started)/sequenceIs)))
-	d := f.detail
-	d.Compact, d.Classes = f.set.CompactDigests, len(f.set.Classes)
-	d.Sender, d.Incarnation, d.Sequence = f.me.hash, f.me.Incarnation, f.sequence
-	d.Episode, d.UnreachableHash = f.spell, f.goneSum
-	d.Own, d.PeerMean = f.own, f.layer
-	d.Own.LimitShare, d.Own.AdmittedFraction = f.part, f.level
-	for _, b := range f.backs {
-		if b.here && len(d.Recovered) < d.backs() {
+	f.sequence = max(f.sequence+1, uint32(min(math.MaxUint32, (now-f.started)/sequenceUnit)))
+	d := f.ownDetail
+	d.Compact, d.Classes = f.settings.CompactDigests, len(f.settings.Classes)
+	d.Sender, d.Incarnation, d.Sequence = f.self.hash, f.self.Incarnation, f.sequence
+	d.Episode, d.UnreachableHash = f.episode, f.unreachableHash
+	d.Own, d.PeerMean = f.ownRates, f.peerMean
+	d.Own.LimitShare, d.Own.AdmittedFraction = f.limitShare, f.admittedFraction
+	for _, b := range f.recovered {
+		if b.probedLocally && len(d.Recovered) < d.recoveredCapacity() {
 			d.Recovered = append(d.Recovered, b.hash)
 		}
 	}
@@ -376,5 +376,5 @@
 }
 
 // Heard is how many others are heard now, and Dropped what was not taken.
-func (f *Fleet) PeersHeard() int     { return len(f.heard) }
+func (f *Fleet) PeersHeard() int     { return len(f.heardPeers) }
 func (f *Fleet) Dropped() DropCounts { return f.dropped }
--- a/fleet/overload/overload_test.go
+++ b/fleet/overload/overload_test.go
@@ -11,14 +11,14 @@
 	"time"
 )
 
-func full(compact bool) *Digest {
+func sampleDigest(compact bool) *Digest {
 	d := &Digest{Compact: compact, Classes: MaxCompactClasses, Sender: 1 << 60, Incarnation: 7, Sequence: 9, Episode: 3,
 		Recovered: []uint16{5}}
 	if !compact {
 		d.Classes, d.Recovered, d.UnreachableHash = MaxClasses, []uint16{1, 2, 3, 4}, 1<<63+1
 	}
-	for i, v := range d.values() {
-		*v = value(code(float64(i) * 1.7))
+	for i, v := range d.encodedValues() {
+		*v = decodeValue(encodeValue(float64(i) * 1.7))
 	}
 	return d
 }
@@ -26,11 +26,11 @@
 func TestDigest(t *testing.T) {
 	for _, tt := range []struct {
 		compact bool
-		most    int
+		maxSize int
 	}{{true, MaxCompactSize}, {false, MaxDigestSize}} {
-		d := full(tt.compact)
+		d := sampleDigest(tt.compact)
 		b := d.Append(nil)
-		if len(b) > tt.most {
+		if len(b) > tt.maxSize {
 			t.Errorf("compact %v: %d bytes", tt.compact, len(b))
 		}
 		got, err := ParseDigest(b)
@@ -43,26 +43,26 @@
 			}
 		}
 	}
-	b := full(true).Append(nil)
+	b := sampleDigest(true).Append(nil)
 	b[0]++
 	if _, err := ParseDigest(b); !errors.Is(err, ErrVersion) {
 		t.Errorf("another version: %v", err)
 	}
 }
 
-func TestCode(t *testing.T) {
+func TestValueEncoding(t *testing.T) {
 	for _, tt := range []struct{ in, least, most float64 }{
 		{0, 0, 0}, {-1, 0, 0}, {math.NaN(), 0, 0}, {math.Inf(-1), 0, 0}, {1e-9, 0, 0},
 		{1, 0.9997, 1.0003}, {123.4, 123.36, 123.44}, {math.Inf(1), 1e8, 2e8}, {1e300, 1e8, 2e8},
 	} {
-		if got := value(code(tt.in)); !(got >= tt.least && got <= tt.most) {
+		if got := decodeValue(encodeValue(tt.in)); !(got >= tt.least && got <= tt.most) {
 			t.Errorf("%v travels as %v", tt.in, got)
 		}
 	}
 }
 
 // team is n members, all alive, of which none has heard anything yet.
-func team(n int) (fleets []*Fleet, view []Member) {
+func newFleets(n int) (fleets []*Fleet, view []Member) {
 	for i := range n {
 		view = append(view, Member{Name: fmt.Sprint("m", i), Zone: fmt.Sprint("z", i%3), Incarnation: 2})
 	}
@@ -78,26 +78,26 @@
 }
 
 // counters of half a second with so many first tries of a class, and a share of them turned away.
-func counters(first, turned float64) Counters {
-	c := Counters{LatencySamples: first, LatencyRatioSum: first * (0.3 + min(0.7, 10*turned))}
+func testCounters(attempts, refusedFraction float64) Counters {
+	c := Counters{LatencySamples: attempts, LatencyRatioSum: attempts * (0.3 + min(0.7, 10*refusedFraction))}
 	for range testClasses {
-		c.FirstAttempts = append(c.FirstAttempts, first)
-		c.Served = append(c.Served, first*(1-turned))
-		c.Refused = append(c.Refused, first*turned)
+		c.FirstAttempts = append(c.FirstAttempts, attempts)
+		c.Served = append(c.Served, attempts*(1-refusedFraction))
+		c.Refused = append(c.Refused, attempts*refusedFraction)
 	}
 	return c
 }
 
 // talk lets all tell and hear all, but for those that deaf says, for a time.
-func talk(fleets []*Fleet, from, span Time, c Counters, apart func(i, j int) bool) Time {
-	for now := from; now < from+span; now += half {
+func exchangeDigests(fleets []*Fleet, from, span Time, c Counters, blocked func(i, j int) bool) Time {
+	for now := from; now < from+span; now += halfSecond {
 		for _, f := range fleets {
 			f.AddCounters(now, c)
 		}
 		for i, f := range fleets {
 			b := f.NextDigest(now)
 			for j, to := range fleets {
-				if i != j && (apart == nil || !apart(i, j)) {
+				if i != j && (blocked == nil || !blocked(i, j)) {
 					to.ReceiveDigest(now, b)
 				}
 			}
@@ -108,11 +108,11 @@
 
 // TestTaken: what isn't taken changes no number and no digest to come: after it a member does what its twin
 // does that never got it.
-func TestTaken(t *testing.T) {
-	fleets, view := team(5)
-	twins, _ := team(5)
-	now := talk(fleets, half, 5*time.Second, counters(5, 0), nil)
-	talk(twins, half, 5*time.Second, counters(5, 0), nil)
+func TestDroppedDigestsChangeNothing(t *testing.T) {
+	fleets, view := newFleets(5)
+	twins, _ := newFleets(5)
+	now := exchangeDigests(fleets, halfSecond, 5*time.Second, testCounters(5, 0), nil)
+	exchangeDigests(twins, halfSecond, 5*time.Second, testCounters(5, 0), nil)
 	f, twin := fleets[0], twins[0]
 	digest := func(change func(*Digest)) []byte {
 		d, _ := ParseDigest(fleets[1].NextDigest(now))
@@ -121,10 +121,10 @@
 		change(d)
 		return d.Append(nil)
 	}
-	unlike := func() bool {
-		now += half
-		f.AddCounters(now, counters(5, 0))
-		twin.AddCounters(now, counters(5, 0))
+	differs := func() bool {
+		now += halfSecond
+		f.AddCounters(now, testCounters(5, 0))
+		twin.AddCounters(now, testCounters(5, 0))
 		return f.Controls(now) != twin.Controls(now) || !bytes.Equal(f.NextDigest(now), twin.NextDigest(now))
 	}
 	tests := []struct {
@@ -132,12 +132,12 @@
 		b    []byte
 		err  error
 	}{
-		{"doubled", digest(func(d *Digest) { d.Sequence = f.by[d.Sender].digest.Sequence }), ErrStaleDigest},
+		{"doubled", digest(func(d *Digest) { d.Sequence = f.peersByHash[d.Sender].digest.Sequence }), ErrStaleDigest},
 		{"late, from before", digest(func(d *Digest) { d.Sequence = 1 }), ErrStaleDigest},
 		{"older life", digest(func(d *Digest) { d.Incarnation = 1 }), ErrUnknownMember},
 		{"life that membership knows nothing of", digest(func(d *Digest) { d.Incarnation = 3 }), ErrUnknownMember},
 		{"stranger", digest(func(d *Digest) { d.Sender++ }), ErrUnknownMember},
-		{"own, sent back", digest(func(d *Digest) { d.Sender = f.me.hash }), ErrUnknownMember},
+		{"own, sent back", digest(func(d *Digest) { d.Sender = f.self.hash }), ErrUnknownMember},
 		{"huge", digest(func(d *Digest) { d.Own.FirstAttempts[0] = math.Inf(1) }), ErrOutlier},
 		{"other classes", digest(func(d *Digest) { d.Classes = 2 }), ErrMalformed},
 		{"empty", nil, ErrMalformed},
@@ -146,7 +146,7 @@
 		if err := f.ReceiveDigest(now, tt.b); !errors.Is(err, tt.err) {
 			t.Errorf("%s: %v", tt.name, err)
 		}
-		if unlike() {
+		if differs() {
 			t.Fatalf("%s: %+v, and without %+v", tt.name, f.Controls(now), twin.Controls(now))
 		}
 	}
@@ -154,7 +154,7 @@
 		t.Errorf("dropped %+v, want %+v", got, want)
 	}
 	// Planted: one that is taken shows.
-	if err := f.ReceiveDigest(now, digest(func(*Digest) {})); err != nil || !unlike() {
+	if err := f.ReceiveDigest(now, digest(func(*Digest) {})); err != nil || !differs() {
 		t.Errorf("a good digest changes nothing, %v", err)
 	}
 	// A member in its next life is heard from its first digest on, and its old life no more.
@@ -171,32 +171,32 @@
 }
 
 // TestLate: a digest that was long under way counts for its age.
-func TestLate(t *testing.T) {
-	fleets, _ := team(2)
-	now := talk(fleets, half, 5*time.Second, counters(5, 0), nil)
+func TestDelayedDigestIsAged(t *testing.T) {
+	fleets, _ := newFleets(2)
+	now := exchangeDigests(fleets, halfSecond, 5*time.Second, testCounters(5, 0), nil)
 	b := fleets[1].NextDigest(now)
-	e := fleets[0].others[0]
+	e := fleets[0].peers[0]
 	fleets[0].ReceiveDigest(now+3*time.Second, b)
-	if w := fleets[0].weight(now+3*time.Second, e); w > 0.5 {
+	if w := fleets[0].peerWeight(now+3*time.Second, e); w > 0.5 {
 		t.Errorf("3 s under way, and it weighs %.2f", w)
 	}
 }
 
 // TestMalformedCounters: counters that no honest caller tells count as none.
 func TestMalformedCounters(t *testing.T) {
-	fleets, _ := team(1)
+	fleets, _ := newFleets(1)
 	bad := Counters{FirstAttempts: []float64{math.NaN(), -5, math.Inf(1), 7, 8}, LatencyRatioSum: math.NaN(), LatencySamples: 1, Retries: -1}
-	fleets[0].AddCounters(half, bad)
-	if f := fleets[0]; f.own != (Vector{}) || f.Controls(half) != Standalone() {
-		t.Errorf("own %+v", f.own)
+	fleets[0].AddCounters(halfSecond, bad)
+	if f := fleets[0]; f.ownRates != (Vector{}) || f.Controls(halfSecond) != Standalone() {
+		t.Errorf("own %+v", f.ownRates)
 	}
 }
 
 // TestShed: members that hear the same shed the same keys, about as many as the cut says, and other keys in
 // the next spell.
-func TestShed(t *testing.T) {
-	fleets, _ := team(6)
-	talk(fleets, half, 15*time.Second, counters(50, 0.3), nil)
+func TestConsistentShedding(t *testing.T) {
+	fleets, _ := newFleets(6)
+	exchangeDigests(fleets, halfSecond, 15*time.Second, testCounters(50, 0.3), nil)
 	all := make([]Controls, len(fleets))
 	for i, f := range fleets {
 		all[i] = f.Controls(15 * time.Second)
@@ -206,76 +206,76 @@
 	}
 	rng := rand.New(rand.NewPCG(1, 1))
 	const keys = 10000
-	shed, unlike, other := 0, 0, 0
+	shed, inconsistent, changed := 0, 0, 0
 	for range keys {
 		key := rng.Uint64()
 		next := all[0]
 		next.Episode++
-		is := all[0].ShouldShed(1, key) || all[0].ShouldShed(2, key)
-		if is {
+		isShed := all[0].ShouldShed(1, key) || all[0].ShouldShed(2, key)
+		if isShed {
 			shed++
 		}
 		for i := range all[1:] {
-			if all[1+i].Episode != all[0].Episode || is != (all[1+i].ShouldShed(1, key) || all[1+i].ShouldShed(2, key)) {
-				unlike++
+			if all[1+i].Episode != all[0].Episode || isShed != (all[1+i].ShouldShed(1, key) || all[1+i].ShouldShed(2, key)) {
+				inconsistent++
 				break
 			}
 		}
 		if all[0].ShouldShed(2, key) != next.ShouldShed(2, key) {
-			other++
+			changed++
 		}
 	}
-	if unlike > keys/20 {
-		t.Errorf("%d of %d keys are shed at some members alone", unlike, keys)
+	if inconsistent > keys/20 {
+		t.Errorf("%d of %d keys are shed at some members alone", inconsistent, keys)
 	}
-	if cut := all[0].ShedFraction[2]; cut < 0.99 && other == 0 {
+	if cut := all[0].ShedFraction[2]; cut < 0.99 && changed == 0 {
 		t.Error("the next spell sheds the same keys")
 	}
-	dice := func() bool { return rng.Float64() < all[0].ShedFraction[2]*0.9 } // planted: what dice would do
-	unlike = 0
+	randomShed := func() bool { return rng.Float64() < all[0].ShedFraction[2]*0.9 } // planted: what dice would do
+	inconsistent = 0
 	for range keys {
-		if one, other := dice(), dice(); one != other {
-			unlike++
+		if one, changed := randomShed(), randomShed(); one != changed {
+			inconsistent++
 		}
 	}
-	if unlike <= keys/20 {
+	if inconsistent <= keys/20 {
 		t.Error("the check would let dice pass")
 	}
 }
 
 // TestComeBack: spread by the key, never over what clients obey, and exactly the base for one alone.
-func TestComeBack(t *testing.T) {
+func TestRetryAfterSpread(t *testing.T) {
 	n := Standalone()
 	if got := n.RetryAfter(1, time.Second, time.Minute); got != time.Second {
 		t.Errorf("alone: %v", got)
 	}
 	n.Confidence = 1
-	least, most := time.Hour, time.Duration(0)
+	shortest, longest := time.Hour, time.Duration(0)
 	for key := range uint64(1000) {
 		got := n.RetryAfter(key, time.Second, 1400*time.Millisecond)
-		least, most = min(least, got), max(most, got)
+		shortest, longest = min(shortest, got), max(longest, got)
 	}
-	if least > 550*time.Millisecond || most != 1400*time.Millisecond {
-		t.Errorf("spread over %v to %v", least, most)
+	if shortest > 550*time.Millisecond || longest != 1400*time.Millisecond {
+		t.Errorf("spread over %v to %v", shortest, longest)
 	}
 }
 
 // TestTrials: one member a zone tries a dead backend, whether there are 10 of them or 300, and an owner that
 // is not heard of is passed over. Once one has found it serving, all may try, spread over seconds.
-func TestTrials(t *testing.T) {
+func TestOneProberPerZone(t *testing.T) {
 	for _, n := range []int{10, 300} {
-		fleets, _ := team(n)
-		far := func(i, j int) bool { return n > 10 && (j-i+n)%n > 4 } // of many each hears a few
-		now := talk(fleets, half, 4*time.Second, counters(5, 0), far)
-		owners := func(backend string) (who []int) {
+		fleets, _ := newFleets(n)
+		notNear := func(i, j int) bool { return n > 10 && (j-i+n)%n > 4 } // of many each hears a few
+		now := exchangeDigests(fleets, halfSecond, 4*time.Second, testCounters(5, 0), notNear)
+		probers := func(backend string) (who []int) {
 			for i, f := range fleets {
-				if f.MayProbe(now, backend, f.me.Zone) {
+				if f.MayProbe(now, backend, f.self.Zone) {
 					who = append(who, i)
 				}
 			}
 			return who
 		}
-		first := owners("b")
+		first := probers("b")
 		if len(first) != 3 {
 			t.Errorf("%d members: %v try it", n, first)
 		}
@@ -283,13 +283,13 @@
 			continue
 		}
 		dead := first[0]
-		now = talk(fleets, now, 8*time.Second, counters(5, 0), func(i, j int) bool { return i == dead || j == dead })
-		if after := owners("b"); len(after) != 4 || reflect.DeepEqual(first, after) {
+		now = exchangeDigests(fleets, now, 8*time.Second, testCounters(5, 0), func(i, j int) bool { return i == dead || j == dead })
+		if after := probers("b"); len(after) != 4 || reflect.DeepEqual(first, after) {
 			t.Errorf("with %d cut off: %v try it", dead, after)
 		}
 		fleets[first[1]].ProbeSucceeded(now, "b")
-		now = talk(fleets, now, 3*time.Second, counters(5, 0), nil)
-		if found := owners("b"); len(found) != n {
+		now = exchangeDigests(fleets, now, 3*time.Second, testCounters(5, 0), nil)
+		if found := probers("b"); len(found) != n {
 			t.Errorf("once found: %v try it", found)
 		}
 	}
@@ -297,14 +297,14 @@
 
 // TestFreed: what the dead held goes to others once a majority of the roster sees them gone, a tenth of the
 // whole at most; what was left in order goes at once.
-func TestFreed(t *testing.T) {
+func TestFreedLimitShare(t *testing.T) {
 	tests := []struct {
-		name        string
-		state       State
-		out, roster int
-		see         int     // of the others that see it
-		most, least float64 // what travels is rounded by 0.04%
-		planted     bool    // who is left takes itself for the roster
+		name           string
+		state          State
+		absent, roster int
+		observers      int     // of the others that see it
+		maxSum, minSum float64 // what travels is rounded by 0.04%
+		selfAsRoster   bool    // who is left takes itself for the roster
 	}{
 		{"left", Left, 3, 10, 7, 10.01, 9.8, false},
 		{"seen gone by all", Unreachable, 3, 10, 7, 7.9, 7.6, false},
@@ -313,42 +313,42 @@
 		{"planted: a minority that asks itself", Unreachable, 6, 10, 4, 4.05, 3.8, true},
 	}
 	for _, tt := range tests {
-		fleets, view := team(tt.roster)
-		now := talk(fleets, half, 6*time.Second, counters(5, 0), nil)
-		for i := range tt.out {
+		fleets, view := newFleets(tt.roster)
+		now := exchangeDigests(fleets, halfSecond, 6*time.Second, testCounters(5, 0), nil)
+		for i := range tt.absent {
 			view[i].State = tt.state
 		}
-		rest := fleets[tt.out:]
-		for i, f := range rest {
-			if i < tt.see {
-				f.SetMembers(now, map[bool]int{false: tt.roster, true: tt.roster - tt.out}[tt.planted], view)
+		remaining := fleets[tt.absent:]
+		for i, f := range remaining {
+			if i < tt.observers {
+				f.SetMembers(now, map[bool]int{false: tt.roster, true: tt.roster - tt.absent}[tt.selfAsRoster], view)
 			}
 		}
-		now = talk(rest, now, 20*time.Second, counters(5, 0), nil)
+		now = exchangeDigests(remaining, now, 20*time.Second, testCounters(5, 0), nil)
 		sum := 0.0
-		for _, f := range rest {
+		for _, f := range remaining {
 			sum += f.Controls(now).LimitShare
 		}
-		if broken := sum > tt.most || sum < tt.least; broken != tt.planted {
-			t.Errorf("%s: %.2f N-ths are held, want %v to %v", tt.name, sum, tt.least, tt.most)
+		if violated := sum > tt.maxSum || sum < tt.minSum; violated != tt.selfAsRoster {
+			t.Errorf("%s: %.2f N-ths are held, want %v to %v", tt.name, sum, tt.minSum, tt.maxSum)
 		}
 	}
 }
 
 // TestRepeats: 300 members that all want to repeat as much as they may stay under the fleet's budget in
 // every second, with a third of them cut off, and with one that has saved up planted for the check.
-func TestRepeats(t *testing.T) {
+func TestRetryBudgetFleetWide(t *testing.T) {
 	const n, first = 300, 4.0 // of each class, in half a second
-	worst := func(plant bool) (most float64) {
-		fleets, _ := team(n)
+	peakRetries := func(hoard bool) (peak float64) {
+		fleets, _ := newFleets(n)
 		rng := rand.New(rand.NewPCG(3, 3))
-		var spent []Time
-		far := func(i, j int) bool { return (j-i+n)%n > 4 }
-		now := talk(fleets, half, 3*time.Second, counters(first, 0), far)
+		var retryTimes []Time
+		notNear := func(i, j int) bool { return (j-i+n)%n > 4 }
+		now := exchangeDigests(fleets, halfSecond, 3*time.Second, testCounters(first, 0), notNear)
 		for step := range 60 {
 			if step%5 == 0 {
 				for _, f := range fleets {
-					f.AddCounters(now, counters(first, 0))
+					f.AddCounters(now, testCounters(first, 0))
 				}
 				for i, f := range fleets {
 					b := f.NextDigest(now)
@@ -361,47 +361,47 @@
 			}
 			for i, f := range fleets {
 				for range 10 {
-					if f.AllowRetry(now) || plant && step == 30 && i < n/3 {
-						spent = append(spent, now)
+					if f.AllowRetry(now) || hoard && step == 30 && i < n/3 {
+						retryTimes = append(retryTimes, now)
 					}
 				}
 			}
 			now += 100 * time.Millisecond
-			in := 0.0
-			for _, at := range spent {
+			recent := 0.0
+			for _, at := range retryTimes {
 				if now-at <= time.Second {
-					in++
+					recent++
 				}
 			}
-			most = max(most, in)
+			peak = max(peak, recent)
 		}
-		return most
+		return peak
 	}
 	budget := 0.1 * n * 2 * first * float64(len(testClasses))
-	if got := worst(false); got > budget+3*math.Sqrt(budget) || got < budget/3 {
+	if got := peakRetries(false); got > budget+3*math.Sqrt(budget) || got < budget/3 {
 		t.Errorf("%.0f repeats in a second, budget %.0f", got, budget)
 	}
-	if got := worst(true); got <= budget+3*math.Sqrt(budget) {
+	if got := peakRetries(true); got <= budget+3*math.Sqrt(budget) {
 		t.Errorf("planted: %.0f repeats in a second pass, budget %.0f", got, budget)
 	}
 }
 
 // FuzzTake: whatever comes, nothing panics and every number stays in its bounds; what is read is written alike.
-func FuzzTake(f *testing.F) {
-	f.Add(full(true).Append(nil))
-	f.Add(full(false).Append(nil))
+func FuzzReceiveDigest(f *testing.F) {
+	f.Add(sampleDigest(true).Append(nil))
+	f.Add(sampleDigest(false).Append(nil))
 	f.Add([]byte{digestVersion, 1})
-	fleets, _ := team(3)
-	f.Add(fleets[1].NextDigest(half))
+	fleets, _ := newFleets(3)
+	f.Add(fleets[1].NextDigest(halfSecond))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		fleets, _ := team(3)
-		fleets[0].AddCounters(half, counters(5, 0.2))
+		fleets, _ := newFleets(3)
+		fleets[0].AddCounters(halfSecond, testCounters(5, 0.2))
 		for i := range 5 {
-			now := Time(i+1) * half
+			now := Time(i+1) * halfSecond
 			fleets[0].ReceiveDigest(now, b)
 			fleets[0].ReceiveDigest(now, fleets[2].NextDigest(now))
 			n := fleets[0].Controls(now)
-			for _, v := range append([]float64{n.Confidence, n.RetryFraction, n.SlowStartFraction, n.LimitShare / shareMost}, n.ShedFraction[:]...) {
+			for _, v := range append([]float64{n.Confidence, n.RetryFraction, n.SlowStartFraction, n.LimitShare / maxLimitShare}, n.ShedFraction[:]...) {
 				if !(v >= 0 && v <= 1) {
 					t.Fatalf("numbers %+v", n)
 				}
@@ -417,18 +417,18 @@
 
 // BenchmarkSecond is what a second costs a member: two tellings, ten looks at its numbers and the digests
 // that it hears.
-func BenchmarkSecond(b *testing.B) {
+func BenchmarkOneSecond(b *testing.B) {
 	for _, heard := range []int{2, 300} {
 		b.Run(fmt.Sprint(heard), func(b *testing.B) {
-			fleets, _ := team(301)
-			now := half
+			fleets, _ := newFleets(301)
+			now := halfSecond
 			for b.Loop() {
 				for range 2 {
-					fleets[0].AddCounters(now, counters(5, 0.1))
-					now += half
+					fleets[0].AddCounters(now, testCounters(5, 0.1))
+					now += halfSecond
 				}
 				for i := range 10 {
-					fleets[0].Controls(now - time.Second + Time(i)*tick)
+					fleets[0].Controls(now - time.Second + Time(i)*minStep)
 				}
 				for i := range heard {
 					b.StopTimer()
@@ -443,7 +443,7 @@
 }
 
 // BenchmarkShed is what the fleet costs a request.
-func BenchmarkShed(b *testing.B) {
+func BenchmarkShouldShed(b *testing.B) {
 	n := Standalone()
 	n.ShedFraction[0] = 0.5
 	for i := uint64(0); b.Loop(); i++ {
--- a/fleet/overload/rules_test.go
+++ b/fleet/overload/rules_test.go
@@ -27,130 +27,130 @@
 }
 
 type phase struct {
-	Seconds int
-	Load    float64 // of the capacity
-	Apart   uint    // members of the other side, by bit
-	Deaf    uint    // members that hear nobody
-	Loss    float64
-	Restart int // member, or -1
+	Seconds      int
+	Load         float64 // of the capacity
+	Partition    uint    // members of the other side, by bit
+	Unresponsive uint    // members that hear nobody
+	Loss         float64
+	Restart      int // member, or -1
 }
 
 type schedule struct {
-	Seed    uint64
-	Members int
-	Fanout  int
-	Liar    bool
-	Rates   []float64
-	Phases  []phase
+	Seed       uint64
+	Members    int
+	Fanout     int
+	Faulty     bool
+	Capacities []float64
+	Phases     []phase
 }
 
-func draw(t *rapid.T) schedule {
-	s := schedule{
+func drawSchedule(t *rapid.T) schedule {
+	plan := schedule{
 		Seed:    rapid.Uint64().Draw(t, "seed"),
 		Members: rapid.IntRange(4, 12).Draw(t, "members"),
-		Liar:    rapid.Bool().Draw(t, "liar"),
+		Faulty:  rapid.Bool().Draw(t, "liar"),
 	}
-	s.Fanout = rapid.SampledFrom([]int{3, s.Members}).Draw(t, "fanout")
-	for range s.Members {
-		s.Rates = append(s.Rates, rapid.Float64Range(1, 30).Draw(t, "rate"))
+	plan.Fanout = rapid.SampledFrom([]int{3, plan.Members}).Draw(t, "fanout")
+	for range plan.Members {
+		plan.Capacities = append(plan.Capacities, rapid.Float64Range(1, 30).Draw(t, "rate"))
 	}
 	for range rapid.IntRange(1, 4).Draw(t, "phases") {
-		s.Phases = append(s.Phases, phase{
-			Seconds: rapid.IntRange(4, 14).Draw(t, "seconds"),
-			Load:    rapid.SampledFrom([]float64{0.5, 0.7, 1.5, 4}).Draw(t, "load"),
-			Apart:   uint(rapid.SampledFrom([]int{0, 0, 1, 3, 7, 21}).Draw(t, "apart")),
-			Deaf:    uint(rapid.SampledFrom([]int{0, 0, 0, 2}).Draw(t, "deaf")),
-			Loss:    rapid.SampledFrom([]float64{0, 0, 0.3, 0.6}).Draw(t, "loss"),
-			Restart: rapid.IntRange(-3, s.Members-1).Draw(t, "restart"),
+		plan.Phases = append(plan.Phases, phase{
+			Seconds:      rapid.IntRange(4, 14).Draw(t, "seconds"),
+			Load:         rapid.SampledFrom([]float64{0.5, 0.7, 1.5, 4}).Draw(t, "load"),
+			Partition:    uint(rapid.SampledFrom([]int{0, 0, 1, 3, 7, 21}).Draw(t, "apart")),
+			Unresponsive: uint(rapid.SampledFrom([]int{0, 0, 0, 2}).Draw(t, "deaf")),
+			Loss:         rapid.SampledFrom([]float64{0, 0, 0.3, 0.6}).Draw(t, "loss"),
+			Restart:      rapid.IntRange(-3, plan.Members-1).Draw(t, "restart"),
 		})
 	}
-	return s
+	return plan
 }
 
 var testClasses = []Class{{Value: 5, Cost: 1}, {Value: 1, Cost: 1}, {Value: 0.2, Cost: 1}}
 
-const half = time.Second / 2
+const halfSecond = time.Second / 2
 
-type world struct {
+type simulation struct {
 	schedule
-	rng     *rand.Rand
-	plant   func(*Fleet) node
-	now     Time
-	nodes   []node
-	view    []Member
-	born    []Time
-	upset   Time // when not all heard all, last
-	numbers []Controls
-	first   []float64 // first tries in the last halves, all members
-	repeats []float64 // in halves, and in windows staggered against the members' own seconds
-	mild    bool      // no overload so far
-	faults  map[string]string
+	rng           *rand.Rand
+	wrap          func(*Fleet) node
+	now           Time
+	members       []node
+	view          []Member
+	startedAt     []Time
+	disturbedAt   Time // when not all heard all, last
+	controls      []Controls
+	firstAttempts []float64 // first tries in the last halves, all members
+	retries       []float64 // in halves, and in windows staggered against the members' own seconds
+	noOverload    bool      // no overload so far
+	violations    map[string]string
 }
 
-func (w *world) fail(rule, format string, args ...any) {
-	if w.faults[rule] == "" {
-		w.faults[rule] = fmt.Sprintf("%v: ", w.now) + fmt.Sprintf(format, args...)
+func (w *simulation) fail(rule, format string, args ...any) {
+	if w.violations[rule] == "" {
+		w.violations[rule] = fmt.Sprintf("%v: ", w.now) + fmt.Sprintf(format, args...)
 	}
 }
 
 // run plays the schedule and returns what was broken, by rule.
-func run(s schedule, plant func(*Fleet) node) map[string]string {
-	w := &world{schedule: s, rng: rand.New(rand.NewPCG(s.Seed, 1)), plant: plant, mild: true, faults: map[string]string{}}
+func run(plan schedule, plant func(*Fleet) node) map[string]string {
+	sim := &simulation{schedule: plan, rng: rand.New(rand.NewPCG(plan.Seed, 1)), wrap: plant, noOverload: true, violations: map[string]string{}}
 	if plant == nil {
-		w.plant = func(f *Fleet) node { return f }
+		sim.wrap = func(f *Fleet) node { return f }
 	}
-	w.now = time.Hour
-	for i := range s.Members {
-		w.view = append(w.view, Member{Name: fmt.Sprint("m", i), Zone: fmt.Sprint("z", i%2), Incarnation: 1})
-		w.nodes, w.numbers, w.born = append(w.nodes, nil), append(w.numbers, Standalone()), append(w.born, 0)
+	sim.now = time.Hour
+	for i := range plan.Members {
+		sim.view = append(sim.view, Member{Name: fmt.Sprint("m", i), Zone: fmt.Sprint("z", i%2), Incarnation: 1})
+		sim.members, sim.controls, sim.startedAt = append(sim.members, nil), append(sim.controls, Standalone()), append(sim.startedAt, 0)
 	}
-	for i := range s.Members {
-		w.start(i)
+	for i := range plan.Members {
+		sim.startMember(i)
 	}
-	for _, p := range s.Phases {
+	for _, p := range plan.Phases {
 		if p.Restart >= 0 {
-			w.view[p.Restart].Incarnation++
-			w.start(p.Restart)
+			sim.view[p.Restart].Incarnation++
+			sim.startMember(p.Restart)
 		}
 		for n := range 2 * p.Seconds {
 			if n == 8 {
-				w.see(p.Apart)
+				sim.setReachability(p.Partition)
 			}
-			w.step(p)
+			sim.step(p)
 		}
-		w.see(0)
+		sim.setReachability(0)
 	}
 	// Then nothing is heard any more.
-	last := s.Phases[len(s.Phases)-1]
+	last := plan.Phases[len(plan.Phases)-1]
 	last.Loss = 1
 	for range 2 * 20 {
-		w.step(last)
+		sim.step(last)
 	}
-	for i, n := range w.numbers {
+	for i, n := range sim.controls {
 		n.Episode = 0
 		if n != Standalone() {
-			w.fail("alone", "%d hears nobody and has %+v", i, n)
+			sim.fail("alone", "%d hears nobody and has %+v", i, n)
 		}
 	}
-	return w.faults
+	return sim.violations
 }
 
-func (w *world) start(i int) {
+func (w *simulation) startMember(i int) {
 	f, err := New(w.now, Settings{Classes: testClasses}, w.view[i])
 	if err != nil {
 		panic(err)
 	}
-	w.nodes[i], w.born[i], w.numbers[i], w.upset = w.plant(f), w.now, Standalone(), w.now
-	for j := range w.nodes {
-		if w.nodes[j] != nil {
-			w.nodes[j].SetMembers(w.now, w.Members, w.view)
+	w.members[i], w.startedAt[i], w.controls[i], w.disturbedAt = w.wrap(f), w.now, Standalone(), w.now
+	for j := range w.members {
+		if w.members[j] != nil {
+			w.members[j].SetMembers(w.now, w.Members, w.view)
 		}
 	}
 }
 
 // see lets membership tell each that the other side is gone.
-func (w *world) see(apart uint) {
-	for i, n := range w.nodes {
+func (w *simulation) setReachability(apart uint) {
+	for i, n := range w.members {
 		view := slices.Clone(w.view)
 		for j := range view {
 			if apart>>i&1 != apart>>j&1 {
@@ -161,36 +161,36 @@
 	}
 }
 
-func (w *world) hears(p phase, from, to int) bool {
-	side := func(i int) uint { return p.Apart >> i & 1 }
-	return from != to && side(from) == side(to) && p.Deaf>>to&1 == 0 && w.rng.Float64() >= p.Loss
+func (w *simulation) delivers(p phase, from, to int) bool {
+	side := func(i int) uint { return p.Partition >> i & 1 }
+	return from != to && side(from) == side(to) && p.Unresponsive>>to&1 == 0 && w.rng.Float64() >= p.Loss
 }
 
 // step is half a second: traffic, counters, digests, and the checks.
-func (w *world) step(p phase) {
-	w.mild = w.mild && p.Load < 0.9
+func (w *simulation) step(p phase) {
+	w.noOverload = w.noOverload && p.Load < 0.9
 	capacity, admitted := 0.0, make([]float64, w.Members)
-	for i := range w.nodes {
-		capacity += w.Rates[i]
-		for _, cut := range w.numbers[i].ShedFraction[:3] {
-			admitted[i] += w.Rates[i] * p.Load / 3 * (1 - cut)
+	for i := range w.members {
+		capacity += w.Capacities[i]
+		for _, cut := range w.controls[i].ShedFraction[:3] {
+			admitted[i] += w.Capacities[i] * p.Load / 3 * (1 - cut)
 		}
 	}
-	all := 0.0
+	totalAdmitted := 0.0
 	for _, a := range admitted {
-		all += a
+		totalAdmitted += a
 	}
-	share, strain := min(1, capacity/all), 0.3+0.7*min(1, all/capacity)*min(1, all/capacity)
+	share, latencyRatio := min(1, capacity/totalAdmitted), 0.3+0.7*min(1, totalAdmitted/capacity)*min(1, totalAdmitted/capacity)
 	sum, repeats := 0.0, 0.0
-	for i, n := range w.nodes {
+	for i, n := range w.members {
 		c := Counters{LatencySamples: admitted[i] * share / 2}
-		c.LatencyRatioSum = c.LatencySamples * strain
+		c.LatencyRatioSum = c.LatencySamples * latencyRatio
 		for k := range 3 {
-			first := w.Rates[i] * p.Load / 3 / 2
-			in := first * (1 - w.numbers[i].ShedFraction[k])
-			c.FirstAttempts, c.Served = append(c.FirstAttempts, first), append(c.Served, in*share)
-			c.Refused = append(c.Refused, in*(1-share))
-			sum += first
+			offered := w.Capacities[i] * p.Load / 3 / 2
+			admittedNow := offered * (1 - w.controls[i].ShedFraction[k])
+			c.FirstAttempts, c.Served = append(c.FirstAttempts, offered), append(c.Served, admittedNow*share)
+			c.Refused = append(c.Refused, admittedNow*(1-share))
+			sum += offered
 		}
 		for tries := range 20 { // all want to repeat whatever they may
 			if n.AllowRetry(w.now + Time(tries)*time.Millisecond) {
@@ -200,29 +200,29 @@
 		}
 		n.AddCounters(w.now, c)
 	}
-	w.first, w.repeats = append(w.first, sum), append(w.repeats, repeats)
-	for i, n := range w.nodes {
-		if w.now/half%2 == Time(i%2) {
-			w.send(p, i, n.NextDigest(w.now))
+	w.firstAttempts, w.retries = append(w.firstAttempts, sum), append(w.retries, repeats)
+	for i, n := range w.members {
+		if w.now/halfSecond%2 == Time(i%2) {
+			w.sendDigest(p, i, n.NextDigest(w.now))
 		}
 	}
-	w.now += half
+	w.now += halfSecond
 	w.check(p)
 }
 
-func (w *world) send(p phase, from int, b []byte) {
-	if w.Liar && from == w.Members-1 {
-		b = lie(b)
+func (w *simulation) sendDigest(p phase, from int, b []byte) {
+	if w.Faulty && from == w.Members-1 {
+		b = faultyDigest(b)
 	}
 	for i := range w.Fanout {
 		to := (from + 1 + i) % w.Members
 		if w.Fanout < w.Members {
 			to = w.rng.IntN(w.Members)
 		}
-		if w.hears(p, from, to) {
-			w.nodes[to].ReceiveDigest(w.now, b)
+		if w.delivers(p, from, to) {
+			w.members[to].ReceiveDigest(w.now, b)
 			if w.rng.IntN(4) == 0 {
-				if w.nodes[to].ReceiveDigest(w.now+time.Millisecond, b) == nil {
+				if w.members[to].ReceiveDigest(w.now+time.Millisecond, b) == nil {
 					w.fail("once", "a doubled digest was taken")
 				}
 			}
@@ -231,7 +231,7 @@
 }
 
 // lie says what a broken member may: a multiple of its traffic, all of it turned away, nothing served.
-func lie(b []byte) []byte {
+func faultyDigest(b []byte) []byte {
 	d, _ := ParseDigest(b)
 	for i := range d.Classes {
 		d.Own.FirstAttempts[i], d.PeerMean.FirstAttempts[i] = 20*d.Own.FirstAttempts[i], 1e7
@@ -242,54 +242,54 @@
 	return d.Append(nil)
 }
 
-func (w *world) check(p phase) {
-	parts, rise := 0.0, [3]float64{}
-	owners := map[string]int{}
-	weigh := 0.0
-	for i, n := range w.nodes {
-		was, is := w.numbers[i], n.Controls(w.now)
-		w.numbers[i] = is
-		parts += is.LimitShare
-		weigh += w.Rates[i]
-		if w.now-w.born[i] <= time.Second && is.LimitShare > 1 {
-			w.fail("restart", "%d starts with %.2f N-ths", i, is.LimitShare)
+func (w *simulation) check(p phase) {
+	shares, rise := 0.0, [3]float64{}
+	probers := map[string]int{}
+	totalCapacity := 0.0
+	for i, n := range w.members {
+		before, after := w.controls[i], n.Controls(w.now)
+		w.controls[i] = after
+		shares += after.LimitShare
+		totalCapacity += w.Capacities[i]
+		if w.now-w.startedAt[i] <= time.Second && after.LimitShare > 1 {
+			w.fail("restart", "%d starts with %.2f N-ths", i, after.LimitShare)
 		}
 		for k := range rise {
-			rise[k] += w.Rates[i] * max(0, was.ShedFraction[k]-is.ShedFraction[k])
+			rise[k] += w.Capacities[i] * max(0, before.ShedFraction[k]-after.ShedFraction[k])
 		}
-		if is.RetryFraction > 1 || is.SlowStartFraction > 1 || is.RetryFraction < 0 || math.IsNaN(is.LimitShare) ||
-			slices.ContainsFunc(is.ShedFraction[:], func(c float64) bool { return !(c >= 0 && c <= 1) }) {
-			w.fail("bounds", "%d has %+v", i, is)
+		if after.RetryFraction > 1 || after.SlowStartFraction > 1 || after.RetryFraction < 0 || math.IsNaN(after.LimitShare) ||
+			slices.ContainsFunc(after.ShedFraction[:], func(c float64) bool { return !(c >= 0 && c <= 1) }) {
+			w.fail("bounds", "%d has %+v", i, after)
 		}
-		if w.Liar && w.mild && i < w.Members-1 && (is.ShedFraction[2] > 0 || is.RetryFraction < repeatsLeast || is.LimitShare < 0.05) {
-			w.fail("liar", "%d believes a broken member: %+v", i, is)
+		if w.Faulty && w.noOverload && i < w.Members-1 && (after.ShedFraction[2] > 0 || after.RetryFraction < minRetryFraction || after.LimitShare < 0.05) {
+			w.fail("liar", "%d believes a broken member: %+v", i, after)
 		}
 		// A broken member is not heard, and another makes its trials beside it.
-		if is.Confidence == 1 && !(w.Liar && i == w.Members-1) && n.MayProbe(w.now, "b", w.view[i].Zone) {
-			owners[w.view[i].Zone]++
+		if after.Confidence == 1 && !(w.Faulty && i == w.Members-1) && n.MayProbe(w.now, "b", w.view[i].Zone) {
+			probers[w.view[i].Zone]++
 		}
 	}
-	if most := float64(w.Members) * (1 + freedMost + partSlack); parts > most {
-		w.fail("whole", "%.2f N-ths of %d are held", parts, w.Members)
+	if most := float64(w.Members) * (1 + maxFreedFraction + limitShareSlack); shares > most {
+		w.fail("whole", "%.2f N-ths of %d are held", shares, w.Members)
 	}
 	for k := range rise {
-		if rise[k] > weigh*(cutFall*half.Seconds()*1.2+0.01) && p.Loss < 1 {
-			w.fail("opens", "class %d: %.2f of all open in half a second", k, rise[k]/weigh)
+		if rise[k] > totalCapacity*(shedFall*halfSecond.Seconds()*1.2+0.01) && p.Loss < 1 {
+			w.fail("opens", "class %d: %.2f of all open in half a second", k, rise[k]/totalCapacity)
 		}
 	}
 	// Who is apart, or heard badly, may see another owner; where all hear all there is one a zone.
-	if p.Apart != 0 || p.Deaf != 0 || p.Loss != 0 || w.Fanout != w.Members {
-		w.upset = w.now
+	if p.Partition != 0 || p.Unresponsive != 0 || p.Loss != 0 || w.Fanout != w.Members {
+		w.disturbedAt = w.now
 	}
-	if w.now-w.upset > 6*time.Second {
-		for zone, n := range owners {
+	if w.now-w.disturbedAt > 6*time.Second {
+		for zone, n := range probers {
 			if n > 1 {
 				w.fail("trials", "%d members of %s try one backend", n, zone)
 			}
 		}
 	}
-	if n := len(w.first); n >= 4 {
-		first, repeats := max(w.first[n-2]+w.first[n-1], w.first[n-4]+w.first[n-3]), w.repeats[n-2]+w.repeats[n-1]
+	if n := len(w.firstAttempts); n >= 4 {
+		first, repeats := max(w.firstAttempts[n-2]+w.firstAttempts[n-1], w.firstAttempts[n-4]+w.firstAttempts[n-3]), w.retries[n-2]+w.retries[n-1]
 		budget := 0.1 * first
 		if repeats > budget+3*math.Sqrt(budget)+1 {
 			w.fail("repeats", "%.0f repeats in a second of %.0f first tries", repeats, first)
@@ -299,11 +299,11 @@
 
 // partSlack is what the parts may sum to over the whole besides what the dead left, while the sides of a
 // partition come to know of it at different moments.
-const partSlack = 0.2
+const limitShareSlack = 0.2
 
-func TestRules(t *testing.T) {
+func TestInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		for rule, fault := range run(draw(t), nil) {
+		for rule, fault := range run(drawSchedule(t), nil) {
 			t.Errorf("%s: %s", rule, fault)
 		}
 	})
@@ -311,130 +311,130 @@
 
 // The planted members, each of which breaks one rule.
 
-type whole struct{ *Fleet } // takes all of the limit for those that it hears
+type overallocator struct{ *Fleet } // takes all of the limit for those that it hears
 
-func (n whole) Controls(now Time) Controls {
+func (n overallocator) Controls(now Time) Controls {
 	is := n.Fleet.Controls(now)
-	is.LimitShare *= float64(n.roster) / float64(1+len(n.heard))
+	is.LimitShare *= float64(n.rosterSize) / float64(1+len(n.heardPeers))
 	return is
 }
 
-type saver struct { // repeats what it has saved up
+type retryHoarder struct { // repeats what it has saved up
 	*Fleet
-	saved *float64
+	savedRetries *float64
 }
 
-func (n saver) AddCounters(now Time, c Counters) {
+func (n retryHoarder) AddCounters(now Time, c Counters) {
 	n.Fleet.AddCounters(now, c)
-	*n.saved = min(10, *n.saved+0.1*(c.FirstAttempts[0]+c.FirstAttempts[1]+c.FirstAttempts[2]))
+	*n.savedRetries = min(10, *n.savedRetries+0.1*(c.FirstAttempts[0]+c.FirstAttempts[1]+c.FirstAttempts[2]))
 }
 
-func (n saver) AllowRetry(now Time) bool {
-	if now < 2*time.Second+n.started || int(now/time.Second)%7 != 0 || *n.saved < 1 {
+func (n retryHoarder) AllowRetry(now Time) bool {
+	if now < 2*time.Second+n.started || int(now/time.Second)%7 != 0 || *n.savedRetries < 1 {
 		return false
 	}
-	*n.saved--
+	*n.savedRetries--
 	return true
 }
 
-type trier struct{ *Fleet } // tries every backend by itself
+type alwaysProber struct{ *Fleet } // tries every backend by itself
 
-func (n trier) MayProbe(Time, string, string) bool { return true }
+func (n alwaysProber) MayProbe(Time, string, string) bool { return true }
 
-type opener struct{ *Fleet } // opens up at once
+type instantReopener struct{ *Fleet } // opens up at once
 
-func (n opener) Controls(now Time) Controls {
+func (n instantReopener) Controls(now Time) Controls {
 	is := n.Fleet.Controls(now)
-	if n.strain < 0.6 {
-		is.ShedFraction, n.Fleet.cut = [MaxClasses]float64{}, [MaxClasses]float64{}
+	if n.latencyRatio < 0.6 {
+		is.ShedFraction, n.Fleet.shedFraction = [MaxClasses]float64{}, [MaxClasses]float64{}
 	}
 	return is
 }
 
-type heir struct{ *Fleet } // starts with the part of the life before
+type inheritor struct{ *Fleet } // starts with the part of the life before
 
-func (n heir) Controls(now Time) Controls {
+func (n inheritor) Controls(now Time) Controls {
 	is := n.Fleet.Controls(now)
-	if n.me.Incarnation > 1 && now-n.started < 2*time.Second {
+	if n.self.Incarnation > 1 && now-n.started < 2*time.Second {
 		is.LimitShare = 3
 	}
 	return is
 }
 
-type keeper struct { // keeps its numbers though it hears nobody
+type staleHolder struct { // keeps its numbers though it hears nobody
 	*Fleet
-	last *Controls
+	lastControls *Controls
 }
 
-func (n keeper) Controls(now Time) Controls {
-	if is := n.Fleet.Controls(now); len(n.heard) > 0 {
-		*n.last = is
+func (n staleHolder) Controls(now Time) Controls {
+	if is := n.Fleet.Controls(now); len(n.heardPeers) > 0 {
+		*n.lastControls = is
 	}
-	return *n.last
+	return *n.lastControls
 }
 
-type believer struct { // sheds what the worst tells
+type gullible struct { // sheds what the worst tells
 	*Fleet
-	worst *float64
+	shedFraction *float64
 }
 
-func (n believer) ReceiveDigest(now Time, b []byte) error {
+func (n gullible) ReceiveDigest(now Time, b []byte) error {
 	err := n.Fleet.ReceiveDigest(now, b)
 	if d, _ := ParseDigest(b); err == nil && d.Own.RefusedCost > d.Own.ServedCost {
-		*n.worst = 0.5
+		*n.shedFraction = 0.5
 	}
 	return err
 }
 
-func (n believer) Controls(now Time) Controls {
+func (n gullible) Controls(now Time) Controls {
 	is := n.Fleet.Controls(now)
-	is.ShedFraction[2] = max(is.ShedFraction[2], *n.worst*is.Confidence)
+	is.ShedFraction[2] = max(is.ShedFraction[2], *n.shedFraction*is.Confidence)
 	return is
 }
 
-type doubler struct{ *Fleet } // takes what it has taken before
+type duplicateAccepter struct{ *Fleet } // takes what it has taken before
 
-func (n doubler) ReceiveDigest(now Time, b []byte) error {
+func (n duplicateAccepter) ReceiveDigest(now Time, b []byte) error {
 	if err := n.Fleet.ReceiveDigest(now, b); err != nil && !strings.Contains(err.Error(), ErrStaleDigest.Error()) {
 		return err
 	}
 	return nil
 }
 
-type giver struct{ *Fleet } // gives itself more than a member alone may
+type overGranter struct{ *Fleet } // gives itself more than a member alone may
 
-func (n giver) Controls(now Time) Controls {
+func (n overGranter) Controls(now Time) Controls {
 	is := n.Fleet.Controls(now)
 	is.RetryFraction = 1 + is.Confidence
 	return is
 }
 
-func TestPlanted(t *testing.T) {
-	s := schedule{Seed: 1, Members: 12, Fanout: 12, Liar: true,
-		Rates: []float64{10, 3, 9, 12, 20, 10, 10, 6, 11, 8, 14, 5}}
-	mild := phase{Seconds: 10, Load: 0.7, Restart: -1}
-	over, split, restart := mild, mild, mild
-	over.Load, split.Apart, restart.Restart = 4, 21, 2
-	s.Phases = []phase{mild, over, mild, split, restart, mild}
-	if faults := run(s, nil); len(faults) > 0 {
+func TestInvariantsCatchViolations(t *testing.T) {
+	plan := schedule{Seed: 1, Members: 12, Fanout: 12, Faulty: true,
+		Capacities: []float64{10, 3, 9, 12, 20, 10, 10, 6, 11, 8, 14, 5}}
+	normal := phase{Seconds: 10, Load: 0.7, Restart: -1}
+	overload, split, restart := normal, normal, normal
+	overload.Load, split.Partition, restart.Restart = 4, 21, 2
+	plan.Phases = []phase{normal, overload, normal, split, restart, normal}
+	if faults := run(plan, nil); len(faults) > 0 {
 		t.Fatalf("without a plant: %v", faults)
 	}
 	tests := []struct {
 		rule  string
 		plant func(*Fleet) node
 	}{
-		{"whole", func(f *Fleet) node { return whole{f} }},
-		{"repeats", func(f *Fleet) node { return saver{f, new(float64)} }},
-		{"trials", func(f *Fleet) node { return trier{f} }},
-		{"opens", func(f *Fleet) node { return opener{f} }},
-		{"restart", func(f *Fleet) node { return heir{f} }},
-		{"alone", func(f *Fleet) node { return keeper{f, &Controls{}} }},
-		{"liar", func(f *Fleet) node { return believer{f, new(float64)} }},
-		{"once", func(f *Fleet) node { return doubler{f} }},
-		{"bounds", func(f *Fleet) node { return giver{f} }},
+		{"whole", func(f *Fleet) node { return overallocator{f} }},
+		{"repeats", func(f *Fleet) node { return retryHoarder{f, new(float64)} }},
+		{"trials", func(f *Fleet) node { return alwaysProber{f} }},
+		{"opens", func(f *Fleet) node { return instantReopener{f} }},
+		{"restart", func(f *Fleet) node { return inheritor{f} }},
+		{"alone", func(f *Fleet) node { return staleHolder{f, &Controls{}} }},
+		{"liar", func(f *Fleet) node { return gullible{f, new(float64)} }},
+		{"once", func(f *Fleet) node { return duplicateAccepter{f} }},
+		{"bounds", func(f *Fleet) node { return overGranter{f} }},
 	}
 	for _, tt := range tests {
-		if faults := run(s, tt.plant); faults[tt.rule] == "" {
+		if faults := run(plan, tt.plant); faults[tt.rule] == "" {
 			t.Errorf("%s: a planted violation was not caught; caught: %v", tt.rule, faults)
 		}
 	}
