--- a/fleet/overload/digest.go
+++ b/fleet/overload/digest.go
@@ -7,7 +7,7 @@
 	"math"
 )
 
-// Sizes of an encoded digest, in bytes, and the classes that each form holds.
+// Limits of the two encoded forms of a digest: sizes in bytes and numbers of classes.
 const (
 	MaxDigestSize     = 256
 	MaxCompactSize    = 64
@@ -20,43 +20,43 @@
 	headerSize    = 23
 )
 
-// Errors of reading a digest. What is wrong with which part is wrapped round them.
+// Errors of ParseDigest, which wraps them with the details.
 var (
 	ErrVersion   = errors.New("unknown version")
 	ErrMalformed = errors.New("malformed")
 )
 
-// Vector is what a member says of itself, or of the mean of those that it hears, a second.
-// All parts are finite and not negative.
+// Vector holds the rates, per second, of one member or the mean over the peers that a member hears.
+// All values are finite and not negative.
 type Vector struct {
-	FirstAttempts    [MaxClasses]float64 // first tries that clients offered, by class
-	ServedCost       float64             // answers in time, each counted at its class's cost
-	WeightedLatency  float64             // mean strain, 1 at its target, times Work
-	RefusedCost      float64             // first tries that the own limit turned away, at their class's cost
-	Retries          float64             // attempts made again though the one before may have run
-	LimitShare       float64             // part of the shared limit that is held, in N-ths
-	AdmittedFraction float64             // share of the work offered that the sender takes the fleet to bear
+	FirstAttempts    [MaxClasses]float64 // first attempts from clients, by class
+	ServedCost       float64             // responses within the deadline, weighted by the cost of their class
+	WeightedLatency  float64             // mean latency ratio (1: at the target) times ServedCost
+	RefusedCost      float64             // first attempts refused by the own limit, weighted by cost
+	Retries          float64             // retries of attempts that may have taken effect
+	LimitShare       float64             // share of the concurrency limit that is held, in N-ths
+	AdmittedFraction float64             // of the offered work that the fleet can serve, by estimate
 }
 
-// Digest is one message of a member to others: its own vector, the mean over those it hears, and, in the
-// long form alone, what operators and the count of a majority want.
+// Digest is a message from one member to others: its own vector, the mean over the peers that it hears, and,
+// in the long form only, values for operators and for the majority's agreement on unreachable members.
 type Digest struct {
 	Compact       bool
 	Classes       int
-	Sender        uint64 // hash of the name
+	Sender        uint64 // hash of the sender's name
 	Incarnation   uint64
-	Sequence      uint32 // tens of ms of the sender's own clock since its start; only grows
-	Episode       uint8  // number of the spell of overload, by serial arithmetic (RFC 1982)
+	Sequence      uint32 // the sender's clock since its start, in units of 10 ms (tens of ms); only grows
+	Episode       uint8  // number of the overload episode, in serial arithmetic (RFC 1982)
 	Own, PeerMean Vector
-	Recovered     []uint16 // hashes of backends whose trial just served
+	Recovered     []uint16 // hashes of backends whose half-open probe just succeeded
 
-	Served, Refused             [MaxClasses]float64 // long form from here on
+	Served, Refused             [MaxClasses]float64 // long form only, from here on
 	Probes, SlowStart, InFlight float64
-	UnreachableHash             uint64 // of the members that the sender sees gone: their hashes, xor
+	UnreachableHash             uint64 // XOR of the hashes of the members that the sender sees as unreachable
 }
 
-// code is a value on 16 bits: 0, or its logarithm in steps of 0.04% from 1e-4 to 1e8. What no honest
-// member says has no code: not a number and below nothing become 0, and too much becomes the most.
+// encodeValue encodes a value in 16 bits: 0, or its logarithm in steps of 0.04% from 1e-4 to 1e8. Values that
+// no correct member sends have no code: NaN and negative values become 0, and too large ones the maximum.
 func encodeValue(v float64) uint16 {
 	if !(v >= minEncodable) {
 		return 0
@@ -66,7 +66,7 @@
 
 const (
 	minEncodable     = 1e-4
-	stepsPerDoubling = 65534 / 40.0 // to a doubling
+	stepsPerDoubling = 65534 / 40.0
 )
 
 func decodeValue(c uint16) float64 {
@@ -76,19 +76,21 @@
 	return minEncodable * math.Exp2(float64(c-1)/stepsPerDoubling)
 }
 
-// fields are the parts of a vector that travel, in order.
+// encodedFields returns the fields of a vector in the order of the encoding.
 func (v *Vector) encodedFields(classes int) []*float64 {
 	var all []*float64
 	for c := range classes {
 		all = append(all, &v.FirstAttempts[c])
 	}
-	return append(all, &v.ServedCost, &v.WeightedLatency, &v.RefusedCost, &v.Retries, &v.LimitShare, &v.AdmittedFraction)
+	return append(all,
+		&v.ServedCost, &v.WeightedLatency, &v.RefusedCost, &v.Retries, &v.LimitShare, &v.AdmittedFraction)
 }
 
-// values are all coded parts of d, in order, but for the hashes.
+// encodedValues returns all values of d that encodeValue encodes, in order.
 func (d *Digest) encodedValues() []*float64 {
 	all := append(d.Own.encodedFields(d.Classes), d.PeerMean.encodedFields(d.Classes)...)
-	all = all[:len(all)-1] // a level is agreed on by those heard alone
+	// The admitted fraction is agreed on between members that hear each other directly.
+	all = all[:len(all)-1]
 	if d.Compact {
 		return all
 	}
@@ -98,7 +100,7 @@
 	return append(all, &d.Probes, &d.SlowStart, &d.InFlight)
 }
 
-// backs is how many hashes of backends the form holds.
+// recoveredCapacity returns how many hashes of backends the form holds.
 func (d *Digest) recoveredCapacity() int {
 	if d.Compact {
 		return 1
@@ -106,11 +108,11 @@
 	return maxRecovered
 }
 
-// Append appends the encoding of d to b. It panics on more classes than the form holds, which only a
-// programming error makes.
+// Append appends the encoding of d to b. It panics on more classes than the form holds, which is a
+// programming error.
 func (d *Digest) Append(b []byte) []byte {
 	if d.Classes < 1 || d.Classes > MaxClasses || d.Compact && d.Classes > MaxCompactClasses {
-		panic(fmt.Sprintf("overload: a digest of %d classes", d.Classes))
+		panic(fmt.Sprintf("overload: a digest can't hold %d classes", d.Classes))
 	}
 	form := byte(d.Classes)
 	if d.Compact {
@@ -125,11 +127,11 @@
 		b = binary.BigEndian.AppendUint16(b, encodeValue(*v))
 	}
 	for i := range d.recoveredCapacity() {
-		var back uint16
+		var hash uint16
 		if i < len(d.Recovered) {
-			back = d.Recovered[i]
+			hash = d.Recovered[i]
 		}
-		b = binary.BigEndian.AppendUint16(b, back)
+		b = binary.BigEndian.AppendUint16(b, hash)
 	}
 	if !d.Compact {
 		b = binary.BigEndian.AppendUint64(b, d.UnreachableHash)
@@ -137,7 +139,7 @@
 	return b
 }
 
-// ParseDigest reads an encoded digest. Its values are finite and not negative, whatever the bytes are.
+// ParseDigest decodes a digest. Its values are finite and not negative, whatever the input is.
 func ParseDigest(b []byte) (*Digest, error) {
 	if len(b) < headerSize {
 		return nil, fmt.Errorf("digest: %d bytes: %w", len(b), ErrMalformed)
@@ -155,7 +157,7 @@
 		want += 8
 	}
 	if len(b) != want {
-		return nil, fmt.Errorf("digest: %d bytes where %d are due: %w", len(b), want, ErrMalformed)
+		return nil, fmt.Errorf("digest: %d bytes, expected %d: %w", len(b), want, ErrMalformed)
 	}
 	d.Sender = binary.BigEndian.Uint64(b[2:])
 	d.Incarnation = binary.BigEndian.Uint64(b[10:])
@@ -166,8 +168,8 @@
 		*v, b = decodeValue(binary.BigEndian.Uint16(b)), b[2:]
 	}
 	for range d.recoveredCapacity() {
-		if back := binary.BigEndian.Uint16(b); back != 0 {
-			d.Recovered = append(d.Recovered, back)
+		if hash := binary.BigEndian.Uint16(b); hash != 0 {
+			d.Recovered = append(d.Recovered, hash)
 		}
 		b = b[2:]
 	}
--- a/fleet/overload/estimate.go
+++ b/fleet/overload/estimate.go
@@ -2,7 +2,8 @@
 
 import "slices"
 
-// weigh finds whom this member hears, each weighed by the age of what it said, and returns the sum.
+// weighPeers finds the peers that are heard, weights each by the age of its digest and returns the sum of
+// the weights.
 func (f *Fleet) weighPeers(now Time) (sum float64) {
 	f.heardPeers, f.weights = f.heardPeers[:0], f.weights[:0]
 	for _, e := range f.peers {
@@ -14,7 +15,7 @@
 	return sum
 }
 
-// weight is 1 for what is fresh, and falls to nothing over the time-out.
+// peerWeight is 1 up to FreshAge and falls to 0 at ExpiryAge.
 func (f *Fleet) peerWeight(now Time, e *peer) float64 {
 	if e.digest == nil {
 		return 0
@@ -23,7 +24,7 @@
 	return max(0, min(1, float64(f.settings.ExpiryAge-age)/float64(f.settings.ExpiryAge-f.settings.FreshAge)))
 }
 
-// median is the lower median of what the members heard and this one say: of two, the lesser.
+// medianOf returns the lower median of a value over the heard peers and this member: of two, the lower one.
 func (f *Fleet) medianOf(field func(own *Vector, d *Digest) float64) float64 {
 	values := make([]float64, 0, len(f.heardPeers)+1)
 	values = append(values, field(&f.ownRates, nil))
@@ -33,8 +34,8 @@
 	return lowerMedian(values)
 }
 
-// most is the traffic that a fifth of the members heard and this one have, or more: where traffic is
-// uneven the median would hide the few that carry most, who turn the most away.
+// corroboratedTraffic returns the traffic that at least a fifth of the heard peers and this member have. With
+// uneven traffic the median would hide the few members that carry most of it and refuse the most.
 func (f *Fleet) corroboratedTraffic() float64 {
 	traffic := []float64{f.ownRates.totalFirstAttempts()}
 	for _, e := range f.heardPeers {
@@ -58,11 +59,11 @@
 	return work
 }
 
-// holder keeps what members say within a few times what most say.
+// vectorBounds clips reported vectors to a few times what most members report.
 type vectorBounds struct {
 	fleet                               *Fleet
-	maxTraffic                          float64 // the most that a member's traffic counts for
-	medianServedRatio, medianLimitShare float64 // medians
+	maxTraffic                          float64 // the most traffic that one member counts for
+	medianServedRatio, medianLimitShare float64 // over the members
 }
 
 func (f *Fleet) vectorBounds() vectorBounds {
@@ -76,7 +77,7 @@
 	}
 }
 
-// hold scales v as a whole, so that the classes' shares in it stay.
+// clamp returns v within the bounds. Traffic is scaled as a whole, which keeps the ratios between classes.
 func (h vectorBounds) clamp(v Vector) Vector {
 	if h.maxTraffic <= 0 {
 		return v
@@ -86,14 +87,15 @@
 		for i := range v.FirstAttempts {
 			v.FirstAttempts[i] *= factor
 		}
-		v.ServedCost, v.WeightedLatency, v.RefusedCost, v.Retries = v.ServedCost*factor, v.WeightedLatency*factor, v.RefusedCost*factor, v.Retries*factor
+		v.ServedCost, v.WeightedLatency, v.RefusedCost, v.Retries =
+			v.ServedCost*factor, v.WeightedLatency*factor, v.RefusedCost*factor, v.Retries*factor
 	}
 	offered := h.fleet.offeredCost(&v)
 	if minCost := minServedRatio * h.medianServedRatio * offered; v.ServedCost < minCost {
 		v.WeightedLatency, v.ServedCost = v.WeightedLatency*minCost/max(v.ServedCost, 1e-9), minCost
 		v.WeightedLatency = min(v.WeightedLatency, 4*v.ServedCost)
 	}
-	v.ServedCost = min(v.ServedCost, max(offered, 0)) // nobody serves more than it was offered
+	v.ServedCost = min(v.ServedCost, max(offered, 0)) // a member serves no more than it was offered
 	v.WeightedLatency = min(v.WeightedLatency, 4*v.ServedCost)
 	v.RefusedCost = min(v.RefusedCost, offered)
 	v.Retries = min(v.Retries, v.totalFirstAttempts())
@@ -119,13 +121,16 @@
 	v.addScaled(&x, factor)
 }
 
-// estimate sets the fleet's means: over all where half or more are heard, this member counted in; else over
-// the means that those heard have of others, for theirs are of other members.
+// updateEstimates sets the fleet-wide means. Where at least half of the peers are heard, they are the means
+// over these and this member. Otherwise they are the mean over the peer means in the digests, which cover
+// other members.
 func (f *Fleet) updateEstimates(sum, seconds float64) {
 	own := f.ownRates
 	own.LimitShare, own.AdmittedFraction = f.limitShare, f.admittedFraction
-	if len(f.heardPeers) == 0 { // while trust fades the means stay, but a queue is seen by oneself alone
-		f.latencyRatio, f.refusedFraction, f.retryRatio = meanLatencyRatio(&own), f.refusedFractionOf(&own), retryRatioOf(&own)
+	// The means stay while confidence falls, but latency and refusals are only known from own counters.
+	if len(f.heardPeers) == 0 {
+		f.latencyRatio, f.refusedFraction, f.retryRatio =
+			meanLatencyRatio(&own), f.refusedFractionOf(&own), retryRatioOf(&own)
 		if f.confidence == 0 {
 			f.fleetMean, f.peerMean = own, Vector{}
 		}
@@ -133,7 +138,8 @@
 	}
 	bounds := f.vectorBounds()
 	var layer Vector
-	latencyRatios, refused, retries := []float64{meanLatencyRatio(&own)}, []float64{f.refusedFractionOf(&own)}, []float64{retryRatioOf(&own)}
+	latencyRatios, refused, retries :=
+		[]float64{meanLatencyRatio(&own)}, []float64{f.refusedFractionOf(&own)}, []float64{retryRatioOf(&own)}
 	for i, e := range f.heardPeers {
 		v := bounds.clamp(e.digest.Own)
 		layer.addScaled(&v, f.weights[i]/sum)
@@ -151,13 +157,15 @@
 	firstLayer := f.fleetMean
 	if 2*len(f.heardPeers) < f.rosterSize-1 {
 		f.fleetMean = f.secondLayerMean(sum, &layer)
-		if f.offeredCost(&previous) > 0 { // each second others are heard: over some seconds, more of them
+		// Different peers are heard each second: averaging over some seconds covers more of them.
+		if f.offeredCost(&previous) > 0 {
 			f.fleetMean.scale(seconds / (seconds + secondLayerSeconds))
 			f.fleetMean.addScaled(&previous, secondLayerSeconds/(seconds+secondLayerSeconds))
 		}
 	}
-	// The second layer is of more members, and later: what changes much is seen in the first.
-	if slow, is := f.offeredCost(&f.fleetMean), f.offeredCost(&firstLayer); is > changeFactor*slow || slow > changeFactor*is {
+	// The second layer covers more members, but lags. A large change shows in the first layer at once.
+	if slow, fast := f.offeredCost(&f.fleetMean), f.offeredCost(&firstLayer); fast > changeFactor*slow ||
+		slow > changeFactor*fast {
 		f.fleetMean = firstLayer
 	}
 	f.fleetMean.AdmittedFraction = f.peerAdmittedFraction()
@@ -166,8 +174,8 @@
 	f.retryRatio = min(retryRatioOf(&f.fleetMean), maxRetryMedianRatio*lowerMedian(retries))
 }
 
-// agreedLevel is the median of the levels of the members in a spell, and 1 while these are not the most:
-// those that are in none have no say in how deep it is.
+// peerAdmittedFraction returns the median admitted fraction of the members in an episode, or 1 unless these
+// are the majority. Members outside an episode don't influence how much is shed.
 func (f *Fleet) peerAdmittedFraction() float64 {
 	levels, all := []float64{}, 1+len(f.heardPeers)
 	if f.admittedFraction < 1 {
@@ -184,8 +192,8 @@
 	return lowerMedian(levels)
 }
 
-// second is the mean of the means that were heard, each part held to within twice the median. Who has none
-// yet counts as having this member's.
+// secondLayerMean returns the mean of the peer means in the digests, each field clipped to between half and
+// twice its median. A peer that has no mean yet counts with this member's.
 func (f *Fleet) secondLayerMean(sum float64, layer *Vector) Vector {
 	n := len(f.settings.Classes)
 	peerMeans := make([]Vector, len(f.heardPeers))
@@ -208,7 +216,7 @@
 	return mean
 }
 
-// strain is the mean over answers, 1 at its target.
+// meanLatencyRatio returns the latency ratio averaged over served work; 1: latency is at its target.
 func meanLatencyRatio(v *Vector) float64 {
 	if v.ServedCost <= 0 {
 		return 0
@@ -216,22 +224,22 @@
 	return min(4, v.WeightedLatency/v.ServedCost)
 }
 
-// share is that of what was offered that limits turned away.
+// refusedFractionOf returns the fraction of the offered work that concurrency limits refused.
 func (f *Fleet) refusedFractionOf(v *Vector) float64 {
 	return min(1, v.RefusedCost/max(f.offeredCost(v), 1e-9))
 }
 
-// repeating is how many repeats are made to a first try.
+// retryRatioOf returns the number of retries per first attempt.
 func retryRatioOf(v *Vector) float64 { return min(1, v.Retries/max(v.totalFirstAttempts(), 1e-9)) }
 
-// told is what a fifth of all, and not one alone, say or more.
+// corroboratedMax returns the highest value that at least a fifth of the members, and more than one, reach.
 func corroboratedMax(values []float64) float64 {
 	slices.Sort(values)
 	above := min(len(values)-1, max(1, int(reporterFraction*float64(len(values)))))
 	return values[len(values)-1-above]
 }
 
-// advance brings all that changes with time up to now, in steps no shorter than a tick.
+// advance updates all time-dependent state to now. Updates are at least minStep apart.
 func (f *Fleet) advance(now Time) {
 	if now-f.lastAdvance < minStep {
 		return
@@ -251,10 +259,12 @@
 	f.updateLimitShare(seconds)
 	f.updateRetryFraction()
 	f.updateShedding(now, seconds)
-	f.recovered = slices.DeleteFunc(f.recovered, func(b recoveredBackend) bool { return now-b.reportedAt > recoveryLifetime })
+	f.recovered = slices.DeleteFunc(f.recovered, func(b recoveredBackend) bool {
+		return now-b.reportedAt > recoveryLifetime
+	})
 }
 
-// wantedTrust is whole once a few are heard, or all where there are fewer.
+// targetConfidence is 1 once minPeersHeard peers are heard, or all of a smaller fleet.
 func (f *Fleet) targetConfidence(sum float64) float64 {
 	others := min(minPeersHeard, f.rosterSize-1)
 	if others < 1 {
@@ -263,8 +273,8 @@
 	return min(1, sum/float64(others))
 }
 
-// count finds whether a majority of the roster sees the same members gone: of those heard themselves, so
-// that where members hear a few only nothing is freed by it.
+// updateAgreement finds out whether a majority of the roster sees the same members as unreachable. Only peers
+// heard directly count: where members hear few peers, no share is freed this way.
 func (f *Fleet) updateAgreement(now Time) {
 	agreeing := 1
 	for i, e := range f.heardPeers {
@@ -279,7 +289,8 @@
 	}
 }
 
-// freed is the share of the whole that others left, by which each one's part grows.
+// freedFraction returns the fraction of the whole limit that left and unreachable members free. The shares of
+// the others grow by it.
 func (f *Fleet) freedFraction() float64 {
 	n := float64(f.rosterSize)
 	unreachable := 0.0
@@ -289,22 +300,25 @@
 	return min(0.9, (float64(f.leftCount)+unreachable)/n)
 }
 
-// steerPart moves the part of the limit to the own share of the traffic. The mean is over those in touch,
-// not the sum over all: so each side of a partition has what its members had in N-ths, and both together one
-// whole. Where more is held than there is, as when some hear nobody and are heard, those who hold more than an
-// N-th give of that until it fits.
+// updateLimitShare moves the share of the concurrency limit towards this member's share of the traffic. It
+// divides by the mean over the heard members, not by the sum over all. So the members on each side of a
+// partition keep their N-ths, and both sides together hold one whole limit. Where members hold more than the
+// whole, as when some hear no peers but are heard, those above one N-th reduce the excess until the sum fits.
 func (f *Fleet) updateLimitShare(seconds float64) {
-	if excess := f.fleetMean.LimitShare*(1-f.freedFraction()) - overcommitThreshold; excess > 0 && len(f.heardPeers) > 0 {
+	if excess := f.fleetMean.LimitShare*(1-f.freedFraction()) - overcommitThreshold; excess > 0 &&
+		len(f.heardPeers) > 0 {
 		f.excessRetained *= 1 - min(1, 2*excess*seconds)
 	} else {
 		f.excessRetained = min(1, f.excessRetained+0.05*seconds)
 	}
 	target := 1.0
-	if f.confidence > 0 && f.reportCount >= minReports { // what a new life's traffic is nobody knows yet
+	// The traffic of a restarted member is not known yet.
+	if f.confidence > 0 && f.reportCount >= minReports {
 		bounds := f.vectorBounds()
 		own := bounds.clamp(f.ownRates)
 		if mean := f.fleetMean.totalFirstAttempts(); mean > 0 {
-			share := evenShareFraction + (1-evenShareFraction)*min(own.totalFirstAttempts()/mean, maxLimitShare)
+			share := evenShareFraction + (1-evenShareFraction)*
+				min(own.totalFirstAttempts()/mean, maxLimitShare)
 			if share > 1 {
 				share = 1 + (share-1)*f.excessRetained
 			}
@@ -314,7 +328,7 @@
 	f.limitShare = min(target, f.limitShare+limitShareRise*seconds)
 }
 
-// steerRepeats cuts every member's repeats alike while all together make more than the budget.
+// updateRetryFraction reduces every member's retries alike while the fleet exceeds its retry budget.
 func (f *Fleet) updateRetryFraction() {
 	f.retryFraction = 1
 	if f.confidence > 0 && f.retryRatio > f.settings.RetryBudget {
--- a/fleet/overload/numbers.go
+++ b/fleet/overload/numbers.go
@@ -8,45 +8,49 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Numbers are this member's for now. They change slowly: a caller may hold them for some tenths of a second.
+// Controls are the outputs for this member at one time. They change slowly: a caller may reuse them for some
+// tenths of a second.
 type Controls struct {
-	Confidence        float64 // 0: alone; 1: the others are heard
-	LimitShare        float64 // own part of the shared limit, in N-ths
-	RetryFraction     float64 // of the repeats that alone allows
-	SlowStartFraction float64 // of the calls to a cold backend that alone allows
+	Confidence        float64 // in the peers' reports; 0: standalone, 1: enough peers are heard
+	LimitShare        float64 // own share of the concurrency limit, in N-ths
+	RetryFraction     float64 // of the retries that a standalone member may make
+	SlowStartFraction float64 // of the requests that a standalone member may send to a backend in slow start
 	ShedFraction      [MaxClasses]float64
 	Episode           uint8
 }
 
-// Alone returns the numbers of a member that hears nobody: they change nothing.
+// Standalone returns the controls of a member that hears no peers: they restrict nothing.
 func Standalone() Controls { return Controls{LimitShare: 1, RetryFraction: 1, SlowStartFraction: 1} }
 
-// Numbers returns this member's numbers.
+// Controls returns this member's controls.
 func (f *Fleet) Controls(now Time) Controls {
 	f.advance(now)
 	return Controls{
-		Confidence: f.confidence, LimitShare: f.limitShare, RetryFraction: f.retryFraction, SlowStartFraction: min(1, f.limitShare),
+		Confidence: f.confidence, LimitShare: f.limitShare,
+		RetryFraction: f.retryFraction, SlowStartFraction: min(1, f.limitShare),
 		ShedFraction: f.shedFraction, Episode: f.episode,
 	}
 }
 
-// Key is the hash of a request's key, to be the same at all members.
+// HashKey returns the hash of a request's key. It is the same at all members.
 func HashKey(key []byte) uint64 { return xxhash.Sum64(key) }
 
-// Shed tells whether a request of the class is to be turned away. It follows the key and the spell, so that
-// all members with the same cut answer all tries of a key alike, and another spell sheds other keys.
+// ShouldShed reports whether to shed a request of the class. The result follows from the key and the episode:
+// members with the same shed fraction treat all attempts of a key alike, and another episode sheds other
+// keys.
 func (n *Controls) ShouldShed(class int, key uint64) bool {
-	return class >= 0 && class < MaxClasses && n.ShedFraction[class] > 0 && n.keyPosition(key, byte(class)) < n.ShedFraction[class]
+	return class >= 0 && class < MaxClasses && n.ShedFraction[class] > 0 &&
+		n.keyPosition(key, byte(class)) < n.ShedFraction[class]
 }
 
-// ComeBack spreads what a refused client is told to wait over half to one and a half times base, by its key,
-// never over most.
+// RetryAfter returns how long to tell a refused client to wait: base times 0.5 to 1.5 (a half to one and a
+// half times), spread by the key, and at most maxDelay.
 func (n *Controls) RetryAfter(key uint64, base, maxDelay time.Duration) time.Duration {
 	spread := 1 + n.Confidence*(n.keyPosition(key, 0xff)-0.5)
 	return min(maxDelay, time.Duration(spread*float64(base)))
 }
 
-// place is where a key lies from 0 to 1 in this spell.
+// keyPosition maps a key to a position from 0 to 1 that differs between episodes.
 func (n *Controls) keyPosition(key uint64, salt byte) float64 {
 	var b [10]byte
 	binary.BigEndian.PutUint64(b[:], key)
@@ -54,8 +58,8 @@
 	return float64(xxhash.Sum64(b[:])>>11) / (1 << 53)
 }
 
-// steerCut holds the level, the share of the work offered that the fleet bears, and cuts to it what is worth
-// least.
+// updateShedding updates the fraction of the offered work that the fleet can serve, and sheds the excess from
+// the classes with the lowest value per cost.
 func (f *Fleet) updateShedding(now Time, seconds float64) {
 	offered, served := f.offeredCost(&f.fleetMean), f.fleetMean.ServedCost
 	f.adoptEpisode()
@@ -64,24 +68,26 @@
 		f.admittedFraction = 1
 	case f.admittedFraction < 1:
 		f.updateAdmittedFraction(offered, served, seconds)
-	case f.latencyRatio >= uncongestedLatency && (f.refusedFraction >= episodeRefusals || f.fleetMean.AdmittedFraction < 1):
+	case f.latencyRatio >= uncongestedLatency &&
+		(f.refusedFraction >= episodeRefusals || f.fleetMean.AdmittedFraction < 1):
 		f.beginEpisode(now, offered, served)
 	}
 	target := f.targetShedding(offered)
 	for i := range f.shedFraction {
-		f.shedFraction[i] = max(f.shedFraction[i]-shedFall*seconds, min(f.shedFraction[i]+shedRise*seconds, f.confidence*target[i]))
+		f.shedFraction[i] = max(f.shedFraction[i]-shedFall*seconds,
+			min(f.shedFraction[i]+shedRise*seconds, f.confidence*target[i]))
 		if f.confidence == 0 {
 			f.shedFraction[i] = 0
 		}
 	}
 }
 
-// full tells whether the fleet bears no more than it has.
+// saturated reports whether the fleet can't serve more than it does now.
 func (f *Fleet) saturated() bool {
 	return f.latencyRatio >= saturatedLatency || f.refusedFraction >= saturatedRefusals
 }
 
-// begin starts a spell of overload. Its number is new, unless others began it a moment ago.
+// beginEpisode begins an overload episode. It gets a new number unless other members began it a moment ago.
 func (f *Fleet) beginEpisode(now Time, offered, served float64) {
 	f.demand = offered
 	f.admittedFraction = min(0.99, served/max(offered, 1e-9))
@@ -95,7 +101,7 @@
 	f.episodeStart = now
 }
 
-// followSpell takes over the number that half of the members heard have reached.
+// adoptEpisode adopts the episode number that half of the heard members have reached.
 func (f *Fleet) adoptEpisode() {
 	lead := int(f.medianOf(func(_ *Vector, d *Digest) float64 {
 		if d == nil {
@@ -109,10 +115,10 @@
 	}
 }
 
-// steerLevel lets the level follow what is served while the fleet is full, and grow while there is room. It
-// is a share, so that chance in whom this member hears is in what is offered and served alike; only a change
-// of what is offered that is no chance moves it at once. It is drawn to the level of most others: each has
-// seen other members.
+// updateAdmittedFraction follows the served work while the fleet is saturated, and grows while there is spare
+// capacity. As a fraction it is unaffected by which peers this member happens to hear, which changes offered
+// and served work alike; only a change of the offered work beyond that noise moves it at once. It is pulled
+// towards the median of the other members, as each of them hears different peers.
 func (f *Fleet) updateAdmittedFraction(offered, served, seconds float64) {
 	if offered > demandJump*f.demand || f.demand > demandJump*offered {
 		f.admittedFraction *= f.demand / max(offered, 1e-9)
@@ -121,20 +127,23 @@
 	f.demand += min(1, demandStep*seconds) * (offered - f.demand)
 	f.minServed = max(minServedFraction*served, f.minServed*(1-minServedDecay*seconds))
 	if f.saturated() {
-		sustained := served / max(offered, 1e-9) * max(minServedFraction, 1-admittedLatencyPenalty*max(0, f.latencyRatio-saturatedLatency))
-		sustained = min(sustained, f.admittedFraction-max(0, f.refusedFraction-saturatedRefusals)) // whom a mean counts for less is in it, too
+		sustained := served / max(offered, 1e-9) *
+			max(minServedFraction, 1-admittedLatencyPenalty*max(0, f.latencyRatio-saturatedLatency))
+		// Includes members whose vectors were clipped in the mean.
+		sustained = min(sustained, f.admittedFraction-max(0, f.refusedFraction-saturatedRefusals))
 		f.admittedFraction += min(1, admittedStep*seconds) * (sustained - f.admittedFraction)
 	} else {
 		spare := max(0, spareLatency-f.latencyRatio)
 		f.admittedFraction *= 1 + admittedGrowth*spare*spare*seconds
 	}
 	if f.fleetMean.AdmittedFraction < 1 && f.latencyRatio >= uncongestedLatency {
-		f.admittedFraction += min(1, peerAdmittedStep*seconds) * (f.fleetMean.AdmittedFraction - f.admittedFraction)
+		f.admittedFraction += min(1, peerAdmittedStep*seconds) *
+			(f.fleetMean.AdmittedFraction - f.admittedFraction)
 	}
 	f.admittedFraction = min(1, max(f.admittedFraction, f.minServed/max(offered, 1e-9)))
 }
 
-// target is the share of each class to be shed so that what is offered fits the level.
+// targetShedding returns the fraction of each class to shed so that the rest fits the admitted fraction.
 func (f *Fleet) targetShedding(offered float64) (shed [MaxClasses]float64) {
 	if f.admittedFraction == 1 {
 		return shed
@@ -152,9 +161,10 @@
 	return shed
 }
 
-// Trial tells whether a trial call to a backend that is out is for this member to make: one of each zone
-// makes it, by rendezvous (Thaler, Ravishankar, IEEE/ACM ToN 1998), a member not heard of passed over. Once
-// another has found it serving, each may try it, at a moment of its own.
+// MayProbe reports whether this member may send a half-open probe to an ejected backend. One member of each
+// zone probes it, chosen by rendezvous hashing (Thaler, Ravishankar, IEEE/ACM ToN 1998) among the members
+// that are heard. Once a member has found the backend serving, all may probe it, each after a delay of its
+// own.
 func (f *Fleet) MayProbe(now Time, backend, zone string) bool {
 	f.advance(now)
 	if f.confidence == 0 {
@@ -171,7 +181,8 @@
 	}
 	ownScore, majorityHeard := rendezvousScore(f.self.hash, hash), 2*len(f.heardPeers) >= f.rosterSize-1
 	for _, e := range f.peers {
-		if e.Zone == zone && (!majorityHeard || f.peerWeight(now, e) > 0) && rendezvousScore(e.hash, hash) > ownScore {
+		if e.Zone == zone && (!majorityHeard || f.peerWeight(now, e) > 0) &&
+			rendezvousScore(e.hash, hash) > ownScore {
 			return false
 		}
 	}
@@ -185,7 +196,8 @@
 	return xxhash.Sum64(b[:])
 }
 
-// Found takes that a trial call of this member's served: the others are told for some seconds.
+// ProbeSucceeded records that this member's half-open probe of a backend succeeded. Digests announce it for
+// some seconds.
 func (f *Fleet) ProbeSucceeded(now Time, backend string) {
 	f.recordRecovery(now, uint16(xxhash.Sum64String(backend)), true)
 }
@@ -202,18 +214,20 @@
 	}
 	if len(f.recovered) < 64 {
 		phase := float64(rendezvousScore(f.self.hash, uint64(hash))>>11) / (1 << 53)
-		f.recovered = append(f.recovered, recoveredBackend{hash, now, here, Time(phase * float64(recoverySpread))})
+		f.recovered = append(f.recovered,
+			recoveredBackend{hash, now, here, Time(phase * float64(recoverySpread))})
 	}
 }
 
-// spending keeps repeats within the budget in each second, not only in the mean.
+// retryLimiter keeps retries within the budget in every second, not only on average.
 type retryLimiter struct {
-	currentRate, previousRate float64 // first tries a second, in the last two spans told
-	recentRetries             []Time  // in the last second
-	lastSlot                  float64 // of the last repeat, where the budget is less than one a second
+	currentRate, previousRate float64 // first attempts per second, in the last two reports
+	recentRetries             []Time  // times of the retries in the last second
+	lastSlot                  float64 // second of the last retry, for a budget of less than one per second
 }
 
-func (limiter *retryLimiter) recordRate(now Time, countOf func([]float64, int) float64, first []float64, seconds float64) {
+func (limiter *retryLimiter) recordRate(now Time, countOf func([]float64, int) float64, first []float64,
+	seconds float64) {
 	total := 0.0
 	for i := range first {
 		total += countOf(first, i)
@@ -221,11 +235,11 @@
 	limiter.previousRate, limiter.currentRate = limiter.currentRate, total/seconds
 }
 
-// Repeat asks whether an attempt that may have run may be made again now, and counts it if so. It is asked
-// in addition to the retry budget that a balancer has alone. What is not used is not saved up: hundreds of
-// members that have saved ten each would spend them in the same second. This needs nobody else's word and
-// so holds while the fleet is cut apart; it is the one thing that a member with a fleet does unlike one
-// without, heard or not.
+// AllowRetry reports whether an attempt that may have taken effect may be retried now, and counts the retry
+// if so. It applies in addition to the retry budget that a standalone balancer has. Unused budget does not
+// accumulate: hundreds of members with ten saved retries each could spend them all in the same second. The
+// limit needs no peers, so it holds in a partition; it is the only difference between a member of a fleet
+// that hears no peers and a balancer without a fleet.
 func (f *Fleet) AllowRetry(now Time) bool {
 	f.advance(now)
 	limiter := &f.retryLimiter
@@ -247,13 +261,15 @@
 	return true
 }
 
-// ownSecond tells whether this second is one of those that a budget of less than one a second gives this
-// member, and takes it. Each has a phase of its own.
+// allowInSlot reports whether a budget of less than one retry per second gives this member a retry in this
+// second, and uses it. Members have different phases, which spreads their retries.
 func (f *Fleet) allowInSlot(now Time, budget float64) bool {
 	limiter := &f.retryLimiter
 	phase := float64(rendezvousScore(f.self.hash, 0)>>11) / (1 << 53)
 	second := math.Floor((now - f.started).Seconds())
-	slotIndex := func(second float64) float64 { return math.Floor(second*budget*lowRetryBudgetFraction + phase) }
+	slotIndex := func(second float64) float64 {
+		return math.Floor(second*budget*lowRetryBudgetFraction + phase)
+	}
 	if second == limiter.lastSlot || slotIndex(second) == slotIndex(second-1) {
 		return false
 	}
--- a/fleet/overload/overload.go
+++ b/fleet/overload/overload.go
@@ -1,16 +1,18 @@
-// Package overload lets many balancers answer an overload as one. It takes the digests that members send
-// one another, and this member's own counters, with the times they came at, and gives this member its
-// numbers: its part of the shared limit, what share of each class to shed, its part of the repeats, which
-// trials are its own. It does no I/O, has no clock and starts no goroutines, and the same events give the
-// same numbers.
+// Package overload lets many balancers respond to an overload in a coordinated way. Its inputs are the
+// digests that members send one another and this member's own counters, each with its time of arrival. Its
+// outputs are this member's controls: its share of the concurrency limit, the fraction of each class to shed,
+// its fraction of the retry budget, and which half-open probes it makes. It does no I/O, has no clock and
+// starts no goroutines; the same events give the same controls.
 //
-// A member that hears nobody has the numbers of one that is alone (Alone), and goes back to them gradually.
+// A member that hears no peers uses the controls of a standalone one (Standalone) and returns to them
+// gradually.
 //
-// Sums over a fleet of which each member hears a few are estimated in two layers: a digest carries its
-// sender's own vector and the mean of those that the sender hears, and the mean over the latter is that of
-// some tens of members. Push-sum (Kempe, Dobra, Gehrke, FOCS 2003) is nearer to the sum for as many
-// messages, but its mass is lost with a message, doubled with a doubled one, and one member can make up any
-// amount of it; a layer is a mean over senders, each counted once and held to a few times their median.
+// Fleet-wide sums, where each member hears only a few peers, are estimated in two layers: a digest carries
+// its sender's own vector and the mean of the vectors that the sender heard, so the mean over the latter
+// covers some tens of members. Push-sum (Kempe, Dobra, Gehrke, FOCS 2003) comes closer to the sum for the
+// same number of messages, but it loses mass with a lost message, duplicates it with a duplicated one, and
+// lets one member invent any amount. A layer is a mean over senders: each counts once, clipped to a few times
+// their median.
 package overload
 
 import (
@@ -27,80 +29,104 @@
 // Time is a point on the caller's monotonic clock. Only differences matter.
 type Time = time.Duration
 
-// What the constants balance. Rates are a second.
+// Tuning constants. Rates are per second. A limit share is counted in N-ths: 1 is an equal share of the
+// concurrency limit among the N members of the roster. A latency ratio is latency over its target.
 const (
-	maxMedianRatio         = 4.0   // medians that a member's say in a sum is held to: broken ones against busy ones
-	outlierMedianRatio     = 100.0 // medians of traffic past which a digest is not taken at all
-	minServedRatio         = 0.5   // of the median share of its traffic that a member is taken to serve
-	maxReportedRatio       = 2     // of what a fifth of the members tell or more: a few can't make an overload up
-	reporterFraction       = 0.2
-	minPeersHeard          = 3   // members to be heard for whole trust, where there are as many
-	changeFactor           = 2.2 // by which a first layer must differ to be taken for a change, not for chance
-	secondLayerSeconds     = 2.0 // seconds that the means of the second layer go over
-	maxFreedFraction       = 0.1 // of the whole that the dead may leave to the others; the slack of a partition
-	smoothingTime          = 600 * time.Millisecond
-	retrySmoothingTime     = 10 * time.Second
-	minStep                = 100 * time.Millisecond
-	sequenceUnit           = 10 * time.Millisecond
-	maxClockDrift          = 1e-3 // by which clocks may differ: older, lateness reckoned by them fades
-	evenShareFraction      = 0.1  // of the limit that goes by heads: a quiet member's first calls find some
-	maxLimitShare          = 16.0 // N-ths that a member holds at most
-	minReports             = 3    // times that counters are told before the part goes by them
-	overcommitThreshold    = 1.05 // N-ths held in the mean from which members give: less is chance in whom they hear
-	limitShareRise         = 0.1  // of an N-th, a second; it falls at once
-	shedRise               = 1.0
-	shedFall               = 0.5   // bounds what all open up a second
-	saturatedLatency       = 1.2   // from there the fleet bears no more
-	saturatedRefusals      = 0.015 // or from there: limits that turn work away hold their strain themselves
-	spareLatency           = 0.75  // below it there is room, the more the further below
-	uncongestedLatency     = 0.6   // below it there is no queue to speak of: no spell begins, and it ends as each sees fit
-	probeFactor            = 1.0   // times what is served, that the level is held to while it is full
-	admittedStep           = 0.6   // a second, of the way to what is served
-	admittedGrowth         = 2.5   // a second, by the square of the strain below that: fast once there is no queue
-	demandJump             = 2.0   // by which what is offered must change for the level to change at once
-	admittedLatencyPenalty = 0.3   // for each unit of strain over the full one
-	minServedFraction      = 0.7   // of the most served in the spell: else slow backends alone would shut all out
-	minServedDecay         = 0.02  // a second, of that most
-	peerAdmittedStep       = 1.0   // a second, of the way to the others' level
-	demandStep             = 0.3   // a second, at which the offered that a level is for follows
-	episodeRefusals        = 0.06  // for a spell to begin: not for a burst or two
-	minEpisodeInterval     = 10 * time.Second
-	maxRetryMedianRatio    = 1.25 // medians that the mean of repeats counts for: each keeps its own budget anyway
-	minRetryFraction       = 0.4  // of them that no word of others takes: the own budget holds without
-	lowRetryBudgetFraction = 0.5  // of the budget, where it is under one a second: two own seconds meet in one
-	recoveryLifetime       = 5 * time.Second
-	recoverySpread         = 2 * time.Second
-	unreachableHold        = 5 * time.Second
+	// Bounds on what one member reports, as multiples of the median or as fractions.
+	maxMedianRatio     = 4.0   // clips a member's traffic in sums: tells faulty members from busy ones
+	outlierMedianRatio = 100.0 // a digest with more traffic than this many medians is dropped
+	minServedRatio     = 0.5   // a member is assumed to serve at least this fraction of the median ratio
+	maxReportedRatio   = 2     // caps means at this multiple of what reporterFraction of the members report
+	reporterFraction   = 0.2   // members that must report overload, so that a few can't make one up
+
+	// Estimates over the fleet.
+	minPeersHeard      = 3   // peers to be heard for full confidence, if the fleet has as many
+	changeFactor       = 2.2 // a first layer that differs by this factor is a change, not sampling noise
+	secondLayerSeconds = 2.0 // averaging time of the second layer's means, in seconds
+	smoothingTime      = 600 * time.Millisecond
+	retrySmoothingTime = 10 * time.Second
+	minStep            = 100 * time.Millisecond // shortest interval between two updates
+	sequenceUnit       = 10 * time.Millisecond  // of the sender's clock, as carried in a digest
+	// Between two clocks; old transit-time estimates fade at this rate.
+	maxClockDrift = 1e-3
+
+	// Share of the concurrency limit, in N-ths.
+	// Of the whole limit that unreachable members free: bounds the excess in a partition.
+	maxFreedFraction = 0.1
+	// Of the limit that is split evenly, so that a quiet member can serve its first requests.
+	evenShareFraction   = 0.1
+	maxLimitShare       = 16.0 // of one member
+	minReports          = 3    // reports of counters before the share follows them
+	overcommitThreshold = 1.05 // mean share from which members shrink; less is noise in which peers are heard
+	limitShareRise      = 0.1  // per second; the share falls at once
+
+	// Shedding.
+	shedRise         = 1.0 // of a class's shed fraction, per second
+	shedFall         = 0.5 // per second; bounds how fast all members together admit more
+	saturatedLatency = 1.2 // latency ratio from which the fleet is saturated
+	// Refused fraction from which it is, too: limits that refuse work keep latency low.
+	saturatedRefusals = 0.015
+	spareLatency      = 0.75 // latency ratio below which there is spare capacity
+	// Below it there are no queues: no episode begins, and members leave one alone.
+	uncongestedLatency = 0.6
+	// Multiple of the served work that is admitted while the fleet is saturated.
+	probeFactor  = 1.0
+	admittedStep = 0.6 // per second, of the difference to the served fraction
+	// Per second, times the square of the spare latency ratio: fast without queues.
+	admittedGrowth         = 2.5
+	demandJump             = 2.0 // change of the offered work that changes the admitted fraction at once
+	admittedLatencyPenalty = 0.3 // for each unit of latency ratio above saturatedLatency
+	// Of the episode's peak of served work: else slow backends alone shed everything.
+	minServedFraction  = 0.7
+	minServedDecay     = 0.02 // per second, of that peak
+	peerAdmittedStep   = 1.0  // per second, of the difference to the peers' admitted fraction
+	demandStep         = 0.3  // per second, of the difference to the offered work
+	episodeRefusals    = 0.06 // refused fraction that begins an episode; a burst or two stays below it
+	minEpisodeInterval = 10 * time.Second
+
+	// Retries.
+	// Caps the mean retry ratio in medians: each member keeps its own budget anyway.
+	maxRetryMedianRatio = 1.25
+	// Of the own retries that peers can't take away: the own budget holds without them.
+	minRetryFraction = 0.4
+	// Used of a budget below one retry per second: two slots can fall into one second.
+	lowRetryBudgetFraction = 0.5
+
+	// Backends that were found to have recovered, and unreachable members.
+	recoveryLifetime = 5 * time.Second // a recovery is announced for so long
+	recoverySpread   = 2 * time.Second // members probe a recovered backend spread over this time
+	// A majority must agree for so long before unreachable members free their share.
+	unreachableHold = 5 * time.Second
 )
 
-// Class is what must be the same at all members for them to shed alike.
+// Class describes a class of requests. All members must have the same classes to shed the same requests.
 type Class struct {
-	Value float64 // of an answer
-	Cost  float64 // work of one call, as a multiple of any unit; 0 counts as 1
+	Value float64 // of a response
+	Cost  float64 // work of one request, in any unit; 0 counts as 1
 }
 
-// Settings is what a member is told at its start. Zero durations take the value named.
+// Settings configures a member. A zero RetryBudget or duration takes the default that its comment names.
 type Settings struct {
 	Classes         []Class
-	UniformShedding bool          // no class is to be worse off than others for its worth
-	RetryBudget     float64       // repeats, as a share of first tries; 0: 0.1
-	CompactDigests  bool          // digests of 64 bytes, for up to four classes
-	FreshAge        time.Duration // a digest counts whole for so long; 0: 1 s
-	ExpiryAge       time.Duration // and not at all after this; 0: 4 s
-	FallbackTime    time.Duration // whole trust is lost over this, then the numbers are Alone; 0: 5 s
+	UniformShedding bool          // shed the same fraction of every class, whatever its value
+	RetryBudget     float64       // retries per first attempt; 0: 0.1
+	CompactDigests  bool          // send digests of 64 bytes, for up to four classes
+	FreshAge        time.Duration // a digest has full weight up to this age; 0: 1 s
+	ExpiryAge       time.Duration // and none from this age on; 0: 4 s
+	FallbackTime    time.Duration // confidence falls from 1 to 0 over this time without peers; 0: 5 s
 }
 
-// State is what membership says of a member.
+// State is a member's state as reported by membership.
 type State int
 
 // The states of a member.
 const (
 	Alive       State = iota
-	Unreachable       // seen dead, or not seen
-	Left              // it said that it leaves
+	Unreachable       // found dead, or not observed
+	Left              // it announced that it leaves
 )
 
-// Member is one member as membership sees it.
+// Member describes a member as membership reports it.
 type Member struct {
 	Name        string
 	Zone        string
@@ -108,40 +134,41 @@
 	State       State
 }
 
-// Counters is what the caller counted since it last told, of this member alone.
+// Counters holds what the caller counted, for this member alone, since its previous report.
+// The slices are by class: FirstAttempts before shedding, Refused by this member's own concurrency limit.
 type Counters struct {
-	FirstAttempts, Served, Refused []float64 // by class; First before anything is shed, Refused first tries by the own limit
-	LatencyRatioSum                float64   // sum over answers and time-outs: latency by its target, 4 at most
-	LatencySamples                 float64   // how many of these
+	FirstAttempts, Served, Refused []float64
+	LatencyRatioSum                float64 // over responses and timeouts: latency by its target, 4 at most
+	LatencySamples                 float64 // number of responses and timeouts in LatencyRatioSum
 	Retries, Probes                float64
-	SlowStart, InFlight            float64 // now: parts of cold backends, calls in flight
+	SlowStart, InFlight            float64 // current: fractions of backends in slow start; requests in flight
 }
 
-// Errors of Take. Nothing that returns one has changed any number.
+// Errors of ReceiveDigest. A digest that returns one changes no control.
 var (
-	ErrUnknownMember = errors.New("not a member, or another life of it")
-	ErrStaleDigest   = errors.New("not newer than the last one")
-	ErrOutlier       = errors.New("out of all proportion to the others")
+	ErrUnknownMember = errors.New("sender is not a member, or has another incarnation")
+	ErrStaleDigest   = errors.New("not newer than the sender's last digest")
+	ErrOutlier       = errors.New("traffic is an outlier among the members")
 )
 
-// Dropped counts digests not taken, by why.
+// DropCounts counts the dropped digests by reason.
 type DropCounts struct{ Malformed, Unknown, Stale, Outlier int }
 
 type peer struct {
 	Member
 	hash           uint64
-	digest         *Digest // last taken; nil: none of this life
+	digest         *Digest // last accepted; nil: none from this incarnation
 	receivedAt     Time
-	minClockOffset Time // least seen of arrival less the sender's own time
-	delay          Time // by which the last one was later than that
+	minClockOffset Time // lowest observed arrival time minus the sender's own time
+	delay          Time // transit time of the last digest beyond minClockOffset
 }
 
-// Fleet is one member's knowledge of the others. It is not safe for concurrent use.
+// Fleet is one member's view of the fleet. It is not safe for concurrent use.
 type Fleet struct {
 	settings         Settings
-	order            []int // classes, worthiest for their work first
+	order            []int // indexes of classes, by value per cost, highest first
 	self             peer
-	peers            []*peer // in order of their hashes
+	peers            []*peer // sorted by hash
 	peersByHash      map[uint64]*peer
 	rosterSize       int
 	leftCount        int
@@ -150,35 +177,36 @@
 	dropped          DropCounts
 	started          Time
 
-	ownRates         Vector
-	ownDetail        Digest // the parts of the long form
-	countedAt        Time   // when own counters were last told
-	reportCount      int    // how often
-	sequence         uint32
-	heardPeers       []*peer // of weight, as of the last advance
-	weights          []float64
-	fleetMean        Vector  // of the fleet, for each member
-	peerMean         Vector  // of those heard, handed on
-	latencyRatio     float64 // 1 at the target
-	refusedFraction  float64 // share of the work offered that limits turn away
-	retryRatio       float64 // repeats to a first try
-	lastAdvance      Time
-	confidence       float64
-	limitShare       float64
-	excessRetained   float64 // of the part over an N-th: less while more is held than there is
+	ownRates        Vector
+	ownDetail       Digest // fields that only the long form carries
+	countedAt       Time   // time of the last report of counters
+	reportCount     int    // number of reports
+	sequence        uint32
+	heardPeers      []*peer // with a weight above 0, as of the last advance
+	weights         []float64
+	fleetMean       Vector  // fleet-wide, per member
+	peerMean        Vector  // of the heard peers; sent in the digest
+	latencyRatio    float64 // 1: latency is at its target
+	refusedFraction float64 // of the offered work, by concurrency limits
+	retryRatio      float64 // retries per first attempt
+	lastAdvance     Time
+	confidence      float64
+	limitShare      float64
+	// Of the share above one N-th; below 1 while the fleet holds more than the whole limit.
+	excessRetained   float64
 	retryFraction    float64
 	shedFraction     [MaxClasses]float64
-	admittedFraction float64 // share of the work offered that the fleet bears; 1: no spell
-	demand           float64 // work offered, by N, that the level is for
-	minServed        float64 // that the level is held over in this spell
+	admittedFraction float64 // of the offered work that the fleet can serve; 1: no episode
+	demand           float64 // offered work per member that admittedFraction refers to
+	minServed        float64 // lower bound of the served work in this episode
 	episode          uint8
 	episodeStart     Time
-	agreedSince      Time // since when a majority sees the same gone; -1: it does not
+	agreedSince      Time // since when a majority agrees on the unreachable members; -1: it does not
 	recovered        []recoveredBackend
 	retryLimiter     retryLimiter
 }
 
-// found is a backend whose trial served, here or at another.
+// recoveredBackend is a backend whose half-open probe succeeded, at this member or at another.
 type recoveredBackend struct {
 	hash          uint16
 	reportedAt    Time
@@ -186,14 +214,14 @@
 	probeDelay    Time
 }
 
-// New returns the member me, alone until it has a View and hears others.
+// New returns the state of member self, which stands alone until it has members set and hears digests.
 func New(now Time, set Settings, me Member) (*Fleet, error) {
 	maxClasses := MaxClasses
 	if set.CompactDigests {
 		maxClasses = MaxCompactClasses
 	}
 	if n := len(set.Classes); n < 1 || n > maxClasses {
-		return nil, fmt.Errorf("overload: %d classes: 1 to %d can be told", n, maxClasses)
+		return nil, fmt.Errorf("overload: %d classes configured; a digest holds 1 to %d", n, maxClasses)
 	}
 	set.Classes = slices.Clone(set.Classes)
 	set.RetryBudget = cmp.Or(set.RetryBudget, 0.1)
@@ -201,10 +229,14 @@
 	set.ExpiryAge = cmp.Or(set.ExpiryAge, 4*time.Second)
 	set.FallbackTime = cmp.Or(set.FallbackTime, 5*time.Second)
 	if set.FreshAge >= set.ExpiryAge {
-		return nil, fmt.Errorf("overload: fresh %v is not under timeout %v", set.FreshAge, set.ExpiryAge)
+		return nil, fmt.Errorf("overload: FreshAge %v must be less than ExpiryAge %v",
+			set.FreshAge, set.ExpiryAge)
 	}
-	f := &Fleet{settings: set, peersByHash: map[uint64]*peer{}, rosterSize: 1, limitShare: 1, excessRetained: 1, retryFraction: 1, admittedFraction: 1, agreedSince: -1,
-		started: now, countedAt: now, lastAdvance: now, self: peer{Member: me, hash: xxhash.Sum64String(me.Name)}}
+	f := &Fleet{
+		settings: set, peersByHash: map[uint64]*peer{}, rosterSize: 1,
+		limitShare: 1, excessRetained: 1, retryFraction: 1, admittedFraction: 1, agreedSince: -1,
+		started: now, countedAt: now, lastAdvance: now,
+		self: peer{Member: me, hash: xxhash.Sum64String(me.Name)}}
 	for i := range set.Classes {
 		c := &set.Classes[i]
 		c.Cost, c.Value = cmp.Or(sanitize(c.Cost), 1), sanitize(c.Value)
@@ -215,7 +247,7 @@
 	return f, nil
 }
 
-// sane is v, or 0 for what no honest counter says.
+// sanitize returns v, or 0 for a value that no correct counter has: negative, infinite or not a number.
 func sanitize(v float64) float64 {
 	if !(v > 0) || math.IsInf(v, 0) {
 		return 0
@@ -223,8 +255,8 @@
 	return v
 }
 
-// View takes who is there as membership sees it, and how many the last agreed roster has. What was heard of
-// another life of a member is forgotten. This member's own incarnation is taken from it as well.
+// SetMembers sets the members as membership reports them, and the size of the last agreed roster. It forgets
+// what other incarnations of a member reported. It takes this member's own incarnation from the list, too.
 func (f *Fleet) SetMembers(now Time, roster int, members []Member) {
 	f.advance(now)
 	f.rosterSize, f.leftCount, f.unreachableCount, f.unreachableHash = max(roster, 1), 0, 0, 0
@@ -261,13 +293,14 @@
 	f.weighPeers(now)
 }
 
-// Take takes a digest of another member. One that is damaged, doubled, older than the last, of another life
-// or out of all proportion is counted and changes nothing. A late one counts for its age: each carries its
-// sender's own time, so that what it took beyond the quickest is known.
+// ReceiveDigest processes a digest of another member. A digest that is malformed, duplicated, older than the
+// last one, from another incarnation or an outlier is counted and changes nothing. A delayed digest is
+// weighted by its age: it carries its sender's own time, which gives its transit time beyond the fastest one.
 func (f *Fleet) ReceiveDigest(now Time, b []byte) error {
 	d, err := ParseDigest(b)
 	if err == nil && d.Classes != len(f.settings.Classes) {
-		err = fmt.Errorf("digest: %d classes where there are %d: %w", d.Classes, len(f.settings.Classes), ErrMalformed)
+		err = fmt.Errorf("digest: %d classes, but %d are configured: %w",
+			d.Classes, len(f.settings.Classes), ErrMalformed)
 	}
 	if err != nil {
 		f.dropped.Malformed++
@@ -290,7 +323,8 @@
 	if sender.digest == nil {
 		sender.minClockOffset = offset
 	} else {
-		sender.minClockOffset = min(offset, sender.minClockOffset+Time(maxClockDrift*float64(now-sender.receivedAt)))
+		sender.minClockOffset = min(offset,
+			sender.minClockOffset+Time(maxClockDrift*float64(now-sender.receivedAt)))
 	}
 	sender.digest, sender.receivedAt, sender.delay = d, now, offset-sender.minClockOffset
 	for _, hash := range d.Recovered {
@@ -299,7 +333,8 @@
 	return nil
 }
 
-// absurd tells whether d says a hundred times what the others do. Below three there is no telling.
+// isOutlier reports whether d has a hundred times the traffic of the other members. Fewer than three peers
+// are too few to judge by.
 func (f *Fleet) isOutlier(d *Digest) bool {
 	if len(f.heardPeers) < minPeersHeard {
 		return false
@@ -315,7 +350,7 @@
 	return sum
 }
 
-// Own takes this member's own counters since they were last told. Rates follow them within a second or two.
+// AddCounters adds this member's own counters since its previous report. Rates follow within a second or two.
 func (f *Fleet) AddCounters(now Time, c Counters) {
 	elapsed := now - f.countedAt
 	if elapsed <= 0 {
@@ -349,15 +384,16 @@
 	follow(&f.ownRates.ServedCost, servedCost)
 	follow(&f.ownRates.WeightedLatency, servedCost*latencyRatio)
 	follow(&f.ownRates.RefusedCost, refusedCost)
-	// Few make more than one in some seconds: over less time a single one would look like far too many.
-	f.ownRates.Retries += (1 - math.Exp(-float64(elapsed)/float64(retrySmoothingTime))) * (sanitize(c.Retries)/seconds - f.ownRates.Retries)
+	// A member makes few retries: over a shorter time a single one would look like far too many.
+	f.ownRates.Retries += (1 - math.Exp(-float64(elapsed)/float64(retrySmoothingTime))) *
+		(sanitize(c.Retries)/seconds - f.ownRates.Retries)
 	follow(&f.ownDetail.Probes, c.Probes)
 	f.ownDetail.SlowStart, f.ownDetail.InFlight = sanitize(c.SlowStart), sanitize(c.InFlight)
 	f.retryLimiter.recordRate(now, countOf, c.FirstAttempts, seconds)
 	f.advance(now)
 }
 
-// Digest is this member's next digest, to be sent to some others now.
+// NextDigest returns this member's next digest, to be sent to some peers now.
 func (f *Fleet) NextDigest(now Time) []byte {
 	f.advance(now)
 	f.sequence = max(f.sequence+1, uint32(min(math.MaxUint32, (now-f.started)/sequenceUnit)))
@@ -375,6 +411,8 @@
 	return d.Append(nil)
 }
 
-// Heard is how many others are heard now, and Dropped what was not taken.
-func (f *Fleet) PeersHeard() int     { return len(f.heardPeers) }
+// PeersHeard returns the number of peers heard now.
+func (f *Fleet) PeersHeard() int { return len(f.heardPeers) }
+
+// Dropped returns the counts of dropped digests.
 func (f *Fleet) Dropped() DropCounts { return f.dropped }
