--- a/fleet/overload/estimate.go
+++ b/fleet/overload/estimate.go
@@ -16,11 +16,11 @@
 }
 
 // peerWeight is 1 up to FreshAge and falls to 0 at ExpiryAge.
-func (f *Fleet) peerWeight(now Time, e *peer) float64 {
-	if e.digest == nil {
+func (f *Fleet) peerWeight(now Time, p *peer) float64 {
+	if p.digest == nil {
 		return 0
 	}
-	age := now - e.receivedAt + e.delay
+	age := now - p.receivedAt + p.delay
 	return max(0, min(1, float64(f.settings.ExpiryAge-age)/float64(f.settings.ExpiryAge-f.settings.FreshAge)))
 }
 
@@ -52,6 +52,7 @@
 	return values[(len(values)-1)/2]
 }
 
+// offeredCost returns the work offered per second: the first attempts weighted by the cost of their class.
 func (f *Fleet) offeredCost(v *Vector) (work float64) {
 	for i, c := range f.settings.Classes {
 		work += c.Cost * v.FirstAttempts[i]
@@ -78,20 +79,20 @@
 }
 
 // clamp returns v within the bounds. Traffic is scaled as a whole, which keeps the ratios between classes.
-func (h vectorBounds) clamp(v Vector) Vector {
-	if h.maxTraffic <= 0 {
+func (bounds vectorBounds) clamp(v Vector) Vector {
+	if bounds.maxTraffic <= 0 {
 		return v
 	}
-	if v.totalFirstAttempts() > h.maxTraffic {
-		factor := h.maxTraffic / v.totalFirstAttempts()
+	if v.totalFirstAttempts() > bounds.maxTraffic {
+		factor := bounds.maxTraffic / v.totalFirstAttempts()
 		for i := range v.FirstAttempts {
 			v.FirstAttempts[i] *= factor
 		}
 		v.ServedCost, v.WeightedLatency, v.RefusedCost, v.Retries =
 			v.ServedCost*factor, v.WeightedLatency*factor, v.RefusedCost*factor, v.Retries*factor
 	}
-	offered := h.fleet.offeredCost(&v)
-	if minCost := minServedRatio * h.medianServedRatio * offered; v.ServedCost < minCost {
+	offered := bounds.fleet.offeredCost(&v)
+	if minCost := minServedRatio * bounds.medianServedRatio * offered; v.ServedCost < minCost {
 		v.WeightedLatency, v.ServedCost = v.WeightedLatency*minCost/max(v.ServedCost, 1e-9), minCost
 		v.WeightedLatency = min(v.WeightedLatency, 4*v.ServedCost)
 	}
@@ -99,20 +100,20 @@
 	v.WeightedLatency = min(v.WeightedLatency, 4*v.ServedCost)
 	v.RefusedCost = min(v.RefusedCost, offered)
 	v.Retries = min(v.Retries, v.totalFirstAttempts())
-	v.LimitShare = min(v.LimitShare, maxMedianRatio*max(1, h.medianLimitShare))
+	v.LimitShare = min(v.LimitShare, maxMedianRatio*max(1, bounds.medianLimitShare))
 	return v
 }
 
-func (v *Vector) addScaled(x *Vector, weight float64) {
+func (v *Vector) addScaled(x *Vector, factor float64) {
 	for i := range v.FirstAttempts {
-		v.FirstAttempts[i] += weight * x.FirstAttempts[i]
+		v.FirstAttempts[i] += factor * x.FirstAttempts[i]
 	}
-	v.ServedCost += weight * x.ServedCost
-	v.WeightedLatency += weight * x.WeightedLatency
-	v.RefusedCost += weight * x.RefusedCost
-	v.Retries += weight * x.Retries
-	v.LimitShare += weight * x.LimitShare
-	v.AdmittedFraction += weight * x.AdmittedFraction
+	v.ServedCost += factor * x.ServedCost
+	v.WeightedLatency += factor * x.WeightedLatency
+	v.RefusedCost += factor * x.RefusedCost
+	v.Retries += factor * x.Retries
+	v.LimitShare += factor * x.LimitShare
+	v.AdmittedFraction += factor * x.AdmittedFraction
 }
 
 func (v *Vector) scale(factor float64) {
@@ -177,19 +178,19 @@
 // peerAdmittedFraction returns the median admitted fraction of the members in an episode, or 1 unless these
 // are the majority. Members outside an episode don't influence how much is shed.
 func (f *Fleet) peerAdmittedFraction() float64 {
-	levels, all := []float64{}, 1+len(f.heardPeers)
+	fractions, memberCount := []float64{}, 1+len(f.heardPeers)
 	if f.admittedFraction < 1 {
-		levels = append(levels, f.admittedFraction)
+		fractions = append(fractions, f.admittedFraction)
 	}
 	for _, e := range f.heardPeers {
 		if e.digest.Own.AdmittedFraction < 1 {
-			levels = append(levels, e.digest.Own.AdmittedFraction)
+			fractions = append(fractions, e.digest.Own.AdmittedFraction)
 		}
 	}
-	if 2*len(levels) <= all {
+	if 2*len(fractions) <= memberCount {
 		return 1
 	}
-	return lowerMedian(levels)
+	return lowerMedian(fractions)
 }
 
 // secondLayerMean returns the mean of the peer means in the digests, each field clipped to between half and
--- a/fleet/overload/numbers.go
+++ b/fleet/overload/numbers.go
@@ -43,8 +43,8 @@
 		n.keyPosition(key, byte(class)) < n.ShedFraction[class]
 }
 
-// RetryAfter returns how long to tell a refused client to wait: base times 0.5 to 1.5 (a half to one and a
-// half times), spread by the key, and at most maxDelay.
+// RetryAfter returns how long to tell a refused client to wait: 0.5 to 1.5 times base, spread by the key, and
+// at most maxDelay.
 func (n *Controls) RetryAfter(key uint64, base, maxDelay time.Duration) time.Duration {
 	spread := 1 + n.Confidence*(n.keyPosition(key, 0xff)-0.5)
 	return min(maxDelay, time.Duration(spread*float64(base)))
@@ -129,7 +129,7 @@
 	if f.saturated() {
 		sustained := served / max(offered, 1e-9) *
 			max(minServedFraction, 1-admittedLatencyPenalty*max(0, f.latencyRatio-saturatedLatency))
-		// Includes members whose vectors were clipped in the mean.
+		// The refused fraction also shows refusals of members that the clipped mean undercounts.
 		sustained = min(sustained, f.admittedFraction-max(0, f.refusedFraction-saturatedRefusals))
 		f.admittedFraction += min(1, admittedStep*seconds) * (sustained - f.admittedFraction)
 	} else {
@@ -202,20 +202,20 @@
 	f.recordRecovery(now, uint16(xxhash.Sum64String(backend)), true)
 }
 
-func (f *Fleet) recordRecovery(now Time, hash uint16, here bool) {
+func (f *Fleet) recordRecovery(now Time, hash uint16, probedLocally bool) {
 	if hash == 0 {
 		return
 	}
 	for i := range f.recovered {
 		if b := &f.recovered[i]; b.hash == hash {
-			b.probedLocally = b.probedLocally || here
+			b.probedLocally = b.probedLocally || probedLocally
 			return
 		}
 	}
 	if len(f.recovered) < 64 {
-		phase := float64(rendezvousScore(f.self.hash, uint64(hash))>>11) / (1 << 53)
+		position := float64(rendezvousScore(f.self.hash, uint64(hash))>>11) / (1 << 53)
 		f.recovered = append(f.recovered,
-			recoveredBackend{hash, now, here, Time(phase * float64(recoverySpread))})
+			recoveredBackend{hash, now, probedLocally, Time(position * float64(recoverySpread))})
 	}
 }
 
@@ -226,13 +226,13 @@
 	lastSlot                  float64 // second of the last retry, for a budget of less than one per second
 }
 
-func (limiter *retryLimiter) recordRate(now Time, countOf func([]float64, int) float64, first []float64,
+func (r *retryLimiter) recordRate(now Time, countOf func([]float64, int) float64, attempts []float64,
 	seconds float64) {
 	total := 0.0
-	for i := range first {
-		total += countOf(first, i)
+	for i := range attempts {
+		total += countOf(attempts, i)
 	}
-	limiter.previousRate, limiter.currentRate = limiter.currentRate, total/seconds
+	r.previousRate, r.currentRate = r.currentRate, total/seconds
 }
 
 // AllowRetry reports whether an attempt that may have taken effect may be retried now, and counts the retry
--- a/fleet/overload/overload.go
+++ b/fleet/overload/overload.go
@@ -40,21 +40,22 @@
 	reporterFraction   = 0.2   // members that must report overload, so that a few can't make one up
 
 	// Estimates over the fleet.
-	minPeersHeard      = 3   // peers to be heard for full confidence, if the fleet has as many
-	changeFactor       = 2.2 // a first layer that differs by this factor is a change, not sampling noise
-	secondLayerSeconds = 2.0 // averaging time of the second layer's means, in seconds
-	smoothingTime      = 600 * time.Millisecond
-	retrySmoothingTime = 10 * time.Second
+	// Peers to be heard for full confidence, if the fleet has as many.
+	minPeersHeard = 3
+	// A first layer that differs by this factor is a change, not sampling noise.
+	changeFactor       = 2.2
+	secondLayerSeconds = 2.0                    // averaging time of the second layer's means, in seconds
+	smoothingTime      = 600 * time.Millisecond // time constant of the mean rates
+	retrySmoothingTime = 10 * time.Second       // time constant of the mean rate of retries
 	minStep            = 100 * time.Millisecond // shortest interval between two updates
 	sequenceUnit       = 10 * time.Millisecond  // of the sender's clock, as carried in a digest
-	// Between two clocks; old transit-time estimates fade at this rate.
+	// Between two clocks; old transit times are forgotten this fast.
 	maxClockDrift = 1e-3
 
-	// Share of the concurrency limit, in N-ths.
-	// Of the whole limit that unreachable members free: bounds the excess in a partition.
-	maxFreedFraction = 0.1
-	// Of the limit that is split evenly, so that a quiet member can serve its first requests.
-	evenShareFraction   = 0.1
+	// Share of the concurrency limit, in N-ths where no fraction is named.
+	// Of the whole limit, freed by unreachable members: bounds a partition's excess.
+	maxFreedFraction    = 0.1
+	evenShareFraction   = 0.1  // of the limit, split evenly: a quiet member can serve its first requests
 	maxLimitShare       = 16.0 // of one member
 	minReports          = 3    // reports of counters before the share follows them
 	overcommitThreshold = 1.05 // mean share from which members shrink; less is noise in which peers are heard
@@ -64,38 +65,38 @@
 	shedRise         = 1.0 // of a class's shed fraction, per second
 	shedFall         = 0.5 // per second; bounds how fast all members together admit more
 	saturatedLatency = 1.2 // latency ratio from which the fleet is saturated
-	// Refused fraction from which it is, too: limits that refuse work keep latency low.
+	// Refused fraction from which the fleet is saturated as well: limits that refuse work keep latency low,
+	// so that the latency ratio alone doesn't show it.
 	saturatedRefusals = 0.015
-	spareLatency      = 0.75 // latency ratio below which there is spare capacity
-	// Below it there are no queues: no episode begins, and members leave one alone.
+	spareLatency      = 0.75 // latency ratio below which there is spare capacity, the lower the more
+	// Latency ratio below which there are no queues: no episode begins, and each member ends its own without
+	// following the others.
 	uncongestedLatency = 0.6
-	// Multiple of the served work that is admitted while the fleet is saturated.
-	probeFactor  = 1.0
-	admittedStep = 0.6 // per second, of the difference to the served fraction
+	probeFactor        = 1.0 // multiple of the served work that is admitted while saturated
+	admittedStep       = 0.6 // per second, of the difference to the served fraction
 	// Per second, times the square of the spare latency ratio: fast without queues.
 	admittedGrowth         = 2.5
-	demandJump             = 2.0 // change of the offered work that changes the admitted fraction at once
+	demandJump             = 2.0 // factor between offered work that changes the admitted fraction at once
 	admittedLatencyPenalty = 0.3 // for each unit of latency ratio above saturatedLatency
-	// Of the episode's peak of served work: else slow backends alone shed everything.
-	minServedFraction  = 0.7
-	minServedDecay     = 0.02 // per second, of that peak
-	peerAdmittedStep   = 1.0  // per second, of the difference to the peers' admitted fraction
-	demandStep         = 0.3  // per second, of the difference to the offered work
-	episodeRefusals    = 0.06 // refused fraction that begins an episode; a burst or two stays below it
-	minEpisodeInterval = 10 * time.Second
+	// Of the episode's peak of served work. Without it slow backends alone would make the fleet shed
+	// everything.
+	minServedFraction = 0.7
+	minServedDecay    = 0.02 // per second, of that peak
+	peerAdmittedStep  = 1.0  // per second, of the difference to the peers' admitted fraction
+	demandStep        = 0.3  // per second, of the difference to the offered work
+	// Refused fraction that begins an episode; a burst or two stays below it.
+	episodeRefusals    = 0.06
+	minEpisodeInterval = 10 * time.Second // between the beginnings of two numbered episodes
 
 	// Retries.
-	// Caps the mean retry ratio in medians: each member keeps its own budget anyway.
-	maxRetryMedianRatio = 1.25
-	// Of the own retries that peers can't take away: the own budget holds without them.
-	minRetryFraction = 0.4
-	// Used of a budget below one retry per second: two slots can fall into one second.
-	lowRetryBudgetFraction = 0.5
+	maxRetryMedianRatio    = 1.25 // caps the mean retry ratio, in medians: each member keeps a budget anyway
+	minRetryFraction       = 0.4  // of the own retries, whatever peers report: the own budget still holds
+	lowRetryBudgetFraction = 0.5  // of a budget below 1/s: two slots of a member can meet in one second
 
 	// Backends that were found to have recovered, and unreachable members.
 	recoveryLifetime = 5 * time.Second // a recovery is announced for so long
 	recoverySpread   = 2 * time.Second // members probe a recovered backend spread over this time
-	// A majority must agree for so long before unreachable members free their share.
+	// A majority must agree for so long to free unreachable members' shares.
 	unreachableHold = 5 * time.Second
 )
 
@@ -154,6 +155,7 @@
 // DropCounts counts the dropped digests by reason.
 type DropCounts struct{ Malformed, Unknown, Stale, Outlier int }
 
+// peer is another member and the last digest from it.
 type peer struct {
 	Member
 	hash           uint64
@@ -177,23 +179,22 @@
 	dropped          DropCounts
 	started          Time
 
-	ownRates        Vector
-	ownDetail       Digest // fields that only the long form carries
-	countedAt       Time   // time of the last report of counters
-	reportCount     int    // number of reports
-	sequence        uint32
-	heardPeers      []*peer // with a weight above 0, as of the last advance
-	weights         []float64
-	fleetMean       Vector  // fleet-wide, per member
-	peerMean        Vector  // of the heard peers; sent in the digest
-	latencyRatio    float64 // 1: latency is at its target
-	refusedFraction float64 // of the offered work, by concurrency limits
-	retryRatio      float64 // retries per first attempt
-	lastAdvance     Time
-	confidence      float64
-	limitShare      float64
-	// Of the share above one N-th; below 1 while the fleet holds more than the whole limit.
-	excessRetained   float64
+	ownRates         Vector
+	ownDetail        Digest // fields that only the long form carries
+	countedAt        Time   // time of the last report of counters
+	reportCount      int    // number of reports
+	sequence         uint32
+	heardPeers       []*peer // with a weight above 0, as of the last advance
+	weights          []float64
+	fleetMean        Vector  // fleet-wide, per member
+	peerMean         Vector  // of the heard peers; sent in the digest
+	latencyRatio     float64 // 1: latency is at its target
+	refusedFraction  float64 // of the offered work, by concurrency limits
+	retryRatio       float64 // retries per first attempt
+	lastAdvance      Time
+	confidence       float64
+	limitShare       float64
+	excessRetained   float64 // of the share above one N-th; falls while members hold more than the whole
 	retryFraction    float64
 	shedFraction     [MaxClasses]float64
 	admittedFraction float64 // of the offered work that the fleet can serve; 1: no episode
@@ -211,38 +212,39 @@
 	hash          uint16
 	reportedAt    Time
 	probedLocally bool
-	probeDelay    Time
+	probeDelay    Time // after reportedAt, before this member probes the backend
 }
 
-// New returns the state of member self, which stands alone until it has members set and hears digests.
-func New(now Time, set Settings, me Member) (*Fleet, error) {
+// New returns the state of the member self. It acts as standalone until it knows the members and hears
+// digests.
+func New(now Time, settings Settings, self Member) (*Fleet, error) {
 	maxClasses := MaxClasses
-	if set.CompactDigests {
+	if settings.CompactDigests {
 		maxClasses = MaxCompactClasses
 	}
-	if n := len(set.Classes); n < 1 || n > maxClasses {
+	if n := len(settings.Classes); n < 1 || n > maxClasses {
 		return nil, fmt.Errorf("overload: %d classes configured; a digest holds 1 to %d", n, maxClasses)
 	}
-	set.Classes = slices.Clone(set.Classes)
-	set.RetryBudget = cmp.Or(set.RetryBudget, 0.1)
-	set.FreshAge = cmp.Or(set.FreshAge, time.Second)
-	set.ExpiryAge = cmp.Or(set.ExpiryAge, 4*time.Second)
-	set.FallbackTime = cmp.Or(set.FallbackTime, 5*time.Second)
-	if set.FreshAge >= set.ExpiryAge {
+	settings.Classes = slices.Clone(settings.Classes)
+	settings.RetryBudget = cmp.Or(settings.RetryBudget, 0.1)
+	settings.FreshAge = cmp.Or(settings.FreshAge, time.Second)
+	settings.ExpiryAge = cmp.Or(settings.ExpiryAge, 4*time.Second)
+	settings.FallbackTime = cmp.Or(settings.FallbackTime, 5*time.Second)
+	if settings.FreshAge >= settings.ExpiryAge {
 		return nil, fmt.Errorf("overload: FreshAge %v must be less than ExpiryAge %v",
-			set.FreshAge, set.ExpiryAge)
+			settings.FreshAge, settings.ExpiryAge)
 	}
 	f := &Fleet{
-		settings: set, peersByHash: map[uint64]*peer{}, rosterSize: 1,
+		settings: settings, peersByHash: map[uint64]*peer{}, rosterSize: 1,
 		limitShare: 1, excessRetained: 1, retryFraction: 1, admittedFraction: 1, agreedSince: -1,
 		started: now, countedAt: now, lastAdvance: now,
-		self: peer{Member: me, hash: xxhash.Sum64String(me.Name)}}
-	for i := range set.Classes {
-		c := &set.Classes[i]
+		self: peer{Member: self, hash: xxhash.Sum64String(self.Name)}}
+	for i := range settings.Classes {
+		c := &settings.Classes[i]
 		c.Cost, c.Value = cmp.Or(sanitize(c.Cost), 1), sanitize(c.Value)
 		f.order = append(f.order, i)
 	}
-	value := func(i int) float64 { return set.Classes[i].Value / set.Classes[i].Cost }
+	value := func(i int) float64 { return settings.Classes[i].Value / settings.Classes[i].Cost }
 	slices.SortStableFunc(f.order, func(i, j int) int { return cmp.Compare(value(j), value(i)) })
 	return f, nil
 }
@@ -344,14 +346,14 @@
 }
 
 func (v *Vector) totalFirstAttempts() (sum float64) {
-	for _, first := range v.FirstAttempts {
-		sum += first
+	for _, rate := range v.FirstAttempts {
+		sum += rate
 	}
 	return sum
 }
 
 // AddCounters adds this member's own counters since its previous report. Rates follow within a second or two.
-func (f *Fleet) AddCounters(now Time, c Counters) {
+func (f *Fleet) AddCounters(now Time, counters Counters) {
 	elapsed := now - f.countedAt
 	if elapsed <= 0 {
 		return
@@ -371,25 +373,25 @@
 	}
 	servedCost, refusedCost := 0.0, 0.0
 	for i, class := range f.settings.Classes {
-		follow(&f.ownRates.FirstAttempts[i], countOf(c.FirstAttempts, i))
-		follow(&f.ownDetail.Served[i], countOf(c.Served, i))
-		follow(&f.ownDetail.Refused[i], countOf(c.Refused, i))
-		servedCost += countOf(c.Served, i) * class.Cost
-		refusedCost += countOf(c.Refused, i) * class.Cost
+		follow(&f.ownRates.FirstAttempts[i], countOf(counters.FirstAttempts, i))
+		follow(&f.ownDetail.Served[i], countOf(counters.Served, i))
+		follow(&f.ownDetail.Refused[i], countOf(counters.Refused, i))
+		servedCost += countOf(counters.Served, i) * class.Cost
+		refusedCost += countOf(counters.Refused, i) * class.Cost
 	}
 	latencyRatio := 0.0
-	if c.LatencySamples > 0 {
-		latencyRatio = min(4, sanitize(c.LatencyRatioSum)/c.LatencySamples)
+	if counters.LatencySamples > 0 {
+		latencyRatio = min(4, sanitize(counters.LatencyRatioSum)/counters.LatencySamples)
 	}
 	follow(&f.ownRates.ServedCost, servedCost)
 	follow(&f.ownRates.WeightedLatency, servedCost*latencyRatio)
 	follow(&f.ownRates.RefusedCost, refusedCost)
 	// A member makes few retries: over a shorter time a single one would look like far too many.
 	f.ownRates.Retries += (1 - math.Exp(-float64(elapsed)/float64(retrySmoothingTime))) *
-		(sanitize(c.Retries)/seconds - f.ownRates.Retries)
-	follow(&f.ownDetail.Probes, c.Probes)
-	f.ownDetail.SlowStart, f.ownDetail.InFlight = sanitize(c.SlowStart), sanitize(c.InFlight)
-	f.retryLimiter.recordRate(now, countOf, c.FirstAttempts, seconds)
+		(sanitize(counters.Retries)/seconds - f.ownRates.Retries)
+	follow(&f.ownDetail.Probes, counters.Probes)
+	f.ownDetail.SlowStart, f.ownDetail.InFlight = sanitize(counters.SlowStart), sanitize(counters.InFlight)
+	f.retryLimiter.recordRate(now, countOf, counters.FirstAttempts, seconds)
 	f.advance(now)
 }
 
--- a/fleet/overload/overload_test.go
+++ b/fleet/overload/overload_test.go
@@ -12,7 +12,8 @@
 )
 
 func sampleDigest(compact bool) *Digest {
-	d := &Digest{Compact: compact, Classes: MaxCompactClasses, Sender: 1 << 60, Incarnation: 7, Sequence: 9, Episode: 3,
+	d := &Digest{Compact: compact, Classes: MaxCompactClasses, Sender: 1 << 60, Incarnation: 7,
+		Sequence: 9, Episode: 3,
 		Recovered: []uint16{5}}
 	if !compact {
 		d.Classes, d.Recovered, d.UnreachableHash = MaxClasses, []uint16{1, 2, 3, 4}, 1<<63+1
@@ -31,7 +32,7 @@
 		d := sampleDigest(tt.compact)
 		b := d.Append(nil)
 		if len(b) > tt.maxSize {
-			t.Errorf("compact %v: %d bytes", tt.compact, len(b))
+			t.Errorf("compact %v: %d bytes exceed the limit", tt.compact, len(b))
 		}
 		got, err := ParseDigest(b)
 		if err != nil || !reflect.DeepEqual(got, d) {
@@ -39,29 +40,29 @@
 		}
 		for n := range b {
 			if _, err := ParseDigest(b[:n]); !errors.Is(err, ErrMalformed) {
-				t.Errorf("%d of %d bytes: %v", n, len(b), err)
+				t.Errorf("%d of %d bytes: got error %v, want ErrMalformed", n, len(b), err)
 			}
 		}
 	}
 	b := sampleDigest(true).Append(nil)
 	b[0]++
 	if _, err := ParseDigest(b); !errors.Is(err, ErrVersion) {
-		t.Errorf("another version: %v", err)
+		t.Errorf("unknown version: got error %v, want ErrVersion", err)
 	}
 }
 
 func TestValueEncoding(t *testing.T) {
-	for _, tt := range []struct{ in, least, most float64 }{
+	for _, tt := range []struct{ in, minValue, maxValue float64 }{
 		{0, 0, 0}, {-1, 0, 0}, {math.NaN(), 0, 0}, {math.Inf(-1), 0, 0}, {1e-9, 0, 0},
 		{1, 0.9997, 1.0003}, {123.4, 123.36, 123.44}, {math.Inf(1), 1e8, 2e8}, {1e300, 1e8, 2e8},
 	} {
-		if got := decodeValue(encodeValue(tt.in)); !(got >= tt.least && got <= tt.most) {
-			t.Errorf("%v travels as %v", tt.in, got)
+		if got := decodeValue(encodeValue(tt.in)); !(got >= tt.minValue && got <= tt.maxValue) {
+			t.Errorf("%v is decoded as %v", tt.in, got)
 		}
 	}
 }
 
-// team is n members, all alive, of which none has heard anything yet.
+// newFleets returns n members, all alive, that have not received any digest yet.
 func newFleets(n int) (fleets []*Fleet, view []Member) {
 	for i := range n {
 		view = append(view, Member{Name: fmt.Sprint("m", i), Zone: fmt.Sprint("z", i%3), Incarnation: 2})
@@ -77,7 +78,8 @@
 	return fleets, view
 }
 
-// counters of half a second with so many first tries of a class, and a share of them turned away.
+// testCounters returns the counters of half a second with a number of first attempts of each class, of which
+// a fraction is refused.
 func testCounters(attempts, refusedFraction float64) Counters {
 	c := Counters{LatencySamples: attempts, LatencyRatioSum: attempts * (0.3 + min(0.7, 10*refusedFraction))}
 	for range testClasses {
@@ -88,7 +90,8 @@
 	return c
 }
 
-// talk lets all tell and hear all, but for those that deaf says, for a time.
+// exchangeDigests lets all members report counters and exchange digests for a time, except between the pairs
+// that blocked selects. It returns the time afterwards.
 func exchangeDigests(fleets []*Fleet, from, span Time, c Counters, blocked func(i, j int) bool) Time {
 	for now := from; now < from+span; now += halfSecond {
 		for _, f := range fleets {
@@ -106,8 +109,8 @@
 	return from + span
 }
 
-// TestTaken: what isn't taken changes no number and no digest to come: after it a member does what its twin
-// does that never got it.
+// A dropped digest must not influence a member. Each case compares the member with a twin that never received
+// the digest: both must have the same controls and send the same digests afterwards.
 func TestDroppedDigestsChangeNothing(t *testing.T) {
 	fleets, view := newFleets(5)
 	twins, _ := newFleets(5)
@@ -132,45 +135,48 @@
 		b    []byte
 		err  error
 	}{
-		{"doubled", digest(func(d *Digest) { d.Sequence = f.peersByHash[d.Sender].digest.Sequence }), ErrStaleDigest},
-		{"late, from before", digest(func(d *Digest) { d.Sequence = 1 }), ErrStaleDigest},
-		{"older life", digest(func(d *Digest) { d.Incarnation = 1 }), ErrUnknownMember},
-		{"life that membership knows nothing of", digest(func(d *Digest) { d.Incarnation = 3 }), ErrUnknownMember},
-		{"stranger", digest(func(d *Digest) { d.Sender++ }), ErrUnknownMember},
-		{"own, sent back", digest(func(d *Digest) { d.Sender = f.self.hash }), ErrUnknownMember},
-		{"huge", digest(func(d *Digest) { d.Own.FirstAttempts[0] = math.Inf(1) }), ErrOutlier},
-		{"other classes", digest(func(d *Digest) { d.Classes = 2 }), ErrMalformed},
+		{"duplicate", digest(func(d *Digest) {
+			d.Sequence = f.peersByHash[d.Sender].digest.Sequence
+		}), ErrStaleDigest},
+		{"reordered", digest(func(d *Digest) { d.Sequence = 1 }), ErrStaleDigest},
+		{"older incarnation", digest(func(d *Digest) { d.Incarnation = 1 }), ErrUnknownMember},
+		{"incarnation unknown to membership", digest(func(d *Digest) { d.Incarnation = 3 }), ErrUnknownMember},
+		{"unknown sender", digest(func(d *Digest) { d.Sender++ }), ErrUnknownMember},
+		{"own digest, reflected", digest(func(d *Digest) { d.Sender = f.self.hash }), ErrUnknownMember},
+		{"outlier", digest(func(d *Digest) { d.Own.FirstAttempts[0] = math.Inf(1) }), ErrOutlier},
+		{"other number of classes", digest(func(d *Digest) { d.Classes = 2 }), ErrMalformed},
 		{"empty", nil, ErrMalformed},
 	}
 	for _, tt := range tests {
 		if err := f.ReceiveDigest(now, tt.b); !errors.Is(err, tt.err) {
-			t.Errorf("%s: %v", tt.name, err)
+			t.Errorf("%s: unexpected error %v", tt.name, err)
 		}
 		if differs() {
-			t.Fatalf("%s: %+v, and without %+v", tt.name, f.Controls(now), twin.Controls(now))
+			t.Fatalf("%s: controls %+v, without the digest %+v", tt.name, f.Controls(now), twin.Controls(now))
 		}
 	}
 	if got, want := f.Dropped(), (DropCounts{Malformed: 2, Unknown: 4, Stale: 2, Outlier: 1}); got != want {
 		t.Errorf("dropped %+v, want %+v", got, want)
 	}
-	// Planted: one that is taken shows.
+	// Checks the comparison itself: an accepted digest makes a difference.
 	if err := f.ReceiveDigest(now, digest(func(*Digest) {})); err != nil || !differs() {
-		t.Errorf("a good digest changes nothing, %v", err)
+		t.Errorf("a valid digest changes nothing, error %v", err)
 	}
-	// A member in its next life is heard from its first digest on, and its old life no more.
+	// After a restart a member is heard from its first digest on, and digests of its old incarnation are
+	// dropped.
 	old := fleets[1].NextDigest(now)
 	view[1].Incarnation = 3
 	f.SetMembers(now, 5, view)
 	if err := f.ReceiveDigest(now, old); !errors.Is(err, ErrUnknownMember) {
-		t.Errorf("the old life is heard: %v", err)
+		t.Errorf("digest of the old incarnation: got error %v, want ErrUnknownMember", err)
 	}
 	next, _ := New(now, Settings{Classes: testClasses}, view[1])
 	if err := f.ReceiveDigest(now, next.NextDigest(now)); err != nil {
-		t.Errorf("the next life: %v", err)
+		t.Errorf("digest of the new incarnation: %v", err)
 	}
 }
 
-// TestLate: a digest that was long under way counts for its age.
+// A digest that was delayed in transit is weighted by its age.
 func TestDelayedDigestIsAged(t *testing.T) {
 	fleets, _ := newFleets(2)
 	now := exchangeDigests(fleets, halfSecond, 5*time.Second, testCounters(5, 0), nil)
@@ -178,22 +184,22 @@
 	e := fleets[0].peers[0]
 	fleets[0].ReceiveDigest(now+3*time.Second, b)
 	if w := fleets[0].peerWeight(now+3*time.Second, e); w > 0.5 {
-		t.Errorf("3 s under way, and it weighs %.2f", w)
+		t.Errorf("digest delayed by 3 s has weight %.2f", w)
 	}
 }
 
-// TestMalformedCounters: counters that no honest caller tells count as none.
+// Invalid counters (NaN, negative or infinite) count as 0.
 func TestMalformedCounters(t *testing.T) {
 	fleets, _ := newFleets(1)
 	bad := Counters{FirstAttempts: []float64{math.NaN(), -5, math.Inf(1), 7, 8}, LatencyRatioSum: math.NaN(), LatencySamples: 1, Retries: -1}
 	fleets[0].AddCounters(halfSecond, bad)
 	if f := fleets[0]; f.ownRates != (Vector{}) || f.Controls(halfSecond) != Standalone() {
-		t.Errorf("own %+v", f.ownRates)
+		t.Errorf("invalid counters give rates %+v", f.ownRates)
 	}
 }
 
-// TestShed: members that hear the same shed the same keys, about as many as the cut says, and other keys in
-// the next spell.
+// Members with the same inputs must shed the same keys, about as many as the shed fraction says, and other
+// keys in the next episode. Otherwise every retry at another member would have a new chance.
 func TestConsistentShedding(t *testing.T) {
 	fleets, _ := newFleets(6)
 	exchangeDigests(fleets, halfSecond, 15*time.Second, testCounters(50, 0.3), nil)
@@ -201,8 +207,8 @@
 	for i, f := range fleets {
 		all[i] = f.Controls(15 * time.Second)
 	}
-	if cut := all[0].ShedFraction; cut[0] != 0 || cut[2] < 0.5 {
-		t.Fatalf("cut %v", cut)
+	if shedFraction := all[0].ShedFraction; shedFraction[0] != 0 || shedFraction[2] < 0.5 {
+		t.Fatalf("shed fractions %v", shedFraction)
 	}
 	rng := rand.New(rand.NewPCG(1, 1))
 	const keys = 10000
@@ -216,7 +222,8 @@
 			shed++
 		}
 		for i := range all[1:] {
-			if all[1+i].Episode != all[0].Episode || isShed != (all[1+i].ShouldShed(1, key) || all[1+i].ShouldShed(2, key)) {
+			if all[1+i].Episode != all[0].Episode ||
+				isShed != (all[1+i].ShouldShed(1, key) || all[1+i].ShouldShed(2, key)) {
 				inconsistent++
 				break
 			}
@@ -226,28 +233,30 @@
 		}
 	}
 	if inconsistent > keys/20 {
-		t.Errorf("%d of %d keys are shed at some members alone", inconsistent, keys)
+		t.Errorf("%d of %d keys are shed by some members only", inconsistent, keys)
 	}
-	if cut := all[0].ShedFraction[2]; cut < 0.99 && changed == 0 {
-		t.Error("the next spell sheds the same keys")
+	if shedFraction := all[0].ShedFraction[2]; shedFraction < 0.99 && changed == 0 {
+		t.Error("the next episode sheds the same keys")
 	}
-	randomShed := func() bool { return rng.Float64() < all[0].ShedFraction[2]*0.9 } // planted: what dice would do
+	// Checks the bound itself: shedding at random must exceed it.
+	randomShed := func() bool { return rng.Float64() < all[0].ShedFraction[2]*0.9 }
 	inconsistent = 0
 	for range keys {
-		if one, changed := randomShed(), randomShed(); one != changed {
+		if first, second := randomShed(), randomShed(); first != second {
 			inconsistent++
 		}
 	}
 	if inconsistent <= keys/20 {
-		t.Error("the check would let dice pass")
+		t.Error("random shedding passes the check")
 	}
 }
 
-// TestComeBack: spread by the key, never over what clients obey, and exactly the base for one alone.
+// Waits are spread by the key, never exceed the maximum that clients obey, and equal the base for a
+// standalone member.
 func TestRetryAfterSpread(t *testing.T) {
 	n := Standalone()
 	if got := n.RetryAfter(1, time.Second, time.Minute); got != time.Second {
-		t.Errorf("alone: %v", got)
+		t.Errorf("standalone: wait %v, want 1s", got)
 	}
 	n.Confidence = 1
 	shortest, longest := time.Hour, time.Duration(0)
@@ -256,16 +265,16 @@
 		shortest, longest = min(shortest, got), max(longest, got)
 	}
 	if shortest > 550*time.Millisecond || longest != 1400*time.Millisecond {
-		t.Errorf("spread over %v to %v", shortest, longest)
+		t.Errorf("waits range from %v to %v", shortest, longest)
 	}
 }
 
-// TestTrials: one member a zone tries a dead backend, whether there are 10 of them or 300, and an owner that
-// is not heard of is passed over. Once one has found it serving, all may try, spread over seconds.
+// One member per zone probes a failed backend, with 10 members as with 300; a prober that is not heard is
+// replaced. Once a probe succeeds, all members may probe, spread over seconds.
 func TestOneProberPerZone(t *testing.T) {
 	for _, n := range []int{10, 300} {
 		fleets, _ := newFleets(n)
-		notNear := func(i, j int) bool { return n > 10 && (j-i+n)%n > 4 } // of many each hears a few
+		notNear := func(i, j int) bool { return n > 10 && (j-i+n)%n > 4 } // with 300 members each hears a few
 		now := exchangeDigests(fleets, halfSecond, 4*time.Second, testCounters(5, 0), notNear)
 		probers := func(backend string) (who []int) {
 			for i, f := range fleets {
@@ -277,40 +286,41 @@
 		}
 		first := probers("b")
 		if len(first) != 3 {
-			t.Errorf("%d members: %v try it", n, first)
+			t.Errorf("%d members: %v probe the backend", n, first)
 		}
 		if n > 10 {
 			continue
 		}
-		dead := first[0]
-		now = exchangeDigests(fleets, now, 8*time.Second, testCounters(5, 0), func(i, j int) bool { return i == dead || j == dead })
+		cutOff := first[0]
+		now = exchangeDigests(fleets, now, 8*time.Second, testCounters(5, 0),
+			func(i, j int) bool { return i == cutOff || j == cutOff })
 		if after := probers("b"); len(after) != 4 || reflect.DeepEqual(first, after) {
-			t.Errorf("with %d cut off: %v try it", dead, after)
+			t.Errorf("with %d cut off: %v probe the backend", cutOff, after)
 		}
 		fleets[first[1]].ProbeSucceeded(now, "b")
 		now = exchangeDigests(fleets, now, 3*time.Second, testCounters(5, 0), nil)
-		if found := probers("b"); len(found) != n {
-			t.Errorf("once found: %v try it", found)
+		if probersAfter := probers("b"); len(probersAfter) != n {
+			t.Errorf("after a successful probe: %v probe the backend", probersAfter)
 		}
 	}
 }
 
-// TestFreed: what the dead held goes to others once a majority of the roster sees them gone, a tenth of the
-// whole at most; what was left in order goes at once.
+// The limit shares of unreachable members go to the others once a majority of the roster agrees on them, up
+// to a tenth of the whole limit. Shares of members that announced their leaving are freed at once.
 func TestFreedLimitShare(t *testing.T) {
 	tests := []struct {
 		name           string
 		state          State
 		absent, roster int
-		observers      int     // of the others that see it
-		maxSum, minSum float64 // what travels is rounded by 0.04%
-		selfAsRoster   bool    // who is left takes itself for the roster
+		observers      int     // members that observe the change
+		maxSum, minSum float64 // encoded values are rounded by 0.04%
+		selfAsRoster   bool    // the observers use their own number as the roster size
 	}{
 		{"left", Left, 3, 10, 7, 10.01, 9.8, false},
-		{"seen gone by all", Unreachable, 3, 10, 7, 7.9, 7.6, false},
-		{"seen gone by half", Unreachable, 3, 10, 5, 7.05, 6.8, false},
-		{"a minority sees the others gone", Unreachable, 6, 10, 4, 4.05, 3.8, false},
-		{"planted: a minority that asks itself", Unreachable, 6, 10, 4, 4.05, 3.8, true},
+		{"unreachable for all", Unreachable, 3, 10, 7, 7.9, 7.6, false},
+		{"unreachable for half", Unreachable, 3, 10, 5, 7.05, 6.8, false},
+		{"others unreachable for a minority", Unreachable, 6, 10, 4, 4.05, 3.8, false},
+		{"violation: a minority counts only itself as the roster", Unreachable, 6, 10, 4, 4.05, 3.8, true},
 	}
 	for _, tt := range tests {
 		fleets, view := newFleets(tt.roster)
@@ -321,7 +331,8 @@
 		remaining := fleets[tt.absent:]
 		for i, f := range remaining {
 			if i < tt.observers {
-				f.SetMembers(now, map[bool]int{false: tt.roster, true: tt.roster - tt.absent}[tt.selfAsRoster], view)
+				f.SetMembers(now,
+					map[bool]int{false: tt.roster, true: tt.roster - tt.absent}[tt.selfAsRoster], view)
 			}
 		}
 		now = exchangeDigests(remaining, now, 20*time.Second, testCounters(5, 0), nil)
@@ -330,13 +341,13 @@
 			sum += f.Controls(now).LimitShare
 		}
 		if violated := sum > tt.maxSum || sum < tt.minSum; violated != tt.selfAsRoster {
-			t.Errorf("%s: %.2f N-ths are held, want %v to %v", tt.name, sum, tt.minSum, tt.maxSum)
+			t.Errorf("%s: limit shares sum to %.2f N-ths, want %v to %v", tt.name, sum, tt.minSum, tt.maxSum)
 		}
 	}
 }
 
-// TestRepeats: 300 members that all want to repeat as much as they may stay under the fleet's budget in
-// every second, with a third of them cut off, and with one that has saved up planted for the check.
+// 300 members that retry as much as they may must stay within the fleet's budget in every second, also with a
+// third of them cut off. To check the test itself, a third of the members spends saved retries in one second.
 func TestRetryBudgetFleetWide(t *testing.T) {
 	const n, first = 300, 4.0 // of each class, in half a second
 	peakRetries := func(hoard bool) (peak float64) {
@@ -379,14 +390,15 @@
 	}
 	budget := 0.1 * n * 2 * first * float64(len(testClasses))
 	if got := peakRetries(false); got > budget+3*math.Sqrt(budget) || got < budget/3 {
-		t.Errorf("%.0f repeats in a second, budget %.0f", got, budget)
+		t.Errorf("%.0f retries in a second, budget %.0f", got, budget)
 	}
 	if got := peakRetries(true); got <= budget+3*math.Sqrt(budget) {
-		t.Errorf("planted: %.0f repeats in a second pass, budget %.0f", got, budget)
+		t.Errorf("%.0f retries in a second with hoarded ones pass, budget %.0f", got, budget)
 	}
 }
 
-// FuzzTake: whatever comes, nothing panics and every number stays in its bounds; what is read is written alike.
+// No input makes ReceiveDigest panic or pushes a control out of its bounds; parsed digests survive a round
+// trip.
 func FuzzReceiveDigest(f *testing.F) {
 	f.Add(sampleDigest(true).Append(nil))
 	f.Add(sampleDigest(false).Append(nil))
@@ -403,20 +415,20 @@
 			n := fleets[0].Controls(now)
 			for _, v := range append([]float64{n.Confidence, n.RetryFraction, n.SlowStartFraction, n.LimitShare / maxLimitShare}, n.ShedFraction[:]...) {
 				if !(v >= 0 && v <= 1) {
-					t.Fatalf("numbers %+v", n)
+					t.Fatalf("controls out of bounds: %+v", n)
 				}
 			}
 		}
 		if d, err := ParseDigest(b); err == nil {
 			if again, err := ParseDigest(d.Append(nil)); err != nil || !reflect.DeepEqual(d, again) {
-				t.Fatalf("%+v, then %+v, %v", d, again, err)
+				t.Fatalf("round trip of %+v gives %+v, error %v", d, again, err)
 			}
 		}
 	})
 }
 
-// BenchmarkSecond is what a second costs a member: two tellings, ten looks at its numbers and the digests
-// that it hears.
+// BenchmarkOneSecond measures a member's work for one second: two reports of counters, ten reads of its
+// controls and the digests that it hears.
 func BenchmarkOneSecond(b *testing.B) {
 	for _, heard := range []int{2, 300} {
 		b.Run(fmt.Sprint(heard), func(b *testing.B) {
@@ -442,7 +454,7 @@
 	}
 }
 
-// BenchmarkShed is what the fleet costs a request.
+// BenchmarkShouldShed measures the cost per request.
 func BenchmarkShouldShed(b *testing.B) {
 	n := Standalone()
 	n.ShedFraction[0] = 0.5
--- a/fleet/overload/rules_test.go
+++ b/fleet/overload/rules_test.go
@@ -12,10 +12,11 @@
 	"pgregory.net/rapid"
 )
 
-// This file plays random schedules of loads, partitions, losses, restarts and liars over a few members, and
-// checks the rules over what comes out. Each rule is seen to catch a member that breaks it.
+// This file runs random schedules of load, partitions, message loss, restarts and a faulty member over a few
+// members and checks invariants of the results. A second test shows that each invariant catches a member that
+// violates it.
 
-// node is what the world asks of a member; a planted one overrides a part.
+// node is what the simulation calls of a member. A violating member overrides some of the methods.
 type node interface {
 	SetMembers(Time, int, []Member)
 	ReceiveDigest(Time, []byte) error
@@ -28,11 +29,11 @@
 
 type phase struct {
 	Seconds      int
-	Load         float64 // of the capacity
-	Partition    uint    // members of the other side, by bit
-	Unresponsive uint    // members that hear nobody
+	Load         float64 // of the capacity of all members
+	Partition    uint    // bit set of the members on the other side of a partition
+	Unresponsive uint    // bit set of the members that receive no digests
 	Loss         float64
-	Restart      int // member, or -1
+	Restart      int // member to restart first; negative: none
 }
 
 type schedule struct {
@@ -48,18 +49,18 @@
 	plan := schedule{
 		Seed:    rapid.Uint64().Draw(t, "seed"),
 		Members: rapid.IntRange(4, 12).Draw(t, "members"),
-		Faulty:  rapid.Bool().Draw(t, "liar"),
+		Faulty:  rapid.Bool().Draw(t, "faulty"),
 	}
 	plan.Fanout = rapid.SampledFrom([]int{3, plan.Members}).Draw(t, "fanout")
 	for range plan.Members {
-		plan.Capacities = append(plan.Capacities, rapid.Float64Range(1, 30).Draw(t, "rate"))
+		plan.Capacities = append(plan.Capacities, rapid.Float64Range(1, 30).Draw(t, "capacity"))
 	}
 	for range rapid.IntRange(1, 4).Draw(t, "phases") {
 		plan.Phases = append(plan.Phases, phase{
 			Seconds:      rapid.IntRange(4, 14).Draw(t, "seconds"),
 			Load:         rapid.SampledFrom([]float64{0.5, 0.7, 1.5, 4}).Draw(t, "load"),
-			Partition:    uint(rapid.SampledFrom([]int{0, 0, 1, 3, 7, 21}).Draw(t, "apart")),
-			Unresponsive: uint(rapid.SampledFrom([]int{0, 0, 0, 2}).Draw(t, "deaf")),
+			Partition:    uint(rapid.SampledFrom([]int{0, 0, 1, 3, 7, 21}).Draw(t, "partition")),
+			Unresponsive: uint(rapid.SampledFrom([]int{0, 0, 0, 2}).Draw(t, "unresponsive")),
 			Loss:         rapid.SampledFrom([]float64{0, 0, 0.3, 0.6}).Draw(t, "loss"),
 			Restart:      rapid.IntRange(-3, plan.Members-1).Draw(t, "restart"),
 		})
@@ -79,30 +80,33 @@
 	members       []node
 	view          []Member
 	startedAt     []Time
-	disturbedAt   Time // when not all heard all, last
+	disturbedAt   Time // last time when some members could not hear all others
 	controls      []Controls
-	firstAttempts []float64 // first tries in the last halves, all members
-	retries       []float64 // in halves, and in windows staggered against the members' own seconds
-	noOverload    bool      // no overload so far
+	firstAttempts []float64 // of all members, one entry for each half second
+	retries       []float64 // of all members, one entry for each half second, not aligned to members' seconds
+	noOverload    bool
 	violations    map[string]string
 }
 
-func (w *simulation) fail(rule, format string, args ...any) {
-	if w.violations[rule] == "" {
-		w.violations[rule] = fmt.Sprintf("%v: ", w.now) + fmt.Sprintf(format, args...)
+func (w *simulation) fail(invariant, format string, args ...any) {
+	if w.violations[invariant] == "" {
+		w.violations[invariant] = fmt.Sprintf("%v: ", w.now) + fmt.Sprintf(format, args...)
 	}
 }
 
-// run plays the schedule and returns what was broken, by rule.
-func run(plan schedule, plant func(*Fleet) node) map[string]string {
-	sim := &simulation{schedule: plan, rng: rand.New(rand.NewPCG(plan.Seed, 1)), wrap: plant, noOverload: true, violations: map[string]string{}}
-	if plant == nil {
+// run simulates the schedule and returns the violations by invariant.
+func run(plan schedule, wrap func(*Fleet) node) map[string]string {
+	sim := &simulation{schedule: plan, rng: rand.New(rand.NewPCG(plan.Seed, 1)), wrap: wrap,
+		noOverload: true, violations: map[string]string{}}
+	if wrap == nil {
 		sim.wrap = func(f *Fleet) node { return f }
 	}
 	sim.now = time.Hour
 	for i := range plan.Members {
-		sim.view = append(sim.view, Member{Name: fmt.Sprint("m", i), Zone: fmt.Sprint("z", i%2), Incarnation: 1})
-		sim.members, sim.controls, sim.startedAt = append(sim.members, nil), append(sim.controls, Standalone()), append(sim.startedAt, 0)
+		sim.view = append(sim.view,
+			Member{Name: fmt.Sprint("m", i), Zone: fmt.Sprint("z", i%2), Incarnation: 1})
+		sim.members, sim.controls, sim.startedAt =
+			append(sim.members, nil), append(sim.controls, Standalone()), append(sim.startedAt, 0)
 	}
 	for i := range plan.Members {
 		sim.startMember(i)
@@ -120,7 +124,7 @@
 		}
 		sim.setReachability(0)
 	}
-	// Then nothing is heard any more.
+	// In the end no digest is delivered any more.
 	last := plan.Phases[len(plan.Phases)-1]
 	last.Loss = 1
 	for range 2 * 20 {
@@ -129,7 +133,7 @@
 	for i, n := range sim.controls {
 		n.Episode = 0
 		if n != Standalone() {
-			sim.fail("alone", "%d hears nobody and has %+v", i, n)
+			sim.fail("standalone", "member %d hears no peers and has controls %+v", i, n)
 		}
 	}
 	return sim.violations
@@ -148,12 +152,12 @@
 	}
 }
 
-// see lets membership tell each that the other side is gone.
-func (w *simulation) setReachability(apart uint) {
+// setReachability makes membership report members on the other side of a partition as unreachable.
+func (w *simulation) setReachability(partition uint) {
 	for i, n := range w.members {
 		view := slices.Clone(w.view)
 		for j := range view {
-			if apart>>i&1 != apart>>j&1 {
+			if partition>>i&1 != partition>>j&1 {
 				view[j].State = Unreachable
 			}
 		}
@@ -166,22 +170,23 @@
 	return from != to && side(from) == side(to) && p.Unresponsive>>to&1 == 0 && w.rng.Float64() >= p.Loss
 }
 
-// step is half a second: traffic, counters, digests, and the checks.
+// step simulates half a second of traffic, counters and digests, and checks the invariants.
 func (w *simulation) step(p phase) {
 	w.noOverload = w.noOverload && p.Load < 0.9
 	capacity, admitted := 0.0, make([]float64, w.Members)
 	for i := range w.members {
 		capacity += w.Capacities[i]
-		for _, cut := range w.controls[i].ShedFraction[:3] {
-			admitted[i] += w.Capacities[i] * p.Load / 3 * (1 - cut)
+		for _, shed := range w.controls[i].ShedFraction[:3] {
+			admitted[i] += w.Capacities[i] * p.Load / 3 * (1 - shed)
 		}
 	}
 	totalAdmitted := 0.0
 	for _, a := range admitted {
 		totalAdmitted += a
 	}
-	share, latencyRatio := min(1, capacity/totalAdmitted), 0.3+0.7*min(1, totalAdmitted/capacity)*min(1, totalAdmitted/capacity)
-	sum, repeats := 0.0, 0.0
+	share, latencyRatio := min(1, capacity/totalAdmitted),
+		0.3+0.7*min(1, totalAdmitted/capacity)*min(1, totalAdmitted/capacity)
+	sum, retries := 0.0, 0.0
 	for i, n := range w.members {
 		c := Counters{LatencySamples: admitted[i] * share / 2}
 		c.LatencyRatioSum = c.LatencySamples * latencyRatio
@@ -192,22 +197,22 @@
 			c.Refused = append(c.Refused, admittedNow*(1-share))
 			sum += offered
 		}
-		for tries := range 20 { // all want to repeat whatever they may
+		for tries := range 20 { // all members retry as much as they may
 			if n.AllowRetry(w.now + Time(tries)*time.Millisecond) {
 				c.Retries++
-				repeats++
+				retries++
 			}
 		}
 		n.AddCounters(w.now, c)
 	}
-	w.firstAttempts, w.retries = append(w.firstAttempts, sum), append(w.retries, repeats)
+	w.firstAttempts, w.retries = append(w.firstAttempts, sum), append(w.retries, retries)
 	for i, n := range w.members {
 		if w.now/halfSecond%2 == Time(i%2) {
 			w.sendDigest(p, i, n.NextDigest(w.now))
 		}
 	}
 	w.now += halfSecond
-	w.check(p)
+	w.checkInvariants(p)
 }
 
 func (w *simulation) sendDigest(p phase, from int, b []byte) {
@@ -223,14 +228,15 @@
 			w.members[to].ReceiveDigest(w.now, b)
 			if w.rng.IntN(4) == 0 {
 				if w.members[to].ReceiveDigest(w.now+time.Millisecond, b) == nil {
-					w.fail("once", "a doubled digest was taken")
+					w.fail("duplicates", "a duplicate digest was accepted")
 				}
 			}
 		}
 	}
 }
 
-// lie says what a broken member may: a multiple of its traffic, all of it turned away, nothing served.
+// faultyDigest changes a digest to what a faulty member may send: a multiple of its traffic, all of it
+// refused, nothing served.
 func faultyDigest(b []byte) []byte {
 	d, _ := ParseDigest(b)
 	for i := range d.Classes {
@@ -242,7 +248,7 @@
 	return d.Append(nil)
 }
 
-func (w *simulation) check(p phase) {
+func (w *simulation) checkInvariants(p phase) {
 	shares, rise := 0.0, [3]float64{}
 	probers := map[string]int{}
 	totalCapacity := 0.0
@@ -252,66 +258,69 @@
 		shares += after.LimitShare
 		totalCapacity += w.Capacities[i]
 		if w.now-w.startedAt[i] <= time.Second && after.LimitShare > 1 {
-			w.fail("restart", "%d starts with %.2f N-ths", i, after.LimitShare)
+			w.fail("restart", "member %d starts with a limit share of %.2f N-ths", i, after.LimitShare)
 		}
 		for k := range rise {
 			rise[k] += w.Capacities[i] * max(0, before.ShedFraction[k]-after.ShedFraction[k])
 		}
-		if after.RetryFraction > 1 || after.SlowStartFraction > 1 || after.RetryFraction < 0 || math.IsNaN(after.LimitShare) ||
+		if after.RetryFraction > 1 || after.SlowStartFraction > 1 || after.RetryFraction < 0 ||
+			math.IsNaN(after.LimitShare) ||
 			slices.ContainsFunc(after.ShedFraction[:], func(c float64) bool { return !(c >= 0 && c <= 1) }) {
-			w.fail("bounds", "%d has %+v", i, after)
+			w.fail("bounds", "member %d has controls %+v", i, after)
 		}
-		if w.Faulty && w.noOverload && i < w.Members-1 && (after.ShedFraction[2] > 0 || after.RetryFraction < minRetryFraction || after.LimitShare < 0.05) {
-			w.fail("liar", "%d believes a broken member: %+v", i, after)
+		if w.Faulty && w.noOverload && i < w.Members-1 &&
+			(after.ShedFraction[2] > 0 || after.RetryFraction < minRetryFraction || after.LimitShare < 0.05) {
+			w.fail("faulty member", "member %d follows a faulty member: %+v", i, after)
 		}
-		// A broken member is not heard, and another makes its trials beside it.
+		// The faulty member's digests are dropped, so another member makes its probes, too.
 		if after.Confidence == 1 && !(w.Faulty && i == w.Members-1) && n.MayProbe(w.now, "b", w.view[i].Zone) {
 			probers[w.view[i].Zone]++
 		}
 	}
 	if most := float64(w.Members) * (1 + maxFreedFraction + limitShareSlack); shares > most {
-		w.fail("whole", "%.2f N-ths of %d are held", shares, w.Members)
+		w.fail("limit sum", "limit shares sum to %.2f N-ths of %d", shares, w.Members)
 	}
 	for k := range rise {
 		if rise[k] > totalCapacity*(shedFall*halfSecond.Seconds()*1.2+0.01) && p.Loss < 1 {
-			w.fail("opens", "class %d: %.2f of all open in half a second", k, rise[k]/totalCapacity)
+			w.fail("shed fall", "class %d: %.2f of all traffic is readmitted in half a second", k, rise[k]/totalCapacity)
 		}
 	}
-	// Who is apart, or heard badly, may see another owner; where all hear all there is one a zone.
+	// In a partition or with lost digests members may see different probers; otherwise there is one per zone.
 	if p.Partition != 0 || p.Unresponsive != 0 || p.Loss != 0 || w.Fanout != w.Members {
 		w.disturbedAt = w.now
 	}
 	if w.now-w.disturbedAt > 6*time.Second {
 		for zone, n := range probers {
 			if n > 1 {
-				w.fail("trials", "%d members of %s try one backend", n, zone)
+				w.fail("probes", "%d members of zone %s probe one backend", n, zone)
 			}
 		}
 	}
 	if n := len(w.firstAttempts); n >= 4 {
-		first, repeats := max(w.firstAttempts[n-2]+w.firstAttempts[n-1], w.firstAttempts[n-4]+w.firstAttempts[n-3]), w.retries[n-2]+w.retries[n-1]
+		first, retries := max(w.firstAttempts[n-2]+w.firstAttempts[n-1], w.firstAttempts[n-4]+w.firstAttempts[n-3]),
+			w.retries[n-2]+w.retries[n-1]
 		budget := 0.1 * first
-		if repeats > budget+3*math.Sqrt(budget)+1 {
-			w.fail("repeats", "%.0f repeats in a second of %.0f first tries", repeats, first)
+		if retries > budget+3*math.Sqrt(budget)+1 {
+			w.fail("retries", "%.0f retries in a second with %.0f first attempts", retries, first)
 		}
 	}
 }
 
-// partSlack is what the parts may sum to over the whole besides what the dead left, while the sides of a
-// partition come to know of it at different moments.
+// limitShareSlack is how far the sum of the limit shares may exceed the whole, besides what unreachable
+// members free, while the sides of a partition learn of it at different times.
 const limitShareSlack = 0.2
 
 func TestInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		for rule, fault := range run(drawSchedule(t), nil) {
-			t.Errorf("%s: %s", rule, fault)
+		for invariant, violation := range run(drawSchedule(t), nil) {
+			t.Errorf("%s: %s", invariant, violation)
 		}
 	})
 }
 
-// The planted members, each of which breaks one rule.
+// Members that each violate one invariant.
 
-type overallocator struct{ *Fleet } // takes all of the limit for those that it hears
+type overallocator struct{ *Fleet } // claims the whole limit for the members that it hears
 
 func (n overallocator) Controls(now Time) Controls {
 	is := n.Fleet.Controls(now)
@@ -319,14 +328,14 @@
 	return is
 }
 
-type retryHoarder struct { // repeats what it has saved up
+type retryHoarder struct { // saves unused retries and spends them later
 	*Fleet
 	savedRetries *float64
 }
 
-func (n retryHoarder) AddCounters(now Time, c Counters) {
-	n.Fleet.AddCounters(now, c)
-	*n.savedRetries = min(10, *n.savedRetries+0.1*(c.FirstAttempts[0]+c.FirstAttempts[1]+c.FirstAttempts[2]))
+func (n retryHoarder) AddCounters(now Time, counters Counters) {
+	n.Fleet.AddCounters(now, counters)
+	*n.savedRetries = min(10, *n.savedRetries+0.1*(counters.FirstAttempts[0]+counters.FirstAttempts[1]+counters.FirstAttempts[2]))
 }
 
 func (n retryHoarder) AllowRetry(now Time) bool {
@@ -337,11 +346,11 @@
 	return true
 }
 
-type alwaysProber struct{ *Fleet } // tries every backend by itself
+type alwaysProber struct{ *Fleet } // probes every backend
 
 func (n alwaysProber) MayProbe(Time, string, string) bool { return true }
 
-type instantReopener struct{ *Fleet } // opens up at once
+type instantReopener struct{ *Fleet } // stops shedding at once
 
 func (n instantReopener) Controls(now Time) Controls {
 	is := n.Fleet.Controls(now)
@@ -351,7 +360,7 @@
 	return is
 }
 
-type inheritor struct{ *Fleet } // starts with the part of the life before
+type inheritor struct{ *Fleet } // starts with the limit share of its previous incarnation
 
 func (n inheritor) Controls(now Time) Controls {
 	is := n.Fleet.Controls(now)
@@ -361,7 +370,7 @@
 	return is
 }
 
-type staleHolder struct { // keeps its numbers though it hears nobody
+type staleHolder struct { // keeps its controls without hearing peers
 	*Fleet
 	lastControls *Controls
 }
@@ -373,7 +382,7 @@
 	return *n.lastControls
 }
 
-type gullible struct { // sheds what the worst tells
+type gullible struct { // sheds by the worst report of a single peer
 	*Fleet
 	shedFraction *float64
 }
@@ -392,16 +401,17 @@
 	return is
 }
 
-type duplicateAccepter struct{ *Fleet } // takes what it has taken before
+type duplicateAccepter struct{ *Fleet } // accepts duplicate and older digests
 
 func (n duplicateAccepter) ReceiveDigest(now Time, b []byte) error {
-	if err := n.Fleet.ReceiveDigest(now, b); err != nil && !strings.Contains(err.Error(), ErrStaleDigest.Error()) {
+	if err := n.Fleet.ReceiveDigest(now, b); err != nil &&
+		!strings.Contains(err.Error(), ErrStaleDigest.Error()) {
 		return err
 	}
 	return nil
 }
 
-type overGranter struct{ *Fleet } // gives itself more than a member alone may
+type overGranter struct{ *Fleet } // allows more than a standalone member may
 
 func (n overGranter) Controls(now Time) Controls {
 	is := n.Fleet.Controls(now)
@@ -416,26 +426,26 @@
 	overload, split, restart := normal, normal, normal
 	overload.Load, split.Partition, restart.Restart = 4, 21, 2
 	plan.Phases = []phase{normal, overload, normal, split, restart, normal}
-	if faults := run(plan, nil); len(faults) > 0 {
-		t.Fatalf("without a plant: %v", faults)
+	if violations := run(plan, nil); len(violations) > 0 {
+		t.Fatalf("unmodified members violate invariants: %v", violations)
 	}
 	tests := []struct {
-		rule  string
-		plant func(*Fleet) node
+		invariant string
+		wrap      func(*Fleet) node
 	}{
-		{"whole", func(f *Fleet) node { return overallocator{f} }},
-		{"repeats", func(f *Fleet) node { return retryHoarder{f, new(float64)} }},
-		{"trials", func(f *Fleet) node { return alwaysProber{f} }},
-		{"opens", func(f *Fleet) node { return instantReopener{f} }},
+		{"limit sum", func(f *Fleet) node { return overallocator{f} }},
+		{"retries", func(f *Fleet) node { return retryHoarder{f, new(float64)} }},
+		{"probes", func(f *Fleet) node { return alwaysProber{f} }},
+		{"shed fall", func(f *Fleet) node { return instantReopener{f} }},
 		{"restart", func(f *Fleet) node { return inheritor{f} }},
-		{"alone", func(f *Fleet) node { return staleHolder{f, &Controls{}} }},
-		{"liar", func(f *Fleet) node { return gullible{f, new(float64)} }},
-		{"once", func(f *Fleet) node { return duplicateAccepter{f} }},
+		{"standalone", func(f *Fleet) node { return staleHolder{f, &Controls{}} }},
+		{"faulty member", func(f *Fleet) node { return gullible{f, new(float64)} }},
+		{"duplicates", func(f *Fleet) node { return duplicateAccepter{f} }},
 		{"bounds", func(f *Fleet) node { return overGranter{f} }},
 	}
 	for _, tt := range tests {
-		if faults := run(plan, tt.plant); faults[tt.rule] == "" {
-			t.Errorf("%s: a planted violation was not caught; caught: %v", tt.rule, faults)
+		if violations := run(plan, tt.wrap); violations[tt.invariant] == "" {
+			t.Errorf("%s: the violation was not caught; caught: %v", tt.invariant, violations)
 		}
 	}
 }
