--- a/fleet/overload/estimate.go
+++ b/fleet/overload/estimate.go
@@ -6,9 +6,9 @@
 // the weights.
 func (f *Fleet) weighPeers(now Time) (sum float64) {
 	f.heardPeers, f.weights = f.heardPeers[:0], f.weights[:0]
-	for _, e := range f.peers {
-		if weight := f.peerWeight(now, e); weight > 0 {
-			f.heardPeers, f.weights = append(f.heardPeers, e), append(f.weights, weight)
+	for _, p := range f.peers {
+		if weight := f.peerWeight(now, p); weight > 0 {
+			f.heardPeers, f.weights = append(f.heardPeers, p), append(f.weights, weight)
 			sum += weight
 		}
 	}
@@ -28,8 +28,8 @@
 func (f *Fleet) medianOf(field func(own *Vector, d *Digest) float64) float64 {
 	values := make([]float64, 0, len(f.heardPeers)+1)
 	values = append(values, field(&f.ownRates, nil))
-	for _, e := range f.heardPeers {
-		values = append(values, field(&e.digest.Own, e.digest))
+	for _, p := range f.heardPeers {
+		values = append(values, field(&p.digest.Own, p.digest))
 	}
 	return lowerMedian(values)
 }
@@ -38,8 +38,8 @@
 // uneven traffic the median would hide the few members that carry most of it and refuse the most.
 func (f *Fleet) corroboratedTraffic() float64 {
 	traffic := []float64{f.ownRates.totalFirstAttempts()}
-	for _, e := range f.heardPeers {
-		traffic = append(traffic, e.digest.Own.totalFirstAttempts())
+	for _, p := range f.heardPeers {
+		traffic = append(traffic, p.digest.Own.totalFirstAttempts())
 	}
 	return corroboratedMax(traffic)
 }
@@ -53,11 +53,11 @@
 }
 
 // offeredCost returns the work offered per second: the first attempts weighted by the cost of their class.
-func (f *Fleet) offeredCost(v *Vector) (work float64) {
+func (f *Fleet) offeredCost(v *Vector) (cost float64) {
 	for i, c := range f.settings.Classes {
-		work += c.Cost * v.FirstAttempts[i]
+		cost += c.Cost * v.FirstAttempts[i]
 	}
-	return work
+	return cost
 }
 
 // vectorBounds clips reported vectors to a few times what most members report.
@@ -141,8 +141,8 @@
 	var layer Vector
 	latencyRatios, refused, retries :=
 		[]float64{meanLatencyRatio(&own)}, []float64{f.refusedFractionOf(&own)}, []float64{retryRatioOf(&own)}
-	for i, e := range f.heardPeers {
-		v := bounds.clamp(e.digest.Own)
+	for i, p := range f.heardPeers {
+		v := bounds.clamp(p.digest.Own)
 		layer.addScaled(&v, f.weights[i]/sum)
 		if v.ServedCost > 0 {
 			latencyRatios = append(latencyRatios, meanLatencyRatio(&v))
@@ -182,9 +182,9 @@
 	if f.admittedFraction < 1 {
 		fractions = append(fractions, f.admittedFraction)
 	}
-	for _, e := range f.heardPeers {
-		if e.digest.Own.AdmittedFraction < 1 {
-			fractions = append(fractions, e.digest.Own.AdmittedFraction)
+	for _, p := range f.heardPeers {
+		if p.digest.Own.AdmittedFraction < 1 {
+			fractions = append(fractions, p.digest.Own.AdmittedFraction)
 		}
 	}
 	if 2*len(fractions) <= memberCount {
@@ -198,8 +198,8 @@
 func (f *Fleet) secondLayerMean(sum float64, layer *Vector) Vector {
 	n := len(f.settings.Classes)
 	peerMeans := make([]Vector, len(f.heardPeers))
-	for i, e := range f.heardPeers {
-		if peerMeans[i] = e.digest.PeerMean; peerMeans[i] == (Vector{}) {
+	for i, p := range f.heardPeers {
+		if peerMeans[i] = p.digest.PeerMean; peerMeans[i] == (Vector{}) {
 			peerMeans[i] = *layer
 		}
 	}
@@ -278,8 +278,8 @@
 // heard directly count: where members hear few peers, no share is freed this way.
 func (f *Fleet) updateAgreement(now Time) {
 	agreeing := 1
-	for i, e := range f.heardPeers {
-		if f.weights[i] > 0.5 && !e.digest.Compact && e.digest.UnreachableHash == f.unreachableHash {
+	for i, p := range f.heardPeers {
+		if f.weights[i] > 0.5 && !p.digest.Compact && p.digest.UnreachableHash == f.unreachableHash {
 			agreeing++
 		}
 	}
--- a/fleet/overload/numbers.go
+++ b/fleet/overload/numbers.go
@@ -180,9 +180,9 @@
 		}
 	}
 	ownScore, majorityHeard := rendezvousScore(f.self.hash, hash), 2*len(f.heardPeers) >= f.rosterSize-1
-	for _, e := range f.peers {
-		if e.Zone == zone && (!majorityHeard || f.peerWeight(now, e) > 0) &&
-			rendezvousScore(e.hash, hash) > ownScore {
+	for _, p := range f.peers {
+		if p.Zone == zone && (!majorityHeard || f.peerWeight(now, p) > 0) &&
+			rendezvousScore(p.hash, hash) > ownScore {
 			return false
 		}
 	}
--- a/fleet/overload/overload.go
+++ b/fleet/overload/overload.go
@@ -33,28 +33,26 @@
 // concurrency limit among the N members of the roster. A latency ratio is latency over its target.
 const (
 	// Bounds on what one member reports, as multiples of the median or as fractions.
-	maxMedianRatio     = 4.0   // clips a member's traffic in sums: tells faulty members from busy ones
+	maxMedianRatio     = 4.0   // medians that one member counts for in sums: bounds faulty, admits busy ones
 	outlierMedianRatio = 100.0 // a digest with more traffic than this many medians is dropped
 	minServedRatio     = 0.5   // a member is assumed to serve at least this fraction of the median ratio
 	maxReportedRatio   = 2     // caps means at this multiple of what reporterFraction of the members report
-	reporterFraction   = 0.2   // members that must report overload, so that a few can't make one up
+	reporterFraction   = 0.2   // of the members must report overload, so that a few can't make one up
 
 	// Estimates over the fleet.
-	// Peers to be heard for full confidence, if the fleet has as many.
-	minPeersHeard = 3
-	// A first layer that differs by this factor is a change, not sampling noise.
-	changeFactor       = 2.2
-	secondLayerSeconds = 2.0                    // averaging time of the second layer's means, in seconds
+	minPeersHeard      = 3   // peers to be heard for full confidence, if the fleet has as many
+	changeFactor       = 2.2 // a first layer that differs by this factor is a change, not sampling noise
+	secondLayerSeconds = 2.0 // averaging time of the second layer's means, in seconds
+
+	// Times and clocks.
 	smoothingTime      = 600 * time.Millisecond // time constant of the mean rates
 	retrySmoothingTime = 10 * time.Second       // time constant of the mean rate of retries
 	minStep            = 100 * time.Millisecond // shortest interval between two updates
 	sequenceUnit       = 10 * time.Millisecond  // of the sender's clock, as carried in a digest
-	// Between two clocks; old transit times are forgotten this fast.
-	maxClockDrift = 1e-3
+	maxClockDrift      = 1e-3                   // between clocks; old transit times fade at this rate
 
 	// Share of the concurrency limit, in N-ths where no fraction is named.
-	// Of the whole limit, freed by unreachable members: bounds a partition's excess.
-	maxFreedFraction    = 0.1
+	maxFreedFraction    = 0.1  // of the limit, freed by unreachable members: bounds a partition's excess
 	evenShareFraction   = 0.1  // of the limit, split evenly: a quiet member can serve its first requests
 	maxLimitShare       = 16.0 // of one member
 	minReports          = 3    // reports of counters before the share follows them
@@ -192,8 +190,8 @@
 	refusedFraction  float64 // of the offered work, by concurrency limits
 	retryRatio       float64 // retries per first attempt
 	lastAdvance      Time
-	confidence       float64
-	limitShare       float64
+	confidence       float64 // in the peers' reports, 0 to 1
+	limitShare       float64 // own share of the concurrency limit, in N-ths
 	excessRetained   float64 // of the share above one N-th; falls while members hold more than the whole
 	retryFraction    float64
 	shedFraction     [MaxClasses]float64
@@ -282,13 +280,13 @@
 			f.unreachableHash ^= hash
 			continue
 		}
-		e := previous[hash]
-		if e == nil || e.Incarnation != m.Incarnation {
-			e = &peer{hash: hash}
+		p := previous[hash]
+		if p == nil || p.Incarnation != m.Incarnation {
+			p = &peer{hash: hash}
 		}
-		e.Member = m
-		f.peersByHash[hash] = e
-		f.peers = append(f.peers, e)
+		p.Member = m
+		f.peersByHash[hash] = p
+		f.peers = append(f.peers, p)
 	}
 	slices.SortFunc(f.peers, func(x, y *peer) int { return cmp.Compare(x.hash, y.hash) })
 	f.heardPeers, f.weights = nil, nil
@@ -364,7 +362,7 @@
 	if f.ownRates == (Vector{}) {
 		weight = 1
 	}
-	follow := func(mean *float64, count float64) { *mean += weight * (sanitize(count)/seconds - *mean) }
+	updateMean := func(mean *float64, count float64) { *mean += weight * (sanitize(count)/seconds - *mean) }
 	countOf := func(counts []float64, i int) float64 {
 		if i < len(counts) {
 			return sanitize(counts[i])
@@ -373,9 +371,9 @@
 	}
 	servedCost, refusedCost := 0.0, 0.0
 	for i, class := range f.settings.Classes {
-		follow(&f.ownRates.FirstAttempts[i], countOf(counters.FirstAttempts, i))
-		follow(&f.ownDetail.Served[i], countOf(counters.Served, i))
-		follow(&f.ownDetail.Refused[i], countOf(counters.Refused, i))
+		updateMean(&f.ownRates.FirstAttempts[i], countOf(counters.FirstAttempts, i))
+		updateMean(&f.ownDetail.Served[i], countOf(counters.Served, i))
+		updateMean(&f.ownDetail.Refused[i], countOf(counters.Refused, i))
 		servedCost += countOf(counters.Served, i) * class.Cost
 		refusedCost += countOf(counters.Refused, i) * class.Cost
 	}
@@ -383,13 +381,13 @@
 	if counters.LatencySamples > 0 {
 		latencyRatio = min(4, sanitize(counters.LatencyRatioSum)/counters.LatencySamples)
 	}
-	follow(&f.ownRates.ServedCost, servedCost)
-	follow(&f.ownRates.WeightedLatency, servedCost*latencyRatio)
-	follow(&f.ownRates.RefusedCost, refusedCost)
+	updateMean(&f.ownRates.ServedCost, servedCost)
+	updateMean(&f.ownRates.WeightedLatency, servedCost*latencyRatio)
+	updateMean(&f.ownRates.RefusedCost, refusedCost)
 	// A member makes few retries: over a shorter time a single one would look like far too many.
 	f.ownRates.Retries += (1 - math.Exp(-float64(elapsed)/float64(retrySmoothingTime))) *
 		(sanitize(counters.Retries)/seconds - f.ownRates.Retries)
-	follow(&f.ownDetail.Probes, counters.Probes)
+	updateMean(&f.ownDetail.Probes, counters.Probes)
 	f.ownDetail.SlowStart, f.ownDetail.InFlight = sanitize(counters.SlowStart), sanitize(counters.InFlight)
 	f.retryLimiter.recordRate(now, countOf, counters.FirstAttempts, seconds)
 	f.advance(now)
--- a/fleet/overload/overload_test.go
+++ b/fleet/overload/overload_test.go
@@ -140,7 +140,7 @@
 		}), ErrStaleDigest},
 		{"reordered", digest(func(d *Digest) { d.Sequence = 1 }), ErrStaleDigest},
 		{"older incarnation", digest(func(d *Digest) { d.Incarnation = 1 }), ErrUnknownMember},
-		{"incarnation unknown to membership", digest(func(d *Digest) { d.Incarnation = 3 }), ErrUnknownMember},
+		{"unknown incarnation", digest(func(d *Digest) { d.Incarnation = 3 }), ErrUnknownMember},
 		{"unknown sender", digest(func(d *Digest) { d.Sender++ }), ErrUnknownMember},
 		{"own digest, reflected", digest(func(d *Digest) { d.Sender = f.self.hash }), ErrUnknownMember},
 		{"outlier", digest(func(d *Digest) { d.Own.FirstAttempts[0] = math.Inf(1) }), ErrOutlier},
@@ -191,7 +191,8 @@
 // Invalid counters (NaN, negative or infinite) count as 0.
 func TestMalformedCounters(t *testing.T) {
 	fleets, _ := newFleets(1)
-	bad := Counters{FirstAttempts: []float64{math.NaN(), -5, math.Inf(1), 7, 8}, LatencyRatioSum: math.NaN(), LatencySamples: 1, Retries: -1}
+	bad := Counters{FirstAttempts: []float64{math.NaN(), -5, math.Inf(1), 7, 8},
+		LatencyRatioSum: math.NaN(), LatencySamples: 1, Retries: -1}
 	fleets[0].AddCounters(halfSecond, bad)
 	if f := fleets[0]; f.ownRates != (Vector{}) || f.Controls(halfSecond) != Standalone() {
 		t.Errorf("invalid counters give rates %+v", f.ownRates)
@@ -274,8 +275,8 @@
 func TestOneProberPerZone(t *testing.T) {
 	for _, n := range []int{10, 300} {
 		fleets, _ := newFleets(n)
-		notNear := func(i, j int) bool { return n > 10 && (j-i+n)%n > 4 } // with 300 members each hears a few
-		now := exchangeDigests(fleets, halfSecond, 4*time.Second, testCounters(5, 0), notNear)
+		outOfReach := func(i, j int) bool { return n > 10 && (j-i+n)%n > 4 } // of 300, each hears a few
+		now := exchangeDigests(fleets, halfSecond, 4*time.Second, testCounters(5, 0), outOfReach)
 		probers := func(backend string) (who []int) {
 			for i, f := range fleets {
 				if f.MayProbe(now, backend, f.self.Zone) {
@@ -354,8 +355,8 @@
 		fleets, _ := newFleets(n)
 		rng := rand.New(rand.NewPCG(3, 3))
 		var retryTimes []Time
-		notNear := func(i, j int) bool { return (j-i+n)%n > 4 }
-		now := exchangeDigests(fleets, halfSecond, 3*time.Second, testCounters(first, 0), notNear)
+		outOfReach := func(i, j int) bool { return (j-i+n)%n > 4 }
+		now := exchangeDigests(fleets, halfSecond, 3*time.Second, testCounters(first, 0), outOfReach)
 		for step := range 60 {
 			if step%5 == 0 {
 				for _, f := range fleets {
@@ -413,7 +414,8 @@
 			fleets[0].ReceiveDigest(now, b)
 			fleets[0].ReceiveDigest(now, fleets[2].NextDigest(now))
 			n := fleets[0].Controls(now)
-			for _, v := range append([]float64{n.Confidence, n.RetryFraction, n.SlowStartFraction, n.LimitShare / maxLimitShare}, n.ShedFraction[:]...) {
+			for _, v := range append([]float64{n.Confidence, n.RetryFraction, n.SlowStartFraction,
+				n.LimitShare / maxLimitShare}, n.ShedFraction[:]...) {
 				if !(v >= 0 && v <= 1) {
 					t.Fatalf("controls out of bounds: %+v", n)
 				}
--- a/fleet/overload/rules_test.go
+++ b/fleet/overload/rules_test.go
@@ -31,7 +31,7 @@
 	Seconds      int
 	Load         float64 // of the capacity of all members
 	Partition    uint    // bit set of the members on the other side of a partition
-	Unresponsive uint    // bit set of the members that receive no digests
+	ReceivesNone uint    // bit set of the members that receive no digests
 	Loss         float64
 	Restart      int // member to restart first; negative: none
 }
@@ -60,7 +60,7 @@
 			Seconds:      rapid.IntRange(4, 14).Draw(t, "seconds"),
 			Load:         rapid.SampledFrom([]float64{0.5, 0.7, 1.5, 4}).Draw(t, "load"),
 			Partition:    uint(rapid.SampledFrom([]int{0, 0, 1, 3, 7, 21}).Draw(t, "partition")),
-			Unresponsive: uint(rapid.SampledFrom([]int{0, 0, 0, 2}).Draw(t, "unresponsive")),
+			ReceivesNone: uint(rapid.SampledFrom([]int{0, 0, 0, 2}).Draw(t, "receives none")),
 			Loss:         rapid.SampledFrom([]float64{0, 0, 0.3, 0.6}).Draw(t, "loss"),
 			Restart:      rapid.IntRange(-3, plan.Members-1).Draw(t, "restart"),
 		})
@@ -167,7 +167,7 @@
 
 func (w *simulation) delivers(p phase, from, to int) bool {
 	side := func(i int) uint { return p.Partition >> i & 1 }
-	return from != to && side(from) == side(to) && p.Unresponsive>>to&1 == 0 && w.rng.Float64() >= p.Loss
+	return from != to && side(from) == side(to) && p.ReceivesNone>>to&1 == 0 && w.rng.Float64() >= p.Loss
 }
 
 // step simulates half a second of traffic, counters and digests, and checks the invariants.
@@ -184,18 +184,19 @@
 	for _, a := range admitted {
 		totalAdmitted += a
 	}
-	share, latencyRatio := min(1, capacity/totalAdmitted),
+	servedFraction, latencyRatio := min(1, capacity/totalAdmitted),
 		0.3+0.7*min(1, totalAdmitted/capacity)*min(1, totalAdmitted/capacity)
-	sum, retries := 0.0, 0.0
+	firstAttempts, retries := 0.0, 0.0
 	for i, n := range w.members {
-		c := Counters{LatencySamples: admitted[i] * share / 2}
+		c := Counters{LatencySamples: admitted[i] * servedFraction / 2}
 		c.LatencyRatioSum = c.LatencySamples * latencyRatio
 		for k := range 3 {
 			offered := w.Capacities[i] * p.Load / 3 / 2
 			admittedNow := offered * (1 - w.controls[i].ShedFraction[k])
-			c.FirstAttempts, c.Served = append(c.FirstAttempts, offered), append(c.Served, admittedNow*share)
-			c.Refused = append(c.Refused, admittedNow*(1-share))
-			sum += offered
+			c.FirstAttempts, c.Served =
+				append(c.FirstAttempts, offered), append(c.Served, admittedNow*servedFraction)
+			c.Refused = append(c.Refused, admittedNow*(1-servedFraction))
+			firstAttempts += offered
 		}
 		for tries := range 20 { // all members retry as much as they may
 			if n.AllowRetry(w.now + Time(tries)*time.Millisecond) {
@@ -205,7 +206,7 @@
 		}
 		n.AddCounters(w.now, c)
 	}
-	w.firstAttempts, w.retries = append(w.firstAttempts, sum), append(w.retries, retries)
+	w.firstAttempts, w.retries = append(w.firstAttempts, firstAttempts), append(w.retries, retries)
 	for i, n := range w.members {
 		if w.now/halfSecond%2 == Time(i%2) {
 			w.sendDigest(p, i, n.NextDigest(w.now))
@@ -249,7 +250,7 @@
 }
 
 func (w *simulation) checkInvariants(p phase) {
-	shares, rise := 0.0, [3]float64{}
+	shares, readmitted := 0.0, [3]float64{}
 	probers := map[string]int{}
 	totalCapacity := 0.0
 	for i, n := range w.members {
@@ -260,8 +261,8 @@
 		if w.now-w.startedAt[i] <= time.Second && after.LimitShare > 1 {
 			w.fail("restart", "member %d starts with a limit share of %.2f N-ths", i, after.LimitShare)
 		}
-		for k := range rise {
-			rise[k] += w.Capacities[i] * max(0, before.ShedFraction[k]-after.ShedFraction[k])
+		for k := range readmitted {
+			readmitted[k] += w.Capacities[i] * max(0, before.ShedFraction[k]-after.ShedFraction[k])
 		}
 		if after.RetryFraction > 1 || after.SlowStartFraction > 1 || after.RetryFraction < 0 ||
 			math.IsNaN(after.LimitShare) ||
@@ -273,20 +274,22 @@
 			w.fail("faulty member", "member %d follows a faulty member: %+v", i, after)
 		}
 		// The faulty member's digests are dropped, so another member makes its probes, too.
-		if after.Confidence == 1 && !(w.Faulty && i == w.Members-1) && n.MayProbe(w.now, "b", w.view[i].Zone) {
+		if after.Confidence == 1 && !(w.Faulty && i == w.Members-1) &&
+			n.MayProbe(w.now, "b", w.view[i].Zone) {
 			probers[w.view[i].Zone]++
 		}
 	}
-	if most := float64(w.Members) * (1 + maxFreedFraction + limitShareSlack); shares > most {
+	if maxSum := float64(w.Members) * (1 + maxFreedFraction + limitShareSlack); shares > maxSum {
 		w.fail("limit sum", "limit shares sum to %.2f N-ths of %d", shares, w.Members)
 	}
-	for k := range rise {
-		if rise[k] > totalCapacity*(shedFall*halfSecond.Seconds()*1.2+0.01) && p.Loss < 1 {
-			w.fail("shed fall", "class %d: %.2f of all traffic is readmitted in half a second", k, rise[k]/totalCapacity)
+	for k := range readmitted {
+		if readmitted[k] > totalCapacity*(shedFall*halfSecond.Seconds()*1.2+0.01) && p.Loss < 1 {
+			w.fail("shed fall", "class %d: %.2f of all traffic is readmitted in half a second",
+				k, readmitted[k]/totalCapacity)
 		}
 	}
 	// In a partition or with lost digests members may see different probers; otherwise there is one per zone.
-	if p.Partition != 0 || p.Unresponsive != 0 || p.Loss != 0 || w.Fanout != w.Members {
+	if p.Partition != 0 || p.ReceivesNone != 0 || p.Loss != 0 || w.Fanout != w.Members {
 		w.disturbedAt = w.now
 	}
 	if w.now-w.disturbedAt > 6*time.Second {
@@ -297,7 +300,8 @@
 		}
 	}
 	if n := len(w.firstAttempts); n >= 4 {
-		first, retries := max(w.firstAttempts[n-2]+w.firstAttempts[n-1], w.firstAttempts[n-4]+w.firstAttempts[n-3]),
+		first, retries := max(w.firstAttempts[n-2]+w.firstAttempts[n-1],
+			w.firstAttempts[n-4]+w.firstAttempts[n-3]),
 			w.retries[n-2]+w.retries[n-1]
 		budget := 0.1 * first
 		if retries > budget+3*math.Sqrt(budget)+1 {
@@ -323,9 +327,9 @@
 type overallocator struct{ *Fleet } // claims the whole limit for the members that it hears
 
 func (n overallocator) Controls(now Time) Controls {
-	is := n.Fleet.Controls(now)
-	is.LimitShare *= float64(n.rosterSize) / float64(1+len(n.heardPeers))
-	return is
+	controls := n.Fleet.Controls(now)
+	controls.LimitShare *= float64(n.rosterSize) / float64(1+len(n.heardPeers))
+	return controls
 }
 
 type retryHoarder struct { // saves unused retries and spends them later
@@ -335,7 +339,8 @@
 
 func (n retryHoarder) AddCounters(now Time, counters Counters) {
 	n.Fleet.AddCounters(now, counters)
-	*n.savedRetries = min(10, *n.savedRetries+0.1*(counters.FirstAttempts[0]+counters.FirstAttempts[1]+counters.FirstAttempts[2]))
+	*n.savedRetries = min(10, *n.savedRetries+
+		0.1*(counters.FirstAttempts[0]+counters.FirstAttempts[1]+counters.FirstAttempts[2]))
 }
 
 func (n retryHoarder) AllowRetry(now Time) bool {
@@ -353,41 +358,41 @@
 type instantReopener struct{ *Fleet } // stops shedding at once
 
 func (n instantReopener) Controls(now Time) Controls {
-	is := n.Fleet.Controls(now)
+	controls := n.Fleet.Controls(now)
 	if n.latencyRatio < 0.6 {
-		is.ShedFraction, n.Fleet.shedFraction = [MaxClasses]float64{}, [MaxClasses]float64{}
+		controls.ShedFraction, n.Fleet.shedFraction = [MaxClasses]float64{}, [MaxClasses]float64{}
 	}
-	return is
+	return controls
 }
 
-type inheritor struct{ *Fleet } // starts with the limit share of its previous incarnation
+type shareInheritor struct{ *Fleet } // starts with the limit share of its previous incarnation
 
-func (n inheritor) Controls(now Time) Controls {
-	is := n.Fleet.Controls(now)
+func (n shareInheritor) Controls(now Time) Controls {
+	controls := n.Fleet.Controls(now)
 	if n.self.Incarnation > 1 && now-n.started < 2*time.Second {
-		is.LimitShare = 3
+		controls.LimitShare = 3
 	}
-	return is
+	return controls
 }
 
-type staleHolder struct { // keeps its controls without hearing peers
+type staleControlsKeeper struct { // keeps its controls without hearing peers
 	*Fleet
 	lastControls *Controls
 }
 
-func (n staleHolder) Controls(now Time) Controls {
-	if is := n.Fleet.Controls(now); len(n.heardPeers) > 0 {
-		*n.lastControls = is
+func (n staleControlsKeeper) Controls(now Time) Controls {
+	if controls := n.Fleet.Controls(now); len(n.heardPeers) > 0 {
+		*n.lastControls = controls
 	}
 	return *n.lastControls
 }
 
-type gullible struct { // sheds by the worst report of a single peer
+type peerFollower struct { // sheds by the worst report of a single peer
 	*Fleet
 	shedFraction *float64
 }
 
-func (n gullible) ReceiveDigest(now Time, b []byte) error {
+func (n peerFollower) ReceiveDigest(now Time, b []byte) error {
 	err := n.Fleet.ReceiveDigest(now, b)
 	if d, _ := ParseDigest(b); err == nil && d.Own.RefusedCost > d.Own.ServedCost {
 		*n.shedFraction = 0.5
@@ -395,10 +400,10 @@
 	return err
 }
 
-func (n gullible) Controls(now Time) Controls {
-	is := n.Fleet.Controls(now)
-	is.ShedFraction[2] = max(is.ShedFraction[2], *n.shedFraction*is.Confidence)
-	return is
+func (n peerFollower) Controls(now Time) Controls {
+	controls := n.Fleet.Controls(now)
+	controls.ShedFraction[2] = max(controls.ShedFraction[2], *n.shedFraction*controls.Confidence)
+	return controls
 }
 
 type duplicateAccepter struct{ *Fleet } // accepts duplicate and older digests
@@ -411,12 +416,12 @@
 	return nil
 }
 
-type overGranter struct{ *Fleet } // allows more than a standalone member may
+type overAllowingMember struct{ *Fleet } // allows more than a standalone member may
 
-func (n overGranter) Controls(now Time) Controls {
-	is := n.Fleet.Controls(now)
-	is.RetryFraction = 1 + is.Confidence
-	return is
+func (n overAllowingMember) Controls(now Time) Controls {
+	controls := n.Fleet.Controls(now)
+	controls.RetryFraction = 1 + controls.Confidence
+	return controls
 }
 
 func TestInvariantsCatchViolations(t *testing.T) {
@@ -437,11 +442,11 @@
 		{"retries", func(f *Fleet) node { return retryHoarder{f, new(float64)} }},
 		{"probes", func(f *Fleet) node { return alwaysProber{f} }},
 		{"shed fall", func(f *Fleet) node { return instantReopener{f} }},
-		{"restart", func(f *Fleet) node { return inheritor{f} }},
-		{"standalone", func(f *Fleet) node { return staleHolder{f, &Controls{}} }},
-		{"faulty member", func(f *Fleet) node { return gullible{f, new(float64)} }},
+		{"restart", func(f *Fleet) node { return shareInheritor{f} }},
+		{"standalone", func(f *Fleet) node { return staleControlsKeeper{f, &Controls{}} }},
+		{"faulty member", func(f *Fleet) node { return peerFollower{f, new(float64)} }},
 		{"duplicates", func(f *Fleet) node { return duplicateAccepter{f} }},
-		{"bounds", func(f *Fleet) node { return overGranter{f} }},
+		{"bounds", func(f *Fleet) node { return overAllowingMember{f} }},
 	}
 	for _, tt := range tests {
 		if violations := run(plan, tt.wrap); violations[tt.invariant] == "" {
