--- a/fleet/overload/numbers.go
+++ b/fleet/overload/controls.go
@@ -87,7 +87,8 @@
 	return f.latencyRatio >= saturatedLatency || f.refusedFraction >= saturatedRefusals
 }
 
-// beginEpisode begins an overload episode. It gets a new number unless other members began it a moment ago.
+// beginEpisode begins an overload episode. It takes a new number unless the current one is recent, as when
+// other members have just begun the same episode.
 func (f *Fleet) beginEpisode(now Time, offered, served float64) {
 	f.demand = offered
 	f.admittedFraction = min(0.99, served/max(offered, 1e-9))
--- a/fleet/overload/estimate.go
+++ b/fleet/overload/estimate.go
@@ -15,7 +15,8 @@
 	return sum
 }
 
-// peerWeight is 1 up to FreshAge and falls to 0 at ExpiryAge.
+// peerWeight returns the weight of a peer's last digest by its age: 1 up to FreshAge, falling to 0 at
+// ExpiryAge.
 func (f *Fleet) peerWeight(now Time, p *peer) float64 {
 	if p.digest == nil {
 		return 0
@@ -265,7 +266,8 @@
 	})
 }
 
-// targetConfidence is 1 once minPeersHeard peers are heard, or all of a smaller fleet.
+// targetConfidence returns the confidence that the sum of the weights justifies: 1 once minPeersHeard peers
+// are heard, or all of a smaller fleet.
 func (f *Fleet) targetConfidence(sum float64) float64 {
 	others := min(minPeersHeard, f.rosterSize-1)
 	if others < 1 {
--- a/fleet/overload/overload.go
+++ b/fleet/overload/overload.go
@@ -143,7 +143,7 @@
 	SlowStart, InFlight            float64 // current: fractions of backends in slow start; requests in flight
 }
 
-// Errors of ReceiveDigest. A digest that returns one changes no control.
+// Errors of ReceiveDigest. A call that returns one has changed no control.
 var (
 	ErrUnknownMember = errors.New("sender is not a member, or has another incarnation")
 	ErrStaleDigest   = errors.New("not newer than the sender's last digest")
@@ -350,7 +350,8 @@
 	return sum
 }
 
-// AddCounters adds this member's own counters since its previous report. Rates follow within a second or two.
+// AddCounters updates the rates with this member's own counters since its previous report. The rates follow
+// the counters within a second or two.
 func (f *Fleet) AddCounters(now Time, counters Counters) {
 	elapsed := now - f.countedAt
 	if elapsed <= 0 {
