--- a/cmd/oxbowscale/main.go
+++ b/cmd/oxbowscale/main.go
@@ -20,8 +20,8 @@
 	"oxbowloft/internal/scale/runner"
 )
 
-// errPartial says that results were written and do not have all that the file asks for.
-var errPartial = errors.New("a size failed; what was measured has been written")
+// errIncomplete says that results were written and do not have all that the file asks for.
+var errIncomplete = errors.New("a size failed; what was measured has been written")
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
@@ -95,7 +95,7 @@
 	if err != nil {
 		return err
 	}
-	if err := report.Prepare(folder); err != nil {
+	if err := report.MakeDirectory(folder); err != nil {
 		return err
 	}
 	logger := slog.New(slog.NewTextHandler(os.Stderr, nil))
@@ -109,7 +109,7 @@
 	}
 	logger.Info("results written", "json", paths.JSON, "markdown", paths.Markdown)
 	if result.Sizes[len(result.Sizes)-1].Failure != "" {
-		return errPartial
+		return errIncomplete
 	}
 	return nil
 }
--- a/cmd/oxbowscale/main_test.go
+++ b/cmd/oxbowscale/main_test.go
@@ -15,12 +15,12 @@
 
 const (
 	experimentFiles = "../../docs/capacity/experiments/*.json"
-	// endBound is how long an interrupted run may take to end; it takes less than a second.
-	endBound = time.Minute
+	// exitTimeout is how long an interrupted run may take to end; it takes less than a second.
+	exitTimeout = time.Minute
 )
 
-// outputOf runs a command line within this process.
-func outputOf(args ...string) (string, error) {
+// runCommandLine runs a command line within this process.
+func runCommandLine(args ...string) (string, error) {
 	var output strings.Builder
 	root := command()
 	root.SetArgs(args)
@@ -31,18 +31,18 @@
 }
 
 // The files of the runs that are kept are valid, and give the same schedule each time.
-func TestKeptExperiments(t *testing.T) {
+func TestPublishedExperiments(t *testing.T) {
 	files, err := filepath.Glob(experimentFiles)
 	if err != nil || len(files) == 0 {
 		t.Fatalf("files %v, error %v", files, err)
 	}
 	for _, file := range files {
-		first, err := outputOf("check", file)
+		first, err := runCommandLine("check", file)
 		if err != nil {
 			t.Errorf("%v", err)
 			continue
 		}
-		if again, _ := outputOf("check", file); again != first || first == "" {
+		if again, _ := runCommandLine("check", file); again != first || first == "" {
 			t.Errorf("%s: the schedules are\n%s\nand\n%s", file, first, again)
 		}
 	}
@@ -56,7 +56,7 @@
 	}
 	folder := filepath.Join(t.TempDir(), "out")
 	for _, args := range [][]string{{"check", file}, {"run", file, folder}} {
-		_, err := outputOf(args...)
+		_, err := runCommandLine(args...)
 		if err == nil || !strings.Contains(err.Error(), "wrong.json: sizes[0]: ") {
 			t.Errorf("%v: error %v", args, err)
 		}
@@ -81,7 +81,7 @@
 	if err := run.Start(); err != nil {
 		t.Fatal(err)
 	}
-	kill := time.AfterFunc(2*endBound, func() { run.Process.Kill() })
+	kill := time.AfterFunc(2*exitTimeout, func() { run.Process.Kill() })
 	defer kill.Stop()
 	lines := bufio.NewReader(log)
 	for line := ""; !strings.Contains(line, "all are in one view"); {
@@ -98,7 +98,7 @@
 	if err := run.Wait(); !errors.As(err, &exit) || exit.ExitCode() != 1 {
 		t.Errorf("ended with %v, want exit code 1; log %s", err, rest)
 	}
-	if took := time.Since(interruptedAt); took > endBound {
+	if took := time.Since(interruptedAt); took > exitTimeout {
 		t.Errorf("the end took %v", took)
 	}
 	if results, err := os.ReadDir(folder); err != nil || len(results) > 0 {
@@ -109,7 +109,7 @@
 // A folder that can't be made ends the command before anything starts.
 func TestWrongFolder(t *testing.T) {
 	file := writeLongExperiment(t)
-	if _, err := outputOf("run", file, file); err == nil || !strings.Contains(err.Error(), file) {
+	if _, err := runCommandLine("run", file, file); err == nil || !strings.Contains(err.Error(), file) {
 		t.Errorf("error %v", err)
 	}
 }
--- a/internal/scale/experiment/check.go
+++ b/internal/scale/experiment/check.go
@@ -31,7 +31,7 @@
 	}
 	entries := []entry{
 		{"settle", e.Settle},
-		{"rest", e.Rest},
+		{"rest", e.SteadyState},
 		{"time_limit", e.TimeLimit},
 		{"member.probe_interval", e.Member.ProbeInterval},
 		{"member.probe_timeout", e.Member.ProbeTimeout},
@@ -40,8 +40,8 @@
 		{"member.rejoin_min", e.Member.RejoinMin},
 		{"member.rejoin_max", e.Member.RejoinMax},
 	}
-	for number, fault := range e.Faults {
-		entries = append(entries, entry{faultKey(number, "at"), fault.At})
+	for index, fault := range e.Faults {
+		entries = append(entries, entry{faultKey(index, "at"), fault.At})
 	}
 	for _, entry := range entries {
 		if text := entry.value.invalid; text != "" {
@@ -65,13 +65,13 @@
 	if len(e.Sizes) == 0 || len(e.Sizes) > maxSizes {
 		return &KeyError{"sizes", fmt.Sprintf("%d of them, 1 to %d allowed", len(e.Sizes), maxSizes)}
 	}
-	for number, size := range e.Sizes {
-		key := fmt.Sprintf("sizes[%d]", number)
+	for index, size := range e.Sizes {
+		key := fmt.Sprintf("sizes[%d]", index)
 		if size < minSize || size > maxSize {
 			return &KeyError{key, fmt.Sprintf("%d members, %d to %d allowed", size, minSize, maxSize)}
 		}
-		if number > 0 && size <= e.Sizes[number-1] {
-			return &KeyError{key, fmt.Sprintf("%d behind %d, rising order is needed", size, e.Sizes[number-1])}
+		if index > 0 && size <= e.Sizes[index-1] {
+			return &KeyError{key, fmt.Sprintf("%d behind %d, rising order is needed", size, e.Sizes[index-1])}
 		}
 	}
 	return nil
@@ -86,10 +86,10 @@
 
 func (e *Experiment) checkLimits() error {
 	switch {
-	case e.Rest.Duration < minRest:
-		return &KeyError{"rest", fmt.Sprintf("%v, %v at least", e.Rest, minRest)}
-	case e.TimeLimit.Duration <= e.FaultsFrom() || e.TimeLimit.Duration > maxTimeLimit:
-		return &KeyError{"time_limit", fmt.Sprintf("%v, over settle and rest, which are %v, and %v at most", e.TimeLimit, e.FaultsFrom(), maxTimeLimit)}
+	case e.SteadyState.Duration < minSteadyState:
+		return &KeyError{"rest", fmt.Sprintf("%v, %v at least", e.SteadyState, minSteadyState)}
+	case e.TimeLimit.Duration <= e.EarliestFault() || e.TimeLimit.Duration > maxTimeLimit:
+		return &KeyError{"time_limit", fmt.Sprintf("%v, over settle and rest, which are %v, and %v at most", e.TimeLimit, e.EarliestFault(), maxTimeLimit)}
 	case e.MemoryLimitMiB < 1 || e.MemoryLimitMiB > maxMemoryLimit:
 		return &KeyError{"memory_limit_mib", fmt.Sprintf("%d, 1 to %d allowed", e.MemoryLimitMiB, maxMemoryLimit)}
 	}
@@ -137,16 +137,16 @@
 		return &KeyError{"faults", fmt.Sprintf("%d of them, %d at most", len(e.Faults), maxFaults)}
 	}
 	var state faultState
-	previous := e.FaultsFrom()
-	for number, fault := range e.Faults {
+	previous := e.EarliestFault()
+	for index, fault := range e.Faults {
 		at := fault.At.Duration
-		if at < previous || number > 0 && at == previous {
-			return &KeyError{faultKey(number, "at"), fmt.Sprintf("%v, it has to be behind the measurement at rest and the fault before, %v", at, previous)}
+		if at < previous || index > 0 && at == previous {
+			return &KeyError{faultKey(index, "at"), fmt.Sprintf("%v, it has to be behind the measurement at rest and the fault before, %v", at, previous)}
 		}
 		if at >= e.TimeLimit.Duration {
-			return &KeyError{faultKey(number, "at"), fmt.Sprintf("%v, under time_limit is needed, which is %v", at, e.TimeLimit)}
+			return &KeyError{faultKey(index, "at"), fmt.Sprintf("%v, under time_limit is needed, which is %v", at, e.TimeLimit)}
 		}
-		if err := e.checkFault(number, fault, &state); err != nil {
+		if err := e.checkFault(index, fault, &state); err != nil {
 			return err
 		}
 		previous = at
@@ -156,71 +156,71 @@
 
 // faultState is what the faults up to one have left behind.
 type faultState struct {
-	down int
-	cut  bool
+	down        int
+	partitioned bool
 }
 
-func (e *Experiment) checkFault(number int, fault Fault, state *faultState) error {
+func (e *Experiment) checkFault(index int, fault Fault, state *faultState) error {
 	if fault.Kind != Kill && fault.Count != 0 {
-		return &KeyError{faultKey(number, "count"), "only a kill has one"}
+		return &KeyError{faultKey(index, "count"), "only a kill has one"}
 	}
-	if fault.Kind != Cut && fault.Zone != 0 {
-		return &KeyError{faultKey(number, "zone"), "only a cut has one"}
+	if fault.Kind != Partition && fault.Zone != 0 {
+		return &KeyError{faultKey(index, "zone"), "only a cut has one"}
 	}
 	switch fault.Kind {
 	case Kill:
-		return e.checkKill(number, fault, state)
+		return e.checkKill(index, fault, state)
 	case Restart:
 		if state.down == 0 {
-			return &KeyError{faultKey(number, "kind"), "a restart, and no member is down"}
+			return &KeyError{faultKey(index, "kind"), "a restart, and no member is down"}
 		}
 		state.down = 0
-	case Cut:
-		return e.checkCut(number, fault, state)
+	case Partition:
+		return e.checkPartition(index, fault, state)
 	case Heal:
-		if !state.cut {
-			return &KeyError{faultKey(number, "kind"), "a heal, and nothing is cut"}
+		if !state.partitioned {
+			return &KeyError{faultKey(index, "kind"), "a heal, and nothing is cut"}
 		}
-		state.cut = false
+		state.partitioned = false
 	default:
-		return &KeyError{faultKey(number, "kind"), fmt.Sprintf("%.40q is not known, kill, restart, cut and heal are", string(fault.Kind))}
+		return &KeyError{faultKey(index, "kind"), fmt.Sprintf("%.40q is not known, kill, restart, cut and heal are", string(fault.Kind))}
 	}
 	return nil
 }
 
 // checkKill leaves two members up at least, so that there is somebody to notice.
-func (e *Experiment) checkKill(number int, fault Fault, state *faultState) error {
+func (e *Experiment) checkKill(index int, fault Fault, state *faultState) error {
 	if fault.Count < 0 {
-		return &KeyError{faultKey(number, "count"), fmt.Sprintf("%d is negative", fault.Count)}
+		return &KeyError{faultKey(index, "count"), fmt.Sprintf("%d is negative", fault.Count)}
 	}
-	const leastUp = 2
-	most := e.Sizes[0] - leastUp - state.down
-	if fault.kills() > most {
-		return &KeyError{faultKey(number, "count"), fmt.Sprintf("%d members, %d at most at the smallest size", fault.kills(), most)}
+	const minUp = 2
+	most := e.Sizes[0] - minUp - state.down
+	if fault.killCount() > most {
+		return &KeyError{faultKey(index, "count"), fmt.Sprintf("%d members, %d at most at the smallest size", fault.killCount(), most)}
 	}
-	state.down += fault.kills()
+	state.down += fault.killCount()
 	return nil
 }
 
-func (e *Experiment) checkCut(number int, fault Fault, state *faultState) error {
+func (e *Experiment) checkPartition(index int, fault Fault, state *faultState) error {
 	switch {
-	case state.cut:
-		return &KeyError{faultKey(number, "kind"), "a cut, and another has not been healed"}
+	case state.partitioned:
+		return &KeyError{faultKey(index, "kind"), "a cut, and another has not been healed"}
 	case e.Zones < 2:
-		return &KeyError{faultKey(number, "kind"), "a cut, and there is one zone alone"}
+		return &KeyError{faultKey(index, "kind"), "a cut, and there is one zone alone"}
 	case fault.Zone < 1 || fault.Zone > e.Zones:
-		return &KeyError{faultKey(number, "zone"), fmt.Sprintf("zone %d, 1 to %d allowed", fault.Zone, e.Zones)}
+		return &KeyError{faultKey(index, "zone"), fmt.Sprintf("zone %d, 1 to %d allowed", fault.Zone, e.Zones)}
 	}
-	state.cut = true
+	state.partitioned = true
 	return nil
 }
 
 // kills returns how many members a kill ends.
-func (f Fault) kills() int {
+func (f Fault) killCount() int {
 	if f.Count == 0 {
-		return defaultKillSize
+		return defaultKillCount
 	}
 	return f.Count
 }
 
-func faultKey(number int, key string) string { return fmt.Sprintf("faults[%d].%s", number, key) }
+func faultKey(index int, key string) string { return fmt.Sprintf("faults[%d].%s", index, key) }
--- a/internal/scale/experiment/experiment.go
+++ b/internal/scale/experiment/experiment.go
@@ -14,17 +14,17 @@
 
 // Bounds of what a file may ask for.
 const (
-	maxNameBytes    = 64
-	minSize         = 3
-	maxSize         = 1500
-	maxSizes        = 8
-	maxZones        = 26
-	maxFaults       = 64
-	maxTimeLimit    = 10 * time.Minute
-	maxMemoryLimit  = 8192 // in MiB
-	minInterval     = time.Millisecond
-	minRest         = 100 * time.Millisecond
-	defaultKillSize = 1
+	maxNameBytes     = 64
+	minSize          = 3
+	maxSize          = 1500
+	maxSizes         = 8
+	maxZones         = 26
+	maxFaults        = 64
+	maxTimeLimit     = 10 * time.Minute
+	maxMemoryLimit   = 8192 // in MiB
+	minInterval      = time.Millisecond
+	minSteadyState   = 100 * time.Millisecond
+	defaultKillCount = 1
 )
 
 // FaultKind says what a fault does to the fleet.
@@ -32,10 +32,10 @@
 
 // The kinds of fault.
 const (
-	Kill    FaultKind = "kill"    // members end without a farewell
-	Restart FaultKind = "restart" // all members that are down start again under their names
-	Cut     FaultKind = "cut"     // one zone is separated from all others
-	Heal    FaultKind = "heal"    // all links are whole again
+	Kill      FaultKind = "kill"    // members end without a farewell
+	Restart   FaultKind = "restart" // all members that are down start again under their names
+	Partition FaultKind = "cut"     // one zone is separated from all others
+	Heal      FaultKind = "heal"    // all links are whole again
 )
 
 // Fault is one fault of the file.
@@ -64,7 +64,7 @@
 	Sizes          []int    `json:"sizes"` // numbers of members, each measured in a fleet of its own
 	Zones          int      `json:"zones"`
 	Settle         Duration `json:"settle"`           // from one view to the measurement at rest
-	Rest           Duration `json:"rest"`             // length of the measurement at rest
+	SteadyState    Duration `json:"rest"`             // length of the measurement at rest
 	TimeLimit      Duration `json:"time_limit"`       // of one size, its start included
 	MemoryLimitMiB int      `json:"memory_limit_mib"` // resident memory at which a run is given up
 	Member         Member   `json:"member,omitzero"`
@@ -121,16 +121,16 @@
 
 // Relayed tells whether the links between members have to pass through relays, since one of
 // the faults cuts them.
-func (e *Experiment) Relayed() bool {
+func (e *Experiment) NeedsRelays() bool {
 	for _, fault := range e.Faults {
-		if fault.Kind == Cut {
+		if fault.Kind == Partition {
 			return true
 		}
 	}
 	return false
 }
 
-// FaultsFrom is the earliest time of a fault: before it the fleet is measured at rest.
-func (e *Experiment) FaultsFrom() time.Duration {
-	return e.Settle.Duration + e.Rest.Duration
+// EarliestFault is the earliest time of a fault: before it the fleet is measured at rest.
+func (e *Experiment) EarliestFault() time.Duration {
+	return e.Settle.Duration + e.SteadyState.Duration
 }
--- a/internal/scale/experiment/experiment_test.go
+++ b/internal/scale/experiment/experiment_test.go
@@ -30,7 +30,7 @@
 	if parsed.Settle.Duration != time.Second || parsed.Member.ProbeTimeout.Duration != 60*time.Millisecond {
 		t.Errorf("durations were read as %v and %v", parsed.Settle, parsed.Member.ProbeTimeout)
 	}
-	if !parsed.Relayed() {
+	if !parsed.NeedsRelays() {
 		t.Error("a file with a cut needs relays")
 	}
 }
@@ -155,11 +155,11 @@
 		}
 		down := append(append([]int{}, actions[0].Members...), actions[1].Members...)
 		seen := map[int]bool{0: true} // the first member is never killed
-		for _, number := range down {
-			if number < 0 || number >= size || seen[number] {
+		for _, index := range down {
+			if index < 0 || index >= size || seen[index] {
 				t.Errorf("members %v are killed", down)
 			}
-			seen[number] = true
+			seen[index] = true
 		}
 		if !reflect.DeepEqual(actions[2].Members, down) {
 			t.Errorf("members %v are restarted, want %v", actions[2].Members, down)
@@ -172,7 +172,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	places := parsed.Places(7)
+	places := parsed.Placements(7)
 	perZone := map[int]int{}
 	names := map[string]bool{}
 	for _, place := range places {
--- a/internal/scale/experiment/schedule.go
+++ b/internal/scale/experiment/schedule.go
@@ -7,7 +7,7 @@
 )
 
 // Place is where a member of a fleet belongs.
-type Place struct {
+type Placement struct {
 	Name string
 	Zone int // from 1
 }
@@ -21,12 +21,12 @@
 }
 
 // Places returns the members of a fleet of one size, dealt to the zones in turn.
-func (e *Experiment) Places(size int) []Place {
-	places := make([]Place, size)
-	for number := range places {
-		places[number] = Place{
-			Name: fmt.Sprintf("member-%04d", number),
-			Zone: number%e.Zones + 1,
+func (e *Experiment) Placements(size int) []Placement {
+	places := make([]Placement, size)
+	for index := range places {
+		places[index] = Placement{
+			Name: fmt.Sprintf("member-%04d", index),
+			Zone: index%e.Zones + 1,
 		}
 	}
 	return places
@@ -37,17 +37,17 @@
 func (e *Experiment) Schedule(size int) []Action {
 	random := rand.New(rand.NewPCG(e.Seed, uint64(size)))
 	down := make(map[int]bool)
-	var downInOrder []int
+	var downInKillOrder []int
 	actions := make([]Action, 0, len(e.Faults))
 	for _, fault := range e.Faults {
 		action := Action{At: fault.At.Duration, Kind: fault.Kind, Zone: fault.Zone}
 		switch fault.Kind {
 		case Kill:
-			action.Members = drawUp(random, size, down, fault.kills())
-			downInOrder = append(downInOrder, action.Members...)
+			action.Members = drawLive(random, size, down, fault.killCount())
+			downInKillOrder = append(downInKillOrder, action.Members...)
 		case Restart:
-			action.Members = downInOrder
-			downInOrder = nil
+			action.Members = downInKillOrder
+			downInKillOrder = nil
 			clear(down)
 		}
 		actions = append(actions, action)
@@ -55,19 +55,19 @@
 	return actions
 }
 
-// drawUp draws members that are up, and notes them as down. The first member is never drawn:
+// drawLive draws members that are up, and notes them as down. The first member is never drawn:
 // the others ask it first when they join.
-func drawUp(random *rand.Rand, size int, down map[int]bool, count int) []int {
+func drawLive(random *rand.Rand, size int, down map[int]bool, count int) []int {
 	var drawn []int
-	for _, number := range random.Perm(size) {
+	for _, index := range random.Perm(size) {
 		if len(drawn) == count {
 			break
 		}
-		if number == 0 || down[number] {
+		if index == 0 || down[index] {
 			continue
 		}
-		down[number] = true
-		drawn = append(drawn, number)
+		down[index] = true
+		drawn = append(drawn, index)
 	}
 	return drawn
 }
--- a/internal/scale/fit/fit.go
+++ b/internal/scale/fit/fit.go
@@ -20,31 +20,31 @@
 	Intercept float64 `json:"intercept"`
 	Slope     float64 `json:"slope"`
 	// SlopeError is the slope's standard error; not known with fewer than three points.
-	SlopeError      float64 `json:"slope_error"`
-	SlopeErrorKnown bool    `json:"slope_error_known"`
-	Bend            Bend    `json:"bend"`
+	SlopeError      float64   `json:"slope_error"`
+	SlopeErrorKnown bool      `json:"slope_error_known"`
+	Curvature       Curvature `json:"bend"`
 }
 
 // Bend says whether the points bend away from a line.
-type Bend string
+type Curvature string
 
 // The judgements on a bend: the sign of the quadratic term where it differs from zero at
 // the 95% level, by Student's t.
 const (
-	BendUnknown Bend = "not known" // fewer than four points
-	BendNone    Bend = "none seen"
-	BendUp      Bend = "upward"
-	BendDown    Bend = "downward"
+	CurvatureUnknown Curvature = "not known" // fewer than four points
+	CurvatureNone    Curvature = "none seen"
+	CurvatureUp      Curvature = "upward"
+	CurvatureDown    Curvature = "downward"
 )
 
 const (
-	leastForLine  = 2
-	leastForError = 3
-	leastForBend  = 4
+	minPointsForLine      = 2
+	minPointsForError     = 3
+	minPointsForCurvature = 4
 )
 
-// roundingPart is the part of the values' size below which a residual is rounding.
-const roundingPart = 1e-9
+// roundingTolerance is the part of the values' size below which a residual is rounding.
+const roundingTolerance = 1e-9
 
 // studentT holds the two-sided 95% quantiles of Student's t for 1, 2, ... degrees of freedom.
 var studentT = []float64{12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228}
@@ -52,32 +52,32 @@
 // studentTLimit is for more degrees of freedom: somewhat strict.
 const studentTLimit = 2.228
 
-// ErrTooFew says that the points have fewer than two sizes.
-var ErrTooFew = errors.New("fit: two sizes at least are needed")
+// ErrTooFewSizes says that the points have fewer than two sizes.
+var ErrTooFewSizes = errors.New("fit: two sizes at least are needed")
 
 // Fit fits a line to points, each at a size of its own.
 func Fit(points []Point) (Line, error) {
-	if len(points) < leastForLine {
-		return Line{}, ErrTooFew
+	if len(points) < minPointsForLine {
+		return Line{}, ErrTooFewSizes
 	}
 	scale, err := scaleOf(points)
 	if err != nil {
 		return Line{}, err
 	}
 	linear := leastSquares(points, 1, scale)
-	rounding := roundingPart * largestValue(points)
+	rounding := roundingTolerance * largestMagnitude(points)
 	line := Line{
 		Points:    len(points),
-		Intercept: withoutRounding(linear.coefficients[0], rounding),
-		Slope:     withoutRounding(linear.coefficients[1], rounding) / scale,
-		Bend:      BendUnknown,
+		Intercept: zeroIfRounding(linear.coefficients[0], rounding),
+		Slope:     zeroIfRounding(linear.coefficients[1], rounding) / scale,
+		Curvature: CurvatureUnknown,
 	}
-	if len(points) >= leastForError {
-		line.SlopeError = withoutRounding(linear.errors[1], rounding) / scale
+	if len(points) >= minPointsForError {
+		line.SlopeError = zeroIfRounding(linear.errors[1], rounding) / scale
 		line.SlopeErrorKnown = true
 	}
-	if len(points) >= leastForBend {
-		line.Bend = judgeBend(points, scale)
+	if len(points) >= minPointsForCurvature {
+		line.Curvature = curvatureOf(points, scale)
 	}
 	return line, nil
 }
@@ -100,25 +100,25 @@
 	return largest, nil
 }
 
-// withoutRounding returns a figure, or zero in place of one that is rounding alone.
-func withoutRounding(value, rounding float64) float64 {
+// zeroIfRounding returns a figure, or zero in place of one that is rounding alone.
+func zeroIfRounding(value, rounding float64) float64 {
 	if math.Abs(value) <= rounding {
 		return 0
 	}
 	return value
 }
 
-func judgeBend(points []Point, scale float64) Bend {
+func curvatureOf(points []Point, scale float64) Curvature {
 	quadratic := leastSquares(points, 2, scale)
 	term := quadratic.coefficients[2]
-	bound := studentQuantile(len(points)-leastForError) * quadratic.errors[2]
-	if math.Abs(term) <= max(bound, roundingPart*largestValue(points)) {
-		return BendNone
+	bound := studentQuantile(len(points)-minPointsForError) * quadratic.errors[2]
+	if math.Abs(term) <= max(bound, roundingTolerance*largestMagnitude(points)) {
+		return CurvatureNone
 	}
 	if term > 0 {
-		return BendUp
+		return CurvatureUp
 	}
-	return BendDown
+	return CurvatureDown
 }
 
 func studentQuantile(degrees int) float64 {
@@ -128,7 +128,7 @@
 	return studentTLimit
 }
 
-func largestValue(points []Point) float64 {
+func largestMagnitude(points []Point) float64 {
 	largest := 0.0
 	for _, point := range points {
 		largest = max(largest, math.Abs(point.Value))
@@ -193,8 +193,8 @@
 func powersOf(x float64, count int) []float64 {
 	powers := make([]float64, count)
 	power := 1.0
-	for number := range powers {
-		powers[number] = power
+	for index := range powers {
+		powers[index] = power
 		power *= x
 	}
 	return powers
--- a/internal/scale/fit/fit_test.go
+++ b/internal/scale/fit/fit_test.go
@@ -8,8 +8,8 @@
 
 func pointsOf(value func(size float64) float64, sizes ...float64) []Point {
 	points := make([]Point, len(sizes))
-	for number, size := range sizes {
-		points[number] = Point{size, value(size)}
+	for index, size := range sizes {
+		points[index] = Point{size, value(size)}
 	}
 	return points
 }
@@ -37,8 +37,8 @@
 		if !line.SlopeErrorKnown || !near(line.SlopeError, 0) {
 			t.Errorf("%+v: slope's error %v", c, line.SlopeError)
 		}
-		if line.Bend != BendNone {
-			t.Errorf("%+v: bend %v", c, line.Bend)
+		if line.Curvature != CurvatureNone {
+			t.Errorf("%+v: bend %v", c, line.Curvature)
 		}
 	}
 }
@@ -53,55 +53,55 @@
 	if want := math.Sqrt(0.2 / 2 / 5); !near(line.SlopeError, want) {
 		t.Errorf("slope's error %v, want %v", line.SlopeError, want)
 	}
-	if line.Bend != BendNone {
-		t.Errorf("bend %v, want none", line.Bend)
+	if line.Curvature != CurvatureNone {
+		t.Errorf("bend %v, want none", line.Curvature)
 	}
 }
 
 func TestKnownParabolas(t *testing.T) {
 	up := mustFit(t, pointsOf(func(size float64) float64 { return 10 + size + 0.01*size*size }, 150, 300, 600, 1200))
-	if up.Bend != BendUp {
-		t.Errorf("bend %v, want upward", up.Bend)
+	if up.Curvature != CurvatureUp {
+		t.Errorf("bend %v, want upward", up.Curvature)
 	}
 	down := mustFit(t, pointsOf(func(size float64) float64 { return 10 + size - 0.01*size*size }, 150, 300, 600, 1200))
-	if down.Bend != BendDown {
-		t.Errorf("bend %v, want downward", down.Bend)
+	if down.Curvature != CurvatureDown {
+		t.Errorf("bend %v, want downward", down.Curvature)
 	}
 }
 
 // Values that are all alike have a slope of exactly zero, not one of rounding.
 func TestNoGrowth(t *testing.T) {
 	line := mustFit(t, pointsOf(func(float64) float64 { return 14.95 }, 6, 12, 20, 30))
-	if line.Slope != 0 || line.SlopeError != 0 || line.Bend != BendNone {
+	if line.Slope != 0 || line.SlopeError != 0 || line.Curvature != CurvatureNone {
 		t.Errorf("fitted %+v", line)
 	}
 }
 
 // Scatter that is large beside the bend hides it, scatter that is small does not.
-func TestBendBesideScatter(t *testing.T) {
+func TestCurvatureWithScatter(t *testing.T) {
 	scatter := []float64{1, -1, 1, 1, -1, -1}
 	sizes := []float64{100, 200, 400, 600, 900, 1200}
-	for part, want := range map[float64]Bend{1: BendUp, 1000: BendNone} {
+	for part, want := range map[float64]Curvature{1: CurvatureUp, 1000: CurvatureNone} {
 		var points []Point
-		for number, size := range sizes {
-			points = append(points, Point{size, size + 0.001*size*size + part*scatter[number]})
+		for index, size := range sizes {
+			points = append(points, Point{size, size + 0.001*size*size + part*scatter[index]})
 		}
-		if line := mustFit(t, points); line.Bend != want {
-			t.Errorf("scatter of %v: bend %v, want %v", part, line.Bend, want)
+		if line := mustFit(t, points); line.Curvature != want {
+			t.Errorf("scatter of %v: bend %v, want %v", part, line.Curvature, want)
 		}
 	}
 }
 
 func TestFewPoints(t *testing.T) {
-	if _, err := Fit([]Point{{1, 1}}); !errors.Is(err, ErrTooFew) {
+	if _, err := Fit([]Point{{1, 1}}); !errors.Is(err, ErrTooFewSizes) {
 		t.Errorf("one point: error %v", err)
 	}
 	two := mustFit(t, []Point{{1, 3}, {2, 5}})
-	if !near(two.Slope, 2) || two.SlopeErrorKnown || two.Bend != BendUnknown {
+	if !near(two.Slope, 2) || two.SlopeErrorKnown || two.Curvature != CurvatureUnknown {
 		t.Errorf("two points: %+v", two)
 	}
 	three := mustFit(t, []Point{{1, 3}, {2, 5}, {3, 7}})
-	if !near(three.Slope, 2) || !three.SlopeErrorKnown || three.Bend != BendUnknown {
+	if !near(three.Slope, 2) || !three.SlopeErrorKnown || three.Curvature != CurvatureUnknown {
 		t.Errorf("three points: %+v", three)
 	}
 }
--- a/internal/scale/hollow/fault.go
+++ b/internal/scale/localfleet/fault.go
@@ -1,4 +1,4 @@
-package hollow
+package localfleet
 
 import (
 	"fmt"
@@ -10,11 +10,11 @@
 func (f *Fleet) Apply(action experiment.Action) error {
 	switch action.Kind {
 	case experiment.Kill:
-		f.closeEach(f.numbered(action.Members))
+		f.closeEach(f.membersByIndex(action.Members))
 	case experiment.Restart:
-		return f.restart(f.numbered(action.Members))
-	case experiment.Cut:
-		f.cut(action.Zone)
+		return f.restart(f.membersByIndex(action.Members))
+	case experiment.Partition:
+		f.partition(action.Zone)
 	case experiment.Heal:
 		f.heal()
 	default:
@@ -23,10 +23,10 @@
 	return nil
 }
 
-func (f *Fleet) numbered(numbers []int) []*Member {
+func (f *Fleet) membersByIndex(numbers []int) []*Member {
 	var members []*Member
-	for _, number := range numbers {
-		members = append(members, f.members[number])
+	for _, index := range numbers {
+		members = append(members, f.members[index])
 	}
 	return members
 }
@@ -42,20 +42,20 @@
 }
 
 // cut separates a zone from all others.
-func (f *Fleet) cut(zone int) {
-	f.cutZone = zone
+func (f *Fleet) partition(zone int) {
+	f.partitionedZone = zone
 	var inside, outside []string
 	for _, each := range f.members {
-		if each.Place.Zone == zone {
-			inside = append(inside, each.Place.Name)
+		if each.Placement.Zone == zone {
+			inside = append(inside, each.Placement.Name)
 		} else {
-			outside = append(outside, each.Place.Name)
+			outside = append(outside, each.Placement.Name)
 		}
 	}
 	f.links.Partition(inside, outside)
 }
 
 func (f *Fleet) heal() {
-	f.cutZone = 0
+	f.partitionedZone = 0
 	f.links.Heal()
 }
--- a/internal/scale/hollow/fleet.go
+++ b/internal/scale/localfleet/fleet.go
@@ -1,6 +1,6 @@
 // Package hollow runs many members of a fleet in one process. A hollow member is the real
 // code of fleet/member with sockets and state of its own, and no request path beside it.
-package hollow
+package localfleet
 
 import (
 	"context"
@@ -16,30 +16,30 @@
 )
 
 const (
-	maxSeeds        = 3  // members that all others ask first, one of each of the first zones
-	startsAtOnce    = 32 // members that join at a time
-	pollInterval    = 20 * time.Millisecond
-	directSockets   = 2 // of a member: one for datagrams, one for connections
-	relayedSockets  = 2 // of a member's relay, beside its own
-	spareDescriptor = 2000
+	maxSeeds            = 3  // members that all others ask first, one of each of the first zones
+	maxConcurrentStarts = 32 // members that join at a time
+	pollInterval        = 20 * time.Millisecond
+	directSockets       = 2 // of a member: one for datagrams, one for connections
+	relayedSockets      = 2 // of a member's relay, beside its own
+	descriptorHeadroom  = 2000
 )
 
 // Member is one hollow member.
 type Member struct {
-	Place    experiment.Place
-	Counter  traffic.Counter
-	endpoint faultlink.Endpoint
-	node     *member.Node // nil: down
+	Placement experiment.Placement
+	Counter   traffic.Counter
+	endpoint  faultlink.Endpoint
+	node      *member.Node // nil: down
 }
 
 // Fleet is a fleet of hollow members. Its methods are for one goroutine.
 type Fleet struct {
-	times   experiment.Member
-	seed    uint64
-	members []*Member
-	seeds   []string
-	links   *faultlink.Net // nil: members reach each other directly
-	cutZone int            // 0: no zone is cut off
+	times           experiment.Member
+	seed            uint64
+	members         []*Member
+	seeds           []string
+	links           *faultlink.Net // nil: members reach each other directly
+	partitionedZone int            // 0: no zone is cut off
 }
 
 // Start starts a fleet and returns once each member is serving, which is before all are in
@@ -47,13 +47,13 @@
 func Start(ctx context.Context, plan *experiment.Experiment, size int) (*Fleet, error) {
 	fleet := &Fleet{times: plan.Member, seed: plan.Seed}
 	sockets := directSockets
-	if plan.Relayed() {
+	if plan.NeedsRelays() {
 		sockets += relayedSockets
 	}
-	if err := resources.CheckDescriptors(size*sockets + spareDescriptor); err != nil {
+	if err := resources.CheckDescriptorLimit(size*sockets + descriptorHeadroom); err != nil {
 		return nil, err
 	}
-	if err := fleet.place(plan, size); err != nil {
+	if err := fleet.assignEndpoints(plan, size); err != nil {
 		fleet.Close()
 		return nil, err
 	}
@@ -65,23 +65,23 @@
 }
 
 // place gives each member its addresses, over relays if links are going to be cut.
-func (f *Fleet) place(plan *experiment.Experiment, size int) error {
+func (f *Fleet) assignEndpoints(plan *experiment.Experiment, size int) error {
 	addresses := newAddresses()
-	if plan.Relayed() {
+	if plan.NeedsRelays() {
 		var err error
 		if f.links, err = faultlink.New(faultlink.Config{Seed: f.seed}); err != nil {
 			return err
 		}
 	}
-	for number, place := range plan.Places(size) {
-		endpoint := addresses.endpoint(number)
+	for index, place := range plan.Placements(size) {
+		endpoint := addresses.endpoint(index)
 		if f.links != nil {
 			var err error
 			if endpoint, err = f.links.Add(place.Name); err != nil {
 				return err
 			}
 		}
-		f.members = append(f.members, &Member{Place: place, endpoint: endpoint})
+		f.members = append(f.members, &Member{Placement: place, endpoint: endpoint})
 	}
 	for _, seed := range f.members[:min(maxSeeds, plan.Zones, size)] {
 		f.seeds = append(f.seeds, seed.endpoint.Advertise)
@@ -100,7 +100,7 @@
 func (f *Fleet) startEach(ctx context.Context, members []*Member) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	slots := make(chan struct{}, startsAtOnce)
+	slots := make(chan struct{}, maxConcurrentStarts)
 	var starts sync.WaitGroup
 	for _, each := range members {
 		slots <- struct{}{}
@@ -133,8 +133,8 @@
 
 func (f *Fleet) start(each *Member) error {
 	node, err := member.Start(member.Config{
-		Name:             each.Place.Name,
-		Zone:             zoneName(each.Place.Zone),
+		Name:             each.Placement.Name,
+		Zone:             zoneName(each.Placement.Zone),
 		Bind:             each.endpoint.Bind,
 		Advertise:        each.endpoint.Advertise,
 		Join:             f.seeds,
@@ -148,15 +148,15 @@
 		WrapTransport:    each.Counter.Wrap,
 	})
 	if err != nil {
-		return fmt.Errorf("%s: %w", each.Place.Name, err)
+		return fmt.Errorf("%s: %w", each.Placement.Name, err)
 	}
 	each.node = node
-	go discard(node)
+	go drainEvents(node)
 	return nil
 }
 
 // discard reads what a node tells its user, as a proxy would, until the node is closed.
-func discard(node *member.Node) {
+func drainEvents(node *member.Node) {
 	events, messages := node.Events(), node.Messages()
 	for events != nil || messages != nil {
 		select {
@@ -172,7 +172,7 @@
 	}
 }
 
-func zoneName(number int) string { return fmt.Sprintf("zone-%d", number) }
+func zoneName(zone int) string { return fmt.Sprintf("zone-%d", zone) }
 
 // Members returns all members, those that are down too, by number.
 func (f *Fleet) Members() []*Member { return f.members }
--- a/internal/scale/hollow/fleet_test.go
+++ b/internal/scale/localfleet/fleet_test.go
@@ -1,4 +1,4 @@
-package hollow
+package localfleet
 
 import (
 	"context"
@@ -13,12 +13,12 @@
 
 const (
 	fleetSize = 12
-	// viewBound is how long a test waits for views; they take a second or two.
-	viewBound = 2 * time.Minute
+	// convergenceTimeout is how long a test waits for views; they take a second or two.
+	convergenceTimeout = 2 * time.Minute
 )
 
-// planOf reads an experiment of members with short times. faults is the list of its faults.
-func planOf(t *testing.T, faults string) *experiment.Experiment {
+// parsePlan reads an experiment of members with short times. faults is the list of its faults.
+func parsePlan(t *testing.T, faults string) *experiment.Experiment {
 	t.Helper()
 	plan, err := experiment.Parse(fmt.Appendf(nil, `{
 		"name": "test", "seed": 3, "sizes": [%d], "zones": 3,
@@ -46,28 +46,28 @@
 	return fleet
 }
 
-// expectViews waits until all views are as they should be.
-func expectViews(t *testing.T, fleet *Fleet, what string, up int) {
+// expectConvergence waits until all views are as they should be.
+func expectConvergence(t *testing.T, fleet *Fleet, what string, up int) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(t.Context(), viewBound)
+	ctx, cancel := context.WithTimeout(t.Context(), convergenceTimeout)
 	defer cancel()
 	observation := fleet.Observe(ctx, time.Now())
-	if observation.Missing > 0 {
-		t.Fatalf("%s: %d views are not as they should be after %v", what, observation.Missing, viewBound)
+	if observation.Unconverged > 0 {
+		t.Fatalf("%s: %d views are not as they should be after %v", what, observation.Unconverged, convergenceTimeout)
 	}
-	if len(observation.Seen) != up {
-		t.Fatalf("%s: %d views were looked at, want %d", what, len(observation.Seen), up)
+	if len(observation.ConvergedAfter) != up {
+		t.Fatalf("%s: %d views were looked at, want %d", what, len(observation.ConvergedAfter), up)
 	}
 }
 
 // A dozen members live through a kill, a restart, a cut and its heal. Only outcomes count.
 func TestViewsAfterEachFault(t *testing.T) {
-	plan := planOf(t, `[
+	plan := parsePlan(t, `[
 		{"at": "1s", "kind": "kill"}, {"at": "2s", "kind": "restart"},
 		{"at": "3s", "kind": "cut", "zone": 2}, {"at": "4s", "kind": "heal"}
 	]`)
 	fleet := startFleet(t, plan)
-	expectViews(t, fleet, "start", fleetSize)
+	expectConvergence(t, fleet, "start", fleetSize)
 	for _, action := range plan.Schedule(fleetSize) {
 		if err := fleet.Apply(action); err != nil {
 			t.Fatal(err)
@@ -76,12 +76,12 @@
 		if action.Kind == experiment.Kill {
 			up--
 		}
-		expectViews(t, fleet, string(action.Kind), up)
+		expectConvergence(t, fleet, string(action.Kind), up)
 	}
 	for _, each := range fleet.Members() {
 		sent, received := each.Counter.Sent(), each.Counter.Received()
-		if sent.Bytes() == 0 || sent.AllMessages() == 0 || received.Bytes() == 0 || received.AllMessages() == 0 {
-			t.Errorf("%s: sent %+v, received %+v", each.Place.Name, sent, received)
+		if sent.Bytes() == 0 || sent.TotalMessages() == 0 || received.Bytes() == 0 || received.TotalMessages() == 0 {
+			t.Errorf("%s: sent %+v, received %+v", each.Placement.Name, sent, received)
 		}
 	}
 }
@@ -89,12 +89,12 @@
 // Without relays members reach each other, too, and what one sends another receives: the
 // sums differ by what is under way and by what the dead did not take.
 func TestDirectLinks(t *testing.T) {
-	plan := planOf(t, `[]`)
+	plan := parsePlan(t, `[]`)
 	fleet := startFleet(t, plan)
 	if fleet.links != nil {
 		t.Error("there are relays, and nothing is cut")
 	}
-	expectViews(t, fleet, "start", fleetSize)
+	expectConvergence(t, fleet, "start", fleetSize)
 	fleet.Close()
 	var sent, received uint64
 	for _, each := range fleet.Members() {
@@ -108,14 +108,14 @@
 
 // Views of all members are not whole for a fleet of which one zone should be cut off, and is
 // not: Observe must see the difference.
-func TestObserveSeesAViolation(t *testing.T) {
-	fleet := startFleet(t, planOf(t, `[]`))
-	expectViews(t, fleet, "start", fleetSize)
-	fleet.cutZone = 1
+func TestObserveDetectsWrongViews(t *testing.T) {
+	fleet := startFleet(t, parsePlan(t, `[]`))
+	expectConvergence(t, fleet, "start", fleetSize)
+	fleet.partitionedZone = 1
 	over, cancel := context.WithCancel(t.Context())
 	cancel()
 	observation := fleet.Observe(over, time.Now())
-	if observation.Missing != fleetSize || len(observation.Seen) != 0 || observation.Last != 0 {
+	if observation.Unconverged != fleetSize || len(observation.ConvergedAfter) != 0 || observation.AllConvergedAfter != 0 {
 		t.Errorf("%+v, want all views missing", observation)
 	}
 }
@@ -126,18 +126,18 @@
 	ctx, cancel := context.WithCancelCause(t.Context())
 	interrupted := errors.New("interrupted")
 	cancel(interrupted)
-	if _, err := Start(ctx, planOf(t, `[]`), fleetSize); !errors.Is(err, interrupted) {
+	if _, err := Start(ctx, parsePlan(t, `[]`), fleetSize); !errors.Is(err, interrupted) {
 		t.Errorf("error %v, want %v", err, interrupted)
 	}
 	expectGoroutines(t, before)
 }
 
 // A closed fleet leaves nothing behind.
-func TestCloseEndsAll(t *testing.T) {
+func TestCloseStopsEverything(t *testing.T) {
 	before := runtime.NumGoroutine()
-	plan := planOf(t, `[{"at": "3s", "kind": "cut", "zone": 2}]`)
+	plan := parsePlan(t, `[{"at": "3s", "kind": "cut", "zone": 2}]`)
 	fleet := startFleet(t, plan)
-	expectViews(t, fleet, "start", fleetSize)
+	expectConvergence(t, fleet, "start", fleetSize)
 	fleet.Close()
 	expectGoroutines(t, before)
 }
@@ -146,7 +146,7 @@
 // memberlist's end within a probe.
 func expectGoroutines(t *testing.T, before int) {
 	t.Helper()
-	for end := time.Now().Add(viewBound); runtime.NumGoroutine() > before; time.Sleep(pollInterval) {
+	for end := time.Now().Add(convergenceTimeout); runtime.NumGoroutine() > before; time.Sleep(pollInterval) {
 		if time.Now().After(end) {
 			stacks := make([]byte, 1<<20)
 			t.Fatalf("%d goroutines, %d before:\n%s", runtime.NumGoroutine(), before, stacks[:runtime.Stack(stacks, true)])
@@ -159,8 +159,8 @@
 	const largest = 1500
 	given := newAddresses()
 	seen := map[string]bool{}
-	for number := range largest {
-		bind := given.endpoint(number).Bind
+	for index := range largest {
+		bind := given.endpoint(index).Bind
 		if seen[bind] {
 			t.Fatalf("%s is given twice", bind)
 		}
--- a/internal/scale/report/markdown.go
+++ b/internal/scale/report/markdown.go
@@ -19,8 +19,8 @@
 func Markdown(result *runner.Result) string {
 	var page strings.Builder
 	writeHead(&page, result)
-	writeRest(&page, result.Sizes)
-	writeKinds(&page, result.Sizes)
+	writeSteadyState(&page, result.Sizes)
+	writeMessageKinds(&page, result.Sizes)
 	writeFaults(&page, result.Sizes)
 	writeFits(&page, result.Fits)
 	return page.String()
@@ -54,66 +54,66 @@
 
 func joinNumbers(numbers []int) string {
 	words := make([]string, len(numbers))
-	for number, value := range numbers {
-		words[number] = strconv.Itoa(value)
+	for index, value := range numbers {
+		words[index] = strconv.Itoa(value)
 	}
 	return strings.Join(words, ", ")
 }
 
-// restColumn is one column of the table of a fleet at rest.
-type restColumn struct {
+// steadyStateColumn is one column of the table of a fleet at rest.
+type steadyStateColumn struct {
 	title string
-	value func(*runner.Rest) float64
+	value func(*runner.SteadyState) float64
 }
 
-var restColumns = []restColumn{
-	{"bytes/s out", func(rest *runner.Rest) float64 { return rest.BytesOut.Mean }},
-	{"out, p99", func(rest *runner.Rest) float64 { return rest.BytesOut.P99 }},
-	{"out, on connections", func(rest *runner.Rest) float64 { return rest.StreamOut.Mean }},
-	{"bytes/s in", func(rest *runner.Rest) float64 { return rest.BytesIn.Mean }},
-	{"messages/s out", func(rest *runner.Rest) float64 { return rest.MessagesOut.Mean }},
-	{"messages/s in", func(rest *runner.Rest) float64 { return rest.MessagesIn.Mean }},
-	{"bytes of one side of an exchange", func(rest *runner.Rest) float64 { return rest.ExchangeBytes }},
-	{"processor, ms/s", func(rest *runner.Rest) float64 { return rest.PerMember.ProcessorMillis }},
-	{"resident, KiB", func(rest *runner.Rest) float64 { return rest.PerMember.ResidentKiB }},
-	{"goroutines", func(rest *runner.Rest) float64 { return rest.PerMember.Goroutines }},
-	{"descriptors", func(rest *runner.Rest) float64 { return rest.PerMember.Descriptors }},
+var steadyStateColumns = []steadyStateColumn{
+	{"bytes/s out", func(steady *runner.SteadyState) float64 { return steady.BytesOut.Mean }},
+	{"out, p99", func(steady *runner.SteadyState) float64 { return steady.BytesOut.P99 }},
+	{"out, on connections", func(steady *runner.SteadyState) float64 { return steady.StreamOut.Mean }},
+	{"bytes/s in", func(steady *runner.SteadyState) float64 { return steady.BytesIn.Mean }},
+	{"messages/s out", func(steady *runner.SteadyState) float64 { return steady.MessagesOut.Mean }},
+	{"messages/s in", func(steady *runner.SteadyState) float64 { return steady.MessagesIn.Mean }},
+	{"bytes of one side of an exchange", func(steady *runner.SteadyState) float64 { return steady.ExchangeBytes }},
+	{"processor, ms/s", func(steady *runner.SteadyState) float64 { return steady.PerMember.CPUMillisPerSecond }},
+	{"resident, KiB", func(steady *runner.SteadyState) float64 { return steady.PerMember.ResidentKiB }},
+	{"goroutines", func(steady *runner.SteadyState) float64 { return steady.PerMember.Goroutines }},
+	{"descriptors", func(steady *runner.SteadyState) float64 { return steady.PerMember.Descriptors }},
 }
 
-func writeRest(page *strings.Builder, sizes []runner.SizeResult) {
+func writeSteadyState(page *strings.Builder, sizes []runner.SizeResult) {
 	page.WriteString("\n## At rest, for each member\n\n")
 	titles := []string{"members", "one view after, s"}
-	for _, column := range restColumns {
+	for _, column := range steadyStateColumns {
 		titles = append(titles, column.title)
 	}
 	writeTitles(page, titles)
 	for _, size := range sizes {
 		cells := []string{strconv.Itoa(size.Size), secondsText(size.StartSeconds)}
-		for _, column := range restColumns {
-			cells = append(cells, restText(size.Rest, column.value))
+		for _, column := range steadyStateColumns {
+			cells = append(cells, steadyStateText(size.SteadyState, column.value))
 		}
 		writeRow(page, cells)
 	}
 }
 
-func restText(rest *runner.Rest, value func(*runner.Rest) float64) string {
-	if rest == nil {
+func steadyStateText(steady *runner.SteadyState, value func(*runner.SteadyState) float64) string {
+	if steady == nil {
 		return notMeasured
 	}
-	return figure(value(rest))
+	return formatFigure(value(steady))
 }
 
-func writeKinds(page *strings.Builder, sizes []runner.SizeResult) {
+func writeMessageKinds(page *strings.Builder, sizes []runner.SizeResult) {
 	page.WriteString("\n## Messages sent a second by each member at rest, by kind\n\n")
 	titles := []string{"members"}
-	for kind := range traffic.Kinds {
+	for kind := range traffic.KindCount {
 		titles = append(titles, kind.String())
 	}
 	writeTitles(page, titles)
 	for _, size := range sizes {
 		cells := []string{strconv.Itoa(size.Size)}
-		for kind := range traffic.Kinds {
-			cells = append(cells, restText(size.Rest, func(rest *runner.Rest) float64 { return rest.KindsOut[kind.String()] }))
+		for kind := range traffic.KindCount {
+			cells = append(cells, steadyStateText(size.SteadyState, func(steady *runner.SteadyState) float64 { return steady.KindsOut[kind.String()] }))
 		}
 		writeRow(page, cells)
 	}
@@ -127,10 +127,10 @@
 			writeRow(page, []string{
 				strconv.Itoa(size.Size),
 				faultText(&fault),
-				spreadText(fault.Seconds.Count, fault.Seconds.Median),
-				spreadText(fault.Seconds.Count, fault.Seconds.P99),
-				secondsText(fault.LastSeconds),
-				strconv.Itoa(fault.Missing),
+				distributionText(fault.ConvergenceSeconds.Count, fault.ConvergenceSeconds.Median),
+				distributionText(fault.ConvergenceSeconds.Count, fault.ConvergenceSeconds.P99),
+				secondsText(fault.AllConvergedSeconds),
+				strconv.Itoa(fault.Unconverged),
 			})
 		}
 	}
@@ -150,11 +150,11 @@
 	return text
 }
 
-func spreadText(count int64, value float64) string {
+func distributionText(count int64, value float64) string {
 	if count == 0 {
 		return notMeasured
 	}
-	return figure(value)
+	return formatFigure(value)
 }
 
 // secondsText leaves out a time of zero, which stands for none.
@@ -162,7 +162,7 @@
 	if seconds == 0 {
 		return notMeasured
 	}
-	return figure(seconds)
+	return formatFigure(seconds)
 }
 
 func writeFits(page *strings.Builder, fits []runner.NamedFit) {
@@ -173,26 +173,26 @@
 		writeRow(page, []string{
 			each.Measure,
 			each.Unit,
-			figure(each.Line.Intercept),
-			figure(each.Line.Slope * slopeMembers),
+			formatFigure(each.Line.Intercept),
+			formatFigure(each.Line.Slope * membersPerPrintedSlope),
 			errorText(each.Line),
-			bendText(each.Line.Bend),
+			curvatureText(each.Line.Curvature),
 		})
 	}
 }
 
-// slopeMembers is how many members a printed slope is for.
-const slopeMembers = 100
+// membersPerPrintedSlope is how many members a printed slope is for.
+const membersPerPrintedSlope = 100
 
 func errorText(line fit.Line) string {
 	if !line.SlopeErrorKnown {
 		return "not known"
 	}
-	return figure(line.SlopeError * slopeMembers)
+	return formatFigure(line.SlopeError * membersPerPrintedSlope)
 }
 
-func bendText(bend fit.Bend) string {
-	if bend == fit.BendUp {
+func curvatureText(bend fit.Curvature) string {
+	if bend == fit.CurvatureUp {
 		return "**bends upward**"
 	}
 	return string(bend)
@@ -208,7 +208,7 @@
 }
 
 // figure prints three digits, and all of a whole number's.
-func figure(value float64) string {
+func formatFigure(value float64) string {
 	switch magnitude := max(value, -value); {
 	case magnitude >= 100:
 		return strconv.FormatFloat(value, 'f', 0, 64)
--- a/internal/scale/report/report.go
+++ b/internal/scale/report/report.go
@@ -20,7 +20,7 @@
 
 // Prepare makes the folder if it is missing, so that a run does not end with results that
 // can't be written.
-func Prepare(folder string) error {
+func MakeDirectory(folder string) error {
 	if err := os.MkdirAll(folder, directoryMode); err != nil {
 		return fmt.Errorf("report: %w", err)
 	}
--- a/internal/scale/report/report_test.go
+++ b/internal/scale/report/report_test.go
@@ -23,21 +23,21 @@
 			{
 				Size:         12,
 				StartSeconds: 1.5,
-				Rest: &runner.Rest{
-					BytesOut: runner.Spread{Count: 12, Mean: 1234.5},
+				SteadyState: &runner.SteadyState{
+					BytesOut: runner.Distribution{Count: 12, Mean: 1234.5},
 					KindsOut: map[string]float64{"ping": 1.25},
 				},
 				Faults: []runner.FaultResult{
-					{Kind: experiment.Kill, At: 5, Members: []int{3}, LastSeconds: 7.25, Seconds: runner.Spread{Count: 11, Median: 6, P99: 7.25}},
-					{Kind: experiment.Cut, At: 20, Zone: 2, Missing: 12},
+					{Kind: experiment.Kill, At: 5, Members: []int{3}, AllConvergedSeconds: 7.25, ConvergenceSeconds: runner.Distribution{Count: 11, Median: 6, P99: 7.25}},
+					{Kind: experiment.Partition, At: 20, Zone: 2, Unconverged: 12},
 				},
 			},
 			{Size: 30, Failure: "out of memory"},
 		},
 		NotRun: []int{60},
 		Fits: []runner.NamedFit{
-			{Measure: "bytes out", Unit: "bytes/s", Line: fit.Line{Points: 4, Intercept: 10, Slope: 0.5, SlopeError: 0.01, SlopeErrorKnown: true, Bend: fit.BendUp}},
-			{Measure: "bytes in", Unit: "bytes/s", Line: fit.Line{Points: 2, Intercept: 10, Slope: 0.5, Bend: fit.BendUnknown}},
+			{Measure: "bytes out", Unit: "bytes/s", Line: fit.Line{Points: 4, Intercept: 10, Slope: 0.5, SlopeError: 0.01, SlopeErrorKnown: true, Curvature: fit.CurvatureUp}},
+			{Measure: "bytes in", Unit: "bytes/s", Line: fit.Line{Points: 2, Intercept: 10, Slope: 0.5, Curvature: fit.CurvatureUnknown}},
 		},
 	}
 }
@@ -68,7 +68,7 @@
 // The JSON file has all of the result, and the folder is made.
 func TestWrite(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "new", "folder")
-	if err := Prepare(folder); err != nil {
+	if err := MakeDirectory(folder); err != nil {
 		t.Fatal(err)
 	}
 	paths, err := Write(folder, sample())
@@ -93,12 +93,12 @@
 }
 
 // A folder that can't be made is told before anything is run.
-func TestPrepareWhereAFileIs(t *testing.T) {
+func TestMakeDirectoryWhereAFileIs(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "file")
 	if err := os.WriteFile(file, nil, fileMode); err != nil {
 		t.Fatal(err)
 	}
-	if err := Prepare(file); err == nil {
+	if err := MakeDirectory(file); err == nil {
 		t.Error("no error")
 	}
 }
--- a/internal/scale/resources/resources.go
+++ b/internal/scale/resources/resources.go
@@ -15,7 +15,7 @@
 
 // Usage is what the process uses at one moment.
 type Usage struct {
-	Processor     time.Duration // user and system time since its start
+	CPUTime       time.Duration // user and system time since its start
 	ResidentBytes int64
 	Goroutines    int
 	Descriptors   int
@@ -29,7 +29,7 @@
 
 // Read returns the usage now.
 func Read() (Usage, error) {
-	processor, err := processorTime()
+	processor, err := cpuTime()
 	if err != nil {
 		return Usage{}, err
 	}
@@ -42,14 +42,14 @@
 		return Usage{}, fmt.Errorf("resources: %w", err)
 	}
 	return Usage{
-		Processor:     processor,
+		CPUTime:       processor,
 		ResidentBytes: resident,
 		Goroutines:    runtime.NumGoroutine(),
 		Descriptors:   len(descriptors) - 1, // the directory itself was open
 	}, nil
 }
 
-func processorTime() (time.Duration, error) {
+func cpuTime() (time.Duration, error) {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
 		return 0, fmt.Errorf("resources: getrusage: %w", err)
@@ -74,12 +74,12 @@
 	return pages * int64(os.Getpagesize()), nil
 }
 
-// ReturnMemory gives what is free back to the system, so that a later reading does not count
+// ReleaseMemory gives what is free back to the system, so that a later reading does not count
 // what an earlier fleet left behind.
-func ReturnMemory() { debug.FreeOSMemory() }
+func ReleaseMemory() { debug.FreeOSMemory() }
 
-// CheckDescriptors returns an error if the process may not have so many descriptors open.
-func CheckDescriptors(needed int) error {
+// CheckDescriptorLimit returns an error if the process may not have so many descriptors open.
+func CheckDescriptorLimit(needed int) error {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
 		return fmt.Errorf("resources: getrlimit: %w", err)
--- a/internal/scale/resources/resources_test.go
+++ b/internal/scale/resources/resources_test.go
@@ -16,9 +16,9 @@
 	return usage
 }
 
-func TestProcessorTimeGrows(t *testing.T) {
+func TestCPUTimeGrows(t *testing.T) {
 	before := read(t)
-	for end := time.Now().Add(30 * time.Second); read(t).Processor == before.Processor; {
+	for end := time.Now().Add(30 * time.Second); read(t).CPUTime == before.CPUTime; {
 		if time.Now().After(end) {
 			t.Fatal("no processor time was counted in 30 s of work")
 		}
@@ -53,11 +53,11 @@
 	}
 }
 
-func TestCheckDescriptors(t *testing.T) {
-	if err := CheckDescriptors(1); err != nil {
+func TestCheckDescriptorLimit(t *testing.T) {
+	if err := CheckDescriptorLimit(1); err != nil {
 		t.Error(err)
 	}
-	if err := CheckDescriptors(math.MaxInt); err == nil {
+	if err := CheckDescriptorLimit(math.MaxInt); err == nil {
 		t.Error("any number of descriptors may be open")
 	}
 }
--- a/internal/scale/runner/spread.go
+++ b/internal/scale/runner/distribution.go
@@ -12,10 +12,10 @@
 	histogramDigits = 3
 )
 
-// spreadOf returns how values are spread. The mean is exact, the rest to three digits.
-func spreadOf(values []float64) Spread {
+// distributionOf returns how values are spread. The mean is exact, the rest to three digits.
+func distributionOf(values []float64) Distribution {
 	if len(values) == 0 {
-		return Spread{}
+		return Distribution{}
 	}
 	histogram := hdrhistogram.New(1, histogramMax, histogramDigits)
 	sum := 0.0
@@ -24,7 +24,7 @@
 		part := int64(math.Round(value * histogramParts))
 		histogram.RecordValue(min(max(part, 0), histogramMax)) // always in its range
 	}
-	return Spread{
+	return Distribution{
 		Count:  histogram.TotalCount(),
 		Mean:   sum / float64(len(values)),
 		Median: float64(histogram.ValueAtQuantile(50)) / histogramParts,
--- a/internal/scale/runner/result.go
+++ b/internal/scale/runner/result.go
@@ -30,19 +30,19 @@
 type SizeResult struct {
 	Size         int           `json:"size"`
 	StartSeconds float64       `json:"start_seconds"` // from nothing until all are in one view
-	Rest         *Rest         `json:"rest"`          // nil: not reached
+	SteadyState  *SteadyState  `json:"rest"`          // nil: not reached
 	Faults       []FaultResult `json:"faults"`
 	Failure      string        `json:"failure,omitempty"` // what ended it early
 }
 
 // Rest is what the members used at rest.
-type Rest struct {
-	Seconds     float64 `json:"seconds"`
-	BytesOut    Spread  `json:"bytes_out_per_second"`
-	BytesIn     Spread  `json:"bytes_in_per_second"`
-	MessagesOut Spread  `json:"messages_out_per_second"`
-	MessagesIn  Spread  `json:"messages_in_per_second"`
-	StreamOut   Spread  `json:"stream_bytes_out_per_second"` // part of BytesOut that is on connections
+type SteadyState struct {
+	Seconds     float64      `json:"seconds"`
+	BytesOut    Distribution `json:"bytes_out_per_second"`
+	BytesIn     Distribution `json:"bytes_in_per_second"`
+	MessagesOut Distribution `json:"messages_out_per_second"`
+	MessagesIn  Distribution `json:"messages_in_per_second"`
+	StreamOut   Distribution `json:"stream_bytes_out_per_second"` // part of BytesOut that is on connections
 	// ExchangeBytes is how long one side of a full exchange of state was, in the mean; 0 if
 	// there was none.
 	ExchangeBytes float64            `json:"exchange_bytes"`
@@ -52,10 +52,10 @@
 
 // PerMember is what the process used, divided by the number of members.
 type PerMember struct {
-	ProcessorMillis float64 `json:"processor_ms_per_second"`
-	ResidentKiB     float64 `json:"resident_kib"`
-	Goroutines      float64 `json:"goroutines"`
-	Descriptors     float64 `json:"descriptors"`
+	CPUMillisPerSecond float64 `json:"processor_ms_per_second"`
+	ResidentKiB        float64 `json:"resident_kib"`
+	Goroutines         float64 `json:"goroutines"`
+	Descriptors        float64 `json:"descriptors"`
 }
 
 // FaultResult is what followed from one fault.
@@ -65,15 +65,15 @@
 	Members []int                `json:"members,omitempty"` // killed or restarted
 	Zone    int                  `json:"zone,omitempty"`    // cut off
 	// Seconds is how long each member took until its view was as the fault makes it.
-	Seconds Spread `json:"seconds"`
-	// LastSeconds is when all views were so at once; 0 if some were not when the next fault
+	ConvergenceSeconds Distribution `json:"seconds"`
+	// AllConvergedSeconds is when all views were so at once; 0 if some were not when the next fault
 	// or the time limit came.
-	LastSeconds float64 `json:"last_seconds"`
-	Missing     int     `json:"missing"` // members whose view was not
+	AllConvergedSeconds float64 `json:"last_seconds"`
+	Unconverged         int     `json:"missing"` // members whose view was not
 }
 
 // Spread is how a measure is spread over the members.
-type Spread struct {
+type Distribution struct {
 	Count  int64   `json:"count"`
 	Mean   float64 `json:"mean"`
 	Median float64 `json:"p50"`
--- a/internal/scale/runner/runner.go
+++ b/internal/scale/runner/runner.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"oxbowloft/internal/scale/experiment"
-	"oxbowloft/internal/scale/hollow"
+	"oxbowloft/internal/scale/localfleet"
 	"oxbowloft/internal/scale/resources"
 )
 
@@ -30,17 +30,17 @@
 }
 
 const (
-	mebibyte            = 1 << 20
-	memoryCheckInterval = 250 * time.Millisecond
-	endCheckInterval    = 20 * time.Millisecond
-	endWait             = 10 * time.Second // memberlist's goroutines end within a probe
+	mebibyte               = 1 << 20
+	memoryCheckInterval    = 250 * time.Millisecond
+	goroutineCheckInterval = 20 * time.Millisecond
+	goroutineExitTimeout   = 10 * time.Second // memberlist's goroutines end within a probe
 )
 
 // Run runs an experiment. When ctx ends it ends what it started and returns ctx's cause. A size
 // that fails for another reason says so in its result, and no larger one is run.
 func Run(ctx context.Context, plan experiment.Experiment, environment Environment, logger *slog.Logger) (*Result, error) {
-	result := &Result{Experiment: plan, Environment: environment, Relayed: plan.Relayed()}
-	for number, size := range plan.Sizes {
+	result := &Result{Experiment: plan, Environment: environment, Relayed: plan.NeedsRelays()}
+	for index, size := range plan.Sizes {
 		run := sizeRun{plan: &plan, size: size, log: logger.With("members", size)}
 		outcome := run.run(ctx)
 		if ctx.Err() != nil {
@@ -48,7 +48,7 @@
 		}
 		result.Sizes = append(result.Sizes, outcome)
 		if outcome.Failure != "" {
-			result.NotRun = plan.Sizes[number+1:]
+			result.NotRun = plan.Sizes[index+1:]
 			break
 		}
 	}
@@ -78,13 +78,13 @@
 }
 
 func (r *sizeRun) measure(ctx context.Context) error {
-	resources.ReturnMemory()
+	resources.ReleaseMemory()
 	empty, err := resources.Read()
 	if err != nil {
 		return err
 	}
-	began := time.Now()
-	fleet, err := hollow.Start(ctx, r.plan, r.size)
+	startedAt := time.Now()
+	fleet, err := localfleet.Start(ctx, r.plan, r.size)
 	if err != nil {
 		return fmt.Errorf("start: %w", err)
 	}
@@ -92,44 +92,44 @@
 		fleet.Close()
 		awaitGoroutines(ctx, empty.Goroutines)
 	}()
-	if err := r.awaitOneView(ctx, fleet, began); err != nil {
+	if err := r.awaitConvergence(ctx, fleet, startedAt); err != nil {
 		return err
 	}
 	origin := time.Now()
-	if err := hollow.Sleep(ctx, r.plan.Settle.Duration); err != nil {
+	if err := localfleet.Sleep(ctx, r.plan.Settle.Duration); err != nil {
 		return err
 	}
-	if r.result.Rest, err = measureRest(ctx, fleet, r.plan.Rest.Duration, empty); err != nil {
+	if r.result.SteadyState, err = measureSteadyState(ctx, fleet, r.plan.SteadyState.Duration, empty); err != nil {
 		return err
 	}
-	r.log.Info("measured at rest", "bytes_out_per_second", r.result.Rest.BytesOut.Mean)
-	return r.faults(ctx, fleet, origin)
+	r.log.Info("measured at rest", "bytes_out_per_second", r.result.SteadyState.BytesOut.Mean)
+	return r.runFaults(ctx, fleet, origin)
 }
 
-// awaitOneView waits until the fleet that was begun at a time is in one view.
-func (r *sizeRun) awaitOneView(ctx context.Context, fleet *hollow.Fleet, began time.Time) error {
-	observation := fleet.Observe(ctx, began)
-	if observation.Missing > 0 {
-		return fmt.Errorf("start: %d members have no whole view: %w", observation.Missing, context.Cause(ctx))
+// awaitConvergence waits until the fleet that was begun at a time is in one view.
+func (r *sizeRun) awaitConvergence(ctx context.Context, fleet *localfleet.Fleet, startedAt time.Time) error {
+	observation := fleet.Observe(ctx, startedAt)
+	if observation.Unconverged > 0 {
+		return fmt.Errorf("start: %d members have no whole view: %w", observation.Unconverged, context.Cause(ctx))
 	}
-	r.result.StartSeconds = observation.Last.Seconds()
+	r.result.StartSeconds = observation.AllConvergedAfter.Seconds()
 	r.log.Info("all are in one view", "seconds", r.result.StartSeconds)
 	return nil
 }
 
 // faults carries out the schedule, whose times count from origin. Each fault is observed until
 // all views are as it makes them, until the next fault, or until the time limit.
-func (r *sizeRun) faults(ctx context.Context, fleet *hollow.Fleet, origin time.Time) error {
+func (r *sizeRun) runFaults(ctx context.Context, fleet *localfleet.Fleet, origin time.Time) error {
 	actions := r.plan.Schedule(r.size)
-	for number, action := range actions {
-		if err := hollow.Sleep(ctx, time.Until(origin.Add(action.At))); err != nil {
+	for index, action := range actions {
+		if err := localfleet.Sleep(ctx, time.Until(origin.Add(action.At))); err != nil {
 			return err
 		}
 		observed, cancel := ctx, func() {}
-		if number+1 < len(actions) {
-			observed, cancel = context.WithDeadline(ctx, origin.Add(actions[number+1].At))
+		if index+1 < len(actions) {
+			observed, cancel = context.WithDeadline(ctx, origin.Add(actions[index+1].At))
 		}
-		err := r.fault(observed, fleet, action)
+		err := r.runFault(observed, fleet, action)
 		cancel()
 		if err != nil {
 			return err
@@ -141,30 +141,30 @@
 	return nil
 }
 
-func (r *sizeRun) fault(ctx context.Context, fleet *hollow.Fleet, action experiment.Action) error {
-	began := time.Now()
+func (r *sizeRun) runFault(ctx context.Context, fleet *localfleet.Fleet, action experiment.Action) error {
+	startedAt := time.Now()
 	if err := fleet.Apply(action); err != nil {
 		return fmt.Errorf("%s: %w", action.Kind, err)
 	}
-	observation := fleet.Observe(ctx, began)
+	observation := fleet.Observe(ctx, startedAt)
 	r.result.Faults = append(r.result.Faults, FaultResult{
-		Kind:        action.Kind,
-		At:          action.At.Seconds(),
-		Members:     action.Members,
-		Zone:        action.Zone,
-		Seconds:     spreadOf(inSeconds(observation.Seen)),
-		LastSeconds: observation.Last.Seconds(),
-		Missing:     observation.Missing,
+		Kind:                action.Kind,
+		At:                  action.At.Seconds(),
+		Members:             action.Members,
+		Zone:                action.Zone,
+		ConvergenceSeconds:  distributionOf(inSeconds(observation.ConvergedAfter)),
+		AllConvergedSeconds: observation.AllConvergedAfter.Seconds(),
+		Unconverged:         observation.Unconverged,
 	})
-	r.log.Info("fault", "kind", action.Kind, "last_seconds", observation.Last.Seconds(), "missing", observation.Missing)
+	r.log.Info("fault", "kind", action.Kind, "last_seconds", observation.AllConvergedAfter.Seconds(), "missing", observation.Unconverged)
 	return nil
 }
 
 // awaitGoroutines waits, for a bounded time, until there are no more goroutines than before a
 // fleet, so that the next one is not measured with the remains of this one.
 func awaitGoroutines(ctx context.Context, before int) {
-	for end := time.Now().Add(endWait); runtime.NumGoroutine() > before && time.Now().Before(end); {
-		if hollow.Sleep(ctx, endCheckInterval) != nil {
+	for end := time.Now().Add(goroutineExitTimeout); runtime.NumGoroutine() > before && time.Now().Before(end); {
+		if localfleet.Sleep(ctx, goroutineCheckInterval) != nil {
 			return
 		}
 	}
@@ -172,8 +172,8 @@
 
 func inSeconds(times []time.Duration) []float64 {
 	seconds := make([]float64, len(times))
-	for number, length := range times {
-		seconds[number] = length.Seconds()
+	for index, length := range times {
+		seconds[index] = length.Seconds()
 	}
 	return seconds
 }
@@ -185,7 +185,7 @@
 	stopped := make(chan struct{})
 	go func() {
 		defer close(stopped)
-		for hollow.Sleep(ctx, memoryCheckInterval) == nil {
+		for localfleet.Sleep(ctx, memoryCheckInterval) == nil {
 			resident, err := resources.ResidentBytes()
 			if err != nil {
 				cancel(err)
--- a/internal/scale/runner/runner_test.go
+++ b/internal/scale/runner/runner_test.go
@@ -16,8 +16,8 @@
 	"oxbowloft/internal/scale/fit"
 )
 
-// planOf reads an experiment of members with short times.
-func planOf(t *testing.T, sizes string, memoryMiB int, faults string) experiment.Experiment {
+// parsePlan reads an experiment of members with short times.
+func parsePlan(t *testing.T, sizes string, memoryMiB int, faults string) experiment.Experiment {
 	t.Helper()
 	plan, err := experiment.Parse(fmt.Appendf(nil, `{
 		"name": "test", "seed": 3, "sizes": %s, "zones": 2,
@@ -38,7 +38,7 @@
 
 // Two small fleets are measured, and each is in one view without the member that is killed.
 func TestRun(t *testing.T) {
-	plan := planOf(t, `[4, 6]`, 4096, `[{"at": "1200ms", "kind": "kill"}]`)
+	plan := parsePlan(t, `[4, 6]`, 4096, `[{"at": "1200ms", "kind": "kill"}]`)
 	result, err := Run(t.Context(), plan, Environment{}, quiet)
 	if err != nil {
 		t.Fatal(err)
@@ -50,10 +50,10 @@
 		if size.Failure != "" {
 			t.Fatalf("%d members: %s", size.Size, size.Failure)
 		}
-		if rest := size.Rest; rest.BytesOut.Mean <= 0 || rest.MessagesIn.Mean <= 0 || rest.KindsOut["ping"] <= 0 || rest.ExchangeBytes <= 0 {
-			t.Errorf("%d members: at rest %+v", size.Size, rest)
+		if steady := size.SteadyState; steady.BytesOut.Mean <= 0 || steady.MessagesIn.Mean <= 0 || steady.KindsOut["ping"] <= 0 || steady.ExchangeBytes <= 0 {
+			t.Errorf("%d members: at rest %+v", size.Size, steady)
 		}
-		if len(size.Faults) != 1 || size.Faults[0].Missing != 0 || size.Faults[0].Seconds.Count != int64(size.Size-1) {
+		if len(size.Faults) != 1 || size.Faults[0].Unconverged != 0 || size.Faults[0].ConvergenceSeconds.Count != int64(size.Size-1) {
 			t.Errorf("%d members: faults %+v", size.Size, size.Faults)
 		}
 	}
@@ -64,7 +64,7 @@
 
 // A size that needs too much memory says so, and no larger one is run.
 func TestMemoryLimit(t *testing.T) {
-	result, err := Run(t.Context(), planOf(t, `[4, 5, 6]`, 1, `[]`), Environment{}, quiet)
+	result, err := Run(t.Context(), parsePlan(t, `[4, 5, 6]`, 1, `[]`), Environment{}, quiet)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -79,7 +79,7 @@
 // A fault whose outcome is not there at the time limit is in the result with the views that
 // are missing. The killed member's death takes longer to notice than the limit allows.
 func TestTimeLimit(t *testing.T) {
-	plan := planOf(t, `[4, 5]`, 4096, `[{"at": "4s", "kind": "kill"}]`)
+	plan := parsePlan(t, `[4, 5]`, 4096, `[{"at": "4s", "kind": "kill"}]`)
 	plan.Member = experiment.Member{} // a death takes 4 s at least
 	plan.TimeLimit.Duration = 6 * time.Second
 	result, err := Run(t.Context(), plan, Environment{}, quiet)
@@ -90,7 +90,7 @@
 	if len(result.Sizes) != 1 || !strings.Contains(first.Failure, ErrTimeLimit.Error()) {
 		t.Errorf("sizes %+v, want one that names the time limit", result.Sizes)
 	}
-	if first.Rest != nil && len(first.Faults) == 1 && (first.Faults[0].Missing == 0 || first.Faults[0].LastSeconds != 0) {
+	if first.SteadyState != nil && len(first.Faults) == 1 && (first.Faults[0].Unconverged == 0 || first.Faults[0].AllConvergedSeconds != 0) {
 		t.Errorf("fault %+v, want views missing", first.Faults[0])
 	}
 }
@@ -101,7 +101,7 @@
 	interrupted := errors.New("interrupted")
 	ctx, cancel := context.WithCancelCause(t.Context())
 	time.AfterFunc(time.Second, func() { cancel(interrupted) })
-	result, err := Run(ctx, planOf(t, `[4, 6]`, 4096, `[{"at": "1m", "kind": "kill"}]`), Environment{}, quiet)
+	result, err := Run(ctx, parsePlan(t, `[4, 6]`, 4096, `[{"at": "1m", "kind": "kill"}]`), Environment{}, quiet)
 	if !errors.Is(err, interrupted) || result != nil {
 		t.Errorf("result %+v, error %v", result, err)
 	}
@@ -112,17 +112,17 @@
 	}
 }
 
-func TestSpread(t *testing.T) {
+func TestDistribution(t *testing.T) {
 	var values []float64
-	for number := range 1000 {
-		values = append(values, float64(number+1)/10)
+	for index := range 1000 {
+		values = append(values, float64(index+1)/10)
 	}
-	spread := spreadOf(values)
+	spread := distributionOf(values)
 	near := func(got, want float64) bool { return math.Abs(got-want) <= 0.002*want }
 	if spread.Count != 1000 || !near(spread.Mean, 50.05) || !near(spread.Median, 50) || !near(spread.P99, 99) || !near(spread.Max, 100) {
 		t.Errorf("%+v", spread)
 	}
-	if empty := spreadOf(nil); empty != (Spread{}) {
+	if empty := distributionOf(nil); empty != (Distribution{}) {
 		t.Errorf("of nothing: %+v", empty)
 	}
 }
@@ -136,19 +136,19 @@
 		sizes = append(sizes, SizeResult{
 			Size:         size,
 			StartSeconds: 1,
-			Rest:         &Rest{BytesOut: Spread{Mean: 5 + 2*value}, BytesIn: Spread{Mean: value * value}},
-			Faults:       []FaultResult{{Kind: experiment.Kill, At: 1, LastSeconds: value / 100}},
+			SteadyState:  &SteadyState{BytesOut: Distribution{Mean: 5 + 2*value}, BytesIn: Distribution{Mean: value * value}},
+			Faults:       []FaultResult{{Kind: experiment.Kill, At: 1, AllConvergedSeconds: value / 100}},
 		})
 	}
-	sizes[3].Faults[0].Missing = 2
+	sizes[3].Faults[0].Unconverged = 2
 	lines := map[string]fit.Line{}
 	for _, each := range fitAll(sizes) {
 		lines[each.Measure] = each.Line
 	}
-	if line := lines["bytes out"]; math.Abs(line.Slope-2) > 1e-6 || line.Bend != fit.BendNone {
+	if line := lines["bytes out"]; math.Abs(line.Slope-2) > 1e-6 || line.Curvature != fit.CurvatureNone {
 		t.Errorf("bytes out: %+v", line)
 	}
-	if line := lines["bytes in"]; line.Bend != fit.BendUp {
+	if line := lines["bytes in"]; line.Curvature != fit.CurvatureUp {
 		t.Errorf("bytes in: %+v", line)
 	}
 	if line := lines["kill at 1 s, last member"]; line.Points != 3 || math.Abs(line.Slope-0.01) > 1e-6 {
--- a/internal/scale/runner/rest.go
+++ b/internal/scale/runner/steadystate.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"oxbowloft/internal/scale/hollow"
+	"oxbowloft/internal/scale/localfleet"
 	"oxbowloft/internal/scale/resources"
 	"oxbowloft/internal/scale/traffic"
 )
@@ -12,19 +12,19 @@
 const kibibyte = 1 << 10
 
 // reading is what was counted up to one moment.
-type reading struct {
+type sample struct {
 	at       time.Time
 	sent     []traffic.Counts // by member
 	received []traffic.Counts
 	usage    resources.Usage
 }
 
-func readAll(fleet *hollow.Fleet) (reading, error) {
+func takeSample(fleet *localfleet.Fleet) (sample, error) {
 	usage, err := resources.Read()
 	if err != nil {
-		return reading{}, err
+		return sample{}, err
 	}
-	taken := reading{at: time.Now(), usage: usage}
+	taken := sample{at: time.Now(), usage: usage}
 	for _, each := range fleet.Members() {
 		taken.sent = append(taken.sent, each.Counter.Sent())
 		taken.received = append(taken.received, each.Counter.Received())
@@ -32,43 +32,43 @@
 	return taken, nil
 }
 
-// measureRest measures a fleet in which nothing happens. Memory, goroutines and descriptors
+// measureSteadyState measures a fleet in which nothing happens. Memory, goroutines and descriptors
 // count from what the process had before the fleet was started.
-func measureRest(ctx context.Context, fleet *hollow.Fleet, length time.Duration, empty resources.Usage) (*Rest, error) {
-	before, err := readAll(fleet)
+func measureSteadyState(ctx context.Context, fleet *localfleet.Fleet, length time.Duration, empty resources.Usage) (*SteadyState, error) {
+	before, err := takeSample(fleet)
 	if err != nil {
 		return nil, err
 	}
-	if err := hollow.Sleep(ctx, length); err != nil {
+	if err := localfleet.Sleep(ctx, length); err != nil {
 		return nil, err
 	}
-	after, err := readAll(fleet)
+	after, err := takeSample(fleet)
 	if err != nil {
 		return nil, err
 	}
-	return restBetween(before, after, empty), nil
+	return steadyStateBetween(before, after, empty), nil
 }
 
-func restBetween(before, after reading, empty resources.Usage) *Rest {
+func steadyStateBetween(before, after sample, empty resources.Usage) *SteadyState {
 	seconds := after.at.Sub(before.at).Seconds()
 	sent := ratesOf(before.sent, after.sent, seconds)
 	received := ratesOf(before.received, after.received, seconds)
 	members := float64(len(after.sent))
-	processor := after.usage.Processor - before.usage.Processor
-	return &Rest{
+	processor := after.usage.CPUTime - before.usage.CPUTime
+	return &SteadyState{
 		Seconds:       seconds,
-		BytesOut:      spreadOf(sent.bytes),
-		BytesIn:       spreadOf(received.bytes),
-		MessagesOut:   spreadOf(sent.messages),
-		MessagesIn:    spreadOf(received.messages),
-		StreamOut:     spreadOf(sent.streamBytes),
+		BytesOut:      distributionOf(sent.bytes),
+		BytesIn:       distributionOf(received.bytes),
+		MessagesOut:   distributionOf(sent.messages),
+		MessagesIn:    distributionOf(received.messages),
+		StreamOut:     distributionOf(sent.streamBytes),
 		ExchangeBytes: exchangeBytes(before.sent, after.sent),
 		KindsOut:      sent.kinds,
 		PerMember: PerMember{
-			ProcessorMillis: processor.Seconds() * 1000 / seconds / members,
-			ResidentKiB:     float64(after.usage.ResidentBytes-empty.ResidentBytes) / kibibyte / members,
-			Goroutines:      float64(after.usage.Goroutines-empty.Goroutines) / members,
-			Descriptors:     float64(after.usage.Descriptors-empty.Descriptors) / members,
+			CPUMillisPerSecond: processor.Seconds() * 1000 / seconds / members,
+			ResidentKiB:        float64(after.usage.ResidentBytes-empty.ResidentBytes) / kibibyte / members,
+			Goroutines:         float64(after.usage.Goroutines-empty.Goroutines) / members,
+			Descriptors:        float64(after.usage.Descriptors-empty.Descriptors) / members,
 		},
 	}
 }
@@ -77,8 +77,8 @@
 // way as the reading was taken is counted in part.
 func exchangeBytes(before, after []traffic.Counts) float64 {
 	var exchanges, bytes uint64
-	for number := range after {
-		counts := after[number].Sub(before[number])
+	for index := range after {
+		counts := after[index].Sub(before[index])
 		exchanges += counts.Messages[traffic.PushPull]
 		bytes += counts.StreamBytes
 	}
@@ -96,11 +96,11 @@
 
 func ratesOf(before, after []traffic.Counts, seconds float64) rates {
 	out := rates{kinds: map[string]float64{}}
-	for number := range after {
-		counts := after[number].Sub(before[number])
+	for index := range after {
+		counts := after[index].Sub(before[index])
 		out.bytes = append(out.bytes, float64(counts.Bytes())/seconds)
 		out.streamBytes = append(out.streamBytes, float64(counts.StreamBytes)/seconds)
-		out.messages = append(out.messages, float64(counts.AllMessages())/seconds)
+		out.messages = append(out.messages, float64(counts.TotalMessages())/seconds)
 		for kind, count := range counts.Messages {
 			out.kinds[traffic.Kind(kind).String()] += float64(count) / seconds / float64(len(after))
 		}
--- a/internal/scale/traffic/classify.go
+++ b/internal/scale/traffic/classify.go
@@ -20,12 +20,12 @@
 )
 
 const (
-	checksumHead   = 1 + 4 // the type and a CRC-32, ahead of the message
-	compoundHead   = 1 + 1 // the type and the number of messages
-	compoundLength = 2     // of each message, ahead of all of them
+	checksumHeaderBytes = 1 + 4 // the type and a CRC-32, ahead of the message
+	compoundHeaderBytes = 1 + 1 // the type and the number of messages
+	lengthFieldBytes    = 2     // of each message, ahead of all of them
 )
 
-var kindsOnWire = map[byte]Kind{
+var kindByWireType = map[byte]Kind{
 	wirePing:         Ping,
 	wireIndirectPing: IndirectPing,
 	wireAck:          Ack,
@@ -39,7 +39,7 @@
 
 // kindOf returns the kind of a message by its first byte.
 func kindOf(first byte) Kind {
-	if kind, known := kindsOnWire[first]; known {
+	if kind, known := kindByWireType[first]; known {
 		return kind
 	}
 	return Other
@@ -47,40 +47,40 @@
 
 // eachMessage calls found for each message of a datagram. What can't be read counts as one
 // message of the kind Other.
-func eachMessage(payload []byte, found func(Kind)) {
-	if len(payload) > checksumHead && payload[0] == wireChecksum {
-		payload = payload[checksumHead:]
+func eachMessage(payload []byte, visit func(Kind)) {
+	if len(payload) > checksumHeaderBytes && payload[0] == wireChecksum {
+		payload = payload[checksumHeaderBytes:]
 	}
 	switch {
 	case len(payload) == 0:
-		found(Other)
+		visit(Other)
 	case payload[0] == wireCompound:
-		eachPart(payload, found)
+		eachCompoundMessage(payload, visit)
 	default:
-		found(kindOf(payload[0]))
+		visit(kindOf(payload[0]))
 	}
 }
 
-// eachPart calls found for each message of a compound one.
-func eachPart(payload []byte, found func(Kind)) {
-	if len(payload) < compoundHead {
-		found(Other)
+// eachCompoundMessage calls found for each message of a compound one.
+func eachCompoundMessage(payload []byte, visit func(Kind)) {
+	if len(payload) < compoundHeaderBytes {
+		visit(Other)
 		return
 	}
 	count := int(payload[1])
-	lengths := payload[compoundHead:]
-	if count == 0 || len(lengths) < count*compoundLength {
-		found(Other)
+	lengths := payload[compoundHeaderBytes:]
+	if count == 0 || len(lengths) < count*lengthFieldBytes {
+		visit(Other)
 		return
 	}
-	body := lengths[count*compoundLength:]
-	for number := range count {
-		length := int(binary.BigEndian.Uint16(lengths[number*compoundLength:]))
+	body := lengths[count*lengthFieldBytes:]
+	for index := range count {
+		length := int(binary.BigEndian.Uint16(lengths[index*lengthFieldBytes:]))
 		if length == 0 || length > len(body) {
-			found(Other)
+			visit(Other)
 			return
 		}
-		found(kindOf(body[0]))
+		visit(kindOf(body[0]))
 		body = body[length:]
 	}
 }
--- a/internal/scale/traffic/traffic.go
+++ b/internal/scale/traffic/traffic.go
@@ -21,10 +21,10 @@
 	User     // of fleet/member itself
 	PushPull // one side of a full exchange of state, on a connection
 	Other    // cannot be told: encrypted, compressed or unknown
-	Kinds
+	KindCount
 )
 
-var kindNames = [Kinds]string{
+var kindNames = [KindCount]string{
 	"ping", "indirect_ping", "ack", "nack", "suspect", "alive", "dead", "user", "push_pull", "other",
 }
 
@@ -37,14 +37,14 @@
 	DatagramBytes uint64 // payload, without the heads of UDP and IP
 	Streams       uint64 // connections, which either side may have opened
 	StreamBytes   uint64
-	Messages      [Kinds]uint64 // several may share a datagram
+	Messages      [KindCount]uint64 // several may share a datagram
 }
 
 // Bytes returns the bytes of datagrams and connections.
 func (c Counts) Bytes() uint64 { return c.DatagramBytes + c.StreamBytes }
 
-// AllMessages returns the number of messages of all kinds.
-func (c Counts) AllMessages() uint64 {
+// TotalMessages returns the number of messages of all kinds.
+func (c Counts) TotalMessages() uint64 {
 	var sum uint64
 	for _, count := range c.Messages {
 		sum += count
@@ -81,7 +81,7 @@
 type direction struct {
 	datagrams, datagramBytes atomic.Uint64
 	streams, streamBytes     atomic.Uint64
-	messages                 [Kinds]atomic.Uint64
+	messages                 [KindCount]atomic.Uint64
 }
 
 func (d *direction) read() Counts {
@@ -98,7 +98,7 @@
 }
 
 // datagram counts one datagram and the messages in it.
-func (d *direction) datagram(payload []byte) {
+func (d *direction) addDatagram(payload []byte) {
 	d.datagrams.Add(1)
 	d.datagramBytes.Add(uint64(len(payload)))
 	eachMessage(payload, func(kind Kind) { d.messages[kind].Add(1) })
--- a/internal/scale/traffic/traffic_test.go
+++ b/internal/scale/traffic/traffic_test.go
@@ -50,10 +50,10 @@
 
 func TestCountsSince(t *testing.T) {
 	var counter direction
-	counter.datagram([]byte{wirePing, 9})
+	counter.addDatagram([]byte{wirePing, 9})
 	earlier := counter.read()
-	counter.datagram([]byte{wireAck, 9, 9})
-	counter.stream(wirePushPull)
+	counter.addDatagram([]byte{wireAck, 9, 9})
+	counter.addStream(wirePushPull)
 	counter.streamBytes.Add(10)
 
 	since := counter.read().Sub(earlier)
@@ -63,7 +63,7 @@
 	if since != want {
 		t.Errorf("%+v, want %+v", since, want)
 	}
-	if since.Bytes() != 13 || since.AllMessages() != 2 {
-		t.Errorf("%d bytes and %d messages, want 13 and 2", since.Bytes(), since.AllMessages())
+	if since.Bytes() != 13 || since.TotalMessages() != 2 {
+		t.Errorf("%d bytes and %d messages, want 13 and 2", since.Bytes(), since.TotalMessages())
 	}
 }
--- a/internal/scale/traffic/transport.go
+++ b/internal/scale/traffic/transport.go
@@ -11,19 +11,19 @@
 // transport counts what passes between memberlist and the transport beneath.
 type transport struct {
 	memberlist.NodeAwareTransport
-	counter *Counter
-	packets chan *memberlist.Packet
-	streams chan net.Conn
-	stop    chan struct{}
-	stopped chan struct{}
-	ending  sync.Once
+	counter      *Counter
+	packets      chan *memberlist.Packet
+	streams      chan net.Conn
+	stop         chan struct{}
+	stopped      chan struct{}
+	shutdownOnce sync.Once
 }
 
 // Wrap is for member.Config.WrapTransport. Each wrapped transport has one goroutine, which
 // hands on what arrives.
-func (c *Counter) Wrap(beneath memberlist.NodeAwareTransport) memberlist.NodeAwareTransport {
+func (c *Counter) Wrap(inner memberlist.NodeAwareTransport) memberlist.NodeAwareTransport {
 	t := &transport{
-		NodeAwareTransport: beneath,
+		NodeAwareTransport: inner,
 		counter:            c,
 		packets:            make(chan *memberlist.Packet),
 		streams:            make(chan net.Conn),
@@ -40,7 +40,7 @@
 	for {
 		select {
 		case packet := <-t.NodeAwareTransport.PacketCh():
-			t.counter.received.datagram(packet.Buf)
+			t.counter.received.addDatagram(packet.Buf)
 			select {
 			case t.packets <- packet:
 			case <-t.stop:
@@ -48,7 +48,7 @@
 			}
 		case conn := <-t.NodeAwareTransport.StreamCh():
 			select {
-			case t.streams <- t.count(conn):
+			case t.streams <- t.countStream(conn):
 			case <-t.stop:
 				conn.Close()
 				return
@@ -75,7 +75,7 @@
 func (t *transport) WriteToAddress(payload []byte, addr memberlist.Address) (time.Time, error) {
 	sentAt, err := t.NodeAwareTransport.WriteToAddress(payload, addr)
 	if err == nil {
-		t.counter.sent.datagram(payload)
+		t.counter.sent.addDatagram(payload)
 	}
 	return sentAt, err
 }
@@ -91,20 +91,20 @@
 	if err != nil {
 		return nil, err
 	}
-	return t.count(conn), nil
+	return t.countStream(conn), nil
 }
 
 // Shutdown implements memberlist.Transport. The goroutine goes on to hand on what arrives
 // until the transport beneath has ended, since that may wait for a reader.
 func (t *transport) Shutdown() error {
 	err := t.NodeAwareTransport.Shutdown()
-	t.ending.Do(func() { close(t.stop) })
+	t.shutdownOnce.Do(func() { close(t.stop) })
 	<-t.stopped
 	return err
 }
 
 // count counts a connection's bytes from now on.
-func (t *transport) count(conn net.Conn) net.Conn {
+func (t *transport) countStream(conn net.Conn) net.Conn {
 	return &stream{Conn: conn, counter: t.counter}
 }
 
@@ -120,7 +120,7 @@
 func (s *stream) Read(buffer []byte) (int, error) {
 	length, err := s.Conn.Read(buffer)
 	if length > 0 {
-		s.receiveOnce.Do(func() { s.counter.received.stream(buffer[0]) })
+		s.receiveOnce.Do(func() { s.counter.received.addStream(buffer[0]) })
 		s.counter.received.streamBytes.Add(uint64(length))
 	}
 	return length, err
@@ -130,14 +130,14 @@
 func (s *stream) Write(buffer []byte) (int, error) {
 	length, err := s.Conn.Write(buffer)
 	if length > 0 {
-		s.sentOnce.Do(func() { s.counter.sent.stream(buffer[0]) })
+		s.sentOnce.Do(func() { s.counter.sent.addStream(buffer[0]) })
 		s.counter.sent.streamBytes.Add(uint64(length))
 	}
 	return length, err
 }
 
 // stream counts the first bytes of one direction of a connection.
-func (d *direction) stream(first byte) {
+func (d *direction) addStream(first byte) {
 	d.streams.Add(1)
 	d.messages[kindOf(first)].Add(1)
 }
