--- a/cmd/oxbowscale/main.go
+++ b/cmd/oxbowscale/main.go
@@ -1,5 +1,5 @@
-// Command oxbowscale measures what the membership of a fleet costs at several sizes. It is
-// for maintainers and no part of a balancer.
+// Command oxbowscale measures the resource cost of fleet membership at several fleet sizes. It is a
+// tool for maintainers and not part of the balancer.
 package main
 
 import (
@@ -20,8 +20,8 @@
 	"oxbowloft/internal/scale/runner"
 )
 
-// errIncomplete says that results were written and do not have all that the file asks for.
-var errIncomplete = errors.New("a size failed; what was measured has been written")
+// errIncomplete reports that the written results lack a part of the experiment.
+var errIncomplete = errors.New("a fleet size failed; partial results have been written")
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
--- a/cmd/oxbowscale/main_test.go
+++ b/cmd/oxbowscale/main_test.go
@@ -15,11 +15,11 @@
 
 const (
 	experimentFiles = "../../docs/capacity/experiments/*.json"
-	// exitTimeout is how long an interrupted run may take to end; it takes less than a second.
+	// exitTimeout bounds the exit of an interrupted run, which takes less than a second.
 	exitTimeout = time.Minute
 )
 
-// runCommandLine runs a command line within this process.
+// runCommandLine runs the command in this process and returns its output.
 func runCommandLine(args ...string) (string, error) {
 	var output strings.Builder
 	root := command()
@@ -30,11 +30,11 @@
 	return output.String(), err
 }
 
-// The files of the runs that are kept are valid, and give the same schedule each time.
+// The experiment files in the documentation are valid, and their schedules are deterministic.
 func TestPublishedExperiments(t *testing.T) {
 	files, err := filepath.Glob(experimentFiles)
 	if err != nil || len(files) == 0 {
-		t.Fatalf("files %v, error %v", files, err)
+		t.Fatalf("experiment files %v, error %v", files, err)
 	}
 	for _, file := range files {
 		first, err := runCommandLine("check", file)
@@ -43,13 +43,13 @@
 			continue
 		}
 		if again, _ := runCommandLine("check", file); again != first || first == "" {
-			t.Errorf("%s: the schedules are\n%s\nand\n%s", file, first, again)
+			t.Errorf("%s: schedules are empty or differ:\n%s\nand\n%s", file, first, again)
 		}
 	}
 }
 
-// A file that is wrong ends the command with its name and the key's, before anything starts.
-func TestWrongFile(t *testing.T) {
+// An invalid file fails the command before anything starts, with an error that names file and key.
+func TestInvalidFile(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "wrong.json")
 	if err := os.WriteFile(file, []byte(`{"name": "wrong", "sizes": [1]}`), 0o600); err != nil {
 		t.Fatal(err)
@@ -62,11 +62,11 @@
 		}
 	}
 	if _, err := os.Stat(folder); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("the folder of results was made: %v", err)
+		t.Errorf("the folder for results was created, or can't be read: %v", err)
 	}
 }
 
-// An interrupt ends a run early, with an error and without results.
+// SIGTERM ends a run early, with exit code 1 and without results.
 func TestInterrupt(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "oxbowscale")
 	if output, err := exec.Command("go", "build", "-o", program, ".").CombinedOutput(); err != nil {
@@ -84,9 +84,9 @@
 	kill := time.AfterFunc(2*exitTimeout, func() { run.Process.Kill() })
 	defer kill.Stop()
 	lines := bufio.NewReader(log)
-	for line := ""; !strings.Contains(line, "all are in one view"); {
+	for line := ""; !strings.Contains(line, "all members have the same view"); {
 		if line, err = lines.ReadString('\n'); err != nil {
-			t.Fatalf("the run ended before its fleet was in one view: %v", err)
+			t.Fatalf("the run ended before all members had the same view: %v", err)
 		}
 	}
 	interruptedAt := time.Now()
@@ -96,25 +96,25 @@
 	rest, _ := io.ReadAll(lines)
 	var exit *exec.ExitError
 	if err := run.Wait(); !errors.As(err, &exit) || exit.ExitCode() != 1 {
-		t.Errorf("ended with %v, want exit code 1; log %s", err, rest)
+		t.Errorf("run returned %v, want exit code 1; log %s", err, rest)
 	}
 	if took := time.Since(interruptedAt); took > exitTimeout {
-		t.Errorf("the end took %v", took)
+		t.Errorf("exit took %v", took)
 	}
 	if results, err := os.ReadDir(folder); err != nil || len(results) > 0 {
-		t.Errorf("results %v, error %v", results, err)
+		t.Errorf("results %v, error %v; want none", results, err)
 	}
 }
 
-// A folder that can't be made ends the command before anything starts.
-func TestWrongFolder(t *testing.T) {
+// A folder that can't be created fails the command before anything starts.
+func TestInvalidFolder(t *testing.T) {
 	file := writeLongExperiment(t)
 	if _, err := runCommandLine("run", file, file); err == nil || !strings.Contains(err.Error(), file) {
 		t.Errorf("error %v", err)
 	}
 }
 
-// writeLongExperiment writes an experiment that is at rest until long after the test's end.
+// writeLongExperiment writes an experiment whose steady state lasts far longer than the test.
 func writeLongExperiment(t *testing.T) string {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "long.json")
@@ -128,8 +128,8 @@
 	return file
 }
 
-// The balancer does not link this program's packages.
-func TestBalancerDoesNotLinkIt(t *testing.T) {
+// The balancer must not link the packages of this tool.
+func TestBalancerDoesNotLinkScalePackages(t *testing.T) {
 	output, err := exec.Command("go", "list", "-deps", "oxbowloft/cmd/oxbowloft").Output()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/scale/experiment/duration.go
+++ b/internal/scale/experiment/duration.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Duration is a time.Duration that a file gives as text, such as "1.5s". Text that is no
-// duration is kept until the file is checked, so that the error can name its key.
+// Duration is a time.Duration that is a string such as "1.5s" in JSON. An invalid value is kept until
+// the file is validated, so that the error can name its key.
 type Duration struct {
 	time.Duration
 	invalid string
--- a/internal/scale/experiment/experiment.go
+++ b/internal/scale/experiment/experiment.go
@@ -1,5 +1,5 @@
-// Package experiment reads and checks the file that describes a scale run: how large the
-// fleets are, how they are divided into zones, what is measured and which faults occur when.
+// Package experiment reads and validates the file that describes a scale experiment: the fleet
+// sizes, the number of zones, the measurement times and the schedule of faults.
 package experiment
 
 import (
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// Bounds of what a file may ask for.
+// Bounds of the values in an experiment file.
 const (
 	maxNameBytes     = 64
 	minSize          = 3
@@ -27,26 +27,26 @@
 	defaultKillCount = 1
 )
 
-// FaultKind says what a fault does to the fleet.
+// FaultKind is the kind of a fault.
 type FaultKind string
 
 // The kinds of fault.
 const (
-	Kill      FaultKind = "kill"    // members end without a farewell
-	Restart   FaultKind = "restart" // all members that are down start again under their names
-	Partition FaultKind = "cut"     // one zone is separated from all others
-	Heal      FaultKind = "heal"    // all links are whole again
+	Kill      FaultKind = "kill"    // members stop without a leave message
+	Restart   FaultKind = "restart" // all stopped members start again with their names
+	Partition FaultKind = "cut"     // one zone is partitioned from all others
+	Heal      FaultKind = "heal"    // the partition ends
 )
 
-// Fault is one fault of the file.
+// Fault is one entry of the fault schedule.
 type Fault struct {
-	At    Duration  `json:"at"` // counted from when all members are in one view
+	At    Duration  `json:"at"` // counted from when all members have the same view
 	Kind  FaultKind `json:"kind"`
-	Count int       `json:"count,omitempty"` // Kill: how many members; 0: one
-	Zone  int       `json:"zone,omitempty"`  // Cut: the zone's number, from 1
+	Count int       `json:"count,omitempty"` // Kill: number of members; 0 means one
+	Zone  int       `json:"zone,omitempty"`  // Partition: the zone's number, from 1
 }
 
-// Member holds the times of the members. A zero stands for the default of fleet/member.
+// Member holds the protocol settings of the members. Zero means the default of fleet/member.
 type Member struct {
 	ProbeInterval    Duration `json:"probe_interval,omitzero"`
 	ProbeTimeout     Duration `json:"probe_timeout,omitzero"`
@@ -57,21 +57,21 @@
 	RejoinMax        Duration `json:"rejoin_max,omitzero"`
 }
 
-// Experiment is one experiment file.
+// Experiment is the content of an experiment file.
 type Experiment struct {
 	Name           string   `json:"name"`
 	Seed           uint64   `json:"seed"`
-	Sizes          []int    `json:"sizes"` // numbers of members, each measured in a fleet of its own
+	Sizes          []int    `json:"sizes"` // fleet sizes in members, measured one after another
 	Zones          int      `json:"zones"`
-	Settle         Duration `json:"settle"`           // from one view to the measurement at rest
-	SteadyState    Duration `json:"rest"`             // length of the measurement at rest
-	TimeLimit      Duration `json:"time_limit"`       // of one size, its start included
-	MemoryLimitMiB int      `json:"memory_limit_mib"` // resident memory at which a run is given up
+	Settle         Duration `json:"settle"`           // from the convergence of all views to the steady state measurement
+	SteadyState    Duration `json:"rest"`             // length of the steady state measurement
+	TimeLimit      Duration `json:"time_limit"`       // of one size, including the start of its fleet
+	MemoryLimitMiB int      `json:"memory_limit_mib"` // resident memory above which a run is aborted
 	Member         Member   `json:"member,omitzero"`
 	Faults         []Fault  `json:"faults"`
 }
 
-// KeyError names the key of the file that is wrong.
+// KeyError reports an invalid value and names its key in the file.
 type KeyError struct {
 	Key     string
 	Problem string
@@ -80,7 +80,7 @@
 // Error implements error.
 func (e *KeyError) Error() string { return e.Key + ": " + e.Problem }
 
-// Load reads and checks a file.
+// Load reads and validates a file.
 func Load(path string) (Experiment, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
@@ -93,7 +93,7 @@
 	return parsed, nil
 }
 
-// Parse reads and checks the content of a file.
+// Parse decodes and validates the content of a file.
 func Parse(content []byte) (Experiment, error) {
 	var parsed Experiment
 	decoder := json.NewDecoder(bytes.NewReader(content))
@@ -110,7 +110,7 @@
 	return parsed, nil
 }
 
-// decodeError turns an error of encoding/json into one that names the key, where it knows it.
+// decodeError converts an error of encoding/json into a KeyError if it names the key.
 func decodeError(err error) error {
 	var wrongType *json.UnmarshalTypeError
 	if errors.As(err, &wrongType) && wrongType.Field != "" {
@@ -119,8 +119,8 @@
 	return err
 }
 
-// Relayed tells whether the links between members have to pass through relays, since one of
-// the faults cuts them.
+// NeedsRelays reports whether the links between members have to go through relays, since a fault
+// partitions the network.
 func (e *Experiment) NeedsRelays() bool {
 	for _, fault := range e.Faults {
 		if fault.Kind == Partition {
@@ -130,7 +130,8 @@
 	return false
 }
 
-// EarliestFault is the earliest time of a fault: before it the fleet is measured at rest.
+// EarliestFault returns the earliest allowed time of a fault: the end of the steady state
+// measurement.
 func (e *Experiment) EarliestFault() time.Duration {
 	return e.Settle.Duration + e.SteadyState.Duration
 }
--- a/internal/scale/experiment/experiment_test.go
+++ b/internal/scale/experiment/experiment_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// valid is a file with each kind of fault.
+// valid is a valid file with every kind of fault.
 const valid = `{
 	"name": "valid", "seed": 7, "sizes": [12, 30], "zones": 3,
 	"settle": "1s", "rest": "2s", "time_limit": "60s", "memory_limit_mib": 1024,
@@ -28,15 +28,15 @@
 		t.Fatal(err)
 	}
 	if parsed.Settle.Duration != time.Second || parsed.Member.ProbeTimeout.Duration != 60*time.Millisecond {
-		t.Errorf("durations were read as %v and %v", parsed.Settle, parsed.Member.ProbeTimeout)
+		t.Errorf("durations decoded as %v and %v", parsed.Settle, parsed.Member.ProbeTimeout)
 	}
 	if !parsed.NeedsRelays() {
-		t.Error("a file with a cut needs relays")
+		t.Error("NeedsRelays is false for a file with a cut")
 	}
 }
 
-// Each file has one fault, and the error names its key in one line.
-func TestWrongFiles(t *testing.T) {
+// Each file has one error, and the error message names its key in a single line.
+func TestInvalidFiles(t *testing.T) {
 	cases := []struct{ old, new, key string }{
 		{`"name": "valid"`, `"name": "../valid"`, "name"},
 		{`"name": "valid"`, `"name": ""`, "name"},
@@ -83,7 +83,7 @@
 	for _, c := range cases {
 		content := strings.Replace(valid, c.old, c.new, 1)
 		if content == valid {
-			t.Fatalf("%s is not in the valid file", c.old)
+			t.Fatalf("valid file does not contain %s", c.old)
 		}
 		_, err := Parse([]byte(content))
 		if err == nil {
@@ -91,20 +91,20 @@
 			continue
 		}
 		if text := err.Error(); !strings.Contains(text, c.key) || strings.Contains(text, "\n") {
-			t.Errorf("%s in place of %s: error %q, want %s named in one line", c.new, c.old, text, c.key)
+			t.Errorf("%s in place of %s: error %q, want a single line that names %s", c.new, c.old, text, c.key)
 		}
 	}
 }
 
-func TestWrongFilesHaveTypedErrors(t *testing.T) {
+func TestInvalidFilesReturnKeyError(t *testing.T) {
 	_, err := Parse([]byte(strings.Replace(valid, `"zones": 3`, `"zones": 0`, 1)))
 	var keyError *KeyError
 	if !errors.As(err, &keyError) || keyError.Key != "zones" {
-		t.Errorf("error %v, want a KeyError of zones", err)
+		t.Errorf("error %v, want a KeyError for zones", err)
 	}
 }
 
-func TestNoJSON(t *testing.T) {
+func TestMalformedJSON(t *testing.T) {
 	for _, content := range []string{"", "{", "[]", "null", valid + "{}", valid + "x"} {
 		if _, err := Parse([]byte(content)); err == nil {
 			t.Errorf("%q: no error", content)
@@ -125,8 +125,8 @@
 	})
 }
 
-// The same file gives the same schedule at each reading, another seed another one.
-func TestScheduleFollowsFromFileAndSeed(t *testing.T) {
+// The schedule is the same each time for the same file, and differs for another seed.
+func TestScheduleIsDeterministic(t *testing.T) {
 	first := scheduleOf(t, valid, 30)
 	if again := scheduleOf(t, valid, 30); !reflect.DeepEqual(first, again) {
 		t.Errorf("the same file gave\n%v\nand\n%v", first, again)
@@ -146,7 +146,7 @@
 	return parsed.Schedule(size)
 }
 
-// A kill takes members that are up, a restart brings back all that are down.
+// A kill stops running members, and a restart starts all stopped members.
 func TestScheduleOfKillsAndRestarts(t *testing.T) {
 	for _, size := range []int{12, 30} {
 		actions := scheduleOf(t, valid, size)
@@ -157,12 +157,12 @@
 		seen := map[int]bool{0: true} // the first member is never killed
 		for _, index := range down {
 			if index < 0 || index >= size || seen[index] {
-				t.Errorf("members %v are killed", down)
+				t.Errorf("killed members %v are out of range, repeated or include the first member", down)
 			}
 			seen[index] = true
 		}
 		if !reflect.DeepEqual(actions[2].Members, down) {
-			t.Errorf("members %v are restarted, want %v", actions[2].Members, down)
+			t.Errorf("restarted members %v, want %v", actions[2].Members, down)
 		}
 	}
 }
--- a/internal/scale/experiment/schedule.go
+++ b/internal/scale/experiment/schedule.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// Place is where a member of a fleet belongs.
+// Placement is the name and the zone of a member.
 type Placement struct {
 	Name string
 	Zone int // from 1
 }
 
-// Action is a fault with all that was left open drawn.
+// Action is a scheduled fault with its randomly drawn members.
 type Action struct {
 	At      time.Duration
 	Kind    FaultKind
-	Members []int // Kill, Restart: numbers of the members, from 0
-	Zone    int   // Cut
+	Members []int // Kill, Restart: indexes of the members, from 0
+	Zone    int   // Partition: the zone's number, from 1
 }
 
-// Places returns the members of a fleet of one size, dealt to the zones in turn.
+// Placements returns the members of a fleet of the given size, assigned to zones round-robin.
 func (e *Experiment) Placements(size int) []Placement {
 	places := make([]Placement, size)
 	for index := range places {
@@ -32,8 +32,8 @@
 	return places
 }
 
-// Schedule returns the faults for a fleet of one size. It depends on nothing but the
-// experiment and the size.
+// Schedule returns the faults for a fleet of the given size. It is deterministic: it depends only on
+// the experiment and the size.
 func (e *Experiment) Schedule(size int) []Action {
 	random := rand.New(rand.NewPCG(e.Seed, uint64(size)))
 	down := make(map[int]bool)
@@ -55,8 +55,8 @@
 	return actions
 }
 
-// drawLive draws members that are up, and notes them as down. The first member is never drawn:
-// the others ask it first when they join.
+// drawLive draws running members at random and records them as down. The first member is never
+// drawn, since the others join through it.
 func drawLive(random *rand.Rand, size int, down map[int]bool, count int) []int {
 	var drawn []int
 	for _, index := range random.Perm(size) {
--- a/internal/scale/fit/fit.go
+++ b/internal/scale/fit/fit.go
@@ -1,5 +1,5 @@
-// Package fit fits straight lines to what was measured at several sizes, and tells where a
-// measure grows faster than a line.
+// Package fit fits straight lines to measurements taken at several fleet sizes, and detects
+// measures that grow faster or slower than linearly.
 package fit
 
 import (
@@ -8,28 +8,28 @@
 	"math"
 )
 
-// Point is one measurement: a value at a size.
+// Point is a value measured at one size.
 type Point struct {
 	Size  float64
 	Value float64
 }
 
-// Line is a line fitted by least squares, and the judgement on its bend.
+// Line is a line fitted by least squares, with the curvature of the points.
 type Line struct {
 	Points    int     `json:"points"`
 	Intercept float64 `json:"intercept"`
 	Slope     float64 `json:"slope"`
-	// SlopeError is the slope's standard error; not known with fewer than three points.
+	// SlopeError is the slope's standard error, which is unknown with fewer than three points.
 	SlopeError      float64   `json:"slope_error"`
 	SlopeErrorKnown bool      `json:"slope_error_known"`
 	Curvature       Curvature `json:"bend"`
 }
 
-// Bend says whether the points bend away from a line.
+// Curvature is the direction in which the points deviate from a line.
 type Curvature string
 
-// The judgements on a bend: the sign of the quadratic term where it differs from zero at
-// the 95% level, by Student's t.
+// The values of Curvature: the sign of the quadratic term if it differs from zero at the 95%
+// level by Student's t-test.
 const (
 	CurvatureUnknown Curvature = "not known" // fewer than four points
 	CurvatureNone    Curvature = "none seen"
@@ -43,19 +43,19 @@
 	minPointsForCurvature = 4
 )
 
-// roundingTolerance is the part of the values' size below which a residual is rounding.
+// roundingTolerance is the fraction of the largest value below which a result is a rounding error.
 const roundingTolerance = 1e-9
 
 // studentT holds the two-sided 95% quantiles of Student's t for 1, 2, ... degrees of freedom.
 var studentT = []float64{12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228}
 
-// studentTLimit is for more degrees of freedom: somewhat strict.
+// studentTLimit is used for more degrees of freedom than studentT has; it is slightly conservative.
 const studentTLimit = 2.228
 
-// ErrTooFewSizes says that the points have fewer than two sizes.
-var ErrTooFewSizes = errors.New("fit: two sizes at least are needed")
+// ErrTooFewSizes is returned for fewer than two points.
+var ErrTooFewSizes = errors.New("fit: at least two sizes are required")
 
-// Fit fits a line to points, each at a size of its own.
+// Fit fits a line to points, whose sizes have to be distinct and positive.
 func Fit(points []Point) (Line, error) {
 	if len(points) < minPointsForLine {
 		return Line{}, ErrTooFewSizes
@@ -82,17 +82,17 @@
 	return line, nil
 }
 
-// scaleOf returns the largest size, by which sizes are divided so that powers of them stay
-// near one.
+// scaleOf returns the largest size. Sizes are divided by it so that their powers stay near one,
+// which keeps the normal equations well conditioned.
 func scaleOf(points []Point) (float64, error) {
 	seen := map[float64]bool{}
 	largest := 0.0
 	for _, point := range points {
 		if math.IsNaN(point.Value) || math.IsInf(point.Value, 0) {
-			return 0, fmt.Errorf("fit: the value at size %v is %v", point.Size, point.Value)
+			return 0, fmt.Errorf("fit: value at size %v is not finite: %v", point.Size, point.Value)
 		}
 		if point.Size <= 0 || seen[point.Size] {
-			return 0, fmt.Errorf("fit: size %v is not positive or comes twice", point.Size)
+			return 0, fmt.Errorf("fit: size %v is not positive or is duplicated", point.Size)
 		}
 		seen[point.Size] = true
 		largest = max(largest, point.Size)
@@ -100,7 +100,7 @@
 	return largest, nil
 }
 
-// zeroIfRounding returns a figure, or zero in place of one that is rounding alone.
+// zeroIfRounding returns value, or zero if its magnitude is within the rounding error.
 func zeroIfRounding(value, rounding float64) float64 {
 	if math.Abs(value) <= rounding {
 		return 0
@@ -136,13 +136,13 @@
 	return largest
 }
 
-// polynomial is a fitted polynomial in size/scale, lowest power first.
+// polynomial is a polynomial in size/scale, with the lowest power first.
 type polynomial struct {
 	coefficients []float64
-	errors       []float64 // standard errors; zero where there are no degrees of freedom
+	errors       []float64 // standard errors; zero without degrees of freedom
 }
 
-// leastSquares solves the normal equations for a polynomial of a degree.
+// leastSquares fits a polynomial of the given degree by solving the normal equations.
 func leastSquares(points []Point, degree int, scale float64) polynomial {
 	terms := degree + 1
 	normal := newMatrix(terms)
--- a/internal/scale/fit/fit_test.go
+++ b/internal/scale/fit/fit_test.go
@@ -35,41 +35,42 @@
 			t.Errorf("%+v: fitted %+v", c, line)
 		}
 		if !line.SlopeErrorKnown || !near(line.SlopeError, 0) {
-			t.Errorf("%+v: slope's error %v", c, line.SlopeError)
+			t.Errorf("%+v: slope error %v", c, line.SlopeError)
 		}
 		if line.Curvature != CurvatureNone {
-			t.Errorf("%+v: bend %v", c, line.Curvature)
+			t.Errorf("%+v: curvature %v", c, line.Curvature)
 		}
 	}
 }
 
-// The figures are worked out by hand: sizes 1 to 4, mean 2.5, sum of squares 5; residuals of
-// 1 1 2 2 around 0.5 + 0.4x are 0.1 -0.3 0.3 -0.1, so the error is sqrt(0.2/2/5).
+// The expected values are computed by hand: sizes 1 to 4 have mean 2.5 and a sum of squared
+// deviations of 5; the residuals of 1 1 2 2 around 0.5 + 0.4x are 0.1 -0.3 0.3 -0.1, so the standard
+// error is sqrt(0.2/2/5).
 func TestKnownSlopeError(t *testing.T) {
 	line := mustFit(t, []Point{{1, 1}, {2, 1}, {3, 2}, {4, 2}})
 	if !near(line.Slope, 0.4) || !near(line.Intercept, 0.5) {
 		t.Errorf("fitted %+v, want 0.5 + 0.4x", line)
 	}
 	if want := math.Sqrt(0.2 / 2 / 5); !near(line.SlopeError, want) {
-		t.Errorf("slope's error %v, want %v", line.SlopeError, want)
+		t.Errorf("slope error %v, want %v", line.SlopeError, want)
 	}
 	if line.Curvature != CurvatureNone {
-		t.Errorf("bend %v, want none", line.Curvature)
+		t.Errorf("curvature %v, want none", line.Curvature)
 	}
 }
 
 func TestKnownParabolas(t *testing.T) {
 	up := mustFit(t, pointsOf(func(size float64) float64 { return 10 + size + 0.01*size*size }, 150, 300, 600, 1200))
 	if up.Curvature != CurvatureUp {
-		t.Errorf("bend %v, want upward", up.Curvature)
+		t.Errorf("curvature %v, want upward", up.Curvature)
 	}
 	down := mustFit(t, pointsOf(func(size float64) float64 { return 10 + size - 0.01*size*size }, 150, 300, 600, 1200))
 	if down.Curvature != CurvatureDown {
-		t.Errorf("bend %v, want downward", down.Curvature)
+		t.Errorf("curvature %v, want downward", down.Curvature)
 	}
 }
 
-// Values that are all alike have a slope of exactly zero, not one of rounding.
+// Equal values have a slope of exactly zero, without a rounding error.
 func TestNoGrowth(t *testing.T) {
 	line := mustFit(t, pointsOf(func(float64) float64 { return 14.95 }, 6, 12, 20, 30))
 	if line.Slope != 0 || line.SlopeError != 0 || line.Curvature != CurvatureNone {
@@ -77,7 +78,7 @@
 	}
 }
 
-// Scatter that is large beside the bend hides it, scatter that is small does not.
+// Curvature is detected if the scatter is small relative to it, and not if the scatter is large.
 func TestCurvatureWithScatter(t *testing.T) {
 	scatter := []float64{1, -1, 1, 1, -1, -1}
 	sizes := []float64{100, 200, 400, 600, 900, 1200}
@@ -87,7 +88,7 @@
 			points = append(points, Point{size, size + 0.001*size*size + part*scatter[index]})
 		}
 		if line := mustFit(t, points); line.Curvature != want {
-			t.Errorf("scatter of %v: bend %v, want %v", part, line.Curvature, want)
+			t.Errorf("scatter of %v: curvature %v, want %v", part, line.Curvature, want)
 		}
 	}
 }
--- a/internal/scale/fit/matrix.go
+++ b/internal/scale/fit/matrix.go
@@ -4,7 +4,7 @@
 	"math"
 )
 
-// matrix is a small square matrix, by rows.
+// matrix is a small square matrix in row-major order.
 type matrix [][]float64
 
 func newMatrix(size int) matrix {
@@ -15,8 +15,9 @@
 	return rows
 }
 
-// invert returns the inverse by elimination with pivots. The matrix is changed. It has an
-// inverse, as normal equations of more sizes than terms have.
+// invert returns the inverse by Gauss-Jordan elimination with partial pivoting, and overwrites a.
+// The matrix must be invertible, as normal equations are with at least as many distinct sizes as
+// terms.
 func invert(a matrix) matrix {
 	size := len(a)
 	inverse := newMatrix(size)
@@ -37,7 +38,7 @@
 	return inverse
 }
 
-// pivotRow returns the row from column on that has the largest entry in it.
+// pivotRow returns the row, from the diagonal down, with the largest absolute entry in a column.
 func pivotRow(a matrix, column int) int {
 	pivot := column
 	for row := column + 1; row < len(a); row++ {
@@ -55,8 +56,8 @@
 	}
 }
 
-// subtractRow takes a multiple of the pivot's row from another, so that its entry in the
-// pivot's column is zero.
+// subtractRow subtracts a multiple of the pivot row from another row, so that the latter's entry
+// in the pivot column becomes zero.
 func subtractRow(a, inverse matrix, row, pivot int) {
 	factor := a[row][pivot]
 	for column := range a {
--- a/internal/scale/localfleet/address.go
+++ b/internal/scale/localfleet/address.go
@@ -9,15 +9,15 @@
 
 const (
 	directPort      = 17946
-	membersPerBlock = 250 // members of a block of 256 addresses
+	membersPerBlock = 250 // members in a block of 256 addresses
 	firstHost       = 1
 	blocks          = 256
-	firstSecondByte = 64 // the second byte is drawn from firstSecondByte on
+	firstSecondByte = 64 // lowest value of the second byte, which is drawn at random
 	secondByteCount = 128
 )
 
-// addresses gives each member an address of its own in 127.0.0.0/8. The block is drawn, so
-// that two runs on one machine hardly ever meet.
+// addresses assigns each member its own address in 127.0.0.0/8. The first block is drawn at
+// random, so that concurrent runs on one machine rarely collide.
 type addresses struct {
 	secondByte byte
 	block      int
@@ -30,7 +30,7 @@
 	}
 }
 
-// endpoint returns where the member with this number binds and is reached.
+// endpoint returns the address that the member with this index binds and advertises.
 func (a addresses) endpoint(index int) faultlink.Endpoint {
 	block := byte((a.block + index/membersPerBlock) % blocks)
 	host := byte(firstHost + index%membersPerBlock)
--- a/internal/scale/localfleet/fault.go
+++ b/internal/scale/localfleet/fault.go
@@ -6,7 +6,7 @@
 	"oxbowloft/internal/scale/experiment"
 )
 
-// Apply carries out a fault of the schedule.
+// Apply injects a scheduled fault.
 func (f *Fleet) Apply(action experiment.Action) error {
 	switch action.Kind {
 	case experiment.Kill:
@@ -18,7 +18,7 @@
 	case experiment.Heal:
 		f.heal()
 	default:
-		return fmt.Errorf("hollow: fault %q is not known", action.Kind)
+		return fmt.Errorf("localfleet: unknown fault %q", action.Kind)
 	}
 	return nil
 }
@@ -31,7 +31,7 @@
 	return members
 }
 
-// restart starts members again under their names and at their addresses.
+// restart starts members again with their previous names and addresses.
 func (f *Fleet) restart(members []*Member) error {
 	for _, each := range members {
 		if err := f.start(each); err != nil {
@@ -41,7 +41,7 @@
 	return nil
 }
 
-// cut separates a zone from all others.
+// partition separates a zone from all others.
 func (f *Fleet) partition(zone int) {
 	f.partitionedZone = zone
 	var inside, outside []string
--- a/internal/scale/localfleet/fleet.go
+++ b/internal/scale/localfleet/fleet.go
@@ -1,5 +1,5 @@
-// Package hollow runs many members of a fleet in one process. A hollow member is the real
-// code of fleet/member with sockets and state of its own, and no request path beside it.
+// Package localfleet runs many members of a fleet in one process. Each member runs the real
+// code of fleet/member with its own sockets and state, but without a request path.
 package localfleet
 
 import (
@@ -16,34 +16,34 @@
 )
 
 const (
-	maxSeeds            = 3  // members that all others ask first, one of each of the first zones
-	maxConcurrentStarts = 32 // members that join at a time
+	maxSeeds            = 3  // seed members that all members join through, one in each of the first zones
+	maxConcurrentStarts = 32 // members that start and join concurrently
 	pollInterval        = 20 * time.Millisecond
-	directSockets       = 2 // of a member: one for datagrams, one for connections
-	relayedSockets      = 2 // of a member's relay, beside its own
-	descriptorHeadroom  = 2000
+	directSockets       = 2    // per member: one for datagrams, one for connections
+	relayedSockets      = 2    // per member's relay, in addition to directSockets
+	descriptorHeadroom  = 2000 // for connections and the rest of the process
 )
 
-// Member is one hollow member.
+// Member is one member of a local fleet.
 type Member struct {
 	Placement experiment.Placement
 	Counter   traffic.Counter
 	endpoint  faultlink.Endpoint
-	node      *member.Node // nil: down
+	node      *member.Node // nil: not running
 }
 
-// Fleet is a fleet of hollow members. Its methods are for one goroutine.
+// Fleet is a fleet of members in this process. Its methods are not safe for concurrent use.
 type Fleet struct {
 	times           experiment.Member
 	seed            uint64
 	members         []*Member
 	seeds           []string
-	links           *faultlink.Net // nil: members reach each other directly
-	partitionedZone int            // 0: no zone is cut off
+	links           *faultlink.Net // nil: members connect directly
+	partitionedZone int            // 0: none
 }
 
-// Start starts a fleet and returns once each member is serving, which is before all are in
-// one view. On an error or when ctx ends nothing is left running.
+// Start starts a fleet and returns once each member is serving, which is before all views have
+// converged. On an error, or if ctx ends, nothing is left running.
 func Start(ctx context.Context, plan *experiment.Experiment, size int) (*Fleet, error) {
 	fleet := &Fleet{times: plan.Member, seed: plan.Seed}
 	sockets := directSockets
@@ -64,7 +64,8 @@
 	return fleet, nil
 }
 
-// place gives each member its addresses, over relays if links are going to be cut.
+// assignEndpoints assigns each member its addresses, with relays in between if a fault will
+// partition the network.
 func (f *Fleet) assignEndpoints(plan *experiment.Experiment, size int) error {
 	addresses := newAddresses()
 	if plan.NeedsRelays() {
@@ -89,7 +90,7 @@
 	return nil
 }
 
-// startAll starts the seeds, then the others, some at a time.
+// startAll starts the seeds first, then all other members, with bounded concurrency.
 func (f *Fleet) startAll(ctx context.Context) error {
 	if err := f.startEach(ctx, f.members[:len(f.seeds)]); err != nil {
 		return err
@@ -115,7 +116,7 @@
 	return context.Cause(ctx)
 }
 
-// startServing starts a member and waits until it serves.
+// startServing starts a member and waits until it is serving.
 func (f *Fleet) startServing(ctx context.Context, each *Member) error {
 	if ctx.Err() != nil {
 		return ctx.Err()
@@ -155,7 +156,8 @@
 	return nil
 }
 
-// discard reads what a node tells its user, as a proxy would, until the node is closed.
+// drainEvents reads and discards a node's events and messages until the node is closed. It takes
+// the place of the proxy, which would consume them.
 func drainEvents(node *member.Node) {
 	events, messages := node.Events(), node.Messages()
 	for events != nil || messages != nil {
@@ -174,10 +176,10 @@
 
 func zoneName(zone int) string { return fmt.Sprintf("zone-%d", zone) }
 
-// Members returns all members, those that are down too, by number.
+// Members returns all members by index, including those that are not running.
 func (f *Fleet) Members() []*Member { return f.members }
 
-// Close ends all members and links.
+// Close stops all members and relays.
 func (f *Fleet) Close() {
 	f.closeEach(f.members)
 	if f.links != nil {
@@ -185,8 +187,8 @@
 	}
 }
 
-// closeEach ends members without a farewell. Each may wait for its listeners to end, so that
-// all are ended at once.
+// closeEach stops members without a leave message. Each may wait for its listeners to end, so
+// all are stopped concurrently.
 func (f *Fleet) closeEach(members []*Member) {
 	var closes sync.WaitGroup
 	for _, each := range members {
@@ -200,7 +202,7 @@
 	closes.Wait()
 }
 
-// Sleep waits for a time, or until ctx ends, and returns what ended it then.
+// Sleep waits for a duration. If ctx ends first, it returns the cause.
 func Sleep(ctx context.Context, length time.Duration) error {
 	timer := time.NewTimer(length)
 	defer timer.Stop()
--- a/internal/scale/localfleet/fleet_test.go
+++ b/internal/scale/localfleet/fleet_test.go
@@ -13,11 +13,11 @@
 
 const (
 	fleetSize = 12
-	// convergenceTimeout is how long a test waits for views; they take a second or two.
+	// convergenceTimeout bounds the wait for views to converge, which takes one or two seconds.
 	convergenceTimeout = 2 * time.Minute
 )
 
-// parsePlan reads an experiment of members with short times. faults is the list of its faults.
+// parsePlan returns an experiment whose members use short intervals, with a JSON list of faults.
 func parsePlan(t *testing.T, faults string) *experiment.Experiment {
 	t.Helper()
 	plan, err := experiment.Parse(fmt.Appendf(nil, `{
@@ -46,21 +46,22 @@
 	return fleet
 }
 
-// expectConvergence waits until all views are as they should be.
+// expectConvergence waits until all views are correct.
 func expectConvergence(t *testing.T, fleet *Fleet, what string, up int) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), convergenceTimeout)
 	defer cancel()
 	observation := fleet.Observe(ctx, time.Now())
 	if observation.Unconverged > 0 {
-		t.Fatalf("%s: %d views are not as they should be after %v", what, observation.Unconverged, convergenceTimeout)
+		t.Fatalf("%s: %d views are not correct after %v", what, observation.Unconverged, convergenceTimeout)
 	}
 	if len(observation.ConvergedAfter) != up {
-		t.Fatalf("%s: %d views were looked at, want %d", what, len(observation.ConvergedAfter), up)
+		t.Fatalf("%s: %d views converged, want %d", what, len(observation.ConvergedAfter), up)
 	}
 }
 
-// A dozen members live through a kill, a restart, a cut and its heal. Only outcomes count.
+// The views of a dozen members converge after a kill, a restart, a partition and its end. The test
+// checks only the outcomes, not the times.
 func TestViewsAfterEachFault(t *testing.T) {
 	plan := parsePlan(t, `[
 		{"at": "1s", "kind": "kill"}, {"at": "2s", "kind": "restart"},
@@ -86,13 +87,13 @@
 	}
 }
 
-// Without relays members reach each other, too, and what one sends another receives: the
-// sums differ by what is under way and by what the dead did not take.
+// Members also reach each other without relays. No more datagrams are received than sent; fewer
+// may be, since some are in flight or addressed to members that have stopped.
 func TestDirectLinks(t *testing.T) {
 	plan := parsePlan(t, `[]`)
 	fleet := startFleet(t, plan)
 	if fleet.links != nil {
-		t.Error("there are relays, and nothing is cut")
+		t.Error("relays are used although no fault partitions the network")
 	}
 	expectConvergence(t, fleet, "start", fleetSize)
 	fleet.Close()
@@ -102,12 +103,12 @@
 		received += each.Counter.Received().Datagrams
 	}
 	if received == 0 || received > sent {
-		t.Errorf("%d datagrams were received of %d sent", received, sent)
+		t.Errorf("%d datagrams received, %d sent", received, sent)
 	}
 }
 
-// Views of all members are not whole for a fleet of which one zone should be cut off, and is
-// not: Observe must see the difference.
+// Observe reports every view as unconverged if it expects a partition that does not exist, since
+// each view then holds members that should be unreachable.
 func TestObserveDetectsWrongViews(t *testing.T) {
 	fleet := startFleet(t, parsePlan(t, `[]`))
 	expectConvergence(t, fleet, "start", fleetSize)
@@ -116,11 +117,11 @@
 	cancel()
 	observation := fleet.Observe(over, time.Now())
 	if observation.Unconverged != fleetSize || len(observation.ConvergedAfter) != 0 || observation.AllConvergedAfter != 0 {
-		t.Errorf("%+v, want all views missing", observation)
+		t.Errorf("%+v, want all views unconverged", observation)
 	}
 }
 
-// An interrupted start leaves nothing behind.
+// An interrupted start leaves no goroutines running.
 func TestInterruptedStart(t *testing.T) {
 	before := runtime.NumGoroutine()
 	ctx, cancel := context.WithCancelCause(t.Context())
@@ -132,7 +133,7 @@
 	expectGoroutines(t, before)
 }
 
-// A closed fleet leaves nothing behind.
+// A closed fleet leaves no goroutines running.
 func TestCloseStopsEverything(t *testing.T) {
 	before := runtime.NumGoroutine()
 	plan := parsePlan(t, `[{"at": "3s", "kind": "cut", "zone": 2}]`)
@@ -142,27 +143,27 @@
 	expectGoroutines(t, before)
 }
 
-// expectGoroutines waits until there are no more goroutines than there were before:
-// memberlist's end within a probe.
+// expectGoroutines waits until there are no more goroutines than before. Those of memberlist end
+// within a probe interval.
 func expectGoroutines(t *testing.T, before int) {
 	t.Helper()
 	for end := time.Now().Add(convergenceTimeout); runtime.NumGoroutine() > before; time.Sleep(pollInterval) {
 		if time.Now().After(end) {
 			stacks := make([]byte, 1<<20)
-			t.Fatalf("%d goroutines, %d before:\n%s", runtime.NumGoroutine(), before, stacks[:runtime.Stack(stacks, true)])
+			t.Fatalf("%d goroutines remain, %d before:\n%s", runtime.NumGoroutine(), before, stacks[:runtime.Stack(stacks, true)])
 		}
 	}
 }
 
-// No two members of the largest fleet have one address.
+// All members of the largest fleet have distinct addresses.
 func TestAddresses(t *testing.T) {
 	const largest = 1500
-	given := newAddresses()
+	addresses := newAddresses()
 	seen := map[string]bool{}
 	for index := range largest {
-		bind := given.endpoint(index).Bind
+		bind := addresses.endpoint(index).Bind
 		if seen[bind] {
-			t.Fatalf("%s is given twice", bind)
+			t.Fatalf("address %s is assigned twice", bind)
 		}
 		seen[bind] = true
 	}
--- a/internal/scale/localfleet/view.go
+++ b/internal/scale/localfleet/view.go
@@ -7,14 +7,14 @@
 	"oxbowloft/fleet/member"
 )
 
-// Observation tells when the members' views had become what they should be.
+// Observation reports when the members' views converged on the expected membership.
 type Observation struct {
-	ConvergedAfter    []time.Duration // of each member whose view is as it should be: since when
-	Unconverged       int             // members whose view is not
-	AllConvergedAfter time.Duration   // until all views were so at once; known if none is missing
+	ConvergedAfter    []time.Duration // one per member whose view is correct: time until it was
+	Unconverged       int             // number of members whose view is not correct
+	AllConvergedAfter time.Duration   // time until all views were correct at once; 0 unless Unconverged is 0
 }
 
-// identity is what a view has to hold of a member: its life and its incarnation as it is now.
+// identity is what a view must record of a member: its current life and incarnation.
 type identity struct {
 	name        string
 	life        uint64
@@ -25,9 +25,9 @@
 	return identity{m.Name, m.Life, m.Incarnation}
 }
 
-// Observe waits until the view of each member that is up holds all that are up and that it
-// can reach, and nobody else. It counts from start and ends early when ctx does. Times are
-// exact to the interval of looking, 20 ms.
+// Observe waits until the view of every running member consists of exactly the running members
+// that it can reach. Times count from start and have the resolution of the poll interval, 20 ms.
+// Observe returns early when ctx ends.
 func (f *Fleet) Observe(ctx context.Context, start time.Time) Observation {
 	convergence := f.newConvergence()
 	for {
@@ -40,7 +40,7 @@
 	}
 }
 
-// watch is one Observe.
+// convergence is the state of one call of Observe.
 type convergence struct {
 	fleet             *Fleet
 	up                []*Member
@@ -58,8 +58,8 @@
 	return c
 }
 
-// look looks at the views that were not whole, and once there are none at all of them: a view
-// may be whole and then not. It tells whether all were whole at once.
+// poll checks the views that have not converged yet. Once all have, it checks every view again,
+// since a view may be correct and later change. It reports whether all were correct at once.
 func (c *convergence) poll(now time.Duration) bool {
 	expected := c.expectedViews()
 	for _, each := range c.up {
@@ -79,8 +79,8 @@
 	return len(c.convergedAfter) == len(c.up)
 }
 
-// sides returns who should see each other, by name, on each side of the cut: inside the zone
-// that is cut off, and outside.
+// expectedViews returns the members that should see each other, in the order of their names, on
+// each side of the partition: true for the partitioned zone, false for all other zones.
 func (c *convergence) expectedViews() map[bool][]identity {
 	expected := map[bool][]identity{}
 	for _, each := range c.up {
@@ -94,7 +94,8 @@
 	return each.Placement.Zone == c.fleet.partitionedZone
 }
 
-// whole tells whether a member's view is what it should be. Both are in the order of names.
+// hasExpectedView reports whether a member's view is correct. The view and the expected members
+// are both sorted by name.
 func (c *convergence) hasExpectedView(each *Member, expected map[bool][]identity) bool {
 	want := expected[c.inPartitionedZone(each)]
 	view := each.node.Members()
--- a/internal/scale/report/markdown.go
+++ b/internal/scale/report/markdown.go
@@ -12,10 +12,10 @@
 	"oxbowloft/internal/scale/traffic"
 )
 
-// notMeasured stands where a run has no figure.
+// notMeasured is printed in place of a missing value.
 const notMeasured = "-"
 
-// Markdown returns the tables of a result.
+// Markdown formats a result as a page of tables.
 func Markdown(result *runner.Result) string {
 	var page strings.Builder
 	writeHead(&page, result)
@@ -60,7 +60,7 @@
 	return strings.Join(words, ", ")
 }
 
-// steadyStateColumn is one column of the table of a fleet at rest.
+// steadyStateColumn is one column of the steady state table.
 type steadyStateColumn struct {
 	title string
 	value func(*runner.SteadyState) float64
@@ -157,7 +157,7 @@
 	return formatFigure(value)
 }
 
-// secondsText leaves out a time of zero, which stands for none.
+// secondsText formats a time, of which zero means not measured.
 func secondsText(seconds float64) string {
 	if seconds == 0 {
 		return notMeasured
@@ -181,7 +181,7 @@
 	}
 }
 
-// membersPerPrintedSlope is how many members a printed slope is for.
+// membersPerPrintedSlope is the number of members that a printed slope refers to.
 const membersPerPrintedSlope = 100
 
 func errorText(line fit.Line) string {
@@ -207,7 +207,7 @@
 	page.WriteString("| " + strings.Join(cells, " | ") + " |\n")
 }
 
-// figure prints three digits, and all of a whole number's.
+// formatFigure prints three significant digits, and all digits of the integer part.
 func formatFigure(value float64) string {
 	switch magnitude := max(value, -value); {
 	case magnitude >= 100:
--- a/internal/scale/report/report.go
+++ b/internal/scale/report/report.go
@@ -15,11 +15,11 @@
 	fileMode      = 0o644
 )
 
-// Paths are the files of one result.
+// Paths holds the paths of the files of one result.
 type Paths struct{ JSON, Markdown string }
 
-// Prepare makes the folder if it is missing, so that a run does not end with results that
-// can't be written.
+// MakeDirectory creates the folder for results if it does not exist. Calling it before a run avoids
+// finding out only afterwards that the results can't be written.
 func MakeDirectory(folder string) error {
 	if err := os.MkdirAll(folder, directoryMode); err != nil {
 		return fmt.Errorf("report: %w", err)
@@ -27,8 +27,8 @@
 	return nil
 }
 
-// Write writes both files into a folder that Prepare has made. They have the experiment's
-// name, and replace an earlier result of it.
+// Write writes both files into an existing folder. They are named after the experiment and replace
+// its earlier results.
 func Write(folder string, result *runner.Result) (Paths, error) {
 	base := filepath.Join(folder, result.Experiment.Name)
 	paths := Paths{JSON: base + ".json", Markdown: base + ".md"}
--- a/internal/scale/report/report_test.go
+++ b/internal/scale/report/report_test.go
@@ -60,12 +60,12 @@
 		"| bytes in | bytes/s | 10.0 | 50.0 | not known | not known |\n",
 	} {
 		if !strings.Contains(page, want) {
-			t.Errorf("%q is not in the page:\n%s", want, page)
+			t.Errorf("page lacks %q:\n%s", want, page)
 		}
 	}
 }
 
-// The JSON file has all of the result, and the folder is made.
+// The JSON file contains the whole result, and the folder is created.
 func TestWrite(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "new", "folder")
 	if err := MakeDirectory(folder); err != nil {
@@ -84,21 +84,21 @@
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(&read, sample()) {
-		t.Errorf("read\n%+v\nwant\n%+v", &read, sample())
+		t.Errorf("JSON file decodes to\n%+v\nwant\n%+v", &read, sample())
 	}
 	page, err := os.ReadFile(paths.Markdown)
 	if err != nil || string(page) != Markdown(sample()) {
-		t.Errorf("the Markdown file has %q, error %v", page, err)
+		t.Errorf("Markdown file contains %q, error %v", page, err)
 	}
 }
 
-// A folder that can't be made is told before anything is run.
+// MakeDirectory fails if the path is a file, so that the error is known before a run.
 func TestMakeDirectoryWhereAFileIs(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "file")
 	if err := os.WriteFile(file, nil, fileMode); err != nil {
 		t.Fatal(err)
 	}
 	if err := MakeDirectory(file); err == nil {
-		t.Error("no error")
+		t.Error("no error for a path that is a file")
 	}
 }
--- a/internal/scale/resources/resources.go
+++ b/internal/scale/resources/resources.go
@@ -1,4 +1,4 @@
-// Package resources reads what this process uses of the machine.
+// Package resources reads the resource usage of this process.
 package resources
 
 import (
@@ -13,21 +13,21 @@
 	"time"
 )
 
-// Usage is what the process uses at one moment.
+// Usage is the resource usage of the process at one moment.
 type Usage struct {
-	CPUTime       time.Duration // user and system time since its start
+	CPUTime       time.Duration // user and system time since the process started
 	ResidentBytes int64
 	Goroutines    int
 	Descriptors   int
 }
 
 const (
-	memoryFile     = "/proc/self/statm" // sizes in pages: of all, resident, ...
+	memoryFile     = "/proc/self/statm" // columns are in pages: total, resident, ...
 	residentColumn = 1
 	descriptorDir  = "/proc/self/fd"
 )
 
-// Read returns the usage now.
+// Read returns the current usage.
 func Read() (Usage, error) {
 	processor, err := cpuTime()
 	if err != nil {
@@ -45,7 +45,7 @@
 		CPUTime:       processor,
 		ResidentBytes: resident,
 		Goroutines:    runtime.NumGoroutine(),
-		Descriptors:   len(descriptors) - 1, // the directory itself was open
+		Descriptors:   len(descriptors) - 1, // without the one that was open to read the directory
 	}, nil
 }
 
@@ -57,7 +57,7 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano()), nil
 }
 
-// ResidentBytes returns the resident memory.
+// ResidentBytes returns the resident set size.
 func ResidentBytes() (int64, error) {
 	content, err := os.ReadFile(memoryFile)
 	if err != nil {
@@ -65,7 +65,7 @@
 	}
 	columns := bytes.Fields(content)
 	if len(columns) <= residentColumn {
-		return 0, errors.New("resources: " + memoryFile + " has no resident memory")
+		return 0, errors.New("resources: " + memoryFile + " has no column for resident memory")
 	}
 	pages, err := strconv.ParseInt(string(columns[residentColumn]), 10, 64)
 	if err != nil {
@@ -74,18 +74,18 @@
 	return pages * int64(os.Getpagesize()), nil
 }
 
-// ReleaseMemory gives what is free back to the system, so that a later reading does not count
-// what an earlier fleet left behind.
+// ReleaseMemory collects garbage and returns free memory to the operating system, so that a
+// measurement does not include memory of an earlier fleet.
 func ReleaseMemory() { debug.FreeOSMemory() }
 
-// CheckDescriptorLimit returns an error if the process may not have so many descriptors open.
+// CheckDescriptorLimit returns an error if the process may open fewer descriptors than needed.
 func CheckDescriptorLimit(needed int) error {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
 		return fmt.Errorf("resources: getrlimit: %w", err)
 	}
 	if limit.Cur < uint64(needed) {
-		return fmt.Errorf("%d descriptors are needed, the limit (ulimit -n) is %d", needed, limit.Cur)
+		return fmt.Errorf("%d file descriptors are needed, but the limit (ulimit -n) is %d", needed, limit.Cur)
 	}
 	return nil
 }
--- a/internal/scale/resources/resources_test.go
+++ b/internal/scale/resources/resources_test.go
@@ -20,7 +20,7 @@
 	before := read(t)
 	for end := time.Now().Add(30 * time.Second); read(t).CPUTime == before.CPUTime; {
 		if time.Now().After(end) {
-			t.Fatal("no processor time was counted in 30 s of work")
+			t.Fatal("CPU time did not grow in 30 s of work")
 		}
 	}
 }
@@ -40,16 +40,16 @@
 	after := read(t)
 	close(done)
 	if after.Descriptors != before.Descriptors+opened {
-		t.Errorf("%d descriptors after %d and %d more", after.Descriptors, before.Descriptors, opened)
+		t.Errorf("%d descriptors, want %d plus %d", after.Descriptors, before.Descriptors, opened)
 	}
 	if after.Goroutines < before.Goroutines+opened {
-		t.Errorf("%d goroutines after %d and %d more", after.Goroutines, before.Goroutines, opened)
+		t.Errorf("%d goroutines, want at least %d plus %d", after.Goroutines, before.Goroutines, opened)
 	}
 }
 
 func TestResidentMemoryIsPlausible(t *testing.T) {
 	if bytes := read(t).ResidentBytes; bytes < 1<<20 || bytes > 1<<40 {
-		t.Errorf("%d bytes are resident", bytes)
+		t.Errorf("implausible resident memory: %d bytes", bytes)
 	}
 }
 
@@ -58,6 +58,6 @@
 		t.Error(err)
 	}
 	if err := CheckDescriptorLimit(math.MaxInt); err == nil {
-		t.Error("any number of descriptors may be open")
+		t.Error("no error for more descriptors than any limit allows")
 	}
 }
--- a/internal/scale/runner/distribution.go
+++ b/internal/scale/runner/distribution.go
@@ -7,12 +7,13 @@
 )
 
 const (
-	histogramParts  = 1000 // a histogram counts thousandths
+	histogramParts  = 1000 // the histogram's unit is 0.001 of the value
 	histogramMax    = 1_000_000_000_000
 	histogramDigits = 3
 )
 
-// distributionOf returns how values are spread. The mean is exact, the rest to three digits.
+// distributionOf summarizes values. The mean is exact; quantiles and the maximum have three
+// significant digits.
 func distributionOf(values []float64) Distribution {
 	if len(values) == 0 {
 		return Distribution{}
@@ -22,7 +23,7 @@
 	for _, value := range values {
 		sum += value
 		part := int64(math.Round(value * histogramParts))
-		histogram.RecordValue(min(max(part, 0), histogramMax)) // always in its range
+		histogram.RecordValue(min(max(part, 0), histogramMax)) // clamped to the histogram's range, so it cannot fail
 	}
 	return Distribution{
 		Count:  histogram.TotalCount(),
--- a/internal/scale/runner/measures.go
+++ b/internal/scale/runner/measures.go
@@ -6,19 +6,19 @@
 	"oxbowloft/internal/scale/fit"
 )
 
-// measure is one figure of a size that is fitted over the sizes.
+// measure extracts the value of one measure from the result of a size.
 type measure struct {
 	name, unit string
 	value      func(*SizeResult) (value float64, measured bool)
 }
 
-// fitAll fits a line to each measure that two sizes have at least.
+// fitAll fits a line to each measure that at least two sizes have.
 func fitAll(sizes []SizeResult) []NamedFit {
 	var fits []NamedFit
 	for _, each := range append(steadyStateMeasures(), faultMeasures(sizes)...) {
 		line, err := fit.Fit(pointsOf(each, sizes))
 		if err != nil {
-			continue // too few sizes have it
+			continue // fewer than two sizes have the measure
 		}
 		fits = append(fits, NamedFit{Measure: each.name, Unit: each.unit, Line: line})
 	}
@@ -69,7 +69,7 @@
 	return result.StartSeconds, result.StartSeconds > 0
 }
 
-// faultMeasures are the times to the last member, one of each fault.
+// faultMeasures returns, for each fault, the time until all views converged.
 func faultMeasures(sizes []SizeResult) []measure {
 	var measures []measure
 	for index, fault := range longestFaultList(sizes) {
@@ -84,7 +84,8 @@
 	return measures
 }
 
-// longestFaultList returns the faults of the size that had most of them: one that failed has fewer.
+// longestFaultList returns the faults of the size that has most of them. A size that failed has
+// fewer than were scheduled.
 func longestFaultList(sizes []SizeResult) []FaultResult {
 	var most []FaultResult
 	for _, size := range sizes {
--- a/internal/scale/runner/runner.go
+++ b/internal/scale/runner/runner.go
@@ -1,5 +1,6 @@
-// Package runner runs an experiment: for each size it starts a fleet of hollow members,
-// measures it at rest, carries out the faults and measures what follows, and ends the fleet.
+// Package runner runs an experiment: for each size it starts a fleet in this process, measures
+// its steady state, injects the faults, measures how long the views take to converge after each,
+// and stops the fleet.
 package runner
 
 import (
@@ -15,10 +16,10 @@
 	"oxbowloft/internal/scale/resources"
 )
 
-// ErrTimeLimit ends a size that takes longer than the experiment allows.
-var ErrTimeLimit = errors.New("the time limit of a size has passed")
+// ErrTimeLimit ends the run of a size that takes longer than the experiment allows.
+var ErrTimeLimit = errors.New("time limit of a size exceeded")
 
-// MemoryError ends a size that needs more memory than the experiment allows.
+// MemoryError ends the run of a size that uses more resident memory than the experiment allows.
 type MemoryError struct {
 	ResidentMiB int64
 	LimitMiB    int
@@ -26,18 +27,18 @@
 
 // Error implements error.
 func (e *MemoryError) Error() string {
-	return fmt.Sprintf("%d MiB are resident, memory_limit_mib is %d", e.ResidentMiB, e.LimitMiB)
+	return fmt.Sprintf("resident memory is %d MiB, memory_limit_mib is %d", e.ResidentMiB, e.LimitMiB)
 }
 
 const (
 	mebibyte               = 1 << 20
 	memoryCheckInterval    = 250 * time.Millisecond
 	goroutineCheckInterval = 20 * time.Millisecond
-	goroutineExitTimeout   = 10 * time.Second // memberlist's goroutines end within a probe
+	goroutineExitTimeout   = 10 * time.Second // memberlist's goroutines end within a probe interval
 )
 
-// Run runs an experiment. When ctx ends it ends what it started and returns ctx's cause. A size
-// that fails for another reason says so in its result, and no larger one is run.
+// Run runs an experiment. If ctx ends, it stops what it started and returns the cause. If a size
+// fails for another reason, its result records the failure and larger sizes are skipped.
 func Run(ctx context.Context, plan experiment.Experiment, environment Environment, logger *slog.Logger) (*Result, error) {
 	result := &Result{Experiment: plan, Environment: environment, Relayed: plan.NeedsRelays()}
 	for index, size := range plan.Sizes {
@@ -56,7 +57,7 @@
 	return result, nil
 }
 
-// sizeRun is the run of one size.
+// sizeRun runs the experiment for one fleet size.
 type sizeRun struct {
 	plan   *experiment.Experiment
 	size   int
@@ -102,23 +103,23 @@
 	if r.result.SteadyState, err = measureSteadyState(ctx, fleet, r.plan.SteadyState.Duration, empty); err != nil {
 		return err
 	}
-	r.log.Info("measured at rest", "bytes_out_per_second", r.result.SteadyState.BytesOut.Mean)
+	r.log.Info("steady state measured", "bytes_out_per_second", r.result.SteadyState.BytesOut.Mean)
 	return r.runFaults(ctx, fleet, origin)
 }
 
-// awaitConvergence waits until the fleet that was begun at a time is in one view.
+// awaitConvergence waits until all members of a fleet started at startedAt have the same view.
 func (r *sizeRun) awaitConvergence(ctx context.Context, fleet *localfleet.Fleet, startedAt time.Time) error {
 	observation := fleet.Observe(ctx, startedAt)
 	if observation.Unconverged > 0 {
-		return fmt.Errorf("start: %d members have no whole view: %w", observation.Unconverged, context.Cause(ctx))
+		return fmt.Errorf("start: %d members have an incomplete view: %w", observation.Unconverged, context.Cause(ctx))
 	}
 	r.result.StartSeconds = observation.AllConvergedAfter.Seconds()
-	r.log.Info("all are in one view", "seconds", r.result.StartSeconds)
+	r.log.Info("all members have the same view", "seconds", r.result.StartSeconds)
 	return nil
 }
 
-// faults carries out the schedule, whose times count from origin. Each fault is observed until
-// all views are as it makes them, until the next fault, or until the time limit.
+// runFaults injects the scheduled faults, whose times count from origin. It observes each fault
+// until all views reflect it, until the next fault, or until the time limit.
 func (r *sizeRun) runFaults(ctx context.Context, fleet *localfleet.Fleet, origin time.Time) error {
 	actions := r.plan.Schedule(r.size)
 	for index, action := range actions {
@@ -156,12 +157,12 @@
 		AllConvergedSeconds: observation.AllConvergedAfter.Seconds(),
 		Unconverged:         observation.Unconverged,
 	})
-	r.log.Info("fault", "kind", action.Kind, "last_seconds", observation.AllConvergedAfter.Seconds(), "missing", observation.Unconverged)
+	r.log.Info("fault observed", "kind", action.Kind, "last_seconds", observation.AllConvergedAfter.Seconds(), "missing", observation.Unconverged)
 	return nil
 }
 
-// awaitGoroutines waits, for a bounded time, until there are no more goroutines than before a
-// fleet, so that the next one is not measured with the remains of this one.
+// awaitGoroutines waits, for a bounded time, until the goroutines of a closed fleet have ended, so
+// that they are not counted in the measurements of the next fleet.
 func awaitGoroutines(ctx context.Context, before int) {
 	for end := time.Now().Add(goroutineExitTimeout); runtime.NumGoroutine() > before && time.Now().Before(end); {
 		if localfleet.Sleep(ctx, goroutineCheckInterval) != nil {
@@ -178,8 +179,8 @@
 	return seconds
 }
 
-// watchMemory returns a context that ends with a MemoryError once more is resident than the
-// limit, and a function that ends the watch.
+// watchMemory returns a context that ends with a MemoryError once resident memory exceeds the
+// limit, and a function that stops the monitoring.
 func watchMemory(ctx context.Context, limitMiB int) (context.Context, func()) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	stopped := make(chan struct{})
--- a/internal/scale/runner/runner_test.go
+++ b/internal/scale/runner/runner_test.go
@@ -16,7 +16,7 @@
 	"oxbowloft/internal/scale/fit"
 )
 
-// parsePlan reads an experiment of members with short times.
+// parsePlan returns an experiment whose members use short intervals.
 func parsePlan(t *testing.T, sizes string, memoryMiB int, faults string) experiment.Experiment {
 	t.Helper()
 	plan, err := experiment.Parse(fmt.Appendf(nil, `{
@@ -36,7 +36,7 @@
 
 var quiet = slog.New(slog.DiscardHandler)
 
-// Two small fleets are measured, and each is in one view without the member that is killed.
+// Two small fleets are measured, and in each all views converge without the killed member.
 func TestRun(t *testing.T) {
 	plan := parsePlan(t, `[4, 6]`, 4096, `[{"at": "1200ms", "kind": "kill"}]`)
 	result, err := Run(t.Context(), plan, Environment{}, quiet)
@@ -51,7 +51,7 @@
 			t.Fatalf("%d members: %s", size.Size, size.Failure)
 		}
 		if steady := size.SteadyState; steady.BytesOut.Mean <= 0 || steady.MessagesIn.Mean <= 0 || steady.KindsOut["ping"] <= 0 || steady.ExchangeBytes <= 0 {
-			t.Errorf("%d members: at rest %+v", size.Size, steady)
+			t.Errorf("%d members: steady state %+v", size.Size, steady)
 		}
 		if len(size.Faults) != 1 || size.Faults[0].Unconverged != 0 || size.Faults[0].ConvergenceSeconds.Count != int64(size.Size-1) {
 			t.Errorf("%d members: faults %+v", size.Size, size.Faults)
@@ -62,25 +62,25 @@
 	}
 }
 
-// A size that needs too much memory says so, and no larger one is run.
+// A size that exceeds the memory limit fails, and larger sizes are skipped.
 func TestMemoryLimit(t *testing.T) {
 	result, err := Run(t.Context(), parsePlan(t, `[4, 5, 6]`, 1, `[]`), Environment{}, quiet)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if len(result.Sizes) != 1 || !strings.Contains(result.Sizes[0].Failure, "memory_limit_mib") {
-		t.Errorf("sizes %+v, want one that names memory_limit_mib", result.Sizes)
+		t.Errorf("sizes %+v, want one with a failure that names memory_limit_mib", result.Sizes)
 	}
 	if want := []int{5, 6}; !reflect.DeepEqual(result.NotRun, want) {
 		t.Errorf("not run: %v, want %v", result.NotRun, want)
 	}
 }
 
-// A fault whose outcome is not there at the time limit is in the result with the views that
-// are missing. The killed member's death takes longer to notice than the limit allows.
+// A fault that the views do not reflect by the time limit is in the result, with the number of
+// unconverged views. Detecting the killed member takes longer than the limit allows.
 func TestTimeLimit(t *testing.T) {
 	plan := parsePlan(t, `[4, 5]`, 4096, `[{"at": "4s", "kind": "kill"}]`)
-	plan.Member = experiment.Member{} // a death takes 4 s at least
+	plan.Member = experiment.Member{} // detecting a failure takes at least 4 s
 	plan.TimeLimit.Duration = 6 * time.Second
 	result, err := Run(t.Context(), plan, Environment{}, quiet)
 	if err != nil {
@@ -88,14 +88,14 @@
 	}
 	first := result.Sizes[0]
 	if len(result.Sizes) != 1 || !strings.Contains(first.Failure, ErrTimeLimit.Error()) {
-		t.Errorf("sizes %+v, want one that names the time limit", result.Sizes)
+		t.Errorf("sizes %+v, want one with a failure that names the time limit", result.Sizes)
 	}
 	if first.SteadyState != nil && len(first.Faults) == 1 && (first.Faults[0].Unconverged == 0 || first.Faults[0].AllConvergedSeconds != 0) {
-		t.Errorf("fault %+v, want views missing", first.Faults[0])
+		t.Errorf("fault %+v, want unconverged views", first.Faults[0])
 	}
 }
 
-// An interrupted run ends what it started and has no result.
+// An interrupted run stops what it started and returns no result.
 func TestInterrupted(t *testing.T) {
 	before := runtime.NumGoroutine()
 	interrupted := errors.New("interrupted")
@@ -107,7 +107,7 @@
 	}
 	for end := time.Now().Add(time.Minute); runtime.NumGoroutine() > before; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%d goroutines, %d before", runtime.NumGoroutine(), before)
+			t.Fatalf("%d goroutines remain, %d before the run", runtime.NumGoroutine(), before)
 		}
 	}
 }
@@ -123,12 +123,12 @@
 		t.Errorf("%+v", spread)
 	}
 	if empty := distributionOf(nil); empty != (Distribution{}) {
-		t.Errorf("of nothing: %+v", empty)
+		t.Errorf("distribution of no values: %+v", empty)
 	}
 }
 
-// A measure is fitted over the sizes that have it: a fault whose outcome was missing has no
-// time.
+// A measure is fitted over the sizes that have it. A fault after which some views did not converge
+// has no time.
 func TestFits(t *testing.T) {
 	var sizes []SizeResult
 	for _, size := range []int{100, 200, 300, 400} {
--- a/internal/scale/runner/steadystate.go
+++ b/internal/scale/runner/steadystate.go
@@ -11,10 +11,10 @@
 
 const kibibyte = 1 << 10
 
-// reading is what was counted up to one moment.
+// sample holds the counters at one moment.
 type sample struct {
 	at       time.Time
-	sent     []traffic.Counts // by member
+	sent     []traffic.Counts // by member index
 	received []traffic.Counts
 	usage    resources.Usage
 }
@@ -32,8 +32,8 @@
 	return taken, nil
 }
 
-// measureSteadyState measures a fleet in which nothing happens. Memory, goroutines and descriptors
-// count from what the process had before the fleet was started.
+// measureSteadyState measures a fleet without faults for the given length. Memory, goroutines and
+// descriptors are relative to empty, the usage of the process before the fleet started.
 func measureSteadyState(ctx context.Context, fleet *localfleet.Fleet, length time.Duration, empty resources.Usage) (*SteadyState, error) {
 	before, err := takeSample(fleet)
 	if err != nil {
@@ -73,8 +73,8 @@
 	}
 }
 
-// exchangeBytes returns the mean length of one side of a full exchange of state. What was under
-// way as the reading was taken is counted in part.
+// exchangeBytes returns the mean number of bytes that one side sends in a full state exchange
+// (push-pull). Exchanges in progress when a sample was taken are counted partially.
 func exchangeBytes(before, after []traffic.Counts) float64 {
 	var exchanges, bytes uint64
 	for index := range after {
@@ -88,7 +88,8 @@
 	return float64(bytes) / float64(exchanges)
 }
 
-// rates are one direction's, by member, and by kind the mean over the members.
+// rates are the rates per second of one direction: each slice has one value per member, kinds has
+// the mean over the members by kind of message.
 type rates struct {
 	bytes, streamBytes, messages []float64
 	kinds                        map[string]float64
--- a/internal/scale/traffic/classify.go
+++ b/internal/scale/traffic/classify.go
@@ -4,7 +4,7 @@
 	"encoding/binary"
 )
 
-// The first byte of a message of memberlist 0.7.0 (net.go, messageType).
+// Message types of memberlist 0.7.0 (messageType in its net.go): the first byte of each message.
 const (
 	wirePing         = 0
 	wireIndirectPing = 1
@@ -20,9 +20,9 @@
 )
 
 const (
-	checksumHeaderBytes = 1 + 4 // the type and a CRC-32, ahead of the message
-	compoundHeaderBytes = 1 + 1 // the type and the number of messages
-	lengthFieldBytes    = 2     // of each message, ahead of all of them
+	checksumHeaderBytes = 1 + 4 // type and CRC-32, before the message
+	compoundHeaderBytes = 1 + 1 // type and number of messages
+	lengthFieldBytes    = 2     // one length for each message, all before the first message
 )
 
 var kindByWireType = map[byte]Kind{
@@ -37,7 +37,7 @@
 	wirePushPull:     PushPull,
 }
 
-// kindOf returns the kind of a message by its first byte.
+// kindOf returns the kind of the message that starts with this byte.
 func kindOf(first byte) Kind {
 	if kind, known := kindByWireType[first]; known {
 		return kind
@@ -45,8 +45,8 @@
 	return Other
 }
 
-// eachMessage calls found for each message of a datagram. What can't be read counts as one
-// message of the kind Other.
+// eachMessage calls visit for each message in a datagram. Malformed data counts as one message of
+// kind Other.
 func eachMessage(payload []byte, visit func(Kind)) {
 	if len(payload) > checksumHeaderBytes && payload[0] == wireChecksum {
 		payload = payload[checksumHeaderBytes:]
@@ -61,7 +61,7 @@
 	}
 }
 
-// eachCompoundMessage calls found for each message of a compound one.
+// eachCompoundMessage calls visit for each message inside a compound message.
 func eachCompoundMessage(payload []byte, visit func(Kind)) {
 	if len(payload) < compoundHeaderBytes {
 		visit(Other)
--- a/internal/scale/traffic/traffic.go
+++ b/internal/scale/traffic/traffic.go
@@ -1,12 +1,12 @@
-// Package traffic counts the messages and bytes that one member sends and receives, by
-// standing between memberlist and the member's transport.
+// Package traffic counts the messages and bytes that a member sends and receives. Its counters
+// wrap the transport that memberlist uses.
 package traffic
 
 import (
 	"sync/atomic"
 )
 
-// Kind is the kind of a message of memberlist.
+// Kind is the kind of a memberlist message.
 type Kind uint8
 
 // The kinds of message.
@@ -18,9 +18,9 @@
 	Suspect
 	Alive
 	Dead
-	User     // of fleet/member itself
-	PushPull // one side of a full exchange of state, on a connection
-	Other    // cannot be told: encrypted, compressed or unknown
+	User     // user message, sent by fleet/member
+	PushPull // one side of a full state exchange, over a connection
+	Other    // encrypted, compressed, malformed or of unknown type
 	KindCount
 )
 
@@ -28,19 +28,19 @@
 	"ping", "indirect_ping", "ack", "nack", "suspect", "alive", "dead", "user", "push_pull", "other",
 }
 
-// String returns the name that results have.
+// String returns the name used in results.
 func (k Kind) String() string { return kindNames[k] }
 
-// Counts is what one member sent or received.
+// Counts is the traffic that one member sent or received.
 type Counts struct {
 	Datagrams     uint64
-	DatagramBytes uint64 // payload, without the heads of UDP and IP
-	Streams       uint64 // connections, which either side may have opened
+	DatagramBytes uint64 // payload only, without UDP and IP headers
+	Streams       uint64 // connections, whichever side opened them
 	StreamBytes   uint64
 	Messages      [KindCount]uint64 // several may share a datagram
 }
 
-// Bytes returns the bytes of datagrams and connections.
+// Bytes returns the number of bytes in datagrams and on connections.
 func (c Counts) Bytes() uint64 { return c.DatagramBytes + c.StreamBytes }
 
 // TotalMessages returns the number of messages of all kinds.
@@ -52,7 +52,7 @@
 	return sum
 }
 
-// Sub returns what was counted since an earlier reading.
+// Sub returns the difference to earlier counts of the same member.
 func (c Counts) Sub(earlier Counts) Counts {
 	c.Datagrams -= earlier.Datagrams
 	c.DatagramBytes -= earlier.DatagramBytes
@@ -64,8 +64,8 @@
 	return c
 }
 
-// Counter counts the traffic of one member, which may be restarted in between. It may be read
-// at any time.
+// Counter counts the traffic of one member, across restarts of the member. It is safe for
+// concurrent use.
 type Counter struct {
 	sent     direction
 	received direction
@@ -77,7 +77,7 @@
 // Received returns what the member has received since its first start.
 func (c *Counter) Received() Counts { return c.received.read() }
 
-// direction counts one direction.
+// direction counts the traffic of one direction.
 type direction struct {
 	datagrams, datagramBytes atomic.Uint64
 	streams, streamBytes     atomic.Uint64
@@ -97,7 +97,7 @@
 	return counts
 }
 
-// datagram counts one datagram and the messages in it.
+// addDatagram counts a datagram and the messages in it.
 func (d *direction) addDatagram(payload []byte) {
 	d.datagrams.Add(1)
 	d.datagramBytes.Add(uint64(len(payload)))
--- a/internal/scale/traffic/traffic_test.go
+++ b/internal/scale/traffic/traffic_test.go
@@ -18,19 +18,19 @@
 		payload []byte
 		want    map[Kind]int
 	}{
-		"ping":                {[]byte{wirePing, 9}, map[Kind]int{Ping: 1}},
-		"nack":                {[]byte{wireNack}, map[Kind]int{Nack: 1}},
-		"checksum":            {append(checksum, wireAck, 9), map[Kind]int{Ack: 1}},
-		"compound":            {compound, map[Kind]int{Ping: 1, Alive: 2}},
-		"checked compound":    {append(checksum, compound...), map[Kind]int{Ping: 1, Alive: 2}},
-		"empty":               {nil, map[Kind]int{Other: 1}},
-		"checksum alone":      {checksum, map[Kind]int{Other: 1}},
-		"no count":            {[]byte{wireCompound}, map[Kind]int{Other: 1}},
-		"no messages":         {[]byte{wireCompound, 0}, map[Kind]int{Other: 1}},
-		"no lengths":          {[]byte{wireCompound, 2, 0, 1}, map[Kind]int{Other: 1}},
-		"part is cut off":     {[]byte{wireCompound, 2, 0, 1, 0, 2, wireDead, wireDead}, map[Kind]int{Dead: 1, Other: 1}},
-		"part without a byte": {[]byte{wireCompound, 1, 0, 0}, map[Kind]int{Other: 1}},
-		"unknown":             {[]byte{200}, map[Kind]int{Other: 1}},
+		"ping":               {[]byte{wirePing, 9}, map[Kind]int{Ping: 1}},
+		"nack":               {[]byte{wireNack}, map[Kind]int{Nack: 1}},
+		"checksum":           {append(checksum, wireAck, 9), map[Kind]int{Ack: 1}},
+		"compound":           {compound, map[Kind]int{Ping: 1, Alive: 2}},
+		"checksum, compound": {append(checksum, compound...), map[Kind]int{Ping: 1, Alive: 2}},
+		"empty":              {nil, map[Kind]int{Other: 1}},
+		"checksum only":      {checksum, map[Kind]int{Other: 1}},
+		"no count":           {[]byte{wireCompound}, map[Kind]int{Other: 1}},
+		"no messages":        {[]byte{wireCompound, 0}, map[Kind]int{Other: 1}},
+		"no lengths":         {[]byte{wireCompound, 2, 0, 1}, map[Kind]int{Other: 1}},
+		"truncated part":     {[]byte{wireCompound, 2, 0, 1, 0, 2, wireDead, wireDead}, map[Kind]int{Dead: 1, Other: 1}},
+		"empty part":         {[]byte{wireCompound, 1, 0, 0}, map[Kind]int{Other: 1}},
+		"unknown":            {[]byte{200}, map[Kind]int{Other: 1}},
 	}
 	for name, c := range cases {
 		if got := messagesOf(c.payload); !reflect.DeepEqual(got, c.want) {
@@ -43,7 +43,7 @@
 	f.Add([]byte{wireCompound, 1, 0, 1, wirePing})
 	f.Fuzz(func(t *testing.T, payload []byte) {
 		if len(messagesOf(payload)) == 0 {
-			t.Errorf("no message in %v", payload)
+			t.Errorf("no message counted in %v", payload)
 		}
 	})
 }
--- a/internal/scale/traffic/transport.go
+++ b/internal/scale/traffic/transport.go
@@ -8,7 +8,7 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// transport counts what passes between memberlist and the transport beneath.
+// transport wraps a transport of memberlist and counts its traffic.
 type transport struct {
 	memberlist.NodeAwareTransport
 	counter      *Counter
@@ -19,8 +19,8 @@
 	shutdownOnce sync.Once
 }
 
-// Wrap is for member.Config.WrapTransport. Each wrapped transport has one goroutine, which
-// hands on what arrives.
+// Wrap wraps a transport so that its traffic is counted; it fits member.Config.WrapTransport. Each
+// wrapped transport runs one goroutine that forwards incoming datagrams and connections.
 func (c *Counter) Wrap(inner memberlist.NodeAwareTransport) memberlist.NodeAwareTransport {
 	t := &transport{
 		NodeAwareTransport: inner,
@@ -34,7 +34,7 @@
 	return t
 }
 
-// receive hands on what arrives until the transport is shut down.
+// receive forwards incoming datagrams and connections until the transport is shut down.
 func (t *transport) receive() {
 	defer close(t.stopped)
 	for {
@@ -70,8 +70,8 @@
 	return t.WriteToAddress(payload, memberlist.Address{Addr: addr})
 }
 
-// WriteToAddress implements memberlist.NodeAwareTransport. What the kernel refuses is not
-// counted.
+// WriteToAddress implements memberlist.NodeAwareTransport. Datagrams that the kernel refuses to
+// send are not counted.
 func (t *transport) WriteToAddress(payload []byte, addr memberlist.Address) (time.Time, error) {
 	sentAt, err := t.NodeAwareTransport.WriteToAddress(payload, addr)
 	if err == nil {
@@ -94,8 +94,8 @@
 	return t.countStream(conn), nil
 }
 
-// Shutdown implements memberlist.Transport. The goroutine goes on to hand on what arrives
-// until the transport beneath has ended, since that may wait for a reader.
+// Shutdown implements memberlist.Transport. The goroutine keeps forwarding until the inner transport
+// has shut down, since that may block until its channels are read.
 func (t *transport) Shutdown() error {
 	err := t.NodeAwareTransport.Shutdown()
 	t.shutdownOnce.Do(func() { close(t.stop) })
@@ -103,12 +103,13 @@
 	return err
 }
 
-// count counts a connection's bytes from now on.
+// countStream wraps a connection so that its traffic is counted.
 func (t *transport) countStream(conn net.Conn) net.Conn {
 	return &stream{Conn: conn, counter: t.counter}
 }
 
-// stream is one connection. Each direction carries one message, whose kind is its first byte.
+// stream counts the traffic of a connection. Each direction carries one message, whose first byte is
+// its type.
 type stream struct {
 	net.Conn
 	counter     *Counter
@@ -136,7 +137,7 @@
 	return length, err
 }
 
-// stream counts the first bytes of one direction of a connection.
+// addStream counts one direction of a connection and its message, by the first byte.
 func (d *direction) addStream(first byte) {
 	d.streams.Add(1)
 	d.messages[kindOf(first)].Add(1)
