--- a/fleet/faultlink/faultlink.go
+++ b/fleet/faultlink/faultlink.go
@@ -73,9 +73,9 @@
 	blockMembers = 126
 )
 
-// Net is a set of members and the links between them. Its methods may be called from any
+// Network is a set of members and the links between them. Its methods may be called from any
 // goroutine.
-type Net struct {
+type Network struct {
 	seed  uint64
 	start time.Time
 	stop  chan struct{}
@@ -104,11 +104,11 @@
 }
 
 // Counts is what has become of the datagrams of one ordered pair.
-type Counts struct{ Passed, Lost, Duplicated, Reordered uint64 }
+type Counts struct{ Forwarded, Lost, Duplicated, Reordered uint64 }
 
 // relay listens for one member, or for one ordered pair.
 type relay struct {
-	net  *Net
+	net  *Network
 	from string // "": known by the address
 	to   string
 	real netip.AddrPort // of the member
@@ -117,8 +117,8 @@
 }
 
 // New makes a Net without members.
-func New(cfg Config) (*Net, error) {
-	n := &Net{
+func New(cfg Config) (*Network, error) {
+	n := &Network{
 		seed:    cfg.Seed,
 		start:   time.Now(),
 		stop:    make(chan struct{}),
@@ -139,11 +139,11 @@
 }
 
 // Seed returns the seed that faults are drawn from.
-func (n *Net) Seed() uint64 { return n.seed }
+func (n *Network) Seed() uint64 { return n.seed }
 
 // Add makes a place for a member. The member then binds Endpoint.Bind. The port is free
 // there unless another program has taken just that address.
-func (n *Net) Add(name string) (Endpoint, error) {
+func (n *Network) Add(name string) (Endpoint, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	switch {
@@ -170,7 +170,7 @@
 
 // addresses returns where the member with this number, counted from 0, binds, and where the
 // others reach it. No two members share one.
-func (n *Net) addresses(number int) (bind, front netip.Addr) {
+func (n *Network) addresses(number int) (bind, front netip.Addr) {
 	block := n.base[1] + byte(number/blockMembers) // goes on at 0 behind 255
 	host := byte(2 * (number%blockMembers + 1))
 	bind = netip.AddrFrom4([4]byte{127, n.base[0], block, host})
@@ -178,8 +178,8 @@
 	return bind, front
 }
 
-// Link returns an address at which from, and nobody else, reaches to, wherever it sends from.
-func (n *Net) Link(from, to string) (string, error) {
+// LinkAddress returns an address at which from, and nobody else, reaches to, wherever it sends from.
+func (n *Network) LinkAddress(from, to string) (string, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	target := n.members[to]
@@ -196,7 +196,7 @@
 }
 
 // listen takes one port for both datagrams and connections.
-func (n *Net) listen(ip netip.Addr, from, to string) (*relay, error) {
+func (n *Network) listen(ip netip.Addr, from, to string) (*relay, error) {
 	var last error
 	for range portTries {
 		tcp, err := net.ListenTCP("tcp4", &net.TCPAddr{IP: ip.AsSlice(), Port: 0})
@@ -218,13 +218,13 @@
 
 func (r *relay) addr() string { return r.tcp.Addr().String() }
 
-func (n *Net) serve(r *relay) {
+func (n *Network) serve(r *relay) {
 	n.work.Go(r.datagrams)
 	n.work.Go(r.streams)
 }
 
 // at returns the link of an ordered pair. The Net is locked.
-func (n *Net) at(p pair) *link {
+func (n *Network) at(p pair) *link {
 	l := n.links[p]
 	if l == nil {
 		h := fnv.New64a()
@@ -237,7 +237,7 @@
 }
 
 // Set gives the link from one member to another its faults, in place of those it had.
-func (n *Net) Set(from, to string, f Fault) {
+func (n *Network) Set(from, to string, f Fault) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.set(from, to, f)
@@ -246,13 +246,13 @@
 }
 
 // SetBoth gives both links between two members the same faults.
-func (n *Net) SetBoth(a, b string, f Fault) {
+func (n *Network) SetBoth(a, b string, f Fault) {
 	n.Set(a, b, f)
 	n.Set(b, a, f)
 }
 
 // SetAll gives all links the same faults.
-func (n *Net) SetAll(f Fault) {
+func (n *Network) SetAll(f Fault) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.each(func(from, to string) { n.set(from, to, f) })
@@ -261,7 +261,7 @@
 }
 
 // Cut separates two members. Other faults of their links stay.
-func (n *Net) Cut(a, b string) {
+func (n *Network) Cut(a, b string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.cut(a, b)
@@ -271,7 +271,7 @@
 }
 
 // CutOneWay lets nothing pass from one member to another.
-func (n *Net) CutOneWay(from, to string) {
+func (n *Network) CutOneWay(from, to string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.cut(from, to)
@@ -281,7 +281,7 @@
 
 // Partition separates the members of each group from those of all others. A member in no
 // group is alone.
-func (n *Net) Partition(groups ...[]string) {
+func (n *Network) Partition(groups ...[]string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	group := map[string]int{}
@@ -300,7 +300,7 @@
 }
 
 // Heal takes all faults away.
-func (n *Net) Heal() {
+func (n *Network) Heal() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, l := range n.links {
@@ -310,8 +310,8 @@
 	n.apply()
 }
 
-// Break resets the connections that are open between two members, once.
-func (n *Net) Break(a, b string) {
+// ResetConnections resets the connections that are open between two members, once.
+func (n *Network) ResetConnections(a, b string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.note("break %s|%s", a, b)
@@ -323,18 +323,18 @@
 }
 
 // Counts returns what has become of the datagrams from one member to another.
-func (n *Net) Counts(from, to string) Counts {
+func (n *Network) Counts(from, to string) Counts {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.at(pair{from, to})
 	return *n.counts[pair{from, to}]
 }
 
-func (n *Net) set(from, to string, f Fault) { n.at(pair{from, to}).fault = f }
+func (n *Network) set(from, to string, f Fault) { n.at(pair{from, to}).fault = f }
 
-func (n *Net) cut(from, to string) { n.at(pair{from, to}).fault.Cut = true }
+func (n *Network) cut(from, to string) { n.at(pair{from, to}).fault.Cut = true }
 
-func (n *Net) each(f func(from, to string)) {
+func (n *Network) each(f func(from, to string)) {
 	for from := range n.members {
 		for to := range n.members {
 			if from != to {
@@ -345,7 +345,7 @@
 }
 
 // apply makes a change of faults felt by what is under way.
-func (n *Net) apply() {
+func (n *Network) apply() {
 	close(n.changed)
 	n.changed = make(chan struct{})
 	for c := range n.conns {
@@ -377,13 +377,13 @@
 }
 
 // Note puts a line of the test's own on the timeline.
-func (n *Net) Note(format string, args ...any) {
+func (n *Network) Note(format string, args ...any) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.note(format, args...)
 }
 
-func (n *Net) note(format string, args ...any) {
+func (n *Network) note(format string, args ...any) {
 	if len(n.timeline) < maxTimeline {
 		line := fmt.Sprintf("%9.3fs ", time.Since(n.start).Seconds()) + fmt.Sprintf(format, args...)
 		n.timeline = append(n.timeline, line)
@@ -391,7 +391,7 @@
 }
 
 // Timeline returns the seed and what was done when, one line each.
-func (n *Net) Timeline() string {
+func (n *Network) Timeline() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return fmt.Sprintf("faultlink seed=%d\n%s\n", n.seed, strings.Join(n.timeline, "\n"))
@@ -406,8 +406,8 @@
 	Errorf(format string, args ...any)
 }
 
-// Report closes the Net at the end of a test and prints the timeline if the test has failed.
-func (n *Net) Report(t TB) {
+// CloseAfterTest closes the Net at the end of a test and prints the timeline if the test has failed.
+func (n *Network) CloseAfterTest(t TB) {
 	t.Helper()
 	t.Cleanup(func() {
 		if err := n.Close(); err != nil {
@@ -420,7 +420,7 @@
 }
 
 // Close ends all links. Its goroutines have ended on return.
-func (n *Net) Close() error {
+func (n *Network) Close() error {
 	n.mu.Lock()
 	if n.closed {
 		n.mu.Unlock()
@@ -456,7 +456,7 @@
 	}
 }
 
-func (n *Net) carry(r *relay, source netip.Addr, b []byte) {
+func (n *Network) carry(r *relay, source netip.Addr, b []byte) {
 	n.mu.Lock()
 	from := r.from
 	if from == "" {
@@ -480,7 +480,7 @@
 		counts.Duplicated++
 		fallthrough
 	default:
-		counts.Passed++
+		counts.Forwarded++
 	}
 	var waits [2]time.Duration
 	for i := range copies {
@@ -527,7 +527,7 @@
 
 // conn is one connection through a relay.
 type conn struct {
-	net      *Net
+	net      *Network
 	from, to string
 	over     chan struct{}
 
@@ -627,7 +627,7 @@
 	c.end(false) // both directions have come to their ends
 }
 
-func (n *Net) front(name string) net.IP {
+func (n *Network) front(name string) net.IP {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.members[name].tcp.Addr().(*net.TCPAddr).IP
@@ -696,7 +696,7 @@
 	}
 }
 
-func (n *Net) delay(from, to string) time.Duration {
+func (n *Network) delay(from, to string) time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	l := n.at(pair{from, to})
--- a/fleet/faultlink/faultlink_test.go
+++ b/fleet/faultlink/faultlink_test.go
@@ -27,13 +27,13 @@
 	got chan string
 }
 
-func newNet(t *testing.T, seed uint64, names ...string) (*Net, map[string]*peer) {
+func newNet(t *testing.T, seed uint64, names ...string) (*Network, map[string]*peer) {
 	t.Helper()
 	n, err := New(Config{Seed: seed})
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.Report(t)
+	n.CloseAfterTest(t)
 	peers := map[string]*peer{}
 	for _, name := range names {
 		peers[name] = n.addPeer(t, name)
@@ -42,7 +42,7 @@
 }
 
 // addPeer adds a member that takes what comes.
-func (n *Net) addPeer(t *testing.T, name string) *peer {
+func (n *Network) addPeer(t *testing.T, name string) *peer {
 	t.Helper()
 	e, err := n.Add(name)
 	if err != nil {
@@ -150,7 +150,7 @@
 		t.Error(err)
 	}
 	// A link of its own for one that sends from anywhere.
-	addr, err := n.Link("c", "b")
+	addr, err := n.LinkAddress("c", "b")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -162,7 +162,7 @@
 	if err := ask(c, "linked", 5*time.Second); err != nil {
 		t.Error(err)
 	}
-	if _, err := n.Link("c", "nobody"); err == nil {
+	if _, err := n.LinkAddress("c", "nobody"); err == nil {
 		t.Error("a link to nobody")
 	}
 	if _, err := n.Add("a"); err == nil {
@@ -218,7 +218,7 @@
 		t.Errorf("after %v: %v", time.Since(start), err)
 	}
 	n.Heal()
-	n.Break("b", "a")
+	n.ResetConnections("b", "a")
 	if err := ask(c, "broken", 5*time.Second); !errors.Is(err, syscall.ECONNRESET) && !errors.Is(err, syscall.EPIPE) {
 		t.Errorf("after a break: %v", err)
 	}
@@ -243,7 +243,7 @@
 	eventually(t, func() bool { return n.open() == 0 })
 }
 
-func (n *Net) open() int {
+func (n *Network) open() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return len(n.conns)
@@ -279,10 +279,10 @@
 			// One at a time, so that none is lost in a full buffer.
 			eventually(t, func() bool {
 				c = n.Counts("a", "b")
-				return c.Passed+c.Lost == uint64(i+1)
+				return c.Forwarded+c.Lost == uint64(i+1)
 			})
 		}
-		for range c.Passed + c.Duplicated {
+		for range c.Forwarded + c.Duplicated {
 			got = append(got, strings.Fields(p["b"].next(t))[1])
 		}
 		return got, c
@@ -337,7 +337,7 @@
 		t.Fatal(err)
 	}
 	var f fakeTB
-	n.Report(&f)
+	n.CloseAfterTest(&f)
 	for _, name := range []string{"a", "b"} {
 		if _, err := n.Add(name); err != nil {
 			t.Fatal(err)
--- a/fleet/member/node_test.go
+++ b/fleet/member/node_test.go
@@ -33,7 +33,7 @@
 // cluster is nodes over a faultlink.Net, all of which join the first.
 type cluster struct {
 	t     *testing.T
-	net   *faultlink.Net
+	net   *faultlink.Network
 	ends  map[string]faultlink.Endpoint
 	nodes map[string]*Node
 	mu    sync.Mutex
@@ -47,7 +47,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.Report(t)
+	n.CloseAfterTest(t)
 	c := &cluster{t: t, net: n, ends: map[string]faultlink.Endpoint{}, nodes: map[string]*Node{},
 		seen: map[string][]Event{}}
 	for _, name := range names {
--- a/fleet/model/backend.go
+++ b/fleet/model/backend.go
@@ -16,7 +16,7 @@
 	b := &m.backends[e.to]
 	e.token = uint64(e.call.tries)
 	if b.busy >= m.cfg.Cores {
-		if len(b.queue) >= m.cfg.Queue {
+		if len(b.queue) >= m.cfg.QueueLimit {
 			m.after(link, &event{kind: answer, member: e.member, call: e.call, try: e.try, token: e.token, result: logic.Rejected})
 			return
 		}
--- a/fleet/model/client.go
+++ b/fleet/model/client.go
@@ -38,8 +38,8 @@
 	c := &m.cfg.Classes[class]
 	q := &clientCall{key: m.rng.Uint64(), class: class, first: m.now, deadline: m.now + c.Deadline,
 		member: m.someMember(), second: int(m.now / time.Second)}
-	m.result.Offered[q.second] += c.Value
-	m.result.First[q.second]++
+	m.result.OfferedValue[q.second] += c.Value
+	m.result.FirstTries[q.second]++
 	m.nextTry(q)
 }
 
@@ -59,7 +59,7 @@
 	if q.tries == 1 {
 		p.counters.First[q.class]++
 	}
-	if m.cfg.Policy == Seeing {
+	if m.cfg.Policy == Oracle {
 		m.decide(q)
 		return
 	}
@@ -76,11 +76,11 @@
 func (p *member) refused(q *clientCall, comeBack time.Duration) {
 	m := p.model
 	wait := comeBack
-	if m.rng.Float64() >= m.cfg.Obey {
+	if m.rng.Float64() >= m.cfg.ObeyRetryAfter {
 		wait = time.Duration((20 + 30*m.rng.Float64()) * float64(time.Millisecond))
 	}
-	if q.tries >= m.cfg.Tries || m.now+wait >= q.deadline {
-		m.result.Refused++
+	if q.tries >= m.cfg.MaxTries || m.now+wait >= q.deadline {
+		m.result.Unanswered++
 		return
 	}
 	m.after(wait, &event{kind: again, call: q})
@@ -93,5 +93,5 @@
 	q.answered = true
 	c, took := &m.cfg.Classes[q.class], m.now-q.first
 	late := float64(took-c.TargetLatency) / float64(c.Deadline-c.TargetLatency)
-	m.result.Worth[q.second] += c.Value * max(0, min(1, 1-late))
+	m.result.ServedValue[q.second] += c.Value * max(0, min(1, 1-late))
 }
--- a/fleet/model/member.go
+++ b/fleet/model/member.go
@@ -36,7 +36,7 @@
 	n, _ := strconv.Atoi(to)
 	if len(q.sends) > 0 && q.sends[len(q.sends)-1].mayRun {
 		p.counters.Repeats++
-		p.model.result.Repeats[p.model.now/time.Second]++
+		p.model.result.Retries[p.model.now/time.Second]++
 	}
 	q.sends = append(q.sends, send{id: id, at: p.model.now, backend: n})
 	try := len(q.sends) - 1
@@ -58,7 +58,7 @@
 	q := p.calls[id]
 	q.final = true
 	p.drop(q)
-	p.model.result.Refused++
+	p.model.result.Unanswered++
 }
 
 func (p *member) drop(q *clientCall) {
@@ -81,7 +81,7 @@
 // attemptDone takes an attempt's end: its answer or its time-out, whichever is first.
 func (p *member) attemptDone(e *event) {
 	m, q := p.model, e.call
-	if m.cfg.Policy == Seeing {
+	if m.cfg.Policy == Oracle {
 		m.success(q)
 		return
 	}
@@ -120,7 +120,7 @@
 	p.fleet.Own(p.model.now, p.counters)
 	p.resetCounters()
 	p.numbers = p.fleet.Numbers(p.model.now)
-	p.model.result.Level[p.model.now/time.Second] += p.numbers.Cut[len(p.model.cfg.Classes)-1] / 2 / float64(len(p.model.members))
+	p.model.result.ShedShare[p.model.now/time.Second] += p.numbers.Cut[len(p.model.cfg.Classes)-1] / 2 / float64(len(p.model.members))
 	if p.model.now < p.model.until {
 		p.model.after(time.Second/2, &event{kind: report, member: p.number})
 	}
@@ -129,18 +129,18 @@
 func (p *member) gossip() {
 	m := p.model
 	b := p.fleet.Digest(m.now)
-	m.result.Size = len(b)
-	for range min(m.cfg.Fanout, len(m.members)-1) {
+	m.result.DigestBytes = len(b)
+	for range min(m.cfg.GossipFanout, len(m.members)-1) {
 		to := m.netRNG.IntN(len(m.members))
-		lost := m.netRNG.Float64() < m.cfg.Loss
-		delay := link + time.Duration(m.netRNG.ExpFloat64()*float64(m.cfg.Delay))
-		m.result.Messages++
-		if to == p.number || lost || max(to, p.number) >= len(m.members)-m.cfg.CutOff {
+		lost := m.netRNG.Float64() < m.cfg.DigestLoss
+		delay := link + time.Duration(m.netRNG.ExpFloat64()*float64(m.cfg.DigestDelay))
+		m.result.DigestsSent++
+		if to == p.number || lost || max(to, p.number) >= len(m.members)-m.cfg.IsolatedMembers {
 			continue
 		}
 		m.after(delay, &event{kind: digest, member: to, bytes: b})
 	}
 	if m.now < m.until {
-		m.after(cmp.Or(m.cfg.Every, time.Second), &event{kind: gossip, member: p.number})
+		m.after(cmp.Or(m.cfg.GossipInterval, time.Second), &event{kind: gossip, member: p.number})
 	}
 }
--- a/fleet/model/model.go
+++ b/fleet/model/model.go
@@ -47,7 +47,7 @@
 		m.trace(e)
 		m.handle(e)
 	}
-	m.result.Hash = m.sum()
+	m.result.TraceHash = m.sum()
 	return m.result
 }
 
@@ -72,16 +72,16 @@
 		mean += c.Mix * c.Service.Seconds()
 	}
 	m.capacity = float64(cfg.Backends*cfg.Cores) / mean
-	for _, s := range cfg.Spells {
-		m.until += s.For
+	for _, s := range cfg.Phases {
+		m.until += s.Duration
 	}
 	seconds := int(m.until/time.Second) + 1
-	for _, to := range []*[]float64{&m.result.Offered, &m.result.Worth, &m.result.Repeats, &m.result.First, &m.result.Level} {
+	for _, to := range []*[]float64{&m.result.OfferedValue, &m.result.ServedValue, &m.result.Retries, &m.result.FirstTries, &m.result.ShedShare} {
 		*to = make([]float64, seconds+30)
 	}
 	m.backends = make([]backend, cfg.Backends)
 	m.makeMembers()
-	if cfg.Policy == Fleet {
+	if cfg.Policy == Coordinated {
 		m.startGossip()
 	}
 	m.after(0, &event{kind: clientArrives})
@@ -110,14 +110,14 @@
 	total := 0.0
 	for i, v := range view {
 		p := &member{model: m, number: i, name: v.Name, zone: v.Zone, calls: map[string]*clientCall{},
-			numbers: overload.Alone(), share: math.Exp(cfg.Sigma * m.rng.NormFloat64())}
+			numbers: overload.Alone(), share: math.Exp(cfg.TrafficSigma * m.rng.NormFloat64())}
 		p.balancer = logic.New(0, logic.Settings{
 			Seed: cfg.Seed*1000 + uint64(i), Zone: v.Zone, Zones: zones, Classes: classes,
-			BalancerCount: cfg.Members, BalancerIndex: i, UnevenTraffic: cfg.Uneven, MaxAttempts: 3,
+			BalancerCount: cfg.Members, BalancerIndex: i, UnevenTraffic: cfg.UnevenTraffic, MaxAttempts: 3,
 			MaxRetryAfter: 2 * time.Second, DrainGrace: time.Second,
 		}, p)
 		p.balancer.UpdateList(0, true, list)
-		p.fleet, _ = overload.New(0, overload.Settings{Classes: told, Compact: cfg.Compact}, v)
+		p.fleet, _ = overload.New(0, overload.Settings{Classes: told, Compact: cfg.CompactDigests}, v)
 		p.fleet.View(0, cfg.Members, view)
 		p.resetCounters()
 		total += p.share
@@ -141,11 +141,11 @@
 
 // offered is the rate of first tries now, a second.
 func (m *Model) offered(at time.Duration) float64 {
-	for _, s := range m.cfg.Spells {
-		if at < s.For {
-			return s.Offered * m.capacity
+	for _, s := range m.cfg.Phases {
+		if at < s.Duration {
+			return s.Load * m.capacity
 		}
-		at -= s.For
+		at -= s.Duration
 	}
 	return 0
 }
--- a/fleet/model/model_test.go
+++ b/fleet/model/model_test.go
@@ -30,9 +30,9 @@
 // The spell lasts from second 10 to 30.
 func config(seed uint64, times float64, large bool) Config {
 	c := Config{
-		Seed: seed, Members: 30, Zones: 3, Backends: 6, Cores: 4, Queue: 200, Classes: classes(),
-		Spells: []Spell{{10 * time.Second, 0.7}, {20 * time.Second, times}, {10 * time.Second, 0.7}},
-		Sigma:  1, Tries: 3, Obey: 0.7, Margin: 1.0, Fanout: 3, Delay: 30 * ms, Compact: true,
+		Seed: seed, Members: 30, Zones: 3, Backends: 6, Cores: 4, QueueLimit: 200, Classes: classes(),
+		Phases:       []Phase{{10 * time.Second, 0.7}, {20 * time.Second, times}, {10 * time.Second, 0.7}},
+		TrafficSigma: 1, MaxTries: 3, ObeyRetryAfter: 0.7, PlannedUtilization: 1.0, GossipFanout: 3, DigestDelay: 30 * ms, CompactDigests: true,
 	}
 	if large {
 		c.Members, c.Backends = 300, 24
@@ -44,7 +44,7 @@
 func part(r Result, a, b int) float64 {
 	worth, offered := 0.0, 0.0
 	for s := a; s < b; s++ {
-		worth, offered = worth+r.Worth[s], offered+r.Offered[s]
+		worth, offered = worth+r.ServedValue[s], offered+r.OfferedValue[s]
 	}
 	return worth / offered
 }
@@ -63,12 +63,12 @@
 	name string
 	set  func(*Config)
 }{
-	{"seeing", func(c *Config) { c.Policy = Seeing }},
+	{"seeing", func(c *Config) { c.Policy = Oracle }},
 	{"alone", func(c *Config) {}},
-	{"fleet", func(c *Config) { c.Policy = Fleet }},
-	{"fleet, 30% lost", func(c *Config) { c.Policy, c.Loss = Fleet, 0.3 }},
-	{"fleet, third off", func(c *Config) { c.Policy, c.CutOff = Fleet, c.Members/3 }},
-	{"fleet, all lost", func(c *Config) { c.Policy, c.Loss = Fleet, 1 }},
+	{"fleet", func(c *Config) { c.Policy = Coordinated }},
+	{"fleet, 30% lost", func(c *Config) { c.Policy, c.DigestLoss = Coordinated, 0.3 }},
+	{"fleet, third off", func(c *Config) { c.Policy, c.IsolatedMembers = Coordinated, c.Members/3 }},
+	{"fleet, all lost", func(c *Config) { c.Policy, c.DigestLoss = Coordinated, 1 }},
 }
 
 var floors = map[float64]float64{1.5: 0.93, 2: 0.9, 4: 0.87}
@@ -128,17 +128,17 @@
 // TestSame plays the same configuration twice: the same trace to the byte, and another for another seed.
 func TestSame(t *testing.T) {
 	c := config(1, 2, false)
-	c.Policy, c.Loss = Fleet, 0.3
-	c.Spells = []Spell{{2 * time.Second, 0.7}, {4 * time.Second, 2}}
+	c.Policy, c.DigestLoss = Coordinated, 0.3
+	c.Phases = []Phase{{2 * time.Second, 0.7}, {4 * time.Second, 2}}
 	one, two := Run(c), Run(c)
-	if one.Hash != two.Hash || fmt.Sprint(one) != fmt.Sprint(two) {
-		t.Errorf("runs differ: %x and %x", one.Hash, two.Hash)
+	if one.TraceHash != two.TraceHash || fmt.Sprint(one) != fmt.Sprint(two) {
+		t.Errorf("runs differ: %x and %x", one.TraceHash, two.TraceHash)
 	}
 	c.Seed = 2
-	if Run(c).Hash == one.Hash {
+	if Run(c).TraceHash == one.TraceHash {
 		t.Error("another seed, the same run")
 	}
-	if one.Size > 64 {
-		t.Errorf("digests of %d bytes", one.Size)
+	if one.DigestBytes > 64 {
+		t.Errorf("digests of %d bytes", one.DigestBytes)
 	}
 }
--- a/fleet/model/oracle.go
+++ b/fleet/model/oracle.go
@@ -38,7 +38,7 @@
 	}
 	value := func(i int) float64 { return m.cfg.Classes[i].Value / m.cfg.Classes[i].Service.Seconds() }
 	slices.SortStableFunc(order, func(i, j int) int { return cmp.Compare(value(j), value(i)) })
-	room := m.cfg.Margin * float64(m.cfg.Backends*m.cfg.Cores)
+	room := m.cfg.PlannedUtilization * float64(m.cfg.Backends*m.cfg.Cores)
 	for _, i := range order {
 		need := m.offered(m.now) * m.cfg.Classes[i].Mix * m.cfg.Classes[i].Service.Seconds()
 		if need > room {
--- a/internal/scale/hollow/fleet.go
+++ b/internal/scale/hollow/fleet.go
@@ -38,8 +38,8 @@
 	seed    uint64
 	members []*Member
 	seeds   []string
-	links   *faultlink.Net // nil: members reach each other directly
-	cutZone int            // 0: no zone is cut off
+	links   *faultlink.Network // nil: members reach each other directly
+	cutZone int                // 0: no zone is cut off
 }
 
 // Start starts a fleet and returns once each member is serving, which is before all are in
