--- a/fleet/faultlink/faultlink.go
+++ b/fleet/faultlink/faultlink.go
@@ -1,15 +1,14 @@
-// Package faultlink puts faults on the links between processes on one machine, for tests.
+// Package faultlink injects network faults between processes on one machine, for tests.
 //
-// A Net stands between members, which may be nodes of one process or processes of their
-// own. Each member binds an address of its own in 127.0.0.0/8 and is reached by the others
-// at another one, where a relay of the Net listens for datagrams and connections. The relay
-// knows who sends by the address that it comes from, so that each ordered pair of members
-// has a link of its own, with faults that can be changed at any time. A member has to send
-// from the address that it binds. For one that can't, Link gives an address for one ordered
-// pair alone.
+// A Network relays UDP datagrams and TCP connections between members, which are nodes of one
+// process or separate processes. Each member binds an address of its own in 127.0.0.0/8. The
+// other members reach it at a second address, where a relay listens. The relay identifies the
+// sender by its source address, so each direction between two members has its own faults,
+// which can be changed at any time. A member therefore has to send from the address that it
+// binds. For a member that can't, LinkAddress returns an address that serves one sender only.
 //
-// Faults of datagrams are drawn from a seed, for each ordered pair in the order of its
-// datagrams. The seed and a timeline of what was done are printed when a test fails.
+// Datagram faults are drawn from a seeded generator per direction, in the order of the
+// datagrams. The seed and a timeline of the changes are printed when a test fails.
 package faultlink
 
 import (
@@ -26,123 +25,124 @@
 	"time"
 )
 
-// Fault is what is wrong with the link from one member to another.
+// Fault describes the faults of the link from one member to another.
 type Fault struct {
-	// Cut lets no datagram pass. Connections between the two stall in both directions
-	// while either is cut, since nothing is acknowledged; what was under way passes once
-	// both are whole.
+	// Cut drops all datagrams. Connections between the two members stall in both directions
+	// while either direction is cut, because acknowledgements are lost too. Data in flight is
+	// delivered once neither direction is cut.
 	Cut bool
-	// Stall lets nothing pass on connections, which stay open. Datagrams pass.
+	// Stall holds back the data of connections, which stay open. Datagrams are not affected.
 	Stall bool
-	// Reset breaks connections, those open and those to come, with a TCP reset.
+	// Reset ends open connections, and each new one, with a TCP reset.
 	Reset bool
 
-	Delay  time.Duration // of each datagram, and of each piece of a stream
-	Jitter time.Duration // on top, from 0, drawn evenly; streams keep their order
+	Delay  time.Duration // of each datagram and of each chunk of a stream
+	Jitter time.Duration // upper bound of a uniform random extra delay; streams keep their order
 
-	Loss      float64 // part of the datagrams that is lost, 0 to 1
-	Duplicate float64 // part that comes twice
-	Reorder   float64 // part that comes late, behind those of the next ReorderBy
-	ReorderBy time.Duration
+	Loss      float64       // probability that a datagram is lost, 0 to 1
+	Duplicate float64       // probability that a datagram is delivered twice
+	Reorder   float64       // probability that a datagram is delayed by ReorderBy, behind later ones
+	ReorderBy time.Duration // 0: defaultReorderBy
 }
 
-// Endpoint is where a member is.
+// Endpoint holds the addresses of a member.
 type Endpoint struct {
-	Bind      string // ip:port that it binds, and sends from
-	Advertise string // ip:port where the others reach it
+	Bind      string // ip:port that the member binds and sends from
+	Advertise string // ip:port where the other members reach it
 }
 
-// Config says how a Net begins.
+// Config holds the settings of a Network.
 type Config struct {
-	Seed uint64 // 0: drawn
+	Seed uint64 // 0: a random seed
 }
 
 const (
-	maxTimeline = 10_000 // lines
-	maxDatagram = 64 << 10
-	pieceSize   = 32 << 10 // of a stream
-	piecesAhead = 16       // of a stream under way; the writer waits beyond
-	dialTimeout = 5 * time.Second
-	reorderBy   = 20 * time.Millisecond
-	portTries   = 64
-	maxMembers  = 4096   // 33 of the 256 blocks; each takes two descriptors once it is added
-	maxDelayed  = 10_000 // datagrams under way at a time; more are lost
-
-	// blockMembers is how many members a block of 256 addresses holds, two addresses each:
-	// the first two and the last two of a block stay free.
-	blockMembers = 126
+	maxTimelineLines    = 10_000
+	maxDatagramBytes    = 64 << 10
+	chunkBytes          = 32 << 10 // read from a stream at a time
+	maxQueuedChunks     = 16       // per direction of a connection; reading stops while the queue is full
+	dialTimeout         = 5 * time.Second
+	defaultReorderBy    = 20 * time.Millisecond
+	maxPortAttempts     = 64
+	maxMembers          = 4096   // in 33 of the 256 blocks; each member takes two file descriptors
+	maxPendingDatagrams = 10_000 // more are dropped
+
+	// membersPerBlock is the number of members in a block of 256 addresses, with two addresses
+	// each. The first two and the last two addresses of a block stay unused.
+	membersPerBlock = 126
 )
 
-// Network is a set of members and the links between them. Its methods may be called from any
-// goroutine.
+// Network is a set of members and the links between them. Its methods are safe for concurrent
+// use.
 type Network struct {
-	seed  uint64
-	start time.Time
-	stop  chan struct{}
-	work  sync.WaitGroup
-
-	mu       sync.Mutex
-	closed   bool
-	base     [2]byte // second byte of all addresses, third byte of the first block
-	members  map[string]*relay
-	byIP     map[netip.Addr]string
-	links    map[pair]*link
-	relays   []*relay
-	conns    map[*conn]bool
-	delayed  int
-	changed  chan struct{} // closed at each change of a fault
-	timeline []string
-	counts   map[pair]*Counts
-}
-
-type pair struct{ from, to string }
-
-// link is one ordered pair.
-type link struct {
+	seed       uint64
+	start      time.Time
+	stop       chan struct{}
+	goroutines sync.WaitGroup
+
+	mu               sync.Mutex
+	closed           bool
+	firstBlock       [2]byte // second byte of all addresses; third byte of the first block
+	members          map[string]*relay
+	memberByIP       map[netip.Addr]string
+	links            map[direction]*linkState
+	relays           []*relay
+	conns            map[*conn]bool
+	pendingDatagrams int
+	faultsChanged    chan struct{} // closed and replaced when a fault changes
+	timeline         []string
+	counts           map[direction]*Counts
+}
+
+// direction is an ordered pair of members.
+type direction struct{ from, to string }
+
+// linkState is the state of one direction between two members.
+type linkState struct {
 	fault Fault
 	rng   *rand.Rand
 }
 
-// Counts is what has become of the datagrams of one ordered pair.
+// Counts counts the datagrams of one direction by outcome.
 type Counts struct{ Forwarded, Lost, Duplicated, Reordered uint64 }
 
-// relay listens for one member, or for one ordered pair.
+// relay listens in place of one member, for all senders or for a single one.
 type relay struct {
-	net  *Network
-	from string // "": known by the address
-	to   string
-	real netip.AddrPort // of the member
-	udp  *net.UDPConn
-	tcp  *net.TCPListener
+	network    *Network
+	onlySender string // "": the sender is identified by its source address
+	to         string
+	memberAddr netip.AddrPort // where the member itself listens
+	udp        *net.UDPConn
+	tcp        *net.TCPListener
 }
 
-// New makes a Net without members.
+// New makes a Network without members.
 func New(cfg Config) (*Network, error) {
 	n := &Network{
-		seed:    cfg.Seed,
-		start:   time.Now(),
-		stop:    make(chan struct{}),
-		members: map[string]*relay{},
-		byIP:    map[netip.Addr]string{},
-		links:   map[pair]*link{},
-		conns:   map[*conn]bool{},
-		changed: make(chan struct{}),
-		counts:  map[pair]*Counts{},
+		seed:          cfg.Seed,
+		start:         time.Now(),
+		stop:          make(chan struct{}),
+		members:       map[string]*relay{},
+		memberByIP:    map[netip.Addr]string{},
+		links:         map[direction]*linkState{},
+		conns:         map[*conn]bool{},
+		faultsChanged: make(chan struct{}),
+		counts:        map[direction]*Counts{},
 	}
 	if n.seed == 0 {
 		n.seed = rand.Uint64()
 	}
-	// Other tests on the machine have Nets too: the block of addresses is drawn, so that the
-	// ports of one are hardly ever wanted by another.
-	n.base = [2]byte{byte(64 + rand.IntN(128)), byte(rand.IntN(256))}
+	// Other tests on the machine run Networks too. A random block of addresses makes it
+	// unlikely that two of them use the same ports.
+	n.firstBlock = [2]byte{byte(64 + rand.IntN(128)), byte(rand.IntN(256))}
 	return n, nil
 }
 
-// Seed returns the seed that faults are drawn from.
+// Seed returns the seed of the random faults.
 func (n *Network) Seed() uint64 { return n.seed }
 
-// Add makes a place for a member. The member then binds Endpoint.Bind. The port is free
-// there unless another program has taken just that address.
+// Add adds a member and starts its relay. The member then binds Endpoint.Bind, whose port is
+// free unless another program has bound the same address.
 func (n *Network) Add(name string) (Endpoint, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -150,55 +150,56 @@
 	case n.closed:
 		return Endpoint{}, net.ErrClosed
 	case n.members[name] != nil || name == "":
-		return Endpoint{}, fmt.Errorf("faultlink: member %q: there is one already, or no name", name)
+		return Endpoint{}, fmt.Errorf("faultlink: member %q: name is empty or already taken", name)
 	case len(n.members) >= maxMembers:
-		return Endpoint{}, fmt.Errorf("faultlink: %d members at most", maxMembers)
+		return Endpoint{}, fmt.Errorf("faultlink: more than %d members", maxMembers)
 	}
-	bind, front := n.addresses(len(n.members))
-	r, err := n.listen(front, "", name)
+	bind, advertise := n.addresses(len(n.members))
+	r, err := n.listen(advertise, "", name)
 	if err != nil {
 		return Endpoint{}, err
 	}
 	port := netip.MustParseAddrPort(r.addr()).Port()
-	r.real = netip.AddrPortFrom(bind, port)
+	r.memberAddr = netip.AddrPortFrom(bind, port)
 	n.members[name] = r
-	n.byIP[bind] = name
+	n.memberByIP[bind] = name
 	n.serve(r)
-	n.note("add %s bind=%s advertise=%s", name, r.real, r.addr())
-	return Endpoint{Bind: r.real.String(), Advertise: r.addr()}, nil
+	n.note("add %s bind=%s advertise=%s", name, r.memberAddr, r.addr())
+	return Endpoint{Bind: r.memberAddr.String(), Advertise: r.addr()}, nil
 }
 
-// addresses returns where the member with this number, counted from 0, binds, and where the
-// others reach it. No two members share one.
-func (n *Network) addresses(number int) (bind, front netip.Addr) {
-	block := n.base[1] + byte(number/blockMembers) // goes on at 0 behind 255
-	host := byte(2 * (number%blockMembers + 1))
-	bind = netip.AddrFrom4([4]byte{127, n.base[0], block, host})
-	front = netip.AddrFrom4([4]byte{127, n.base[0], block, host + 1})
-	return bind, front
+// addresses returns the address that the member with this number, counted from 0, binds and
+// the address where the others reach it. No two members share an address.
+func (n *Network) addresses(number int) (bind, advertise netip.Addr) {
+	block := n.firstBlock[1] + byte(number/membersPerBlock) // wraps around from 255 to 0
+	host := byte(2 * (number%membersPerBlock + 1))
+	bind = netip.AddrFrom4([4]byte{127, n.firstBlock[0], block, host})
+	advertise = netip.AddrFrom4([4]byte{127, n.firstBlock[0], block, host + 1})
+	return bind, advertise
 }
 
-// LinkAddress returns an address at which from, and nobody else, reaches to, wherever it sends from.
+// LinkAddress returns an address at which from reaches to. All that arrives there counts as sent by
+// from, whatever its source address.
 func (n *Network) LinkAddress(from, to string) (string, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	target := n.members[to]
 	if n.closed || target == nil || n.members[from] == nil {
-		return "", fmt.Errorf("faultlink: link from %q to %q: no such member, or closed", from, to)
+		return "", fmt.Errorf("faultlink: link from %q to %q: unknown member or closed network", from, to)
 	}
 	r, err := n.listen(netip.MustParseAddrPort(target.addr()).Addr(), from, to)
 	if err != nil {
 		return "", err
 	}
-	r.real = target.real
+	r.memberAddr = target.memberAddr
 	n.serve(r)
 	return r.addr(), nil
 }
 
-// listen takes one port for both datagrams and connections.
+// listen opens a relay with the same port for UDP and TCP.
 func (n *Network) listen(ip netip.Addr, from, to string) (*relay, error) {
 	var last error
-	for range portTries {
+	for range maxPortAttempts {
 		tcp, err := net.ListenTCP("tcp4", &net.TCPAddr{IP: ip.AsSlice(), Port: 0})
 		if err != nil {
 			return nil, fmt.Errorf("faultlink: %w", err)
@@ -206,7 +207,7 @@
 		port := tcp.Addr().(*net.TCPAddr).Port
 		udp, err := net.ListenUDP("udp4", &net.UDPAddr{IP: ip.AsSlice(), Port: port})
 		if err == nil {
-			r := &relay{net: n, from: from, to: to, udp: udp, tcp: tcp}
+			r := &relay{network: n, onlySender: from, to: to, udp: udp, tcp: tcp}
 			n.relays = append(n.relays, r)
 			return r, nil
 		}
@@ -219,68 +220,68 @@
 func (r *relay) addr() string { return r.tcp.Addr().String() }
 
 func (n *Network) serve(r *relay) {
-	n.work.Go(r.datagrams)
-	n.work.Go(r.streams)
+	n.goroutines.Go(r.readDatagrams)
+	n.goroutines.Go(r.acceptConns)
 }
 
-// at returns the link of an ordered pair. The Net is locked.
-func (n *Network) at(p pair) *link {
+// linkFor returns the state of a direction. The caller holds n.mu.
+func (n *Network) linkFor(p direction) *linkState {
 	l := n.links[p]
 	if l == nil {
 		h := fnv.New64a()
 		fmt.Fprintf(h, "%q %q", p.from, p.to)
-		l = &link{rng: rand.New(rand.NewPCG(n.seed, h.Sum64()))}
+		l = &linkState{rng: rand.New(rand.NewPCG(n.seed, h.Sum64()))}
 		n.links[p] = l
 		n.counts[p] = &Counts{}
 	}
 	return l
 }
 
-// Set gives the link from one member to another its faults, in place of those it had.
+// Set replaces the faults of the link from one member to another.
 func (n *Network) Set(from, to string, f Fault) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.set(from, to, f)
+	n.setFault(from, to, f)
 	n.note("set %s>%s %s", from, to, f)
-	n.apply()
+	n.applyFaults()
 }
 
-// SetBoth gives both links between two members the same faults.
+// SetBoth replaces the faults of both directions between two members.
 func (n *Network) SetBoth(a, b string, f Fault) {
 	n.Set(a, b, f)
 	n.Set(b, a, f)
 }
 
-// SetAll gives all links the same faults.
+// SetAll replaces the faults of all links.
 func (n *Network) SetAll(f Fault) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.each(func(from, to string) { n.set(from, to, f) })
+	n.forEachDirection(func(from, to string) { n.setFault(from, to, f) })
 	n.note("set all %s", f)
-	n.apply()
+	n.applyFaults()
 }
 
-// Cut separates two members. Other faults of their links stay.
+// Cut cuts both directions between two members. Other faults of these links stay.
 func (n *Network) Cut(a, b string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cut(a, b)
-	n.cut(b, a)
+	n.setCut(a, b)
+	n.setCut(b, a)
 	n.note("cut %s|%s", a, b)
-	n.apply()
+	n.applyFaults()
 }
 
-// CutOneWay lets nothing pass from one member to another.
+// CutOneWay cuts the link from one member to another. Its other faults stay.
 func (n *Network) CutOneWay(from, to string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cut(from, to)
+	n.setCut(from, to)
 	n.note("cut %s>%s", from, to)
-	n.apply()
+	n.applyFaults()
 }
 
-// Partition separates the members of each group from those of all others. A member in no
-// group is alone.
+// Partition cuts all links between members of different groups and restores those within a
+// group. A member in no group is isolated.
 func (n *Network) Partition(groups ...[]string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -290,16 +291,16 @@
 			group[name] = i + 1
 		}
 	}
-	n.each(func(from, to string) {
-		f := n.at(pair{from, to}).fault
+	n.forEachDirection(func(from, to string) {
+		f := n.linkFor(direction{from, to}).fault
 		f.Cut = group[from] != group[to] || group[from] == 0
-		n.set(from, to, f)
+		n.setFault(from, to, f)
 	})
 	n.note("partition %v", groups)
-	n.apply()
+	n.applyFaults()
 }
 
-// Heal takes all faults away.
+// Heal removes all faults.
 func (n *Network) Heal() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -307,10 +308,10 @@
 		l.fault = Fault{}
 	}
 	n.note("heal")
-	n.apply()
+	n.applyFaults()
 }
 
-// ResetConnections resets the connections that are open between two members, once.
+// ResetConnections resets the open connections between two members. New ones are not affected.
 func (n *Network) ResetConnections(a, b string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -322,19 +323,19 @@
 	}
 }
 
-// Counts returns what has become of the datagrams from one member to another.
+// Counts returns the counts of the datagrams from one member to another.
 func (n *Network) Counts(from, to string) Counts {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.at(pair{from, to})
-	return *n.counts[pair{from, to}]
+	n.linkFor(direction{from, to})
+	return *n.counts[direction{from, to}]
 }
 
-func (n *Network) set(from, to string, f Fault) { n.at(pair{from, to}).fault = f }
+func (n *Network) setFault(from, to string, f Fault) { n.linkFor(direction{from, to}).fault = f }
 
-func (n *Network) cut(from, to string) { n.at(pair{from, to}).fault.Cut = true }
+func (n *Network) setCut(from, to string) { n.linkFor(direction{from, to}).fault.Cut = true }
 
-func (n *Network) each(f func(from, to string)) {
+func (n *Network) forEachDirection(f func(from, to string)) {
 	for from := range n.members {
 		for to := range n.members {
 			if from != to {
@@ -344,12 +345,13 @@
 	}
 }
 
-// apply makes a change of faults felt by what is under way.
-func (n *Network) apply() {
-	close(n.changed)
-	n.changed = make(chan struct{})
+// applyFaults wakes the connections that wait for a change of faults and resets those that a
+// Reset fault now covers. The caller holds n.mu.
+func (n *Network) applyFaults() {
+	close(n.faultsChanged)
+	n.faultsChanged = make(chan struct{})
 	for c := range n.conns {
-		if n.at(pair{c.from, c.to}).fault.Reset || n.at(pair{c.to, c.from}).fault.Reset {
+		if n.linkFor(direction{c.from, c.to}).fault.Reset || n.linkFor(direction{c.to, c.from}).fault.Reset {
 			c.reset()
 		}
 	}
@@ -371,12 +373,12 @@
 	add(f.Duplicate > 0, "duplicate=%v", f.Duplicate)
 	add(f.Reorder > 0, "reorder=%v", f.Reorder)
 	if out == nil {
-		return "whole"
+		return "none"
 	}
 	return strings.Join(out, ",")
 }
 
-// Note puts a line of the test's own on the timeline.
+// Note adds a line of the test to the timeline.
 func (n *Network) Note(format string, args ...any) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -384,20 +386,20 @@
 }
 
 func (n *Network) note(format string, args ...any) {
-	if len(n.timeline) < maxTimeline {
+	if len(n.timeline) < maxTimelineLines {
 		line := fmt.Sprintf("%9.3fs ", time.Since(n.start).Seconds()) + fmt.Sprintf(format, args...)
 		n.timeline = append(n.timeline, line)
 	}
 }
 
-// Timeline returns the seed and what was done when, one line each.
+// Timeline returns the seed and the changes with their times, one per line.
 func (n *Network) Timeline() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return fmt.Sprintf("faultlink seed=%d\n%s\n", n.seed, strings.Join(n.timeline, "\n"))
 }
 
-// TB is what Report needs of a testing.TB.
+// TB is the part of testing.TB that CloseAfterTest uses.
 type TB interface {
 	Helper()
 	Cleanup(func())
@@ -406,7 +408,7 @@
 	Errorf(format string, args ...any)
 }
 
-// CloseAfterTest closes the Net at the end of a test and prints the timeline if the test has failed.
+// CloseAfterTest closes the Network at the end of a test and prints the timeline if the test failed.
 func (n *Network) CloseAfterTest(t TB) {
 	t.Helper()
 	t.Cleanup(func() {
@@ -419,7 +421,8 @@
 	})
 }
 
-// Close ends all links. Its goroutines have ended on return.
+// Close stops the relays and resets their connections. It returns once all goroutines of the
+// Network have ended, datagrams that wait for their delay excepted.
 func (n *Network) Close() error {
 	n.mu.Lock()
 	if n.closed {
@@ -437,129 +440,131 @@
 		c.reset()
 	}
 	n.mu.Unlock()
-	n.work.Wait()
+	n.goroutines.Wait()
 	return nil
 }
 
-// datagrams carries those to the relay's member.
-func (r *relay) datagrams() {
-	buf := make([]byte, maxDatagram)
+// readDatagrams forwards the datagrams that arrive at the relay.
+func (r *relay) readDatagrams() {
+	buf := make([]byte, maxDatagramBytes)
 	for {
 		size, addr, err := r.udp.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			continue // an ICMP error of an earlier write
+			continue // an ICMP error caused by an earlier write
 		}
-		r.net.carry(r, addr.Addr().Unmap(), buf[:size])
+		r.network.forwardDatagram(r, addr.Addr().Unmap(), buf[:size])
 	}
 }
 
-func (n *Network) carry(r *relay, source netip.Addr, b []byte) {
+func (n *Network) forwardDatagram(r *relay, source netip.Addr, payload []byte) {
 	n.mu.Lock()
-	from := r.from
+	from := r.onlySender
 	if from == "" {
-		from = n.byIP[source]
+		from = n.memberByIP[source]
 	}
 	if from == "" || n.closed {
 		n.mu.Unlock()
-		return // from nobody of this Net
+		return // the sender is not a member
 	}
-	p := pair{from, r.to}
-	l, counts := n.at(p), n.counts[p]
+	p := direction{from, r.to}
+	l, counts := n.linkFor(p), n.counts[p]
 	f := l.fault
-	lost, twice, late := l.draw(f.Loss), l.draw(f.Duplicate), l.draw(f.Reorder)
+	lost, duplicated, reordered := l.happens(f.Loss), l.happens(f.Duplicate), l.happens(f.Reorder)
 	copies := 1
 	switch {
-	case f.Cut || lost || n.delayed >= maxDelayed:
+	case f.Cut || lost || n.pendingDatagrams >= maxPendingDatagrams:
 		copies = 0
 		counts.Lost++
-	case twice:
+	case duplicated:
 		copies = 2
 		counts.Duplicated++
 		fallthrough
 	default:
 		counts.Forwarded++
 	}
-	var waits [2]time.Duration
+	var delays [2]time.Duration
 	for i := range copies {
-		waits[i] = f.Delay + l.upTo(f.Jitter)
-		if late {
-			waits[i] += f.ReorderBy
+		delays[i] = f.Delay + l.randomDelay(f.Jitter)
+		if reordered {
+			delays[i] += f.ReorderBy
 			if f.ReorderBy == 0 {
-				waits[i] += reorderBy
+				delays[i] += defaultReorderBy
 			}
 		}
 	}
-	if late && copies > 0 {
+	if reordered && copies > 0 {
 		counts.Reordered++
 	}
-	source2 := n.members[from]
-	n.delayed += copies
+	sender := n.members[from]
+	n.pendingDatagrams += copies
 	n.mu.Unlock()
 
 	send := func(b []byte) {
-		// From the address at which the receiver knows the sender.
-		source2.udp.WriteToUDPAddrPort(b, r.real)
+		// The receiver sees the address at which it reaches the sender.
+		sender.udp.WriteToUDPAddrPort(b, r.memberAddr)
 		n.mu.Lock()
-		n.delayed--
+		n.pendingDatagrams--
 		n.mu.Unlock()
 	}
 	for i := range copies {
-		if waits[i] == 0 {
-			send(b)
+		if delays[i] == 0 {
+			send(payload)
 			continue
 		}
-		piece := slices.Clone(b)
-		time.AfterFunc(waits[i], func() { send(piece) })
+		copied := slices.Clone(payload)
+		time.AfterFunc(delays[i], func() { send(copied) })
 	}
 }
 
-func (l *link) draw(part float64) bool { return part > 0 && l.rng.Float64() < part }
+func (l *linkState) happens(probability float64) bool {
+	return probability > 0 && l.rng.Float64() < probability
+}
 
-func (l *link) upTo(d time.Duration) time.Duration {
+func (l *linkState) randomDelay(d time.Duration) time.Duration {
 	if d <= 0 {
 		return 0
 	}
 	return time.Duration(l.rng.Int64N(int64(d)))
 }
 
-// conn is one connection through a relay.
+// conn is a connection through a relay: from the sender to the relay and on to the member.
 type conn struct {
-	net      *Network
+	network  *Network
 	from, to string
-	over     chan struct{}
+	closed   chan struct{}
 
-	mu   sync.Mutex
-	ends []*net.TCPConn
-	done bool
+	mu       sync.Mutex
+	ends     []*net.TCPConn
+	isClosed bool
 }
 
-// add makes t one of the two ends. It is closed if the connection is over.
+// add adds one of the two TCP connections. It closes t if c is closed already.
 func (c *conn) add(t *net.TCPConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.done {
+	if c.isClosed {
 		t.Close()
 		return
 	}
 	c.ends = append(c.ends, t)
 }
 
-// reset breaks both ends, unless the connection is over.
-func (c *conn) reset() { c.end(true) }
+// reset ends both TCP connections with a reset, unless c is closed already.
+func (c *conn) reset() { c.close(true) }
 
-// end ends the connection, with a reset or in order: a reset takes back what the kernel
-// has still to send.
-func (c *conn) end(reset bool) {
+// close closes both TCP connections, with a reset or in order. A reset discards the data that the
+// kernel has not sent yet.
+func (c *conn) close(reset bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.done {
+	if c.isClosed {
 		return
 	}
-	c.done = true
-	close(c.over)
+	c.isClosed = true
+	close(c.closed)
 	for _, t := range c.ends {
 		if reset {
 			t.SetLinger(0)
@@ -568,34 +573,34 @@
 	}
 }
 
-func (r *relay) streams() {
+func (r *relay) acceptConns() {
 	for {
 		in, err := r.tcp.AcceptTCP()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			time.Sleep(time.Millisecond) // out of descriptors for a moment
+			time.Sleep(time.Millisecond) // temporarily out of file descriptors
 			continue
 		}
-		r.net.work.Go(func() { r.stream(in) })
+		r.network.goroutines.Go(func() { r.relayConn(in) })
 	}
 }
 
-func (r *relay) stream(in *net.TCPConn) {
-	n := r.net
+func (r *relay) relayConn(in *net.TCPConn) {
+	n := r.network
 	source := in.RemoteAddr().(*net.TCPAddr).AddrPort().Addr().Unmap()
-	c := &conn{net: n, from: r.from, to: r.to, over: make(chan struct{})}
+	c := &conn{network: n, from: r.onlySender, to: r.to, closed: make(chan struct{})}
 	c.add(in)
 	n.mu.Lock()
 	if c.from == "" {
-		c.from = n.byIP[source]
+		c.from = n.memberByIP[source]
 	}
 	known := c.from != "" && !n.closed
 	if known {
 		n.conns[c] = true
 	}
-	broken := known && (n.at(pair{c.from, c.to}).fault.Reset || n.at(pair{c.to, c.from}).fault.Reset)
+	broken := known && (n.linkFor(direction{c.from, c.to}).fault.Reset || n.linkFor(direction{c.to, c.from}).fault.Reset)
 	n.mu.Unlock()
 	defer func() {
 		n.mu.Lock()
@@ -606,52 +611,53 @@
 	if !known || broken {
 		return
 	}
-	forth, ended := c.read(in, c.from, c.to)
-	// A link that is cut would not have let the connection come to be. The kernel has
-	// accepted it already, so that to its opener it is open and silent.
-	if !c.passable(c.from, c.to, ended) {
+	toMember, ended := c.readChunks(in, c.from, c.to)
+	// Over a real cut link, the connection would not be established. Here the kernel has
+	// accepted it already, so the opener sees an open connection without any data.
+	if !c.waitPassable(c.from, c.to, ended) {
 		return
 	}
-	d := net.Dialer{Timeout: dialTimeout, LocalAddr: &net.TCPAddr{IP: n.front(c.from)}}
-	dialed, err := d.Dial("tcp4", r.real.String())
+	d := net.Dialer{Timeout: dialTimeout, LocalAddr: &net.TCPAddr{IP: n.advertisedIP(c.from)}}
+	dialed, err := d.Dial("tcp4", r.memberAddr.String())
 	if err != nil {
-		return // as one whose process is gone: reset
+		return // the deferred reset tells the opener that nothing listens at the member
 	}
 	out := dialed.(*net.TCPConn)
 	c.add(out)
-	back, _ := c.read(out, c.to, c.from)
-	var both sync.WaitGroup
-	both.Go(func() { c.write(out, forth, c.from, c.to) })
-	both.Go(func() { c.write(in, back, c.to, c.from) })
-	both.Wait()
-	c.end(false) // both directions have come to their ends
+	fromMember, _ := c.readChunks(out, c.to, c.from)
+	var writers sync.WaitGroup
+	writers.Go(func() { c.writeChunks(out, toMember, c.from, c.to) })
+	writers.Go(func() { c.writeChunks(in, fromMember, c.to, c.from) })
+	writers.Wait()
+	c.close(false) // both directions have ended
 }
 
-func (n *Network) front(name string) net.IP {
+func (n *Network) advertisedIP(name string) net.IP {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.members[name].tcp.Addr().(*net.TCPAddr).IP
 }
 
-type piece struct {
-	due   time.Time
-	bytes []byte
+// chunk is data of a stream on its way through a relay.
+type chunk struct {
+	due  time.Time
+	data []byte
 }
 
-// read takes one direction in, each piece with the time at which it is due at the other
-// end. Ended is closed when no more come.
-func (c *conn) read(src *net.TCPConn, from, to string) (out <-chan piece, ended <-chan struct{}) {
-	pieces, end := make(chan piece, piecesAhead), make(chan struct{})
-	c.net.work.Go(func() {
-		defer close(pieces)
+// readChunks reads one direction and queues each chunk with the time at which it is to be
+// written. It closes ended after the last one.
+func (c *conn) readChunks(src *net.TCPConn, from, to string) (out <-chan chunk, ended <-chan struct{}) {
+	chunks, end := make(chan chunk, maxQueuedChunks), make(chan struct{})
+	c.network.goroutines.Go(func() {
+		defer close(chunks)
 		defer close(end)
 		for {
-			buf := make([]byte, pieceSize)
+			buf := make([]byte, chunkBytes)
 			size, err := src.Read(buf)
 			if size > 0 {
 				select {
-				case pieces <- piece{time.Now().Add(c.net.delay(from, to)), buf[:size]}:
-				case <-c.over:
+				case chunks <- chunk{time.Now().Add(c.network.streamDelay(from, to)), buf[:size]}:
+				case <-c.closed:
 					return
 				}
 			}
@@ -663,21 +669,21 @@
 			}
 		}
 	})
-	return pieces, end
+	return chunks, end
 }
 
-// write brings one direction out, in order.
-func (c *conn) write(dst *net.TCPConn, pieces <-chan piece, from, to string) {
-	for p := range pieces {
-		if !c.sleep(time.Until(p.due)) || !c.passable(from, to, nil) {
+// writeChunks writes the chunks of one direction in order, each when it is due.
+func (c *conn) writeChunks(dst *net.TCPConn, chunks <-chan chunk, from, to string) {
+	for p := range chunks {
+		if !c.sleep(time.Until(p.due)) || !c.waitPassable(from, to, nil) {
 			return
 		}
-		if _, err := dst.Write(p.bytes); err != nil {
+		if _, err := dst.Write(p.data); err != nil {
 			c.reset()
 			return
 		}
 	}
-	if c.passable(from, to, nil) {
+	if c.waitPassable(from, to, nil) {
 		dst.CloseWrite()
 	}
 }
@@ -691,30 +697,30 @@
 	select {
 	case <-timer.C:
 		return true
-	case <-c.over:
+	case <-c.closed:
 		return false
 	}
 }
 
-func (n *Network) delay(from, to string) time.Duration {
+func (n *Network) streamDelay(from, to string) time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	l := n.at(pair{from, to})
-	return l.fault.Delay + l.upTo(l.fault.Jitter)
+	l := n.linkFor(direction{from, to})
+	return l.fault.Delay + l.randomDelay(l.fault.Jitter)
 }
 
-// passable waits until streams pass between the two, and tells whether they ever do:
-// not if the connection is over, or its opener has given it up meanwhile.
-func (c *conn) passable(from, to string, ended <-chan struct{}) bool {
-	n := c.net
+// waitPassable waits until the faults let stream data pass from one member to another. It reports
+// false if the connection is closed, or its opener has ended it (ended is closed), before that.
+func (c *conn) waitPassable(from, to string, ended <-chan struct{}) bool {
+	n := c.network
 	for {
 		n.mu.Lock()
-		here, back := n.at(pair{from, to}).fault, n.at(pair{to, from}).fault
-		changed := n.changed
+		forward, reverse := n.linkFor(direction{from, to}).fault, n.linkFor(direction{to, from}).fault
+		changed := n.faultsChanged
 		n.mu.Unlock()
-		if !here.Cut && !back.Cut && !here.Stall {
+		if !forward.Cut && !reverse.Cut && !forward.Stall {
 			select {
-			case <-c.over:
+			case <-c.closed:
 				return false
 			default:
 				return true
@@ -724,7 +730,7 @@
 		case <-changed:
 		case <-ended:
 			return false
-		case <-c.over:
+		case <-c.closed:
 			return false
 		}
 	}
--- a/fleet/faultlink/faultlink_test.go
+++ b/fleet/faultlink/faultlink_test.go
@@ -19,36 +19,36 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// peer is a member that takes what comes.
-type peer struct {
+// testMember is a member that records the datagrams it receives and echoes connections.
+type testMember struct {
 	Endpoint
-	udp *net.UDPConn
-	tcp net.Listener
-	got chan string
+	udp      *net.UDPConn
+	tcp      net.Listener
+	received chan string
 }
 
-func newNet(t *testing.T, seed uint64, names ...string) (*Network, map[string]*peer) {
+func newNet(t *testing.T, seed uint64, names ...string) (*Network, map[string]*testMember) {
 	t.Helper()
 	n, err := New(Config{Seed: seed})
 	if err != nil {
 		t.Fatal(err)
 	}
 	n.CloseAfterTest(t)
-	peers := map[string]*peer{}
+	peers := map[string]*testMember{}
 	for _, name := range names {
-		peers[name] = n.addPeer(t, name)
+		peers[name] = n.addTestMember(t, name)
 	}
 	return n, peers
 }
 
-// addPeer adds a member that takes what comes.
-func (n *Network) addPeer(t *testing.T, name string) *peer {
+// addTestMember adds a member to the network, binds its addresses and serves them.
+func (n *Network) addTestMember(t *testing.T, name string) *testMember {
 	t.Helper()
 	e, err := n.Add(name)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &peer{Endpoint: e, got: make(chan string, 4096)}
+	p := &testMember{Endpoint: e, received: make(chan string, 4096)}
 	if p.udp, err = net.ListenUDP("udp4", net.UDPAddrFromAddrPort(netip.MustParseAddrPort(e.Bind))); err != nil {
 		t.Fatal(err)
 	}
@@ -56,23 +56,23 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { p.udp.Close(); p.tcp.Close() })
-	go p.take()
-	go p.echo()
+	go p.receiveDatagrams()
+	go p.echoConns()
 	return p
 }
 
-func (p *peer) take() {
+func (p *testMember) receiveDatagrams() {
 	buf := make([]byte, 2048)
 	for {
 		size, from, err := p.udp.ReadFromUDPAddrPort(buf)
 		if err != nil {
 			return
 		}
-		p.got <- from.String() + " " + string(buf[:size])
+		p.received <- from.String() + " " + string(buf[:size])
 	}
 }
 
-func (p *peer) echo() {
+func (p *testMember) echoConns() {
 	for {
 		c, err := p.tcp.Accept()
 		if err != nil {
@@ -85,25 +85,25 @@
 	}
 }
 
-func (p *peer) send(t *testing.T, to *peer, text string) {
+func (p *testMember) send(t *testing.T, to *testMember, text string) {
 	t.Helper()
 	if _, err := p.udp.WriteTo([]byte(text), net.UDPAddrFromAddrPort(netip.MustParseAddrPort(to.Advertise))); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func (p *peer) next(t *testing.T) string {
+func (p *testMember) nextDatagram(t *testing.T) string {
 	t.Helper()
 	select {
-	case s := <-p.got:
+	case s := <-p.received:
 		return s
 	case <-time.After(10 * time.Second):
-		t.Fatal("nothing came in 10 s")
+		t.Fatal("no datagram received within 10 s")
 		return ""
 	}
 }
 
-func (p *peer) dial(t *testing.T, addr string) net.Conn {
+func (p *testMember) dial(t *testing.T, addr string) net.Conn {
 	t.Helper()
 	c, err := p.tryDial(t, addr)
 	if err != nil {
@@ -112,8 +112,8 @@
 	return c
 }
 
-// tryDial is dial where a connection may fail to come up.
-func (p *peer) tryDial(t *testing.T, addr string) (net.Conn, error) {
+// tryDial is dial for a connection that may fail.
+func (p *testMember) tryDial(t *testing.T, addr string) (net.Conn, error) {
 	t.Helper()
 	ip := net.ParseIP(strings.Split(p.Bind, ":")[0])
 	d := net.Dialer{Timeout: 5 * time.Second, LocalAddr: &net.TCPAddr{IP: ip}}
@@ -124,8 +124,8 @@
 	return c, err
 }
 
-// ask writes a text and reads it back, within a time.
-func ask(c net.Conn, text string, within time.Duration) error {
+// exchange writes a text and reads its echo, both within the given time.
+func exchange(c net.Conn, text string, within time.Duration) error {
 	c.SetDeadline(time.Now().Add(within))
 	if _, err := io.WriteString(c, text); err != nil {
 		return err
@@ -135,21 +135,21 @@
 		return err
 	}
 	if string(got) != text {
-		return errors.New("came back as " + string(got))
+		return errors.New("echo differs: " + string(got))
 	}
 	return nil
 }
 
-func TestPassesAndKnowsSender(t *testing.T) {
+func TestForwardsFromSenderAddress(t *testing.T) {
 	n, p := newNet(t, 1, "a", "b", "c")
 	p["a"].send(t, p["b"], "one")
-	if got, want := p["b"].next(t), p["a"].Advertise+" one"; got != want {
+	if got, want := p["b"].nextDatagram(t), p["a"].Advertise+" one"; got != want {
 		t.Errorf("got %q, want %q", got, want)
 	}
-	if err := ask(p["a"].dial(t, p["b"].Advertise), "hello", 5*time.Second); err != nil {
+	if err := exchange(p["a"].dial(t, p["b"].Advertise), "hello", 5*time.Second); err != nil {
 		t.Error(err)
 	}
-	// A link of its own for one that sends from anywhere.
+	// LinkAddress serves a sender that doesn't send from its own address.
 	addr, err := n.LinkAddress("c", "b")
 	if err != nil {
 		t.Fatal(err)
@@ -159,28 +159,29 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	if err := ask(c, "linked", 5*time.Second); err != nil {
+	if err := exchange(c, "linked", 5*time.Second); err != nil {
 		t.Error(err)
 	}
 	if _, err := n.LinkAddress("c", "nobody"); err == nil {
-		t.Error("a link to nobody")
+		t.Error("LinkAddress accepted an unknown member")
 	}
 	if _, err := n.Add("a"); err == nil {
-		t.Error("a second member of one name")
+		t.Error("Add accepted a name twice")
 	}
 }
 
-// A datagram that must not come is followed by one that must: no time has to pass.
-func TestCutIsOfOnePair(t *testing.T) {
+// Sends a datagram that must be delivered after each one that must be dropped, so that the
+// test doesn't have to wait for the absence of the latter.
+func TestCutAffectsOneDirection(t *testing.T) {
 	n, p := newNet(t, 1, "a", "b", "c")
 	n.CutOneWay("a", "b")
 	p["a"].send(t, p["b"], "lost")
 	p["b"].send(t, p["a"], "back")
-	if got := p["a"].next(t); !strings.HasSuffix(got, "back") {
+	if got := p["a"].nextDatagram(t); !strings.HasSuffix(got, "back") {
 		t.Errorf("got %q", got)
 	}
 	p["c"].send(t, p["b"], "from c")
-	if got := p["b"].next(t); !strings.HasSuffix(got, "from c") {
+	if got := p["b"].nextDatagram(t); !strings.HasSuffix(got, "from c") {
 		t.Errorf("got %q", got)
 	}
 	eventually(t, func() bool { return n.Counts("a", "b").Lost == 1 })
@@ -189,7 +190,7 @@
 	eventually(t, func() bool { return n.Counts("c", "b").Lost == 1 })
 	n.Heal()
 	p["a"].send(t, p["b"], "whole")
-	if got := p["b"].next(t); !strings.HasSuffix(got, "whole") {
+	if got := p["b"].nextDatagram(t); !strings.HasSuffix(got, "whole") {
 		t.Errorf("got %q", got)
 	}
 }
@@ -197,59 +198,59 @@
 func TestStreamFaults(t *testing.T) {
 	n, p := newNet(t, 1, "a", "b")
 	c := p["a"].dial(t, p["b"].Advertise)
-	if err := ask(c, "before", 5*time.Second); err != nil {
+	if err := exchange(c, "before", 5*time.Second); err != nil {
 		t.Fatal(err)
 	}
 	for name, fault := range map[string]Fault{"stall": {Stall: true}, "cut": {Cut: true}} {
 		n.Set("a", "b", fault)
-		if err := ask(c, name, 100*time.Millisecond); !errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Errorf("%s: %v, want a time-out", name, err)
+		if err := exchange(c, name, 100*time.Millisecond); !errors.Is(err, os.ErrDeadlineExceeded) {
+			t.Errorf("%s: %v, want a timeout", name, err)
 		}
 		n.Heal()
-		got := make([]byte, len(name)) // what was under way comes after all
+		got := make([]byte, len(name)) // data in flight is delivered after the fault
 		c.SetDeadline(time.Now().Add(5 * time.Second))
 		if _, err := io.ReadFull(c, got); err != nil || string(got) != name {
-			t.Errorf("%s: healed: %q, %v", name, got, err)
+			t.Errorf("after %s was healed: got %q, %v", name, got, err)
 		}
 	}
 	n.Set("b", "a", Fault{Delay: 50 * time.Millisecond})
 	start := time.Now()
-	if err := ask(c, "late", 5*time.Second); err != nil || time.Since(start) < 50*time.Millisecond {
-		t.Errorf("after %v: %v", time.Since(start), err)
+	if err := exchange(c, "late", 5*time.Second); err != nil || time.Since(start) < 50*time.Millisecond {
+		t.Errorf("delayed echo after %v: %v", time.Since(start), err)
 	}
 	n.Heal()
 	n.ResetConnections("b", "a")
-	if err := ask(c, "broken", 5*time.Second); !errors.Is(err, syscall.ECONNRESET) && !errors.Is(err, syscall.EPIPE) {
-		t.Errorf("after a break: %v", err)
+	if err := exchange(c, "broken", 5*time.Second); !errors.Is(err, syscall.ECONNRESET) && !errors.Is(err, syscall.EPIPE) {
+		t.Errorf("after ResetConnections: %v", err)
 	}
 	n.Set("a", "b", Fault{Reset: true})
-	// The reset may come before the dial is done, which then tells it.
+	// The reset may arrive before the dial has finished, which then returns it.
 	if c, err := p["a"].tryDial(t, p["b"].Advertise); err == nil {
-		if err := ask(c, "reset", 5*time.Second); err == nil {
-			t.Error("passed where connections are reset")
+		if err := exchange(c, "reset", 5*time.Second); err == nil {
+			t.Error("data passed over a link that resets connections")
 		}
 	} else if !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("dial where connections are reset: %v", err)
+		t.Errorf("dial over a link that resets connections: %v", err)
 	}
 }
 
-// One that gives up a connection over a cut link leaves nothing behind.
-func TestGivenUpOverCut(t *testing.T) {
+// The relay releases a connection that its opener closes while the link is cut.
+func TestAbandonedDialOverCutLink(t *testing.T) {
 	n, p := newNet(t, 1, "a", "b")
 	n.Cut("a", "b")
 	c := p["a"].dial(t, p["b"].Advertise)
-	eventually(t, func() bool { return n.open() == 1 })
+	eventually(t, func() bool { return n.openConns() == 1 })
 	c.Close()
-	eventually(t, func() bool { return n.open() == 0 })
+	eventually(t, func() bool { return n.openConns() == 0 })
 }
 
-func (n *Network) open() int {
+func (n *Network) openConns() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return len(n.conns)
 }
 
-// Whole streams pass under delay and jitter unchanged.
+// Streams arrive complete and in order under delay and jitter; datagram loss doesn't affect them.
 func TestStreamKeepsOrder(t *testing.T) {
 	n, p := newNet(t, 1, "a", "b")
 	n.SetBoth("a", "b", Fault{Delay: time.Millisecond, Jitter: 3 * time.Millisecond, Loss: 0.5})
@@ -269,34 +270,34 @@
 	}
 }
 
-// The same seed loses and doubles the same datagrams.
+// The same seed loses and duplicates the same datagrams.
 func TestSeededFaults(t *testing.T) {
 	run := func(seed uint64) (got []string, c Counts) {
 		n, p := newNet(t, seed, "a", "b")
 		n.Set("a", "b", Fault{Loss: 0.3, Duplicate: 0.2})
 		for i := range 200 {
 			p["a"].send(t, p["b"], strconv.Itoa(i))
-			// One at a time, so that none is lost in a full buffer.
+			// One at a time, so that no socket buffer overflows.
 			eventually(t, func() bool {
 				c = n.Counts("a", "b")
 				return c.Forwarded+c.Lost == uint64(i+1)
 			})
 		}
 		for range c.Forwarded + c.Duplicated {
-			got = append(got, strings.Fields(p["b"].next(t))[1])
+			got = append(got, strings.Fields(p["b"].nextDatagram(t))[1])
 		}
 		return got, c
 	}
-	one, c := run(7)
-	two, _ := run(7)
-	if !slices.Equal(one, two) {
-		t.Error("two runs of one seed differ")
+	first, c := run(7)
+	second, _ := run(7)
+	if !slices.Equal(first, second) {
+		t.Error("two runs with the same seed differ")
 	}
 	if c.Lost < 30 || c.Lost > 90 || c.Duplicated < 10 || c.Duplicated > 60 {
-		t.Errorf("%+v of 200", c)
+		t.Errorf("%+v of 200 datagrams", c)
 	}
-	if three, _ := run(8); slices.Equal(one, three) {
-		t.Error("two seeds are alike")
+	if otherSeed, _ := run(8); slices.Equal(first, otherSeed) {
+		t.Error("runs with different seeds are equal")
 	}
 }
 
@@ -309,14 +310,14 @@
 		p["a"].send(t, p["b"], sent[i])
 	}
 	for range sent {
-		got = append(got, strings.Fields(p["b"].next(t))[1])
+		got = append(got, strings.Fields(p["b"].nextDatagram(t))[1])
 	}
 	if slices.Equal(sent, got) {
-		t.Error("nothing came out of order")
+		t.Error("no datagram was reordered")
 	}
 	slices.Sort(got)
 	if !slices.Equal(sent, got) {
-		t.Errorf("not all came: %v", got)
+		t.Errorf("datagrams missing: got %v", got)
 	}
 }
 
@@ -348,7 +349,7 @@
 	f.cleanup()
 	for _, want := range []string{"seed=42", "cut a|b", "set b>a delay=1s,loss=0.5", "close"} {
 		if !strings.Contains(f.log, want) {
-			t.Errorf("no %q in\n%s", want, f.log)
+			t.Errorf("timeline lacks %q:\n%s", want, f.log)
 		}
 	}
 }
@@ -357,7 +358,7 @@
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("not within 10 s")
+			t.Fatal("condition not met within 10 s")
 		}
 	}
 }
--- a/fleet/faultlink/large_test.go
+++ b/fleet/faultlink/large_test.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// manyMembers is over a thousand, as a large fleet has.
-const manyMembers = 1100
+// memberCount is over a thousand, the size of a large fleet.
+const memberCount = 1100
 
-// A Net takes as many members as a large fleet has, each at two addresses of its own, and
-// passes on between the first and the last. Guards against a bound by one block of addresses.
+// A Network holds the members of a large fleet, each with two addresses of its own, and
+// forwards between the first and the last. Prevents a limit of one block of addresses.
 func TestManyMembers(t *testing.T) {
 	n, peers := newNet(t, 1, "first")
 	seen := map[netip.Addr]string{}
-	take := func(name, address string) {
+	checkUnique := func(name, address string) {
 		t.Helper()
 		ip := netip.MustParseAddrPort(address).Addr()
 		if seen[ip] != "" {
@@ -23,27 +23,27 @@
 		}
 		seen[ip] = name
 	}
-	take("first", peers["first"].Bind)
-	take("first", peers["first"].Advertise)
-	for number := range manyMembers - 2 {
+	checkUnique("first", peers["first"].Bind)
+	checkUnique("first", peers["first"].Advertise)
+	for number := range memberCount - 2 {
 		name := fmt.Sprintf("member-%d", number)
 		endpoint, err := n.Add(name)
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
-		take(name, endpoint.Bind)
-		take(name, endpoint.Advertise)
+		checkUnique(name, endpoint.Bind)
+		checkUnique(name, endpoint.Advertise)
 	}
-	last := n.addPeer(t, "last")
-	take("last", last.Bind)
-	take("last", last.Advertise)
+	last := n.addTestMember(t, "last")
+	checkUnique("last", last.Bind)
+	checkUnique("last", last.Advertise)
 
 	peers["first"].send(t, last, "news")
-	if got := last.next(t); got != peers["first"].Advertise+" news" {
-		t.Errorf("the last got %q", got)
+	if got := last.nextDatagram(t); got != peers["first"].Advertise+" news" {
+		t.Errorf("the last member received %q", got)
 	}
 	c := last.dial(t, peers["first"].Advertise)
-	if err := ask(c, "to the first", 10*time.Second); err != nil {
-		t.Errorf("a connection from the last to the first: %v", err)
+	if err := exchange(c, "to the first", 10*time.Second); err != nil {
+		t.Errorf("connection from the last member to the first: %v", err)
 	}
 }
--- a/fleet/model/backend.go
+++ b/fleet/model/backend.go
@@ -5,40 +5,39 @@
 	"time"
 )
 
+// backend serves one attempt per core at a time and queues further ones in order of arrival.
 type backend struct {
-	busy  int
-	queue []*event // to be served, in order
+	busy    int
+	waiting []*event // attempts not yet in service
 }
 
-// Backends.
-
-func (m *Model) reach(e *event) {
-	b := &m.backends[e.to]
-	e.token = uint64(e.call.tries)
-	if b.busy >= m.cfg.Cores {
-		if len(b.queue) >= m.cfg.QueueLimit {
-			m.after(link, &event{kind: answer, member: e.member, call: e.call, try: e.try, token: e.token, result: logic.Rejected})
+func (m *Model) arriveAtBackend(e *event) {
+	b := &m.backends[e.backend]
+	e.token = uint64(e.request.tries)
+	if b.busy >= m.config.Cores {
+		if len(b.waiting) >= m.config.QueueLimit {
+			m.schedule(linkDelay, &event{kind: attemptAnswered, member: e.member, request: e.request, attempt: e.attempt, token: e.token, result: logic.Rejected})
 			return
 		}
-		b.queue = append(b.queue, e)
+		b.waiting = append(b.waiting, e)
 		return
 	}
-	m.serve(e)
+	m.startService(e)
 }
 
-func (m *Model) serve(e *event) {
-	m.backends[e.to].busy++
-	service := time.Duration(m.rng.ExpFloat64() * float64(m.cfg.Classes[e.call.class].Service))
-	m.after(service, &event{kind: callServed, member: e.member, call: e.call, try: e.try, to: e.to, token: e.token})
+func (m *Model) startService(e *event) {
+	m.backends[e.backend].busy++
+	serviceTime := time.Duration(m.rng.ExpFloat64() * float64(m.config.Classes[e.request.class].Service))
+	m.schedule(serviceTime, &event{kind: attemptServed, member: e.member, request: e.request, attempt: e.attempt, backend: e.backend, token: e.token})
 }
 
-func (m *Model) served(e *event) {
-	b := &m.backends[e.to]
+func (m *Model) endService(e *event) {
+	b := &m.backends[e.backend]
 	b.busy--
-	m.after(link, &event{kind: answer, member: e.member, call: e.call, try: e.try, token: e.token, result: logic.OK})
-	if len(b.queue) > 0 {
-		next := b.queue[0]
-		b.queue = b.queue[1:]
-		m.serve(next)
+	m.schedule(linkDelay, &event{kind: attemptAnswered, member: e.member, request: e.request, attempt: e.attempt, token: e.token, result: logic.OK})
+	if len(b.waiting) > 0 {
+		next := b.waiting[0]
+		b.waiting = b.waiting[1:]
+		m.startService(next)
 	}
 }
--- a/fleet/model/client.go
+++ b/fleet/model/client.go
@@ -7,91 +7,95 @@
 	"time"
 )
 
-// clientCall is one client's request over all its tries.
-type clientCall struct {
-	key      uint64
-	class    int
-	first    time.Duration
-	deadline time.Duration
-	tries    int
-	member   int
-	answered bool
-	// of the current try
-	id     string
-	sends  []send
-	final  bool
-	second int
+// clientRequest is a client's request over all its tries.
+type clientRequest struct {
+	key         uint64
+	class       int
+	firstSent   time.Duration
+	deadline    time.Duration
+	tries       int // sent so far
+	member      int
+	answered    bool
+	firstSecond int // of the first try; its index in the Result
+
+	// State of the current try.
+	tryID    string
+	attempts []attempt
+	tryEnded bool
 }
 
-// nextClient brings a client's first try, and the next client.
-func (m *Model) nextClient() {
-	rate := m.offered(m.now)
+// newRequest sends a new request's first try and schedules the next request.
+func (m *Model) newRequest() {
+	rate := m.clientRate(m.now)
 	if rate == 0 {
 		return
 	}
-	m.after(time.Duration(m.rng.ExpFloat64()/rate*float64(time.Second)), &event{kind: clientArrives})
+	m.schedule(time.Duration(m.rng.ExpFloat64()/rate*float64(time.Second)), &event{kind: firstTryArrives})
 	pick, class := m.rng.Float64(), 0
-	for class < len(m.cfg.Classes)-1 && pick >= m.cfg.Classes[class].Mix {
-		pick -= m.cfg.Classes[class].Mix
+	for class < len(m.config.Classes)-1 && pick >= m.config.Classes[class].Mix {
+		pick -= m.config.Classes[class].Mix
 		class++
 	}
-	c := &m.cfg.Classes[class]
-	q := &clientCall{key: m.rng.Uint64(), class: class, first: m.now, deadline: m.now + c.Deadline,
-		member: m.someMember(), second: int(m.now / time.Second)}
-	m.result.OfferedValue[q.second] += c.Value
-	m.result.FirstTries[q.second]++
-	m.nextTry(q)
+	c := &m.config.Classes[class]
+	request := &clientRequest{key: m.rng.Uint64(), class: class, firstSent: m.now, deadline: m.now + c.Deadline,
+		member: m.randomMember(), firstSecond: int(m.now / time.Second)}
+	m.result.OfferedValue[request.firstSecond] += c.Value
+	m.result.FirstTries[request.firstSecond]++
+	m.sendTry(request)
 }
 
-func (m *Model) someMember() int {
-	at, _ := slices.BinarySearch(m.cumulative, m.rng.Float64())
-	return min(at, len(m.members)-1)
+func (m *Model) randomMember() int {
+	index, _ := slices.BinarySearch(m.cumulativeShares, m.rng.Float64())
+	return min(index, len(m.members)-1)
 }
 
-// nextTry makes a client's next try. Every second one of the later ones meets another member.
-func (m *Model) nextTry(q *clientCall) {
-	if q.tries > 0 && m.rng.IntN(2) == 0 {
-		q.member = m.someMember()
+// sendTry sends a client's next try. Half of the retries, on average, go to a member that is drawn anew.
+func (m *Model) sendTry(request *clientRequest) {
+	if request.tries > 0 && m.rng.IntN(2) == 0 {
+		request.member = m.randomMember()
 	}
-	q.tries++
-	q.id, q.sends, q.final = strconv.FormatUint(q.key, 36)+"."+strconv.Itoa(q.tries), nil, false
-	p := m.members[q.member]
-	if q.tries == 1 {
-		p.counters.First[q.class]++
+	request.tries++
+	request.tryID, request.attempts, request.tryEnded = strconv.FormatUint(request.key, 36)+"."+strconv.Itoa(request.tries), nil, false
+	member := m.members[request.member]
+	if request.tries == 1 {
+		member.counters.First[request.class]++
 	}
-	if m.cfg.Policy == Oracle {
-		m.decide(q)
+	if m.config.Policy == Oracle {
+		m.oracleAdmit(request)
 		return
 	}
-	if p.numbers.Shed(q.class, q.key) {
-		base := m.cfg.Classes[q.class].TargetLatency / 4
-		p.refused(q, p.numbers.ComeBack(q.key, base, 2*time.Second))
+	if member.numbers.Shed(request.class, request.key) {
+		base := m.config.Classes[request.class].TargetLatency / 4
+		member.refuseTry(request, member.numbers.ComeBack(request.key, base, 2*time.Second))
 		return
 	}
-	p.calls[q.id] = q
-	p.balancer.StartRequest(m.now, logic.Request{ID: q.id, Class: q.class, Budget: q.deadline - m.now, ClientRetry: q.tries > 1})
+	member.tries[request.tryID] = request
+	member.balancer.StartRequest(m.now, logic.Request{ID: request.tryID, Class: request.class, Budget: request.deadline - m.now, ClientRetry: request.tries > 1})
 }
 
-// refused is what a client does on a refusal: some wait as they are told, the others a moment.
-func (p *member) refused(q *clientCall, comeBack time.Duration) {
+// refuseTry ends a try with a refusal. The client retries after retryAfter or, if it doesn't obey that,
+// after 20 to 50 ms. It abandons the request if that was its last try or the deadline would have passed.
+func (p *member) refuseTry(request *clientRequest, retryAfter time.Duration) {
 	m := p.model
-	wait := comeBack
-	if m.rng.Float64() >= m.cfg.ObeyRetryAfter {
+	wait := retryAfter
+	if m.rng.Float64() >= m.config.ObeyRetryAfter {
 		wait = time.Duration((20 + 30*m.rng.Float64()) * float64(time.Millisecond))
 	}
-	if q.tries >= m.cfg.MaxTries || m.now+wait >= q.deadline {
+	if request.tries >= m.config.MaxTries || m.now+wait >= request.deadline {
 		m.result.Unanswered++
 		return
 	}
-	m.after(wait, &event{kind: again, call: q})
+	m.schedule(wait, &event{kind: clientRetries, request: request})
 }
 
-func (m *Model) success(q *clientCall) {
-	if q.answered {
+// recordSuccess adds the value of a request's first answer: the whole up to the target latency, then less in
+// proportion, down to 0 at the deadline.
+func (m *Model) recordSuccess(request *clientRequest) {
+	if request.answered {
 		return
 	}
-	q.answered = true
-	c, took := &m.cfg.Classes[q.class], m.now-q.first
-	late := float64(took-c.TargetLatency) / float64(c.Deadline-c.TargetLatency)
-	m.result.ServedValue[q.second] += c.Value * max(0, min(1, 1-late))
+	request.answered = true
+	c, latency := &m.config.Classes[request.class], m.now-request.firstSent
+	lateness := float64(latency-c.TargetLatency) / float64(c.Deadline-c.TargetLatency)
+	m.result.ServedValue[request.firstSecond] += c.Value * max(0, min(1, 1-lateness))
 }
--- a/fleet/model/config.go
+++ b/fleet/model/config.go
@@ -5,62 +5,62 @@
 	"time"
 )
 
-// Policy is who decides what is admitted.
+// Policy selects what decides which requests are admitted.
 type Policy int
 
 // The policies compared.
 const (
-	Independent Policy = iota // each balancer by itself, as it is
-	Coordinated               // the same, behind what the digests make each shed
-	Oracle                    // one that knows all rates, queues and capacity
+	Independent Policy = iota // each balancer by itself
+	Coordinated               // balancers behind the load shedding that the members' digests lead to
+	Oracle                    // an ideal policy that knows all rates, queues and the capacity
 )
 
 func (p Policy) String() string { return [...]string{"alone", "fleet", "seeing"}[p] }
 
-// Class is one class of request and what it costs a backend.
+// Class is a class of requests with its share of the traffic and its cost.
 type Class struct {
 	logic.Class
-	Mix     float64       // share of first tries
-	Service time.Duration // mean; service times are exponential
+	Mix     float64       // share of the clients' first tries; all shares sum to 1
+	Service time.Duration // mean of the exponential service times
 }
 
-// Phase is a span of time and what is offered in it, as a multiple of the backends' capacity.
+// Phase is a period of constant offered load.
 type Phase struct {
 	Duration time.Duration
-	Load     float64
+	Load     float64 // first tries, as a multiple of the backends' capacity
 }
 
-// Config is one run.
+// Config describes a run.
 type Config struct {
 	Seed               uint64
 	Policy             Policy
 	Members            int
 	Zones              int
 	Backends           int
-	Cores              int // of each backend
-	QueueLimit         int // calls that wait at a backend at most; more are turned away
+	Cores              int // of each backend; a core serves one attempt at a time
+	QueueLimit         int // attempts that may wait at a backend; it rejects more
 	Classes            []Class
 	Phases             []Phase
-	TrafficSigma       float64 // of the lognormal shares of traffic; 0: even
-	UnevenTraffic      bool    // the balancers are told that traffic is unlike
-	MaxTries           int     // of a client, the first one counted
-	ObeyRetryAfter     float64 // share of clients that keep to the come-back time
-	PlannedUtilization float64 // Seeing: the share of the capacity that is planned with
+	TrafficSigma       float64 // of the lognormal traffic shares of the members; 0: even
+	UnevenTraffic      bool    // the balancers' setting for uneven traffic
+	MaxTries           int     // of a client for a request, including the first
+	ObeyRetryAfter     float64 // share of clients that wait as long as Retry-After says
+	PlannedUtilization float64 // share of the capacity that Oracle uses
 
-	GossipFanout    int           // members that a digest is sent to
-	GossipInterval  time.Duration // between digests; 0: a second
-	DigestLoss      float64       // of digests
-	DigestDelay     time.Duration // mean, exponential
-	IsolatedMembers int           // the last so many members hear nobody and are heard by nobody
+	GossipFanout    int           // members drawn as receivers of each digest
+	GossipInterval  time.Duration // between digests; 0: 1 s
+	DigestLoss      float64       // probability that a digest is lost
+	DigestDelay     time.Duration // mean of the exponential part of the delay
+	IsolatedMembers int           // this many members, the last ones, neither send nor receive digests
 	CompactDigests  bool
 }
 
-// Result is what a run came to.
+// Result holds the measurements of a run. Slices have one element per second.
 type Result struct {
-	OfferedValue, ServedValue []float64 // by second of the first try
-	Retries, FirstTries       []float64
-	Unanswered                float64 // first tries that ended without an answer
-	ShedShare                 []float64
-	DigestsSent, DigestBytes  int    // of digests sent, bytes of one
-	TraceHash                 uint64 // of everything that happened, in order
+	OfferedValue, ServedValue []float64 // by the second of a request's first try
+	Retries, FirstTries       []float64 // Retries: attempts of balancers after one that may have run
+	Unanswered                float64   // requests that ended without an answer
+	ShedShare                 []float64 // share of the last class that members shed, on average
+	DigestsSent, DigestBytes  int       // DigestBytes: size of the latest digest
+	TraceHash                 uint64    // of all events in order
 }
--- a/fleet/model/member.go
+++ b/fleet/model/member.go
@@ -8,66 +8,69 @@
 	"time"
 )
 
+// member is a balancer with its view of the fleet and the counters since its last report.
 type member struct {
-	model    *Model
-	number   int
-	name     string
-	zone     string
-	share    float64
-	balancer *logic.Balancer
-	fleet    *overload.Fleet
-	numbers  overload.Numbers
-	calls    map[string]*clientCall
-	counters overload.Counters
+	model        *Model
+	index        int
+	name         string
+	zone         string
+	trafficShare float64
+	balancer     *logic.Balancer
+	fleet        *overload.Fleet
+	numbers      overload.Numbers
+	tries        map[string]*clientRequest // by tryID, while the try or one of its attempts lasts
+	counters     overload.Counters
 }
 
-type send struct {
-	id      string
-	at      time.Duration
-	backend int
-	done    bool
-	mayRun  bool
+// attempt is one attempt of a balancer at a backend.
+type attempt struct {
+	tryID      string
+	sentAt     time.Duration
+	backend    int
+	ended      bool
+	mayHaveRun bool // set once ended: the backend did not reject it
 }
 
-// The actions of a balancer.
+// The following methods implement logic.Actions.
 
-func (p *member) Send(id, to string, patience time.Duration) {
-	q := p.calls[id]
-	n, _ := strconv.Atoi(to)
-	if len(q.sends) > 0 && q.sends[len(q.sends)-1].mayRun {
+func (p *member) Send(tryID, backendID string, timeout time.Duration) {
+	request := p.tries[tryID]
+	backend, _ := strconv.Atoi(backendID)
+	if len(request.attempts) > 0 && request.attempts[len(request.attempts)-1].mayHaveRun {
 		p.counters.Repeats++
 		p.model.result.Retries[p.model.now/time.Second]++
 	}
-	q.sends = append(q.sends, send{id: id, at: p.model.now, backend: n})
-	try := len(q.sends) - 1
-	p.model.after(link, &event{kind: callArrives, member: p.number, call: q, try: try, to: n})
-	p.model.after(patience, &event{kind: timeout, member: p.number, call: q, try: try, result: logic.TimedOut, token: uint64(q.tries)})
+	request.attempts = append(request.attempts, attempt{tryID: tryID, sentAt: p.model.now, backend: backend})
+	number := len(request.attempts) - 1
+	p.model.schedule(linkDelay, &event{kind: attemptArrives, member: p.index, request: request, attempt: number, backend: backend})
+	p.model.schedule(timeout, &event{kind: attemptTimedOut, member: p.index, request: request, attempt: number, result: logic.TimedOut, token: uint64(request.tries)})
 }
 
-func (p *member) Refuse(id string, comeBack time.Duration, _ logic.Cause) {
-	q := p.calls[id]
-	q.final = true
-	p.drop(q)
-	if q.tries == 1 {
-		p.counters.Refused[q.class]++
+func (p *member) Refuse(tryID string, retryAfter time.Duration, _ logic.Cause) {
+	request := p.tries[tryID]
+	request.tryEnded = true
+	p.forgetIfDone(request)
+	if request.tries == 1 {
+		p.counters.Refused[request.class]++
 	}
-	p.refused(q, comeBack)
+	p.refuseTry(request, retryAfter)
 }
 
-func (p *member) Fail(id string, _ logic.Cause) {
-	q := p.calls[id]
-	q.final = true
-	p.drop(q)
+func (p *member) Fail(tryID string, _ logic.Cause) {
+	request := p.tries[tryID]
+	request.tryEnded = true
+	p.forgetIfDone(request)
 	p.model.result.Unanswered++
 }
 
-func (p *member) drop(q *clientCall) {
-	for _, s := range q.sends {
-		if !s.done {
+// forgetIfDone forgets a try once all its attempts have ended.
+func (p *member) forgetIfDone(request *clientRequest) {
+	for _, attempt := range request.attempts {
+		if !attempt.ended {
 			return
 		}
 	}
-	delete(p.calls, q.id)
+	delete(p.tries, request.tryID)
 }
 
 func (p *member) Cancel(string, int) {}
@@ -75,72 +78,71 @@
 func (p *member) CloseIdle(string) {}
 
 func (p *member) StartTimer(token uint64, after time.Duration) {
-	p.model.after(after, &event{kind: wake, member: p.number, token: token})
+	p.model.schedule(after, &event{kind: balancerTimer, member: p.index, token: token})
 }
 
-// attemptDone takes an attempt's end: its answer or its time-out, whichever is first.
-func (p *member) attemptDone(e *event) {
-	m, q := p.model, e.call
-	if m.cfg.Policy == Oracle {
-		m.success(q)
+// attemptEnded handles the end of an attempt: its answer or its timeout, whichever comes first.
+func (p *member) attemptEnded(e *event) {
+	m, request := p.model, e.request
+	if m.config.Policy == Oracle {
+		m.recordSuccess(request)
 		return
 	}
-	if e.token != uint64(q.tries) || e.try >= len(q.sends) || q.sends[e.try].done {
+	if e.token != uint64(request.tries) || e.attempt >= len(request.attempts) || request.attempts[e.attempt].ended {
 		return
 	}
-	s := &q.sends[e.try]
-	s.done, s.mayRun = true, e.result != logic.Rejected
-	latency := m.now - s.at
-	ok := e.result == logic.OK && !q.final
+	attempt := &request.attempts[e.attempt]
+	attempt.ended, attempt.mayHaveRun = true, e.result != logic.Rejected
+	latency := m.now - attempt.sentAt
+	ok := e.result == logic.OK && !request.tryEnded
 	if e.result == logic.OK || e.result == logic.TimedOut {
-		// The target is that of the balancer's own limit.
+		// The target of the latency ratio, as in the balancer's concurrency limit.
 		const target = 0.25
 		p.counters.Answers++
-		p.counters.Strain += min(4, min(1, float64(latency)/float64(m.cfg.Classes[q.class].TargetLatency))/target)
+		p.counters.Strain += min(4, min(1, float64(latency)/float64(m.config.Classes[request.class].TargetLatency))/target)
 	}
 	if ok {
-		p.counters.Served[q.class]++
-		m.success(q)
-		q.final = true
+		p.counters.Served[request.class]++
+		m.recordSuccess(request)
+		request.tryEnded = true
 	}
-	p.balancer.AttemptDone(m.now, logic.Outcome{Request: s.id, Attempt: e.try, Result: e.result, Latency: latency, Final: ok})
-	if q.final {
-		p.drop(q)
+	p.balancer.AttemptDone(m.now, logic.Outcome{Request: attempt.tryID, Attempt: e.attempt, Result: e.result, Latency: latency, Final: ok})
+	if request.tryEnded {
+		p.forgetIfDone(request)
 	}
 }
 
-// The fleet's part.
-
 func (p *member) resetCounters() {
-	n := len(p.model.cfg.Classes)
+	n := len(p.model.config.Classes)
 	p.counters = overload.Counters{First: make([]float64, n), Served: make([]float64, n), Refused: make([]float64, n)}
 }
 
-func (p *member) report() {
+func (p *member) reportCounters() {
 	p.fleet.Own(p.model.now, p.counters)
 	p.resetCounters()
 	p.numbers = p.fleet.Numbers(p.model.now)
-	p.model.result.ShedShare[p.model.now/time.Second] += p.numbers.Cut[len(p.model.cfg.Classes)-1] / 2 / float64(len(p.model.members))
-	if p.model.now < p.model.until {
-		p.model.after(time.Second/2, &event{kind: report, member: p.number})
+	// Halved, as each member reports twice a second.
+	p.model.result.ShedShare[p.model.now/time.Second] += p.numbers.Cut[len(p.model.config.Classes)-1] / 2 / float64(len(p.model.members))
+	if p.model.now < p.model.trafficEnd {
+		p.model.schedule(time.Second/2, &event{kind: countersDue, member: p.index})
 	}
 }
 
-func (p *member) gossip() {
+func (p *member) sendDigests() {
 	m := p.model
-	b := p.fleet.Digest(m.now)
-	m.result.DigestBytes = len(b)
-	for range min(m.cfg.GossipFanout, len(m.members)-1) {
-		to := m.netRNG.IntN(len(m.members))
-		lost := m.netRNG.Float64() < m.cfg.DigestLoss
-		delay := link + time.Duration(m.netRNG.ExpFloat64()*float64(m.cfg.DigestDelay))
+	digest := p.fleet.Digest(m.now)
+	m.result.DigestBytes = len(digest)
+	for range min(m.config.GossipFanout, len(m.members)-1) {
+		receiver := m.gossipRNG.IntN(len(m.members))
+		lost := m.gossipRNG.Float64() < m.config.DigestLoss
+		delay := linkDelay + time.Duration(m.gossipRNG.ExpFloat64()*float64(m.config.DigestDelay))
 		m.result.DigestsSent++
-		if to == p.number || lost || max(to, p.number) >= len(m.members)-m.cfg.IsolatedMembers {
+		if receiver == p.index || lost || max(receiver, p.index) >= len(m.members)-m.config.IsolatedMembers {
 			continue
 		}
-		m.after(delay, &event{kind: digest, member: to, bytes: b})
+		m.schedule(delay, &event{kind: digestArrives, member: receiver, digest: digest})
 	}
-	if m.now < m.until {
-		m.after(cmp.Or(m.cfg.GossipInterval, time.Second), &event{kind: gossip, member: p.number})
+	if m.now < m.trafficEnd {
+		m.schedule(cmp.Or(m.config.GossipInterval, time.Second), &event{kind: digestDue, member: p.index})
 	}
 }
--- a/fleet/model/model.go
+++ b/fleet/model/model.go
@@ -1,6 +1,9 @@
-// Package model plays a fleet of balancers under overload in virtual time: uneven traffic, the real
-// logic.Balancer and overload.Fleet of each member, backends with queues, clients that ask again, and digests
-// that get lost and come late. The same Config gives the same run to the byte.
+// Package model simulates a fleet of balancers under overload in virtual time. Each member runs the real
+// logic.Balancer and overload.Fleet. Traffic is uneven, backends have queues, clients retry, and digests are
+// lost and delayed. The same Config gives exactly the same run.
+//
+// A client sends a request in one or more tries, each to a member. The member's balancer makes one or more
+// attempts at backends for a try.
 package model
 
 import (
@@ -15,160 +18,160 @@
 	"time"
 )
 
-// Model is a run under way.
+// Model is the state of a simulation run.
 type Model struct {
-	cfg        Config
-	rng        *rand.Rand
-	netRNG     *rand.Rand // of the digests, apart: with all of them lost a run is that of balancers alone
-	now        time.Duration
-	serial     uint64
-	queue      eventQueue
-	members    []*member
-	backends   []backend
-	cumulative []float64
-	capacity   float64 // calls a second of the mix
-	until      time.Duration
-	result     Result
-	hash       interface{ Write([]byte) (int, error) }
-	sum        func() uint64
-	planned    []float64 // Seeing: cut by class now
+	config           Config
+	rng              *rand.Rand
+	gossipRNG        *rand.Rand // separate: with all digests lost, a run equals one with Independent
+	now              time.Duration
+	lastSerial       uint64
+	events           eventQueue
+	members          []*member
+	backends         []backend
+	cumulativeShares []float64
+	capacity         float64 // requests per second of the class mix
+	trafficEnd       time.Duration
+	result           Result
+	traceHash        interface{ Write([]byte) (int, error) }
+	traceSum         func() uint64
+	oracleCut        []float64 // by class: share of the requests that the policy Oracle refuses
 }
 
-const link = time.Millisecond
+const linkDelay = time.Millisecond // one way, between members and backends and between members
 
-// Run plays cfg to its end.
+// Run simulates cfg to its end.
 func Run(cfg Config) Result {
 	h := fnv.New64a()
-	m := &Model{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 7)), netRNG: rand.New(rand.NewPCG(cfg.Seed, 8)), hash: h, sum: h.Sum64}
+	m := &Model{config: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 7)), gossipRNG: rand.New(rand.NewPCG(cfg.Seed, 8)), traceHash: h, traceSum: h.Sum64}
 	m.build()
-	for len(m.queue) > 0 {
-		e := heap.Pop(&m.queue).(*event)
+	for len(m.events) > 0 {
+		e := heap.Pop(&m.events).(*event)
 		m.now = e.at
-		m.trace(e)
-		m.handle(e)
+		m.traceEvent(e)
+		m.handleEvent(e)
 	}
-	m.result.TraceHash = m.sum()
+	m.result.TraceHash = m.traceSum()
 	return m.result
 }
 
-func (m *Model) trace(e *event) {
+func (m *Model) traceEvent(e *event) {
 	var b [34]byte
 	binary.LittleEndian.PutUint64(b[0:], uint64(e.at))
 	b[8], b[9] = byte(e.kind), byte(e.result)
-	binary.LittleEndian.PutUint64(b[10:], uint64(e.member)<<32|uint64(uint32(e.to)))
-	if e.call != nil {
-		binary.LittleEndian.PutUint64(b[18:], e.call.key)
+	binary.LittleEndian.PutUint64(b[10:], uint64(e.member)<<32|uint64(uint32(e.backend)))
+	if e.request != nil {
+		binary.LittleEndian.PutUint64(b[18:], e.request.key)
 	}
 	binary.LittleEndian.PutUint64(b[26:], e.token)
-	m.hash.Write(b[:])
-	m.hash.Write(e.bytes)
+	m.traceHash.Write(b[:])
+	m.traceHash.Write(e.digest)
 }
 
-// build sets up the run: its capacity and length, the members, and the first events.
+// build computes the capacity and length of the run, makes the members and schedules the first events.
 func (m *Model) build() {
-	cfg := &m.cfg
+	cfg := &m.config
 	mean := 0.0
 	for _, c := range cfg.Classes {
 		mean += c.Mix * c.Service.Seconds()
 	}
 	m.capacity = float64(cfg.Backends*cfg.Cores) / mean
 	for _, s := range cfg.Phases {
-		m.until += s.Duration
+		m.trafficEnd += s.Duration
 	}
-	seconds := int(m.until/time.Second) + 1
-	for _, to := range []*[]float64{&m.result.OfferedValue, &m.result.ServedValue, &m.result.Retries, &m.result.FirstTries, &m.result.ShedShare} {
-		*to = make([]float64, seconds+30)
+	seconds := int(m.trafficEnd/time.Second) + 1
+	for _, series := range []*[]float64{&m.result.OfferedValue, &m.result.ServedValue, &m.result.Retries, &m.result.FirstTries, &m.result.ShedShare} {
+		*series = make([]float64, seconds+30)
 	}
 	m.backends = make([]backend, cfg.Backends)
 	m.makeMembers()
 	if cfg.Policy == Coordinated {
 		m.startGossip()
 	}
-	m.after(0, &event{kind: clientArrives})
+	m.schedule(0, &event{kind: firstTryArrives})
 }
 
-// makeMembers makes the balancers and draws their shares of the traffic, which sum to 1.
+// makeMembers makes the members and draws their shares of the traffic, which sum to 1.
 func (m *Model) makeMembers() {
-	cfg := &m.cfg
+	cfg := &m.config
 	zones := make([]string, cfg.Zones)
 	for i := range zones {
 		zones[i] = "z" + strconv.Itoa(i)
 	}
-	list := make([]logic.Backend, cfg.Backends)
-	for i := range list {
-		list[i] = logic.Backend{ID: strconv.Itoa(i), Zone: zones[i%cfg.Zones], Capacity: 1}
+	backends := make([]logic.Backend, cfg.Backends)
+	for i := range backends {
+		backends[i] = logic.Backend{ID: strconv.Itoa(i), Zone: zones[i%cfg.Zones], Capacity: 1}
 	}
 	classes := make([]logic.Class, len(cfg.Classes))
-	told := make([]overload.Class, len(cfg.Classes))
+	overloadClasses := make([]overload.Class, len(cfg.Classes))
 	for i, c := range cfg.Classes {
-		classes[i], told[i] = c.Class, overload.Class{Worth: c.Value, Cost: c.Service.Seconds()}
+		classes[i], overloadClasses[i] = c.Class, overload.Class{Worth: c.Value, Cost: c.Service.Seconds()}
 	}
-	view := make([]overload.Member, cfg.Members)
-	for i := range view {
-		view[i] = overload.Member{Name: "m" + strconv.Itoa(i), Zone: zones[i%cfg.Zones], Incarnation: 1}
+	memberView := make([]overload.Member, cfg.Members)
+	for i := range memberView {
+		memberView[i] = overload.Member{Name: "m" + strconv.Itoa(i), Zone: zones[i%cfg.Zones], Incarnation: 1}
 	}
 	total := 0.0
-	for i, v := range view {
-		p := &member{model: m, number: i, name: v.Name, zone: v.Zone, calls: map[string]*clientCall{},
-			numbers: overload.Alone(), share: math.Exp(cfg.TrafficSigma * m.rng.NormFloat64())}
+	for i, v := range memberView {
+		p := &member{model: m, index: i, name: v.Name, zone: v.Zone, tries: map[string]*clientRequest{},
+			numbers: overload.Alone(), trafficShare: math.Exp(cfg.TrafficSigma * m.rng.NormFloat64())}
 		p.balancer = logic.New(0, logic.Settings{
 			Seed: cfg.Seed*1000 + uint64(i), Zone: v.Zone, Zones: zones, Classes: classes,
 			BalancerCount: cfg.Members, BalancerIndex: i, UnevenTraffic: cfg.UnevenTraffic, MaxAttempts: 3,
 			MaxRetryAfter: 2 * time.Second, DrainGrace: time.Second,
 		}, p)
-		p.balancer.UpdateList(0, true, list)
-		p.fleet, _ = overload.New(0, overload.Settings{Classes: told, Compact: cfg.CompactDigests}, v)
-		p.fleet.View(0, cfg.Members, view)
+		p.balancer.UpdateList(0, true, backends)
+		p.fleet, _ = overload.New(0, overload.Settings{Classes: overloadClasses, Compact: cfg.CompactDigests}, v)
+		p.fleet.View(0, cfg.Members, memberView)
 		p.resetCounters()
-		total += p.share
+		total += p.trafficShare
 		m.members = append(m.members, p)
 	}
-	at := 0.0
+	cumulative := 0.0
 	for _, p := range m.members {
-		p.share /= total
-		at += p.share
-		m.cumulative = append(m.cumulative, at)
+		p.trafficShare /= total
+		cumulative += p.trafficShare
+		m.cumulativeShares = append(m.cumulativeShares, cumulative)
 	}
 }
 
-// startGossip starts each member's reports and digests, at a random time each.
+// startGossip schedules each member's first counter report and digest, each at a random time.
 func (m *Model) startGossip() {
 	for _, p := range m.members {
-		m.after(time.Duration(m.netRNG.Float64()*float64(time.Second/2)), &event{kind: report, member: p.number})
-		m.after(time.Duration(m.netRNG.Float64()*float64(time.Second)), &event{kind: gossip, member: p.number})
+		m.schedule(time.Duration(m.gossipRNG.Float64()*float64(time.Second/2)), &event{kind: countersDue, member: p.index})
+		m.schedule(time.Duration(m.gossipRNG.Float64()*float64(time.Second)), &event{kind: digestDue, member: p.index})
 	}
 }
 
-// offered is the rate of first tries now, a second.
-func (m *Model) offered(at time.Duration) float64 {
-	for _, s := range m.cfg.Phases {
-		if at < s.Duration {
+// clientRate returns the rate of first tries, per second, at a time since the start of the run.
+func (m *Model) clientRate(elapsed time.Duration) float64 {
+	for _, s := range m.config.Phases {
+		if elapsed < s.Duration {
 			return s.Load * m.capacity
 		}
-		at -= s.Duration
+		elapsed -= s.Duration
 	}
 	return 0
 }
 
-func (m *Model) handle(e *event) {
+func (m *Model) handleEvent(e *event) {
 	switch e.kind {
-	case clientArrives:
-		m.nextClient()
-	case again:
-		m.nextTry(e.call)
-	case callArrives:
-		m.reach(e)
-	case callServed:
-		m.served(e)
-	case answer, timeout:
-		m.members[e.member].attemptDone(e)
-	case wake:
+	case firstTryArrives:
+		m.newRequest()
+	case clientRetries:
+		m.sendTry(e.request)
+	case attemptArrives:
+		m.arriveAtBackend(e)
+	case attemptServed:
+		m.endService(e)
+	case attemptAnswered, attemptTimedOut:
+		m.members[e.member].attemptEnded(e)
+	case balancerTimer:
 		m.members[e.member].balancer.TimerFired(m.now, e.token)
-	case report:
-		m.members[e.member].report()
-	case gossip:
-		m.members[e.member].gossip()
-	case digest:
-		m.members[e.member].fleet.Take(m.now, e.bytes)
+	case countersDue:
+		m.members[e.member].reportCounters()
+	case digestDue:
+		m.members[e.member].sendDigests()
+	case digestArrives:
+		m.members[e.member].fleet.Take(m.now, e.digest)
 	}
 }
--- a/fleet/model/queue.go
+++ b/fleet/model/queue.go
@@ -6,34 +6,36 @@
 	"time"
 )
 
-type kind byte
+type eventKind byte
 
 const (
-	clientArrives kind = iota
-	callArrives
-	callServed
-	answer
-	timeout
-	wake
-	again
-	report
-	gossip
-	digest
+	firstTryArrives eventKind = iota
+	attemptArrives
+	attemptServed
+	attemptAnswered
+	attemptTimedOut
+	balancerTimer
+	clientRetries
+	countersDue // a member reports its counters to its overload.Fleet
+	digestDue
+	digestArrives
 )
 
+// event is a simulated event. The fields after kind are set where the kind needs them.
 type event struct {
-	at     time.Duration
-	serial uint64
-	kind   kind
-	member int
-	call   *clientCall
-	try    int
-	token  uint64
-	bytes  []byte
-	result logic.Result
-	to     int
+	at      time.Duration
+	serial  uint64 // order of scheduling
+	kind    eventKind
+	member  int
+	request *clientRequest
+	attempt int
+	token   uint64 // of a timer; for attempts the number of the client's try
+	digest  []byte
+	result  logic.Result
+	backend int
 }
 
+// eventQueue is a heap of events by time; events at the same time keep the order of scheduling.
 type eventQueue []*event
 
 func (q eventQueue) Len() int { return len(q) }
@@ -53,8 +55,9 @@
 	return e
 }
 
-func (m *Model) after(d time.Duration, e *event) {
-	m.serial++
-	e.at, e.serial = m.now+max(d, 0), m.serial
-	heap.Push(&m.queue, e)
+// schedule queues an event after a delay from now; a negative one counts as 0.
+func (m *Model) schedule(delay time.Duration, e *event) {
+	m.lastSerial++
+	e.at, e.serial = m.now+max(delay, 0), m.lastSerial
+	heap.Push(&m.events, e)
 }
