--- a/fleet/model/client.go
+++ b/fleet/model/client.go
@@ -58,15 +58,15 @@
 	request.tryID, request.attempts, request.tryEnded = strconv.FormatUint(request.key, 36)+"."+strconv.Itoa(request.tries), nil, false
 	member := m.members[request.member]
 	if request.tries == 1 {
-		member.counters.First[request.class]++
+		member.counters.FirstAttempts[request.class]++
 	}
 	if m.config.Policy == Oracle {
 		m.oracleAdmit(request)
 		return
 	}
-	if member.numbers.Shed(request.class, request.key) {
+	if member.numbers.ShouldShed(request.class, request.key) {
 		base := m.config.Classes[request.class].TargetLatency / 4
-		member.refuseTry(request, member.numbers.ComeBack(request.key, base, 2*time.Second))
+		member.refuseTry(request, member.numbers.RetryAfter(request.key, base, 2*time.Second))
 		return
 	}
 	member.tries[request.tryID] = request
--- a/fleet/model/member.go
+++ b/fleet/model/member.go
@@ -17,7 +17,7 @@
 	trafficShare float64
 	balancer     *logic.Balancer
 	fleet        *overload.Fleet
-	numbers      overload.Numbers
+	numbers      overload.Controls
 	tries        map[string]*clientRequest // by tryID, while the try or one of its attempts lasts
 	counters     overload.Counters
 }
@@ -37,7 +37,7 @@
 	request := p.tries[tryID]
 	backend, _ := strconv.Atoi(backendID)
 	if len(request.attempts) > 0 && request.attempts[len(request.attempts)-1].mayHaveRun {
-		p.counters.Repeats++
+		p.counters.Retries++
 		p.model.result.Retries[p.model.now/time.Second]++
 	}
 	request.attempts = append(request.attempts, attempt{tryID: tryID, sentAt: p.model.now, backend: backend})
@@ -98,8 +98,8 @@
 	if e.result == logic.OK || e.result == logic.TimedOut {
 		// The target of the latency ratio, as in the balancer's concurrency limit.
 		const target = 0.25
-		p.counters.Answers++
-		p.counters.Strain += min(4, min(1, float64(latency)/float64(m.config.Classes[request.class].TargetLatency))/target)
+		p.counters.LatencySamples++
+		p.counters.LatencyRatioSum += min(4, min(1, float64(latency)/float64(m.config.Classes[request.class].TargetLatency))/target)
 	}
 	if ok {
 		p.counters.Served[request.class]++
@@ -114,15 +114,15 @@
 
 func (p *member) resetCounters() {
 	n := len(p.model.config.Classes)
-	p.counters = overload.Counters{First: make([]float64, n), Served: make([]float64, n), Refused: make([]float64, n)}
+	p.counters = overload.Counters{FirstAttempts: make([]float64, n), Served: make([]float64, n), Refused: make([]float64, n)}
 }
 
 func (p *member) reportCounters() {
-	p.fleet.Own(p.model.now, p.counters)
+	p.fleet.AddCounters(p.model.now, p.counters)
 	p.resetCounters()
-	p.numbers = p.fleet.Numbers(p.model.now)
+	p.numbers = p.fleet.Controls(p.model.now)
 	// Halved, as each member reports twice a second.
-	p.model.result.ShedShare[p.model.now/time.Second] += p.numbers.Cut[len(p.model.config.Classes)-1] / 2 / float64(len(p.model.members))
+	p.model.result.ShedShare[p.model.now/time.Second] += p.numbers.ShedFraction[len(p.model.config.Classes)-1] / 2 / float64(len(p.model.members))
 	if p.model.now < p.model.trafficEnd {
 		p.model.schedule(time.Second/2, &event{kind: countersDue, member: p.index})
 	}
@@ -130,7 +130,7 @@
 
 func (p *member) sendDigests() {
 	m := p.model
-	digest := p.fleet.Digest(m.now)
+	digest := p.fleet.NextDigest(m.now)
 	m.result.DigestBytes = len(digest)
 	for range min(m.config.GossipFanout, len(m.members)-1) {
 		receiver := m.gossipRNG.IntN(len(m.members))
--- a/fleet/model/model.go
+++ b/fleet/model/model.go
@@ -104,7 +104,7 @@
 	classes := make([]logic.Class, len(cfg.Classes))
 	overloadClasses := make([]overload.Class, len(cfg.Classes))
 	for i, c := range cfg.Classes {
-		classes[i], overloadClasses[i] = c.Class, overload.Class{Worth: c.Value, Cost: c.Service.Seconds()}
+		classes[i], overloadClasses[i] = c.Class, overload.Class{Value: c.Value, Cost: c.Service.Seconds()}
 	}
 	memberView := make([]overload.Member, cfg.Members)
 	for i := range memberView {
@@ -113,15 +113,15 @@
 	total := 0.0
 	for i, v := range memberView {
 		p := &member{model: m, index: i, name: v.Name, zone: v.Zone, tries: map[string]*clientRequest{},
-			numbers: overload.Alone(), trafficShare: math.Exp(cfg.TrafficSigma * m.rng.NormFloat64())}
+			numbers: overload.Standalone(), trafficShare: math.Exp(cfg.TrafficSigma * m.rng.NormFloat64())}
 		p.balancer = logic.New(0, logic.Settings{
 			Seed: cfg.Seed*1000 + uint64(i), Zone: v.Zone, Zones: zones, Classes: classes,
 			BalancerCount: cfg.Members, BalancerIndex: i, UnevenTraffic: cfg.UnevenTraffic, MaxAttempts: 3,
 			MaxRetryAfter: 2 * time.Second, DrainGrace: time.Second,
 		}, p)
 		p.balancer.UpdateList(0, true, backends)
-		p.fleet, _ = overload.New(0, overload.Settings{Classes: overloadClasses, Compact: cfg.CompactDigests}, v)
-		p.fleet.View(0, cfg.Members, memberView)
+		p.fleet, _ = overload.New(0, overload.Settings{Classes: overloadClasses, CompactDigests: cfg.CompactDigests}, v)
+		p.fleet.SetMembers(0, cfg.Members, memberView)
 		p.resetCounters()
 		total += p.trafficShare
 		m.members = append(m.members, p)
@@ -172,6 +172,6 @@
 	case digestDue:
 		m.members[e.member].sendDigests()
 	case digestArrives:
-		m.members[e.member].fleet.Take(m.now, e.digest)
+		m.members[e.member].fleet.ReceiveDigest(m.now, e.digest)
 	}
 }
--- a/fleet/track/open.go
+++ b/fleet/track/open.go
@@ -5,393 +5,405 @@
 	"time"
 )
 
-// ask is an Open that waits for its replicas.
-type ask struct {
-	key      Key
-	id       ident
-	class    uint8
-	where    string
-	ticket   uint64
-	at, sent time.Duration
-	restarts int
-
-	n     int
-	reps  [maxReplicas]uint16
-	votes [maxReplicas]vote
-	inc   [maxReplicas]uint32 // of the voter, with its vote
-	vec   [maxReplicas]uint32 // highest incarnation of the replica that any voter knows
+// pendingOpen is an Open that waits for the votes of its replicas.
+type pendingOpen struct {
+	key                   Key
+	generation            generationID
+	class                 uint8
+	target                string
+	ticket                uint64
+	startedAt, lastSentAt time.Duration
+	restarts              int
+
+	replicaCount      int
+	replicas          [maxReplicas]uint16
+	votes             [maxReplicas]vote
+	voterIncarnations [maxReplicas]uint32 // incarnation of each voter when it voted
+	knownIncarnations [maxReplicas]uint32 // highest incarnation of each replica known to any voter
 }
 
-// call is an own call or flow that was let go.
+// call is a call or flow that this member has admitted.
 type call struct {
-	key      Key
-	id       ident
-	class    uint8
-	state    State
-	shared   bool
-	busy     bool
-	where    string
-	n        int
-	reps     [maxReplicas]uint16
-	born     time.Duration
-	activity time.Duration // last
-	told     time.Duration // first send of this round
-	mark     time.Duration // activity at that time
-	sent     time.Duration // last send of this round
-	acked    time.Duration // mark of the last round that a majority has acknowledged
-	round    uint16
-	tries    int
-	acks     uint8
-	index    int // in Table.list
+	key               Key
+	generation        generationID
+	class             uint8
+	state             State
+	retried           bool
+	unacked           bool
+	target            string
+	replicaCount      int
+	replicas          [maxReplicas]uint16
+	firstSent         time.Duration
+	lastActivity      time.Duration
+	roundStart        time.Duration // first send of the current round
+	roundActivity     time.Duration // lastActivity at roundStart
+	lastSentAt        time.Duration // last send of the current round
+	confirmedActivity time.Duration // roundActivity of the last round that a majority has acknowledged
+	round             uint16
+	attempts          int
+	acks              uint8
+	listIndex         int // in Table.callList
 }
 
+// maxRestarts is how often an Open starts again under a newer generation after a vote of
+// StaleGeneration.
 const maxRestarts = 3
 
-// maxTries is how often a round is sent; what is missing then comes by comparison.
-const maxTries = 8
-
-// Open asks whether a call or flow with this key may go to where: a backend, or the
-// scope that drops its repeats. class is an index into Settings.Classes. A Pending
-// verdict is followed by an Answer within AskWithin and a tick.
-func (t *Table) Open(now time.Duration, key string, class int, where string) Verdict {
-	now = t.at(now)
-	if key == "" || len(key) > MaxKey || where == "" || len(where) > MaxWhere ||
-		class < 0 || class >= len(t.set.Classes) {
+// maxRoundAttempts is how often a round is sent. Replicas that still lack it get it by
+// digest comparison.
+const maxRoundAttempts = 8
+
+// Open asks whether a call or flow with this key may be sent to target: a backend, or the
+// scope that deduplicates it. class is an index into Settings.Classes. A Pending verdict
+// is followed by an Answer within AskWithin and one Tick.
+func (t *Table) Open(now time.Duration, key string, class int, target string) Verdict {
+	now = t.advanceClock(now)
+	if key == "" || len(key) > MaxKey || target == "" || len(target) > MaxTarget ||
+		class < 0 || class >= len(t.settings.Classes) {
 		return t.refusal(BadRequest, 0)
 	}
-	keyed := t.set.Classes[class].Keyed
-	k := hashKey(t.set.Seed, key)
-	if t.asks[k] != nil {
-		return t.refusal(Busy, t.set.AskWithin)
+	keyed := t.settings.Classes[class].Keyed
+	k := hashKey(t.settings.Seed, key)
+	if t.pendingOpens[k] != nil {
+		return t.refusal(Busy, t.settings.AskWithin)
 	}
 	if c := t.calls[k]; c != nil && !keyed && c.state < Closing {
-		c.activity = now
-		return Verdict{Kind: Mine, Where: c.where, Gen: c.id.gen}
-	}
-	if len(t.seats) == 0 && keyed {
-		return t.refusal(NoQuorum, t.set.AskWithin)
-	}
-	t.ticket++
-	a := &ask{key: k, class: uint8(class), where: where, ticket: t.ticket, at: now}
-	t.asks[k] = a
-	t.asking = append(t.asking, a)
-	before := len(t.answers)
-	t.start(now, a)
-	if t.asks[k] == a {
-		return Verdict{Kind: Pending, Ticket: a.ticket}
-	}
-	v := t.answers[before].Verdict
-	t.answers = append(t.answers[:before], t.answers[before+1:]...)
+		c.lastActivity = now
+		return Verdict{Kind: OpenHere, Target: c.target, Generation: c.generation.number}
+	}
+	if len(t.candidates) == 0 && keyed {
+		return t.refusal(NoQuorum, t.settings.AskWithin)
+	}
+	t.lastTicket++
+	pending := &pendingOpen{key: k, class: uint8(class), target: target, ticket: t.lastTicket, startedAt: now}
+	t.pendingOpens[k] = pending
+	t.pendingOpenList = append(t.pendingOpenList, pending)
+	answersBefore := len(t.answers)
+	t.startPrepare(now, pending)
+	if t.pendingOpens[k] == pending {
+		return Verdict{Kind: Pending, Ticket: pending.ticket}
+	}
+	v := t.answers[answersBefore].Verdict
+	t.answers = append(t.answers[:answersBefore], t.answers[answersBefore+1:]...)
 	return v
 }
 
-func (t *Table) refusal(why Reason, comeBack time.Duration) Verdict {
+func (t *Table) refusal(reason Reason, retryAfter time.Duration) Verdict {
 	t.stats.Refusals++
-	return Verdict{Kind: Refused, Reason: why, ComeBack: min(comeBack, t.set.MaxComeBack)}
+	return Verdict{Kind: Refused, Reason: reason, RetryAfter: min(retryAfter, t.settings.MaxComeBack)}
 }
 
-// start asks all replicas under a new generation.
-func (t *Table) start(now time.Duration, a *ask) {
-	t.clock++
-	a.id = ident{t.clock, t.id, t.inc}
-	a.votes, a.inc, a.vec = [maxReplicas]vote{}, [maxReplicas]uint32{}, [maxReplicas]uint32{}
-	a.n = place(t.seats, a.key, t.set.Replicas, &a.reps)
-	t.sendAsks(now, a)
-	for j, s := range a.reps[:a.n] {
-		if int(s) == t.me {
-			r := &record{key: a.key, id: a.id, class: a.class, state: Noted, where: a.where}
-			v := t.note(now, r)
-			t.voted(now, a, j, t.inc, &v)
+// startPrepare asks all replicas to prepare the call under a new generation.
+func (t *Table) startPrepare(now time.Duration, pending *pendingOpen) {
+	t.logicalClock++
+	pending.generation = generationID{t.logicalClock, t.selfID, t.incarnation}
+	pending.votes, pending.voterIncarnations, pending.knownIncarnations = [maxReplicas]vote{},
+		[maxReplicas]uint32{}, [maxReplicas]uint32{}
+	pending.replicaCount = selectReplicas(t.candidates, pending.key, t.settings.Replicas, &pending.replicas)
+	t.sendPrepares(now, pending)
+	for j, s := range pending.replicas[:pending.replicaCount] {
+		if int(s) == t.selfIndex {
+			r := &entryRecord{key: pending.key, generation: pending.generation, class: pending.class,
+				state: Prepared, target: pending.target}
+			v := t.prepare(now, r)
+			t.handleReplicaVote(now, pending, j, t.incarnation, &v)
 			return
 		}
 	}
-	t.resolve(now, a, false)
+	t.resolve(now, pending, false)
 }
 
-func (t *Table) sendAsks(now time.Duration, a *ask) {
-	a.sent = now
-	rec := binary.BigEndian.AppendUint64(putKey([]byte{recAsk}, a.key), a.id.gen)
-	rec = putString(append(rec, a.class), a.where)
-	for j, s := range a.reps[:a.n] {
-		if int(s) != t.me && a.votes[j].says == voteNone {
-			t.add(t.peers[s], rec)
+func (t *Table) sendPrepares(now time.Duration, pending *pendingOpen) {
+	pending.lastSentAt = now
+	rec := binary.BigEndian.AppendUint64(appendKey([]byte{recPrepare}, pending.key), pending.generation.number)
+	rec = appendString(append(rec, pending.class), pending.target)
+	for j, s := range pending.replicas[:pending.replicaCount] {
+		if int(s) != t.selfIndex && pending.votes[j].decision == voteNone {
+			t.enqueue(t.peers[s], rec)
 		}
 	}
 }
 
-// voted takes a replica's answer.
-func (t *Table) voted(now time.Duration, a *ask, j int, inc uint32, v *vote) {
-	if v.says == voteNo && v.reason == Stale && a.restarts < maxRestarts {
-		// The voter's clock came with its message and is above what has ended.
-		a.restarts++
-		t.sendWithdraw(a)
-		t.start(now, a)
+// handleReplicaVote records a replica's vote.
+func (t *Table) handleReplicaVote(now time.Duration, pending *pendingOpen, index int,
+	voterIncarnation uint32, v *vote) {
+	if v.decision == voteNo && v.reason == StaleGeneration && pending.restarts < maxRestarts {
+		// The vote's message raised the logical clock above the ended generation.
+		pending.restarts++
+		t.sendWithdraw(pending)
+		t.startPrepare(now, pending)
 		return
 	}
-	a.votes[j], a.inc[j] = *v, inc
-	for i := range min(v.n, a.n) {
-		a.vec[i] = max(a.vec[i], v.vec[i])
+	pending.votes[index], pending.voterIncarnations[index] = *v, voterIncarnation
+	for i := range min(v.replicaCount, pending.replicaCount) {
+		pending.knownIncarnations[i] = max(pending.knownIncarnations[i], v.incarnations[i])
 	}
-	t.resolve(now, a, false)
+	t.resolve(now, pending, false)
 }
 
-// resolve ends an ask as soon as its votes allow it, or now if last.
-func (t *Table) resolve(now time.Duration, a *ask, last bool) {
-	keyed, q := t.set.Classes[a.class].Keyed, t.quorum(a.n)
-	yes, waiting, best, bestN := 0, 0, -1, 0
-	why, comeBack := NoQuorum, t.set.AskWithin
-	for j := range a.n {
-		v := &a.votes[j]
-		// An older life's vote is void: it has forgotten it.
-		if v.says == voteNone || a.inc[j] < a.vec[j] {
+// resolve completes a pending Open as soon as its votes decide it, or now if final.
+func (t *Table) resolve(now time.Duration, pending *pendingOpen, final bool) {
+	keyed, quorum := t.settings.Classes[pending.class].Keyed, t.quorumSize(pending.replicaCount)
+	yes, waiting, best, bestCount := 0, 0, -1, 0
+	reason, retryAfter := NoQuorum, t.settings.AskWithin
+	for j := range pending.replicaCount {
+		v := &pending.votes[j]
+		// A vote from an older incarnation is void: the restarted replica has lost it.
+		if v.decision == voteNone || pending.voterIncarnations[j] < pending.knownIncarnations[j] {
 			waiting++
 			continue
 		}
-		switch v.says {
+		switch v.decision {
 		case voteYes:
 			yes++
 		case voteNo:
-			why, comeBack = max(why, v.reason), max(comeBack, v.comeBack)
-		case voteKnown:
-			why = max(why, Busy)
+			reason, retryAfter = max(reason, v.reason), max(retryAfter, v.retryAfter)
+		case voteExisting:
+			reason = max(reason, Busy)
 			n := 0
 			for i := range j + 1 {
-				if a.votes[i].says == voteKnown && a.votes[i].id == v.id && a.inc[i] >= a.vec[i] {
+				if pending.votes[i].decision == voteExisting && pending.votes[i].existing == v.existing &&
+					pending.voterIncarnations[i] >= pending.knownIncarnations[i] {
 					n++
 				}
 			}
-			newer := best < 0 || v.id.compare(a.votes[best].id) > 0
-			if n > bestN || !keyed && newer {
-				best, bestN = j, n
+			newer := best < 0 || v.existing.compare(pending.votes[best].existing) > 0
+			if n > bestCount || !keyed && newer {
+				best, bestCount = j, n
 			}
 		}
 	}
-	last = last || waiting == 0
+	final = final || waiting == 0
 	switch {
-	case a.n > 0 && yes >= q:
-		t.letGo(now, a, false)
-	case best >= 0 && (bestN >= q || !keyed && last):
-		t.elsewhere(now, a, &a.votes[best])
-	case !keyed && last:
-		t.letGo(now, a, true)
-	case last, yes+waiting < q && bestN+waiting < q && keyed:
-		t.refuse(now, a, why, comeBack)
+	case pending.replicaCount > 0 && yes >= quorum:
+		t.admit(now, pending, false)
+	case best >= 0 && (bestCount >= quorum || !keyed && final):
+		t.answerExisting(now, pending, &pending.votes[best])
+	case !keyed && final:
+		t.admit(now, pending, true)
+	case final, yes+waiting < quorum && bestCount+waiting < quorum && keyed:
+		t.refuse(now, pending, reason, retryAfter)
 	}
 }
 
-func (t *Table) closeAsk(a *ask) {
-	delete(t.asks, a.key)
-	t.asking = remove(t.asking, a)
+func (t *Table) finishOpen(pending *pendingOpen) {
+	delete(t.pendingOpens, pending.key)
+	t.pendingOpenList = removeFirst(t.pendingOpenList, pending)
 }
 
-func (t *Table) answer(a *ask, v Verdict) {
-	v.Ticket = a.ticket
-	t.answers = append(t.answers, Answer{v, a.key})
+func (t *Table) queueAnswer(pending *pendingOpen, v Verdict) {
+	v.Ticket = pending.ticket
+	t.answers = append(t.answers, Answer{v, pending.key})
 }
 
-func (t *Table) letGo(now time.Duration, a *ask, alone bool) {
-	t.closeAsk(a)
+func (t *Table) admit(now time.Duration, pending *pendingOpen, unconfirmed bool) {
+	t.finishOpen(pending)
 	t.stats.Opened++
-	if alone {
-		t.stats.Alone++
-	}
-	c := t.hold(a, a.id, a.where)
-	c.born, c.activity, c.acked = now, now, a.at
-	t.tell(now, c)
-	t.answer(a, Verdict{Kind: New, Where: a.where, Gen: a.id.gen, Alone: alone})
+	if unconfirmed {
+		t.stats.Unconfirmed++
+	}
+	c := t.trackCall(pending, pending.generation, pending.target)
+	c.firstSent, c.lastActivity, c.confirmedActivity = now, now, pending.startedAt
+	t.startRound(now, c)
+	t.queueAnswer(pending, Verdict{Kind: New, Target: pending.target,
+		Generation: pending.generation.number, Unconfirmed: unconfirmed})
 }
 
-func (t *Table) elsewhere(now time.Duration, a *ask, v *vote) {
-	t.sendWithdraw(a)
-	t.closeAsk(a)
-	t.stats.Elsewheres++
-	kind := Elsewhere
-	if v.id.owner == t.id && v.id.inc == t.inc {
-		kind = Mine
+func (t *Table) answerExisting(now time.Duration, pending *pendingOpen, v *vote) {
+	t.sendWithdraw(pending)
+	t.finishOpen(pending)
+	t.stats.OpenedElsewhere++
+	kind := OpenElsewhere
+	if v.existing.ownerID == t.selfID && v.existing.ownerIncarnation == t.incarnation {
+		kind = OpenHere
 	}
-	c := t.calls[a.key]
+	c := t.calls[pending.key]
 	switch {
-	case c != nil && c.id == v.id:
-		c.shared = c.shared || t.set.Classes[a.class].Keyed
-		c.activity = now
-	case !t.set.Classes[a.class].Keyed:
-		c = t.hold(a, v.id, v.where)
-		c.born, c.activity, c.acked = now, now, a.at
-		t.tell(now, c)
-	}
-	t.answer(a, Verdict{Kind: kind, Where: v.where, Gen: v.id.gen})
+	case c != nil && c.generation == v.existing:
+		c.retried = c.retried || t.settings.Classes[pending.class].Keyed
+		c.lastActivity = now
+	case !t.settings.Classes[pending.class].Keyed:
+		c = t.trackCall(pending, v.existing, v.target)
+		c.firstSent, c.lastActivity, c.confirmedActivity = now, now, pending.startedAt
+		t.startRound(now, c)
+	}
+	t.queueAnswer(pending, Verdict{Kind: kind, Target: v.target, Generation: v.existing.number})
 }
 
-func (t *Table) refuse(now time.Duration, a *ask, why Reason, comeBack time.Duration) {
-	t.sendWithdraw(a)
-	t.closeAsk(a)
-	t.answer(a, t.refusal(why, comeBack))
+func (t *Table) refuse(now time.Duration, pending *pendingOpen, reason Reason, retryAfter time.Duration) {
+	t.sendWithdraw(pending)
+	t.finishOpen(pending)
+	t.queueAnswer(pending, t.refusal(reason, retryAfter))
 }
 
-// sendWithdraw tells all replicas that the ask's generation was never let go.
-func (t *Table) sendWithdraw(a *ask) {
-	t.refused.add(use{a.key, a.id.gen})
-	rec := binary.BigEndian.AppendUint64(putKey([]byte{recWithdraw}, a.key), a.id.gen)
-	for _, s := range a.reps[:a.n] {
-		if int(s) == t.me {
-			t.withdraw(a.key, a.id)
+// sendWithdraw tells all replicas that the call was never admitted under its generation.
+func (t *Table) sendWithdraw(pending *pendingOpen) {
+	t.withdrawn.add(keyUse{pending.key, pending.generation.number})
+	rec := binary.BigEndian.AppendUint64(appendKey([]byte{recWithdraw}, pending.key), pending.generation.number)
+	for _, index := range pending.replicas[:pending.replicaCount] {
+		if int(index) == t.selfIndex {
+			t.withdraw(pending.key, pending.generation)
 		} else {
-			t.add(t.peers[s], rec)
+			t.enqueue(t.peers[index], rec)
 		}
 	}
 }
 
-// hold makes the own record of a call that goes on.
-func (t *Table) hold(a *ask, id ident, where string) *call {
-	if old := t.calls[a.key]; old != nil {
-		t.release(old)
+// trackCall creates the local record of an admitted call.
+func (t *Table) trackCall(pending *pendingOpen, id generationID, target string) *call {
+	if old := t.calls[pending.key]; old != nil {
+		t.untrackCall(old)
 	}
-	c := &call{key: a.key, id: id, class: a.class, where: where, state: Open, n: a.n, reps: a.reps}
-	c.index = len(t.list)
-	t.calls[a.key] = c
-	t.list = append(t.list, c)
+	c := &call{key: pending.key, generation: id, class: pending.class, target: target, state: Open,
+		replicaCount: pending.replicaCount, replicas: pending.replicas}
+	c.listIndex = len(t.callList)
+	t.calls[pending.key] = c
+	t.callList = append(t.callList, c)
 	return c
 }
 
-func (t *Table) release(c *call) {
+func (t *Table) untrackCall(c *call) {
 	delete(t.calls, c.key)
-	n := len(t.list) - 1
-	t.list[c.index] = t.list[n]
-	t.list[c.index].index = c.index
-	t.list[n] = nil
-	t.list = t.list[:n]
+	n := len(t.callList) - 1
+	t.callList[c.listIndex] = t.callList[n]
+	t.callList[c.listIndex].listIndex = c.listIndex
+	t.callList[n] = nil
+	t.callList = t.callList[:n]
 }
 
-// gone gives an own call up: the fleet has ended it, or may have.
-func (t *Table) gone(c *call) {
-	t.release(c)
-	t.stats.GoneOwn++
-	if c.state < Closing && !t.set.Classes[c.class].Keyed {
-		t.answers = append(t.answers, Answer{Verdict{Kind: Gone, Where: c.where, Gen: c.id.gen}, c.key})
+// dropCall stops tracking a call that the fleet has ended or may have ended.
+func (t *Table) dropCall(c *call) {
+	t.untrackCall(c)
+	t.stats.OwnLost++
+	if c.state < Closing && !t.settings.Classes[c.class].Keyed {
+		t.answers = append(t.answers, Answer{Verdict{Kind: FlowEnded, Target: c.target,
+			Generation: c.generation.number}, c.key})
 	}
 }
 
-// own returns the own call with this key and generation, or nil.
-func (t *Table) own(key string, gen uint64) *call {
-	c := t.calls[hashKey(t.set.Seed, key)]
-	if c == nil || c.id.gen != gen {
+// findCall returns this member's call with this key and generation, or nil.
+func (t *Table) findCall(key string, gen uint64) *call {
+	c := t.calls[hashKey(t.settings.Seed, key)]
+	if c == nil || c.generation.number != gen {
 		return nil
 	}
 	return c
 }
 
-// Touch reports activity of an own call or flow. It returns false if this member does
-// not hold that generation any more.
+// Touch reports activity of one of this member's calls or flows. It returns false if this
+// member no longer holds that generation.
 func (t *Table) Touch(now time.Duration, key string, gen uint64) bool {
-	now = t.at(now)
-	c := t.own(key, gen)
+	now = t.advanceClock(now)
+	c := t.findCall(key, gen)
 	if c == nil || c.state >= Closing {
 		return false
 	}
-	if t.lapsed(now, c) {
-		t.gone(c)
+	if t.mayHaveExpired(now, c) {
+		t.dropCall(c)
 		return false
 	}
-	c.activity = now
-	if now-c.told >= t.set.TouchEvery {
-		t.tell(now, c)
+	c.lastActivity = now
+	if now-c.roundStart >= t.settings.TouchEvery {
+		t.startRound(now, c)
 	}
 	return true
 }
 
-// Done reports the end of an own call or flow. After MayRun a Finished may follow. It
-// returns false if this member does not hold that generation any more.
+// Done reports the end of one of this member's calls or flows. Finished may follow
+// MayStillRun. It returns false if this member no longer holds that generation.
 func (t *Table) Done(now time.Duration, key string, gen uint64, how Outcome) bool {
-	now = t.at(now)
-	c := t.own(key, gen)
+	now = t.advanceClock(now)
+	c := t.findCall(key, gen)
 	if c == nil || c.state == Closed {
 		return false
 	}
-	if t.lapsed(now, c) {
-		t.gone(c)
+	if t.mayHaveExpired(now, c) {
+		t.dropCall(c)
 		return false
 	}
-	c.state, c.activity = Closed, now
-	if how == MayRun {
+	c.state, c.lastActivity = Closed, now
+	if how == MayStillRun {
 		c.state = Closing
 	}
-	t.tell(now, c)
+	t.startRound(now, c)
 	return true
 }
 
-// lapsed says that the replicas may have ended the call, since no majority has told of
-// keeping it for so long. What is sent of it now could bring it back.
-func (t *Table) lapsed(now time.Duration, c *call) bool {
-	return now-c.acked > t.timeout(c.class, c.state)-2*t.set.Lag
+// mayHaveExpired reports whether the replicas may have ended the call because no majority
+// has acknowledged activity for too long. An update sent now could recreate its entry.
+func (t *Table) mayHaveExpired(now time.Duration, c *call) bool {
+	return now-c.confirmedActivity > t.timeout(c.class, c.state)-2*t.settings.Lag
 }
 
-// tell begins a round: all replicas are told of the call until they say they know.
-func (t *Table) tell(now time.Duration, c *call) {
+// startRound starts an update round: the call's state is sent to all replicas until they
+// acknowledge it.
+func (t *Table) startRound(now time.Duration, c *call) {
 	c.round++
-	c.told, c.mark, c.acks, c.tries = now, c.activity, 0, 0
-	if !c.busy {
-		c.busy = true
-		t.busy = append(t.busy, c)
+	c.roundStart, c.roundActivity, c.acks, c.attempts = now, c.lastActivity, 0, 0
+	if !c.unacked {
+		c.unacked = true
+		t.unackedCalls = append(t.unackedCalls, c)
 	}
 	t.sendRound(now, c)
 }
 
 func (t *Table) sendRound(now time.Duration, c *call) {
-	c.sent = now
-	c.tries++
-	r := &record{key: c.key, id: c.id, class: c.class, state: c.state, shared: c.shared, ack: true,
-		round: c.round, idle: now - c.activity, age: now - c.born, where: c.where}
-	for j, s := range c.reps[:c.n] {
-		if int(s) != t.me || c.acks&(1<<j) != 0 {
+	c.lastSentAt = now
+	c.attempts++
+	r := &entryRecord{key: c.key, generation: c.generation, class: c.class, state: c.state,
+		retried: c.retried, wantAck: true,
+		round: c.round, idle: now - c.lastActivity, age: now - c.firstSent, target: c.target}
+	for j, s := range c.replicas[:c.replicaCount] {
+		if int(s) != t.selfIndex || c.acks&(1<<j) != 0 {
 			continue
 		}
-		switch t.join(now, r) {
-		case taken:
+		switch t.merge(now, r) {
+		case mergeApplied:
 			t.acknowledged(c, j)
-		case over, older:
-			t.gone(c)
+		case mergeBuried, mergeStale:
+			t.dropCall(c)
 			return
 		}
 	}
-	for j, s := range c.reps[:c.n] {
-		if int(s) != t.me && c.acks&(1<<j) == 0 {
-			t.add(t.peers[s], putEntry(t.scratch[:0], r))
+	for j, s := range c.replicas[:c.replicaCount] {
+		if int(s) != t.selfIndex && c.acks&(1<<j) == 0 {
+			t.enqueue(t.peers[s], appendEntry(t.scratch[:0], r))
 		}
 	}
 }
 
 func (t *Table) acknowledged(c *call, j int) {
 	c.acks |= 1 << j
-	if onesCount(c.acks) >= t.quorum(c.n) {
-		c.acked = c.mark
+	if onesCount(c.acks) >= t.quorumSize(c.replicaCount) {
+		c.confirmedActivity = c.roundActivity
 	}
 }
 
-func (t *Table) tickAsks(now time.Duration) {
-	for i := 0; i < len(t.asking); {
-		a := t.asking[i]
+func (t *Table) tickOpens(now time.Duration) {
+	for i := 0; i < len(t.pendingOpenList); {
+		pending := t.pendingOpenList[i]
 		switch {
-		case now-a.at >= t.set.AskWithin:
-			t.resolve(now, a, true)
-		case now-a.sent >= t.set.AskWithin/3:
-			t.sendAsks(now, a)
+		case now-pending.startedAt >= t.settings.AskWithin:
+			t.resolve(now, pending, true)
+		case now-pending.lastSentAt >= t.settings.AskWithin/3:
+			t.sendPrepares(now, pending)
 		}
-		if i < len(t.asking) && t.asking[i] == a {
+		if i < len(t.pendingOpenList) && t.pendingOpenList[i] == pending {
 			i++
 		}
 	}
 }
 
-// tickCalls sends again what is not acknowledged, and gives up what the
-// replicas may have ended.
+// tickCalls resends unacknowledged updates and drops calls that the replicas may have
+// ended.
 func (t *Table) tickCalls(now time.Duration) {
-	keep := t.busy[:0]
-	for _, c := range t.busy {
+	keep := t.unackedCalls[:0]
+	for _, c := range t.unackedCalls {
 		if t.calls[c.key] != c {
 			continue
 		}
-		if !t.settled(c) && c.tries < maxTries {
-			if now-c.sent >= t.set.Lag/2 {
+		if !t.allAliveAcked(c) && c.attempts < maxRoundAttempts {
+			if now-c.lastSentAt >= t.settings.Lag/2 {
 				t.sendRound(now, c)
 			}
 			if t.calls[c.key] == c {
@@ -399,66 +411,66 @@
 			}
 			continue
 		}
-		c.busy = false
+		c.unacked = false
 	}
-	clear(t.busy[len(keep):])
-	t.busy = keep
-	if now-t.listAt < t.set.Sweep {
+	clear(t.unackedCalls[len(keep):])
+	t.unackedCalls = keep
+	if now-t.callsCheckedAt < t.settings.Sweep {
 		return
 	}
-	t.listAt = now
-	for i := 0; i < len(t.list); {
-		c := t.list[i]
+	t.callsCheckedAt = now
+	for i := 0; i < len(t.callList); {
+		c := t.callList[i]
 		switch {
-		case c.state == Closed && !c.busy:
-			t.release(c)
+		case c.state == Closed && !c.unacked:
+			t.untrackCall(c)
 			continue
 		case c.state == Closed:
-		case t.lapsed(now, c) && !(c.state == Closing && c.busy):
-			t.gone(c)
+		case t.mayHaveExpired(now, c) && !(c.state == Closing && c.unacked):
+			t.dropCall(c)
 			continue
-		case c.activity > c.told && now-c.told >= t.set.TouchEvery:
-			t.tell(now, c)
+		case c.lastActivity > c.roundStart && now-c.roundStart >= t.settings.TouchEvery:
+			t.startRound(now, c)
 		}
-		if i < len(t.list) && t.list[i] == c {
+		if i < len(t.callList) && t.callList[i] == c {
 			i++
 		}
 	}
 }
 
-// settled says that all replicas in touch have acknowledged this round.
-func (t *Table) settled(c *call) bool {
-	for j, s := range c.reps[:c.n] {
-		if c.acks&(1<<j) == 0 && int(s) != t.me && t.peers[s].Alive {
+// allAliveAcked reports whether all replicas believed alive have acknowledged this round.
+func (t *Table) allAliveAcked(c *call) bool {
+	for j, s := range c.replicas[:c.replicaCount] {
+		if c.acks&(1<<j) == 0 && int(s) != t.selfIndex && t.peers[s].Alive {
 			return false
 		}
 	}
 	return true
 }
 
-// use is one use of a key by this member.
-type use struct {
-	key Key
-	gen uint64
+// keyUse is one use of a key by this member.
+type keyUse struct {
+	key        Key
+	generation uint64
 }
 
-// refusedList remembers what was withdrawn, the last 4096.
-type refusedList struct {
-	has  map[use]bool
-	ring []use
-	next int
+// withdrawnSet holds the last 4096 withdrawn generations.
+type withdrawnSet struct {
+	members map[keyUse]bool
+	ring    []keyUse
+	next    int
 }
 
-func (l *refusedList) add(u use) {
-	if l.has == nil {
-		l.has = map[use]bool{}
+func (l *withdrawnSet) add(u keyUse) {
+	if l.members == nil {
+		l.members = map[keyUse]bool{}
 	}
 	if len(l.ring) < 4096 {
 		l.ring = append(l.ring, u)
 	} else {
-		delete(l.has, l.ring[l.next])
+		delete(l.members, l.ring[l.next])
 		l.ring[l.next] = u
 		l.next = (l.next + 1) % len(l.ring)
 	}
-	l.has[u] = true
+	l.members[u] = true
 }
--- a/fleet/track/table.go
+++ b/fleet/track/table.go
@@ -9,91 +9,91 @@
 	"time"
 )
 
-const allRanges = ^uint64(0)
+const allRangesMask = ^uint64(0)
 
-// peer is another member of the roster or of the one before, or this one.
+// peer is a member of the current or the previous roster, this member included.
 type peer struct {
 	Member
-	id uint64
-
-	stamp   uint64 // its latest time stamp
-	stampAt time.Duration
-	echo    bool // stamp is set
-	heard   time.Duration
-	ever    bool // heard is set
-	pinged  time.Duration
-	buf     []byte
-	say     bool // send a message even if it is empty, for its time stamp
-	same    bool // the message being taken is of this member's epoch
-
-	sums      [ranges]uint64 // of the live entries that both have, by range
-	lines     uint64         // ranges that this pass of the sweep lists to it
-	nextLines uint64
-	turn      int
-	back      bool // has been out of touch: compare all
-	nextSync  time.Duration
-
-	pull pull
+	nameHash uint64
+
+	lastStamp        uint64 // the latest timestamp received from it
+	lastStampAt      time.Duration
+	hasStamp         bool // lastStamp is set
+	lastReceived     time.Duration
+	hasReceived      bool // lastReceived is set
+	replyScheduledAt time.Duration
+	outBuffer        []byte
+	replyDue         bool // send a message even without records, for its timestamp
+	sameEpoch        bool // the message being handled has this member's epoch
+
+	digests          [rangeCount]uint64 // of the live entries that both replicate, by range
+	listedRanges     uint64             // ranges whose entries this sweep pass summarizes for the peer
+	nextListedRanges uint64
+	lastRange        int
+	compareAll       bool // was unreachable: compare all ranges at once
+	nextSync         time.Duration
+
+	pull rangePull
 }
 
-// Table is one member's part of the fleet's table. It is not safe for use by
-// several goroutines.
+// Table is one member's part of the replicated table. It is not safe for concurrent
+// use.
 type Table struct {
-	set  Settings
-	id   uint64 // of this member
-	inc  uint32
-	now  time.Duration
-	seen bool // View was called
-
-	epoch  uint64
-	viewed time.Duration
-	seats  []seat  // who places, by id
-	peers  []*peer // of the seats in their order, then those who have left
-	byID   map[uint64]*peer
-	me     int // own seat, or -1
-	learn  learning
-	clock  uint64 // logical; the last generation given or heard of
-
-	slabs  [][]entry
-	size   int // slots in use or on the free list
-	free   []uint32
-	index  map[Key]uint32
-	live   int
-	tombs  int
-	places places
-	under  map[Key]tomb             // tombstones below a Noted entry
-	left   map[uint32]time.Duration // since when this replica has agreed to an end
-	props  map[uint32]*proposal
-	passAt time.Duration
-	cursor int
-	ending time.Duration // least time until a keyed entry ends, found by the sweep
-	nextEn time.Duration
-
-	asks    map[Key]*ask
-	asking  []*ask
-	calls   map[Key]*call
-	list    []*call // all calls
-	busy    []*call // those with acknowledgements missing
-	listAt  time.Duration
-	refused refusedList
-	ticket  uint64
-
-	outs    []Out
+	settings    Settings
+	selfID      uint64
+	incarnation uint32
+	now         time.Duration
+	hasRoster   bool // UpdateRoster was called
+
+	epoch        uint64
+	rosterAt     time.Duration
+	candidates   []candidate // members eligible as replicas, sorted by name hash
+	peers        []*peer     // in the order of candidates, then those that have left the roster
+	byNameHash   map[uint64]*peer
+	selfIndex    int // index of this member in candidates, or -1
+	recovery     recoveryState
+	logicalClock uint64 // the highest generation number issued or received
+
+	slabs           [][]entry
+	slotCount       int // slots in use or on the free list
+	freeSlots       []uint32
+	index           map[Key]uint32
+	live            int
+	tombstones      int
+	targets         targetTable
+	shadowed        map[Key]tombstone        // tombstones replaced by a Prepared entry of the same key
+	agreedEnds      map[uint32]time.Duration // when this replica agreed to an end, by slot
+	proposals       map[uint32]*pendingEnd
+	sweepStart      time.Duration
+	sweepCursor     int
+	sweepNextExpiry time.Duration // least time until a keyed entry expires, in the current sweep pass
+	nextExpiry      time.Duration
+
+	pendingOpens    map[Key]*pendingOpen
+	pendingOpenList []*pendingOpen
+	calls           map[Key]*call
+	callList        []*call // all calls
+	unackedCalls    []*call // calls that some replicas have not acknowledged
+	callsCheckedAt  time.Duration
+	withdrawn       withdrawnSet
+	lastTicket      uint64
+
+	outbox  []OutMessage
 	answers []Answer
 	scratch []byte
 	stats   Stats
 
-	// Derived from the settings; fields so that tests can plant errors.
-	tombKeep time.Duration
-	maxAge   time.Duration // of a message
-	quorum   func(n int) int
-	mayEvict func(*entry) bool
+	// Derived from the settings; fields so that tests can inject faults.
+	tombstoneTTL  time.Duration
+	maxMessageAge time.Duration
+	quorumSize    func(n int) int
+	mayEvict      func(*entry) bool
 }
 
-// NewTable makes an empty Table. It has no peers until View tells of them.
+// NewTable returns an empty Table. It has no peers until UpdateRoster is called.
 func NewTable(set Settings) (*Table, error) {
 	setDefault(&set.Replicas, 3)
-	setDefault(&set.Max, 1<<20)
+	setDefault(&set.MaxEntries, 1<<20)
 	setDefault(&set.Lag, time.Second)
 	setDefault(&set.AskWithin, 300*time.Millisecond)
 	setDefault(&set.Sweep, time.Second)
@@ -106,35 +106,35 @@
 		return nil, err
 	}
 	t := &Table{
-		set: set, id: nameID(set.Me), me: -1,
-		byID: map[uint64]*peer{}, index: map[Key]uint32{}, under: map[Key]tomb{},
-		left: map[uint32]time.Duration{}, props: map[uint32]*proposal{},
-		asks: map[Key]*ask{}, calls: map[Key]*call{},
-		quorum: majority,
-	}
-	t.places.byName = map[string]uint32{}
-	// A late message lives for Lag; a replica out of touch ends the same entry up
-	// to Bound later than the others.
-	t.tombKeep = set.Bound + 8*set.Lag + 2*set.Sweep
-	t.maxAge = set.Lag
+		settings: set, selfID: hashName(set.Self), selfIndex: -1,
+		byNameHash: map[uint64]*peer{}, index: map[Key]uint32{}, shadowed: map[Key]tombstone{},
+		agreedEnds: map[uint32]time.Duration{}, proposals: map[uint32]*pendingEnd{},
+		pendingOpens: map[Key]*pendingOpen{}, calls: map[Key]*call{},
+		quorumSize: majority,
+	}
+	t.targets.byName = map[string]uint32{}
+	// A delayed message is accepted for up to Lag, and a replica that was unreachable
+	// ends the same entry up to Bound later than the others.
+	t.tombstoneTTL = set.Bound + 8*set.Lag + 2*set.Sweep
+	t.maxMessageAge = set.Lag
 	t.mayEvict = func(e *entry) bool { return !set.Classes[e.class].Keyed }
 	return t, nil
 }
 
-func setDefault[T int | time.Duration](v *T, d T) {
-	if *v == 0 {
-		*v = d
+func setDefault[T int | time.Duration](value *T, fallback T) {
+	if *value == 0 {
+		*value = fallback
 	}
 }
 
 func (s *Settings) check() error {
 	switch {
-	case s.Me == "" || len(s.Me) > MaxName:
-		return fmt.Errorf("track: settings: Me: %q has not 1 to %d bytes", s.Me, MaxName)
+	case s.Self == "" || len(s.Self) > MaxName:
+		return fmt.Errorf("track: settings: Self: %q is not 1 to %d bytes long", s.Self, MaxName)
 	case s.Replicas < 1 || s.Replicas > maxReplicas:
 		return fmt.Errorf("track: settings: Replicas: %d is not 1 to %d", s.Replicas, maxReplicas)
-	case s.Max < 1 || s.Max > 1<<31:
-		return fmt.Errorf("track: settings: Max: %d is not 1 to 2^31", s.Max)
+	case s.MaxEntries < 1 || s.MaxEntries > 1<<31:
+		return fmt.Errorf("track: settings: MaxEntries: %d is not 1 to 2^31", s.MaxEntries)
 	case len(s.Classes) == 0 || len(s.Classes) > 255:
 		return fmt.Errorf("track: settings: Classes: %d is not 1 to 255", len(s.Classes))
 	}
@@ -154,41 +154,43 @@
 		return fmt.Errorf("track: settings: Sweep: %v is over Lag of %v", s.Sweep, s.Lag)
 	}
 	for i, c := range s.Classes {
-		if c.Keyed && (c.Call <= 0 || c.Memory <= 0 || c.Call+c.Memory > 24*time.Hour) {
-			return fmt.Errorf("track: settings: class %d: Call %v, Memory %v", i, c.Call, c.Memory)
+		if c.Keyed && (c.MaxCallTime <= 0 || c.DedupWindow <= 0 || c.MaxCallTime+c.DedupWindow > 24*time.Hour) {
+			return fmt.Errorf("track: settings: class %d: MaxCallTime %v, DedupWindow %v", i,
+				c.MaxCallTime, c.DedupWindow)
 		}
-		if !c.Keyed && (c.Closed <= 0 || c.Idle < 2*s.TouchEvery || c.Idle+c.Closed > 24*time.Hour) {
-			return fmt.Errorf("track: settings: class %d: Idle %v is under two TouchEvery of %v, "+
-				"or Closed %v", i, c.Idle, s.TouchEvery, c.Closed)
+		if !c.Keyed && (c.ClosedRetention <= 0 || c.IdleTimeout < 2*s.TouchEvery ||
+			c.IdleTimeout+c.ClosedRetention > 24*time.Hour) {
+			return fmt.Errorf("track: settings: class %d: IdleTimeout %v is under two TouchEvery of %v, "+
+				"or ClosedRetention %v", i, c.IdleTimeout, s.TouchEvery, c.ClosedRetention)
 		}
-		// An entry must outlive every Open that its votes count in.
-		if c.Keyed && c.Memory < 2*s.AskWithin {
-			return fmt.Errorf("track: settings: class %d: Memory %v is under two AskWithin of %v",
-				i, c.Memory, s.AskWithin)
+		// An entry must outlive every Open in which its votes count.
+		if c.Keyed && c.DedupWindow < 2*s.AskWithin {
+			return fmt.Errorf("track: settings: class %d: DedupWindow %v is under two AskWithin of %v",
+				i, c.DedupWindow, s.AskWithin)
 		}
 	}
 	return nil
 }
 
-// timeout is how long an entry lives after its last activity. Four Lags cover
-// what idle is overestimated by on its way.
+// timeout returns how long an entry is kept after its last activity. Four Lags cover
+// the error of idle times, which grow by Lag with each hop.
 func (t *Table) timeout(class uint8, s State) time.Duration {
-	c := &t.set.Classes[class]
-	d := c.Idle
+	c := &t.settings.Classes[class]
+	d := c.IdleTimeout
 	switch {
 	case c.Keyed && s == Closed:
-		d = c.Memory
+		d = c.DedupWindow
 	case c.Keyed:
-		d = c.Call + c.Memory
+		d = c.MaxCallTime + c.DedupWindow
 	case s >= Closing:
-		d = c.Closed
+		d = c.ClosedRetention
 	}
-	return d + 4*t.set.Lag
+	return d + 4*t.settings.Lag
 }
 
-// longest is the longest time-out of a keyed entry.
-func (t *Table) longest() (d time.Duration) {
-	for i, c := range t.set.Classes {
+// longestTimeout returns the longest timeout of a keyed entry.
+func (t *Table) longestTimeout() (d time.Duration) {
+	for i, c := range t.settings.Classes {
 		if c.Keyed {
 			d = max(d, t.timeout(uint8(i), Open))
 		}
@@ -196,330 +198,334 @@
 	return d
 }
 
-// ErrNotAMember says that View's roster does not have this member's name.
-var ErrNotAMember = errors.New("track: view: the roster does not have this member")
+// ErrNotAMember is returned by UpdateRoster if the roster lacks this member's name.
+var ErrNotAMember = errors.New("track: roster: this member is missing")
 
-func (t *Table) at(now time.Duration) time.Duration {
+func (t *Table) advanceClock(now time.Duration) time.Duration {
 	t.now = max(t.now, now)
 	return t.now
 }
 
-// View tells the agreed roster and what this member sees of it. It has to be
-// called at least once a Lease while the roster is known to hold: a replica that
-// was not told for longer refuses to note calls. A roster of an older epoch than
-// the last is an error and changes nothing.
-func (t *Table) View(now time.Duration, r Roster) error {
-	now = t.at(now)
-	var own *Member
-	seats := seatsOf(r.Members)
-	if len(seats) != len(r.Members) || len(seats) >= int(none) {
-		return fmt.Errorf("track: view: epoch %d: two members of one name, or too many", r.Epoch)
-	}
-	for i := range r.Members {
-		m := &r.Members[i]
+// UpdateRoster sets the agreed roster with this member's view of each member's
+// liveness. It must be called at least once per Lease while the roster is valid: a
+// replica without an update for longer refuses to prepare calls. A roster with an
+// older epoch than the last returns an error and changes nothing.
+func (t *Table) UpdateRoster(now time.Duration, roster Roster) error {
+	now = t.advanceClock(now)
+	var self *Member
+	candidates := candidatesOf(roster.Members)
+	if len(candidates) != len(roster.Members) || len(candidates) >= int(noReplica) {
+		return fmt.Errorf("track: roster: epoch %d: duplicate member name, or too many members", roster.Epoch)
+	}
+	for i := range roster.Members {
+		m := &roster.Members[i]
 		if m.Name == "" || len(m.Name) > MaxName {
-			return fmt.Errorf("track: view: epoch %d: member %d: bad name %q", r.Epoch, i, m.Name)
+			return fmt.Errorf("track: roster: epoch %d: member %d: invalid name %q", roster.Epoch, i, m.Name)
 		}
-		if m.Name == t.set.Me {
-			own = m
+		if m.Name == t.settings.Self {
+			self = m
 		}
 	}
-	for i := range r.Before {
-		if own == nil && r.Before[i].Name == t.set.Me {
-			own = &r.Before[i]
+	for i := range roster.Previous {
+		if self == nil && roster.Previous[i].Name == t.settings.Self {
+			self = &roster.Previous[i]
 		}
 	}
 	switch {
-	case own == nil:
+	case self == nil:
 		return ErrNotAMember
-	case t.seen && r.Epoch < t.epoch:
-		return fmt.Errorf("track: view: epoch %d comes after %d", r.Epoch, t.epoch)
-	case t.seen && own.Incarnation < t.inc:
-		return fmt.Errorf("track: view: own incarnation %d comes after %d", own.Incarnation, t.inc)
-	}
-	t.viewed = now
-	first, reborn := !t.seen, t.seen && own.Incarnation > t.inc
-	moved := first || r.Epoch != t.epoch
-	wasWhole := !first && t.whole(now)
-	step := !first && r.Epoch == t.epoch+1
-	t.seen, t.epoch, t.inc = true, r.Epoch, own.Incarnation
-	if reborn {
+	case t.hasRoster && roster.Epoch < t.epoch:
+		return fmt.Errorf("track: roster: epoch %d is older than the last, %d", roster.Epoch, t.epoch)
+	case t.hasRoster && self.Incarnation < t.incarnation:
+		return fmt.Errorf("track: roster: own incarnation %d is lower than the last, %d",
+			self.Incarnation, t.incarnation)
+	}
+	t.rosterAt = now
+	firstRoster, restarted := !t.hasRoster, t.hasRoster && self.Incarnation > t.incarnation
+	epochChanged := firstRoster || roster.Epoch != t.epoch
+	wasCaughtUp := !firstRoster && t.caughtUp(now)
+	consecutive := !firstRoster && roster.Epoch == t.epoch+1
+	t.hasRoster, t.epoch, t.incarnation = true, roster.Epoch, self.Incarnation
+	if restarted {
 		t.reset(now)
 	}
-	for _, m := range r.Members {
-		t.meet(now, m)
+	for _, m := range roster.Members {
+		t.updatePeer(now, m)
 	}
-	for _, m := range r.Before {
-		t.meet(now, m)
+	for _, m := range roster.Previous {
+		t.updatePeer(now, m)
 	}
-	if moved {
-		t.seat(now, seats, r)
-		t.startLearning(now, r, first || step, wasWhole)
+	if epochChanged {
+		t.applyPlacement(now, candidates, roster)
+		t.startRecovery(now, roster, firstRoster || consecutive, wasCaughtUp)
 	}
-	if reborn || first && t.inc > 1 {
-		t.learn = learning{on: true, amnesia: true, since: now}
-		t.forgetPulls()
+	if restarted || firstRoster && t.incarnation > 1 {
+		t.recovery = recoveryState{active: true, restarted: true, since: now}
+		t.resetPulls()
 	}
 	return nil
 }
 
-// meet takes what a view says of one member.
-func (t *Table) meet(now time.Duration, m Member) {
-	id := nameID(m.Name)
-	p := t.byID[id]
+// updatePeer applies a roster's data on one member.
+func (t *Table) updatePeer(now time.Duration, m Member) {
+	hash := hashName(m.Name)
+	p := t.byNameHash[hash]
 	if p == nil {
-		p = &peer{Member: m, id: id, back: true, nextSync: now}
-		t.byID[id] = p
+		p = &peer{Member: m, nameHash: hash, compareAll: true, nextSync: now}
+		t.byNameHash[hash] = p
 	}
 	if m.Incarnation > p.Incarnation {
-		p.echo, p.ever, p.back = false, false, true
+		p.hasStamp, p.hasReceived, p.compareAll = false, false, true
 	}
 	m.Incarnation = max(m.Incarnation, p.Incarnation)
 	m.Zone = cmp.Or(m.Zone, p.Zone)
 	p.Member = m
 }
 
-// seat makes the roster's members the ones who place, and finds each entry's
-// replicas anew.
-func (t *Table) seat(now time.Duration, seats []seat, r Roster) {
-	for len(t.asking) > 0 {
-		t.refuse(now, t.asking[0], NoQuorum, t.set.AskWithin)
+// applyPlacement makes the roster's members the candidates for replicas and selects
+// the replicas of each entry again.
+func (t *Table) applyPlacement(now time.Duration, candidates []candidate, roster Roster) {
+	for len(t.pendingOpenList) > 0 {
+		t.refuse(now, t.pendingOpenList[0], NoQuorum, t.settings.AskWithin)
 	}
-	t.seats, t.me = seats, -1
+	t.candidates, t.selfIndex = candidates, -1
 	t.peers = t.peers[:0]
-	keep := map[uint64]*peer{}
-	for i, s := range seats {
-		if s.id == t.id {
-			t.me = i
+	peersByHash := map[uint64]*peer{}
+	for i, s := range candidates {
+		if s.nameHash == t.selfID {
+			t.selfIndex = i
 		}
-		t.peers = append(t.peers, t.byID[s.id])
-		keep[s.id] = t.byID[s.id]
+		t.peers = append(t.peers, t.byNameHash[s.nameHash])
+		peersByHash[s.nameHash] = t.byNameHash[s.nameHash]
 	}
-	for _, s := range seatsOf(r.Before) {
-		if keep[s.id] == nil {
-			t.peers = append(t.peers, t.byID[s.id])
-			keep[s.id] = t.byID[s.id]
+	for _, s := range candidatesOf(roster.Previous) {
+		if peersByHash[s.nameHash] == nil {
+			t.peers = append(t.peers, t.byNameHash[s.nameHash])
+			peersByHash[s.nameHash] = t.byNameHash[s.nameHash]
 		}
 	}
-	t.byID = keep
+	t.byNameHash = peersByHash
 	for _, p := range t.peers {
-		p.sums = [ranges]uint64{}
-		p.lines, p.nextLines, p.back = 0, 0, true
-	}
-	clear(t.props)
-	for i := range t.size {
-		if e := t.slot(uint32(i)); e.state != free {
-			place(seats, e.key, t.set.Replicas, &e.reps)
-			t.toggle(e)
+		p.digests = [rangeCount]uint64{}
+		p.listedRanges, p.nextListedRanges, p.compareAll = 0, 0, true
+	}
+	clear(t.proposals)
+	for i := range t.slotCount {
+		if e := t.entryAt(uint32(i)); e.state != stateFree {
+			selectReplicas(candidates, e.key, t.settings.Replicas, &e.replicas)
+			t.toggleDigest(e)
 		}
 	}
-	for _, c := range slices.Clone(t.list) {
-		c.n = place(seats, c.key, t.set.Replicas, &c.reps)
-		t.tell(now, c)
+	for _, c := range slices.Clone(t.callList) {
+		c.replicaCount = selectReplicas(candidates, c.key, t.settings.Replicas, &c.replicas)
+		t.startRound(now, c)
 	}
 }
 
-// reset forgets all that an earlier life held.
+// reset discards the state of an earlier incarnation.
 func (t *Table) reset(now time.Duration) {
-	for len(t.asking) > 0 {
-		t.refuse(now, t.asking[0], Learning, t.set.AskWithin)
+	for len(t.pendingOpenList) > 0 {
+		t.refuse(now, t.pendingOpenList[0], Recovering, t.settings.AskWithin)
 	}
-	for len(t.list) > 0 {
-		t.gone(t.list[0])
+	for len(t.callList) > 0 {
+		t.dropCall(t.callList[0])
 	}
-	t.slabs, t.size, t.free, t.live, t.tombs, t.cursor = nil, 0, nil, 0, 0, 0
+	t.slabs, t.slotCount, t.freeSlots, t.live, t.tombstones, t.sweepCursor = nil, 0, nil, 0, 0, 0
 	clear(t.index)
-	clear(t.under)
-	clear(t.left)
-	clear(t.props)
-	t.places = places{byName: map[string]uint32{}}
-	t.refused = refusedList{}
+	clear(t.shadowed)
+	clear(t.agreedEnds)
+	clear(t.proposals)
+	t.targets = targetTable{byName: map[string]uint32{}}
+	t.withdrawn = withdrawnSet{}
 	for _, p := range t.peers {
-		p.sums = [ranges]uint64{}
-		p.echo, p.ever, p.back, p.buf = false, false, true, nil
+		p.digests = [rangeCount]uint64{}
+		p.hasStamp, p.hasReceived, p.compareAll, p.outBuffer = false, false, true, nil
 	}
-	t.outs = nil
+	t.outbox = nil
 }
 
-// inTouch says that messages went both ways lately: a message is taken only
-// with an echo.
-func (t *Table) inTouch(p *peer) bool {
-	return p.Alive && p.ever && t.now-p.heard <= 3*t.set.Sync
+// reachable reports whether messages were exchanged in both directions recently: a
+// message is accepted only if it echoes one of this member's timestamps.
+func (t *Table) reachable(p *peer) bool {
+	return p.Alive && p.hasReceived && t.now-p.lastReceived <= 3*t.settings.Sync
 }
 
-// Out returns the messages to be sent and the answers to be acted on since the
-// last call. Messages carry the time of the last event: send them at once.
-func (t *Table) Out() ([]Out, []Answer) {
+// Output returns the messages to be sent and the answers to be acted on since the
+// last call. Messages carry the time of the last event, so send them immediately.
+func (t *Table) Output() ([]OutMessage, []Answer) {
 	for _, p := range t.peers {
-		if len(p.buf) > 0 || p.say {
+		if len(p.outBuffer) > 0 || p.replyDue {
 			t.flush(p)
 		}
 	}
-	outs, answers := t.outs, t.answers
-	t.outs, t.answers = nil, nil
+	outs, answers := t.outbox, t.answers
+	t.outbox, t.answers = nil, nil
 	return outs, answers
 }
 
-// add puts a record into the next message to p.
-func (t *Table) add(p *peer, rec []byte) {
-	if len(p.buf)+len(rec) > MaxMessage-headerSize {
+// enqueue adds a record to the next message to p.
+func (t *Table) enqueue(p *peer, rec []byte) {
+	if len(p.outBuffer)+len(rec) > MaxMessage-headerSize {
 		t.flush(p)
 	}
-	p.buf = append(p.buf, rec...)
+	p.outBuffer = append(p.outBuffer, rec...)
 }
 
 func (t *Table) flush(p *peer) {
-	h := header{from: t.id, inc: t.inc, toInc: p.Incarnation, epoch: t.epoch,
-		stamp: uint64(t.now), clock: t.clock}
-	if p.echo {
+	h := header{senderHash: t.selfID, senderIncarnation: t.incarnation,
+		receiverIncarnation: p.Incarnation, epoch: t.epoch,
+		timestamp: uint64(t.now), logicalClock: t.logicalClock}
+	if p.hasStamp {
 		h.flags |= flagEcho
-		h.echo, h.hold = p.stamp, uint64(t.now-p.stampAt)
+		h.echoedTimestamp, h.echoHoldTime = p.lastStamp, uint64(t.now-p.lastStampAt)
 	}
-	if !p.echo {
-		h.flags |= flagWant
+	if !p.hasStamp {
+		h.flags |= flagReplyWanted
 	}
-	msg := putHeader(make([]byte, 0, headerSize+len(p.buf)), &h)
-	t.outs = append(t.outs, Out{p.Name, append(msg, p.buf...)})
-	p.buf, p.say = p.buf[:0], false
+	msg := appendHeader(make([]byte, 0, headerSize+len(p.outBuffer)), &h)
+	t.outbox = append(t.outbox, OutMessage{p.Name, append(msg, p.outBuffer...)})
+	p.outBuffer, p.replyDue = p.outBuffer[:0], false
 	t.stats.Sent++
 }
 
-// Take handles a message from a peer.
-func (t *Table) Take(now time.Duration, from string, msg []byte) {
-	now = t.at(now)
-	p, r := t.open(now, from, msg)
+// Receive processes a message from a peer.
+func (t *Table) Receive(now time.Duration, from string, msg []byte) {
+	now = t.advanceClock(now)
+	p, r := t.acceptHeader(now, from, msg)
 	if p == nil {
 		return
 	}
-	t.stats.Taken++
-	for len(r.b) > 0 && !r.bad {
-		t.takeRecord(now, p, r)
+	t.stats.Received++
+	for len(r.remaining) > 0 && !r.malformed {
+		t.handleRecord(now, p, r)
 	}
-	if r.bad {
-		t.stats.BadMessage++
+	if r.malformed {
+		t.stats.Malformed++
 	}
 }
 
-// open checks a message's header. It returns nil for one to be dropped.
-func (t *Table) open(now time.Duration, from string, msg []byte) (*peer, *reader) {
-	r := &reader{b: msg}
+// acceptHeader validates a message's header. It returns nil if the message is dropped.
+func (t *Table) acceptHeader(now time.Duration, from string, msg []byte) (*peer, *reader) {
+	r := &reader{remaining: msg}
 	if len(msg) < headerSize || len(msg) > MaxMessage {
-		t.stats.BadMessage++
+		t.stats.Malformed++
 		return nil, nil
 	}
 	if r.u8() != version {
-		t.stats.OtherVersion++
+		t.stats.VersionMismatch++
 		return nil, nil
 	}
 	h := r.header()
-	p := t.byID[h.from]
+	p := t.byNameHash[h.senderHash]
 	switch {
-	case p == nil || p.Name != from || h.from == t.id || h.inc > p.Incarnation:
-		t.stats.Unknown++
+	case p == nil || p.Name != from || h.senderHash == t.selfID || h.senderIncarnation > p.Incarnation:
+		t.stats.UnknownSender++
 		return nil, nil
-	case h.inc < p.Incarnation:
-		t.stats.OldLife++
+	case h.senderIncarnation < p.Incarnation:
+		t.stats.OldIncarnation++
 		return nil, nil
-	case h.toInc != t.inc:
-		t.stats.NotMine++
+	case h.receiverIncarnation != t.incarnation:
+		t.stats.WrongIncarnation++
 		return nil, nil
-	case h.clock >= 1<<62:
-		t.stats.BadMessage++
+	case h.logicalClock >= 1<<62:
+		t.stats.Malformed++
 		return nil, nil
 	}
-	if !p.echo || h.stamp > p.stamp {
-		p.stamp, p.stampAt, p.echo = h.stamp, now, true
+	if !p.hasStamp || h.timestamp > p.lastStamp {
+		p.lastStamp, p.lastStampAt, p.hasStamp = h.timestamp, now, true
 	}
-	age := now - time.Duration(h.echo) - time.Duration(h.hold)
+	messageAge := now - time.Duration(h.echoedTimestamp) - time.Duration(h.echoHoldTime)
 	switch {
-	case h.flags&flagEcho == 0, age > t.maxAge:
-		t.stats.Late++
-		t.ping(now, p)
+	case h.flags&flagEcho == 0, messageAge > t.maxMessageAge:
+		t.stats.TooOld++
+		t.scheduleReply(now, p)
 		return nil, nil
-	case h.echo > uint64(now), h.hold > uint64(now), age < -t.set.Lag/10:
-		t.stats.BadClock++
-		t.ping(now, p)
+	case h.echoedTimestamp > uint64(now), h.echoHoldTime > uint64(now), messageAge < -t.settings.Lag/10:
+		t.stats.BadTimestamp++
+		t.scheduleReply(now, p)
 		return nil, nil
 	}
-	t.clock = max(t.clock, h.clock)
-	if !t.inTouch(p) {
-		p.back = true
+	t.logicalClock = max(t.logicalClock, h.logicalClock)
+	if !t.reachable(p) {
+		p.compareAll = true
 		p.nextSync = now
 	}
-	p.heard, p.ever = now, true
-	if h.flags&flagWant != 0 {
-		t.ping(now, p)
+	p.lastReceived, p.hasReceived = now, true
+	if h.flags&flagReplyWanted != 0 {
+		t.scheduleReply(now, p)
 	}
-	// Asks, votes and pulls speak of one epoch's replicas.
-	p.same = h.epoch == t.epoch
+	// Prepares, votes and pulls refer to the replicas of one epoch.
+	p.sameEpoch = h.epoch == t.epoch
 	return p, r
 }
 
-// ping sends p a message, so that it has a fresh time stamp to echo.
-func (t *Table) ping(now time.Duration, p *peer) {
-	if p.pinged != 0 && now-p.pinged < t.set.Lag/8 {
+// scheduleReply schedules a message to p, so that p has a fresh timestamp to echo.
+func (t *Table) scheduleReply(now time.Duration, p *peer) {
+	if p.replyScheduledAt != 0 && now-p.replyScheduledAt < t.settings.Lag/8 {
 		return
 	}
-	p.pinged = now
-	p.say = true
+	p.replyScheduledAt = now
+	p.replyDue = true
 }
 
-// Tick lets time pass. Call it every few tens of milliseconds.
+// Tick advances time. Call it every few tens of milliseconds.
 func (t *Table) Tick(now time.Duration) {
-	now = t.at(now)
-	if !t.seen {
+	now = t.advanceClock(now)
+	if !t.hasRoster {
 		return
 	}
-	t.tickAsks(now)
+	t.tickOpens(now)
 	t.tickCalls(now)
 	t.sweep(now)
 	t.tickSync(now)
-	t.tickLearning(now)
+	t.tickRecovery(now)
 }
 
-// Stats returns the counts so far.
+// Stats returns the current counters.
 func (t *Table) Stats() Stats {
 	s := t.stats
-	s.Entries, s.Tombstones = t.live, t.tombs
+	s.Entries, s.Tombstones = t.live, t.tombstones
 	return s
 }
 
-// Whole says that this replica knows all it has to, and that its view is fresh.
-func (t *Table) Whole() bool { return t.whole(t.now) && t.now-t.viewed <= t.set.Lease }
+// CaughtUp reports whether this replica has recovered all its state and its roster is
+// within the lease.
+func (t *Table) CaughtUp() bool { return t.caughtUp(t.now) && t.now-t.rosterAt <= t.settings.Lease }
 
-// OpenAt counts the tracked calls and flows that may run at a backend or scope, as
-// far as this member knows: those it is a replica of and its own. Nothing is
-// open there once it is 0 at all members.
-func (t *Table) OpenAt(where string) int {
+// CountOpen returns the number of tracked calls and flows that may be running at a
+// backend or scope, as far as this member knows: those it replicates and its own.
+// None is running there once all members return 0.
+func (t *Table) CountOpen(target string) int {
 	n := 0
-	if i, ok := t.places.byName[where]; ok {
-		n = t.places.list[i].open
+	if i, ok := t.targets.byName[target]; ok {
+		n = t.targets.uses[i].active
 	}
-	for _, c := range t.list {
-		if _, held := t.index[c.key]; !held && c.where == where && c.state < Closed {
+	for _, c := range t.callList {
+		if _, held := t.index[c.key]; !held && c.target == target && c.state < Closed {
 			n++
 		}
 	}
 	return n
 }
 
-// Each calls f for each live entry held here, in no order that means anything,
-// but the same for the same events.
+// Each calls f for each live entry held by this member. The order is unspecified but
+// deterministic: the same events give the same order.
 func (t *Table) Each(f func(Info)) {
-	for i := range t.size {
-		e := t.slot(uint32(i))
-		if e.state == free || e.state == ended {
+	for i := range t.slotCount {
+		e := t.entryAt(uint32(i))
+		if e.state == stateFree || e.state == stateTombstone {
 			continue
 		}
-		f(Info{Key: e.key, Gen: e.id.gen, Class: int(e.class), State: e.state,
-			Where: t.places.list[e.where].name, Idle: t.now - e.seen,
-			Replica: t.rank(e) >= 0, owner: e.id.owner, inc: e.id.inc})
+		f(Info{Key: e.key, Generation: e.generation.number, Class: int(e.class), State: e.state,
+			Target: t.targets.uses[e.target].name, Idle: t.now - e.lastActivity,
+			Replica: t.replicaIndex(e) >= 0, ownerID: e.generation.ownerID,
+			incarnation: e.generation.ownerIncarnation})
 	}
 }
 
 func onesCount(m uint8) int { return bits.OnesCount8(m) }
 
-func remove[T comparable](list []T, v T) []T {
+func removeFirst[T comparable](list []T, v T) []T {
 	if i := slices.Index(list, v); i >= 0 {
 		return slices.Delete(list, i, i+1)
 	}
