--- a/fleet/faultlink/faultlink.go
+++ b/fleet/faultlink/faultlink.go
@@ -63,7 +63,7 @@
 	maxQueuedChunks     = 16       // per direction of a connection; reading stops while the queue is full
 	dialTimeout         = 5 * time.Second
 	defaultReorderBy    = 20 * time.Millisecond
-	maxPortAttempts     = 64
+	maxPortAttempts     = 64     // to find a port that is free for both UDP and TCP
 	maxMembers          = 4096   // in 33 of the 256 blocks; each member takes two file descriptors
 	maxPendingDatagrams = 10_000 // more are dropped
 
@@ -90,7 +90,7 @@
 	conns            map[*conn]bool
 	pendingDatagrams int
 	faultsChanged    chan struct{} // closed and replaced when a fault changes
-	timeline         []string
+	timeline         []string      // at most maxTimelineLines
 	counts           map[direction]*Counts
 }
 
@@ -109,8 +109,8 @@
 // relay listens in place of one member, for all senders or for a single one.
 type relay struct {
 	network    *Network
-	onlySender string // "": the sender is identified by its source address
-	to         string
+	onlySender string         // "": the sender is identified by its source address
+	to         string         // the member that the relay stands for
 	memberAddr netip.AddrPort // where the member itself listens
 	udp        *net.UDPConn
 	tcp        *net.TCPListener
@@ -178,8 +178,8 @@
 	return bind, advertise
 }
 
-// LinkAddress returns an address at which from reaches to. All that arrives there counts as sent by
-// from, whatever its source address.
+// LinkAddress returns an address of the member to for the use of the member from alone: all that
+// arrives there counts as sent by from, whatever its source address.
 func (n *Network) LinkAddress(from, to string) (string, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -459,6 +459,7 @@
 	}
 }
 
+// forwardDatagram applies the faults of the link and sends the payload to the relay's member.
 func (n *Network) forwardDatagram(r *relay, source netip.Addr, payload []byte) {
 	n.mu.Lock()
 	from := r.onlySender
@@ -519,10 +520,12 @@
 	}
 }
 
+// happens reports whether a fault of this probability occurs. It draws no number if the probability is 0.
 func (l *linkState) happens(probability float64) bool {
 	return probability > 0 && l.rng.Float64() < probability
 }
 
+// randomDelay returns a uniform random delay from 0 up to, but not including, d.
 func (l *linkState) randomDelay(d time.Duration) time.Duration {
 	if d <= 0 {
 		return 0
@@ -632,6 +635,7 @@
 	c.close(false) // both directions have ended
 }
 
+// advertisedIP returns the IP address at which the other members reach a member.
 func (n *Network) advertisedIP(name string) net.IP {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -688,6 +692,7 @@
 	}
 }
 
+// sleep waits for d and reports false if the connection is closed before that.
 func (c *conn) sleep(d time.Duration) bool {
 	if d <= 0 {
 		return true
--- a/fleet/faultlink/faultlink_test.go
+++ b/fleet/faultlink/faultlink_test.go
@@ -27,18 +27,18 @@
 	received chan string
 }
 
-func newNet(t *testing.T, seed uint64, names ...string) (*Network, map[string]*testMember) {
+func newNetwork(t *testing.T, seed uint64, names ...string) (*Network, map[string]*testMember) {
 	t.Helper()
 	n, err := New(Config{Seed: seed})
 	if err != nil {
 		t.Fatal(err)
 	}
 	n.CloseAfterTest(t)
-	peers := map[string]*testMember{}
+	members := map[string]*testMember{}
 	for _, name := range names {
-		peers[name] = n.addTestMember(t, name)
+		members[name] = n.addTestMember(t, name)
 	}
-	return n, peers
+	return n, members
 }
 
 // addTestMember adds a member to the network, binds its addresses and serves them.
@@ -92,6 +92,7 @@
 	}
 }
 
+// nextDatagram returns the source address and payload of the next datagram received.
 func (p *testMember) nextDatagram(t *testing.T) string {
 	t.Helper()
 	select {
@@ -103,6 +104,7 @@
 	}
 }
 
+// dial connects from the member's own IP address.
 func (p *testMember) dial(t *testing.T, addr string) net.Conn {
 	t.Helper()
 	c, err := p.tryDial(t, addr)
@@ -141,7 +143,7 @@
 }
 
 func TestForwardsFromSenderAddress(t *testing.T) {
-	n, p := newNet(t, 1, "a", "b", "c")
+	n, p := newNetwork(t, 1, "a", "b", "c")
 	p["a"].send(t, p["b"], "one")
 	if got, want := p["b"].nextDatagram(t), p["a"].Advertise+" one"; got != want {
 		t.Errorf("got %q, want %q", got, want)
@@ -173,7 +175,7 @@
 // Sends a datagram that must be delivered after each one that must be dropped, so that the
 // test doesn't have to wait for the absence of the latter.
 func TestCutAffectsOneDirection(t *testing.T) {
-	n, p := newNet(t, 1, "a", "b", "c")
+	n, p := newNetwork(t, 1, "a", "b", "c")
 	n.CutOneWay("a", "b")
 	p["a"].send(t, p["b"], "lost")
 	p["b"].send(t, p["a"], "back")
@@ -196,7 +198,7 @@
 }
 
 func TestStreamFaults(t *testing.T) {
-	n, p := newNet(t, 1, "a", "b")
+	n, p := newNetwork(t, 1, "a", "b")
 	c := p["a"].dial(t, p["b"].Advertise)
 	if err := exchange(c, "before", 5*time.Second); err != nil {
 		t.Fatal(err)
@@ -236,7 +238,7 @@
 
 // The relay releases a connection that its opener closes while the link is cut.
 func TestAbandonedDialOverCutLink(t *testing.T) {
-	n, p := newNet(t, 1, "a", "b")
+	n, p := newNetwork(t, 1, "a", "b")
 	n.Cut("a", "b")
 	c := p["a"].dial(t, p["b"].Advertise)
 	eventually(t, func() bool { return n.openConns() == 1 })
@@ -252,7 +254,7 @@
 
 // Streams arrive complete and in order under delay and jitter; datagram loss doesn't affect them.
 func TestStreamKeepsOrder(t *testing.T) {
-	n, p := newNet(t, 1, "a", "b")
+	n, p := newNetwork(t, 1, "a", "b")
 	n.SetBoth("a", "b", Fault{Delay: time.Millisecond, Jitter: 3 * time.Millisecond, Loss: 0.5})
 	c := p["a"].dial(t, p["b"].Advertise).(*net.TCPConn)
 	want := make([]byte, 1<<20)
@@ -273,7 +275,7 @@
 // The same seed loses and duplicates the same datagrams.
 func TestSeededFaults(t *testing.T) {
 	run := func(seed uint64) (got []string, c Counts) {
-		n, p := newNet(t, seed, "a", "b")
+		n, p := newNetwork(t, seed, "a", "b")
 		n.Set("a", "b", Fault{Loss: 0.3, Duplicate: 0.2})
 		for i := range 200 {
 			p["a"].send(t, p["b"], strconv.Itoa(i))
@@ -302,7 +304,7 @@
 }
 
 func TestReorder(t *testing.T) {
-	n, p := newNet(t, 3, "a", "b")
+	n, p := newNetwork(t, 3, "a", "b")
 	n.Set("a", "b", Fault{Reorder: 0.5, ReorderBy: 100 * time.Millisecond})
 	var sent, got []string
 	for i := range 40 {
--- a/fleet/faultlink/large_test.go
+++ b/fleet/faultlink/large_test.go
@@ -13,7 +13,7 @@
 // A Network holds the members of a large fleet, each with two addresses of its own, and
 // forwards between the first and the last. Prevents a limit of one block of addresses.
 func TestManyMembers(t *testing.T) {
-	n, peers := newNet(t, 1, "first")
+	n, members := newNetwork(t, 1, "first")
 	seen := map[netip.Addr]string{}
 	checkUnique := func(name, address string) {
 		t.Helper()
@@ -23,8 +23,8 @@
 		}
 		seen[ip] = name
 	}
-	checkUnique("first", peers["first"].Bind)
-	checkUnique("first", peers["first"].Advertise)
+	checkUnique("first", members["first"].Bind)
+	checkUnique("first", members["first"].Advertise)
 	for number := range memberCount - 2 {
 		name := fmt.Sprintf("member-%d", number)
 		endpoint, err := n.Add(name)
@@ -38,11 +38,11 @@
 	checkUnique("last", last.Bind)
 	checkUnique("last", last.Advertise)
 
-	peers["first"].send(t, last, "news")
-	if got := last.nextDatagram(t); got != peers["first"].Advertise+" news" {
+	members["first"].send(t, last, "news")
+	if got := last.nextDatagram(t); got != members["first"].Advertise+" news" {
 		t.Errorf("the last member received %q", got)
 	}
-	c := last.dial(t, peers["first"].Advertise)
+	c := last.dial(t, members["first"].Advertise)
 	if err := exchange(c, "to the first", 10*time.Second); err != nil {
 		t.Errorf("connection from the last member to the first: %v", err)
 	}
--- a/fleet/model/client.go
+++ b/fleet/model/client.go
@@ -64,9 +64,9 @@
 		m.oracleAdmit(request)
 		return
 	}
-	if member.numbers.ShouldShed(request.class, request.key) {
+	if member.controls.ShouldShed(request.class, request.key) {
 		base := m.config.Classes[request.class].TargetLatency / 4
-		member.refuseTry(request, member.numbers.RetryAfter(request.key, base, 2*time.Second))
+		member.refuseTry(request, member.controls.RetryAfter(request.key, base, 2*time.Second))
 		return
 	}
 	member.tries[request.tryID] = request
--- a/fleet/model/config.go
+++ b/fleet/model/config.go
@@ -60,7 +60,7 @@
 	OfferedValue, ServedValue []float64 // by the second of a request's first try
 	Retries, FirstTries       []float64 // Retries: attempts of balancers after one that may have run
 	Unanswered                float64   // requests that ended without an answer
-	ShedShare                 []float64 // share of the last class that members shed, on average
+	ShedFraction              []float64 // share of the last class that members shed, on average
 	DigestsSent, DigestBytes  int       // DigestBytes: size of the latest digest
 	TraceHash                 uint64    // of all events in order
 }
--- a/fleet/model/member.go
+++ b/fleet/model/member.go
@@ -17,7 +17,7 @@
 	trafficShare float64
 	balancer     *logic.Balancer
 	fleet        *overload.Fleet
-	numbers      overload.Controls
+	controls     overload.Controls
 	tries        map[string]*clientRequest // by tryID, while the try or one of its attempts lasts
 	counters     overload.Counters
 }
@@ -120,9 +120,9 @@
 func (p *member) reportCounters() {
 	p.fleet.AddCounters(p.model.now, p.counters)
 	p.resetCounters()
-	p.numbers = p.fleet.Controls(p.model.now)
+	p.controls = p.fleet.Controls(p.model.now)
 	// Halved, as each member reports twice a second.
-	p.model.result.ShedShare[p.model.now/time.Second] += p.numbers.ShedFraction[len(p.model.config.Classes)-1] / 2 / float64(len(p.model.members))
+	p.model.result.ShedFraction[p.model.now/time.Second] += p.controls.ShedFraction[len(p.model.config.Classes)-1] / 2 / float64(len(p.model.members))
 	if p.model.now < p.model.trafficEnd {
 		p.model.schedule(time.Second/2, &event{kind: countersDue, member: p.index})
 	}
--- a/fleet/model/model.go
+++ b/fleet/model/model.go
@@ -79,7 +79,7 @@
 		m.trafficEnd += s.Duration
 	}
 	seconds := int(m.trafficEnd/time.Second) + 1
-	for _, series := range []*[]float64{&m.result.OfferedValue, &m.result.ServedValue, &m.result.Retries, &m.result.FirstTries, &m.result.ShedShare} {
+	for _, series := range []*[]float64{&m.result.OfferedValue, &m.result.ServedValue, &m.result.Retries, &m.result.FirstTries, &m.result.ShedFraction} {
 		*series = make([]float64, seconds+30)
 	}
 	m.backends = make([]backend, cfg.Backends)
@@ -113,7 +113,7 @@
 	total := 0.0
 	for i, v := range memberView {
 		p := &member{model: m, index: i, name: v.Name, zone: v.Zone, tries: map[string]*clientRequest{},
-			numbers: overload.Standalone(), trafficShare: math.Exp(cfg.TrafficSigma * m.rng.NormFloat64())}
+			controls: overload.Standalone(), trafficShare: math.Exp(cfg.TrafficSigma * m.rng.NormFloat64())}
 		p.balancer = logic.New(0, logic.Settings{
 			Seed: cfg.Seed*1000 + uint64(i), Zone: v.Zone, Zones: zones, Classes: classes,
 			BalancerCount: cfg.Members, BalancerIndex: i, UnevenTraffic: cfg.UnevenTraffic, MaxAttempts: 3,
--- a/fleet/model/model_test.go
+++ b/fleet/model/model_test.go
@@ -40,7 +40,7 @@
 	return c
 }
 
-// servedShare is the share of the offered value that was served from one second to another.
+// servedShare returns the share of the offered value that was served from one second to another.
 func servedShare(r Result, from, until int) float64 {
 	served, offered := 0.0, 0.0
 	for s := from; s < until; s++ {
@@ -49,8 +49,8 @@
 	return served / offered
 }
 
-// recoverySeconds returns the seconds from the end of the overload until the served share is back at that before the
-// overload, less 0.01.
+// recoverySeconds returns the seconds from the end of the overload until the served share is back at its level
+// before the overload, less 0.01.
 func recoverySeconds(r Result) int {
 	s := 40
 	for s > 30 && servedShare(r, s-1, s) >= servedShare(r, 2, 10)-0.01 {
@@ -59,7 +59,8 @@
 	return s - 30
 }
 
-// policies are the compared variants of the configuration. Each is reported relative to the first.
+// policies are the compared variants of the configuration. "seeing" is the oracle that the others are measured
+// against, "alone" are balancers without digests, and "fleet" are balancers with digests.
 var policies = []struct {
 	name string
 	set  func(*Config)
@@ -72,6 +73,7 @@
 	{"fleet, all lost", func(c *Config) { c.Policy, c.DigestLoss = Coordinated, 1 }},
 }
 
+// minOfOracle is, by load, the lowest accepted served share of the fleet, relative to the oracle's.
 var minOfOracle = map[float64]float64{1.5: 0.93, 2: 0.9, 4: 0.87}
 
 // TestServedValue logs the share of the offered value that each policy served: before the overload, during all of
