--- a/fleet/model/client.go
+++ b/fleet/model/client.go
@@ -9,19 +9,20 @@
 
 // clientRequest is a client's request over all its tries.
 type clientRequest struct {
-	key         uint64
-	class       int
-	firstSent   time.Duration
-	deadline    time.Duration
-	tries       int // sent so far
-	member      int
-	answered    bool
-	firstSecond int // of the first try; its index in the Result
+	key       uint64
+	class     int
+	firstSent time.Duration
+	deadline  time.Duration
+	tries     int // sent so far
+	member    int
+	answered  bool
 
 	// State of the current try.
 	tryID    string
 	attempts []attempt
 	tryEnded bool
+
+	firstSecond int // of the first try; its index in the Result
 }
 
 // newRequest sends a new request's first try and schedules the next request.
--- a/fleet/model/config.go
+++ b/fleet/model/config.go
@@ -58,7 +58,7 @@
 // Result holds the measurements of a run. Slices have one element per second.
 type Result struct {
 	OfferedValue, ServedValue []float64 // by the second of a request's first try
-	Retries, FirstTries       []float64 // Retries: attempts of balancers after one that may have run
+	Retries, FirstTries       []float64 // Retries: attempts after one that may have run, by their own second
 	Unanswered                float64   // requests that ended without an answer
 	ShedFraction              []float64 // share of the last class that members shed, on average
 	DigestsSent, DigestBytes  int       // DigestBytes: size of the latest digest
--- a/fleet/model/model_test.go
+++ b/fleet/model/model_test.go
@@ -76,10 +76,10 @@
 // minOfOracle is, by load, the lowest accepted served share of the fleet, relative to the oracle's.
 var minOfOracle = map[float64]float64{1.5: 0.93, 2: 0.9, 4: 0.87}
 
-// TestServedValue logs the share of the offered value that each policy served: before the overload, during all of
-// it, and during it without its first 5 s ("settled"); the share during it relative to the oracle's; and the
-// recovery time. It checks lower bounds for the fleet: better than balancers alone with some of the digests
-// lost, equal to them with all digests lost.
+// TestServedValue logs the share of the offered value that each policy served before the overload, during it
+// and during it without the first 5 s ("settled"), its ratio to the oracle's share during the overload, and
+// the recovery time. The fleet has to reach minOfOracle and to recover within 5 s. With some digests lost it
+// has to serve more than balancers alone, and with all of them lost exactly as much.
 func TestServedValue(t *testing.T) {
 	runs := 1
 	if *longRun {
--- a/fleet/model/oracle.go
+++ b/fleet/model/oracle.go
@@ -31,7 +31,8 @@
 	m.schedule(linkDelay, &event{kind: attemptArrives, member: request.member, request: request, backend: best})
 }
 
-// planOracleCut sets the share of each class to refuse, so that the rest fits the capacity at the current rates.
+// planOracleCut sets the share of each class to refuse so that the rest fits the capacity at the current
+// rates.
 func (m *Model) planOracleCut() {
 	m.oracleCut = make([]float64, len(m.config.Classes))
 	byValue := make([]int, len(m.config.Classes))
