--- a/internal/scale/localfleet/fleet.go
+++ b/internal/scale/localfleet/fleet.go
@@ -38,8 +38,8 @@
 	seed            uint64
 	members         []*Member
 	seeds           []string
-	links           *faultlink.Net // nil: members connect directly
-	partitionedZone int            // 0: none
+	links           *faultlink.Network // nil: members connect directly
+	partitionedZone int                // 0: none
 }
 
 // Start starts a fleet and returns once each member is serving, which is before all views have
