--- a/internal/scale/experiment/check.go
+++ b/internal/scale/experiment/check.go
@@ -87,7 +87,7 @@
 func (e *Experiment) checkLimits() error {
 	switch {
 	case e.SteadyState.Duration < minSteadyState:
-		return &KeyError{"rest", fmt.Sprintf("%v, %v at least", e.SteadyState, minSteadyState)}
+		return &KeyError{"rest", fmt.Sprintf("%v; must be at least %v", e.SteadyState, minSteadyState)}
 	case e.TimeLimit.Duration <= e.EarliestFault() || e.TimeLimit.Duration > maxTimeLimit:
 		return &KeyError{"time_limit", fmt.Sprintf("%v; must exceed settle plus rest (%v) and be at most %v", e.TimeLimit, e.EarliestFault(), maxTimeLimit)}
 	case e.MemoryLimitMiB < 1 || e.MemoryLimitMiB > maxMemoryLimit:
@@ -112,7 +112,7 @@
 	}
 	for _, interval := range intervals {
 		if interval.value != 0 && interval.value < minInterval {
-			return &KeyError{interval.key, fmt.Sprintf("%v, %v at least", interval.value, minInterval)}
+			return &KeyError{interval.key, fmt.Sprintf("%v; must be at least %v", interval.value, minInterval)}
 		}
 	}
 	switch member := &e.Member; {
--- a/internal/scale/localfleet/fleet.go
+++ b/internal/scale/localfleet/fleet.go
@@ -34,7 +34,7 @@
 
 // Fleet is a fleet of members in this process. Its methods are not safe for concurrent use.
 type Fleet struct {
-	times           experiment.Member
+	settings        experiment.Member
 	seed            uint64
 	members         []*Member
 	seeds           []string
@@ -45,7 +45,7 @@
 // Start starts a fleet and returns once each member is serving, which is before all views have
 // converged. On an error, or if ctx ends, nothing is left running.
 func Start(ctx context.Context, plan *experiment.Experiment, size int) (*Fleet, error) {
-	fleet := &Fleet{times: plan.Member, seed: plan.Seed}
+	fleet := &Fleet{settings: plan.Member, seed: plan.Seed}
 	sockets := directSockets
 	if plan.NeedsRelays() {
 		sockets += relayedSockets
@@ -139,13 +139,13 @@
 		Bind:             each.endpoint.Bind,
 		Advertise:        each.endpoint.Advertise,
 		Join:             f.seeds,
-		ProbeInterval:    f.times.ProbeInterval.Duration,
-		ProbeTimeout:     f.times.ProbeTimeout.Duration,
-		SuspicionMult:    f.times.SuspicionMult,
-		GossipInterval:   f.times.GossipInterval.Duration,
-		PushPullInterval: f.times.PushPullInterval.Duration,
-		RejoinMin:        f.times.RejoinMin.Duration,
-		RejoinMax:        f.times.RejoinMax.Duration,
+		ProbeInterval:    f.settings.ProbeInterval.Duration,
+		ProbeTimeout:     f.settings.ProbeTimeout.Duration,
+		SuspicionMult:    f.settings.SuspicionMult,
+		GossipInterval:   f.settings.GossipInterval.Duration,
+		PushPullInterval: f.settings.PushPullInterval.Duration,
+		RejoinMin:        f.settings.RejoinMin.Duration,
+		RejoinMax:        f.settings.RejoinMax.Duration,
 		WrapTransport:    each.Counter.Wrap,
 	})
 	if err != nil {
--- a/internal/scale/runner/runner.go
+++ b/internal/scale/runner/runner.go
@@ -80,7 +80,7 @@
 
 func (r *sizeRun) measure(ctx context.Context) error {
 	resources.ReleaseMemory()
-	empty, err := resources.Read()
+	baseline, err := resources.Read()
 	if err != nil {
 		return err
 	}
@@ -91,7 +91,7 @@
 	}
 	defer func() {
 		fleet.Close()
-		awaitGoroutines(ctx, empty.Goroutines)
+		awaitGoroutines(ctx, baseline.Goroutines)
 	}()
 	if err := r.awaitConvergence(ctx, fleet, startedAt); err != nil {
 		return err
@@ -100,7 +100,7 @@
 	if err := localfleet.Sleep(ctx, r.plan.Settle.Duration); err != nil {
 		return err
 	}
-	if r.result.SteadyState, err = measureSteadyState(ctx, fleet, r.plan.SteadyState.Duration, empty); err != nil {
+	if r.result.SteadyState, err = measureSteadyState(ctx, fleet, r.plan.SteadyState.Duration, baseline); err != nil {
 		return err
 	}
 	r.log.Info("steady state measured", "bytes_out_per_second", r.result.SteadyState.BytesOut.Mean)
--- a/internal/scale/runner/steadystate.go
+++ b/internal/scale/runner/steadystate.go
@@ -33,8 +33,8 @@
 }
 
 // measureSteadyState measures a fleet without faults for the given length. Memory, goroutines and
-// descriptors are relative to empty, the usage of the process before the fleet started.
-func measureSteadyState(ctx context.Context, fleet *localfleet.Fleet, length time.Duration, empty resources.Usage) (*SteadyState, error) {
+// descriptors are relative to baseline, the usage of the process before the fleet started.
+func measureSteadyState(ctx context.Context, fleet *localfleet.Fleet, length time.Duration, baseline resources.Usage) (*SteadyState, error) {
 	before, err := takeSample(fleet)
 	if err != nil {
 		return nil, err
@@ -46,10 +46,10 @@
 	if err != nil {
 		return nil, err
 	}
-	return steadyStateBetween(before, after, empty), nil
+	return steadyStateBetween(before, after, baseline), nil
 }
 
-func steadyStateBetween(before, after sample, empty resources.Usage) *SteadyState {
+func steadyStateBetween(before, after sample, baseline resources.Usage) *SteadyState {
 	seconds := after.at.Sub(before.at).Seconds()
 	sent := ratesOf(before.sent, after.sent, seconds)
 	received := ratesOf(before.received, after.received, seconds)
@@ -66,9 +66,9 @@
 		KindsOut:      sent.kinds,
 		PerMember: PerMember{
 			CPUMillisPerSecond: processor.Seconds() * 1000 / seconds / members,
-			ResidentKiB:        float64(after.usage.ResidentBytes-empty.ResidentBytes) / kibibyte / members,
-			Goroutines:         float64(after.usage.Goroutines-empty.Goroutines) / members,
-			Descriptors:        float64(after.usage.Descriptors-empty.Descriptors) / members,
+			ResidentKiB:        float64(after.usage.ResidentBytes-baseline.ResidentBytes) / kibibyte / members,
+			Goroutines:         float64(after.usage.Goroutines-baseline.Goroutines) / members,
+			Descriptors:        float64(after.usage.Descriptors-baseline.Descriptors) / members,
 		},
 	}
 }
