--- a/cmd/oxbowvoter/config.go
+++ b/cmd/oxbowvoter/config.go
@@ -59,7 +59,7 @@
 
 func (c *config) voter() *agree.Config {
 	return &agree.Config{
-		Name: c.Name, Bind: c.Bind, Dir: c.Data, Voters: c.Voters, Join: c.Join,
-		Heartbeat: time.Duration(c.HeartbeatMS) * time.Millisecond,
+		Name: c.Name, Bind: c.Bind, Dir: c.Data, InitialVoters: c.Voters, Join: c.Join,
+		HeartbeatTimeout: time.Duration(c.HeartbeatMS) * time.Millisecond,
 	}
 }
--- a/cmd/oxbowvoter/main.go
+++ b/cmd/oxbowvoter/main.go
@@ -75,7 +75,7 @@
 		return err
 	}
 	cfg := c.voter()
-	cfg.Tick = tick
+	cfg.NewTick = tick
 	v, err := agree.Start(*cfg, m, log)
 	if err != nil {
 		ln.Close()
@@ -85,7 +85,7 @@
 	defer s.Close()
 	select {
 	case <-ctx.Done():
-	case <-v.Over():
+	case <-v.Done():
 	}
 	return v.Stop(true)
 }
@@ -124,7 +124,7 @@
 		Args:  cobra.ExactArgs(3),
 		RunE: func(_ *cobra.Command, args []string) error {
 			return change(args[0], func(ctx context.Context, c *agree.Client) error {
-				return c.Add(ctx, args[1], args[2])
+				return c.AddVoter(ctx, args[1], args[2])
 			})
 		},
 	}
@@ -137,7 +137,7 @@
 		Args:  cobra.ExactArgs(2),
 		RunE: func(_ *cobra.Command, args []string) error {
 			return change(args[0], func(ctx context.Context, c *agree.Client) error {
-				return c.Remove(ctx, args[1])
+				return c.RemoveVoter(ctx, args[1])
 			})
 		},
 	}
@@ -151,7 +151,7 @@
 	}
 	var cfg agree.ClientConfig
 	for _, p := range c.Voters {
-		cfg.Voters = append(cfg.Voters, p.Ask)
+		cfg.Voters = append(cfg.Voters, p.ClientAddress)
 	}
 	client, err := agree.NewClient(cfg, logger())
 	if err != nil {
--- a/cmd/oxbowvoter/main_test.go
+++ b/cmd/oxbowvoter/main_test.go
@@ -49,11 +49,11 @@
 func configs(t *testing.T) []config {
 	var peers []agree.Peer
 	for i := range 3 {
-		peers = append(peers, agree.Peer{Name: fmt.Sprintf("v%d", i+1), Address: standin.FreeAddr(t), Ask: standin.FreeAddr(t)})
+		peers = append(peers, agree.Peer{Name: fmt.Sprintf("v%d", i+1), RaftAddress: standin.FreeAddr(t), ClientAddress: standin.FreeAddr(t)})
 	}
 	var all []config
 	for _, p := range peers {
-		all = append(all, config{p.Name, p.Address, p.Ask, filepath.Join(t.TempDir(), "data"), peers, false, 300})
+		all = append(all, config{p.Name, p.RaftAddress, p.ClientAddress, filepath.Join(t.TempDir(), "data"), peers, false, 300})
 	}
 	return all
 }
@@ -144,7 +144,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
-	text, _, err := k.Ask(ctx, entry)
+	text, _, err := k.Propose(ctx, entry)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -376,8 +376,8 @@
 		{change(func(c *config) { c.Listen = "" }), "listen: missing port"},
 		{change(func(c *config) { c.Data = "" }), "data: empty"},
 		{change(func(c *config) { c.Voters = c.Voters[:2] }), "voters: 2, not 3 or 5"},
-		{change(func(c *config) { c.Voters[1].Ask = c.Voters[0].Ask }), "twice"},
-		{change(func(c *config) { c.Voters[1].Address = "x" }), "voters: address: address x: missing port"},
+		{change(func(c *config) { c.Voters[1].ClientAddress = c.Voters[0].ClientAddress }), "twice"},
+		{change(func(c *config) { c.Voters[1].RaftAddress = "x" }), "voters: address: address x: missing port"},
 		{change(func(c *config) { c.HeartbeatMS = 1 }), "heartbeat: 1ms, 20ms at least"},
 		{change(func(c *config) { c.Join = true }), "join: v1 is of the initial set"},
 	} {
--- a/cmd/oxbowvoter/window_test.go
+++ b/cmd/oxbowvoter/window_test.go
@@ -108,7 +108,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	defer cancel()
 	entry, _ := window.Encode(plan("p3", "b2"))
-	if _, _, err := k.Ask(ctx, entry); err == nil {
+	if _, _, err := k.Propose(ctx, entry); err == nil {
 		t.Error("one of three voters has agreed with itself")
 	}
 }
--- a/fleet/agree/agree_test.go
+++ b/fleet/agree/agree_test.go
@@ -67,7 +67,7 @@
 	c.add(k, 1)
 	var stopped sync.WaitGroup
 	stopped.Go(func() { (<-dead).stop() })
-	answer, index, err := k.Ask(within(t), marked)
+	answer, index, err := k.Propose(within(t), marked)
 	if got := value(t, answer, err); got != 1001 {
 		t.Fatalf("answered %d, not 1001", got)
 	}
@@ -103,9 +103,9 @@
 		want error
 	}{
 		{sessionEntry{Session: session, Seq: 2, Done: 1, Entry: register.Add(0, 1)}, nil},
-		{ask, ErrStale},
-		{sessionEntry{Session: session, Entry: ask.Entry}, ErrStale},
-		{sessionEntry{Session: 1 << 40, Seq: 1, Entry: ask.Entry}, ErrSession},
+		{ask, ErrConfirmed},
+		{sessionEntry{Session: session, Entry: ask.Entry}, ErrConfirmed},
+		{sessionEntry{Session: 1 << 40, Seq: 1, Entry: ask.Entry}, ErrUnknownSession},
 		{sessionEntry{Session: session, Seq: 3, Entry: make([]byte, MaxEntry+1)}, ErrTooLong},
 	} {
 		if _, _, err := v.propose(ctx, x.ask); !errors.Is(err, x.want) {
@@ -161,7 +161,7 @@
 // All voters ended at once go on with what they had.
 func TestAllStopped(t *testing.T) {
 	c := newCluster(t, 3, newRegister, func(cfg *Config) {
-		cfg.SnapshotEvery, cfg.Trailing, cfg.SnapshotCheck = 16, 4, 20*time.Millisecond
+		cfg.SnapshotThreshold, cfg.TrailingEntries, cfg.SnapshotInterval = 16, 4, 20*time.Millisecond
 	}).start()
 	k := c.client()
 	for round := range uint64(3) {
@@ -239,7 +239,7 @@
 			if got := c.add(k, 1); got != sum {
 				t.Fatalf("after=%v: %d, not %d", after, got, sum)
 			}
-			<-lead.voter.Over()
+			<-lead.voter.Done()
 			if err := lead.voter.cause(); err == nil || !bytes.Contains([]byte(err.Error()), []byte("no space")) {
 				t.Fatalf("after=%v: ended with %v", after, err)
 			}
@@ -313,7 +313,7 @@
 	if err := lost.start(); err != nil {
 		t.Fatal(err)
 	}
-	<-lost.voter.Over()
+	<-lost.voter.Done()
 	if err := lost.voter.cause(); !errors.Is(err, errLost) {
 		t.Fatalf("ended with %v", err)
 	}
@@ -324,18 +324,18 @@
 	if err := lost.start(); err != nil {
 		t.Fatal(err)
 	}
-	if err := k.Remove(within(t), old); err != nil {
+	if err := k.RemoveVoter(within(t), old); err != nil {
 		t.Fatal(err)
 	}
-	if err := k.Add(within(t), "v9", lost.cfg.Bind); err != nil {
+	if err := k.AddVoter(within(t), "v9", lost.cfg.Bind); err != nil {
 		t.Fatal(err)
 	}
 	// A leader that is removed ends. Without it the new one is needed for a majority.
 	lead = c.leader()
-	if err := k.Remove(within(t), lead.cfg.Name); err != nil {
+	if err := k.RemoveVoter(within(t), lead.cfg.Name); err != nil {
 		t.Fatal(err)
 	}
-	<-lead.voter.Over()
+	<-lead.voter.Done()
 	if err := lead.voter.cause(); !errors.Is(err, errRemoved) {
 		t.Fatalf("removed leader ended with %v", err)
 	}
@@ -352,7 +352,7 @@
 	hold := make(chan struct{})
 	c := newCluster(t, 1, func() Machine {
 		return hooked{register.New(), func([]byte) { <-hold }}
-	}, func(cfg *Config) { cfg.Inbox = 2 }).start()
+	}, func(cfg *Config) { cfg.MaxPending = 2 }).start()
 	v := c.leader().voter
 	ctx, cancel := context.WithCancel(context.Background())
 	session, err := v.openSession(ctx)
@@ -389,12 +389,12 @@
 // Time is the leaders', without what lies between them.
 func TestTicks(t *testing.T) {
 	c := newCluster(t, 3, newRegister, func(cfg *Config) {
-		cfg.Tick, cfg.TickEvery = register.Tick, 10*time.Millisecond
+		cfg.NewTick, cfg.TickInterval = register.Tick, 10*time.Millisecond
 	}).start()
 	k := c.client()
 	begin := time.Now()
 	passed := func() time.Duration {
-		answer, _, err := k.Read(within(t), register.Passed())
+		answer, _, err := k.Read(within(t), register.Elapsed())
 		return time.Duration(value(t, answer, err))
 	}
 	await(t, "time", func() bool { return passed() > 100*time.Millisecond })
@@ -436,7 +436,7 @@
 	asker := c.client()
 	var want []effect
 	for i := range all {
-		answer, index, err := asker.Ask(within(t), register.Add(0, 1))
+		answer, index, err := asker.Propose(within(t), register.Add(0, 1))
 		value(t, answer, err)
 		want = append(want, effect{index, answer})
 		if i == all/2 {
--- a/fleet/agree/backoff.go
+++ b/fleet/agree/backoff.go
@@ -16,7 +16,7 @@
 
 // sleep waits before the next try after err. It returns ctx's error when it is over.
 func (b *backoff) sleep(ctx context.Context, err error) error {
-	bound := min(b.cfg.Backoff<<min(b.tries, 16), b.cfg.Longest)
+	bound := min(b.cfg.InitialBackoff<<min(b.tries, 16), b.cfg.MaxBackoff)
 	b.tries++
 	wait := bound/2 + rand.N(bound/2+1)
 	var busy *busyError
--- a/fleet/agree/client.go
+++ b/fleet/agree/client.go
@@ -11,12 +11,12 @@
 
 // ClientConfig says whom to ask and how long to wait.
 type ClientConfig struct {
-	Voters  []string      // addresses at which they answer askers
-	Try     time.Duration // for one voter's answer; 0: 2 s
-	Backoff time.Duration // before the second try, doubled for each after it; 0: 20 ms
-	Longest time.Duration // between two tries at most; 0: 1 s
-	Ping    time.Duration // between signs of life on a connection; 0: 10 s
-	Asks    int           // under way at once, 32 at most; others wait; 0: 8
+	Voters         []string      // addresses at which they answer askers
+	RequestTimeout time.Duration // for one voter's answer; 0: 2 s
+	InitialBackoff time.Duration // before the second try, doubled for each after it; 0: 20 ms
+	MaxBackoff     time.Duration // between two tries at most; 0: 1 s
+	PingInterval   time.Duration // between signs of life on a connection; 0: 10 s
+	MaxProposals   int           // under way at once, 32 at most; others wait; 0: 8
 }
 
 // fill checks the configuration and replaces what is 0 by its default.
@@ -28,17 +28,17 @@
 		to  *time.Duration
 		def time.Duration
 	}{
-		{&c.Try, 2 * time.Second}, {&c.Backoff, 20 * time.Millisecond}, {&c.Longest, time.Second},
-		{&c.Ping, 10 * time.Second},
+		{&c.RequestTimeout, 2 * time.Second}, {&c.InitialBackoff, 20 * time.Millisecond}, {&c.MaxBackoff, time.Second},
+		{&c.PingInterval, 10 * time.Second},
 	} {
 		if *d.to == 0 {
 			*d.to = d.def
 		}
 	}
-	if c.Asks == 0 {
-		c.Asks = 8
+	if c.MaxProposals == 0 {
+		c.MaxProposals = 8
 	}
-	c.Asks = min(c.Asks, maxHeld/2)
+	c.MaxProposals = min(c.MaxProposals, maxHeld/2)
 	return nil
 }
 
@@ -71,7 +71,7 @@
 		return nil, err
 	}
 	return &Client{
-		cfg: cfg, log: log, slots: make(chan struct{}, cfg.Asks), sessionOpening: make(chan struct{}, 1),
+		cfg: cfg, log: log, slots: make(chan struct{}, cfg.MaxProposals), sessionOpening: make(chan struct{}, 1),
 		target: rand.IntN(len(cfg.Voters)), outstanding: map[uint64]bool{},
 	}, nil
 }
@@ -112,7 +112,7 @@
 // Add adds a voter, which was started with Config.Join, to the set under a name and the address
 // at which other voters reach it. It counts for the quorum at once, while the log is still being
 // sent to it. It returns an error if raft refuses the change.
-func (c *Client) Add(ctx context.Context, name, address string) error {
+func (c *Client) AddVoter(ctx context.Context, name, address string) error {
 	_, err := c.retry(ctx, func() *request {
 		return &request{Kind: requestAdd, Name: name, Address: address}
 	}, nil)
@@ -120,7 +120,7 @@
 }
 
 // Remove removes the voter with a name from the set. The name must not be used again.
-func (c *Client) Remove(ctx context.Context, name string) error {
+func (c *Client) RemoveVoter(ctx context.Context, name string) error {
 	_, err := c.retry(ctx, func() *request { return &request{Kind: requestRemove, Name: name} }, nil)
 	return err
 }
@@ -141,11 +141,11 @@
 			if c.isClosed() {
 				return nil, ErrShutdown
 			}
-		case r == nil, errors.Is(err, ErrUnknown):
+		case r == nil, errors.Is(err, ErrOutcomeUnknown):
 			if sent && unknown != nil {
 				*unknown = true
 			}
-		case errors.Is(err, ErrCrowded):
+		case errors.Is(err, ErrTooManyUnconfirmed):
 		default:
 			return nil, err
 		}
@@ -163,13 +163,13 @@
 		return nil, false, err
 	}
 	q := newRequest()
-	q.Patience = c.cfg.Try.Milliseconds()
+	q.Patience = c.cfg.RequestTimeout.Milliseconds()
 	waiter, err := conn.ask(q, 1)
 	if err != nil {
 		return nil, true, err
 	}
 	defer conn.drop(waiter)
-	patience := time.NewTimer(c.cfg.Try)
+	patience := time.NewTimer(c.cfg.RequestTimeout)
 	defer patience.Stop()
 	select {
 	case r, ok := <-waiter.replies:
@@ -184,7 +184,7 @@
 	case <-ctx.Done():
 		return nil, true, ctx.Err()
 	case <-patience.C:
-		c.switchVoter(conn, ErrUnknown)
+		c.switchVoter(conn, ErrOutcomeUnknown)
 		return nil, true, errors.New("agree: no answer")
 	}
 }
--- a/fleet/agree/client_ask.go
+++ b/fleet/agree/client_ask.go
@@ -10,7 +10,7 @@
 // log at which it was applied. ErrUnknown says that it may have been applied or may yet be,
 // ErrSession that it may have been and that nobody can tell any more; after any other error it
 // was not applied and won't be.
-func (c *Client) Ask(ctx context.Context, entry []byte) (answer []byte, index uint64, err error) {
+func (c *Client) Propose(ctx context.Context, entry []byte) (answer []byte, index uint64, err error) {
 	a := c.prepare(entry)
 	defer a.drop()
 	return a.do(ctx)
@@ -59,12 +59,12 @@
 			a.unknown = false
 			return r.Body, r.Index, nil
 		}
-		if !errors.Is(err, ErrSession) {
+		if !errors.Is(err, ErrUnknownSession) {
 			return nil, 0, a.orUnknown(err)
 		}
 		a.client.forgetSession(a.session)
 		if a.unknown {
-			return nil, 0, ErrSession
+			return nil, 0, ErrUnknownSession
 		}
 		a.drop()
 	}
@@ -73,7 +73,7 @@
 // orUnknown is err, or ErrUnknown if a try may have been applied.
 func (a *clientAsk) orUnknown(err error) error {
 	if a.unknown {
-		return ErrUnknown
+		return ErrOutcomeUnknown
 	}
 	return err
 }
--- a/fleet/agree/client_conn.go
+++ b/fleet/agree/client_conn.go
@@ -111,7 +111,7 @@
 	}
 	c.writeMu.Lock()
 	defer c.writeMu.Unlock()
-	c.conn.SetWriteDeadline(time.Now().Add(c.cfg.Try))
+	c.conn.SetWriteDeadline(time.Now().Add(c.cfg.RequestTimeout))
 	if _, err := c.conn.Write(frame); err != nil {
 		c.fail(err)
 		return nil, err
@@ -135,9 +135,9 @@
 	in := bufio.NewReaderSize(c.conn, 4096)
 	for {
 		// Pings are answered, so silence is the peer's or the net's.
-		c.conn.SetReadDeadline(time.Now().Add(2*c.cfg.Ping + c.cfg.Try))
+		c.conn.SetReadDeadline(time.Now().Add(2*c.cfg.PingInterval + c.cfg.RequestTimeout))
 		r := &reply{}
-		err := readFrame(in, r, func() { c.conn.SetReadDeadline(time.Now().Add(c.cfg.Try)) })
+		err := readFrame(in, r, func() { c.conn.SetReadDeadline(time.Now().Add(c.cfg.RequestTimeout)) })
 		if err != nil {
 			c.fail(err)
 			return
@@ -168,7 +168,7 @@
 
 // ping sends a request each ClientConfig.Ping, so that a silent connection is found out.
 func (c *clientConn) ping() {
-	t := time.NewTicker(c.cfg.Ping)
+	t := time.NewTicker(c.cfg.PingInterval)
 	defer t.Stop()
 	for {
 		select {
--- a/fleet/agree/client_connect.go
+++ b/fleet/agree/client_connect.go
@@ -40,7 +40,7 @@
 	addr := c.cfg.Voters[c.target]
 	c.mu.Unlock()
 
-	conn, err := net.DialTimeout("tcp", addr, c.cfg.Try)
+	conn, err := net.DialTimeout("tcp", addr, c.cfg.RequestTimeout)
 
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -66,7 +66,7 @@
 	case errors.As(err, &notLeader):
 		// Only one that we were told at our start: a wrong hint leads nowhere else.
 		next = slices.Index(c.cfg.Voters, notLeader.Leader)
-	case errors.Is(err, ErrShutdown), errors.Is(err, ErrUnknown):
+	case errors.Is(err, ErrShutdown), errors.Is(err, ErrOutcomeUnknown):
 	default:
 		return
 	}
--- a/fleet/agree/cluster_test.go
+++ b/fleet/agree/cluster_test.go
@@ -173,14 +173,14 @@
 	var peers []Peer
 	for i := range n {
 		p := Peer{fmt.Sprintf("v%d", i+1), standin.FreeAddr(t), standin.FreeAddr(t)}
-		peers, c.addrs = append(peers, p), append(c.addrs, p.Ask)
+		peers, c.addrs = append(peers, p), append(c.addrs, p.ClientAddress)
 	}
 	for _, p := range peers {
-		cfg := Config{Name: p.Name, Bind: p.Address, Dir: t.TempDir(), Voters: peers, Heartbeat: heartbeat}
+		cfg := Config{Name: p.Name, Bind: p.RaftAddress, Dir: t.TempDir(), InitialVoters: peers, HeartbeatTimeout: heartbeat}
 		if tune != nil {
 			tune(&cfg)
 		}
-		c.nodes = append(c.nodes, &node{t: t, cfg: cfg, ask: p.Ask, machine: machine, conns: map[net.Conn]bool{}})
+		c.nodes = append(c.nodes, &node{t: t, cfg: cfg, ask: p.ClientAddress, machine: machine, conns: map[net.Conn]bool{}})
 	}
 	t.Cleanup(func() {
 		for _, n := range c.nodes {
@@ -218,7 +218,7 @@
 
 func (c *cluster) client() *Client {
 	c.t.Helper()
-	k, err := NewClient(ClientConfig{Voters: c.addrs, Try: 4 * heartbeat}, quiet)
+	k, err := NewClient(ClientConfig{Voters: c.addrs, RequestTimeout: 4 * heartbeat}, quiet)
 	if err != nil {
 		c.t.Fatal(err)
 	}
@@ -241,7 +241,7 @@
 
 func (c *cluster) add(k *Client, n uint64) uint64 {
 	c.t.Helper()
-	answer, _, err := k.Ask(within(c.t), register.Add(0, n))
+	answer, _, err := k.Propose(within(c.t), register.Add(0, n))
 	return value(c.t, answer, err)
 }
 
--- a/fleet/agree/errors.go
+++ b/fleet/agree/errors.go
@@ -15,19 +15,19 @@
 var (
 	// ErrUnknown is returned for an ask that may have been agreed or may yet
 	// be. Only the same ask again, with its session and sequence, tells.
-	ErrUnknown = errors.New("agree: outcome unknown, ask again with the same sequence")
+	ErrOutcomeUnknown = errors.New("agree: outcome unknown, ask again with the same sequence")
 	// ErrShutdown is returned by a voter that is going or gone. The ask was not
 	// proposed.
 	ErrShutdown = errors.New("agree: voter shut down")
 	// ErrSession is returned if the session is not known: it was never opened,
 	// or others have been used since by more askers than are remembered. This
 	// try was not applied; an earlier one may have been.
-	ErrSession = errors.New("agree: session not known")
+	ErrUnknownSession = errors.New("agree: session not known")
 	// ErrStale is returned for a sequence whose answer the asker has confirmed.
-	ErrStale = errors.New("agree: sequence confirmed before")
+	ErrConfirmed = errors.New("agree: sequence confirmed before")
 	// ErrCrowded is returned if a session has too many unconfirmed answers. The
 	// ask was not applied.
-	ErrCrowded = errors.New("agree: too many unconfirmed answers in the session")
+	ErrTooManyUnconfirmed = errors.New("agree: too many unconfirmed answers in the session")
 	// ErrTooLong is returned for an entry or query of more than MaxEntry bytes.
 	ErrTooLong = fmt.Errorf("agree: longer than %d bytes", MaxEntry)
 )
@@ -80,8 +80,8 @@
 )
 
 var plainErrors = map[code]error{
-	codeUnknown: ErrUnknown, codeShutdown: ErrShutdown, codeSession: ErrSession, codeStale: ErrStale,
-	codeCrowded: ErrCrowded, codeTooLong: ErrTooLong,
+	codeUnknown: ErrOutcomeUnknown, codeShutdown: ErrShutdown, codeSession: ErrUnknownSession, codeStale: ErrConfirmed,
+	codeCrowded: ErrTooManyUnconfirmed, codeTooLong: ErrTooLong,
 }
 
 // setError fills in the fields of r that say err.
--- a/fleet/agree/form.go
+++ b/fleet/agree/form.go
@@ -93,9 +93,9 @@
 
 // set is the sum of the initial set, whatever its order.
 func (c *Config) set() (n uint64) {
-	for _, p := range c.Voters {
+	for _, p := range c.InitialVoters {
 		h := fnv.New64a()
-		fmt.Fprintf(h, "%q %q %q", p.Name, p.Address, p.Ask)
+		fmt.Fprintf(h, "%q %q %q", p.Name, p.RaftAddress, p.ClientAddress)
 		n += h.Sum64()
 	}
 	return n
@@ -125,7 +125,7 @@
 		if err != nil {
 			return err
 		}
-		lives, formed, err := decideFormation(v.self, v.cfg.Voters, found)
+		lives, formed, err := decideFormation(v.self, v.cfg.InitialVoters, found)
 		if err != nil {
 			return err
 		}
@@ -134,7 +134,7 @@
 		}
 		before = lives
 		select {
-		case <-time.After(v.cfg.Heartbeat / 4):
+		case <-time.After(v.cfg.HeartbeatTimeout / 4):
 		case err := <-v.store.Failed():
 			return err
 		case <-v.stop:
@@ -165,17 +165,17 @@
 		h    hello
 		err  error
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), v.cfg.Heartbeat)
+	ctx, cancel := context.WithTimeout(context.Background(), v.cfg.HeartbeatTimeout)
 	defer cancel()
-	answers := make(chan answer, len(v.cfg.Voters))
+	answers := make(chan answer, len(v.cfg.InitialVoters))
 	asked := 0
-	for _, p := range v.cfg.Voters {
+	for _, p := range v.cfg.InitialVoters {
 		if p.Name == v.cfg.Name {
 			continue
 		}
 		asked++
 		go func() {
-			h, err := askPeer(ctx, p.Ask)
+			h, err := askPeer(ctx, p.ClientAddress)
 			answers <- answer{p.Name, h, err}
 		}()
 	}
--- a/fleet/agree/fsm.go
+++ b/fleet/agree/fsm.go
@@ -133,7 +133,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.err != nil {
-		return nil, 0, ErrUnknown
+		return nil, 0, ErrOutcomeUnknown
 	}
 	m, ok := f.machine.(Querier)
 	if !ok {
--- a/fleet/agree/history_test.go
+++ b/fleet/agree/history_test.go
@@ -76,11 +76,11 @@
 	var err error
 	switch i.op {
 	case "add":
-		answer, _, err = k.Ask(ctx, register.Add(i.register, i.n))
+		answer, _, err = k.Propose(ctx, register.Add(i.register, i.n))
 	case "set":
-		answer, _, err = k.Ask(ctx, register.Set(i.register, i.n))
+		answer, _, err = k.Propose(ctx, register.Set(i.register, i.n))
 	case "get":
-		answer, _, err = k.Ask(ctx, register.Get(i.register))
+		answer, _, err = k.Propose(ctx, register.Get(i.register))
 	case "read":
 		answer, _, err = k.Read(ctx, register.Get(i.register))
 	}
@@ -95,7 +95,7 @@
 			panic(err)
 		}
 		o.Output = output{value: v}
-	case err == ErrUnknown && i.op != "get":
+	case err == ErrOutcomeUnknown && i.op != "get":
 		o.Output, o.Return = output{unknown: true}, math.MaxInt64
 		h.open++
 	default:
@@ -156,7 +156,7 @@
 func TestHistories(t *testing.T) {
 	for _, n := range []int{3, 5} {
 		c := newCluster(t, n, newRegister, func(cfg *Config) {
-			cfg.SnapshotEvery, cfg.Trailing, cfg.SnapshotCheck = 50, 10, 50*time.Millisecond
+			cfg.SnapshotThreshold, cfg.TrailingEntries, cfg.SnapshotInterval = 50, 10, 50*time.Millisecond
 		}).start()
 		c.leader()
 		rng := rand.New(rand.NewPCG(uint64(n), 3))
--- a/fleet/agree/proposal.go
+++ b/fleet/agree/proposal.go
@@ -60,7 +60,7 @@
 		return nil, 0, ErrTooLong
 	}
 	if a.Seq == 0 {
-		return nil, 0, ErrStale
+		return nil, 0, ErrConfirmed
 	}
 	return v.await(&proposal{kind: proposeCommand, ctx: ctx, data: (&command{kind: kindAsk, ask: a}).encode()})
 }
@@ -87,7 +87,7 @@
 		return errors.New("agree: add: name or address empty")
 	}
 	_, _, err := v.await(&proposal{kind: proposeChange, ctx: ctx, change: func(r *raft.Raft) raft.Future {
-		return r.AddVoter(raft.ServerID(name), raft.ServerAddress(address), 0, v.cfg.Heartbeat)
+		return r.AddVoter(raft.ServerID(name), raft.ServerAddress(address), 0, v.cfg.HeartbeatTimeout)
 	}})
 	return err
 }
@@ -96,7 +96,7 @@
 // this name.
 func (v *Voter) removeVoter(ctx context.Context, name string) error {
 	_, _, err := v.await(&proposal{kind: proposeChange, ctx: ctx, change: func(r *raft.Raft) raft.Future {
-		return r.RemoveServer(raft.ServerID(name), 0, v.cfg.Heartbeat)
+		return r.RemoveServer(raft.ServerID(name), 0, v.cfg.HeartbeatTimeout)
 	}})
 	return err
 }
@@ -127,13 +127,13 @@
 	select {
 	case v.inbox <- p:
 	default:
-		return nil, 0, &busyError{v.cfg.ComeBack}
+		return nil, 0, &busyError{v.cfg.RetryAfter}
 	}
 	select {
 	case r := <-p.reply:
 		return r.answer, r.index, r.err
 	case <-p.ctx.Done():
-		return nil, 0, ErrUnknown
+		return nil, 0, ErrOutcomeUnknown
 	case <-v.ended:
 	}
 	select {
@@ -157,9 +157,9 @@
 	case p.kind == proposeChange:
 		f = p.change(v.raft)
 	case p.kind == proposeRead:
-		f = v.raft.Barrier(v.cfg.Heartbeat)
+		f = v.raft.Barrier(v.cfg.HeartbeatTimeout)
 	default:
-		f = v.raft.Apply(p.data, v.cfg.Heartbeat)
+		f = v.raft.Apply(p.data, v.cfg.HeartbeatTimeout)
 	}
 	return v.push(pending{p, f})
 }
@@ -174,7 +174,7 @@
 	case err = <-v.fsm.failure:
 	}
 	if sent.proposal != nil {
-		sent.proposal.reply <- result{err: ErrUnknown}
+		sent.proposal.reply <- result{err: ErrOutcomeUnknown}
 	}
 	return err
 }
@@ -206,15 +206,15 @@
 	}
 	d, ok := sent.future.(raft.ApplyFuture).Response().(decision)
 	if !ok { // the state machine has stopped
-		return result{err: ErrUnknown}
+		return result{err: ErrOutcomeUnknown}
 	}
 	switch d.outcome {
 	case outcomeUnknownSession:
-		return result{err: ErrSession}
+		return result{err: ErrUnknownSession}
 	case outcomeConfirmed:
-		return result{err: ErrStale}
+		return result{err: ErrConfirmed}
 	case outcomeTooManyUnconfirmed:
-		return result{err: ErrCrowded}
+		return result{err: ErrTooManyUnconfirmed}
 	}
 	return result{answer: d.answer, index: d.index}
 }
@@ -226,12 +226,12 @@
 	case errors.Is(err, raft.ErrNotLeader), errors.Is(err, raft.ErrLeadershipTransferInProgress):
 		return v.notLeader()
 	case errors.Is(err, raft.ErrEnqueueTimeout):
-		return &busyError{v.cfg.ComeBack}
+		return &busyError{v.cfg.RetryAfter}
 	case p.kind == proposeChange:
 		return fmt.Errorf("agree: %w", err)
 	}
 	v.log.Warn("outcome unknown", "err", err)
-	return ErrUnknown
+	return ErrOutcomeUnknown
 }
 
 // awaitFuture waits for a future. Raft leaves some of those that it has at its
--- a/fleet/agree/raft.go
+++ b/fleet/agree/raft.go
@@ -31,9 +31,9 @@
 	}
 	if !known && !v.cfg.Join {
 		var servers []raft.Server
-		for _, p := range v.cfg.Voters {
+		for _, p := range v.cfg.InitialVoters {
 			servers = append(servers,
-				raft.Server{ID: raft.ServerID(p.Name), Address: raft.ServerAddress(p.Address)})
+				raft.Server{ID: raft.ServerID(p.Name), Address: raft.ServerAddress(p.RaftAddress)})
 		}
 		initial := raft.Configuration{Servers: servers}
 		if err := raft.BootstrapCluster(conf, v.store, v.store, v.snaps, v.trans, initial); err != nil {
@@ -54,15 +54,15 @@
 
 func (v *Voter) listen() (*raft.NetworkTransport, error) {
 	conf := &raft.NetworkTransportConfig{
-		Stream: v.cfg.layer, MaxPool: 2, Timeout: 10 * v.cfg.Heartbeat, Logger: v.hclog,
+		Stream: v.cfg.layer, MaxPool: 2, Timeout: 10 * v.cfg.HeartbeatTimeout, Logger: v.hclog,
 	}
 	if conf.Stream != nil {
 		return raft.NewNetworkTransportWithConfig(conf), nil
 	}
 	var advertise net.Addr
-	for _, p := range v.cfg.Voters {
+	for _, p := range v.cfg.InitialVoters {
 		if p.Name == v.cfg.Name {
-			a, err := net.ResolveTCPAddr("tcp", p.Address)
+			a, err := net.ResolveTCPAddr("tcp", p.RaftAddress)
 			if err != nil {
 				return nil, fmt.Errorf("agree: voters: address: %w", err)
 			}
@@ -79,10 +79,10 @@
 func (c *Config) raft(log hclog.Logger) *raft.Config {
 	r := raft.DefaultConfig()
 	r.LocalID = raft.ServerID(c.Name)
-	r.HeartbeatTimeout, r.ElectionTimeout = c.Heartbeat, c.Heartbeat
-	r.LeaderLeaseTimeout = c.Heartbeat / 2
-	r.CommitTimeout = c.Heartbeat / 20
-	r.SnapshotThreshold, r.TrailingLogs, r.SnapshotInterval = c.SnapshotEvery, c.Trailing, c.SnapshotCheck
+	r.HeartbeatTimeout, r.ElectionTimeout = c.HeartbeatTimeout, c.HeartbeatTimeout
+	r.LeaderLeaseTimeout = c.HeartbeatTimeout / 2
+	r.CommitTimeout = c.HeartbeatTimeout / 20
+	r.SnapshotThreshold, r.TrailingLogs, r.SnapshotInterval = c.SnapshotThreshold, c.TrailingEntries, c.SnapshotInterval
 	r.BatchApplyCh = true // what comes during one fsync goes into the next
 	r.NoLegacyTelemetry = true
 	r.Logger = log
--- a/fleet/agree/register/register.go
+++ b/fleet/agree/register/register.go
@@ -35,7 +35,7 @@
 func Tick(passed time.Duration) []byte { return entry(opTick, 0, uint64(max(passed, 0))) }
 
 // Passed is the query whose answer is the time told by all ticks, in ns.
-func Passed() []byte { return entry(opTick, 0, 0) }
+func Elapsed() []byte { return entry(opTick, 0, 0) }
 
 func entry(op, register byte, n uint64) []byte {
 	return binary.BigEndian.AppendUint64([]byte{op, register}, n)
--- a/fleet/agree/server.go
+++ b/fleet/agree/server.go
@@ -12,24 +12,24 @@
 
 // ServerLimits bounds what clients can use. Zero fields stand for the defaults.
 type ServerLimits struct {
-	Connections int           // 0: 1024; others are told busy and closed
-	Asks        int           // under way on one connection; 0: 16
-	Idle        time.Duration // silence after which a connection is closed; 0: 30 s
-	Slow        time.Duration // for a frame to come or go once begun; 0: 5 s
-	Patience    time.Duration // for one ask at most; 0: 10 s
+	MaxConnections int           // 0: 1024; others are told busy and closed
+	MaxRequests    int           // under way on one connection; 0: 16
+	IdleTimeout    time.Duration // silence after which a connection is closed; 0: 30 s
+	FrameTimeout   time.Duration // for a frame to come or go once begun; 0: 5 s
+	RequestTimeout time.Duration // for one ask at most; 0: 10 s
 }
 
 func (l *ServerLimits) fill() {
-	if l.Connections == 0 {
-		l.Connections = 1024
+	if l.MaxConnections == 0 {
+		l.MaxConnections = 1024
 	}
-	if l.Asks == 0 {
-		l.Asks = 16
+	if l.MaxRequests == 0 {
+		l.MaxRequests = 16
 	}
 	for _, d := range []struct {
 		to  *time.Duration
 		def time.Duration
-	}{{&l.Idle, 30 * time.Second}, {&l.Slow, 5 * time.Second}, {&l.Patience, 10 * time.Second}} {
+	}{{&l.IdleTimeout, 30 * time.Second}, {&l.FrameTimeout, 5 * time.Second}, {&l.RequestTimeout, 10 * time.Second}} {
 		if *d.to == 0 {
 			*d.to = d.def
 		}
@@ -102,7 +102,7 @@
 func (s *Server) register(c net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.conns) >= s.limits.Connections || s.ctx.Err() != nil {
+	if len(s.conns) >= s.limits.MaxConnections || s.ctx.Err() != nil {
 		return false
 	}
 	s.conns[c] = true
@@ -119,7 +119,7 @@
 // rejectBusy tells busy. A fresh connection takes one small frame without waiting.
 func (s *Server) rejectBusy(c net.Conn) {
 	r := &reply{}
-	r.setError(&busyError{s.voter.cfg.ComeBack})
+	r.setError(&busyError{s.voter.cfg.RetryAfter})
 	if frame, err := encodeFrame(r); err == nil {
 		c.SetWriteDeadline(time.Now().Add(10 * time.Millisecond))
 		c.Write(frame)
@@ -143,14 +143,14 @@
 // serve reads requests until the connection fails or is silent, then ends what they started.
 func (s *Server) serve(c net.Conn) {
 	ctx, cancel := context.WithCancel(s.ctx)
-	p := &serverConn{Server: s, conn: c, ctx: ctx, slots: make(chan struct{}, s.limits.Asks), endSubscription: func() {}}
+	p := &serverConn{Server: s, conn: c, ctx: ctx, slots: make(chan struct{}, s.limits.MaxRequests), endSubscription: func() {}}
 	defer p.running.Wait()
 	defer cancel()
 	in := bufio.NewReaderSize(c, 1024)
 	for {
-		c.SetReadDeadline(time.Now().Add(s.limits.Idle))
+		c.SetReadDeadline(time.Now().Add(s.limits.IdleTimeout))
 		var q request
-		err := readFrame(in, &q, func() { c.SetReadDeadline(time.Now().Add(s.limits.Slow)) })
+		err := readFrame(in, &q, func() { c.SetReadDeadline(time.Now().Add(s.limits.FrameTimeout)) })
 		if errors.Is(err, errFrame) {
 			p.send(&reply{Code: codeBad, Text: err.Error()})
 		}
@@ -183,7 +183,7 @@
 	case p.slots <- struct{}{}:
 	default:
 		r := &reply{ID: q.ID}
-		r.setError(&busyError{p.voter.cfg.ComeBack})
+		r.setError(&busyError{p.voter.cfg.RetryAfter})
 		p.send(r)
 		return
 	}
@@ -201,7 +201,7 @@
 	}
 	p.writeMu.Lock()
 	defer p.writeMu.Unlock()
-	p.conn.SetWriteDeadline(time.Now().Add(p.limits.Slow))
+	p.conn.SetWriteDeadline(time.Now().Add(p.limits.FrameTimeout))
 	if _, err := p.conn.Write(frame); err != nil {
 		p.conn.Close()
 	}
@@ -209,7 +209,7 @@
 
 // answer does what a request asks.
 func (p *serverConn) answer(q *request) *reply {
-	patience := p.limits.Patience
+	patience := p.limits.RequestTimeout
 	if ms := q.Patience; ms > 0 && ms < patience.Milliseconds() {
 		patience = time.Duration(ms) * time.Millisecond
 	}
@@ -243,7 +243,7 @@
 // this one or this voter is out of touch with a leader.
 func (p *serverConn) subscribe(ctx context.Context, id, from uint64) {
 	const batch = 64
-	check := time.NewTicker(p.voter.cfg.Heartbeat)
+	check := time.NewTicker(p.voter.cfg.HeartbeatTimeout)
 	defer check.Stop()
 	for p.voter.inTouch() {
 		effects, more, err := p.voter.effects(from, batch)
--- a/fleet/agree/store_test.go
+++ b/fleet/agree/store_test.go
@@ -93,7 +93,7 @@
 				t.Fatalf("%v, not %s", err, want)
 			}
 			if _, err := Start(Config{
-				Name: "a", Dir: dir, Voters: []Peer{{"a", "127.0.0.1:0", "127.0.0.1:0"}},
+				Name: "a", Dir: dir, InitialVoters: []Peer{{"a", "127.0.0.1:0", "127.0.0.1:0"}},
 			}, newRegister(), quiet); err == nil || err.Error() != want {
 				t.Fatalf("started: %v", err)
 			}
--- a/fleet/agree/voter.go
+++ b/fleet/agree/voter.go
@@ -67,7 +67,7 @@
 	}
 	v := &Voter{
 		cfg: cfg, log: log.With("voter", cfg.Name), store: store, fsm: newFSM(m),
-		inbox: make(chan *proposal, cfg.Inbox), pending: make(chan pending, cfg.Inbox),
+		inbox: make(chan *proposal, cfg.MaxPending), pending: make(chan pending, cfg.MaxPending),
 		stop: make(chan bool, 1), raftDown: make(chan struct{}), ended: make(chan struct{}),
 	}
 	v.hclog = newRaftLogger(v.log)
@@ -139,14 +139,14 @@
 // serve hands proposals to raft until it is told to stop or the store fails.
 func (v *Voter) serve() error {
 	var ticks <-chan time.Time
-	if v.cfg.Tick != nil {
-		t := time.NewTicker(v.cfg.TickEvery)
+	if v.cfg.NewTick != nil {
+		t := time.NewTicker(v.cfg.TickInterval)
 		defer t.Stop()
 		ticks = t.C
 	}
-	health := time.NewTicker(v.cfg.Heartbeat)
+	health := time.NewTicker(v.cfg.HeartbeatTimeout)
 	defer health.Stop()
-	clock := leaderClock{newEntry: v.cfg.Tick}
+	clock := leaderClock{newEntry: v.cfg.NewTick}
 	for {
 		select {
 		case p := <-v.inbox:
@@ -155,7 +155,7 @@
 			}
 		case <-ticks:
 			if data := clock.tick(v.raft, time.Now()); data != nil {
-				if err := v.push(pending{nil, v.raft.Apply(data, v.cfg.Heartbeat)}); err != nil {
+				if err := v.push(pending{nil, v.raft.Apply(data, v.cfg.HeartbeatTimeout)}); err != nil {
 					return err
 				}
 			}
@@ -181,7 +181,7 @@
 
 // handOver transfers the leadership to another voter, if that succeeds in time.
 func (v *Voter) handOver() {
-	ctx, cancel := context.WithTimeout(context.Background(), 5*v.cfg.Heartbeat)
+	ctx, cancel := context.WithTimeout(context.Background(), 5*v.cfg.HeartbeatTimeout)
 	defer cancel()
 	if err := awaitFuture(v.raft.LeadershipTransfer(), ctx.Done()); err != nil {
 		v.log.Warn("leadership not handed over", "err", err)
@@ -200,9 +200,9 @@
 	e := &notLeaderError{}
 	if r := v.running(); r != nil {
 		_, id := r.LeaderWithID()
-		for _, p := range v.cfg.Voters {
+		for _, p := range v.cfg.InitialVoters {
 			if p.Name == string(id) && p.Name != v.cfg.Name {
-				e.Leader = p.Ask
+				e.Leader = p.ClientAddress
 			}
 		}
 	}
@@ -222,7 +222,7 @@
 // inTouch tells whether this voter leads or has lately heard from who does.
 func (v *Voter) inTouch() bool {
 	r := v.running()
-	return r != nil && (r.State() == raft.Leader || time.Since(r.LastContact()) < 3*v.cfg.Heartbeat)
+	return r != nil && (r.State() == raft.Leader || time.Since(r.LastContact()) < 3*v.cfg.HeartbeatTimeout)
 }
 
 // leading tells whether this voter believes that it leads.
@@ -241,7 +241,7 @@
 }
 
 // Over is closed when the voter has ended. Stop returns why.
-func (v *Voter) Over() <-chan struct{} { return v.ended }
+func (v *Voter) Done() <-chan struct{} { return v.ended }
 
 // cause is why the voter ended by itself; nil if it was stopped or has not ended.
 func (v *Voter) cause() error {
--- a/fleet/agree/wire_test.go
+++ b/fleet/agree/wire_test.go
@@ -52,7 +52,7 @@
 
 // A bad frame gets one error, then the end.
 func TestBadFrames(t *testing.T) {
-	addr, _ := served(t, ServerLimits{Slow: 200 * time.Millisecond})
+	addr, _ := served(t, ServerLimits{FrameTimeout: 200 * time.Millisecond})
 	good := frame(t, &request{Kind: requestPing, ID: 1})
 	version := bytes.Clone(good)
 	version[frameHeaderSize] = 7
@@ -87,7 +87,7 @@
 }
 
 func TestServerLimits(t *testing.T) {
-	addr, s := served(t, ServerLimits{Connections: 2, Idle: 300 * time.Millisecond})
+	addr, s := served(t, ServerLimits{MaxConnections: 2, IdleTimeout: 300 * time.Millisecond})
 	first, second := dial(t, addr), dial(t, addr)
 	for _, c := range []net.Conn{first, second} {
 		c.Write(frame(t, &request{Kind: requestPing, ID: 9}))
@@ -152,7 +152,7 @@
 	defer k.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
-	if _, _, err := k.Ask(ctx, register.Add(0, 1)); !errors.Is(err, context.DeadlineExceeded) {
+	if _, _, err := k.Propose(ctx, register.Add(0, 1)); !errors.Is(err, context.DeadlineExceeded) {
 		t.Fatalf("nobody there: %v", err)
 	}
 	c := newCluster(t, 3, newRegister, nil).start()
@@ -163,18 +163,18 @@
 	}
 	ctx, cancel = context.WithTimeout(context.Background(), 4*heartbeat)
 	defer cancel()
-	if _, _, err := k.Ask(ctx, register.Add(0, 1)); err == nil {
+	if _, _, err := k.Propose(ctx, register.Add(0, 1)); err == nil {
 		t.Fatal("agreed without a majority")
 	}
 	k.Close()
-	if _, _, err := k.Ask(within(t), register.Add(0, 1)); !errors.Is(err, ErrShutdown) {
+	if _, _, err := k.Propose(within(t), register.Add(0, 1)); !errors.Is(err, ErrShutdown) {
 		t.Fatalf("after its end: %v", err)
 	}
 }
 
 func TestErrorsOnTheWire(t *testing.T) {
 	for _, err := range []error{
-		nil, ErrUnknown, ErrShutdown, ErrSession, ErrStale, ErrCrowded, ErrTooLong,
+		nil, ErrOutcomeUnknown, ErrShutdown, ErrUnknownSession, ErrConfirmed, ErrTooManyUnconfirmed, ErrTooLong,
 		&notLeaderError{"127.0.0.1:1"}, &notLeaderError{}, &busyError{30 * time.Millisecond}, &goneError{7},
 	} {
 		var r, back reply
