--- a/cmd/oxbowvoter/config.go
+++ b/cmd/oxbowvoter/config.go
@@ -25,7 +25,7 @@
 }
 
 // load reads the configuration file at path.
-func load(path string) (*config, error) {
+func loadConfig(path string) (*config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
@@ -54,10 +54,10 @@
 	if c.Data == "" {
 		return fmt.Errorf("data: empty")
 	}
-	return c.voter().Check()
+	return c.voterConfig().Check()
 }
 
-func (c *config) voter() *agree.Config {
+func (c *config) voterConfig() *agree.Config {
 	return &agree.Config{
 		Name: c.Name, Bind: c.Bind, Dir: c.Data, InitialVoters: c.Voters, Join: c.Join,
 		HeartbeatTimeout: time.Duration(c.HeartbeatMS) * time.Millisecond,
--- a/cmd/oxbowvoter/main.go
+++ b/cmd/oxbowvoter/main.go
@@ -23,7 +23,7 @@
 
 // machine makes the state that is agreed on, and tick its entry for passed time. The
 // settings are the defaults: a change of them is a change of the log's meaning.
-func machine() (agree.Machine, func(time.Duration) []byte, error) {
+func newMachine() (agree.Machine, func(time.Duration) []byte, error) {
 	m, err := schedule.New(window.Settings{})
 	return m, schedule.Tick, err
 }
@@ -35,7 +35,7 @@
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
-	root.AddCommand(serve(), check(), add(), remove(), &cobra.Command{
+	root.AddCommand(serveCommand(), checkCommand(), addCommand(), removeCommand(), &cobra.Command{
 		Use:   "version",
 		Short: "Print the version",
 		Args:  cobra.NoArgs,
@@ -47,34 +47,34 @@
 	}
 }
 
-func serve() *cobra.Command {
+func serveCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "serve config.json",
 		Short: "Vote until SIGTERM, then hand leadership over and stop",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
-			c, err := load(args[0])
+			c, err := loadConfig(args[0])
 			if err != nil {
 				return err
 			}
 			ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 			context.AfterFunc(ctx, stop) // a second signal ends the process
-			return run(ctx, c, logger())
+			return runVoter(ctx, c, newLogger())
 		},
 	}
 }
 
-func run(ctx context.Context, c *config, log *slog.Logger) error {
+func runVoter(ctx context.Context, c *config, log *slog.Logger) error {
 	ln, err := net.Listen("tcp", c.Listen)
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
-	m, tick, err := machine()
+	m, tick, err := newMachine()
 	if err != nil {
 		ln.Close()
 		return err
 	}
-	cfg := c.voter()
+	cfg := c.voterConfig()
 	cfg.NewTick = tick
 	v, err := agree.Start(*cfg, m, log)
 	if err != nil {
@@ -91,7 +91,7 @@
 }
 
 // logger writes lines that begin with the time and the event, as oxbowloft's do.
-func logger() *slog.Logger {
+func newLogger() *slog.Logger {
 	return slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{
 		ReplaceAttr: func(groups []string, a slog.Attr) slog.Attr {
 			if len(groups) == 0 && a.Key == slog.MessageKey {
@@ -102,13 +102,13 @@
 	}))
 }
 
-func check() *cobra.Command {
+func checkCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "check config.json",
 		Short: "Read a configuration and say what is wrong with it",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
-			_, err := load(args[0])
+			_, err := loadConfig(args[0])
 			if err == nil {
 				fmt.Println("ok")
 			}
@@ -117,26 +117,26 @@
 	}
 }
 
-func add() *cobra.Command {
+func addCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "add config.json name address",
 		Short: "Add a voter that has been started with \"join\"; address is for other voters",
 		Args:  cobra.ExactArgs(3),
 		RunE: func(_ *cobra.Command, args []string) error {
-			return change(args[0], func(ctx context.Context, c *agree.Client) error {
+			return changeVoters(args[0], func(ctx context.Context, c *agree.Client) error {
 				return c.AddVoter(ctx, args[1], args[2])
 			})
 		},
 	}
 }
 
-func remove() *cobra.Command {
+func removeCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "remove config.json name",
 		Short: "Remove a voter for good",
 		Args:  cobra.ExactArgs(2),
 		RunE: func(_ *cobra.Command, args []string) error {
-			return change(args[0], func(ctx context.Context, c *agree.Client) error {
+			return changeVoters(args[0], func(ctx context.Context, c *agree.Client) error {
 				return c.RemoveVoter(ctx, args[1])
 			})
 		},
@@ -144,8 +144,8 @@
 }
 
 // change asks the voters of a configuration to change their set.
-func change(path string, f func(context.Context, *agree.Client) error) error {
-	c, err := load(path)
+func changeVoters(path string, f func(context.Context, *agree.Client) error) error {
+	c, err := loadConfig(path)
 	if err != nil {
 		return err
 	}
@@ -153,7 +153,7 @@
 	for _, p := range c.Voters {
 		cfg.Voters = append(cfg.Voters, p.ClientAddress)
 	}
-	client, err := agree.NewClient(cfg, logger())
+	client, err := agree.NewClient(cfg, newLogger())
 	if err != nil {
 		return err
 	}
--- a/cmd/oxbowvoter/main_test.go
+++ b/cmd/oxbowvoter/main_test.go
@@ -26,7 +26,7 @@
 
 // These tests start the built program and signal only what they started.
 
-const patience = 60 * time.Second
+const testTimeout = 60 * time.Second
 
 var program string
 
@@ -58,7 +58,7 @@
 	return all
 }
 
-func write(t *testing.T, c any) (path string) {
+func writeConfig(t *testing.T, c any) (path string) {
 	t.Helper()
 	text, err := json.Marshal(c)
 	if err != nil {
@@ -73,8 +73,8 @@
 
 // process is a started voter.
 type process struct {
-	cmd  *exec.Cmd
-	dead chan error
+	cmd    *exec.Cmd
+	exited chan error
 
 	mu  sync.Mutex
 	log bytes.Buffer
@@ -86,14 +86,14 @@
 	return p.log.Write(b)
 }
 
-func start(t *testing.T, path string) *process {
+func startVoter(t *testing.T, path string) *process {
 	t.Helper()
-	p := &process{cmd: exec.Command(program, "serve", path), dead: make(chan error, 1)}
+	p := &process{cmd: exec.Command(program, "serve", path), exited: make(chan error, 1)}
 	p.cmd.Stderr = p
 	if err := p.cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	go func() { p.dead <- p.cmd.Wait() }()
+	go func() { p.exited <- p.cmd.Wait() }()
 	t.Cleanup(func() {
 		p.cmd.Process.Signal(syscall.SIGCONT)
 		p.cmd.Process.Kill()
@@ -116,16 +116,16 @@
 func (p *process) wait(t *testing.T) error {
 	t.Helper()
 	select {
-	case err := <-p.dead:
-		p.dead <- err
+	case err := <-p.exited:
+		p.exited <- err
 		return err
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("still running")
 		return nil
 	}
 }
 
-func client(t *testing.T, addrs ...string) *agree.Client {
+func newClient(t *testing.T, addrs ...string) *agree.Client {
 	t.Helper()
 	k, err := agree.NewClient(agree.ClientConfig{Voters: addrs}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
@@ -136,13 +136,13 @@
 }
 
 // ask asks the voters to agree on an entry.
-func ask(t *testing.T, k *agree.Client, e window.Entry) schedule.Answer {
+func propose(t *testing.T, k *agree.Client, e window.Entry) schedule.Answer {
 	t.Helper()
 	entry, err := window.Encode(e)
 	if err != nil {
 		t.Fatal(err)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	text, _, err := k.Propose(ctx, entry)
 	if err != nil {
@@ -156,41 +156,41 @@
 }
 
 // read asks for lines of the door.
-func read(ctx context.Context, k *agree.Client, line string) (string, error) {
+func query(ctx context.Context, k *agree.Client, line string) (string, error) {
 	text, _, err := k.Read(ctx, []byte(line))
 	return string(text), err
 }
 
-var backends = regexp.MustCompile(`backends=(\d+)`)
+var backendsPattern = regexp.MustCompile(`backends=(\d+)`)
 
 // count reads how many backends there are.
-func count(ctx context.Context, k *agree.Client) (n uint64, err error) {
-	text, err := read(ctx, k, "STATUS")
-	if m := backends.FindStringSubmatch(text); m != nil {
+func countBackends(ctx context.Context, k *agree.Client) (n uint64, err error) {
+	text, err := query(ctx, k, "STATUS")
+	if m := backendsPattern.FindStringSubmatch(text); m != nil {
 		n, _ = strconv.ParseUint(m[1], 10, 64)
 	}
 	return n, err
 }
 
 // addOne adds a backend, and compares how many there are.
-func addOne(t *testing.T, k *agree.Client, want uint64) {
+func addBackend(t *testing.T, k *agree.Client, want uint64) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	b := window.Backend{ID: fmt.Sprint("b", want), Region: "r", Zone: "z", Size: 1, Ready: true}
-	if a := ask(t, k, window.Backends{Put: []window.Backend{b}}); a.Result != window.OK {
+	if a := propose(t, k, window.Backends{Put: []window.Backend{b}}); a.Result != window.OK {
 		t.Fatal(a.Describe())
 	}
-	if got, err := count(ctx, k); got != want || err != nil {
+	if got, err := countBackends(ctx, k); got != want || err != nil {
 		t.Fatalf("%d backends (%v), not %d", got, err, want)
 	}
 }
 
 // leads tells whether the voter at addr answers reads, which the leader alone does.
-func leads(k *agree.Client) bool {
+func isLeader(k *agree.Client) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 	defer cancel()
-	_, err := count(ctx, k)
+	_, err := countBackends(ctx, k)
 	return err == nil
 }
 
@@ -200,19 +200,19 @@
 	var voters []*process
 	var direct []*agree.Client
 	for _, c := range set {
-		paths, addrs = append(paths, write(t, c)), append(addrs, c.Listen)
-		direct = append(direct, client(t, c.Listen))
+		paths, addrs = append(paths, writeConfig(t, c)), append(addrs, c.Listen)
+		direct = append(direct, newClient(t, c.Listen))
 	}
 	for _, p := range paths {
-		voters = append(voters, start(t, p))
+		voters = append(voters, startVoter(t, p))
 	}
-	k := client(t, addrs...)
+	k := newClient(t, addrs...)
 	sum := uint64(1)
-	addOne(t, k, sum)
+	addBackend(t, k, sum)
 	leader := func() int {
-		for end := time.Now().Add(patience); time.Now().Before(end); {
+		for end := time.Now().Add(testTimeout); time.Now().Before(end); {
 			for i := range direct {
-				if leads(direct[i]) {
+				if isLeader(direct[i]) {
 					return i
 				}
 			}
@@ -220,7 +220,7 @@
 		t.Fatal("no leader")
 		return -1
 	}
-	again := func(i int) { voters[i] = start(t, paths[i]) }
+	again := func(i int) { voters[i] = startVoter(t, paths[i]) }
 
 	// The leader is killed. The others go on, and it comes back.
 	i := leader()
@@ -228,7 +228,7 @@
 	voters[i].wait(t)
 	for range 5 {
 		sum++
-		addOne(t, k, sum)
+		addBackend(t, k, sum)
 	}
 	again(i)
 
@@ -237,18 +237,18 @@
 	i = leader()
 	voters[i].signal(t, syscall.SIGSTOP)
 	sum++
-	addOne(t, k, sum)
+	addBackend(t, k, sum)
 	type seen struct {
 		value uint64
 		err   error
 	}
 	reads := make(chan seen)
 	for range 4 {
-		old := client(t, addrs[i])
+		old := newClient(t, addrs[i])
 		go func() { // connected and asked while it is stopped
 			ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 			defer cancel()
-			value, err := count(ctx, old)
+			value, err := countBackends(ctx, old)
 			reads <- seen{value, err}
 		}()
 	}
@@ -260,7 +260,7 @@
 		}
 	}
 	sum++
-	addOne(t, k, sum)
+	addBackend(t, k, sum)
 
 	// SIGTERM: the leader hands over and ends well.
 	i = leader()
@@ -269,7 +269,7 @@
 		t.Fatalf("SIGTERM: %v", err)
 	}
 	sum++
-	addOne(t, k, sum)
+	addBackend(t, k, sum)
 	again(i)
 
 	// All are killed at once and start again.
@@ -281,13 +281,13 @@
 		again(i)
 	}
 	sum++
-	addOne(t, k, sum)
+	addBackend(t, k, sum)
 
 	// A second process on one store is refused, and one whose store is lost.
 	i = leader()
 	second := set[i]
 	second.Bind, second.Listen = standin.FreeAddr(t), standin.FreeAddr(t)
-	p := start(t, write(t, second))
+	p := startVoter(t, writeConfig(t, second))
 	if p.wait(t) == nil || !strings.Contains(p.log.String(), "in use by another process") {
 		t.Fatalf("second on one store: %s", p.log.String())
 	}
@@ -302,7 +302,7 @@
 		t.Fatalf("lost store: %s", voters[i].log.String())
 	}
 	sum++
-	addOne(t, k, sum)
+	addBackend(t, k, sum)
 
 	// It comes back by a new name, by the commands for it.
 	joiner := set[i]
@@ -310,7 +310,7 @@
 	old := set[i].Name
 	for _, args := range [][]string{{"remove", paths[(i+1)%3], old}, {"add", paths[(i+1)%3], "v9", joiner.Bind}} {
 		if args[0] == "add" {
-			paths[i] = write(t, joiner)
+			paths[i] = writeConfig(t, joiner)
 			again(i)
 		}
 		if out, err := exec.Command(program, args...).CombinedOutput(); err != nil {
@@ -321,20 +321,20 @@
 	voters[j].signal(t, syscall.SIGKILL)
 	voters[j].wait(t)
 	sum++
-	addOne(t, k, sum)
+	addBackend(t, k, sum)
 }
 
 // At rest a voter takes little. The figure is logged, and bounded widely.
-func TestAtRest(t *testing.T) {
+func TestIdleMemory(t *testing.T) {
 	set := configs(t)
 	var voters []*process
 	var addrs []string
 	for _, c := range set {
-		voters, addrs = append(voters, start(t, write(t, c))), append(addrs, c.Listen)
+		voters, addrs = append(voters, startVoter(t, writeConfig(t, c))), append(addrs, c.Listen)
 	}
-	k := client(t, addrs...)
+	k := newClient(t, addrs...)
 	for sum := uint64(1); sum <= 100; sum++ {
-		addOne(t, k, sum)
+		addBackend(t, k, sum)
 	}
 	info, err := os.Stat(program)
 	if err != nil {
@@ -355,7 +355,7 @@
 }
 
 // What is wrong is one line on standard error, and the exit is not zero.
-func TestPlainErrors(t *testing.T) {
+func TestErrorOutput(t *testing.T) {
 	good := configs(t)[0]
 	change := func(f func(*config)) config {
 		c := good
@@ -382,13 +382,13 @@
 		{change(func(c *config) { c.Join = true }), "join: v1 is of the initial set"},
 	} {
 		for _, command := range []string{"check", "serve"} {
-			out, err := exec.Command(program, command, write(t, x.c)).CombinedOutput()
+			out, err := exec.Command(program, command, writeConfig(t, x.c)).CombinedOutput()
 			if err == nil || !strings.Contains(string(out), x.want) || strings.Count(string(out), "\n") != 1 {
 				t.Errorf("%s: %v, %q, not %q", command, err, out, x.want)
 			}
 		}
 	}
-	out, err := exec.Command(program, "check", write(t, good)).CombinedOutput()
+	out, err := exec.Command(program, "check", writeConfig(t, good)).CombinedOutput()
 	if err != nil || string(out) != "ok\n" {
 		t.Errorf("good: %v, %q", err, out)
 	}
@@ -424,7 +424,7 @@
 		if err := os.WriteFile(path, text, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if c, err := load(path); err == nil && (c.Name == "" || len(c.Voters) == 0) {
+		if c, err := loadConfig(path); err == nil && (c.Name == "" || len(c.Voters) == 0) {
 			t.Fatalf("%s is taken", text)
 		}
 	})
--- a/cmd/oxbowvoter/window_test.go
+++ b/cmd/oxbowvoter/window_test.go
@@ -14,13 +14,13 @@
 )
 
 // shown waits until a window's line says what is wanted.
-func shown(t *testing.T, k *agree.Client, id, want string) string {
+func awaitWindow(t *testing.T, k *agree.Client, id, want string) string {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	text := ""
 	for ; ctx.Err() == nil; time.Sleep(50 * time.Millisecond) {
-		if line, err := read(ctx, k, "SHOW "+id); err == nil {
+		if line, err := query(ctx, k, "SHOW "+id); err == nil {
 			if text = line; strings.Contains(line, want) {
 				return line
 			}
@@ -37,14 +37,14 @@
 	var addrs, paths []string
 	var voters []*process
 	for _, c := range configs(t) {
-		path := write(t, c)
+		path := writeConfig(t, c)
 		addrs, paths = append(addrs, c.Listen), append(paths, path)
-		voters = append(voters, start(t, path))
+		voters = append(voters, startVoter(t, path))
 	}
-	k := client(t, addrs...)
+	k := newClient(t, addrs...)
 	ok := func(e window.Entry) schedule.Answer {
 		t.Helper()
-		a := ask(t, k, e)
+		a := propose(t, k, e)
 		if a.Result != window.OK && a.Result != window.Repeat {
 			t.Fatal(a.Describe())
 		}
@@ -65,7 +65,7 @@
 	if a := ok(plan("p1", "b0")); a.Result != window.Repeat {
 		t.Errorf("the same plan again: %s", a.Describe())
 	}
-	first := shown(t, k, "p1", "fence=")
+	first := awaitWindow(t, k, "p1", "fence=")
 	fence := ok(plan("p1", "b0")).Window.Fence
 
 	// The first is drained while a voter dies, then all die; it stays granted, once.
@@ -73,29 +73,29 @@
 	voters[0].signal(t, syscall.SIGKILL)
 	voters[0].wait(t)
 	ok(window.Drained{ID: "p1", Fence: fence, Member: "n2"})
-	shown(t, k, "p1", "state=out")
-	voters[0] = start(t, paths[0])
+	awaitWindow(t, k, "p1", "state=out")
+	voters[0] = startVoter(t, paths[0])
 	for _, v := range voters {
 		v.signal(t, syscall.SIGKILL)
 	}
 	for i, v := range voters {
 		v.wait(t)
-		voters[i] = start(t, paths[i])
+		voters[i] = startVoter(t, paths[i])
 	}
-	line := shown(t, k, "p1", "state=out")
+	line := awaitWindow(t, k, "p1", "state=out")
 	if again := ok(plan("p1", "b0")).Window.Fence; again != fence {
 		t.Errorf("granted with %v, then with %v: %s then %s", fence, again, first, line)
 	}
-	shown(t, k, "p2", "state=planned")
-	if a := ask(t, k, window.Drained{ID: "p1", Fence: fence - 1, Member: "n1"}); a.Result != window.Stale {
+	awaitWindow(t, k, "p2", "state=planned")
+	if a := propose(t, k, window.Drained{ID: "p1", Fence: fence - 1, Member: "n1"}); a.Result != window.Stale {
 		t.Errorf("a confirmation with an old fence: %s", a.Describe())
 	}
 
 	// It comes back, and the second's turn comes.
 	ok(window.Return{ID: "p1", Fence: fence})
 	ok(window.Returned{ID: "p1", Fence: fence})
-	shown(t, k, "p1", "state=done")
-	shown(t, k, "p2", "fence=")
+	awaitWindow(t, k, "p1", "state=done")
+	awaitWindow(t, k, "p2", "fence=")
 	if next := ok(plan("p2", "b1")).Window.Fence; next <= fence {
 		t.Errorf("fence %v after %v", next, fence)
 	}
--- a/fleet/agree/agree_test.go
+++ b/fleet/agree/agree_test.go
@@ -16,7 +16,7 @@
 	"oxbowloft/internal/standin"
 )
 
-func TestAgree(t *testing.T) {
+func TestPropose(t *testing.T) {
 	for _, n := range []int{1, 3, 5} {
 		c := newCluster(t, n, newRegister, nil).start()
 		k := c.client()
@@ -32,19 +32,19 @@
 }
 
 // hooked calls a hook before it applies an entry of the register machine.
-type hooked struct {
+type hookedMachine struct {
 	*register.Machine
 	hook func(entry []byte)
 }
 
-func (h hooked) Apply(index uint64, entry []byte) []byte {
+func (h hookedMachine) Apply(index uint64, entry []byte) []byte {
 	h.hook(entry)
 	return h.Machine.Apply(index, entry)
 }
 
 // A leader that dies between a decision and its answer leaves the asker without
 // one; asked again, the entry has been applied once.
-func TestLeaderDiesBeforeItsAnswer(t *testing.T) {
+func TestLeaderStopsBeforeReply(t *testing.T) {
 	var c *cluster
 	var once sync.Once
 	marked := register.Add(0, 1000)
@@ -52,7 +52,7 @@
 	c = newCluster(t, 3, nil, nil)
 	for _, n := range c.nodes {
 		n.machine = func() Machine {
-			return hooked{register.New(), func(entry []byte) {
+			return hookedMachine{register.New(), func(entry []byte) {
 				if bytes.Equal(entry, marked) && n.voter.leading() {
 					once.Do(func() {
 						n.server.Close() // the asker is without an answer from here on
@@ -67,7 +67,7 @@
 	c.add(k, 1)
 	var stopped sync.WaitGroup
 	stopped.Go(func() { (<-dead).stop() })
-	answer, index, err := k.Propose(within(t), marked)
+	answer, index, err := k.Propose(testContext(t), marked)
 	if got := value(t, answer, err); got != 1001 {
 		t.Fatalf("answered %d, not 1001", got)
 	}
@@ -81,15 +81,15 @@
 }
 
 // An ask is answered alike however often it comes.
-func TestAskedAgain(t *testing.T) {
+func TestRetriedProposal(t *testing.T) {
 	c := newCluster(t, 3, newRegister, nil).start()
 	v := c.leader().voter
-	ctx := within(t)
+	ctx := testContext(t)
 	session, err := v.openSession(ctx)
 	if err != nil {
 		t.Fatal(err)
 	}
-	ask := sessionEntry{Session: session, Seq: 1, Entry: register.Add(0, 5)}
+	ask := sessionEntry{Session: session, Seq: 1, Data: register.Add(0, 5)}
 	first, index, err := v.propose(ctx, ask)
 	value(t, first, err)
 	for range 3 {
@@ -102,11 +102,11 @@
 		ask  sessionEntry
 		want error
 	}{
-		{sessionEntry{Session: session, Seq: 2, Done: 1, Entry: register.Add(0, 1)}, nil},
+		{sessionEntry{Session: session, Seq: 2, Confirmed: 1, Data: register.Add(0, 1)}, nil},
 		{ask, ErrConfirmed},
-		{sessionEntry{Session: session, Entry: ask.Entry}, ErrConfirmed},
-		{sessionEntry{Session: 1 << 40, Seq: 1, Entry: ask.Entry}, ErrUnknownSession},
-		{sessionEntry{Session: session, Seq: 3, Entry: make([]byte, MaxEntry+1)}, ErrTooLong},
+		{sessionEntry{Session: session, Data: ask.Data}, ErrConfirmed},
+		{sessionEntry{Session: 1 << 40, Seq: 1, Data: ask.Data}, ErrUnknownSession},
+		{sessionEntry{Session: session, Seq: 3, Data: make([]byte, MaxEntry+1)}, ErrTooLong},
 	} {
 		if _, _, err := v.propose(ctx, x.ask); !errors.Is(err, x.want) {
 			t.Errorf("%d/%d: %v, not %v", x.ask.Session, x.ask.Seq, err, x.want)
@@ -115,7 +115,7 @@
 }
 
 // Half of the voters cut off decide nothing, and take part once they are back.
-func TestCutOff(t *testing.T) {
+func TestPartition(t *testing.T) {
 	c := newCluster(t, 5, newRegister, nil).start()
 	k := c.client()
 	c.add(k, 1)
@@ -127,13 +127,13 @@
 		}
 	}
 	for _, n := range cut {
-		n.setCut(true)
+		n.setIsolated(true)
 	}
 	// The cut leader, asked directly, grants nothing.
-	if _, _, err := lead.voter.propose(within(t), sessionEntry{Session: 1, Seq: 1, Entry: register.Add(0, 1)}); err == nil {
+	if _, _, err := lead.voter.propose(testContext(t), sessionEntry{Session: 1, Seq: 1, Data: register.Add(0, 1)}); err == nil {
 		t.Fatal("a leader cut off agreed to an ask")
 	}
-	if _, _, err := lead.voter.read(within(t), register.Get(0)); err == nil {
+	if _, _, err := lead.voter.read(testContext(t), register.Get(0)); err == nil {
 		t.Fatal("a leader cut off answered a read")
 	}
 	if got := c.add(k, 1); got != 2 {
@@ -141,25 +141,25 @@
 	}
 	// A third one cut off: no majority is left.
 	third := c.leader()
-	third.setCut(true)
-	ctx, cancel := context.WithTimeout(context.Background(), 5*heartbeat)
+	third.setIsolated(true)
+	ctx, cancel := context.WithTimeout(context.Background(), 5*testHeartbeat)
 	defer cancel()
-	asking := k.prepare(register.Add(0, 1))
-	defer asking.drop()
-	if _, _, err := asking.do(ctx); err == nil {
+	asking := k.newProposal(register.Add(0, 1))
+	defer asking.release()
+	if _, _, err := asking.submit(ctx); err == nil {
 		t.Fatal("two of five agreed")
 	}
 	for _, n := range append(cut, third) {
-		n.setCut(false)
+		n.setIsolated(false)
 	}
-	answer, _, err := asking.do(within(t))
+	answer, _, err := asking.submit(testContext(t))
 	if got := value(t, answer, err); got != 3 {
 		t.Fatalf("all back: %d, not 3", got)
 	}
 }
 
 // All voters ended at once go on with what they had.
-func TestAllStopped(t *testing.T) {
+func TestRestartOfAllVoters(t *testing.T) {
 	c := newCluster(t, 3, newRegister, func(cfg *Config) {
 		cfg.SnapshotThreshold, cfg.TrailingEntries, cfg.SnapshotInterval = 16, 4, 20*time.Millisecond
 	}).start()
@@ -200,7 +200,7 @@
 }
 
 // faulty makes a store fail from some write on, before or after it is on disk.
-func faulty(s *logStore, after bool) (arm func()) {
+func injectWriteFault(s *logStore, after bool) (arm func()) {
 	var armed bool
 	var mu sync.Mutex
 	s.update = func(f func(*bbolt.Tx) error) error {
@@ -228,7 +228,7 @@
 		c := newCluster(t, 3, newRegister, nil)
 		arms := map[*node]func(){}
 		for _, n := range c.nodes {
-			n.fault = func(s *logStore) { arms[n] = faulty(s, after) }
+			n.fault = func(s *logStore) { arms[n] = injectWriteFault(s, after) }
 		}
 		c.start()
 		k := c.client()
@@ -240,7 +240,7 @@
 				t.Fatalf("after=%v: %d, not %d", after, got, sum)
 			}
 			<-lead.voter.Done()
-			if err := lead.voter.cause(); err == nil || !bytes.Contains([]byte(err.Error()), []byte("no space")) {
+			if err := lead.voter.exitError(); err == nil || !bytes.Contains([]byte(err.Error()), []byte("no space")) {
 				t.Fatalf("after=%v: ended with %v", after, err)
 			}
 			lead.stop()
@@ -256,11 +256,11 @@
 }
 
 // A term or vote that can't be kept ends the voter, without raft's panic.
-func TestDiskFullAtAnElection(t *testing.T) {
+func TestDiskFullDuringElection(t *testing.T) {
 	c := newCluster(t, 3, newRegister, nil)
 	arms := map[*node]func(){}
 	for _, n := range c.nodes {
-		n.fault = func(s *logStore) { arms[n] = faulty(s, false) }
+		n.fault = func(s *logStore) { arms[n] = injectWriteFault(s, false) }
 	}
 	c.start()
 	k := c.client()
@@ -278,7 +278,7 @@
 	// Of the two left one asks for a vote first; without it there is no second.
 	await(t, "the end of one", func() bool {
 		for _, n := range c.nodes {
-			if n != lead && n.voter.cause() != nil {
+			if n != lead && n.voter.exitError() != nil {
 				return true
 			}
 		}
@@ -295,7 +295,7 @@
 
 // A voter that has lost its store does not vote under its old name, but may be
 // removed and added by another.
-func TestLostStore(t *testing.T) {
+func TestLostStoreIsNotReused(t *testing.T) {
 	c := newCluster(t, 3, newRegister, nil).start()
 	k := c.client()
 	c.add(k, 7)
@@ -314,7 +314,7 @@
 		t.Fatal(err)
 	}
 	<-lost.voter.Done()
-	if err := lost.voter.cause(); !errors.Is(err, errLost) {
+	if err := lost.voter.exitError(); !errors.Is(err, errStoreLost) {
 		t.Fatalf("ended with %v", err)
 	}
 	lost.stop()
@@ -324,19 +324,19 @@
 	if err := lost.start(); err != nil {
 		t.Fatal(err)
 	}
-	if err := k.RemoveVoter(within(t), old); err != nil {
+	if err := k.RemoveVoter(testContext(t), old); err != nil {
 		t.Fatal(err)
 	}
-	if err := k.AddVoter(within(t), "v9", lost.cfg.Bind); err != nil {
+	if err := k.AddVoter(testContext(t), "v9", lost.cfg.Bind); err != nil {
 		t.Fatal(err)
 	}
 	// A leader that is removed ends. Without it the new one is needed for a majority.
 	lead = c.leader()
-	if err := k.RemoveVoter(within(t), lead.cfg.Name); err != nil {
+	if err := k.RemoveVoter(testContext(t), lead.cfg.Name); err != nil {
 		t.Fatal(err)
 	}
 	<-lead.voter.Done()
-	if err := lead.voter.cause(); !errors.Is(err, errRemoved) {
+	if err := lead.voter.exitError(); !errors.Is(err, errRemoved) {
 		t.Fatalf("removed leader ended with %v", err)
 	}
 	if got := c.add(k, 1); got != 8 {
@@ -351,7 +351,7 @@
 func TestBusy(t *testing.T) {
 	hold := make(chan struct{})
 	c := newCluster(t, 1, func() Machine {
-		return hooked{register.New(), func([]byte) { <-hold }}
+		return hookedMachine{register.New(), func([]byte) { <-hold }}
 	}, func(cfg *Config) { cfg.MaxPending = 2 }).start()
 	v := c.leader().voter
 	ctx, cancel := context.WithCancel(context.Background())
@@ -363,13 +363,13 @@
 	saw := make(chan error, 1024)
 	await(t, "busy", func() bool {
 		asks.Go(func() {
-			_, _, err := v.propose(ctx, sessionEntry{Session: session, Seq: 1, Entry: register.Add(0, 1)})
+			_, _, err := v.propose(ctx, sessionEntry{Session: session, Seq: 1, Data: register.Add(0, 1)})
 			saw <- err
 		})
 		select {
 		case err := <-saw:
 			var busy *busyError
-			if !errors.As(err, &busy) || busy.ComeBack <= 0 {
+			if !errors.As(err, &busy) || busy.RetryAfter <= 0 {
 				t.Fatalf("%v, not busy", err)
 			}
 			return true
@@ -381,7 +381,7 @@
 	close(hold)
 	asks.Wait()
 	c.nodes[0].stop()
-	if _, _, err := v.propose(within(t), sessionEntry{Session: session, Seq: 1}); !errors.Is(err, ErrShutdown) {
+	if _, _, err := v.propose(testContext(t), sessionEntry{Session: session, Seq: 1}); !errors.Is(err, ErrShutdown) {
 		t.Fatalf("after its end: %v", err)
 	}
 }
@@ -394,7 +394,7 @@
 	k := c.client()
 	begin := time.Now()
 	passed := func() time.Duration {
-		answer, _, err := k.Read(within(t), register.Elapsed())
+		answer, _, err := k.Read(testContext(t), register.Elapsed())
 		return time.Duration(value(t, answer, err))
 	}
 	await(t, "time", func() bool { return passed() > 100*time.Millisecond })
@@ -418,7 +418,7 @@
 func TestSubscribe(t *testing.T) {
 	c := newCluster(t, 3, newRegister, nil).start()
 	k := c.client()
-	ctx, cancel := context.WithCancel(within(t))
+	ctx, cancel := context.WithCancel(testContext(t))
 	var got []effect
 	var seen sync.WaitGroup
 	const all = 300
@@ -436,7 +436,7 @@
 	asker := c.client()
 	var want []effect
 	for i := range all {
-		answer, index, err := asker.Propose(within(t), register.Add(0, 1))
+		answer, index, err := asker.Propose(testContext(t), register.Add(0, 1))
 		value(t, answer, err)
 		want = append(want, effect{index, answer})
 		if i == all/2 {
@@ -458,9 +458,9 @@
 	}
 	v := c.leader().voter
 	v.fsm.mu.Lock()
-	v.fsm.droppedTo = 100
+	v.fsm.lastDropped = 100
 	v.fsm.mu.Unlock()
-	var gone *goneError
+	var gone *compactedError
 	if _, _, err := v.effects(100, 1); !errors.As(err, &gone) || gone.Oldest != 101 {
 		t.Fatalf("effects lost: %v", err)
 	}
--- a/fleet/agree/backoff.go
+++ b/fleet/agree/backoff.go
@@ -10,18 +10,18 @@
 // backoff waits longer after each try, by a random part (Brooker, "Exponential
 // Backoff and Jitter", 2015).
 type backoff struct {
-	cfg   *ClientConfig
-	tries int
+	cfg      *ClientConfig
+	attempts int
 }
 
 // sleep waits before the next try after err. It returns ctx's error when it is over.
 func (b *backoff) sleep(ctx context.Context, err error) error {
-	bound := min(b.cfg.InitialBackoff<<min(b.tries, 16), b.cfg.MaxBackoff)
-	b.tries++
+	bound := min(b.cfg.InitialBackoff<<min(b.attempts, 16), b.cfg.MaxBackoff)
+	b.attempts++
 	wait := bound/2 + rand.N(bound/2+1)
 	var busy *busyError
 	if errors.As(err, &busy) {
-		wait = busy.ComeBack + rand.N(busy.ComeBack/2+1)
+		wait = busy.RetryAfter + rand.N(busy.RetryAfter/2+1)
 	}
 	t := time.NewTimer(wait)
 	defer t.Stop()
--- a/fleet/agree/pages.go
+++ b/fleet/agree/bolt_pages.go
@@ -18,19 +18,19 @@
 	boltMagic   = 0xED0CDAED
 	boltVersion = 2
 
-	pageHeaderSize   = 8 + 2 + 2 + 4 // id, flags, count, overflow
-	pageBranch       = 1
-	pageLeaf         = 2
-	branchSize       = 4 + 4 + 8     // position, key size, page
-	leafSize         = 4 + 4 + 4 + 4 // flags, position, key size, value size
-	leafBucket       = 1             // flag: the value is a bucket
-	bucketHeaderSize = 8 + 8         // root page or 0, sequence
-	metaSize         = 64
-	metaSum          = 56
-	metaPageSize     = 8 // offsets in a meta page after its head
-	metaRoot         = 16
-	metaPages        = 40
-	metaTx           = 48
+	pageHeaderSize    = 8 + 2 + 2 + 4 // id, flags, count, overflow
+	pageFlagBranch    = 1
+	pageFlagLeaf      = 2
+	branchElementSize = 4 + 4 + 8     // position, key size, page
+	leafElementSize   = 4 + 4 + 4 + 4 // flags, position, key size, value size
+	leafFlagBucket    = 1             // flag: the value is a bucket
+	bucketHeaderSize  = 8 + 8         // root page or 0, sequence
+	metaSize          = 64
+	metaChecksum      = 56
+	metaPageSize      = 8 // offsets in a meta page after its head
+	metaRootPage      = 16
+	metaPageCount     = 40
+	metaTxID          = 48
 )
 
 var byteOrder = binary.NativeEndian
@@ -39,9 +39,9 @@
 type pageWalk struct {
 	file     *os.File
 	pageSize uint64 // of a page
-	limit    uint64 // pages from here on are not in use
-	seen     map[uint64]bool
-	unread   []uint64 // found, not read yet
+	endPage  uint64 // pages from here on are not in use
+	used     map[uint64]bool
+	queue    []uint64 // found, not read yet
 }
 
 // checkPages checks the meta pages, the length and the tree of a bolt file.
@@ -58,9 +58,9 @@
 	if err := p.enqueue(root); err != nil {
 		return err
 	}
-	for len(p.unread) > 0 {
-		id := p.unread[len(p.unread)-1]
-		p.unread = p.unread[:len(p.unread)-1]
+	for len(p.queue) > 0 {
+		id := p.queue[len(p.queue)-1]
+		p.queue = p.queue[:len(p.queue)-1]
 		if err := p.checkPage(id); err != nil {
 			return fmt.Errorf("page %d: %w", id, err)
 		}
@@ -74,7 +74,7 @@
 	if err != nil {
 		return 0, nil, err
 	}
-	p = &pageWalk{file: f, pageSize: uint64(os.Getpagesize()), seen: map[uint64]bool{}}
+	p = &pageWalk{file: f, pageSize: uint64(os.Getpagesize()), used: map[uint64]bool{}}
 	var newest uint64
 	for id := range uint64(2) {
 		meta := make([]byte, metaSize)
@@ -84,20 +84,20 @@
 			return 0, nil, err
 		}
 		sum := fnv.New64a()
-		sum.Write(meta[:metaSum])
-		if byteOrder.Uint32(meta) != boltMagic || byteOrder.Uint64(meta[metaSum:]) != sum.Sum64() {
+		sum.Write(meta[:metaChecksum])
+		if byteOrder.Uint32(meta) != boltMagic || byteOrder.Uint64(meta[metaChecksum:]) != sum.Sum64() {
 			return 0, nil, fmt.Errorf("meta page %d: checksum mismatch", id)
 		}
 		if v := byteOrder.Uint32(meta[4:]); v != boltVersion {
 			return 0, nil, fmt.Errorf("meta page %d: version %d, not %d", id, v, boltVersion)
 		}
 		p.pageSize = uint64(byteOrder.Uint32(meta[metaPageSize:]))
-		last := byteOrder.Uint64(meta[metaPages:])
+		last := byteOrder.Uint64(meta[metaPageCount:])
 		if p.pageSize < 512 || last > uint64(info.Size())/p.pageSize {
 			return 0, nil, fmt.Errorf("torn: %d bytes, %d pages of %d in use", info.Size(), last, p.pageSize)
 		}
-		if tx := byteOrder.Uint64(meta[metaTx:]); id == 0 || tx > newest {
-			newest, p.limit, root = tx, last, byteOrder.Uint64(meta[metaRoot:])
+		if tx := byteOrder.Uint64(meta[metaTxID:]); id == 0 || tx > newest {
+			newest, p.endPage, root = tx, last, byteOrder.Uint64(meta[metaRootPage:])
 		}
 	}
 	return root, p, nil
@@ -105,19 +105,19 @@
 
 // enqueue notes a page that is part of the tree.
 func (p *pageWalk) enqueue(id uint64) error {
-	if id < 2 || id >= p.limit {
-		return fmt.Errorf("page %d of %d named", id, p.limit)
+	if id < 2 || id >= p.endPage {
+		return fmt.Errorf("page %d of %d named", id, p.endPage)
 	}
-	p.unread = append(p.unread, id)
+	p.queue = append(p.queue, id)
 	return nil
 }
 
 // markUsed marks a page as used; each is used once.
 func (p *pageWalk) markUsed(id uint64) error {
-	if p.seen[id] {
+	if p.used[id] {
 		return errors.New("used twice")
 	}
-	p.seen[id] = true
+	p.used[id] = true
 	return nil
 }
 
@@ -130,8 +130,8 @@
 		return fmt.Errorf("says that it is %d", got)
 	}
 	overflow := uint64(byteOrder.Uint32(head[12:]))
-	if id+overflow >= p.limit {
-		return fmt.Errorf("%d pages after it of %d", overflow, p.limit)
+	if id+overflow >= p.endPage {
+		return fmt.Errorf("%d pages after it of %d", overflow, p.endPage)
 	}
 	for i := range overflow + 1 {
 		if err := p.markUsed(id + i); err != nil {
@@ -151,11 +151,11 @@
 		return fmt.Errorf("%d bytes", len(b))
 	}
 	flags, count := byteOrder.Uint16(b[8:]), int(byteOrder.Uint16(b[10:]))
-	size := leafSize
+	size := leafElementSize
 	switch {
-	case flags == pageBranch && whole && count > 0:
-		size = branchSize
-	case flags == pageLeaf:
+	case flags == pageFlagBranch && whole && count > 0:
+		size = branchElementSize
+	case flags == pageFlagLeaf:
 	default:
 		return fmt.Errorf("flags %d, %d elements", flags, count)
 	}
@@ -165,7 +165,7 @@
 	for i := range count {
 		at := pageHeaderSize + i*size
 		e := b[at:]
-		if flags == pageBranch {
+		if flags == pageFlagBranch {
 			if uint64(at)+uint64(byteOrder.Uint32(e))+uint64(byteOrder.Uint32(e[4:])) > uint64(len(b)) {
 				return fmt.Errorf("element %d beyond its end", i)
 			}
@@ -179,9 +179,9 @@
 		if to > uint64(len(b)) {
 			return fmt.Errorf("element %d beyond its end", i)
 		}
-		if flag := byteOrder.Uint32(e); flag > leafBucket {
+		if flag := byteOrder.Uint32(e); flag > leafFlagBucket {
 			return fmt.Errorf("element %d: flags %d", i, flag)
-		} else if flag == leafBucket {
+		} else if flag == leafFlagBucket {
 			if err := p.checkBucket(b[from:to]); err != nil {
 				return fmt.Errorf("bucket: %w", err)
 			}
--- a/fleet/agree/client.go
+++ b/fleet/agree/client.go
@@ -20,7 +20,7 @@
 }
 
 // fill checks the configuration and replaces what is 0 by its default.
-func (c *ClientConfig) fill() error {
+func (c *ClientConfig) setDefaults() error {
 	if len(c.Voters) == 0 {
 		return errors.New("agree: client: no voters")
 	}
@@ -38,7 +38,7 @@
 	if c.MaxProposals == 0 {
 		c.MaxProposals = 8
 	}
-	c.MaxProposals = min(c.MaxProposals, maxHeld/2)
+	c.MaxProposals = min(c.MaxProposals, maxUnconfirmed/2)
 	return nil
 }
 
@@ -67,7 +67,7 @@
 // NewClient returns a client, which connects at its first call. It returns an error if
 // cfg.Voters is empty.
 func NewClient(cfg ClientConfig, log *slog.Logger) (*Client, error) {
-	if err := cfg.fill(); err != nil {
+	if err := cfg.setDefaults(); err != nil {
 		return nil, err
 	}
 	return &Client{
@@ -114,14 +114,14 @@
 // sent to it. It returns an error if raft refuses the change.
 func (c *Client) AddVoter(ctx context.Context, name, address string) error {
 	_, err := c.retry(ctx, func() *request {
-		return &request{Kind: requestAdd, Name: name, Address: address}
+		return &request{Kind: requestAddVoter, Name: name, Address: address}
 	}, nil)
 	return err
 }
 
 // Remove removes the voter with a name from the set. The name must not be used again.
 func (c *Client) RemoveVoter(ctx context.Context, name string) error {
-	_, err := c.retry(ctx, func() *request { return &request{Kind: requestRemove, Name: name} }, nil)
+	_, err := c.retry(ctx, func() *request { return &request{Kind: requestRemoveVoter, Name: name} }, nil)
 	return err
 }
 
@@ -130,7 +130,7 @@
 func (c *Client) retry(ctx context.Context, newRequest func() *request, unknown *bool) (*reply, error) {
 	wait := backoff{cfg: &c.cfg}
 	for {
-		r, sent, err := c.try(ctx, newRequest)
+		r, sent, err := c.attempt(ctx, newRequest)
 		if err == nil {
 			return r, nil
 		}
@@ -157,18 +157,18 @@
 
 // try sends a request once and waits for the reply for ClientConfig.Try. The reply is nil if
 // there was none; sent tells whether the request may have reached the voter.
-func (c *Client) try(ctx context.Context, newRequest func() *request) (r *reply, sent bool, err error) {
+func (c *Client) attempt(ctx context.Context, newRequest func() *request) (r *reply, sent bool, err error) {
 	conn, err := c.connect(ctx)
 	if err != nil {
 		return nil, false, err
 	}
 	q := newRequest()
-	q.Patience = c.cfg.RequestTimeout.Milliseconds()
-	waiter, err := conn.ask(q, 1)
+	q.Timeout = c.cfg.RequestTimeout.Milliseconds()
+	waiter, err := conn.send(q, 1)
 	if err != nil {
 		return nil, true, err
 	}
-	defer conn.drop(waiter)
+	defer conn.forget(waiter)
 	patience := time.NewTimer(c.cfg.RequestTimeout)
 	defer patience.Stop()
 	select {
--- a/fleet/agree/client_conn.go
+++ b/fleet/agree/client_conn.go
@@ -93,7 +93,7 @@
 
 // ask sends a request under a new number. Up to room replies are buffered. An error says that
 // the connection is closed, or that the request is longer than a frame.
-func (c *clientConn) ask(q *request, room int) (*replyWaiter, error) {
+func (c *clientConn) send(q *request, room int) (*replyWaiter, error) {
 	c.mu.Lock()
 	if c.state == connClosed {
 		defer c.mu.Unlock()
@@ -106,7 +106,7 @@
 	c.mu.Unlock()
 	frame, err := encodeFrame(q)
 	if err != nil {
-		c.drop(w)
+		c.forget(w)
 		return nil, err
 	}
 	c.writeMu.Lock()
@@ -120,7 +120,7 @@
 }
 
 // drop ends the wait for replies; later ones are discarded.
-func (c *clientConn) drop(w *replyWaiter) {
+func (c *clientConn) forget(w *replyWaiter) {
 	c.mu.Lock()
 	delete(c.waiting, w.id)
 	idle := c.state == connDraining && len(c.waiting) == 0
@@ -157,7 +157,7 @@
 	}
 	select {
 	case w.replies <- r:
-		if r.Code == codeMore {
+		if r.Code == codeEffect {
 			return
 		}
 	default:
@@ -176,7 +176,7 @@
 			return
 		case <-t.C:
 			// The answer is dropped when it comes; none at all ends the reader's wait.
-			c.ask(&request{Kind: requestPing}, 1)
+			c.send(&request{Kind: requestPing}, 1)
 		}
 	}
 }
--- a/fleet/agree/client_ask.go
+++ b/fleet/agree/client_propose.go
@@ -11,29 +11,31 @@
 // ErrSession that it may have been and that nobody can tell any more; after any other error it
 // was not applied and won't be.
 func (c *Client) Propose(ctx context.Context, entry []byte) (answer []byte, index uint64, err error) {
-	a := c.prepare(entry)
-	defer a.drop()
-	return a.do(ctx)
+	a := c.newProposal(entry)
+	defer a.release()
+	return a.submit(ctx)
 }
 
 // clientAsk is one ask, which may be asked any number of times. It is for one goroutine.
-type clientAsk struct {
-	client  *Client
-	entry   []byte
-	session uint64 // 0: not asked yet
-	seq     uint64
-	unknown bool // a try may have been applied
+type clientProposal struct {
+	client       *Client
+	entry        []byte
+	session      uint64 // 0: not asked yet
+	seq          uint64
+	maybeApplied bool // a try may have been applied
 }
 
 // prepare returns an ask that has not been sent. It must be dropped at the end.
-func (c *Client) prepare(entry []byte) *clientAsk { return &clientAsk{client: c, entry: entry} }
+func (c *Client) newProposal(entry []byte) *clientProposal {
+	return &clientProposal{client: c, entry: entry}
+}
 
 // do asks, again and again under the same sequence, until it knows or ctx is
 // over, and returns the machine's answer and the index at which the entry was
 // applied. ErrUnknown says that it may be applied, now or later: only another do
 // tells. ErrSession says that it may have been and that nobody can tell any more.
 // After any other error it isn't and won't be applied by the tries so far.
-func (a *clientAsk) do(ctx context.Context) (answer []byte, index uint64, err error) {
+func (a *clientProposal) submit(ctx context.Context) (answer []byte, index uint64, err error) {
 	if len(a.entry) > MaxEntry {
 		return nil, 0, ErrTooLong
 	}
@@ -41,7 +43,7 @@
 	case a.client.slots <- struct{}{}:
 		defer func() { <-a.client.slots }()
 	case <-ctx.Done():
-		return nil, 0, a.orUnknown(ctx.Err())
+		return nil, 0, a.orOutcomeUnknown(ctx.Err())
 	}
 	for {
 		if a.session == 0 {
@@ -52,34 +54,34 @@
 		}
 		r, err := a.client.retry(ctx, func() *request {
 			return &request{
-				Kind: requestAsk, Session: a.session, Seq: a.seq, Done: a.client.confirmedSeq(), Body: a.entry,
+				Kind: requestPropose, Session: a.session, Seq: a.seq, Confirmed: a.client.confirmedSeq(), Body: a.entry,
 			}
-		}, &a.unknown)
+		}, &a.maybeApplied)
 		if err == nil {
-			a.unknown = false
+			a.maybeApplied = false
 			return r.Body, r.Index, nil
 		}
 		if !errors.Is(err, ErrUnknownSession) {
-			return nil, 0, a.orUnknown(err)
+			return nil, 0, a.orOutcomeUnknown(err)
 		}
 		a.client.forgetSession(a.session)
-		if a.unknown {
+		if a.maybeApplied {
 			return nil, 0, ErrUnknownSession
 		}
-		a.drop()
+		a.release()
 	}
 }
 
 // orUnknown is err, or ErrUnknown if a try may have been applied.
-func (a *clientAsk) orUnknown(err error) error {
-	if a.unknown {
+func (a *clientProposal) orOutcomeUnknown(err error) error {
+	if a.maybeApplied {
 		return ErrOutcomeUnknown
 	}
 	return err
 }
 
 // drop gives up the sequence of the ask: its answer need not be kept any more.
-func (a *clientAsk) drop() {
+func (a *clientProposal) release() {
 	if a.session != 0 {
 		a.client.releaseSeq(a.seq)
 		a.session = 0
@@ -100,7 +102,7 @@
 	if session != 0 {
 		return session, nil
 	}
-	r, err := c.retry(ctx, func() *request { return &request{Kind: requestOpen} }, nil)
+	r, err := c.retry(ctx, func() *request { return &request{Kind: requestOpenSession} }, nil)
 	if err != nil {
 		return 0, err
 	}
--- a/fleet/agree/client_subscribe.go
+++ b/fleet/agree/client_subscribe.go
@@ -13,8 +13,8 @@
 	for {
 		before := from
 		err := c.subscribeOnce(ctx, &from, f)
-		var gone *goneError
-		var own *callerError
+		var gone *compactedError
+		var own *callbackError
 		switch {
 		case errors.As(err, &own):
 			return own.error
@@ -22,7 +22,7 @@
 			return err
 		}
 		if from > before {
-			wait.tries = 0
+			wait.attempts = 0
 		}
 		if err := wait.sleep(ctx, err); err != nil {
 			return err
@@ -31,18 +31,18 @@
 }
 
 // callerError is an error of the caller's own function.
-type callerError struct{ error }
+type callbackError struct{ error }
 
 func (c *Client) subscribeOnce(ctx context.Context, from *uint64, f func(effect) error) error {
 	conn, err := c.connect(ctx)
 	if err != nil {
 		return err
 	}
-	waiter, err := conn.ask(&request{Kind: requestSubscribe, From: *from}, subscriberBuffer)
+	waiter, err := conn.send(&request{Kind: requestSubscribe, From: *from}, subscriberBuffer)
 	if err != nil {
 		return err
 	}
-	defer conn.drop(waiter)
+	defer conn.forget(waiter)
 	for {
 		select {
 		case r, ok := <-waiter.replies:
@@ -57,11 +57,11 @@
 				continue
 			}
 			if err := f(effect{r.Index, r.Body}); err != nil {
-				return &callerError{err}
+				return &callbackError{err}
 			}
 			*from = r.Index + 1
 		case <-ctx.Done():
-			return &callerError{ctx.Err()}
+			return &callbackError{ctx.Err()}
 		}
 	}
 }
--- a/fleet/agree/cluster_test.go
+++ b/fleet/agree/cluster_test.go
@@ -21,8 +21,8 @@
 // This file starts voters in one process, on loopback, and cuts and ends them.
 
 const (
-	patience  = 30 * time.Second // bound on what should take parts of a second
-	heartbeat = 150 * time.Millisecond
+	testTimeout   = 30 * time.Second // bound on what should take parts of a second
+	testHeartbeat = 150 * time.Millisecond
 )
 
 var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
@@ -36,71 +36,71 @@
 // await waits for a condition.
 func await(t testing.TB, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !ok(); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%s: not within %v", what, patience)
+			t.Fatalf("%s: not within %v", what, testTimeout)
 		}
 	}
 }
 
-func within(t testing.TB) context.Context {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+func testContext(t testing.TB) context.Context {
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	t.Cleanup(cancel)
 	return ctx
 }
 
 // node is a place where a voter runs, again and again.
 type node struct {
-	t       testing.TB
-	cfg     Config
-	ask     string // for askers
-	machine func() Machine
-	fault   func(*logStore) // put into the store before it is used
+	t          testing.TB
+	cfg        Config
+	clientAddr string // for askers
+	machine    func() Machine
+	fault      func(*logStore) // put into the store before it is used
 
-	mu    sync.Mutex
-	cut   bool
-	conns map[net.Conn]bool
+	mu       sync.Mutex
+	isolated bool
+	conns    map[net.Conn]bool
 
 	voter  *Voter
 	server *Server
 }
 
 // layer is a node's network towards other voters.
-type layer struct {
+type nodeLayer struct {
 	net.Listener
-	n *node
+	node *node
 }
 
-var errCut = errors.New("cut off")
+var errIsolated = errors.New("cut off")
 
-func (l *layer) Dial(addr raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
-	if l.n.isCut() {
-		return nil, errCut
+func (l *nodeLayer) Dial(addr raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
+	if l.node.isIsolated() {
+		return nil, errIsolated
 	}
 	c, err := net.DialTimeout("tcp", string(addr), timeout)
 	if err != nil {
 		return nil, err
 	}
-	return l.n.keep(c), nil
+	return l.node.track(c), nil
 }
 
-func (l *layer) Accept() (net.Conn, error) {
+func (l *nodeLayer) Accept() (net.Conn, error) {
 	for {
 		c, err := l.Listener.Accept()
-		if err != nil || !l.n.isCut() {
-			return l.n.keep(c), err
+		if err != nil || !l.node.isIsolated() {
+			return l.node.track(c), err
 		}
 		c.Close()
 	}
 }
 
-func (n *node) isCut() bool {
+func (n *node) isIsolated() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.cut
+	return n.isolated
 }
 
-func (n *node) keep(c net.Conn) net.Conn {
+func (n *node) track(c net.Conn) net.Conn {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if c != nil {
@@ -110,10 +110,10 @@
 }
 
 // setCut cuts a node off from other voters, or joins it to them again.
-func (n *node) setCut(cut bool) {
+func (n *node) setIsolated(cut bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cut = cut
+	n.isolated = cut
 	for c := range n.conns {
 		c.Close()
 		delete(n.conns, c)
@@ -121,13 +121,13 @@
 }
 
 func (n *node) start() error {
-	n.setCut(false)
+	n.setIsolated(false)
 	ln, err := net.Listen("tcp", n.cfg.Bind)
 	if err != nil {
 		return err
 	}
 	cfg := n.cfg
-	cfg.layer = &layer{ln, n}
+	cfg.streamLayer = &nodeLayer{ln, n}
 	if n.fault != nil {
 		if cfg.store, err = openStore(cfg.Dir); err != nil {
 			ln.Close()
@@ -140,7 +140,7 @@
 		ln.Close()
 		return err
 	}
-	ask, err := net.Listen("tcp", n.ask)
+	ask, err := net.Listen("tcp", n.clientAddr)
 	if err != nil {
 		v.Stop(false)
 		ln.Close()
@@ -157,15 +157,15 @@
 	}
 	n.server.Close()
 	n.voter.Stop(false)
-	n.cfg.layer = nil
-	n.setCut(true)
+	n.cfg.streamLayer = nil
+	n.setIsolated(true)
 	n.voter = nil
 }
 
 type cluster struct {
-	t     testing.TB
-	nodes []*node
-	addrs []string // for askers
+	t           testing.TB
+	nodes       []*node
+	clientAddrs []string // for askers
 }
 
 func newCluster(t testing.TB, n int, machine func() Machine, tune func(*Config)) *cluster {
@@ -173,14 +173,14 @@
 	var peers []Peer
 	for i := range n {
 		p := Peer{fmt.Sprintf("v%d", i+1), standin.FreeAddr(t), standin.FreeAddr(t)}
-		peers, c.addrs = append(peers, p), append(c.addrs, p.ClientAddress)
+		peers, c.clientAddrs = append(peers, p), append(c.clientAddrs, p.ClientAddress)
 	}
 	for _, p := range peers {
-		cfg := Config{Name: p.Name, Bind: p.RaftAddress, Dir: t.TempDir(), InitialVoters: peers, HeartbeatTimeout: heartbeat}
+		cfg := Config{Name: p.Name, Bind: p.RaftAddress, Dir: t.TempDir(), InitialVoters: peers, HeartbeatTimeout: testHeartbeat}
 		if tune != nil {
 			tune(&cfg)
 		}
-		c.nodes = append(c.nodes, &node{t: t, cfg: cfg, ask: p.ClientAddress, machine: machine, conns: map[net.Conn]bool{}})
+		c.nodes = append(c.nodes, &node{t: t, cfg: cfg, clientAddr: p.ClientAddress, machine: machine, conns: map[net.Conn]bool{}})
 	}
 	t.Cleanup(func() {
 		for _, n := range c.nodes {
@@ -206,7 +206,7 @@
 	c.t.Helper()
 	await(c.t, "a leader", func() bool {
 		for _, n := range c.nodes {
-			if n.voter != nil && !n.isCut() && n.voter.leading() {
+			if n.voter != nil && !n.isIsolated() && n.voter.leading() {
 				found = n
 				return true
 			}
@@ -218,7 +218,7 @@
 
 func (c *cluster) client() *Client {
 	c.t.Helper()
-	k, err := NewClient(ClientConfig{Voters: c.addrs, RequestTimeout: 4 * heartbeat}, quiet)
+	k, err := NewClient(ClientConfig{Voters: c.clientAddrs, RequestTimeout: 4 * testHeartbeat}, quiet)
 	if err != nil {
 		c.t.Fatal(err)
 	}
@@ -241,12 +241,12 @@
 
 func (c *cluster) add(k *Client, n uint64) uint64 {
 	c.t.Helper()
-	answer, _, err := k.Propose(within(c.t), register.Add(0, n))
+	answer, _, err := k.Propose(testContext(c.t), register.Add(0, n))
 	return value(c.t, answer, err)
 }
 
 func (c *cluster) read(k *Client) uint64 {
 	c.t.Helper()
-	answer, _, err := k.Read(within(c.t), register.Get(0))
+	answer, _, err := k.Read(testContext(c.t), register.Get(0))
 	return value(c.t, answer, err)
 }
--- a/fleet/agree/config.go
+++ b/fleet/agree/config.go
@@ -43,8 +43,8 @@
 	TrailingEntries   uint64
 	SnapshotInterval  time.Duration // how often the entries are counted; 0: 2 min
 
-	layer raft.StreamLayer // in place of a TCP listener, in tests
-	store *logStore        // opened already, in tests
+	streamLayer raft.StreamLayer // in place of a TCP listener, in tests
+	store       *logStore        // opened already, in tests
 }
 
 // Check fills in defaults. Its error names the key that is wrong and what would be right.
--- a/fleet/agree/errors.go
+++ b/fleet/agree/errors.go
@@ -46,18 +46,18 @@
 
 // busyError is returned when the inbox is full. The ask was not proposed.
 type busyError struct {
-	ComeBack time.Duration // after which to ask again
+	RetryAfter time.Duration // after which to ask again
 }
 
-func (e *busyError) Error() string { return fmt.Sprintf("agree: busy, come back in %v", e.ComeBack) }
+func (e *busyError) Error() string { return fmt.Sprintf("agree: busy, come back in %v", e.RetryAfter) }
 
 // goneError is returned for effects that are not kept any more. Read the state,
 // then subscribe from the index after the one that it was read at.
-type goneError struct {
+type compactedError struct {
 	Oldest uint64 // index from which on effects are kept
 }
 
-func (e *goneError) Error() string {
+func (e *compactedError) Error() string {
 	return fmt.Sprintf("agree: effects before %d are not kept", e.Oldest)
 }
 
@@ -68,20 +68,20 @@
 	codeOK code = iota
 	codeNotLeader
 	codeBusy
-	codeUnknown
+	codeOutcomeUnknown
 	codeShutdown
-	codeSession
-	codeStale
-	codeCrowded
+	codeUnknownSession
+	codeConfirmed
+	codeTooManyUnconfirmed
 	codeTooLong
-	codeGone
-	codeBad  // the frame or its message; Text says how
-	codeMore // an effect, others follow
+	codeCompacted
+	codeBadRequest // the frame or its message; Text says how
+	codeEffect     // an effect, others follow
 )
 
-var plainErrors = map[code]error{
-	codeUnknown: ErrOutcomeUnknown, codeShutdown: ErrShutdown, codeSession: ErrUnknownSession, codeStale: ErrConfirmed,
-	codeCrowded: ErrTooManyUnconfirmed, codeTooLong: ErrTooLong,
+var errorsByCode = map[code]error{
+	codeOutcomeUnknown: ErrOutcomeUnknown, codeShutdown: ErrShutdown, codeUnknownSession: ErrUnknownSession, codeConfirmed: ErrConfirmed,
+	codeTooManyUnconfirmed: ErrTooManyUnconfirmed, codeTooLong: ErrTooLong,
 }
 
 // setError fills in the fields of r that say err.
@@ -89,7 +89,7 @@
 	var (
 		notLeader *notLeaderError
 		busy      *busyError
-		gone      *goneError
+		gone      *compactedError
 	)
 	switch {
 	case err == nil:
@@ -97,12 +97,12 @@
 	case errors.As(err, &notLeader):
 		r.Code, r.Text = codeNotLeader, notLeader.Leader
 	case errors.As(err, &busy):
-		r.Code, r.ComeBack = codeBusy, busy.ComeBack.Milliseconds()
+		r.Code, r.RetryAfter = codeBusy, busy.RetryAfter.Milliseconds()
 	case errors.As(err, &gone):
-		r.Code, r.Index = codeGone, gone.Oldest
+		r.Code, r.Index = codeCompacted, gone.Oldest
 	default:
-		r.Code, r.Text = codeBad, err.Error()
-		for c, e := range plainErrors {
+		r.Code, r.Text = codeBadRequest, err.Error()
+		for c, e := range errorsByCode {
 			if errors.Is(err, e) {
 				r.Code, r.Text = c, ""
 			}
@@ -113,19 +113,19 @@
 // err is the error that r says; nil for none.
 func (r *reply) err() error {
 	switch r.Code {
-	case codeOK, codeMore:
+	case codeOK, codeEffect:
 		return nil
 	case codeNotLeader:
 		return &notLeaderError{Leader: r.Text}
 	case codeBusy:
 		const longest = int64(time.Hour / time.Millisecond)
-		return &busyError{ComeBack: time.Duration(min(max(r.ComeBack, 0), longest)) * time.Millisecond}
-	case codeGone:
-		return &goneError{Oldest: r.Index}
-	case codeBad:
+		return &busyError{RetryAfter: time.Duration(min(max(r.RetryAfter, 0), longest)) * time.Millisecond}
+	case codeCompacted:
+		return &compactedError{Oldest: r.Index}
+	case codeBadRequest:
 		return fmt.Errorf("agree: refused: %.200q", r.Text)
 	}
-	if err := plainErrors[r.Code]; err != nil {
+	if err := errorsByCode[r.Code]; err != nil {
 		return err
 	}
 	return fmt.Errorf("agree: answer with code %d", r.Code)
--- a/fleet/agree/form.go
+++ b/fleet/agree/form.go
@@ -34,65 +34,65 @@
 
 // hello is what a voter tells of itself.
 type hello struct {
-	Name   string            `cbor:"1,keyasint"`
-	Set    uint64            `cbor:"2,keyasint"` // sum of the names and addresses of the initial set
-	Life   uint64            `cbor:"3,keyasint"`
-	Formed map[string]uint64 `cbor:"4,keyasint,omitempty"` // lives of all when it formed; nil: it hasn't
-	Member bool              `cbor:"5,keyasint,omitempty"` // it has formed, by being added
+	Name         string            `cbor:"1,keyasint"`
+	VoterSetHash uint64            `cbor:"2,keyasint"` // sum of the names and addresses of the initial set
+	Incarnation  uint64            `cbor:"3,keyasint"`
+	Incarnations map[string]uint64 `cbor:"4,keyasint,omitempty"` // lives of all when it formed; nil: it hasn't
+	HasFormed    bool              `cbor:"5,keyasint,omitempty"` // it has formed, by being added
 }
 
 var (
-	keySelf = []byte("agree/self")
+	keyIdentity = []byte("agree/self")
 
-	errLost = errors.New("store empty, but others know an earlier life of this voter: " +
+	errStoreLost = errors.New("store empty, but others know an earlier life of this voter: " +
 		"remove it and add it by a new name")
 )
 
 // identity reads who the store belongs to, or makes it this voter's.
-func (s *logStore) identity(cfg *Config) (h hello, err error) {
-	text, err := s.Get(keySelf)
+func (s *logStore) loadIdentity(cfg *Config) (h hello, err error) {
+	text, err := s.Get(keyIdentity)
 	if err != nil {
 		return h, err
 	}
 	if len(text) == 0 {
 		// What has a log but no owner has not been written by us.
 		if _, last := s.bounds(); last != 0 {
-			return h, fmt.Errorf("store %s: %s: missing", s.path, keySelf)
+			return h, fmt.Errorf("store %s: %s: missing", s.path, keyIdentity)
 		}
 		var life [8]byte
 		rand.Read(life[:])
-		h = hello{Name: cfg.Name, Set: cfg.set(), Life: binary.BigEndian.Uint64(life[:])}
-		return h, s.setSelf(&h)
+		h = hello{Name: cfg.Name, VoterSetHash: cfg.voterSetHash(), Incarnation: binary.BigEndian.Uint64(life[:])}
+		return h, s.saveIdentity(&h)
 	}
 	if err := decMode.Unmarshal(text, &h); err != nil {
-		return h, fmt.Errorf("store %s: %s: %w", s.path, keySelf, err)
+		return h, fmt.Errorf("store %s: %s: %w", s.path, keyIdentity, err)
 	}
 	if h.Name != cfg.Name {
 		return h, fmt.Errorf("store %s: of voter %s, not %s", s.path, h.Name, cfg.Name)
 	}
-	if h.Member && h.Formed == nil {
-		h.Formed = map[string]uint64{}
+	if h.HasFormed && h.Incarnations == nil {
+		h.Incarnations = map[string]uint64{}
 	}
-	h.Set = cfg.set()
+	h.VoterSetHash = cfg.voterSetHash()
 	return h, nil
 }
 
-func (s *logStore) setSelf(h *hello) error {
+func (s *logStore) saveIdentity(h *hello) error {
 	text, err := encMode.Marshal(h)
 	if err != nil {
 		return err
 	}
-	return s.Set(keySelf, text)
+	return s.Set(keyIdentity, text)
 }
 
 // setFormed writes down that the voter takes part from here on.
-func (s *logStore) setFormed(h *hello, lives map[string]uint64) error {
-	h.Formed, h.Member = lives, true
-	return s.setSelf(h)
+func (s *logStore) saveFormed(h *hello, lives map[string]uint64) error {
+	h.Incarnations, h.HasFormed = lives, true
+	return s.saveIdentity(h)
 }
 
 // set is the sum of the initial set, whatever its order.
-func (c *Config) set() (n uint64) {
+func (c *Config) voterSetHash() (n uint64) {
 	for _, p := range c.InitialVoters {
 		h := fnv.New64a()
 		fmt.Fprintf(h, "%q %q %q", p.Name, p.RaftAddress, p.ClientAddress)
@@ -105,8 +105,8 @@
 func (v *Voter) hello() hello {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	h := v.self
-	h.Formed = maps.Clone(h.Formed)
+	h := v.identity
+	h.Incarnations = maps.Clone(h.Incarnations)
 	return h
 }
 
@@ -118,19 +118,19 @@
 	if formed {
 		return nil
 	}
-	v.log.Info("forming", "life", v.self.Life)
+	v.log.Info("forming", "life", v.identity.Incarnation)
 	var before map[string]uint64
 	for {
-		found, err := v.askPeers()
+		found, err := v.queryPeers()
 		if err != nil {
 			return err
 		}
-		lives, formed, err := decideFormation(v.self, v.cfg.InitialVoters, found)
+		lives, formed, err := decideFormation(v.identity, v.cfg.InitialVoters, found)
 		if err != nil {
 			return err
 		}
 		if lives != nil && (formed || maps.Equal(lives, before)) {
-			return v.formWith(lives)
+			return v.completeFormation(lives)
 		}
 		before = lives
 		select {
@@ -143,13 +143,13 @@
 	}
 }
 
-func (v *Voter) formWith(lives map[string]uint64) error {
+func (v *Voter) completeFormation(lives map[string]uint64) error {
 	self := v.hello()
-	if err := v.store.setFormed(&self, lives); err != nil {
+	if err := v.store.saveFormed(&self, lives); err != nil {
 		return err
 	}
 	v.mu.Lock()
-	v.self = self
+	v.identity = self
 	v.mu.Unlock()
 	v.log.Info("formed", "lives", len(lives))
 	return v.startRaft()
@@ -159,7 +159,7 @@
 var errStopped = errors.New("agree: stopped before it had formed")
 
 // askPeers asks all others what they are. Who doesn't answer is left out.
-func (v *Voter) askPeers() (map[string]hello, error) {
+func (v *Voter) queryPeers() (map[string]hello, error) {
 	type answer struct {
 		name string
 		h    hello
@@ -175,7 +175,7 @@
 		}
 		asked++
 		go func() {
-			h, err := askPeer(ctx, p.ClientAddress)
+			h, err := queryPeer(ctx, p.ClientAddress)
 			answers <- answer{p.Name, h, err}
 		}()
 	}
@@ -189,7 +189,7 @@
 }
 
 // askPeer asks the voter at addr what it is.
-func askPeer(ctx context.Context, addr string) (h hello, err error) {
+func queryPeer(ctx context.Context, addr string) (h hello, err error) {
 	var d net.Dialer
 	c, err := d.DialContext(ctx, "tcp", addr)
 	if err != nil {
@@ -222,7 +222,7 @@
 // decideFormation decides whether a voter may form, by what the others found say; nil
 // lives: not yet. If formed is true another has, with these lives.
 func decideFormation(self hello, voters []Peer, found map[string]hello) (lives map[string]uint64, formed bool, err error) {
-	all := map[string]uint64{self.Name: self.Life}
+	all := map[string]uint64{self.Name: self.Incarnation}
 	for _, p := range voters {
 		h, ok := found[p.Name]
 		if !ok {
@@ -231,20 +231,20 @@
 		if h.Name != p.Name {
 			return nil, false, fmt.Errorf("agree: voters: %s is at the address of %s", h.Name, p.Name)
 		}
-		if h.Set != self.Set {
+		if h.VoterSetHash != self.VoterSetHash {
 			return nil, false, fmt.Errorf("agree: voters: %s is configured with another set", p.Name)
 		}
-		all[p.Name] = h.Life
-		if h.Formed == nil && !h.Member {
+		all[p.Name] = h.Incarnation
+		if h.Incarnations == nil && !h.HasFormed {
 			continue
 		}
-		if h.Formed[self.Name] != self.Life {
-			return nil, false, fmt.Errorf("agree: %s: %w", self.Name, errLost)
+		if h.Incarnations[self.Name] != self.Incarnation {
+			return nil, false, fmt.Errorf("agree: %s: %w", self.Name, errStoreLost)
 		}
-		if lives != nil && !maps.Equal(lives, h.Formed) {
+		if lives != nil && !maps.Equal(lives, h.Incarnations) {
 			return nil, false, errors.New("agree: voters have formed with different lives")
 		}
-		lives = h.Formed
+		lives = h.Incarnations
 	}
 	if lives != nil {
 		return lives, true, nil
--- a/fleet/agree/form_test.go
+++ b/fleet/agree/form_test.go
@@ -10,13 +10,13 @@
 )
 
 // TestJudge tables what a voter with an empty store does.
-func TestJudge(t *testing.T) {
+func TestDecideFormation(t *testing.T) {
 	voters := []Peer{{Name: "a"}, {Name: "b"}, {Name: "c"}}
-	self := hello{Name: "a", Set: 1, Life: 10}
-	fresh := func(name string, life uint64) hello { return hello{Name: name, Set: 1, Life: life} }
+	self := hello{Name: "a", VoterSetHash: 1, Incarnation: 10}
+	fresh := func(name string, life uint64) hello { return hello{Name: name, VoterSetHash: 1, Incarnation: life} }
 	lives := map[string]uint64{"a": 10, "b": 20, "c": 30}
 	formed := func(name string, lives map[string]uint64) hello {
-		return hello{Name: name, Set: 1, Life: lives[name], Formed: lives, Member: true}
+		return hello{Name: name, VoterSetHash: 1, Incarnation: lives[name], Incarnations: lives, HasFormed: true}
 	}
 	for _, x := range []struct {
 		name   string
@@ -30,22 +30,22 @@
 		{"all new", map[string]hello{"b": fresh("b", 20), "c": fresh("c", 30)}, lives, false, ""},
 		{"one formed", map[string]hello{"b": formed("b", lives)}, lives, true, ""},
 		{"lost", map[string]hello{"b": formed("b", map[string]uint64{"a": 9, "b": 20, "c": 30})}, nil, false,
-			"agree: a: " + errLost.Error()},
-		{"a member that joined", map[string]hello{"b": {Name: "b", Set: 1, Life: 5, Member: true}}, nil, false,
-			"agree: a: " + errLost.Error()},
-		{"another set", map[string]hello{"b": {Name: "b", Set: 2}}, nil, false,
+			"agree: a: " + errStoreLost.Error()},
+		{"a member that joined", map[string]hello{"b": {Name: "b", VoterSetHash: 1, Incarnation: 5, HasFormed: true}}, nil, false,
+			"agree: a: " + errStoreLost.Error()},
+		{"another set", map[string]hello{"b": {Name: "b", VoterSetHash: 2}}, nil, false,
 			"agree: voters: b is configured with another set"},
 		{"another voter", map[string]hello{"b": fresh("c", 30)}, nil, false,
 			"agree: voters: c is at the address of b"},
 	} {
 		got, f, err := decideFormation(self, voters, x.found)
-		if !maps.Equal(got, x.lives) || f != x.formed || fmt.Sprint(err) != fmt.Sprint(errOf(x.err)) {
+		if !maps.Equal(got, x.lives) || f != x.formed || fmt.Sprint(err) != fmt.Sprint(errorOrNil(x.err)) {
 			t.Errorf("%s: %v, %v, %v", x.name, got, f, err)
 		}
 	}
 }
 
-func errOf(text string) error {
+func errorOrNil(text string) error {
 	if text == "" {
 		return nil
 	}
@@ -58,7 +58,7 @@
 // have promised something. Of those that take part one loses its disk: with a
 // majority of disks nothing is left to know it by. rounds is how many equal looks
 // it takes.
-func runForming(t *rapid.T, rounds int) error {
+func simulateFormation(t *rapid.T, rounds int) error {
 	voters := []Peer{{Name: "a"}, {Name: "b"}, {Name: "c"}}
 	now := map[string]*hello{}
 	looks := map[string]map[string]hello{} // under way
@@ -69,7 +69,7 @@
 	lost := false
 	restart := func(name string) {
 		life++
-		now[name] = &hello{Name: name, Life: life}
+		now[name] = &hello{Name: name, Incarnation: life}
 		looks[name], before[name], equal[name] = map[string]hello{}, nil, 0
 	}
 	for _, p := range voters {
@@ -79,8 +79,8 @@
 		me := rapid.SampledFrom(voters).Draw(t, "who").Name
 		switch step := rapid.IntRange(0, 19).Draw(t, "step"); {
 		case step == 0:
-			if now[me].Formed == nil || !lost {
-				lost = lost || now[me].Formed != nil
+			if now[me].Incarnations == nil || !lost {
+				lost = lost || now[me].Incarnations != nil
 				restart(me)
 			}
 		case step < 15: // one answer comes
@@ -90,7 +90,7 @@
 				}
 			}
 		default: // the round ends
-			if now[me].Formed != nil {
+			if now[me].Incarnations != nil {
 				continue
 			}
 			lives, formed, err := decideFormation(*now[me], voters, looks[me])
@@ -107,13 +107,13 @@
 			if lives == nil || !formed && equal[me] < rounds {
 				continue
 			}
-			now[me].Formed, now[me].Member = lives, true
+			now[me].Incarnations, now[me].HasFormed = lives, true
 			if old, ok := together[me]; ok {
-				return fmt.Errorf("%s: lives %d and %d took part", me, old, now[me].Life)
+				return fmt.Errorf("%s: lives %d and %d took part", me, old, now[me].Incarnation)
 			}
 			for name, h := range now {
-				if name != me && h.Formed != nil {
-					together[me], together[name] = now[me].Life, h.Life
+				if name != me && h.Incarnations != nil {
+					together[me], together[name] = now[me].Incarnation, h.Incarnation
 				}
 			}
 		}
@@ -121,10 +121,10 @@
 	return nil
 }
 
-func TestForming(t *testing.T) {
+func TestFormationIsSafe(t *testing.T) {
 	formed := 0
 	rapid.Check(t, func(t *rapid.T) {
-		if err := runForming(t, 2); err != nil {
+		if err := simulateFormation(t, 2); err != nil {
 			t.Fatal(err)
 		}
 		formed++
@@ -132,11 +132,11 @@
 }
 
 // One look at all, in place of two, lets a voter that lost its disk vote again.
-func TestFormingPlanted(t *testing.T) {
+func TestFormationWithOneRoundIsUnsafe(t *testing.T) {
 	caught := false
 	for seed := 0; seed < 20000 && !caught; seed++ {
 		rapid.Custom(func(t *rapid.T) int {
-			caught = caught || runForming(t, 1) != nil
+			caught = caught || simulateFormation(t, 1) != nil
 			return 0
 		}).Example(seed)
 	}
--- a/fleet/agree/frame.go
+++ b/fleet/agree/frame.go
@@ -28,43 +28,43 @@
 const (
 	requestPing requestKind = iota + 1
 	requestHello
-	requestOpen
-	requestAsk
+	requestOpenSession
+	requestPropose
 	requestRead
-	requestSubscribe // replaces the connection's earlier one
-	requestAdd       // a voter: Name at Address
-	requestRemove    // the voter Name
+	requestSubscribe   // replaces the connection's earlier one
+	requestAddVoter    // a voter: Name at Address
+	requestRemoveVoter // the voter Name
 )
 
 // request is what an asker sends.
 type request struct {
-	Kind     requestKind `cbor:"1,keyasint"`
-	ID       uint64      `cbor:"2,keyasint"`
-	Session  uint64      `cbor:"3,keyasint,omitempty"`
-	Seq      uint64      `cbor:"4,keyasint,omitempty"`
-	Done     uint64      `cbor:"5,keyasint,omitempty"`
-	From     uint64      `cbor:"6,keyasint,omitempty"` // first index subscribed to
-	Patience int64       `cbor:"7,keyasint,omitempty"` // ms for which the asker waits
-	Body     []byte      `cbor:"8,keyasint,omitempty"` // entry or query
-	Name     string      `cbor:"9,keyasint,omitempty"`
-	Address  string      `cbor:"10,keyasint,omitempty"`
+	Kind      requestKind `cbor:"1,keyasint"`
+	ID        uint64      `cbor:"2,keyasint"`
+	Session   uint64      `cbor:"3,keyasint,omitempty"`
+	Seq       uint64      `cbor:"4,keyasint,omitempty"`
+	Confirmed uint64      `cbor:"5,keyasint,omitempty"`
+	From      uint64      `cbor:"6,keyasint,omitempty"` // first index subscribed to
+	Timeout   int64       `cbor:"7,keyasint,omitempty"` // ms for which the asker waits
+	Body      []byte      `cbor:"8,keyasint,omitempty"` // entry or query
+	Name      string      `cbor:"9,keyasint,omitempty"`
+	Address   string      `cbor:"10,keyasint,omitempty"`
 }
 
 // reply is what a voter answers.
 type reply struct {
-	ID       uint64 `cbor:"1,keyasint"`
-	Code     code   `cbor:"2,keyasint,omitempty"`
-	Index    uint64 `cbor:"3,keyasint,omitempty"`
-	Body     []byte `cbor:"4,keyasint,omitempty"`
-	Text     string `cbor:"5,keyasint,omitempty"` // the leader's address, or what is wrong
-	ComeBack int64  `cbor:"6,keyasint,omitempty"` // ms
-	Hello    *hello `cbor:"7,keyasint,omitempty"`
+	ID         uint64 `cbor:"1,keyasint"`
+	Code       code   `cbor:"2,keyasint,omitempty"`
+	Index      uint64 `cbor:"3,keyasint,omitempty"`
+	Body       []byte `cbor:"4,keyasint,omitempty"`
+	Text       string `cbor:"5,keyasint,omitempty"` // the leader's address, or what is wrong
+	RetryAfter int64  `cbor:"6,keyasint,omitempty"` // ms
+	Hello      *hello `cbor:"7,keyasint,omitempty"`
 }
 
 var (
-	encMode  = mode(cbor.CoreDetEncOptions().EncMode())
-	decMode  = mode(decOptions(16).DecMode())
-	snapMode = mode(decOptions(1 << 20).DecMode())
+	encMode         = mustMode(cbor.CoreDetEncOptions().EncMode())
+	decMode         = mustMode(decOptions(16).DecMode())
+	snapshotDecMode = mustMode(decOptions(1 << 20).DecMode())
 )
 
 // decOptions are strict: one form for each message, and no deep or wide ones.
@@ -80,7 +80,7 @@
 	}
 }
 
-func mode[M any](m M, err error) M {
+func mustMode[M any](m M, err error) M {
 	if err != nil {
 		panic(err) // the options above are constant
 	}
@@ -115,7 +115,7 @@
 	}
 	begun()
 	if _, err := io.ReadFull(r, head[1:]); err != nil {
-		return unexpected(err)
+		return toUnexpectedEOF(err)
 	}
 	size := binary.BigEndian.Uint32(head[:])
 	if size < 2 || size > maxFrame {
@@ -123,7 +123,7 @@
 	}
 	var b bytes.Buffer
 	if _, err := io.CopyN(&b, r, int64(size)); err != nil {
-		return unexpected(err)
+		return toUnexpectedEOF(err)
 	}
 	if version := b.Bytes()[0]; version != wireVersion {
 		return fmt.Errorf("%w: version %d, not %d", errFrame, version, wireVersion)
@@ -134,7 +134,7 @@
 	return nil
 }
 
-func unexpected(err error) error {
+func toUnexpectedEOF(err error) error {
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
 	}
--- a/fleet/agree/fsm.go
+++ b/fleet/agree/fsm.go
@@ -33,22 +33,22 @@
 // fsm puts a Machine under raft. Raft calls Apply, Snapshot and Restore from
 // one goroutine; the lock is for readers.
 type fsm struct {
-	failure chan error // room for one: a command that can't be applied
+	failures chan error // room for one: a command that can't be applied
 
-	mu          sync.Mutex
-	err         error // a command that can't be applied; nothing is from there on
-	machine     Machine
-	sessions    *sessions
-	applied     uint64        // index of the last command
-	effects     []effect      // the latest, ascending
-	effectBytes int           // of the effects
-	droppedTo   uint64        // effects up to this index are not kept
-	more        chan struct{} // closed when there are more
+	mu           sync.Mutex
+	err          error // a command that can't be applied; nothing is from there on
+	machine      Machine
+	sessions     *sessions
+	applied      uint64        // index of the last command
+	effects      []effect      // the latest, ascending
+	effectBytes  int           // of the effects
+	lastDropped  uint64        // effects up to this index are not kept
+	effectsAdded chan struct{} // closed when there are more
 }
 
 func newFSM(m Machine) *fsm {
 	return &fsm{
-		failure: make(chan error, 1), machine: m, sessions: newSessions(), more: make(chan struct{}),
+		failures: make(chan error, 1), machine: m, sessions: newSessions(), effectsAdded: make(chan struct{}),
 	}
 }
 
@@ -64,20 +64,20 @@
 	c, err := decodeCommand(l.Data)
 	if err != nil {
 		f.err = fmt.Errorf("log %d: %w", l.Index, err)
-		f.failure <- f.err
+		f.failures <- f.err
 		return nil
 	}
 	f.applied = l.Index
 	apply := func() []byte {
-		answer := f.machine.Apply(l.Index, c.ask.Entry)
+		answer := f.machine.Apply(l.Index, c.entry.Data)
 		f.appendEffect(effect{l.Index, answer})
 		return answer
 	}
 	switch c.kind {
-	case kindOpen:
+	case kindOpenSession:
 		f.sessions.open(l.Index)
-	case kindAsk:
-		h, o := f.sessions.applyOnce(l.Index, &c.ask, apply)
+	case kindPropose:
+		h, o := f.sessions.applyOnce(l.Index, &c.entry, apply)
 		return decision{o, h.Index, h.Answer}
 	case kindTick:
 		// Measured under one leader and appended under another, it could cover
@@ -98,7 +98,7 @@
 	f.effectBytes += len(e.Answer)
 	drop := 0
 	for len(f.effects)-drop > maxEffects || f.effectBytes > maxEffectsBytes && drop < len(f.effects)-1 {
-		f.droppedTo = f.effects[drop].Index
+		f.lastDropped = f.effects[drop].Index
 		f.effectBytes -= len(f.effects[drop].Answer)
 		f.effects[drop].Answer = nil
 		drop++
@@ -108,8 +108,8 @@
 }
 
 func (f *fsm) notifySubscribers() {
-	close(f.more)
-	f.more = make(chan struct{})
+	close(f.effectsAdded)
+	f.effectsAdded = make(chan struct{})
 }
 
 // effectsFrom returns up to limit effects with an index from the given one on, and a
@@ -118,14 +118,14 @@
 func (f *fsm) effectsFrom(from uint64, limit int) ([]effect, <-chan struct{}, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if from <= f.droppedTo {
-		return nil, nil, &goneError{Oldest: f.droppedTo + 1}
+	if from <= f.lastDropped {
+		return nil, nil, &compactedError{Oldest: f.lastDropped + 1}
 	}
 	var found []effect
 	for i := len(f.effects); i > 0 && f.effects[i-1].Index >= from; i-- {
 		found = f.effects[i-1:]
 	}
-	return append([]effect(nil), found[:min(limit, len(found))]...), f.more, nil
+	return append([]effect(nil), found[:min(limit, len(found))]...), f.effectsAdded, nil
 }
 
 // query asks the machine, and tells the index up to which it has applied.
@@ -153,7 +153,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("agree: snapshot: %w", err)
 	}
-	return snapshot(sealSnapshot(b)), nil
+	return snapshot(encodeSnapshot(b)), nil
 }
 
 // Restore replaces the state by a snapshot's, or leaves it and returns an error.
@@ -174,7 +174,7 @@
 	}
 	f.sessions.restore(i.Sessions)
 	f.applied = i.Index
-	f.effects, f.effectBytes, f.droppedTo = nil, 0, i.Index
+	f.effects, f.effectBytes, f.lastDropped = nil, 0, i.Index
 	f.notifySubscribers()
 	return nil
 }
--- a/fleet/agree/history_test.go
+++ b/fleet/agree/history_test.go
@@ -21,23 +21,23 @@
 // off, and has porcupine (Athalye, 2017; Wing and Gong, 1993) look for an order
 // that explains it.
 
-type input struct {
+type operationInput struct {
 	op       string // add, set, get, read
 	register byte
-	n        uint64
+	operand  uint64
 }
 
-type output struct {
+type operationOutput struct {
 	value   uint64
 	unknown bool
 }
 
 // model is the register machine as porcupine wants it: one register a partition.
-var model = porcupine.Model{
+var registerModel = porcupine.Model{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		parts := map[byte][]porcupine.Operation{}
 		for _, o := range history {
-			r := o.Input.(input).register
+			r := o.Input.(operationInput).register
 			parts[r] = append(parts[r], o)
 		}
 		var all [][]porcupine.Operation
@@ -48,13 +48,13 @@
 	},
 	Init: func() any { return uint64(0) },
 	Step: func(state, in, out any) (bool, any) {
-		s, i, o := state.(uint64), in.(input), out.(output)
+		s, i, o := state.(uint64), in.(operationInput), out.(operationOutput)
 		next, answer := s, s
 		switch i.op {
 		case "add":
-			next, answer = s+i.n, s+i.n
+			next, answer = s+i.operand, s+i.operand
 		case "set":
-			next = i.n
+			next = i.operand
 		}
 		return o.unknown || o.value == answer, next
 	},
@@ -62,29 +62,29 @@
 
 // history is what askers saw.
 type history struct {
-	begin time.Time
-	mu    sync.Mutex
-	all   []porcupine.Operation
-	open  int // of them with an unknown outcome
+	start           time.Time
+	mu              sync.Mutex
+	operations      []porcupine.Operation
+	unknownOutcomes int // of them with an unknown outcome
 }
 
 // ask asks one random thing and records it.
-func (h *history) ask(ctx context.Context, asker int, k *Client, rng *rand.Rand) {
-	i := input{[]string{"add", "add", "set", "get", "read"}[rng.IntN(5)], byte(rng.IntN(3)), rng.Uint64N(1000) + 1}
-	call := time.Since(h.begin)
+func (h *history) runOperation(ctx context.Context, asker int, k *Client, rng *rand.Rand) {
+	i := operationInput{[]string{"add", "add", "set", "get", "read"}[rng.IntN(5)], byte(rng.IntN(3)), rng.Uint64N(1000) + 1}
+	call := time.Since(h.start)
 	var answer []byte
 	var err error
 	switch i.op {
 	case "add":
-		answer, _, err = k.Propose(ctx, register.Add(i.register, i.n))
+		answer, _, err = k.Propose(ctx, register.Add(i.register, i.operand))
 	case "set":
-		answer, _, err = k.Propose(ctx, register.Set(i.register, i.n))
+		answer, _, err = k.Propose(ctx, register.Set(i.register, i.operand))
 	case "get":
 		answer, _, err = k.Propose(ctx, register.Get(i.register))
 	case "read":
 		answer, _, err = k.Read(ctx, register.Get(i.register))
 	}
-	end := time.Since(h.begin)
+	end := time.Since(h.start)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	o := porcupine.Operation{ClientId: asker, Input: i, Call: int64(call), Return: int64(end)}
@@ -94,19 +94,19 @@
 		if err != nil {
 			panic(err)
 		}
-		o.Output = output{value: v}
+		o.Output = operationOutput{value: v}
 	case err == ErrOutcomeUnknown && i.op != "get":
-		o.Output, o.Return = output{unknown: true}, math.MaxInt64
-		h.open++
+		o.Output, o.Return = operationOutput{unknown: true}, math.MaxInt64
+		h.unknownOutcomes++
 	default:
 		return // not applied, or without effect
 	}
-	h.all = append(h.all, o)
+	h.operations = append(h.operations, o)
 }
 
 // run lets askers ask while trouble goes on, and then until they have been answered.
 func (h *history) run(t testing.TB, c *cluster, askers int, trouble func()) {
-	h.begin = time.Now()
+	h.start = time.Now()
 	stop := make(chan struct{})
 	var all sync.WaitGroup
 	for i := range askers {
@@ -120,11 +120,11 @@
 				default:
 				}
 				// Some give up early, so that there are unknown outcomes.
-				ctx, cancel := context.WithTimeout(context.Background(), patience)
+				ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 				if rng.IntN(20) == 0 {
 					ctx, cancel = context.WithTimeout(context.Background(), time.Millisecond)
 				}
-				h.ask(ctx, i, k, rng)
+				h.runOperation(ctx, i, k, rng)
 				cancel()
 				time.Sleep(time.Duration(rng.IntN(10)) * time.Millisecond) // so that the history can be checked
 			}
@@ -137,23 +137,23 @@
 }
 
 // await waits until so many operations are over.
-func (h *history) await(t testing.TB, n int) {
+func (h *history) awaitOperations(t testing.TB, n int) {
 	await(t, "operations", func() bool {
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		return len(h.all) >= n
+		return len(h.operations) >= n
 	})
 }
 
 func (h *history) check(t testing.TB) porcupine.CheckResult {
 	t.Helper()
-	result := porcupine.CheckOperationsTimeout(model, h.all, 20*time.Second)
-	t.Logf("%d operations, %d with an unknown outcome: %s", len(h.all), h.open, result)
+	result := porcupine.CheckOperationsTimeout(registerModel, h.operations, 20*time.Second)
+	t.Logf("%d operations, %d with an unknown outcome: %s", len(h.operations), h.unknownOutcomes, result)
 	return result
 }
 
 // What askers see is linearizable while voters end, lose touch and come back.
-func TestHistories(t *testing.T) {
+func TestLinearizability(t *testing.T) {
 	for _, n := range []int{3, 5} {
 		c := newCluster(t, n, newRegister, func(cfg *Config) {
 			cfg.SnapshotThreshold, cfg.TrailingEntries, cfg.SnapshotInterval = 50, 10, 50*time.Millisecond
@@ -163,10 +163,10 @@
 		h := &history{}
 		h.run(t, c, 4, func() {
 			for i := range 5 {
-				h.await(t, 60*(i+1))
-				trouble(t, c, rng)
+				h.awaitOperations(t, 60*(i+1))
+				injectFault(t, c, rng)
 			}
-			h.await(t, 360)
+			h.awaitOperations(t, 360)
 		})
 		if got := h.check(t); got == porcupine.Illegal {
 			t.Fatalf("%d voters: not linearizable", n)
@@ -175,7 +175,7 @@
 }
 
 // trouble ends or cuts off voters, for longer than an election takes.
-func trouble(t testing.TB, c *cluster, rng *rand.Rand) {
+func injectFault(t testing.TB, c *cluster, rng *rand.Rand) {
 	some := append([]*node(nil), c.nodes...)
 	rng.Shuffle(len(some), func(i, j int) { some[i], some[j] = some[j], some[i] })
 	switch rng.IntN(4) {
@@ -185,13 +185,13 @@
 		defer restart(t, n)
 	case 1: // half are cut off
 		for _, n := range some[:len(some)/2] {
-			n.setCut(true)
-			defer n.setCut(false)
+			n.setIsolated(true)
+			defer n.setIsolated(false)
 		}
 	case 2: // the leader is cut off
 		n := c.leader()
-		n.setCut(true)
-		defer n.setCut(false)
+		n.setIsolated(true)
+		defer n.setIsolated(false)
 	case 3: // all end at once
 		for _, n := range some {
 			n.stop()
@@ -199,7 +199,7 @@
 		}
 		return
 	}
-	time.Sleep(3 * heartbeat)
+	time.Sleep(3 * testHeartbeat)
 }
 
 func restart(t testing.TB, n *node) {
@@ -209,37 +209,37 @@
 }
 
 // A machine that applies twice is caught in the history.
-func TestHistoryPlantedTwice(t *testing.T) {
-	c := newCluster(t, 3, func() Machine { return querierTwice{twice{register.New()}} }, nil).start()
+func TestHistoryDetectsDoubleApply(t *testing.T) {
+	c := newCluster(t, 3, func() Machine { return doubleApplyQuerier{doubleApplyMachine{register.New()}} }, nil).start()
 	h := &history{}
-	h.run(t, c, 2, func() { h.await(t, 40) })
+	h.run(t, c, 2, func() { h.awaitOperations(t, 40) })
 	if h.check(t) != porcupine.Illegal {
 		t.Fatal("not caught")
 	}
 }
 
-type querierTwice struct{ twice }
+type doubleApplyQuerier struct{ doubleApplyMachine }
 
-func (m querierTwice) Query(q []byte) []byte { return m.Machine.(Querier).Query(q) }
+func (m doubleApplyQuerier) Query(q []byte) []byte { return m.Machine.(Querier).Query(q) }
 
 // Stores that lose their last records are refused by their own check; with that
 // fooled as well the history shows it.
-func TestHistoryPlantedLoss(t *testing.T) {
+func TestHistoryDetectsLostRecords(t *testing.T) {
 	c := newCluster(t, 3, newRegister, nil).start()
 	h := &history{}
 	h.run(t, c, 2, func() {
-		h.await(t, 100)
+		h.awaitOperations(t, 100)
 		for _, n := range c.nodes {
 			n.stop()
 		}
 		for i, n := range c.nodes {
-			lose(t, n.cfg.Dir, 15)
+			deleteLastCommands(t, n.cfg.Dir, 15)
 			if i == 0 {
 				if _, err := openStore(n.cfg.Dir); err == nil {
 					t.Error("a store that lost its last records is opened")
 				}
 			}
-			fool(t, n.cfg.Dir)
+			rewriteChecks(t, n.cfg.Dir)
 		}
 		c.start()
 	})
@@ -249,8 +249,8 @@
 }
 
 // lose deletes the last commands of a store, as many at all voters.
-func lose(t testing.TB, dir string, commands int) {
-	edit(t, dir, func(log, _ *bbolt.Bucket) error {
+func deleteLastCommands(t testing.TB, dir string, commands int) {
+	editStore(t, dir, func(log, _ *bbolt.Bucket) error {
 		for k, v := log.Cursor().Last(); k != nil && commands > 0; k, v = log.Cursor().Last() {
 			var l raft.Log
 			if err := decodeLog(k, v, &l); err != nil {
@@ -271,11 +271,11 @@
 }
 
 // fool makes a store's own records agree with what is left.
-func fool(t testing.TB, dir string) {
-	edit(t, dir, func(log, stable *bbolt.Bucket) error {
+func rewriteChecks(t testing.TB, dir string) {
+	editStore(t, dir, func(log, stable *bbolt.Bucket) error {
 		first, _ := log.Cursor().First()
 		last, _ := log.Cursor().Last()
 		return writeBounds(stable.Tx(), binary.BigEndian.Uint64(first), binary.BigEndian.Uint64(last))
 	})
-	edit(t, dir, func(_, stable *bbolt.Bucket) error { return writeSeal(stable.Tx()) })
+	editStore(t, dir, func(_, stable *bbolt.Bucket) error { return writeStableChecksum(stable.Tx()) })
 }
--- a/fleet/agree/proposal.go
+++ b/fleet/agree/proposal.go
@@ -44,7 +44,7 @@
 // openSession opens a session for asks. Its name is the index of the entry that did.
 // After ErrUnknown it may just be opened again: what is not used is forgotten.
 func (v *Voter) openSession(ctx context.Context) (session uint64, err error) {
-	_, session, err = v.await(&proposal{kind: proposeCommand, ctx: ctx, data: (&command{kind: kindOpen}).encode()})
+	_, session, err = v.await(&proposal{kind: proposeCommand, ctx: ctx, data: (&command{kind: kindOpenSession}).encode()})
 	return session, err
 }
 
@@ -56,13 +56,13 @@
 // *notLeaderError, *busyError, ErrShutdown, ErrSession, ErrStale, ErrCrowded and
 // ErrTooLong. ErrUnknown says that it may have been or may yet be.
 func (v *Voter) propose(ctx context.Context, a sessionEntry) (answer []byte, index uint64, err error) {
-	if len(a.Entry) > MaxEntry {
+	if len(a.Data) > MaxEntry {
 		return nil, 0, ErrTooLong
 	}
 	if a.Seq == 0 {
 		return nil, 0, ErrConfirmed
 	}
-	return v.await(&proposal{kind: proposeCommand, ctx: ctx, data: (&command{kind: kindAsk, ask: a}).encode()})
+	return v.await(&proposal{kind: proposeCommand, ctx: ctx, data: (&command{kind: kindPropose, entry: a}).encode()})
 }
 
 // read asks the machine, which is a Querier, and returns its answer with the
@@ -111,17 +111,17 @@
 // await hands a proposal to the voter's task and waits for its result. A full inbox is a
 // *busyError at once; once it is in, the end of its context is ErrUnknown.
 func (v *Voter) await(p *proposal) ([]byte, uint64, error) {
-	r := v.running()
+	r := v.activeRaft()
 	if r == nil {
 		select {
-		case <-v.ended:
+		case <-v.done:
 			return nil, 0, ErrShutdown
 		default:
 			return nil, 0, &notLeaderError{}
 		}
 	}
 	if r.State() != raft.Leader { // known without a place in the inbox
-		return nil, 0, v.notLeader()
+		return nil, 0, v.notLeaderError()
 	}
 	p.reply = make(chan result, 1)
 	select {
@@ -134,7 +134,7 @@
 		return r.answer, r.index, r.err
 	case <-p.ctx.Done():
 		return nil, 0, ErrOutcomeUnknown
-	case <-v.ended:
+	case <-v.done:
 	}
 	select {
 	case r := <-p.reply:
@@ -152,7 +152,7 @@
 		p.reply <- result{err: p.ctx.Err()} // nobody waits for it
 		return nil
 	case v.raft.State() != raft.Leader:
-		p.reply <- result{err: v.notLeader()}
+		p.reply <- result{err: v.notLeaderError()}
 		return nil
 	case p.kind == proposeChange:
 		f = p.change(v.raft)
@@ -161,17 +161,17 @@
 	default:
 		f = v.raft.Apply(p.data, v.cfg.HeartbeatTimeout)
 	}
-	return v.push(pending{p, f})
+	return v.enqueue(pending{p, f})
 }
 
 // push hands a future to who collects them. It waits while there are too many,
 // unless raft can't go on, in which case it returns why.
-func (v *Voter) push(sent pending) (err error) {
+func (v *Voter) enqueue(sent pending) (err error) {
 	select {
 	case v.pending <- sent:
 		return nil
 	case err = <-v.store.Failed():
-	case err = <-v.fsm.failure:
+	case err = <-v.fsm.failures:
 	}
 	if sent.proposal != nil {
 		sent.proposal.reply <- result{err: ErrOutcomeUnknown}
@@ -181,7 +181,7 @@
 
 // collect answers proposals in the order in which raft was given them, which is
 // the order in which it decides them.
-func (v *Voter) collect(done chan<- struct{}) {
+func (v *Voter) deliverResults(done chan<- struct{}) {
 	defer close(done)
 	for sent := range v.pending {
 		err := awaitFuture(sent.future, v.raftDown)
@@ -224,7 +224,7 @@
 func (v *Voter) proposalError(p *proposal, err error) error {
 	switch {
 	case errors.Is(err, raft.ErrNotLeader), errors.Is(err, raft.ErrLeadershipTransferInProgress):
-		return v.notLeader()
+		return v.notLeaderError()
 	case errors.Is(err, raft.ErrEnqueueTimeout):
 		return &busyError{v.cfg.RetryAfter}
 	case p.kind == proposeChange:
--- a/fleet/agree/raft.go
+++ b/fleet/agree/raft.go
@@ -44,7 +44,7 @@
 	if err != nil {
 		return fmt.Errorf("agree: %w", err)
 	}
-	v.store.enterRaft()
+	v.store.setRaftRunning()
 	v.mu.Lock()
 	v.raft, v.phase = r, phaseRunning
 	v.mu.Unlock()
@@ -54,7 +54,7 @@
 
 func (v *Voter) listen() (*raft.NetworkTransport, error) {
 	conf := &raft.NetworkTransportConfig{
-		Stream: v.cfg.layer, MaxPool: 2, Timeout: 10 * v.cfg.HeartbeatTimeout, Logger: v.hclog,
+		Stream: v.cfg.streamLayer, MaxPool: 2, Timeout: 10 * v.cfg.HeartbeatTimeout, Logger: v.hclog,
 	}
 	if conf.Stream != nil {
 		return raft.NewNetworkTransportWithConfig(conf), nil
--- a/fleet/agree/server.go
+++ b/fleet/agree/server.go
@@ -19,7 +19,7 @@
 	RequestTimeout time.Duration // for one ask at most; 0: 10 s
 }
 
-func (l *ServerLimits) fill() {
+func (l *ServerLimits) setDefaults() {
 	if l.MaxConnections == 0 {
 		l.MaxConnections = 1024
 	}
@@ -53,7 +53,7 @@
 // Serve answers askers on ln until Close. A connection costs at most one frame
 // coming, Asks+1 frames under way and their goroutines.
 func Serve(ln net.Listener, v *Voter, limits ServerLimits, log *slog.Logger) *Server {
-	limits.fill()
+	limits.setDefaults()
 	s := &Server{voter: v, limits: limits, log: log, ln: ln, conns: map[net.Conn]bool{}}
 	s.ctx, s.cancel = context.WithCancel(context.Background())
 	s.tasks.Go(s.accept)
@@ -152,7 +152,7 @@
 		var q request
 		err := readFrame(in, &q, func() { c.SetReadDeadline(time.Now().Add(s.limits.FrameTimeout)) })
 		if errors.Is(err, errFrame) {
-			p.send(&reply{Code: codeBad, Text: err.Error()})
+			p.send(&reply{Code: codeBadRequest, Text: err.Error()})
 		}
 		if err != nil {
 			return
@@ -197,7 +197,7 @@
 func (p *serverConn) send(r *reply) {
 	frame, err := encodeFrame(r)
 	if err != nil {
-		frame, _ = encodeFrame(&reply{ID: r.ID, Code: codeBad, Text: "answer longer than a frame"})
+		frame, _ = encodeFrame(&reply{ID: r.ID, Code: codeBadRequest, Text: "answer longer than a frame"})
 	}
 	p.writeMu.Lock()
 	defer p.writeMu.Unlock()
@@ -210,7 +210,7 @@
 // answer does what a request asks.
 func (p *serverConn) answer(q *request) *reply {
 	patience := p.limits.RequestTimeout
-	if ms := q.Patience; ms > 0 && ms < patience.Milliseconds() {
+	if ms := q.Timeout; ms > 0 && ms < patience.Milliseconds() {
 		patience = time.Duration(ms) * time.Millisecond
 	}
 	ctx, cancel := context.WithTimeout(p.ctx, patience)
@@ -222,15 +222,15 @@
 	case requestHello:
 		h := p.voter.hello()
 		r.Hello = &h
-	case requestOpen:
+	case requestOpenSession:
 		r.Index, err = p.voter.openSession(ctx)
-	case requestAsk:
-		r.Body, r.Index, err = p.voter.propose(ctx, sessionEntry{q.Session, q.Seq, q.Done, q.Body})
+	case requestPropose:
+		r.Body, r.Index, err = p.voter.propose(ctx, sessionEntry{q.Session, q.Seq, q.Confirmed, q.Body})
 	case requestRead:
 		r.Body, r.Index, err = p.voter.read(ctx, q.Body)
-	case requestAdd:
+	case requestAddVoter:
 		err = p.voter.addVoter(ctx, q.Name, q.Address)
-	case requestRemove:
+	case requestRemoveVoter:
 		err = p.voter.removeVoter(ctx, q.Name)
 	default:
 		err = errors.New("agree: kind of request not known")
@@ -245,7 +245,7 @@
 	const batch = 64
 	check := time.NewTicker(p.voter.cfg.HeartbeatTimeout)
 	defer check.Stop()
-	for p.voter.inTouch() {
+	for p.voter.hasLeader() {
 		effects, more, err := p.voter.effects(from, batch)
 		if err != nil {
 			r := &reply{ID: id}
@@ -257,7 +257,7 @@
 			if ctx.Err() != nil {
 				return
 			}
-			p.send(&reply{ID: id, Code: codeMore, Index: e.Index, Body: e.Answer})
+			p.send(&reply{ID: id, Code: codeEffect, Index: e.Index, Body: e.Answer})
 			from = e.Index + 1
 		}
 		if len(effects) == batch {
--- a/fleet/agree/session.go
+++ b/fleet/agree/session.go
@@ -12,9 +12,9 @@
 
 // Bounds of the sessions kept.
 const (
-	maxSessions  = 4096     // the one unused longest goes
-	maxHeld      = 64       // answers of one session that it has not confirmed
-	maxHeldBytes = 16 << 20 // answers of all
+	maxSessions    = 4096     // the one unused longest goes
+	maxUnconfirmed = 64       // answers of one session that it has not confirmed
+	maxAnswerBytes = 16 << 20 // answers of all
 )
 
 // outcome says what became of an ask at its place in the log.
@@ -32,7 +32,7 @@
 }
 
 // heldAnswer is the answer to an ask that was applied.
-type heldAnswer struct {
+type cachedAnswer struct {
 	Seq    uint64 `cbor:"1,keyasint"`
 	Index  uint64 `cbor:"2,keyasint"`
 	Answer []byte `cbor:"3,keyasint"`
@@ -41,51 +41,51 @@
 type session struct {
 	id        uint64
 	confirmed uint64
-	answers   map[uint64]heldAnswer
+	answers   map[uint64]cachedAnswer
 }
 
 // sessions are ordered by their last use, the longest ago first.
 type sessions struct {
-	order *list.List // of *session
-	byID  map[uint64]*list.Element
-	bytes int // of the answers
+	byLastUse   *list.List // of *session
+	byID        map[uint64]*list.Element
+	answerBytes int // of the answers
 
 	maxSessions, maxBytes int // bounds
 }
 
 func newSessions() *sessions {
 	return &sessions{
-		order: list.New(), byID: map[uint64]*list.Element{},
-		maxSessions: maxSessions, maxBytes: maxHeldBytes,
+		byLastUse: list.New(), byID: map[uint64]*list.Element{},
+		maxSessions: maxSessions, maxBytes: maxAnswerBytes,
 	}
 }
 
 func (s *sessions) open(id uint64) {
-	s.byID[id] = s.order.PushBack(&session{id: id, answers: map[uint64]heldAnswer{}})
+	s.byID[id] = s.byLastUse.PushBack(&session{id: id, answers: map[uint64]cachedAnswer{}})
 	s.evict()
 }
 
 // applyOnce answers an ask, by apply if it has not been applied before.
-func (s *sessions) applyOnce(index uint64, a *sessionEntry, apply func() []byte) (heldAnswer, outcome) {
+func (s *sessions) applyOnce(index uint64, a *sessionEntry, apply func() []byte) (cachedAnswer, outcome) {
 	e := s.byID[a.Session]
 	if e == nil {
-		return heldAnswer{}, outcomeUnknownSession
+		return cachedAnswer{}, outcomeUnknownSession
 	}
-	s.order.MoveToBack(e)
+	s.byLastUse.MoveToBack(e)
 	sess := e.Value.(*session)
-	s.confirm(sess, a.Done)
+	s.confirm(sess, a.Confirmed)
 	if h, ok := sess.answers[a.Seq]; ok {
 		return h, outcomeApplied
 	}
 	if a.Seq <= sess.confirmed {
-		return heldAnswer{}, outcomeConfirmed
+		return cachedAnswer{}, outcomeConfirmed
 	}
-	if len(sess.answers) >= maxHeld {
-		return heldAnswer{}, outcomeTooManyUnconfirmed
+	if len(sess.answers) >= maxUnconfirmed {
+		return cachedAnswer{}, outcomeTooManyUnconfirmed
 	}
-	h := heldAnswer{Seq: a.Seq, Index: index, Answer: apply()}
+	h := cachedAnswer{Seq: a.Seq, Index: index, Answer: apply()}
 	sess.answers[a.Seq] = h
-	s.bytes += len(h.Answer)
+	s.answerBytes += len(h.Answer)
 	s.evict()
 	return h, outcomeApplied
 }
@@ -98,7 +98,7 @@
 	sess.confirmed = done
 	for seq, h := range sess.answers {
 		if seq <= done {
-			s.bytes -= len(h.Answer)
+			s.answerBytes -= len(h.Answer)
 			delete(sess.answers, seq)
 		}
 	}
@@ -106,27 +106,27 @@
 
 // evict keeps to the bounds; the session used last is kept in any case.
 func (s *sessions) evict() {
-	for s.order.Len() > 1 && (s.order.Len() > s.maxSessions || s.bytes > s.maxBytes) {
-		sess := s.order.Remove(s.order.Front()).(*session)
+	for s.byLastUse.Len() > 1 && (s.byLastUse.Len() > s.maxSessions || s.answerBytes > s.maxBytes) {
+		sess := s.byLastUse.Remove(s.byLastUse.Front()).(*session)
 		delete(s.byID, sess.id)
 		for _, h := range sess.answers {
-			s.bytes -= len(h.Answer)
+			s.answerBytes -= len(h.Answer)
 		}
 	}
 }
 
 // sessionImage is a session in a snapshot.
 type sessionImage struct {
-	ID      uint64       `cbor:"1,keyasint"`
-	Done    uint64       `cbor:"2,keyasint"`
-	Answers []heldAnswer `cbor:"3,keyasint"`
+	ID        uint64         `cbor:"1,keyasint"`
+	Confirmed uint64         `cbor:"2,keyasint"`
+	Answers   []cachedAnswer `cbor:"3,keyasint"`
 }
 
 func (s *sessions) image() []sessionImage {
-	all := make([]sessionImage, 0, s.order.Len())
-	for e := s.order.Front(); e != nil; e = e.Next() {
+	all := make([]sessionImage, 0, s.byLastUse.Len())
+	for e := s.byLastUse.Front(); e != nil; e = e.Next() {
 		sess := e.Value.(*session)
-		image := sessionImage{ID: sess.id, Done: sess.confirmed}
+		image := sessionImage{ID: sess.id, Confirmed: sess.confirmed}
 		for _, seq := range slices.Sorted(maps.Keys(sess.answers)) {
 			image.Answers = append(image.Answers, sess.answers[seq])
 		}
@@ -136,15 +136,15 @@
 }
 
 func (s *sessions) restore(all []sessionImage) {
-	s.order.Init()
+	s.byLastUse.Init()
 	clear(s.byID)
-	s.bytes = 0
+	s.answerBytes = 0
 	for _, image := range all {
-		sess := &session{id: image.ID, confirmed: image.Done, answers: map[uint64]heldAnswer{}}
+		sess := &session{id: image.ID, confirmed: image.Confirmed, answers: map[uint64]cachedAnswer{}}
 		for _, h := range image.Answers {
 			sess.answers[h.Seq] = h
-			s.bytes += len(h.Answer)
+			s.answerBytes += len(h.Answer)
 		}
-		s.byID[sess.id] = s.order.PushBack(sess)
+		s.byID[sess.id] = s.byLastUse.PushBack(sess)
 	}
 }
--- a/fleet/agree/session_test.go
+++ b/fleet/agree/session_test.go
@@ -17,27 +17,27 @@
 // of which goes through snapshots.
 
 // counting answers each entry with how many it has applied.
-type counting struct {
+type countingMachine struct {
 	applied map[string]int
 	n       uint64
 }
 
-func (c *counting) Apply(_ uint64, entry []byte) []byte {
+func (c *countingMachine) Apply(_ uint64, entry []byte) []byte {
 	c.n++
 	c.applied[string(entry)]++
 	return binary.BigEndian.AppendUint64(nil, c.n)
 }
 
-func (c *counting) Snapshot() []byte { return binary.BigEndian.AppendUint64(nil, c.n) }
+func (c *countingMachine) Snapshot() []byte { return binary.BigEndian.AppendUint64(nil, c.n) }
 
-func (c *counting) Restore(b []byte) error {
+func (c *countingMachine) Restore(b []byte) error {
 	c.n = binary.BigEndian.Uint64(b)
 	return nil
 }
 
 // runLog makes random asks, repeats and snapshots, and returns what is wrong.
 func runLog(t *rapid.T, plant func(*fsm)) error {
-	a, b := &counting{applied: map[string]int{}}, &counting{applied: map[string]int{}}
+	a, b := &countingMachine{applied: map[string]int{}}, &countingMachine{applied: map[string]int{}}
 	fa, fb := newFSM(a), newFSM(b)
 	for _, f := range []*fsm{fa, fb} {
 		f.sessions.maxSessions, f.sessions.maxBytes = 3, 8*20
@@ -48,11 +48,11 @@
 	for index := uint64(1); index <= 60; index++ {
 		c := command{}
 		if s := rapid.IntRange(0, 9).Draw(t, "kind"); s < 9 && len(opened) > 0 {
-			c.kind = kindAsk
-			c.ask.Session = rapid.SampledFrom(opened).Draw(t, "session")
-			c.ask.Seq = rapid.Uint64Range(1, 12).Draw(t, "seq")
-			c.ask.Done = uint64(rapid.IntRange(0, int(c.ask.Seq)-1).Draw(t, "done")) / 2
-			c.ask.Entry = fmt.Appendf(nil, "%d/%d", c.ask.Session, c.ask.Seq)
+			c.kind = kindPropose
+			c.entry.Session = rapid.SampledFrom(opened).Draw(t, "session")
+			c.entry.Seq = rapid.Uint64Range(1, 12).Draw(t, "seq")
+			c.entry.Confirmed = uint64(rapid.IntRange(0, int(c.entry.Seq)-1).Draw(t, "done")) / 2
+			c.entry.Data = fmt.Appendf(nil, "%d/%d", c.entry.Session, c.entry.Seq)
 		} else {
 			opened = append(opened, index)
 		}
@@ -61,16 +61,16 @@
 		if da.outcome != db.outcome || da.index != db.index || !bytes.Equal(da.answer, db.answer) {
 			return fmt.Errorf("log %d: %v at one, %v at another", index, da, db)
 		}
-		id := string(c.ask.Entry)
-		if old, ok := answers[id]; ok && c.kind == kindAsk && da.outcome == outcomeApplied &&
+		id := string(c.entry.Data)
+		if old, ok := answers[id]; ok && c.kind == kindPropose && da.outcome == outcomeApplied &&
 			(old.index != da.index || !bytes.Equal(old.answer, da.answer)) {
 			return fmt.Errorf("%s: answered %v, before %v", id, da, old)
 		}
-		if c.kind == kindAsk && da.outcome == outcomeApplied {
+		if c.kind == kindPropose && da.outcome == outcomeApplied {
 			answers[id] = da
 		}
-		if fa.sessions.order.Len() > 3 || fa.sessions.bytes > 8*20 && fa.sessions.order.Len() > 1 {
-			return fmt.Errorf("log %d: %d sessions, %d bytes", index, fa.sessions.order.Len(), fa.sessions.bytes)
+		if fa.sessions.byLastUse.Len() > 3 || fa.sessions.answerBytes > 8*20 && fa.sessions.byLastUse.Len() > 1 {
+			return fmt.Errorf("log %d: %d sessions, %d bytes", index, fa.sessions.byLastUse.Len(), fa.sessions.answerBytes)
 		}
 		if rapid.IntRange(0, 9).Draw(t, "snapshot") == 0 {
 			s, err := fb.Snapshot()
@@ -85,7 +85,7 @@
 			}
 		}
 	}
-	for _, c := range []*counting{a, b} {
+	for _, c := range []*countingMachine{a, b} {
 		for _, entry := range slices.Sorted(maps.Keys(c.applied)) {
 			if c.applied[entry] > 1 {
 				return fmt.Errorf("%s: applied %d times", entry, c.applied[entry])
@@ -104,31 +104,31 @@
 }
 
 // twice is a machine that applies each entry two times.
-type twice struct{ Machine }
+type doubleApplyMachine struct{ Machine }
 
-func (m twice) Apply(index uint64, entry []byte) []byte {
+func (m doubleApplyMachine) Apply(index uint64, entry []byte) []byte {
 	m.Machine.Apply(index, entry)
 	return m.Machine.Apply(index, entry)
 }
 
 // once is a machine whose first life differs from the next ones.
-type unlike struct {
+type badSnapshotMachine struct {
 	Machine
 	n *int
 }
 
-func (m unlike) Snapshot() []byte {
+func (m badSnapshotMachine) Snapshot() []byte {
 	*m.n++
 	b := m.Machine.Snapshot()
 	b[0] ^= byte(*m.n)
 	return b
 }
 
-func TestSessionsPlanted(t *testing.T) {
+func TestSessionsDetectsFaults(t *testing.T) {
 	var n int
 	for name, plant := range map[string]func(*fsm){
-		"applies twice":         func(f *fsm) { f.machine = twice{f.machine} },
-		"forgets in a snapshot": func(f *fsm) { f.machine = unlike{f.machine, &n} },
+		"applies twice":         func(f *fsm) { f.machine = doubleApplyMachine{f.machine} },
+		"forgets in a snapshot": func(f *fsm) { f.machine = badSnapshotMachine{f.machine, &n} },
 		"keeps all sessions":    func(f *fsm) { f.sessions.maxSessions, f.sessions.maxBytes = 100, 1<<20 },
 	} {
 		caught := false
@@ -147,9 +147,9 @@
 // A tick that was measured in another term than it is agreed in tells no time,
 // and an entry of an unknown version ends the voter instead of being skipped.
 func TestCommands(t *testing.T) {
-	m := &counting{applied: map[string]int{}}
+	m := &countingMachine{applied: map[string]int{}}
 	f := newFSM(m)
-	tick := command{kind: kindTick, term: 3, ask: sessionEntry{Entry: []byte("t")}}
+	tick := command{kind: kindTick, term: 3, entry: sessionEntry{Data: []byte("t")}}
 	f.Apply(&raft.Log{Index: 1, Term: 3, Data: tick.encode()})
 	f.Apply(&raft.Log{Index: 2, Term: 5, Data: tick.encode()})
 	if m.n != 1 {
@@ -160,7 +160,7 @@
 	if got := f.Apply(&raft.Log{Index: 3, Term: 3, Data: b}); got != nil {
 		t.Fatalf("answered %v", got)
 	}
-	if err := <-f.failure; err.Error() != "log 3: entry version 9, not 1" {
+	if err := <-f.failures; err.Error() != "log 3: entry version 9, not 1" {
 		t.Fatal(err)
 	}
 	f.Apply(&raft.Log{Index: 4, Term: 3, Data: tick.encode()})
@@ -170,12 +170,12 @@
 }
 
 func TestEffectsBound(t *testing.T) {
-	f := newFSM(&counting{applied: map[string]int{}})
+	f := newFSM(&countingMachine{applied: map[string]int{}})
 	for i := range uint64(maxEffects + 10) {
 		f.appendEffect(effect{i + 1, []byte{1}})
 	}
-	if len(f.effects) != maxEffects || f.droppedTo != 10 {
-		t.Fatalf("%d effects, %d lost", len(f.effects), f.droppedTo)
+	if len(f.effects) != maxEffects || f.lastDropped != 10 {
+		t.Fatalf("%d effects, %d lost", len(f.effects), f.lastDropped)
 	}
 	big := make([]byte, 1<<20)
 	for i := range uint64(10) {
@@ -184,14 +184,14 @@
 	if f.effectBytes > maxEffectsBytes {
 		t.Fatalf("%d bytes", f.effectBytes)
 	}
-	got, _, err := f.effectsFrom(f.droppedTo+1, 2)
-	if err != nil || len(got) != 2 || got[0].Index != f.droppedTo+1 {
+	got, _, err := f.effectsFrom(f.lastDropped+1, 2)
+	if err != nil || len(got) != 2 || got[0].Index != f.lastDropped+1 {
 		t.Fatalf("%v, %v", got, err)
 	}
 }
 
 func FuzzCommand(f *testing.F) {
-	f.Add((&command{kind: kindAsk, ask: sessionEntry{1, 2, 3, []byte("entry")}}).encode())
+	f.Add((&command{kind: kindPropose, entry: sessionEntry{1, 2, 3, []byte("entry")}}).encode())
 	f.Add([]byte{1})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if c, err := decodeCommand(b); err == nil && !bytes.Equal(c.encode(), b) {
@@ -201,14 +201,14 @@
 }
 
 func FuzzSnapshot(f *testing.F) {
-	one := newFSM(&counting{applied: map[string]int{}})
+	one := newFSM(&countingMachine{applied: map[string]int{}})
 	one.Apply(&raft.Log{Index: 1, Data: (&command{}).encode()})
-	one.Apply(&raft.Log{Index: 2, Data: (&command{kind: kindAsk, ask: sessionEntry{1, 1, 0, []byte("e")}}).encode()})
+	one.Apply(&raft.Log{Index: 2, Data: (&command{kind: kindPropose, entry: sessionEntry{1, 1, 0, []byte("e")}}).encode()})
 	s, _ := one.Snapshot()
 	f.Add([]byte(s.(snapshot)[1 : len(s.(snapshot))-4]))
 	f.Fuzz(func(t *testing.T, body []byte) {
 		decodeSnapshot(body)
-		if i, err := decodeSnapshot(sealSnapshot(body)); err == nil {
+		if i, err := decodeSnapshot(encodeSnapshot(body)); err == nil {
 			newSessions().restore(i.Sessions)
 		}
 	})
--- a/fleet/agree/snapshot.go
+++ b/fleet/agree/snapshot.go
@@ -26,7 +26,7 @@
 	Machine  []byte         `cbor:"3,keyasint"`
 }
 
-func sealSnapshot(body []byte) []byte {
+func encodeSnapshot(body []byte) []byte {
 	b := append([]byte{snapshotVersion}, body...)
 	return binary.BigEndian.AppendUint32(b, crc32.Checksum(b, castagnoli))
 }
@@ -42,7 +42,7 @@
 	if body[0] != snapshotVersion {
 		return i, fmt.Errorf("format version %d, not %d", body[0], snapshotVersion)
 	}
-	return i, snapMode.Unmarshal(body[1:], &i)
+	return i, snapshotDecMode.Unmarshal(body[1:], &i)
 }
 
 // snapshot is an encoded state on its way to disk.
--- a/fleet/agree/store.go
+++ b/fleet/agree/store.go
@@ -25,10 +25,10 @@
 //
 // so that a record that is read under another's key is found out as well.
 var (
-	bucketLog    = []byte("log")        // index, big-endian: a log entry
-	bucketStable = []byte("stable")     // raft's term and vote, and our own keys
-	keySpan      = []byte("agree/span") // the log's first and last index
-	keySeal      = []byte("agree/seal") // CRC-32C of all else in stable
+	bucketLog         = []byte("log")        // index, big-endian: a log entry
+	bucketStable      = []byte("stable")     // raft's term and vote, and our own keys
+	keyBounds         = []byte("agree/span") // the log's first and last index
+	keyStableChecksum = []byte("agree/seal") // CRC-32C of all else in stable
 
 	castagnoli = crc32.MakeTable(crc32.Castagnoli)
 )
@@ -45,17 +45,17 @@
 	db   *bbolt.DB
 	lock *os.File
 
-	update  func(func(*bbolt.Tx) error) error // db.Update, but for tests
-	failure chan error                        // room for the first
+	update   func(func(*bbolt.Tx) error) error // db.Update, but for tests
+	failures chan error                        // room for the first
 
 	// Raft appends from one goroutine and compacts from another; both change
 	// the log's ends.
 	boundsMu sync.Mutex
 
-	mu          sync.Mutex
-	first, last uint64 // of the log; 0: empty
-	err         error  // of the first write that failed
-	inRaft      bool   // raft runs: what it would panic on ends its goroutine
+	mu                    sync.Mutex
+	firstIndex, lastIndex uint64 // of the log; 0: empty
+	err                   error  // of the first write that failed
+	raftRunning           bool   // raft runs: what it would panic on ends its goroutine
 }
 
 // openStore opens the store in the directory dir, which it makes if there is
@@ -67,7 +67,7 @@
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, fmt.Errorf("store: %w", err)
 	}
-	s := &logStore{path: filepath.Join(dir, "raft.db"), failure: make(chan error, 1)}
+	s := &logStore{path: filepath.Join(dir, "raft.db"), failures: make(chan error, 1)}
 	defer func() {
 		if err != nil {
 			s.Close()
@@ -83,7 +83,7 @@
 	// The list of free pages has no checksum, so it is made anew from the tree
 	// at each start instead of read.
 	options := bbolt.Options{Timeout: time.Second, NoFreelistSync: true, NoStatistics: true, MaxSize: maxSize}
-	if err := recoverFault(func() error { s.db, err = bbolt.Open(s.path, 0o600, &options); return err }); err != nil {
+	if err := recoverPageFault(func() error { s.db, err = bbolt.Open(s.path, 0o600, &options); return err }); err != nil {
 		return nil, err
 	}
 	s.update = s.db.Update
@@ -107,7 +107,7 @@
 		if _, err := tx.CreateBucket(bucketStable); err != nil {
 			return err
 		}
-		return writeSeal(tx)
+		return writeStableChecksum(tx)
 	})
 }
 
@@ -142,7 +142,7 @@
 }
 
 // Failed yields the error of the first write or read that failed.
-func (s *logStore) Failed() <-chan error { return s.failure }
+func (s *logStore) Failed() <-chan error { return s.failures }
 
 // fail marks the store as unusable.
 func (s *logStore) fail(err error) error {
@@ -150,21 +150,21 @@
 	defer s.mu.Unlock()
 	if s.err == nil {
 		s.err = fmt.Errorf("store %s: %w", s.path, err)
-		s.failure <- s.err
+		s.failures <- s.err
 	}
 	return s.err
 }
 
-func (s *logStore) failed() error {
+func (s *logStore) firstError() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.err
 }
 
 // enterRaft tells the store that raft calls it from here on.
-func (s *logStore) enterRaft() {
+func (s *logStore) setRaftRunning() {
 	s.mu.Lock()
-	s.inRaft = true
+	s.raftRunning = true
 	s.mu.Unlock()
 }
 
@@ -173,7 +173,7 @@
 // is deferred runs, so that asks under way are told that their leader is lost.
 func (s *logStore) haltCaller(err error) error {
 	s.mu.Lock()
-	strict := s.inRaft
+	strict := s.raftRunning
 	s.mu.Unlock()
 	if strict {
 		runtime.Goexit()
@@ -182,26 +182,26 @@
 }
 
 func (s *logStore) write(f func(*bbolt.Tx) error) error {
-	if err := s.failed(); err != nil {
+	if err := s.firstError(); err != nil {
 		return err
 	}
 	sealed := func(tx *bbolt.Tx) error {
 		if err := f(tx); err != nil {
 			return err
 		}
-		return writeSeal(tx)
+		return writeStableChecksum(tx)
 	}
-	if err := recoverFault(func() error { return s.update(sealed) }); err != nil {
+	if err := recoverPageFault(func() error { return s.update(sealed) }); err != nil {
 		return s.fail(err)
 	}
 	return nil
 }
 
 func (s *logStore) read(f func(*bbolt.Tx) error) error {
-	if err := s.failed(); err != nil {
+	if err := s.firstError(); err != nil {
 		return err
 	}
-	err := recoverFault(func() error { return s.db.View(f) })
+	err := recoverPageFault(func() error { return s.db.View(f) })
 	if err != nil && err != raft.ErrLogNotFound {
 		return s.fail(err)
 	}
@@ -210,7 +210,7 @@
 
 // recoverFault turns what bolt does on spoilt pages, a panic or a fault in its memory
 // map, into an error.
-func recoverFault(f func() error) (err error) {
+func recoverPageFault(f func() error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if p := recover(); p != nil {
--- a/fleet/agree/store_check.go
+++ b/fleet/agree/store_check.go
@@ -23,7 +23,7 @@
 	if err := checkPages(s.path); err != nil {
 		return err
 	}
-	return recoverFault(func() error {
+	return recoverPageFault(func() error {
 		db, err := bbolt.Open(s.path, 0o600, &bbolt.Options{ReadOnly: true, Timeout: time.Second})
 		if err != nil {
 			return err
@@ -37,16 +37,16 @@
 // compares the log's ends with those written down beside it.
 func (s *logStore) checkRecords(tx *bbolt.Tx) error {
 	log, stable := tx.Bucket(bucketLog), tx.Bucket(bucketStable)
-	if log == nil && stable == nil && tx.ID() <= boltMade {
+	if log == nil && stable == nil && tx.ID() <= newFileTxID {
 		return nil // it ended before our first transaction
 	}
 	if log == nil || stable == nil {
 		return errors.New("log or term missing")
 	}
 	var first, last uint64
-	if text, err := recordPayload(bucketStable, keySpan, stable.Get(keySpan)); err != nil {
+	if text, err := recordPayload(bucketStable, keyBounds, stable.Get(keyBounds)); err != nil {
 		return err
-	} else if len(text) == spanSize {
+	} else if len(text) == boundsSize {
 		first, last = binary.BigEndian.Uint64(text), binary.BigEndian.Uint64(text[8:])
 	}
 	if err := checkLogBucket(log, first, last); err != nil {
@@ -55,7 +55,7 @@
 	if err := checkStableBucket(stable); err != nil {
 		return err
 	}
-	s.first, s.last = first, last
+	s.firstIndex, s.lastIndex = first, last
 	return nil
 }
 
@@ -94,24 +94,24 @@
 			return fmt.Errorf("%s: not found by its key", k)
 		}
 	}
-	if text, err := recordPayload(bucketStable, keySeal, stable.Get(keySeal)); err != nil {
+	if text, err := recordPayload(bucketStable, keyStableChecksum, stable.Get(keyStableChecksum)); err != nil {
 		return err
-	} else if !bytes.Equal(text, stableSum(stable)) {
+	} else if !bytes.Equal(text, stableChecksum(stable)) {
 		return errors.New("term or vote: missing")
 	}
 	return nil
 }
 
 // writeSeal keeps what tells that a key has gone missing. It ends each transaction.
-func writeSeal(tx *bbolt.Tx) error {
+func writeStableChecksum(tx *bbolt.Tx) error {
 	b := tx.Bucket(bucketStable)
-	return b.Put(keySeal, newRecord(bucketStable, keySeal, stableSum(b)))
+	return b.Put(keyStableChecksum, newRecord(bucketStable, keyStableChecksum, stableChecksum(b)))
 }
 
-func stableSum(stable *bbolt.Bucket) []byte {
+func stableChecksum(stable *bbolt.Bucket) []byte {
 	var c uint32
 	for k, v, cur := seekFirst(stable); k != nil; k, v = cur.Next() {
-		if !bytes.Equal(k, keySeal) {
+		if !bytes.Equal(k, keyStableChecksum) {
 			c = crc32.Update(crc32.Update(c, castagnoli, k), castagnoli, v)
 		}
 	}
--- a/fleet/agree/store_log.go
+++ b/fleet/agree/store_log.go
@@ -16,14 +16,14 @@
 func (s *logStore) FirstIndex() (uint64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.first, s.err
+	return s.firstIndex, s.err
 }
 
 // LastIndex is the index of the last log entry; 0 if there is none.
 func (s *logStore) LastIndex() (uint64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.last, s.err
+	return s.lastIndex, s.err
 }
 
 // GetLog reads the entry with an index into l. It returns raft.ErrLogNotFound
@@ -119,16 +119,16 @@
 func (s *logStore) bounds() (first, last uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.first, s.last
+	return s.firstIndex, s.lastIndex
 }
 
 func (s *logStore) setBounds(first, last uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.first, s.last = first, last
+	s.firstIndex, s.lastIndex = first, last
 }
 
 func writeBounds(tx *bbolt.Tx, first, last uint64) error {
 	span := binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(nil, first), last)
-	return tx.Bucket(bucketStable).Put(keySpan, newRecord(bucketStable, keySpan, span))
+	return tx.Bucket(bucketStable).Put(keyBounds, newRecord(bucketStable, keyBounds, span))
 }
--- a/fleet/agree/store_record.go
+++ b/fleet/agree/store_record.go
@@ -14,16 +14,16 @@
 const (
 	recordHeaderSize = 1 + 4
 	logHeaderSize    = 8 + 1 + 8 + 4 // term, type, time of appending, length of the data
-	spanSize         = 16            // first and last index
+	boundsSize       = 16            // first and last index
 
-	boltMade = 1 // number of the last transaction of a file that bolt has just made
+	newFileTxID = 1 // number of the last transaction of a file that bolt has just made
 )
 
 func logKey(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
 
 func newRecord(bucket, key, payload []byte) []byte {
 	v := append(make([]byte, 0, recordHeaderSize+len(payload)), storeVersion)
-	v = binary.BigEndian.AppendUint32(v, recordSum(bucket, key, payload))
+	v = binary.BigEndian.AppendUint32(v, recordChecksum(bucket, key, payload))
 	return append(v, payload...)
 }
 
@@ -36,13 +36,13 @@
 		return nil, fmt.Errorf("record of %d bytes", len(v))
 	case v[0] != storeVersion:
 		return nil, fmt.Errorf("format version %d, not %d", v[0], storeVersion)
-	case binary.BigEndian.Uint32(v[1:]) != recordSum(bucket, key, v[recordHeaderSize:]):
+	case binary.BigEndian.Uint32(v[1:]) != recordChecksum(bucket, key, v[recordHeaderSize:]):
 		return nil, errors.New("checksum mismatch")
 	}
 	return v[recordHeaderSize:], nil
 }
 
-func recordSum(bucket, key, payload []byte) uint32 {
+func recordChecksum(bucket, key, payload []byte) uint32 {
 	c := crc32.Update(0, castagnoli, bucket)
 	c = crc32.Update(c, castagnoli, key)
 	return crc32.Update(c, castagnoli, payload)
--- a/fleet/agree/store_test.go
+++ b/fleet/agree/store_test.go
@@ -24,7 +24,7 @@
 }
 
 // filled is a closed store with entries 1 to n, a term and a vote.
-func filled(t testing.TB, n uint64) (dir string) {
+func newFilledStore(t testing.TB, n uint64) (dir string) {
 	t.Helper()
 	dir = t.TempDir()
 	s := mustOpen(t, dir)
@@ -44,7 +44,7 @@
 }
 
 // edit changes a closed store behind its back.
-func edit(t testing.TB, dir string, f func(log, stable *bbolt.Bucket) error) {
+func editStore(t testing.TB, dir string, f func(log, stable *bbolt.Bucket) error) {
 	t.Helper()
 	db, err := bbolt.Open(filepath.Join(dir, "raft.db"), 0o600, nil)
 	if err != nil {
@@ -58,7 +58,7 @@
 	}
 }
 
-func TestSpoiltStore(t *testing.T) {
+func TestCorruptRecords(t *testing.T) {
 	flip := func(b *bbolt.Bucket, k []byte, at int) error {
 		v := bytes.Clone(b.Get(k))
 		v[at] ^= 1
@@ -85,8 +85,8 @@
 		{"term", "term: checksum mismatch", func(_, s *bbolt.Bucket) error { return flip(s, []byte("term"), 12) }},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			dir := filled(t, 20)
-			edit(t, dir, x.spoil)
+			dir := newFilledStore(t, 20)
+			editStore(t, dir, x.spoil)
 			_, err := openStore(dir)
 			want := fmt.Sprintf("store %s: %s", filepath.Join(dir, "raft.db"), x.want)
 			if err == nil || err.Error() != want {
@@ -101,8 +101,8 @@
 	}
 }
 
-func TestTornStore(t *testing.T) {
-	dir := filled(t, 200)
+func TestTruncatedStore(t *testing.T) {
+	dir := newFilledStore(t, 200)
 	path := filepath.Join(dir, "raft.db")
 	whole, err := os.ReadFile(path)
 	if err != nil {
@@ -136,8 +136,8 @@
 }
 
 // Whatever byte of the file is spoilt, the store is refused or has all it had.
-func TestSpoiltBytes(t *testing.T) {
-	dir := filled(t, 60)
+func TestCorruptBytes(t *testing.T) {
+	dir := newFilledStore(t, 60)
 	path := filepath.Join(dir, "raft.db")
 	s := mustOpen(t, dir)
 	want := contents(s)
@@ -173,7 +173,7 @@
 }
 
 func TestLockedStore(t *testing.T) {
-	dir := filled(t, 1)
+	dir := newFilledStore(t, 1)
 	s := mustOpen(t, dir)
 	if _, err := openStore(dir); err == nil || !strings.HasSuffix(err.Error(), "in use by another process") {
 		t.Fatalf("opened twice: %v", err)
@@ -293,7 +293,7 @@
 		if len(v) > recordHeaderSize { // with a good sum, so that the rest is reached
 			v = bytes.Clone(v)
 			v[0] = storeVersion
-			binary.BigEndian.PutUint32(v[1:], recordSum(bucketLog, k, v[recordHeaderSize:]))
+			binary.BigEndian.PutUint32(v[1:], recordChecksum(bucketLog, k, v[recordHeaderSize:]))
 			decodeLog(k, v, &l)
 		}
 	})
--- a/fleet/agree/tick.go
+++ b/fleet/agree/tick.go
@@ -8,9 +8,9 @@
 
 // leaderClock measures the time that this voter leads.
 type leaderClock struct {
-	newEntry   func(time.Duration) []byte
-	term       uint64
-	measuredTo time.Time // up to which time has been proposed in term
+	newTick  func(time.Duration) []byte
+	term     uint64
+	lastTick time.Time // up to which time has been proposed in term
 }
 
 // tick returns the next tick's command; nil if there is none.
@@ -19,11 +19,11 @@
 		t.term = 0
 		return nil
 	}
-	passed, term := now.Sub(t.measuredTo), r.CurrentTerm()
-	t.measuredTo = now
+	passed, term := now.Sub(t.lastTick), r.CurrentTerm()
+	t.lastTick = now
 	if term != t.term {
 		t.term = term
 		return nil
 	}
-	return (&command{kind: kindTick, term: term, ask: sessionEntry{Entry: t.newEntry(passed)}}).encode()
+	return (&command{kind: kindTick, term: term, entry: sessionEntry{Data: t.newTick(passed)}}).encode()
 }
--- a/fleet/agree/voter.go
+++ b/fleet/agree/voter.go
@@ -18,7 +18,7 @@
 const (
 	phaseForming phase = iota // waits until all of the initial set are seen for the first time
 	phaseRunning              // takes part
-	phaseOver                 // has ended
+	phaseStopped              // has ended
 )
 
 func (p phase) String() string { return [...]string{"forming", "running", "over"}[p] }
@@ -27,19 +27,19 @@
 // committed to its Machine. It is one task with one bounded inbox. Its methods may be called
 // from any goroutine.
 type Voter struct {
-	cfg   Config
-	log   *slog.Logger
-	hclog hclog.Logger
-	store *logStore
-	snaps *raft.FileSnapshotStore
-	fsm   *fsm
-	self  hello // what it tells of itself while forming
+	cfg      Config
+	log      *slog.Logger
+	hclog    hclog.Logger
+	store    *logStore
+	snaps    *raft.FileSnapshotStore
+	fsm      *fsm
+	identity hello // what it tells of itself while forming
 
 	inbox    chan *proposal
 	pending  chan pending  // handed to raft, in order
 	stop     chan bool     // whether to hand leadership over first
 	raftDown chan struct{} // closed once raft is shut down
-	ended    chan struct{}
+	done     chan struct{}
 	stopOnce sync.Once
 
 	mu    sync.Mutex
@@ -68,7 +68,7 @@
 	v := &Voter{
 		cfg: cfg, log: log.With("voter", cfg.Name), store: store, fsm: newFSM(m),
 		inbox: make(chan *proposal, cfg.MaxPending), pending: make(chan pending, cfg.MaxPending),
-		stop: make(chan bool, 1), raftDown: make(chan struct{}), ended: make(chan struct{}),
+		stop: make(chan bool, 1), raftDown: make(chan struct{}), done: make(chan struct{}),
 	}
 	v.hclog = newRaftLogger(v.log)
 	if err := v.prepare(); err != nil {
@@ -81,18 +81,18 @@
 
 // prepare checks what is on disk, and starts raft if this voter has formed.
 func (v *Voter) prepare() (err error) {
-	if v.self, err = v.store.identity(&v.cfg); err != nil {
+	if v.identity, err = v.store.loadIdentity(&v.cfg); err != nil {
 		return err
 	}
 	if v.snaps, err = openSnapshots(v.cfg.Dir, v.store, v.hclog); err != nil {
 		return err
 	}
-	if v.self.Formed == nil && v.cfg.Join {
-		if err := v.store.setFormed(&v.self, map[string]uint64{}); err != nil {
+	if v.identity.Incarnations == nil && v.cfg.Join {
+		if err := v.store.saveFormed(&v.identity, map[string]uint64{}); err != nil {
 			return err
 		}
 	}
-	if v.self.Formed != nil {
+	if v.identity.Incarnations != nil {
 		return v.startRaft()
 	}
 	return nil
@@ -103,9 +103,9 @@
 	err := v.form()
 	if err == nil {
 		collected := make(chan struct{})
-		go v.collect(collected)
+		go v.deliverResults(collected)
 		err = v.serve()
-		v.shutRaft()
+		v.shutDownRaft()
 		close(v.raftDown)
 		close(v.pending)
 		<-collected
@@ -114,10 +114,10 @@
 		err = nil
 	}
 	v.mu.Lock()
-	v.phase, v.err = phaseOver, err
+	v.phase, v.err = phaseStopped, err
 	v.mu.Unlock()
-	close(v.ended)
-	v.refuseRest()
+	close(v.done)
+	v.rejectQueued()
 	v.store.Close()
 	if err != nil {
 		v.log.Error("ended", "err", err)
@@ -125,7 +125,7 @@
 }
 
 // refuseRest answers what has come into the inbox by the end.
-func (v *Voter) refuseRest() {
+func (v *Voter) rejectQueued() {
 	for {
 		select {
 		case p := <-v.inbox:
@@ -146,7 +146,7 @@
 	}
 	health := time.NewTicker(v.cfg.HeartbeatTimeout)
 	defer health.Stop()
-	clock := leaderClock{newEntry: v.cfg.NewTick}
+	clock := leaderClock{newTick: v.cfg.NewTick}
 	for {
 		select {
 		case p := <-v.inbox:
@@ -155,7 +155,7 @@
 			}
 		case <-ticks:
 			if data := clock.tick(v.raft, time.Now()); data != nil {
-				if err := v.push(pending{nil, v.raft.Apply(data, v.cfg.HeartbeatTimeout)}); err != nil {
+				if err := v.enqueue(pending{nil, v.raft.Apply(data, v.cfg.HeartbeatTimeout)}); err != nil {
 					return err
 				}
 			}
@@ -165,11 +165,11 @@
 			}
 		case err := <-v.store.Failed():
 			return err
-		case err := <-v.fsm.failure:
+		case err := <-v.fsm.failures:
 			return err
 		case hand := <-v.stop:
 			if hand && v.raft.State() == raft.Leader {
-				v.handOver()
+				v.transferLeadership()
 			}
 			return nil
 		}
@@ -180,7 +180,7 @@
 var errRemoved = errors.New("agree: removed from the set of voters")
 
 // handOver transfers the leadership to another voter, if that succeeds in time.
-func (v *Voter) handOver() {
+func (v *Voter) transferLeadership() {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*v.cfg.HeartbeatTimeout)
 	defer cancel()
 	if err := awaitFuture(v.raft.LeadershipTransfer(), ctx.Done()); err != nil {
@@ -188,7 +188,7 @@
 	}
 }
 
-func (v *Voter) shutRaft() {
+func (v *Voter) shutDownRaft() {
 	if err := v.raft.Shutdown().Error(); err != nil {
 		v.log.Warn("shutdown", "err", err)
 	}
@@ -196,9 +196,9 @@
 }
 
 // notLeader says where the leader is.
-func (v *Voter) notLeader() error {
+func (v *Voter) notLeaderError() error {
 	e := &notLeaderError{}
-	if r := v.running(); r != nil {
+	if r := v.activeRaft(); r != nil {
 		_, id := r.LeaderWithID()
 		for _, p := range v.cfg.InitialVoters {
 			if p.Name == string(id) && p.Name != v.cfg.Name {
@@ -210,7 +210,7 @@
 }
 
 // running is raft, or nil while it doesn't take part.
-func (v *Voter) running() *raft.Raft {
+func (v *Voter) activeRaft() *raft.Raft {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.phase != phaseRunning {
@@ -220,14 +220,14 @@
 }
 
 // inTouch tells whether this voter leads or has lately heard from who does.
-func (v *Voter) inTouch() bool {
-	r := v.running()
+func (v *Voter) hasLeader() bool {
+	r := v.activeRaft()
 	return r != nil && (r.State() == raft.Leader || time.Since(r.LastContact()) < 3*v.cfg.HeartbeatTimeout)
 }
 
 // leading tells whether this voter believes that it leads.
 func (v *Voter) leading() bool {
-	r := v.running()
+	r := v.activeRaft()
 	return r != nil && r.State() == raft.Leader
 }
 
@@ -236,15 +236,15 @@
 // voter had ended by itself before; nil if it had not.
 func (v *Voter) Stop(handOver bool) error {
 	v.stopOnce.Do(func() { v.stop <- handOver })
-	<-v.ended
-	return v.cause()
+	<-v.done
+	return v.exitError()
 }
 
 // Over is closed when the voter has ended. Stop returns why.
-func (v *Voter) Done() <-chan struct{} { return v.ended }
+func (v *Voter) Done() <-chan struct{} { return v.done }
 
 // cause is why the voter ended by itself; nil if it was stopped or has not ended.
-func (v *Voter) cause() error {
+func (v *Voter) exitError() error {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.err
--- a/fleet/agree/wire_test.go
+++ b/fleet/agree/wire_test.go
@@ -17,7 +17,7 @@
 )
 
 // served is a voter alone with a server of its own limits.
-func served(t *testing.T, limits ServerLimits) (addr string, s *Server) {
+func startServer(t *testing.T, limits ServerLimits) (addr string, s *Server) {
 	t.Helper()
 	c := newCluster(t, 1, newRegister, nil).start()
 	c.leader()
@@ -37,7 +37,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	return c
 }
 
@@ -52,7 +52,7 @@
 
 // A bad frame gets one error, then the end.
 func TestBadFrames(t *testing.T) {
-	addr, _ := served(t, ServerLimits{FrameTimeout: 200 * time.Millisecond})
+	addr, _ := startServer(t, ServerLimits{FrameTimeout: 200 * time.Millisecond})
 	good := frame(t, &request{Kind: requestPing, ID: 1})
 	version := bytes.Clone(good)
 	version[frameHeaderSize] = 7
@@ -72,7 +72,7 @@
 		c := dial(t, addr)
 		c.Write(x.b)
 		var r reply
-		if err := readFrame(c, &r, func() {}); err != nil || r.Code != codeBad || !strings.Contains(r.Text, x.want) {
+		if err := readFrame(c, &r, func() {}); err != nil || r.Code != codeBadRequest || !strings.Contains(r.Text, x.want) {
 			t.Errorf("%s: %v, %+v", x.name, err, r)
 		}
 		if err := readFrame(c, &r, func() {}); err == nil {
@@ -87,7 +87,7 @@
 }
 
 func TestServerLimits(t *testing.T) {
-	addr, s := served(t, ServerLimits{MaxConnections: 2, IdleTimeout: 300 * time.Millisecond})
+	addr, s := startServer(t, ServerLimits{MaxConnections: 2, IdleTimeout: 300 * time.Millisecond})
 	first, second := dial(t, addr), dial(t, addr)
 	for _, c := range []net.Conn{first, second} {
 		c.Write(frame(t, &request{Kind: requestPing, ID: 9}))
@@ -113,18 +113,18 @@
 }
 
 // One connection has a bound of asks under way; those over it are told busy.
-func TestAsksOfOneConnection(t *testing.T) {
+func TestConnectionRequestLimit(t *testing.T) {
 	hold := make(chan struct{})
 	c := newCluster(t, 1, func() Machine {
-		return hooked{register.New(), func([]byte) { <-hold }}
+		return hookedMachine{register.New(), func([]byte) { <-hold }}
 	}, nil).start()
-	session, err := c.leader().voter.openSession(within(t))
+	session, err := c.leader().voter.openSession(testContext(t))
 	if err != nil {
 		t.Fatal(err)
 	}
-	conn := dial(t, c.addrs[0])
+	conn := dial(t, c.clientAddrs[0])
 	for i := range uint64(40) {
-		conn.Write(frame(t, &request{Kind: requestAsk, ID: i + 1, Session: session, Seq: i + 1, Body: register.Add(0, 1)}))
+		conn.Write(frame(t, &request{Kind: requestPropose, ID: i + 1, Session: session, Seq: i + 1, Body: register.Add(0, 1)}))
 	}
 	busy := 0
 	for range 40 - 16 {
@@ -132,7 +132,7 @@
 		if err := readFrame(conn, &r, func() {}); err != nil {
 			t.Fatal(err)
 		}
-		if r.Code == codeBusy && r.ComeBack > 0 {
+		if r.Code == codeBusy && r.RetryAfter > 0 {
 			busy++
 		}
 	}
@@ -144,7 +144,7 @@
 
 // A client that no voter answers gives up with its context, and says that
 // nothing was asked; one without a majority says that it does not know.
-func TestClientGivesUp(t *testing.T) {
+func TestClientTimeout(t *testing.T) {
 	k, err := NewClient(ClientConfig{Voters: []string{standin.FreeAddr(t), standin.FreeAddr(t)}}, quiet)
 	if err != nil {
 		t.Fatal(err)
@@ -159,23 +159,23 @@
 	k = c.client()
 	c.add(k, 1)
 	for _, n := range c.nodes {
-		n.setCut(true)
+		n.setIsolated(true)
 	}
-	ctx, cancel = context.WithTimeout(context.Background(), 4*heartbeat)
+	ctx, cancel = context.WithTimeout(context.Background(), 4*testHeartbeat)
 	defer cancel()
 	if _, _, err := k.Propose(ctx, register.Add(0, 1)); err == nil {
 		t.Fatal("agreed without a majority")
 	}
 	k.Close()
-	if _, _, err := k.Propose(within(t), register.Add(0, 1)); !errors.Is(err, ErrShutdown) {
+	if _, _, err := k.Propose(testContext(t), register.Add(0, 1)); !errors.Is(err, ErrShutdown) {
 		t.Fatalf("after its end: %v", err)
 	}
 }
 
-func TestErrorsOnTheWire(t *testing.T) {
+func TestErrorEncoding(t *testing.T) {
 	for _, err := range []error{
 		nil, ErrOutcomeUnknown, ErrShutdown, ErrUnknownSession, ErrConfirmed, ErrTooManyUnconfirmed, ErrTooLong,
-		&notLeaderError{"127.0.0.1:1"}, &notLeaderError{}, &busyError{30 * time.Millisecond}, &goneError{7},
+		&notLeaderError{"127.0.0.1:1"}, &notLeaderError{}, &busyError{30 * time.Millisecond}, &compactedError{7},
 	} {
 		var r, back reply
 		r.setError(err)
@@ -189,9 +189,9 @@
 }
 
 func FuzzFrame(f *testing.F) {
-	f.Add(frame(f, &request{Kind: requestAsk, ID: 1, Session: 2, Seq: 3, Done: 1, Body: []byte("entry")}))
+	f.Add(frame(f, &request{Kind: requestPropose, ID: 1, Session: 2, Seq: 3, Confirmed: 1, Body: []byte("entry")}))
 	f.Add(frame(f, &reply{ID: 1, Code: codeNotLeader, Text: "127.0.0.1:1"}))
-	f.Add(frame(f, &reply{Hello: &hello{Name: "a", Life: 3, Formed: map[string]uint64{"a": 3}}}))
+	f.Add(frame(f, &reply{Hello: &hello{Name: "a", Incarnation: 3, Incarnations: map[string]uint64{"a": 3}}}))
 	f.Add([]byte{0, 0, 0, 2, 1, 0xa0})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		for _, m := range []any{&request{}, &reply{}} {
