--- a/fleet/agree/config.go
+++ b/fleet/agree/config.go
@@ -9,45 +9,47 @@
 	"github.com/hashicorp/raft"
 )
 
-// Peer is one voter of the initial set. Addresses are host:port.
+// Peer is a voter of the initial set. Addresses are host:port.
 type Peer struct {
 	Name          string `json:"name"`
-	RaftAddress   string `json:"address"` // at which other voters reach it
-	ClientAddress string `json:"ask"`     // at which askers, and voters not yet formed, reach it
+	RaftAddress   string `json:"address"` // for raft connections of other voters
+	ClientAddress string `json:"ask"`     // for clients and for voters that form the cluster
 }
 
 // Config configures a voter. The zero values of durations and numbers stand for defaults.
 type Config struct {
-	Name          string // its own; of a voter that lost its store, a new one
-	Bind          string // address to listen on for other voters
-	Dir           string // of the store and the snapshots
-	InitialVoters []Peer // the initial set, the same at all of them: 1, 3 or 5
-	Join          bool   // not one of the initial set: waits until it is added
+	Name          string // of this voter; a voter that lost its store needs a new one
+	Bind          string // address to listen on for raft connections
+	Dir           string // directory of the store and the snapshots
+	InitialVoters []Peer // the initial set of 1, 3 or 5 voters; the same at all of them
+	Join          bool   // not in the initial set: waits until it is added
 
-	// Tick makes the machine's entry that says that time has passed; nil: time
-	// is not told. The time is the leader's monotonic one. What lies between
-	// two leaders, or before a tick whose outcome isn't known, is left out, so
-	// that the machine's time never runs ahead.
+	// NewTick returns the entry that tells the machine how much time has passed;
+	// nil: no ticks are proposed. The time is measured by the leader's monotonic
+	// clock. Time between two leaders, and time in a tick that is not committed,
+	// is not counted, so the machine's time never runs ahead of real time.
 	NewTick      func(passed time.Duration) []byte
 	TickInterval time.Duration // 0: 1 s
 
-	HeartbeatTimeout time.Duration // without one for so long there is an election; 0: 1 s
-	MaxPending       int           // proposals and reads that wait; 0: 256
-	RetryAfter       time.Duration // told to askers while the inbox is full; 0: 200 ms
+	HeartbeatTimeout time.Duration // silence of the leader after which an election starts; 0: 1 s
+	MaxPending       int           // maximum number of queued proposals and reads; 0: 256
+	RetryAfter       time.Duration // delay that clients are told while the queue is full; 0: 200 ms
 
-	// The log is cut after SnapshotEvery entries, 8192 by default: with a tick
-	// a second and entries below a kilobyte that is every two hours and below
-	// 8 MB. Trailing entries are kept behind the cut, 2048 by default: a voter
-	// that is away for half an hour catches up by entries, not by a snapshot.
+	// A snapshot is taken and the log compacted after SnapshotThreshold entries,
+	// 8192 by default: with one tick per second and entries below a kilobyte,
+	// that is every two hours and below 8 MB. TrailingEntries entries before the
+	// snapshot are kept, 2048 by default: a voter that is down for half an hour
+	// catches up from the log, without a snapshot transfer.
 	SnapshotThreshold uint64
 	TrailingEntries   uint64
-	SnapshotInterval  time.Duration // how often the entries are counted; 0: 2 min
+	SnapshotInterval  time.Duration // how often the threshold is checked; 0: 2 min
 
-	streamLayer raft.StreamLayer // in place of a TCP listener, in tests
-	store       *logStore        // opened already, in tests
+	streamLayer raft.StreamLayer // replaces the TCP listener in tests
+	store       *logStore        // a store opened by the test
 }
 
-// Check fills in defaults. Its error names the key that is wrong and what would be right.
+// Check sets defaults and validates the configuration. Its error names the invalid key and the
+// allowed values.
 func (c *Config) Check() error {
 	if c.Name == "" {
 		return errors.New("name: empty")
@@ -68,7 +70,7 @@
 	return nil
 }
 
-// checkVoters checks the initial set, and that this voter is in it or joins.
+// checkVoters validates the initial set, and checks that this voter either is in it or joins.
 func (c *Config) checkVoters() error {
 	if n := len(c.InitialVoters); n != 1 && n != 3 && n != 5 {
 		return fmt.Errorf("voters: %d, not 3 or 5 (or 1 to try things out)", n)
@@ -100,7 +102,7 @@
 	return nil
 }
 
-// setDefaults replaces what is 0. Numbers below 0 are left.
+// setDefaults replaces zero values by the defaults. Negative numbers stay.
 func (c *Config) setDefaults() {
 	for _, d := range []struct {
 		to  *time.Duration
--- a/fleet/agree/doc.go
+++ b/fleet/agree/doc.go
@@ -1,8 +1,9 @@
-// Package agree keeps a state that three or five voters agree on, by a
-// replicated log: Raft (Ongaro, Ousterhout, ATC 2014) as in hashicorp/raft, on a
-// store and a Machine of ours, and the connection by which others ask.
+// Package agree replicates a state machine over three or five voters. It runs
+// Raft (Ongaro, Ousterhout, ATC 2014), as implemented by hashicorp/raft, on its
+// own log store, and contains the server and the client of a protocol for
+// proposing entries to the voters and reading from them.
 //
-// What is agreed is decided by applying the log, never by a leader's opinion:
-// a leader that was stopped and goes on believing that it leads can't get an
-// entry past a majority, so all it does is to answer ErrUnknown or not at all.
+// Outcomes are decided only by applying committed log entries. A deposed leader
+// that still believes that it leads can't commit an entry without a majority, so
+// its clients get ErrOutcomeUnknown or no reply.
 package agree
--- a/fleet/agree/entry.go
+++ b/fleet/agree/entry.go
@@ -5,34 +5,35 @@
 	"fmt"
 )
 
-// entryVersion is the first byte of each command in the log. A voter that meets
-// another stops: it can't skip what the others apply.
+// entryVersion is the first byte of each command in the log. A voter stops at a
+// command of another version, because skipping what other voters apply would make
+// its state diverge.
 const entryVersion = 1
 
-// entryKind says what a command in the log is.
+// entryKind is the type of a command in the log.
 type entryKind uint8
 
 const (
-	kindOpenSession entryKind = iota // of a session, which is named by the entry's index
-	kindPropose                      // for the machine, once for each session and sequence
-	kindTick                         // for the machine, if the term is still the one it is of
+	kindOpenSession entryKind = iota // opens a session, whose ID is the index of the entry
+	kindPropose                      // machine entry, applied once per session and sequence number
+	kindTick                         // machine entry, applied only in the term in which it was proposed
 )
 
 func (k entryKind) String() string { return [...]string{"open", "ask", "tick"}[k] }
 
-// sessionEntry is one entry that an asker wants to be agreed.
+// sessionEntry is a machine entry proposed in a client's session.
 type sessionEntry struct {
-	Session   uint64 // as Voter.openSession returned it
-	Seq       uint64 // of the session, from 1; the same each time this is asked again
-	Confirmed uint64 // answers to this and all lower sequences have been had
-	Data      []byte // for the machine, MaxEntry bytes at most
+	Session   uint64 // ID returned by Voter.openSession
+	Seq       uint64 // sequence number in the session, from 1; the same in each retry
+	Confirmed uint64 // the client needs no answers up to this sequence number any more
+	Data      []byte // entry for the machine, at most MaxEntry bytes
 }
 
-// command is what the log holds.
+// command is the decoded content of a log entry.
 type command struct {
 	kind  entryKind
-	term  uint64       // of a tick
-	entry sessionEntry // a tick has its entry alone
+	term  uint64       // of a tick: the term in which it was proposed
+	entry sessionEntry // a tick uses only Data
 }
 
 const commandHeaderSize = 1 + 1 + 4*8
@@ -45,7 +46,7 @@
 	return append(b, c.entry.Data...)
 }
 
-// decodeCommand reads a command. Its entry shares memory with b.
+// decodeCommand decodes a command. Its entry data shares memory with b.
 func decodeCommand(b []byte) (c command, err error) {
 	if len(b) < commandHeaderSize {
 		return c, fmt.Errorf("entry of %d bytes", len(b))
--- a/fleet/agree/errors.go
+++ b/fleet/agree/errors.go
@@ -6,35 +6,37 @@
 	"time"
 )
 
-// Bounds on what is agreed, in bytes.
+// Size limits, in bytes.
 const (
-	// MaxEntry bounds an entry, a query and an answer each.
+	// MaxEntry is the maximum size of an entry, of a query and of an answer.
 	MaxEntry = 96 << 10
 )
 
 var (
-	// ErrUnknown is returned for an ask that may have been agreed or may yet
-	// be. Only the same ask again, with its session and sequence, tells.
+	// ErrOutcomeUnknown is returned for a proposal that may have been committed
+	// or may still be. To learn the outcome, retry it with the same session and
+	// sequence number.
 	ErrOutcomeUnknown = errors.New("agree: outcome unknown, ask again with the same sequence")
-	// ErrShutdown is returned by a voter that is going or gone. The ask was not
-	// proposed.
+	// ErrShutdown is returned by a voter that is stopping or has stopped. The
+	// entry was not proposed.
 	ErrShutdown = errors.New("agree: voter shut down")
-	// ErrSession is returned if the session is not known: it was never opened,
-	// or others have been used since by more askers than are remembered. This
-	// try was not applied; an earlier one may have been.
+	// ErrUnknownSession is returned if the session was never opened or has been
+	// evicted as the least recently used one. This attempt was not applied; an
+	// earlier one may have been.
 	ErrUnknownSession = errors.New("agree: session not known")
-	// ErrStale is returned for a sequence whose answer the asker has confirmed.
+	// ErrConfirmed is returned for a sequence number whose answer the client has
+	// confirmed.
 	ErrConfirmed = errors.New("agree: sequence confirmed before")
-	// ErrCrowded is returned if a session has too many unconfirmed answers. The
-	// ask was not applied.
+	// ErrTooManyUnconfirmed is returned if a session has too many unconfirmed
+	// answers. The entry was not applied.
 	ErrTooManyUnconfirmed = errors.New("agree: too many unconfirmed answers in the session")
-	// ErrTooLong is returned for an entry or query of more than MaxEntry bytes.
+	// ErrTooLong is returned for an entry or a query of more than MaxEntry bytes.
 	ErrTooLong = fmt.Errorf("agree: longer than %d bytes", MaxEntry)
 )
 
-// notLeaderError is returned by a voter that doesn't lead. The ask was not proposed.
+// notLeaderError is returned by a voter that is not the leader. The entry was not proposed.
 type notLeaderError struct {
-	Leader string // where the leader is to be asked; empty: not known
+	Leader string // the leader's address for clients; empty if not known
 }
 
 func (e *notLeaderError) Error() string {
@@ -44,24 +46,25 @@
 	return "agree: not the leader, which is at " + e.Leader
 }
 
-// busyError is returned when the inbox is full. The ask was not proposed.
+// busyError is returned when the proposal queue is full. The entry was not proposed.
 type busyError struct {
-	RetryAfter time.Duration // after which to ask again
+	RetryAfter time.Duration // delay before the next attempt
 }
 
 func (e *busyError) Error() string { return fmt.Sprintf("agree: busy, come back in %v", e.RetryAfter) }
 
-// goneError is returned for effects that are not kept any more. Read the state,
-// then subscribe from the index after the one that it was read at.
+// compactedError is returned for effects that have been dropped from the buffer.
+// The subscriber has to read the state and subscribe from the index after that of
+// the read.
 type compactedError struct {
-	Oldest uint64 // index from which on effects are kept
+	Oldest uint64 // index from which all effects are available
 }
 
 func (e *compactedError) Error() string {
 	return fmt.Sprintf("agree: effects before %d are not kept", e.Oldest)
 }
 
-// code is an error on the wire.
+// code is a result code on the wire.
 type code uint8
 
 const (
@@ -75,8 +78,8 @@
 	codeTooManyUnconfirmed
 	codeTooLong
 	codeCompacted
-	codeBadRequest // the frame or its message; Text says how
-	codeEffect     // an effect, others follow
+	codeBadRequest // malformed frame or refused request; Text has the reason
+	codeEffect     // an effect; the subscription goes on
 )
 
 var errorsByCode = map[code]error{
@@ -84,7 +87,7 @@
 	codeTooManyUnconfirmed: ErrTooManyUnconfirmed, codeTooLong: ErrTooLong,
 }
 
-// setError fills in the fields of r that say err.
+// setError encodes err in the fields of r.
 func (r *reply) setError(err error) {
 	var (
 		notLeader *notLeaderError
@@ -110,7 +113,7 @@
 	}
 }
 
-// err is the error that r says; nil for none.
+// err decodes the error in r; nil if there is none.
 func (r *reply) err() error {
 	switch r.Code {
 	case codeOK, codeEffect:
--- a/fleet/agree/raft.go
+++ b/fleet/agree/raft.go
@@ -11,10 +11,10 @@
 	"github.com/hashicorp/raft"
 )
 
-// startRaft lets this voter take part from here on.
+// startRaft starts raft, and on the first start writes the initial configuration to the log.
 func (v *Voter) startRaft() (err error) {
 	defer func() {
-		if p := recover(); p != nil { // raft's way to say that it can't read its log
+		if p := recover(); p != nil { // raft panics if it can't read its log
 			err = fmt.Errorf("agree: raft: %v", p)
 		}
 		if err != nil && v.trans != nil {
@@ -83,13 +83,13 @@
 	r.LeaderLeaseTimeout = c.HeartbeatTimeout / 2
 	r.CommitTimeout = c.HeartbeatTimeout / 20
 	r.SnapshotThreshold, r.TrailingLogs, r.SnapshotInterval = c.SnapshotThreshold, c.TrailingEntries, c.SnapshotInterval
-	r.BatchApplyCh = true // what comes during one fsync goes into the next
+	r.BatchApplyCh = true // entries that arrive during an fsync share the next one
 	r.NoLegacyTelemetry = true
 	r.Logger = log
 	return r
 }
 
-// newRaftLogger hands raft's log on.
+// newRaftLogger returns a logger for raft that forwards to log.
 func newRaftLogger(log *slog.Logger) hclog.Logger {
 	l := hclog.NewInterceptLogger(&hclog.LoggerOptions{Level: hclog.Info, Output: io.Discard})
 	l.RegisterSink(raftLogSink{log})
--- a/fleet/agree/voter.go
+++ b/fleet/agree/voter.go
@@ -12,20 +12,20 @@
 	"github.com/hashicorp/raft"
 )
 
-// phase is what a voter is doing.
+// phase is the stage of a voter's life cycle.
 type phase uint8
 
 const (
-	phaseForming phase = iota // waits until all of the initial set are seen for the first time
-	phaseRunning              // takes part
-	phaseStopped              // has ended
+	phaseForming phase = iota // waits until all voters of the initial set have been reached
+	phaseRunning              // participates in raft
+	phaseStopped              // has stopped
 )
 
 func (p phase) String() string { return [...]string{"forming", "running", "over"}[p] }
 
-// Voter is one replica of the agreed state: it runs raft on its store and applies what is
-// committed to its Machine. It is one task with one bounded inbox. Its methods may be called
-// from any goroutine.
+// Voter is one replica: it runs raft on its store and applies committed entries to its Machine.
+// One goroutine takes proposals from a bounded queue and hands them to raft. The methods may be
+// called from any goroutine.
 type Voter struct {
 	cfg      Config
 	log      *slog.Logger
@@ -33,12 +33,12 @@
 	store    *logStore
 	snaps    *raft.FileSnapshotStore
 	fsm      *fsm
-	identity hello // what it tells of itself while forming
+	identity hello // sent to other voters during formation
 
 	inbox    chan *proposal
-	pending  chan pending  // handed to raft, in order
-	stop     chan bool     // whether to hand leadership over first
-	raftDown chan struct{} // closed once raft is shut down
+	pending  chan pending  // handed to raft, in this order
+	stop     chan bool     // the value: whether to transfer leadership first
+	raftDown chan struct{} // closed once raft has shut down
 	done     chan struct{}
 	stopOnce sync.Once
 
@@ -46,15 +46,15 @@
 	phase phase
 	raft  *raft.Raft
 	trans *raft.NetworkTransport
-	err   error // why it ended
+	err   error // why it stopped by itself
 }
 
-// Start opens the store in cfg.Dir and starts the voter. It returns an error if cfg is not
-// valid (see Config.Check), if the store is torn, corrupt, in use by another process or
-// another voter's, or, of a voter that has formed, if cfg.Bind can't be listened on.
+// Start opens the store in cfg.Dir and starts the voter. It returns an error if cfg is invalid
+// (see Config.Check), if the store is truncated, corrupt, in use by another process or belongs
+// to another voter, or if a voter that has formed can't listen on cfg.Bind.
 //
-// A voter whose store is empty does not vote at once, for it can't tell whether
-// it is new or has lost what it promised. See form.
+// A voter with an empty store does not vote at once: it can't distinguish a first start from
+// the loss of a store with votes and acknowledged entries. See form.
 func Start(cfg Config, m Machine, log *slog.Logger) (_ *Voter, err error) {
 	if err := cfg.Check(); err != nil {
 		return nil, fmt.Errorf("agree: %w", err)
@@ -79,7 +79,7 @@
 	return v, nil
 }
 
-// prepare checks what is on disk, and starts raft if this voter has formed.
+// prepare loads the identity, checks the snapshots, and starts raft if this voter has formed.
 func (v *Voter) prepare() (err error) {
 	if v.identity, err = v.store.loadIdentity(&v.cfg); err != nil {
 		return err
@@ -98,7 +98,7 @@
 	return nil
 }
 
-// run is the voter's task.
+// run forms the cluster if necessary, serves proposals until the voter stops, and cleans up.
 func (v *Voter) run() {
 	err := v.form()
 	if err == nil {
@@ -124,7 +124,7 @@
 	}
 }
 
-// refuseRest answers what has come into the inbox by the end.
+// rejectQueued answers the proposals left in the queue with ErrShutdown.
 func (v *Voter) rejectQueued() {
 	for {
 		select {
@@ -136,7 +136,8 @@
 	}
 }
 
-// serve hands proposals to raft until it is told to stop or the store fails.
+// serve hands proposals and ticks to raft until Stop is called, the store or the state machine
+// fails, or raft shuts down because this voter was removed.
 func (v *Voter) serve() error {
 	var ticks <-chan time.Time
 	if v.cfg.NewTick != nil {
@@ -160,15 +161,15 @@
 				}
 			}
 		case <-health.C:
-			if v.raft.State() == raft.Shutdown { // by itself
+			if v.raft.State() == raft.Shutdown { // raft shuts a removed leader down
 				return errRemoved
 			}
 		case err := <-v.store.Failed():
 			return err
 		case err := <-v.fsm.failures:
 			return err
-		case hand := <-v.stop:
-			if hand && v.raft.State() == raft.Leader {
+		case transfer := <-v.stop:
+			if transfer && v.raft.State() == raft.Leader {
 				v.transferLeadership()
 			}
 			return nil
@@ -176,10 +177,10 @@
 	}
 }
 
-// errRemoved ends a leader that has taken itself out of the set.
+// errRemoved stops a leader that was removed from the set of voters.
 var errRemoved = errors.New("agree: removed from the set of voters")
 
-// handOver transfers the leadership to another voter, if that succeeds in time.
+// transferLeadership transfers the leadership to another voter, within five heartbeat timeouts.
 func (v *Voter) transferLeadership() {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*v.cfg.HeartbeatTimeout)
 	defer cancel()
@@ -195,7 +196,7 @@
 	v.trans.Close()
 }
 
-// notLeader says where the leader is.
+// notLeaderError returns an error with the leader's address, if that is known.
 func (v *Voter) notLeaderError() error {
 	e := &notLeaderError{}
 	if r := v.activeRaft(); r != nil {
@@ -209,7 +210,7 @@
 	return e
 }
 
-// running is raft, or nil while it doesn't take part.
+// activeRaft returns the raft instance, or nil if the voter is not running.
 func (v *Voter) activeRaft() *raft.Raft {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -219,31 +220,32 @@
 	return v.raft
 }
 
-// inTouch tells whether this voter leads or has lately heard from who does.
+// hasLeader reports whether this voter leads or has heard from the leader within three heartbeat
+// timeouts.
 func (v *Voter) hasLeader() bool {
 	r := v.activeRaft()
 	return r != nil && (r.State() == raft.Leader || time.Since(r.LastContact()) < 3*v.cfg.HeartbeatTimeout)
 }
 
-// leading tells whether this voter believes that it leads.
+// leading reports whether this voter believes that it is the leader.
 func (v *Voter) leading() bool {
 	r := v.activeRaft()
 	return r != nil && r.State() == raft.Leader
 }
 
-// Stop ends the voter and waits until it has. If handOver is true and it leads, it first
-// transfers its leadership, for five heartbeats at most. Stop returns the error for which the
-// voter had ended by itself before; nil if it had not.
-func (v *Voter) Stop(handOver bool) error {
-	v.stopOnce.Do(func() { v.stop <- handOver })
+// Stop stops the voter and waits until it has stopped. If transfer is true and the voter leads,
+// it first tries to transfer its leadership, for at most five heartbeat timeouts. Stop returns
+// the error for which the voter had stopped by itself; nil if it had not.
+func (v *Voter) Stop(transfer bool) error {
+	v.stopOnce.Do(func() { v.stop <- transfer })
 	<-v.done
 	return v.exitError()
 }
 
-// Over is closed when the voter has ended. Stop returns why.
+// Done returns a channel that is closed when the voter has stopped. Stop returns the reason.
 func (v *Voter) Done() <-chan struct{} { return v.done }
 
-// cause is why the voter ended by itself; nil if it was stopped or has not ended.
+// exitError returns why the voter stopped by itself; nil if it is running or Stop was called.
 func (v *Voter) exitError() error {
 	v.mu.Lock()
 	defer v.mu.Unlock()
