--- a/fleet/agree/fsm.go
+++ b/fleet/agree/fsm.go
@@ -9,15 +9,15 @@
 	"github.com/hashicorp/raft"
 )
 
-// Bounds of the effects that each voter keeps for subscribers.
+// Bounds on the effects that each voter buffers for subscribers. maxEffectsBytes is in bytes.
 const (
 	maxEffects      = 4096
 	maxEffectsBytes = 4 << 20
 )
 
-// effect is an answer of the machine with the index of the entry that caused it,
-// by which it is fenced: of two effects on one thing the one with the higher
-// index holds.
+// effect is an answer of the machine that is published to subscribers. The index
+// of the entry that caused it serves as a fencing token: of two effects on the same
+// object the one with the higher index is valid.
 type effect struct {
 	Index  uint64 `cbor:"1,keyasint"`
 	Answer []byte `cbor:"2,keyasint"`
@@ -30,20 +30,20 @@
 	answer  []byte
 }
 
-// fsm puts a Machine under raft. Raft calls Apply, Snapshot and Restore from
-// one goroutine; the lock is for readers.
+// fsm adapts a Machine to raft.FSM. Raft calls Apply, Snapshot and Restore from one
+// goroutine; mu protects against concurrent reads.
 type fsm struct {
-	failures chan error // room for one: a command that can't be applied
+	failures chan error // capacity 1: the error of a command that can't be applied
 
 	mu           sync.Mutex
-	err          error // a command that can't be applied; nothing is from there on
+	err          error // of a command that can't be applied; later ones are not applied either
 	machine      Machine
 	sessions     *sessions
 	applied      uint64        // index of the last command
-	effects      []effect      // the latest, ascending
-	effectBytes  int           // of the effects
-	lastDropped  uint64        // effects up to this index are not kept
-	effectsAdded chan struct{} // closed when there are more
+	effects      []effect      // the latest, by ascending index
+	effectBytes  int           // total size of effects
+	lastDropped  uint64        // effects up to this index have been dropped
+	effectsAdded chan struct{} // closed and replaced when effects are added
 }
 
 func newFSM(m Machine) *fsm {
@@ -52,9 +52,9 @@
 	}
 }
 
-// Apply applies one committed entry; it returns a decision, or nil once an entry
-// could not be applied: to go on without it would leave another state than that
-// of the others.
+// Apply applies a committed entry and returns a decision. It returns nil for an
+// entry that can't be applied and for all later ones, because skipping an entry
+// would make the state diverge from that of the other voters.
 func (f *fsm) Apply(l *raft.Log) any {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -80,8 +80,8 @@
 		h, o := f.sessions.applyOnce(l.Index, &c.entry, apply)
 		return decision{o, h.Index, h.Answer}
 	case kindTick:
-		// Measured under one leader and appended under another, it could cover
-		// time that the one between has counted.
+		// A tick that was measured in one term and appended in a later one could
+		// cover time that a leader in between has already counted.
 		if c.term != l.Term {
 			return decision{outcome: outcomeConfirmed, index: l.Index}
 		}
@@ -112,9 +112,9 @@
 	f.effectsAdded = make(chan struct{})
 }
 
-// effectsFrom returns up to limit effects with an index from the given one on, and a
-// channel that is closed when there are more. An error says that some of them
-// are not kept any more.
+// effectsFrom returns up to limit effects with an index of at least from, and a
+// channel that is closed when effects are added. It returns a *compactedError if
+// some of the effects have been dropped.
 func (f *fsm) effectsFrom(from uint64, limit int) ([]effect, <-chan struct{}, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -128,7 +128,7 @@
 	return append([]effect(nil), found[:min(limit, len(found))]...), f.effectsAdded, nil
 }
 
-// query asks the machine, and tells the index up to which it has applied.
+// query queries the machine and returns its answer with the index of the last applied command.
 func (f *fsm) query(q []byte) (answer []byte, index uint64, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -142,7 +142,7 @@
 	return m.Query(q), f.applied, nil
 }
 
-// Snapshot takes the state as it is.
+// Snapshot encodes the current state.
 func (f *fsm) Snapshot() (raft.FSMSnapshot, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -156,7 +156,7 @@
 	return snapshot(encodeSnapshot(b)), nil
 }
 
-// Restore replaces the state by a snapshot's, or leaves it and returns an error.
+// Restore replaces the state by that of a snapshot. On an error the state is unchanged.
 func (f *fsm) Restore(r io.ReadCloser) error {
 	defer r.Close()
 	b, err := io.ReadAll(r)
--- a/fleet/agree/proposal.go
+++ b/fleet/agree/proposal.go
@@ -8,53 +8,54 @@
 	"github.com/hashicorp/raft"
 )
 
-// proposalKind is how a proposal is handed to raft and what its result is.
+// proposalKind selects how a proposal is handed to raft and what its result is.
 type proposalKind uint8
 
 const (
-	proposeCommand proposalKind = iota // appended to the log; the result is the machine's answer
-	proposeRead                        // a barrier, then a query of the machine
-	proposeChange                      // of the set of voters; the result is empty
+	proposeCommand proposalKind = iota // appends a command to the log; the result is the machine's answer
+	proposeRead                        // appends a barrier, then queries the machine
+	proposeChange                      // changes the set of voters; the result is empty
 )
 
 func (k proposalKind) String() string { return [...]string{"command", "read", "change"}[k] }
 
-// proposal is a message to the voter's task.
+// proposal is a request to the goroutine of Voter.serve.
 type proposal struct {
 	kind   proposalKind
 	ctx    context.Context
-	data   []byte                       // of a command, or the query of a read
-	change func(*raft.Raft) raft.Future // proposeChange: asks raft for it
-	reply  chan result                  // room for one
+	data   []byte                       // an encoded command, or the query of a read
+	change func(*raft.Raft) raft.Future // proposeChange: starts the change
+	reply  chan result                  // capacity 1
 }
 
-// result is what became of a proposal. With an error the other fields are empty.
+// result is the outcome of a proposal. If err is set the other fields are empty.
 type result struct {
 	answer []byte
 	index  uint64
 	err    error
 }
 
-// pending is a proposal or a tick that raft has been handed.
+// pending is a proposal or a tick that has been handed to raft.
 type pending struct {
 	proposal *proposal // nil: a tick
 	future   raft.Future
 }
 
-// openSession opens a session for asks. Its name is the index of the entry that did.
-// After ErrUnknown it may just be opened again: what is not used is forgotten.
+// openSession opens a client session. Its ID is the index of the log entry that opened it.
+// After ErrOutcomeUnknown the caller may open another one: unused sessions are evicted.
 func (v *Voter) openSession(ctx context.Context) (session uint64, err error) {
 	_, session, err = v.await(&proposal{kind: proposeCommand, ctx: ctx, data: (&command{kind: kindOpenSession}).encode()})
 	return session, err
 }
 
-// propose asks that an entry be agreed, and returns the machine's answer and the
-// index at which it was applied. An ask with the session and sequence of one that
-// was applied before gets the answer and index of that time.
+// propose proposes an entry and returns the machine's answer and the index at which
+// it was applied. A retry with the session and sequence number of an applied entry
+// gets the original answer and index.
 //
-// The errors that say that this try is not and will not be applied are
-// *notLeaderError, *busyError, ErrShutdown, ErrSession, ErrStale, ErrCrowded and
-// ErrTooLong. ErrUnknown says that it may have been or may yet be.
+// The errors that guarantee that this attempt is not and will not be applied are
+// *notLeaderError, *busyError, ErrShutdown, ErrUnknownSession, ErrConfirmed,
+// ErrTooManyUnconfirmed and ErrTooLong. After ErrOutcomeUnknown it may have been
+// applied or may still be.
 func (v *Voter) propose(ctx context.Context, a sessionEntry) (answer []byte, index uint64, err error) {
 	if len(a.Data) > MaxEntry {
 		return nil, 0, ErrTooLong
@@ -65,13 +66,13 @@
 	return v.await(&proposal{kind: proposeCommand, ctx: ctx, data: (&command{kind: kindPropose, entry: a}).encode()})
 }
 
-// read asks the machine, which is a Querier, and returns its answer with the
-// index up to which it had applied. The answer holds all that was agreed before
-// read was called.
+// read queries the machine, which has to be a Querier, and returns its answer with
+// the index of the last applied command. The read is linearizable: the answer
+// reflects all entries committed before the call.
 //
-// It appends a barrier to the log. Raft's VerifyLeader, which only waits for
-// heartbeats, would do without, but takes answers to those that were under way
-// before: a leader resumed after a stop could be confirmed by one from before it.
+// It appends a barrier to the log. Raft's VerifyLeader needs only heartbeats, but
+// also accepts replies to heartbeats sent before the call: a leader that resumes
+// after a pause could be confirmed by a reply from before the pause.
 func (v *Voter) read(ctx context.Context, query []byte) (answer []byte, index uint64, err error) {
 	if len(query) > MaxEntry {
 		return nil, 0, ErrTooLong
@@ -79,9 +80,8 @@
 	return v.await(&proposal{kind: proposeRead, ctx: ctx, data: query})
 }
 
-// addVoter makes the voter name at address one of the set, at once: it counts for
-// majorities while it is still being sent the log. It has been started with
-// Config.Join.
+// addVoter adds a voter, which was started with Config.Join. It counts for the
+// quorum at once, while the log is still being sent to it.
 func (v *Voter) addVoter(ctx context.Context, name, address string) error {
 	if name == "" || address == "" {
 		return errors.New("agree: add: name or address empty")
@@ -92,8 +92,7 @@
 	return err
 }
 
-// removeVoter takes the voter name out of the set for good: it must not come back by
-// this name.
+// removeVoter removes a voter from the set. Its name must not be used again.
 func (v *Voter) removeVoter(ctx context.Context, name string) error {
 	_, _, err := v.await(&proposal{kind: proposeChange, ctx: ctx, change: func(r *raft.Raft) raft.Future {
 		return r.RemoveServer(raft.ServerID(name), 0, v.cfg.HeartbeatTimeout)
@@ -101,15 +100,15 @@
 	return err
 }
 
-// effects returns up to limit effects with an index from the given one on, and a
-// channel that is closed when there are more. A *goneError says that some are not
-// kept. Any voter tells them; one that is cut off tells late.
+// effects returns up to limit effects with an index of at least from, and a channel
+// that is closed when effects are added. It returns a *compactedError if some of them
+// have been dropped. Every voter publishes effects; an isolated one does so late.
 func (v *Voter) effects(from uint64, limit int) ([]effect, <-chan struct{}, error) {
 	return v.fsm.effectsFrom(max(from, 1), limit)
 }
 
-// await hands a proposal to the voter's task and waits for its result. A full inbox is a
-// *busyError at once; once it is in, the end of its context is ErrUnknown.
+// await queues a proposal and waits for its result. If the queue is full it returns a
+// *busyError at once. If the context ends after queueing it returns ErrOutcomeUnknown.
 func (v *Voter) await(p *proposal) ([]byte, uint64, error) {
 	r := v.activeRaft()
 	if r == nil {
@@ -120,7 +119,7 @@
 			return nil, 0, &notLeaderError{}
 		}
 	}
-	if r.State() != raft.Leader { // known without a place in the inbox
+	if r.State() != raft.Leader { // refused without using a place in the queue
 		return nil, 0, v.notLeaderError()
 	}
 	p.reply = make(chan result, 1)
@@ -139,17 +138,17 @@
 	select {
 	case r := <-p.reply:
 		return r.answer, r.index, r.err
-	default: // it came into the inbox as the task ended
+	default: // queued after rejectQueued had run
 		return nil, 0, ErrShutdown
 	}
 }
 
-// submit hands one proposal to raft. It waits while raft has all it can hold.
+// submit hands a proposal to raft. It blocks while too many results are pending.
 func (v *Voter) submit(p *proposal) error {
 	var f raft.Future
 	switch {
 	case p.ctx.Err() != nil:
-		p.reply <- result{err: p.ctx.Err()} // nobody waits for it
+		p.reply <- result{err: p.ctx.Err()} // the caller has stopped waiting
 		return nil
 	case v.raft.State() != raft.Leader:
 		p.reply <- result{err: v.notLeaderError()}
@@ -164,8 +163,8 @@
 	return v.enqueue(pending{p, f})
 }
 
-// push hands a future to who collects them. It waits while there are too many,
-// unless raft can't go on, in which case it returns why.
+// enqueue passes a future to deliverResults. It blocks while the queue of pending
+// results is full, and returns an error if the store or the state machine fails.
 func (v *Voter) enqueue(sent pending) (err error) {
 	select {
 	case v.pending <- sent:
@@ -179,8 +178,8 @@
 	return err
 }
 
-// collect answers proposals in the order in which raft was given them, which is
-// the order in which it decides them.
+// deliverResults answers proposals in the order in which they were handed to raft,
+// which is the order in which raft decides them.
 func (v *Voter) deliverResults(done chan<- struct{}) {
 	defer close(done)
 	for sent := range v.pending {
@@ -192,7 +191,7 @@
 	}
 }
 
-// resultOf is the result of a proposal that raft has decided, or given up with err.
+// resultOf returns the result of a proposal that raft has decided or failed with err.
 func (v *Voter) resultOf(sent pending, err error) result {
 	if err != nil {
 		return result{err: v.proposalError(sent.proposal, err)}
@@ -205,7 +204,7 @@
 		return result{answer, index, err}
 	}
 	d, ok := sent.future.(raft.ApplyFuture).Response().(decision)
-	if !ok { // the state machine has stopped
+	if !ok { // the state machine failed
 		return result{err: ErrOutcomeUnknown}
 	}
 	switch d.outcome {
@@ -219,8 +218,8 @@
 	return result{answer: d.answer, index: d.index}
 }
 
-// proposalError is what the error of a future says of its proposal: that it was not
-// appended, or that the outcome isn't known.
+// proposalError maps the error of a raft future to the error of its proposal: either
+// it was not appended, or its outcome is unknown.
 func (v *Voter) proposalError(p *proposal, err error) error {
 	switch {
 	case errors.Is(err, raft.ErrNotLeader), errors.Is(err, raft.ErrLeadershipTransferInProgress):
@@ -234,8 +233,8 @@
 	return ErrOutcomeUnknown
 }
 
-// awaitFuture waits for a future. Raft leaves some of those that it has at its
-// shutdown without an answer; done ends the wait for them.
+// awaitFuture waits for a future. Raft never completes some of the futures that are
+// pending at its shutdown; done ends the wait for them.
 func awaitFuture(f raft.Future, done <-chan struct{}) error {
 	c := make(chan error, 1)
 	go func() { c <- f.Error() }()
--- a/fleet/agree/server.go
+++ b/fleet/agree/server.go
@@ -10,13 +10,13 @@
 	"time"
 )
 
-// ServerLimits bounds what clients can use. Zero fields stand for the defaults.
+// ServerLimits limits the resources that clients can use. Zero fields stand for the defaults.
 type ServerLimits struct {
-	MaxConnections int           // 0: 1024; others are told busy and closed
-	MaxRequests    int           // under way on one connection; 0: 16
-	IdleTimeout    time.Duration // silence after which a connection is closed; 0: 30 s
-	FrameTimeout   time.Duration // for a frame to come or go once begun; 0: 5 s
-	RequestTimeout time.Duration // for one ask at most; 0: 10 s
+	MaxConnections int           // 0: 1024; further connections get a busy reply and are closed
+	MaxRequests    int           // concurrent requests per connection; 0: 16
+	IdleTimeout    time.Duration // time without a request after which a connection is closed; 0: 30 s
+	FrameTimeout   time.Duration // for reading or writing a frame, from its first byte; 0: 5 s
+	RequestTimeout time.Duration // maximum time for one request; 0: 10 s
 }
 
 func (l *ServerLimits) setDefaults() {
@@ -50,8 +50,8 @@
 	conns map[net.Conn]bool
 }
 
-// Serve answers askers on ln until Close. A connection costs at most one frame
-// coming, Asks+1 frames under way and their goroutines.
+// Serve serves clients on ln until Close. A connection holds at most one frame that
+// is being read, MaxRequests+1 frames in progress and their goroutines.
 func Serve(ln net.Listener, v *Voter, limits ServerLimits, log *slog.Logger) *Server {
 	limits.setDefaults()
 	s := &Server{voter: v, limits: limits, log: log, ln: ln, conns: map[net.Conn]bool{}}
@@ -60,8 +60,8 @@
 	return s
 }
 
-// Close closes the listener and all connections and waits for what they had under way. The
-// voter goes on.
+// Close closes the listener and all connections and waits for the requests in progress. The
+// voter keeps running.
 func (s *Server) Close() {
 	s.cancel()
 	s.ln.Close()
@@ -79,7 +79,7 @@
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // out of descriptors, most likely
+		if err != nil { // most likely out of file descriptors
 			s.log.Warn("accept", "err", err)
 			select {
 			case <-time.After(100 * time.Millisecond):
@@ -116,7 +116,8 @@
 	c.Close()
 }
 
-// rejectBusy tells busy. A fresh connection takes one small frame without waiting.
+// rejectBusy sends a busy reply and closes the connection. The send buffer of a new connection
+// has room for a small frame, so the write doesn't block.
 func (s *Server) rejectBusy(c net.Conn) {
 	r := &reply{}
 	r.setError(&busyError{s.voter.cfg.RetryAfter})
@@ -127,20 +128,21 @@
 	c.Close()
 }
 
-// serverConn is one asker's connection.
+// serverConn is a client's connection.
 type serverConn struct {
 	*Server
 	conn    net.Conn
 	ctx     context.Context
-	slots   chan struct{}  // one taken by each request under way
+	slots   chan struct{}  // one is taken by each request in progress
 	running sync.WaitGroup // requests and subscriptions
 
-	endSubscription func() // ends the subscription and waits for its end
+	endSubscription func() // cancels the subscription and waits until it has ended
 
-	writeMu sync.Mutex // of writing
+	writeMu sync.Mutex // serializes writes of frames
 }
 
-// serve reads requests until the connection fails or is silent, then ends what they started.
+// serve reads requests until the connection fails or is idle for too long, then cancels the
+// requests in progress and waits for them.
 func (s *Server) serve(c net.Conn) {
 	ctx, cancel := context.WithCancel(s.ctx)
 	p := &serverConn{Server: s, conn: c, ctx: ctx, slots: make(chan struct{}, s.limits.MaxRequests), endSubscription: func() {}}
@@ -165,7 +167,7 @@
 	}
 }
 
-// replaceSubscription waits for the end of the connection's subscription and starts another.
+// replaceSubscription ends the connection's subscription and starts another.
 func (p *serverConn) replaceSubscription(q *request) {
 	p.endSubscription()
 	ctx, end := context.WithCancel(p.ctx)
@@ -177,7 +179,7 @@
 	})
 }
 
-// startAnswer answers a request beside those under way, or tells busy if they are too many.
+// startAnswer answers a request in a goroutine, or replies busy if too many are in progress.
 func (p *serverConn) startAnswer(q *request) {
 	select {
 	case p.slots <- struct{}{}:
@@ -193,7 +195,7 @@
 	})
 }
 
-// send writes a reply; what can't be written in time ends the connection.
+// send writes a reply. The connection is closed if the write fails or times out.
 func (p *serverConn) send(r *reply) {
 	frame, err := encodeFrame(r)
 	if err != nil {
@@ -207,13 +209,13 @@
 	}
 }
 
-// answer does what a request asks.
+// answer executes a request and returns the reply.
 func (p *serverConn) answer(q *request) *reply {
-	patience := p.limits.RequestTimeout
-	if ms := q.Timeout; ms > 0 && ms < patience.Milliseconds() {
-		patience = time.Duration(ms) * time.Millisecond
+	timeout := p.limits.RequestTimeout
+	if ms := q.Timeout; ms > 0 && ms < timeout.Milliseconds() {
+		timeout = time.Duration(ms) * time.Millisecond
 	}
-	ctx, cancel := context.WithTimeout(p.ctx, patience)
+	ctx, cancel := context.WithTimeout(p.ctx, timeout)
 	defer cancel()
 	r := &reply{ID: q.ID}
 	var err error
@@ -239,8 +241,8 @@
 	return r
 }
 
-// subscribe sends effects from an index on, until another subscription replaces
-// this one or this voter is out of touch with a leader.
+// subscribe sends the effects from an index on, until another subscription replaces
+// this one or this voter has lost contact with the leader.
 func (p *serverConn) subscribe(ctx context.Context, id, from uint64) {
 	const batch = 64
 	check := time.NewTicker(p.voter.cfg.HeartbeatTimeout)
--- a/fleet/agree/session.go
+++ b/fleet/agree/session.go
@@ -6,32 +6,32 @@
 	"slices"
 )
 
-// Sessions make an ask that is repeated under its own number apply once
-// (Ongaro, "Consensus: Bridging Theory and Practice", 2014, section 6.3). They
-// are part of the agreed state: the same entries leave the same sessions.
+// Sessions deduplicate retried proposals by sequence number, so that each is applied
+// once (Ongaro, "Consensus: Bridging Theory and Practice", 2014, section 6.3). They
+// are part of the replicated state: the same entries result in the same sessions.
 
-// Bounds of the sessions kept.
+// Bounds on the sessions.
 const (
-	maxSessions    = 4096     // the one unused longest goes
-	maxUnconfirmed = 64       // answers of one session that it has not confirmed
-	maxAnswerBytes = 16 << 20 // answers of all
+	maxSessions    = 4096     // beyond it the least recently used one is evicted
+	maxUnconfirmed = 64       // unconfirmed answers of one session
+	maxAnswerBytes = 16 << 20 // bytes of answers of all sessions
 )
 
-// outcome says what became of an ask at its place in the log.
+// outcome is the result of applying a proposal.
 type outcome uint8
 
 const (
-	outcomeApplied            outcome = iota // by this entry, or an earlier one with the same number
-	outcomeUnknownSession                    // the session is not known (any more); not applied
-	outcomeConfirmed                         // its answer has been confirmed; not applied again
-	outcomeTooManyUnconfirmed                // too many answers are unconfirmed; not applied
+	outcomeApplied            outcome = iota // by this entry, or an earlier one with the same sequence number
+	outcomeUnknownSession                    // never opened, or evicted; not applied
+	outcomeConfirmed                         // the client has confirmed the answer; not applied again
+	outcomeTooManyUnconfirmed                // the session has too many unconfirmed answers; not applied
 )
 
 func (o outcome) String() string {
 	return [...]string{"applied", "session unknown", "confirmed", "too many unconfirmed"}[o]
 }
 
-// heldAnswer is the answer to an ask that was applied.
+// cachedAnswer is the answer to an applied proposal, kept for retries.
 type cachedAnswer struct {
 	Seq    uint64 `cbor:"1,keyasint"`
 	Index  uint64 `cbor:"2,keyasint"`
@@ -44,11 +44,11 @@
 	answers   map[uint64]cachedAnswer
 }
 
-// sessions are ordered by their last use, the longest ago first.
+// sessions holds the sessions in order of their last use, the least recently used first.
 type sessions struct {
 	byLastUse   *list.List // of *session
 	byID        map[uint64]*list.Element
-	answerBytes int // of the answers
+	answerBytes int // total size of the cached answers
 
 	maxSessions, maxBytes int // bounds
 }
@@ -65,7 +65,8 @@
 	s.evict()
 }
 
-// applyOnce answers an ask, by apply if it has not been applied before.
+// applyOnce returns the answer to a proposal, and calls apply only if the proposal has not been
+// applied before.
 func (s *sessions) applyOnce(index uint64, a *sessionEntry, apply func() []byte) (cachedAnswer, outcome) {
 	e := s.byID[a.Session]
 	if e == nil {
@@ -90,7 +91,7 @@
 	return h, outcomeApplied
 }
 
-// confirm forgets answers that the asker has had.
+// confirm deletes the answers up to a sequence number, which the client doesn't need any more.
 func (s *sessions) confirm(sess *session, done uint64) {
 	if done <= sess.confirmed {
 		return
@@ -104,7 +105,7 @@
 	}
 }
 
-// evict keeps to the bounds; the session used last is kept in any case.
+// evict enforces the bounds. The most recently used session is always kept.
 func (s *sessions) evict() {
 	for s.byLastUse.Len() > 1 && (s.byLastUse.Len() > s.maxSessions || s.answerBytes > s.maxBytes) {
 		sess := s.byLastUse.Remove(s.byLastUse.Front()).(*session)
@@ -115,7 +116,7 @@
 	}
 }
 
-// sessionImage is a session in a snapshot.
+// sessionImage is the encoded form of a session in a snapshot.
 type sessionImage struct {
 	ID        uint64         `cbor:"1,keyasint"`
 	Confirmed uint64         `cbor:"2,keyasint"`
