--- a/fleet/agree/backoff.go
+++ b/fleet/agree/backoff.go
@@ -7,14 +7,15 @@
 	"time"
 )
 
-// backoff waits longer after each try, by a random part (Brooker, "Exponential
-// Backoff and Jitter", 2015).
+// backoff is an exponential backoff with jitter (Brooker, "Exponential Backoff and
+// Jitter", 2015).
 type backoff struct {
 	cfg      *ClientConfig
 	attempts int
 }
 
-// sleep waits before the next try after err. It returns ctx's error when it is over.
+// sleep waits before the next attempt after err; for a busyError, at least the delay that the voter
+// requested. It returns the error of ctx if that ends first.
 func (b *backoff) sleep(ctx context.Context, err error) error {
 	bound := min(b.cfg.InitialBackoff<<min(b.attempts, 16), b.cfg.MaxBackoff)
 	b.attempts++
--- a/fleet/agree/bolt_pages.go
+++ b/fleet/agree/bolt_pages.go
@@ -9,11 +9,11 @@
 	"os"
 )
 
-// Bolt has a checksum on its two meta pages alone, makes do with one good one,
-// which may be the one before the last transaction, and trusts the heads of all
-// other pages: a spoilt one makes it panic, in goroutines of its own, or read on
-// for ever. So the file's tree is walked here before bolt sees it. The layout is
-// that of bolt's file version 2, in the byte order of the machine.
+// bbolt has checksums only on its two meta pages, and accepts a file with one valid
+// meta page, which may be older than the last transaction. It trusts the headers of
+// all other pages: a corrupt one makes it panic, also in its own goroutines, or loop
+// forever. So the tree is verified here before bbolt opens the file. The layout is
+// that of bbolt's file version 2, in native byte order. Sizes and offsets are in bytes.
 const (
 	boltMagic   = 0xED0CDAED
 	boltVersion = 2
@@ -21,13 +21,13 @@
 	pageHeaderSize    = 8 + 2 + 2 + 4 // id, flags, count, overflow
 	pageFlagBranch    = 1
 	pageFlagLeaf      = 2
-	branchElementSize = 4 + 4 + 8     // position, key size, page
+	branchElementSize = 4 + 4 + 8     // position, key size, page ID
 	leafElementSize   = 4 + 4 + 4 + 4 // flags, position, key size, value size
-	leafFlagBucket    = 1             // flag: the value is a bucket
-	bucketHeaderSize  = 8 + 8         // root page or 0, sequence
+	leafFlagBucket    = 1             // the value is a bucket
+	bucketHeaderSize  = 8 + 8         // root page ID, or 0 for an inline bucket; sequence
 	metaSize          = 64
 	metaChecksum      = 56
-	metaPageSize      = 8 // offsets in a meta page after its head
+	metaPageSize      = 8 // this and the following: offsets after the page header
 	metaRootPage      = 16
 	metaPageCount     = 40
 	metaTxID          = 48
@@ -35,16 +35,16 @@
 
 var byteOrder = binary.NativeEndian
 
-// pageWalk is a walk over a file's tree.
+// pageWalk is the state of a traversal of a file's tree.
 type pageWalk struct {
 	file     *os.File
-	pageSize uint64 // of a page
-	endPage  uint64 // pages from here on are not in use
+	pageSize uint64 // bytes
+	endPage  uint64 // pages from this ID on are not in use
 	used     map[uint64]bool
-	queue    []uint64 // found, not read yet
+	queue    []uint64 // referenced pages, not read yet
 }
 
-// checkPages checks the meta pages, the length and the tree of a bolt file.
+// checkPages verifies the meta pages, the length and the tree of a bbolt file.
 func checkPages(path string) error {
 	f, err := os.Open(path)
 	if err != nil {
@@ -68,7 +68,7 @@
 	return nil
 }
 
-// readMeta reads both meta pages and returns the root of the later one.
+// readMeta reads both meta pages and returns the root page of the newer one.
 func readMeta(f *os.File) (root uint64, p *pageWalk, err error) {
 	info, err := f.Stat()
 	if err != nil {
@@ -103,7 +103,7 @@
 	return root, p, nil
 }
 
-// enqueue notes a page that is part of the tree.
+// enqueue adds a referenced page to the queue.
 func (p *pageWalk) enqueue(id uint64) error {
 	if id < 2 || id >= p.endPage {
 		return fmt.Errorf("page %d of %d named", id, p.endPage)
@@ -112,7 +112,7 @@
 	return nil
 }
 
-// markUsed marks a page as used; each is used once.
+// markUsed marks a page as used. It returns an error if it was used before.
 func (p *pageWalk) markUsed(id uint64) error {
 	if p.used[id] {
 		return errors.New("used twice")
@@ -145,15 +145,16 @@
 	return p.checkElements(b, true)
 }
 
-// checkElements reads a page, or the page inside a small bucket's value.
-func (p *pageWalk) checkElements(b []byte, whole bool) error {
+// checkElements verifies the elements of a page, or of the page in the value of an inline bucket,
+// which must not be a branch page: wholePage is false.
+func (p *pageWalk) checkElements(b []byte, wholePage bool) error {
 	if len(b) < pageHeaderSize {
 		return fmt.Errorf("%d bytes", len(b))
 	}
 	flags, count := byteOrder.Uint16(b[8:]), int(byteOrder.Uint16(b[10:]))
 	size := leafElementSize
 	switch {
-	case flags == pageFlagBranch && whole && count > 0:
+	case flags == pageFlagBranch && wholePage && count > 0:
 		size = branchElementSize
 	case flags == pageFlagLeaf:
 	default:
--- a/fleet/agree/form.go
+++ b/fleet/agree/form.go
@@ -12,33 +12,34 @@
 	"time"
 )
 
-// How a voter with an empty store begins.
+// Cluster formation: how a voter with an empty store starts.
 //
-// It can't tell whether it is new or has lost its disk, and one that has lost
-// it must not vote: it may have voted, or acknowledged an entry, that it has
-// forgotten. So it draws a random life, kept in its store, and asks the others
-// of the initial set:
+// Such a voter is either new or has lost its disk. One that has lost its disk must
+// not vote, because it may have forgotten a vote or an acknowledged entry. So a voter
+// generates a random incarnation number, saves it in its store, and queries the other
+// voters of the initial set:
 //
-//   - one that has formed, with this life in its list of lives: form with its list;
-//   - one that has formed, with another life under this name: the store of that
-//     life is lost. End. The operator removes this voter from the set and adds
-//     another, with a new name and Config.Join;
-//   - all answer, none has formed, all name the same set, and all answer the
-//     same when asked again: form with their lives. Asking twice means that there
-//     was a time at which all of these lives were there and none had formed;
-//   - else ask again later.
+//   - if one has formed, and its list of incarnations has this voter's: form with that
+//     list;
+//   - if one has formed, and its list has another incarnation for this voter's name:
+//     the store of that incarnation is lost, so this voter stops. The operator has to
+//     remove it from the set and add another with a new name and Config.Join;
+//   - if all reply, none has formed, all have the same initial set, and a second round
+//     gives the same replies: form with their incarnations. Two equal rounds prove that
+//     all of these incarnations existed at one time and none had formed then;
+//   - otherwise query again later.
 //
-// Who forms writes the list of lives down before it takes part. This holds while
-// a majority of those that have formed keep their disks; without, what was agreed
-// is lost in any case.
+// A voter saves the list of incarnations before it participates in raft. The scheme is
+// safe as long as a majority of the formed voters keep their disks; otherwise the
+// replicated state is lost in any case.
 
-// hello is what a voter tells of itself.
+// hello describes a voter to others during formation.
 type hello struct {
 	Name         string            `cbor:"1,keyasint"`
-	VoterSetHash uint64            `cbor:"2,keyasint"` // sum of the names and addresses of the initial set
+	VoterSetHash uint64            `cbor:"2,keyasint"` // hash of the names and addresses of the initial set
 	Incarnation  uint64            `cbor:"3,keyasint"`
-	Incarnations map[string]uint64 `cbor:"4,keyasint,omitempty"` // lives of all when it formed; nil: it hasn't
-	HasFormed    bool              `cbor:"5,keyasint,omitempty"` // it has formed, by being added
+	Incarnations map[string]uint64 `cbor:"4,keyasint,omitempty"` // of all initial voters when this one formed; nil: not formed
+	HasFormed    bool              `cbor:"5,keyasint,omitempty"` // set even if Incarnations is empty, as for an added voter
 }
 
 var (
@@ -48,20 +49,20 @@
 		"remove it and add it by a new name")
 )
 
-// identity reads who the store belongs to, or makes it this voter's.
+// loadIdentity reads the identity of the voter that owns the store, or creates one in a new store.
 func (s *logStore) loadIdentity(cfg *Config) (h hello, err error) {
 	text, err := s.Get(keyIdentity)
 	if err != nil {
 		return h, err
 	}
 	if len(text) == 0 {
-		// What has a log but no owner has not been written by us.
+		// A store with a log but without an identity was not written by this package.
 		if _, last := s.bounds(); last != 0 {
 			return h, fmt.Errorf("store %s: %s: missing", s.path, keyIdentity)
 		}
-		var life [8]byte
-		rand.Read(life[:])
-		h = hello{Name: cfg.Name, VoterSetHash: cfg.voterSetHash(), Incarnation: binary.BigEndian.Uint64(life[:])}
+		var random [8]byte
+		rand.Read(random[:])
+		h = hello{Name: cfg.Name, VoterSetHash: cfg.voterSetHash(), Incarnation: binary.BigEndian.Uint64(random[:])}
 		return h, s.saveIdentity(&h)
 	}
 	if err := decMode.Unmarshal(text, &h); err != nil {
@@ -85,13 +86,13 @@
 	return s.Set(keyIdentity, text)
 }
 
-// setFormed writes down that the voter takes part from here on.
-func (s *logStore) saveFormed(h *hello, lives map[string]uint64) error {
-	h.Incarnations, h.HasFormed = lives, true
+// saveFormed saves that the voter has formed with these incarnations.
+func (s *logStore) saveFormed(h *hello, incarnations map[string]uint64) error {
+	h.Incarnations, h.HasFormed = incarnations, true
 	return s.saveIdentity(h)
 }
 
-// set is the sum of the initial set, whatever its order.
+// voterSetHash returns a hash of the initial set that doesn't depend on its order.
 func (c *Config) voterSetHash() (n uint64) {
 	for _, p := range c.InitialVoters {
 		h := fnv.New64a()
@@ -101,7 +102,7 @@
 	return n
 }
 
-// hello returns what this voter tells of itself.
+// hello returns the description of this voter for others.
 func (v *Voter) hello() hello {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -110,7 +111,7 @@
 	return h
 }
 
-// form returns once this voter takes part, or with the error for which it never will.
+// form returns nil once this voter participates in raft, or the error that prevents it.
 func (v *Voter) form() error {
 	v.mu.Lock()
 	formed := v.phase == phaseRunning
@@ -119,20 +120,20 @@
 		return nil
 	}
 	v.log.Info("forming", "life", v.identity.Incarnation)
-	var before map[string]uint64
+	var previous map[string]uint64
 	for {
 		found, err := v.queryPeers()
 		if err != nil {
 			return err
 		}
-		lives, formed, err := decideFormation(v.identity, v.cfg.InitialVoters, found)
+		incarnations, formed, err := decideFormation(v.identity, v.cfg.InitialVoters, found)
 		if err != nil {
 			return err
 		}
-		if lives != nil && (formed || maps.Equal(lives, before)) {
-			return v.completeFormation(lives)
+		if incarnations != nil && (formed || maps.Equal(incarnations, previous)) {
+			return v.completeFormation(incarnations)
 		}
-		before = lives
+		previous = incarnations
 		select {
 		case <-time.After(v.cfg.HeartbeatTimeout / 4):
 		case err := <-v.store.Failed():
@@ -143,22 +144,22 @@
 	}
 }
 
-func (v *Voter) completeFormation(lives map[string]uint64) error {
+func (v *Voter) completeFormation(incarnations map[string]uint64) error {
 	self := v.hello()
-	if err := v.store.saveFormed(&self, lives); err != nil {
+	if err := v.store.saveFormed(&self, incarnations); err != nil {
 		return err
 	}
 	v.mu.Lock()
 	v.identity = self
 	v.mu.Unlock()
-	v.log.Info("formed", "lives", len(lives))
+	v.log.Info("formed", "lives", len(incarnations))
 	return v.startRaft()
 }
 
-// errStopped ends a voter that is stopped before it has formed.
+// errStopped is returned by form if Stop is called before the voter has formed.
 var errStopped = errors.New("agree: stopped before it had formed")
 
-// askPeers asks all others what they are. Who doesn't answer is left out.
+// queryPeers queries all other voters of the initial set. The result has those that replied.
 func (v *Voter) queryPeers() (map[string]hello, error) {
 	type answer struct {
 		name string
@@ -168,19 +169,19 @@
 	ctx, cancel := context.WithTimeout(context.Background(), v.cfg.HeartbeatTimeout)
 	defer cancel()
 	answers := make(chan answer, len(v.cfg.InitialVoters))
-	asked := 0
+	queried := 0
 	for _, p := range v.cfg.InitialVoters {
 		if p.Name == v.cfg.Name {
 			continue
 		}
-		asked++
+		queried++
 		go func() {
 			h, err := queryPeer(ctx, p.ClientAddress)
 			answers <- answer{p.Name, h, err}
 		}()
 	}
 	found := map[string]hello{}
-	for range asked {
+	for range queried {
 		if a := <-answers; a.err == nil {
 			found[a.name] = a.h
 		}
@@ -188,7 +189,7 @@
 	return found, nil
 }
 
-// askPeer asks the voter at addr what it is.
+// queryPeer queries the voter at addr.
 func queryPeer(ctx context.Context, addr string) (h hello, err error) {
 	var d net.Dialer
 	c, err := d.DialContext(ctx, "tcp", addr)
@@ -219,9 +220,10 @@
 	return *r.Hello, nil
 }
 
-// decideFormation decides whether a voter may form, by what the others found say; nil
-// lives: not yet. If formed is true another has, with these lives.
-func decideFormation(self hello, voters []Peer, found map[string]hello) (lives map[string]uint64, formed bool, err error) {
+// decideFormation decides from the replies of the other voters whether a voter may form. It
+// returns the incarnations to form with, or nil if the voter can't form yet. If formed is true,
+// another voter has formed with these incarnations, and no second round is needed.
+func decideFormation(self hello, voters []Peer, found map[string]hello) (incarnations map[string]uint64, formed bool, err error) {
 	all := map[string]uint64{self.Name: self.Incarnation}
 	for _, p := range voters {
 		h, ok := found[p.Name]
@@ -241,13 +243,13 @@
 		if h.Incarnations[self.Name] != self.Incarnation {
 			return nil, false, fmt.Errorf("agree: %s: %w", self.Name, errStoreLost)
 		}
-		if lives != nil && !maps.Equal(lives, h.Incarnations) {
-			return nil, false, errors.New("agree: voters have formed with different lives")
+		if incarnations != nil && !maps.Equal(incarnations, h.Incarnations) {
+			return nil, false, errors.New("agree: voters have formed with different incarnations")
 		}
-		lives = h.Incarnations
+		incarnations = h.Incarnations
 	}
-	if lives != nil {
-		return lives, true, nil
+	if incarnations != nil {
+		return incarnations, true, nil
 	}
 	if len(all) == len(voters) {
 		return all, false, nil
--- a/fleet/agree/frame.go
+++ b/fleet/agree/frame.go
@@ -10,19 +10,19 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Askers and voters speak in frames over TCP:
+// Clients and voters exchange frames over TCP:
 //
 //	length of the rest (4 bytes, big-endian), version (1 byte), CBOR of a request or reply
 //
-// The asker sends requests, each with a number of its own; the voter answers in
-// any order, each reply with the number of its request.
+// A client sends requests, each with its own ID. The voter replies in any order; each
+// reply has the ID of its request.
 const (
 	wireVersion     = 1
-	maxFrame        = 128 << 10 // bytes after the length: MaxEntry, and room for what goes with it
+	maxFrame        = 128 << 10 // bytes after the length field: MaxEntry and room for the other fields
 	frameHeaderSize = 4
 )
 
-// ask kinds on the wire.
+// requestKind is the type of a request on the wire.
 type requestKind uint8
 
 const (
@@ -31,33 +31,33 @@
 	requestOpenSession
 	requestPropose
 	requestRead
-	requestSubscribe   // replaces the connection's earlier one
-	requestAddVoter    // a voter: Name at Address
-	requestRemoveVoter // the voter Name
+	requestSubscribe   // replaces the connection's previous subscription
+	requestAddVoter    // uses Name and Address
+	requestRemoveVoter // uses Name
 )
 
-// request is what an asker sends.
+// request is a message from a client to a voter.
 type request struct {
 	Kind      requestKind `cbor:"1,keyasint"`
 	ID        uint64      `cbor:"2,keyasint"`
 	Session   uint64      `cbor:"3,keyasint,omitempty"`
 	Seq       uint64      `cbor:"4,keyasint,omitempty"`
 	Confirmed uint64      `cbor:"5,keyasint,omitempty"`
-	From      uint64      `cbor:"6,keyasint,omitempty"` // first index subscribed to
-	Timeout   int64       `cbor:"7,keyasint,omitempty"` // ms for which the asker waits
-	Body      []byte      `cbor:"8,keyasint,omitempty"` // entry or query
+	From      uint64      `cbor:"6,keyasint,omitempty"` // first index of a subscription
+	Timeout   int64       `cbor:"7,keyasint,omitempty"` // how long the client waits, in ms; 0: not limited by the client
+	Body      []byte      `cbor:"8,keyasint,omitempty"` // the entry or the query
 	Name      string      `cbor:"9,keyasint,omitempty"`
 	Address   string      `cbor:"10,keyasint,omitempty"`
 }
 
-// reply is what a voter answers.
+// reply is a message from a voter to a client.
 type reply struct {
 	ID         uint64 `cbor:"1,keyasint"`
 	Code       code   `cbor:"2,keyasint,omitempty"`
 	Index      uint64 `cbor:"3,keyasint,omitempty"`
 	Body       []byte `cbor:"4,keyasint,omitempty"`
-	Text       string `cbor:"5,keyasint,omitempty"` // the leader's address, or what is wrong
-	RetryAfter int64  `cbor:"6,keyasint,omitempty"` // ms
+	Text       string `cbor:"5,keyasint,omitempty"` // the leader's address, or the reason of codeBadRequest
+	RetryAfter int64  `cbor:"6,keyasint,omitempty"` // delay before the next attempt, in ms
 	Hello      *hello `cbor:"7,keyasint,omitempty"`
 }
 
@@ -67,7 +67,8 @@
 	snapshotDecMode = mustMode(decOptions(1 << 20).DecMode())
 )
 
-// decOptions are strict: one form for each message, and no deep or wide ones.
+// decOptions returns strict options: no indefinite lengths, tags, duplicate keys or unknown
+// fields, and limits on nesting and on the number of elements.
 func decOptions(most int) cbor.DecOptions {
 	return cbor.DecOptions{
 		DupMapKey:         cbor.DupMapKeyEnforcedAPF,
@@ -82,12 +83,12 @@
 
 func mustMode[M any](m M, err error) M {
 	if err != nil {
-		panic(err) // the options above are constant
+		panic(err) // the options are constant, so this can't happen
 	}
 	return m
 }
 
-// encodeFrame returns m in a frame.
+// encodeFrame encodes m as a frame.
 func encodeFrame(m any) ([]byte, error) {
 	b := bytes.NewBuffer(make([]byte, frameHeaderSize, 256))
 	b.WriteByte(wireVersion)
@@ -102,18 +103,18 @@
 	return frame, nil
 }
 
-// errFrame is what is wrong with the bytes of a frame, not with the connection.
+// errFrame is wrapped by errors of malformed frames, as opposed to errors of the connection.
 var errFrame = errors.New("agree: bad frame")
 
-// readFrame reads one frame into m, a *request or *reply. Memory grows with what
-// has come, not with what the length promises. An error that is errFrame is the
-// sender's fault. begun is called once the first byte is there.
-func readFrame(r io.Reader, m any, begun func()) error {
+// readFrame reads a frame into m, a *request or *reply. Memory is allocated for the
+// bytes received, not for the length announced. An error that wraps errFrame means
+// that the sender sent a malformed frame. onFirstByte is called after the first byte.
+func readFrame(r io.Reader, m any, onFirstByte func()) error {
 	var head [frameHeaderSize]byte
 	if _, err := io.ReadFull(r, head[:1]); err != nil {
 		return err
 	}
-	begun()
+	onFirstByte()
 	if _, err := io.ReadFull(r, head[1:]); err != nil {
 		return toUnexpectedEOF(err)
 	}
--- a/fleet/agree/snapshot.go
+++ b/fleet/agree/snapshot.go
@@ -14,14 +14,14 @@
 	"github.com/hashicorp/raft"
 )
 
-// snapshotVersion is the format of what is in our snapshots:
+// snapshotVersion is the version of the snapshot format:
 //
-//	version (1 byte), CBOR of image, CRC-32C of all before (4 bytes)
+//	version (1 byte), CBOR of a snapshotImage, CRC-32C of the preceding bytes (4 bytes)
 const snapshotVersion = 1
 
-// snapshotImage is the agreed state with the sessions.
+// snapshotImage is the replicated state: the sessions and the machine's state.
 type snapshotImage struct {
-	Index    uint64         `cbor:"1,keyasint"` // of the last command applied
+	Index    uint64         `cbor:"1,keyasint"` // of the last applied command
 	Sessions []sessionImage `cbor:"2,keyasint"`
 	Machine  []byte         `cbor:"3,keyasint"`
 }
@@ -45,7 +45,7 @@
 	return i, snapshotDecMode.Unmarshal(body[1:], &i)
 }
 
-// snapshot is an encoded state on its way to disk.
+// snapshot is an encoded snapshot, which implements raft.FSMSnapshot.
 type snapshot []byte
 
 func (s snapshot) Persist(sink raft.SnapshotSink) error {
@@ -58,8 +58,8 @@
 
 func (snapshot) Release() {}
 
-// openSnapshots checks all snapshots in dir and that the log goes on from the
-// latest. Raft by itself would go back to an earlier one, or to none.
+// openSnapshots verifies all snapshots in dir, and that the log has no gap after the
+// latest one. Raft itself would fall back to an earlier snapshot, or to none.
 func openSnapshots(dir string, store *logStore, log hclog.Logger) (*raft.FileSnapshotStore, error) {
 	snaps, err := raft.NewFileSnapshotStoreWithLogger(dir, 2, log)
 	if err != nil {
@@ -73,7 +73,7 @@
 	var covered uint64
 	for _, e := range entries {
 		path := filepath.Join(base, e.Name())
-		if strings.HasSuffix(e.Name(), ".tmp") { // it ended while it wrote it
+		if strings.HasSuffix(e.Name(), ".tmp") { // the process ended while writing it
 			if err := os.RemoveAll(path); err != nil {
 				return nil, fmt.Errorf("store: %w", err)
 			}
@@ -90,7 +90,8 @@
 		return nil, fmt.Errorf("store %s: log %d: missing, snapshots end at %d", store.path, first-1, covered)
 	}
 	if last < covered && last != 0 {
-		// It ended between a snapshot from the leader and the clearing of the log.
+		// The process ended after it received a snapshot from the leader and before
+		// the log was cleared.
 		if err := store.DeleteRange(first, last); err != nil {
 			return nil, err
 		}
--- a/fleet/agree/store.go
+++ b/fleet/agree/store.go
@@ -16,53 +16,54 @@
 	"go.etcd.io/bbolt"
 )
 
-// storeVersion is the format of a store's records, in the first byte of each.
+// storeVersion is the version of the record format, in the first byte of each record.
 const storeVersion = 1
 
-// What a store consists of. Every record is
+// Buckets and keys of a store. Every record is
 //
 //	version (1 byte), CRC-32C of bucket, key and payload (4 bytes), payload
 //
-// so that a record that is read under another's key is found out as well.
+// The checksum covers bucket and key, so that a record stored under a wrong key is
+// detected as well.
 var (
-	bucketLog         = []byte("log")        // index, big-endian: a log entry
-	bucketStable      = []byte("stable")     // raft's term and vote, and our own keys
-	keyBounds         = []byte("agree/span") // the log's first and last index
-	keyStableChecksum = []byte("agree/seal") // CRC-32C of all else in stable
+	bucketLog         = []byte("log")        // log entries by index, big-endian
+	bucketStable      = []byte("stable")     // raft's term and vote, and the following keys
+	keyBounds         = []byte("agree/span") // the first and last index of the log
+	keyStableChecksum = []byte("agree/seal") // CRC-32C of all other records of bucketStable
 
 	castagnoli = crc32.MakeTable(crc32.Castagnoli)
 )
 
-// logStore keeps raft's log, term and vote in one bbolt file. Each write is one
-// transaction that is on disk (fsync) before it returns.
+// logStore stores raft's log, term and vote in one bbolt file. Each write is one
+// transaction that is synced to disk before the call returns.
 //
-// openStore reads the whole file and refuses one that is torn or spoilt: a voter
-// that has forgotten a vote or an entry it acknowledged could help to decide
-// the opposite. After a write that failed it isn't known what the disk holds,
-// so all later calls fail too and Failed tells; the next openStore finds out.
+// openStore reads the whole file and rejects one that is truncated or corrupt: a voter
+// that has lost a vote or an acknowledged entry could help to commit a conflicting one.
+// After a failed write the contents of the disk are unknown, so all later calls fail too
+// and Failed yields the error; the next openStore checks the file again.
 type logStore struct {
 	path string
 	db   *bbolt.DB
 	lock *os.File
 
-	update   func(func(*bbolt.Tx) error) error // db.Update, but for tests
-	failures chan error                        // room for the first
+	update   func(func(*bbolt.Tx) error) error // db.Update; replaced by tests
+	failures chan error                        // capacity 1: the first error
 
-	// Raft appends from one goroutine and compacts from another; both change
-	// the log's ends.
+	// boundsMu serializes appends and deletions, which raft runs in different
+	// goroutines and which both change the bounds of the log.
 	boundsMu sync.Mutex
 
 	mu                    sync.Mutex
-	firstIndex, lastIndex uint64 // of the log; 0: empty
-	err                   error  // of the first write that failed
-	raftRunning           bool   // raft runs: what it would panic on ends its goroutine
+	firstIndex, lastIndex uint64 // bounds of the log; 0: empty
+	err                   error  // of the first write or read that failed
+	raftRunning           bool   // raft runs, so haltCaller ends its goroutine
 }
 
-// openStore opens the store in the directory dir, which it makes if there is
-// none, checks it and locks it against other processes.
+// openStore opens the store in the directory dir, verifies it and locks it against
+// other processes. It creates the directory if there is none.
 func openStore(dir string) (*logStore, error) { return openBoundedStore(dir, 0) }
 
-// openBoundedStore is openStore with a bound on the file's size in bytes; 0: none.
+// openBoundedStore is like openStore with a maximum file size in bytes; 0: unlimited.
 func openBoundedStore(dir string, maxSize int) (_ *logStore, err error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, fmt.Errorf("store: %w", err)
@@ -80,8 +81,8 @@
 	if err := s.check(); err != nil {
 		return nil, err
 	}
-	// The list of free pages has no checksum, so it is made anew from the tree
-	// at each start instead of read.
+	// bbolt's freelist has no checksum, so it is rebuilt from the tree at each start
+	// instead of being read.
 	options := bbolt.Options{Timeout: time.Second, NoFreelistSync: true, NoStatistics: true, MaxSize: maxSize}
 	if err := recoverPageFault(func() error { s.db, err = bbolt.Open(s.path, 0o600, &options); return err }); err != nil {
 		return nil, err
@@ -90,7 +91,7 @@
 	return s, s.createBuckets()
 }
 
-// createBuckets makes the two buckets of a new file.
+// createBuckets creates the two buckets in a new file.
 func (s *logStore) createBuckets() error {
 	made := false
 	err := s.db.View(func(tx *bbolt.Tx) error {
@@ -111,8 +112,7 @@
 	})
 }
 
-// lockDir takes the lock on the directory, which lasts until Close or until the
-// process ends.
+// lockDir locks the directory until Close is called or the process ends.
 func (s *logStore) lockDir(path string) error {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR|syscall.O_CLOEXEC, 0o600)
 	if err != nil {
@@ -129,7 +129,7 @@
 	return nil
 }
 
-// Close gives the file and its lock free.
+// Close closes the file and releases the lock.
 func (s *logStore) Close() error {
 	var err error
 	if s.db != nil {
@@ -141,10 +141,10 @@
 	return err
 }
 
-// Failed yields the error of the first write or read that failed.
+// Failed returns a channel that receives the error of the first write or read that failed.
 func (s *logStore) Failed() <-chan error { return s.failures }
 
-// fail marks the store as unusable.
+// fail marks the store as unusable and returns the first error.
 func (s *logStore) fail(err error) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -161,16 +161,16 @@
 	return s.err
 }
 
-// enterRaft tells the store that raft calls it from here on.
+// setRaftRunning records that raft has started, see haltCaller.
 func (s *logStore) setRaftRunning() {
 	s.mu.Lock()
 	s.raftRunning = true
 	s.mu.Unlock()
 }
 
-// haltCaller ends the calling goroutine, which is one of raft's, instead of returning
-// an error that raft panics on. The voter sees Failed and shuts raft down. What
-// is deferred runs, so that asks under way are told that their leader is lost.
+// haltCaller ends the calling goroutine if raft is running, instead of returning an error
+// on which raft would panic. The voter receives the error from Failed and shuts raft down.
+// Deferred functions run, so raft fails the pending proposals with a loss of leadership.
 func (s *logStore) haltCaller(err error) error {
 	s.mu.Lock()
 	strict := s.raftRunning
@@ -208,13 +208,13 @@
 	return err
 }
 
-// recoverFault turns what bolt does on spoilt pages, a panic or a fault in its memory
-// map, into an error.
+// recoverPageFault converts a panic, or a memory fault in bbolt's memory map, to an error.
+// Both happen on corrupt pages.
 func recoverPageFault(f func() error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if p := recover(); p != nil {
-			err = fmt.Errorf("spoilt pages: %v", p)
+			err = fmt.Errorf("corrupt pages: %v", p)
 		}
 	}()
 	return f()
--- a/fleet/agree/store_check.go
+++ b/fleet/agree/store_check.go
@@ -13,7 +13,7 @@
 	"go.etcd.io/bbolt"
 )
 
-// check reads the whole file without writing to it.
+// check verifies the whole file without writing to it.
 func (s *logStore) check() error {
 	if info, err := os.Stat(s.path); errors.Is(err, os.ErrNotExist) || err == nil && info.Size() == 0 {
 		return nil
@@ -33,12 +33,12 @@
 	})
 }
 
-// checkRecords reads every record by the order of keys and by its key, and
-// compares the log's ends with those written down beside it.
+// checkRecords reads every record both by iteration and by its key, and compares the
+// bounds of the log with the stored ones.
 func (s *logStore) checkRecords(tx *bbolt.Tx) error {
 	log, stable := tx.Bucket(bucketLog), tx.Bucket(bucketStable)
 	if log == nil && stable == nil && tx.ID() <= newFileTxID {
-		return nil // it ended before our first transaction
+		return nil // the process ended before createBuckets
 	}
 	if log == nil || stable == nil {
 		return errors.New("log or term missing")
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// checkLogBucket checks that the log is whole from first to last and nothing beside.
+// checkLogBucket checks that the log has exactly the entries from first to last, all intact.
 func checkLogBucket(log *bbolt.Bucket, first, last uint64) error {
 	next := first
 	for k, v, c := seekFirst(log); k != nil; k, v = c.Next() {
@@ -84,7 +84,8 @@
 	return nil
 }
 
-// checkStableBucket checks each record beside the log, and by their sum that none is missing.
+// checkStableBucket verifies each record of bucketStable, and by their checksum that none is
+// missing.
 func checkStableBucket(stable *bbolt.Bucket) error {
 	for k, v, c := seekFirst(stable); k != nil; k, v = c.Next() {
 		if _, err := recordPayload(bucketStable, k, v); err != nil {
@@ -102,7 +103,8 @@
 	return nil
 }
 
-// writeSeal keeps what tells that a key has gone missing. It ends each transaction.
+// writeStableChecksum stores the checksum over bucketStable by which a missing record is detected.
+// It has to be the last write of each transaction.
 func writeStableChecksum(tx *bbolt.Tx) error {
 	b := tx.Bucket(bucketStable)
 	return b.Put(keyStableChecksum, newRecord(bucketStable, keyStableChecksum, stableChecksum(b)))
--- a/fleet/agree/store_log.go
+++ b/fleet/agree/store_log.go
@@ -8,26 +8,27 @@
 	"go.etcd.io/bbolt"
 )
 
-// IsMonotonic makes raft clear the log when it takes in a snapshot, so that the
-// log never has a gap and a missing entry is always a fault.
+// IsMonotonic makes raft clear the log when it installs a snapshot. So the log never
+// has a gap, and a missing entry always means corruption.
 func (s *logStore) IsMonotonic() bool { return true }
 
-// FirstIndex is the index of the first log entry; 0 if there is none.
+// FirstIndex returns the index of the first log entry; 0 if there is none.
 func (s *logStore) FirstIndex() (uint64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.firstIndex, s.err
 }
 
-// LastIndex is the index of the last log entry; 0 if there is none.
+// LastIndex returns the index of the last log entry; 0 if there is none.
 func (s *logStore) LastIndex() (uint64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.lastIndex, s.err
 }
 
-// GetLog reads the entry with an index into l. It returns raft.ErrLogNotFound
-// if there is none; any other error ends raft.
+// GetLog reads the entry at an index into l. It returns raft.ErrLogNotFound
+// if there is none; any other error
+// stops the voter.
 func (s *logStore) GetLog(index uint64, l *raft.Log) error {
 	err := s.read(func(tx *bbolt.Tx) error {
 		k := logKey(index)
@@ -49,7 +50,7 @@
 // StoreLog appends one entry.
 func (s *logStore) StoreLog(l *raft.Log) error { return s.StoreLogs([]*raft.Log{l}) }
 
-// StoreLogs appends entries, all or none.
+// StoreLogs appends entries atomically.
 func (s *logStore) StoreLogs(logs []*raft.Log) error {
 	if len(logs) == 0 {
 		return nil
@@ -59,7 +60,7 @@
 	first, last := s.bounds()
 	err := s.write(func(tx *bbolt.Tx) error {
 		b := tx.Bucket(bucketLog)
-		b.FillPercent = 0.9 // keys only grow
+		b.FillPercent = 0.9 // keys are appended in ascending order
 		for _, l := range logs {
 			if last != 0 && l.Index != last+1 {
 				return fmt.Errorf("log %d: appended after %d", l.Index, last)
@@ -81,7 +82,7 @@
 	return err
 }
 
-// DeleteRange deletes the entries from low to high at one end of the log.
+// DeleteRange deletes the entries from low to high, which must include an end of the log.
 func (s *logStore) DeleteRange(low, high uint64) error {
 	s.boundsMu.Lock()
 	defer s.boundsMu.Unlock()
--- a/fleet/agree/store_record.go
+++ b/fleet/agree/store_record.go
@@ -13,10 +13,10 @@
 
 const (
 	recordHeaderSize = 1 + 4
-	logHeaderSize    = 8 + 1 + 8 + 4 // term, type, time of appending, length of the data
+	logHeaderSize    = 8 + 1 + 8 + 4 // term, type, append time, length of the data
 	boundsSize       = 16            // first and last index
 
-	newFileTxID = 1 // number of the last transaction of a file that bolt has just made
+	newFileTxID = 1 // ID of the last transaction in a file that bbolt has just created
 )
 
 func logKey(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
@@ -27,7 +27,7 @@
 	return append(v, payload...)
 }
 
-// recordPayload checks a record and returns what it holds; nothing for no record.
+// recordPayload verifies a record and returns its payload; nil if there is no record.
 func recordPayload(bucket, key, v []byte) ([]byte, error) {
 	switch {
 	case v == nil:
@@ -61,7 +61,7 @@
 	return append(append(b, l.Data...), l.Extensions...)
 }
 
-// decodeLog reads the record v under key k into l, which shares no memory with v.
+// decodeLog decodes the record v under key k into l, which shares no memory with v.
 func decodeLog(k, v []byte, l *raft.Log) error {
 	b, err := recordPayload(bucketLog, k, v)
 	if err != nil {
--- a/fleet/agree/tick.go
+++ b/fleet/agree/tick.go
@@ -6,14 +6,15 @@
 	"github.com/hashicorp/raft"
 )
 
-// leaderClock measures the time that this voter leads.
+// leaderClock measures the time during which this voter leads.
 type leaderClock struct {
 	newTick  func(time.Duration) []byte
 	term     uint64
-	lastTick time.Time // up to which time has been proposed in term
+	lastTick time.Time // end of the time that has been proposed in term
 }
 
-// tick returns the next tick's command; nil if there is none.
+// tick returns the encoded command of the next tick, or nil if this voter doesn't lead or has just
+// become leader in this term.
 func (t *leaderClock) tick(r *raft.Raft, now time.Time) []byte {
 	if r.State() != raft.Leader {
 		t.term = 0
