--- a/fleet/agree/client.go
+++ b/fleet/agree/client.go
@@ -9,17 +9,17 @@
 	"time"
 )
 
-// ClientConfig says whom to ask and how long to wait.
+// ClientConfig configures a Client. Zero durations and numbers stand for the defaults.
 type ClientConfig struct {
-	Voters         []string      // addresses at which they answer askers
-	RequestTimeout time.Duration // for one voter's answer; 0: 2 s
-	InitialBackoff time.Duration // before the second try, doubled for each after it; 0: 20 ms
-	MaxBackoff     time.Duration // between two tries at most; 0: 1 s
-	PingInterval   time.Duration // between signs of life on a connection; 0: 10 s
-	MaxProposals   int           // under way at once, 32 at most; others wait; 0: 8
+	Voters         []string      // addresses of the voters for clients
+	RequestTimeout time.Duration // for connecting, and for one reply; 0: 2 s
+	InitialBackoff time.Duration // before the second attempt, doubled for each later one; 0: 20 ms
+	MaxBackoff     time.Duration // upper bound of the delay between attempts; 0: 1 s
+	PingInterval   time.Duration // between pings on a connection; 0: 10 s
+	MaxProposals   int           // concurrent proposals, at most 32; further ones wait; 0: 8
 }
 
-// fill checks the configuration and replaces what is 0 by its default.
+// setDefaults validates the configuration and replaces zero values by the defaults.
 func (c *ClientConfig) setDefaults() error {
 	if len(c.Voters) == 0 {
 		return errors.New("agree: client: no voters")
@@ -42,29 +42,30 @@
 	return nil
 }
 
-// Client proposes entries to the voters and reads from them over one connection, to the one
-// that it believes to be the leader. It retries with backoff, at another voter where that may
-// help, until ctx is over. Its methods may be called from any goroutine.
+// Client proposes entries to the voters and reads from them over one connection to the voter
+// that it believes to be the leader. Its calls are retried with backoff until their context ends,
+// at another voter if this one doesn't lead or doesn't reply. Its methods may be called from any
+// goroutine.
 type Client struct {
 	cfg   ClientConfig
 	log   *slog.Logger
 	slots chan struct{}
 
-	// Opening a session is done by one at a time.
+	// sessionOpening is a semaphore: one goroutine at a time opens a session.
 	sessionOpening chan struct{}
 
 	mu      sync.Mutex
 	closed  bool
 	target  int // index into cfg.Voters
 	conn    *clientConn
-	dialing chan struct{} // closed when a dial is over; nil: none
+	dialing chan struct{} // closed at the end of the current dial; nil: none
 
 	session     uint64          // 0: none
-	seq         uint64          // the last one given out
-	outstanding map[uint64]bool // sequences whose answer has not been had
+	seq         uint64          // the last sequence number assigned
+	outstanding map[uint64]bool // sequence numbers whose answer is still needed
 }
 
-// NewClient returns a client, which connects at its first call. It returns an error if
+// NewClient returns a client that connects on its first call. It returns an error if
 // cfg.Voters is empty.
 func NewClient(cfg ClientConfig, log *slog.Logger) (*Client, error) {
 	if err := cfg.setDefaults(); err != nil {
@@ -76,15 +77,15 @@
 	}, nil
 }
 
-// Close closes the connection. Calls under way and later ones return
-// ErrShutdown, an Ask whose entry may have been applied ErrUnknown.
+// Close closes the connection. Calls in progress and later ones return ErrShutdown; a
+// Propose whose entry may have been applied returns ErrOutcomeUnknown.
 func (c *Client) Close() {
 	c.mu.Lock()
 	c.closed = true
-	l := c.conn
+	conn := c.conn
 	c.mu.Unlock()
-	if l != nil {
-		l.fail(ErrShutdown)
+	if conn != nil {
+		conn.fail(ErrShutdown)
 	}
 }
 
@@ -94,8 +95,8 @@
 	return c.closed
 }
 
-// Read queries the machine and returns its answer with the index of the last command that it
-// had applied; the answer reflects all that was agreed before Read was called. It returns
+// Read queries the machine and returns its answer with the index of the last command applied
+// before it. The answer reflects all entries committed before the call. It returns
 // ErrTooLong for a query of more than MaxEntry bytes, ErrShutdown after Close, the error of
 // ctx, and an error if the machine is not a Querier.
 func (c *Client) Read(ctx context.Context, query []byte) (answer []byte, index uint64, err error) {
@@ -109,8 +110,8 @@
 	return r.Body, r.Index, nil
 }
 
-// Add adds a voter, which was started with Config.Join, to the set under a name and the address
-// at which other voters reach it. It counts for the quorum at once, while the log is still being
+// AddVoter adds a voter, which was started with Config.Join, to the set under a name and the
+// address for raft connections. It counts for the quorum at once, while the log is still being
 // sent to it. It returns an error if raft refuses the change.
 func (c *Client) AddVoter(ctx context.Context, name, address string) error {
 	_, err := c.retry(ctx, func() *request {
@@ -119,16 +120,17 @@
 	return err
 }
 
-// Remove removes the voter with a name from the set. The name must not be used again.
+// RemoveVoter removes the voter with a name from the set. The name must not be used again.
 func (c *Client) RemoveVoter(ctx context.Context, name string) error {
 	_, err := c.retry(ctx, func() *request { return &request{Kind: requestRemoveVoter, Name: name} }, nil)
 	return err
 }
 
-// retry sends a request until its reply is final: one that neither another voter nor a later
-// try could change. It sets unknown, if not nil, once a try may have been agreed.
-func (c *Client) retry(ctx context.Context, newRequest func() *request, unknown *bool) (*reply, error) {
-	wait := backoff{cfg: &c.cfg}
+// retry sends a request until its reply is final, which means that neither another voter nor a
+// later attempt could change it. It sets maybeApplied, if not nil, once an attempt may have been
+// applied.
+func (c *Client) retry(ctx context.Context, newRequest func() *request, maybeApplied *bool) (*reply, error) {
+	retryDelay := backoff{cfg: &c.cfg}
 	for {
 		r, sent, err := c.attempt(ctx, newRequest)
 		if err == nil {
@@ -142,21 +144,21 @@
 				return nil, ErrShutdown
 			}
 		case r == nil, errors.Is(err, ErrOutcomeUnknown):
-			if sent && unknown != nil {
-				*unknown = true
+			if sent && maybeApplied != nil {
+				*maybeApplied = true
 			}
 		case errors.Is(err, ErrTooManyUnconfirmed):
 		default:
 			return nil, err
 		}
-		if err := wait.sleep(ctx, err); err != nil {
+		if err := retryDelay.sleep(ctx, err); err != nil {
 			return nil, err
 		}
 	}
 }
 
-// try sends a request once and waits for the reply for ClientConfig.Try. The reply is nil if
-// there was none; sent tells whether the request may have reached the voter.
+// attempt sends a request once and waits for the reply for ClientConfig.RequestTimeout. The reply
+// is nil if there was none; sent reports whether the request may have reached the voter.
 func (c *Client) attempt(ctx context.Context, newRequest func() *request) (r *reply, sent bool, err error) {
 	conn, err := c.connect(ctx)
 	if err != nil {
@@ -169,8 +171,8 @@
 		return nil, true, err
 	}
 	defer conn.forget(waiter)
-	patience := time.NewTimer(c.cfg.RequestTimeout)
-	defer patience.Stop()
+	timeout := time.NewTimer(c.cfg.RequestTimeout)
+	defer timeout.Stop()
 	select {
 	case r, ok := <-waiter.replies:
 		if !ok {
@@ -183,7 +185,7 @@
 		return r, true, err
 	case <-ctx.Done():
 		return nil, true, ctx.Err()
-	case <-patience.C:
+	case <-timeout.C:
 		c.switchVoter(conn, ErrOutcomeUnknown)
 		return nil, true, errors.New("agree: no answer")
 	}
--- a/fleet/agree/client_conn.go
+++ b/fleet/agree/client_conn.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// connState is how far a connection of the client has come. No state is followed by an earlier one.
+// connState is the state of a client's connection. It only changes to later states.
 type connState uint8
 
 const (
-	connOpen     connState = iota // takes requests
-	connDraining                  // another voter is asked by now; closed when nobody waits
-	connClosed                    // failed or closed; err says why
+	connOpen     connState = iota // accepts requests
+	connDraining                  // the client uses another voter; closed once all replies have arrived
+	connClosed                    // failed or closed; err has the reason
 )
 
 func (s connState) String() string { return [...]string{"open", "draining", "closed"}[s] }
@@ -31,16 +31,16 @@
 	lastID  uint64
 	waiting map[uint64]*replyWaiter
 	state   connState
-	err     error // in connClosed: why
+	err     error // in connClosed: the reason
 }
 
-// subscriberBuffer is how many effects wait for a subscriber.
+// subscriberBuffer is the number of effects buffered for a subscriber.
 const subscriberBuffer = 256
 
-// replyWaiter is a request whose replies are waited for.
+// replyWaiter receives the replies to a request.
 type replyWaiter struct {
 	id      uint64
-	replies chan *reply // closed when there will be no more
+	replies chan *reply // closed after the last reply
 }
 
 func newClientConn(conn net.Conn, cfg *ClientConfig) *clientConn {
@@ -50,7 +50,7 @@
 	return c
 }
 
-// isClosed reports whether the connection takes no more requests.
+// isClosed reports whether the connection is closed. A draining connection isn't.
 func (c *clientConn) isClosed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -73,7 +73,7 @@
 	}
 }
 
-// drain ends subscriptions, and closes the connection once the requests under way have been
+// drain ends subscriptions, and closes the connection once the requests in progress have been
 // answered.
 func (c *clientConn) drain() {
 	c.mu.Lock()
@@ -91,9 +91,9 @@
 	}
 }
 
-// ask sends a request under a new number. Up to room replies are buffered. An error says that
-// the connection is closed, or that the request is longer than a frame.
-func (c *clientConn) send(q *request, room int) (*replyWaiter, error) {
+// send sends a request under a new ID. Up to buffer replies are buffered. It returns an error if
+// the connection is closed or the request doesn't fit into a frame.
+func (c *clientConn) send(q *request, buffer int) (*replyWaiter, error) {
 	c.mu.Lock()
 	if c.state == connClosed {
 		defer c.mu.Unlock()
@@ -101,7 +101,7 @@
 	}
 	c.lastID++
 	q.ID = c.lastID
-	w := &replyWaiter{q.ID, make(chan *reply, room)}
+	w := &replyWaiter{q.ID, make(chan *reply, buffer)}
 	c.waiting[q.ID] = w
 	c.mu.Unlock()
 	frame, err := encodeFrame(q)
@@ -119,7 +119,7 @@
 	return w, nil
 }
 
-// drop ends the wait for replies; later ones are discarded.
+// forget removes a waiter; its later replies are discarded.
 func (c *clientConn) forget(w *replyWaiter) {
 	c.mu.Lock()
 	delete(c.waiting, w.id)
@@ -130,11 +130,11 @@
 	}
 }
 
-// read delivers replies until the connection fails or is silent for too long.
+// read delivers replies until the connection fails or is idle for too long.
 func (c *clientConn) read() {
 	in := bufio.NewReaderSize(c.conn, 4096)
 	for {
-		// Pings are answered, so silence is the peer's or the net's.
+		// Pings are answered, so a missing reply is a fault of the voter or the network.
 		c.conn.SetReadDeadline(time.Now().Add(2*c.cfg.PingInterval + c.cfg.RequestTimeout))
 		r := &reply{}
 		err := readFrame(in, r, func() { c.conn.SetReadDeadline(time.Now().Add(c.cfg.RequestTimeout)) })
@@ -146,8 +146,8 @@
 	}
 }
 
-// deliver hands a reply over. A waiter that is behind by all its room is told
-// that there will be no more; it asks again from where it is.
+// deliver passes a reply to its waiter. If the waiter's buffer is full, its channel is
+// closed; a subscriber then subscribes again from its current index.
 func (c *clientConn) deliver(r *reply) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -166,7 +166,7 @@
 	delete(c.waiting, r.ID)
 }
 
-// ping sends a request each ClientConfig.Ping, so that a silent connection is found out.
+// ping sends a request every ClientConfig.PingInterval, so that a broken connection is detected.
 func (c *clientConn) ping() {
 	t := time.NewTicker(c.cfg.PingInterval)
 	defer t.Stop()
@@ -175,7 +175,7 @@
 		case <-c.closed:
 			return
 		case <-t.C:
-			// The answer is dropped when it comes; none at all ends the reader's wait.
+			// The reply only has to arrive: without any, the read deadline expires.
 			c.send(&request{Kind: requestPing}, 1)
 		}
 	}
--- a/fleet/agree/client_connect.go
+++ b/fleet/agree/client_connect.go
@@ -8,7 +8,7 @@
 	"slices"
 )
 
-// connect returns the connection, which it makes if there is none.
+// connect returns the current connection, or dials one if there is none.
 func (c *Client) connect(ctx context.Context) (*clientConn, error) {
 	for {
 		c.mu.Lock()
@@ -31,7 +31,7 @@
 			return nil, ctx.Err()
 		}
 	}
-	if c.conn != nil { // it broke: its voter is passed over
+	if c.conn != nil { // it failed, so the next voter is tried
 		c.target = (c.target + 1) % len(c.cfg.Voters)
 		c.conn = nil
 	}
@@ -58,13 +58,14 @@
 	return c.conn, nil
 }
 
-// switchVoter goes to another voter if err says that the one of connection from is not the one to ask.
+// switchVoter selects another voter if err means that the voter of connection from can't answer:
+// it isn't the leader, is stopping, or didn't reply in time.
 func (c *Client) switchVoter(from *clientConn, err error) {
 	var notLeader *notLeaderError
 	next := -1
 	switch {
 	case errors.As(err, &notLeader):
-		// Only one that we were told at our start: a wrong hint leads nowhere else.
+		// Only configured addresses are used, so a wrong hint can't lead elsewhere.
 		next = slices.Index(c.cfg.Voters, notLeader.Leader)
 	case errors.Is(err, ErrShutdown), errors.Is(err, ErrOutcomeUnknown):
 	default:
@@ -73,7 +74,7 @@
 	c.mu.Lock()
 	if c.conn != from {
 		c.mu.Unlock()
-		return // somebody else has
+		return // another call has switched already
 	}
 	if next < 0 || next == c.target {
 		next = (c.target + 1) % len(c.cfg.Voters)
--- a/fleet/agree/client_propose.go
+++ b/fleet/agree/client_propose.go
@@ -5,36 +5,38 @@
 	"errors"
 )
 
-// Ask proposes an entry, of MaxEntry bytes at most, in the client's session, so that it is
-// applied once however often it is sent, and returns the machine's answer and the index of the
-// log at which it was applied. ErrUnknown says that it may have been applied or may yet be,
-// ErrSession that it may have been and that nobody can tell any more; after any other error it
-// was not applied and won't be.
+// Propose proposes an entry of at most MaxEntry bytes in the client's session, so that it is
+// applied once even if it is sent several times. It returns the machine's answer and the log
+// index at which the entry was applied. After ErrOutcomeUnknown the entry may have been applied
+// or may still be; after ErrUnknownSession it may have been, and the outcome can't be determined
+// any more. After any other error it was not and will not be applied.
 func (c *Client) Propose(ctx context.Context, entry []byte) (answer []byte, index uint64, err error) {
 	a := c.newProposal(entry)
 	defer a.release()
 	return a.submit(ctx)
 }
 
-// clientAsk is one ask, which may be asked any number of times. It is for one goroutine.
+// clientProposal is a proposal that may be submitted several times. It is not safe for concurrent
+// use.
 type clientProposal struct {
 	client       *Client
 	entry        []byte
-	session      uint64 // 0: not asked yet
+	session      uint64 // 0: not submitted yet
 	seq          uint64
-	maybeApplied bool // a try may have been applied
+	maybeApplied bool // an attempt may have been applied
 }
 
-// prepare returns an ask that has not been sent. It must be dropped at the end.
+// newProposal returns a proposal that has not been submitted. The caller must release it.
 func (c *Client) newProposal(entry []byte) *clientProposal {
 	return &clientProposal{client: c, entry: entry}
 }
 
-// do asks, again and again under the same sequence, until it knows or ctx is
-// over, and returns the machine's answer and the index at which the entry was
-// applied. ErrUnknown says that it may be applied, now or later: only another do
-// tells. ErrSession says that it may have been and that nobody can tell any more.
-// After any other error it isn't and won't be applied by the tries so far.
+// submit sends the proposal under the same sequence number until the outcome is known
+// or ctx ends, and returns the machine's answer and the index at which the entry was
+// applied. After ErrOutcomeUnknown it may have been applied or may still be; calling
+// submit again determines the outcome. After ErrUnknownSession it may have been
+// applied, and the outcome can't be determined any more. After any other error the
+// attempts so far have not been and will not be applied.
 func (a *clientProposal) submit(ctx context.Context) (answer []byte, index uint64, err error) {
 	if len(a.entry) > MaxEntry {
 		return nil, 0, ErrTooLong
@@ -72,7 +74,7 @@
 	}
 }
 
-// orUnknown is err, or ErrUnknown if a try may have been applied.
+// orOutcomeUnknown returns err, or ErrOutcomeUnknown if an attempt may have been applied.
 func (a *clientProposal) orOutcomeUnknown(err error) error {
 	if a.maybeApplied {
 		return ErrOutcomeUnknown
@@ -80,7 +82,7 @@
 	return err
 }
 
-// drop gives up the sequence of the ask: its answer need not be kept any more.
+// release ends the use of the proposal's sequence number, so the voters may delete its answer.
 func (a *clientProposal) release() {
 	if a.session != 0 {
 		a.client.releaseSeq(a.seq)
@@ -88,7 +90,7 @@
 	}
 }
 
-// ensureSession returns the session, which it opens if there is none.
+// ensureSession returns the client's session, and opens one if there is none.
 func (c *Client) ensureSession(ctx context.Context) (uint64, error) {
 	select {
 	case c.sessionOpening <- struct{}{}:
@@ -112,7 +114,7 @@
 	return r.Index, nil
 }
 
-// forgetSession drops a session that the voters don't know.
+// forgetSession forgets a session that the voters don't know.
 func (c *Client) forgetSession(session uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -121,7 +123,7 @@
 	}
 }
 
-// nextSeq gives out the next sequence of the session, as outstanding.
+// nextSeq assigns the next sequence number and marks it as outstanding.
 func (c *Client) nextSeq() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -130,14 +132,14 @@
 	return c.seq
 }
 
-// releaseSeq ends the wait for the answer to a sequence.
+// releaseSeq marks the answer to a sequence number as no longer needed.
 func (c *Client) releaseSeq(seq uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.outstanding, seq)
 }
 
-// confirmedSeq is the highest sequence up to which no answer is waited for.
+// confirmedSeq returns the highest sequence number up to which no answer is needed.
 func (c *Client) confirmedSeq() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/fleet/agree/client_subscribe.go
+++ b/fleet/agree/client_subscribe.go
@@ -5,32 +5,32 @@
 	"errors"
 )
 
-// subscribe calls f with each effect from an index on, in order and once, until
-// f returns an error or ctx is over. On a *goneError read the state, and subscribe
-// from the index after the one that it was read at.
+// subscribe calls f once for each effect from an index on, in order, until f returns
+// an error or ctx ends. After a *compactedError the caller has to read the state and
+// subscribe from the index after that of the read.
 func (c *Client) subscribe(ctx context.Context, from uint64, f func(effect) error) error {
-	wait := backoff{cfg: &c.cfg}
+	retryDelay := backoff{cfg: &c.cfg}
 	for {
-		before := from
+		start := from
 		err := c.subscribeOnce(ctx, &from, f)
-		var gone *compactedError
-		var own *callbackError
+		var compacted *compactedError
+		var callback *callbackError
 		switch {
-		case errors.As(err, &own):
-			return own.error
-		case errors.As(err, &gone), errors.Is(err, ErrShutdown) && c.isClosed():
+		case errors.As(err, &callback):
+			return callback.error
+		case errors.As(err, &compacted), errors.Is(err, ErrShutdown) && c.isClosed():
 			return err
 		}
-		if from > before {
-			wait.attempts = 0
+		if from > start {
+			retryDelay.attempts = 0
 		}
-		if err := wait.sleep(ctx, err); err != nil {
+		if err := retryDelay.sleep(ctx, err); err != nil {
 			return err
 		}
 	}
 }
 
-// callerError is an error of the caller's own function.
+// callbackError is an error of the subscriber's callback or context, which is not retried.
 type callbackError struct{ error }
 
 func (c *Client) subscribeOnce(ctx context.Context, from *uint64, f func(effect) error) error {
--- a/fleet/agree/errors.go
+++ b/fleet/agree/errors.go
@@ -92,7 +92,7 @@
 	var (
 		notLeader *notLeaderError
 		busy      *busyError
-		gone      *compactedError
+		compacted      *compactedError
 	)
 	switch {
 	case err == nil:
@@ -101,8 +101,8 @@
 		r.Code, r.Text = codeNotLeader, notLeader.Leader
 	case errors.As(err, &busy):
 		r.Code, r.RetryAfter = codeBusy, busy.RetryAfter.Milliseconds()
-	case errors.As(err, &gone):
-		r.Code, r.Index = codeCompacted, gone.Oldest
+	case errors.As(err, &compacted):
+		r.Code, r.Index = codeCompacted, compacted.Oldest
 	default:
 		r.Code, r.Text = codeBadRequest, err.Error()
 		for c, e := range errorsByCode {
--- a/fleet/agree/proposal.go
+++ b/fleet/agree/proposal.go
@@ -180,8 +180,8 @@
 
 // deliverResults answers proposals in the order in which they were handed to raft,
 // which is the order in which raft decides them.
-func (v *Voter) deliverResults(done chan<- struct{}) {
-	defer close(done)
+func (v *Voter) deliverResults(finished chan<- struct{}) {
+	defer close(finished)
 	for sent := range v.pending {
 		err := awaitFuture(sent.future, v.raftDown)
 		if sent.proposal == nil {
--- a/fleet/agree/register/register.go
+++ b/fleet/agree/register/register.go
@@ -52,7 +52,7 @@
 // Machine holds the registers.
 type Machine struct {
 	values [registers]uint64
-	passed uint64 // ns
+	elapsed uint64 // ns
 }
 
 // New returns a machine whose registers are all 0.
@@ -73,7 +73,7 @@
 		*r += n
 		answer = *r
 	case opTick:
-		m.passed += n
+		m.elapsed += n
 		return nil
 	default:
 		return nil
@@ -88,7 +88,7 @@
 	}
 	value := m.values[q[1]]
 	if q[0] == opTick {
-		value = m.passed
+		value = m.elapsed
 	}
 	return binary.BigEndian.AppendUint64(nil, value)
 }
@@ -99,7 +99,7 @@
 	for _, v := range m.values {
 		b = binary.BigEndian.AppendUint64(b, v)
 	}
-	return binary.BigEndian.AppendUint64(b, m.passed)
+	return binary.BigEndian.AppendUint64(b, m.elapsed)
 }
 
 // Restore replaces all by what Snapshot returned.
@@ -110,6 +110,6 @@
 	for i := range m.values {
 		m.values[i] = binary.BigEndian.Uint64(b[8*i:])
 	}
-	m.passed = binary.BigEndian.Uint64(b[8*registers:])
+	m.elapsed = binary.BigEndian.Uint64(b[8*registers:])
 	return nil
 }
