--- a/cmd/oxbowvoter/config.go
+++ b/cmd/oxbowvoter/config.go
@@ -12,19 +12,20 @@
 	"oxbowloft/fleet/agree"
 )
 
-// config is the configuration file. All of the initial set name the same voters.
+// config is the content of the configuration file. All voters of the initial set must list the
+// same voters.
 type config struct {
 	Name   string       `json:"name"`
-	Bind   string       `json:"bind"`   // for other voters
-	Listen string       `json:"listen"` // for askers
-	Data   string       `json:"data"`   // directory
+	Bind   string       `json:"bind"`   // address for raft connections of other voters
+	Listen string       `json:"listen"` // address for clients
+	Data   string       `json:"data"`   // directory of the store and the snapshots
 	Voters []agree.Peer `json:"voters"`
-	Join   bool         `json:"join"` // waits to be added, see agree.Config
+	Join   bool         `json:"join"` // waits until it is added; see agree.Config
 
-	HeartbeatMS int64 `json:"heartbeat_ms"` // silence after which a leader is given up; 0: 1000
+	HeartbeatMS int64 `json:"heartbeat_ms"` // silence of the leader after which an election starts; 0: 1000
 }
 
-// load reads the configuration file at path.
+// loadConfig reads and validates the configuration file at path.
 func loadConfig(path string) (*config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/cmd/oxbowvoter/main.go
+++ b/cmd/oxbowvoter/main.go
@@ -1,5 +1,5 @@
-// Command oxbowvoter is one of the three or five voters that agree for a fleet
-// of balancers.
+// Command oxbowvoter runs one of the three or five voters that replicate the
+// maintenance schedule of a fleet of load balancers.
 package main
 
 import (
@@ -21,8 +21,9 @@
 
 var version = "0.1.0"
 
-// machine makes the state that is agreed on, and tick its entry for passed time. The
-// settings are the defaults: a change of them is a change of the log's meaning.
+// newMachine returns the replicated state machine and the function that makes its tick
+// entries. It always uses the default settings: with others, voters would derive
+// another state from the same log.
 func newMachine() (agree.Machine, func(time.Duration) []byte, error) {
 	m, err := schedule.New(window.Settings{})
 	return m, schedule.Tick, err
@@ -90,7 +91,7 @@
 	return v.Stop(true)
 }
 
-// logger writes lines that begin with the time and the event, as oxbowloft's do.
+// newLogger returns a logger whose lines begin with the time and the event, like those of oxbowloft.
 func newLogger() *slog.Logger {
 	return slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{
 		ReplaceAttr: func(groups []string, a slog.Attr) slog.Attr {
@@ -143,7 +144,7 @@
 	}
 }
 
-// change asks the voters of a configuration to change their set.
+// changeVoters calls f with a client of the voters in a configuration file.
 func changeVoters(path string, f func(context.Context, *agree.Client) error) error {
 	c, err := loadConfig(path)
 	if err != nil {
--- a/fleet/agree/errors.go
+++ b/fleet/agree/errors.go
@@ -92,7 +92,7 @@
 	var (
 		notLeader *notLeaderError
 		busy      *busyError
-		compacted      *compactedError
+		compacted *compactedError
 	)
 	switch {
 	case err == nil:
--- a/fleet/agree/register/register.go
+++ b/fleet/agree/register/register.go
@@ -1,5 +1,5 @@
-// Package register is a small Machine for tests: numbered registers that can be
-// set, added to and read, and the time that its ticks have told.
+// Package register is a small agree.Machine for tests. It has numbered registers
+// that can be set, added to and read, and the sum of the time in its ticks.
 package register
 
 import (
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// The operations.
+// Operations, the first byte of an entry or a query.
 const (
 	opGet byte = iota
 	opSet
@@ -22,26 +22,26 @@
 	registers = 256
 )
 
-// Set is the entry that sets a register; the answer is its value before.
+// Set returns the entry that sets a register; the answer is its previous value.
 func Set(register byte, value uint64) []byte { return entry(opSet, register, value) }
 
-// Add is the entry that adds to a register; the answer is its value after.
+// Add returns the entry that adds to a register; the answer is its new value.
 func Add(register byte, n uint64) []byte { return entry(opAdd, register, n) }
 
-// Get is the entry, or the query, whose answer is a register's value.
+// Get returns the entry, or the query, whose answer is the value of a register.
 func Get(register byte) []byte { return entry(opGet, register, 0) }
 
-// Tick is the entry that says that time has passed.
+// Tick returns the entry that adds to the elapsed time; it has no answer.
 func Tick(passed time.Duration) []byte { return entry(opTick, 0, uint64(max(passed, 0))) }
 
-// Passed is the query whose answer is the time told by all ticks, in ns.
+// Elapsed returns the query whose answer is the sum of the time in all ticks, in ns.
 func Elapsed() []byte { return entry(opTick, 0, 0) }
 
 func entry(op, register byte, n uint64) []byte {
 	return binary.BigEndian.AppendUint64([]byte{op, register}, n)
 }
 
-// Value reads an answer.
+// Value decodes an answer.
 func Value(answer []byte) (uint64, error) {
 	if len(answer) != 8 {
 		return 0, fmt.Errorf("register: answer of %d bytes", len(answer))
@@ -49,16 +49,16 @@
 	return binary.BigEndian.Uint64(answer), nil
 }
 
-// Machine holds the registers.
+// Machine holds the registers and the elapsed time.
 type Machine struct {
-	values [registers]uint64
+	values  [registers]uint64
 	elapsed uint64 // ns
 }
 
-// New returns a machine whose registers are all 0.
+// New returns a machine with all registers 0.
 func New() *Machine { return &Machine{} }
 
-// Apply carries out an entry. One that can't be read is answered with nothing.
+// Apply applies an entry. The answer to a malformed entry is empty.
 func (m *Machine) Apply(_ uint64, e []byte) []byte {
 	if len(e) != entrySize {
 		return nil
@@ -81,7 +81,7 @@
 	return binary.BigEndian.AppendUint64(nil, answer)
 }
 
-// Query answers Get and Passed.
+// Query answers Get and Elapsed. The answer to a malformed query is empty.
 func (m *Machine) Query(q []byte) []byte {
 	if len(q) != entrySize {
 		return nil
@@ -93,7 +93,7 @@
 	return binary.BigEndian.AppendUint64(nil, value)
 }
 
-// Snapshot returns all registers and the time.
+// Snapshot encodes all registers and the elapsed time.
 func (m *Machine) Snapshot() []byte {
 	b := make([]byte, 0, 8*(registers+1))
 	for _, v := range m.values {
@@ -102,7 +102,7 @@
 	return binary.BigEndian.AppendUint64(b, m.elapsed)
 }
 
-// Restore replaces all by what Snapshot returned.
+// Restore replaces the state by one that Snapshot encoded.
 func (m *Machine) Restore(b []byte) error {
 	if len(b) != 8*(registers+1) {
 		return errors.New("register: snapshot of the wrong length")
