--- a/cmd/oxbowvoter/config.go
+++ b/cmd/oxbowvoter/config.go
@@ -38,7 +38,7 @@
 		return nil, fmt.Errorf("configuration %s: %w", path, err)
 	}
 	if _, err := d.Token(); err != io.EOF {
-		return nil, fmt.Errorf("configuration %s: text after its end", path)
+		return nil, fmt.Errorf("configuration %s: data after the JSON object", path)
 	}
 	if err := c.check(); err != nil {
 		return nil, fmt.Errorf("configuration %s: %w", path, err)
--- a/cmd/oxbowvoter/main.go
+++ b/cmd/oxbowvoter/main.go
@@ -32,7 +32,7 @@
 func main() {
 	root := &cobra.Command{
 		Use:           "oxbowvoter",
-		Short:         "A voter of a fleet of load balancers",
+		Short:         "Run and administer the voters of a fleet of load balancers",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
@@ -51,7 +51,7 @@
 func serveCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "serve config.json",
-		Short: "Vote until SIGTERM, then hand leadership over and stop",
+		Short: "Run the voter until SIGTERM, then transfer leadership and stop",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			c, err := loadConfig(args[0])
@@ -106,7 +106,7 @@
 func checkCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "check config.json",
-		Short: "Read a configuration and say what is wrong with it",
+		Short: "Validate a configuration file",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			_, err := loadConfig(args[0])
@@ -121,7 +121,7 @@
 func addCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "add config.json name address",
-		Short: "Add a voter that has been started with \"join\"; address is for other voters",
+		Short: "Add a voter that was started with \"join\"; address is the one for other voters",
 		Args:  cobra.ExactArgs(3),
 		RunE: func(_ *cobra.Command, args []string) error {
 			return changeVoters(args[0], func(ctx context.Context, c *agree.Client) error {
@@ -134,7 +134,7 @@
 func removeCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "remove config.json name",
-		Short: "Remove a voter for good",
+		Short: "Remove a voter; its name must not be used again",
 		Args:  cobra.ExactArgs(2),
 		RunE: func(_ *cobra.Command, args []string) error {
 			return changeVoters(args[0], func(ctx context.Context, c *agree.Client) error {
--- a/cmd/oxbowvoter/main_test.go
+++ b/cmd/oxbowvoter/main_test.go
@@ -127,16 +127,16 @@
 
 func newClient(t *testing.T, addrs ...string) *agree.Client {
 	t.Helper()
-	k, err := agree.NewClient(agree.ClientConfig{Voters: addrs}, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	client, err := agree.NewClient(agree.ClientConfig{Voters: addrs}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(k.Close)
-	return k
+	t.Cleanup(client.Close)
+	return client
 }
 
 // propose proposes an entry and returns the answer.
-func propose(t *testing.T, k *agree.Client, e window.Entry) schedule.Answer {
+func propose(t *testing.T, client *agree.Client, e window.Entry) schedule.Answer {
 	t.Helper()
 	entry, err := window.Encode(e)
 	if err != nil {
@@ -144,7 +144,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	text, _, err := k.Propose(ctx, entry)
+	text, _, err := client.Propose(ctx, entry)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -156,16 +156,16 @@
 }
 
 // query returns the lines with which the schedule answers a command line.
-func query(ctx context.Context, k *agree.Client, line string) (string, error) {
-	text, _, err := k.Read(ctx, []byte(line))
+func query(ctx context.Context, client *agree.Client, line string) (string, error) {
+	text, _, err := client.Read(ctx, []byte(line))
 	return string(text), err
 }
 
 var backendsPattern = regexp.MustCompile(`backends=(\d+)`)
 
 // countBackends returns the number of backends in the schedule.
-func countBackends(ctx context.Context, k *agree.Client) (n uint64, err error) {
-	text, err := query(ctx, k, "STATUS")
+func countBackends(ctx context.Context, client *agree.Client) (n uint64, err error) {
+	text, err := query(ctx, client, "STATUS")
 	if m := backendsPattern.FindStringSubmatch(text); m != nil {
 		n, _ = strconv.ParseUint(m[1], 10, 64)
 	}
@@ -173,24 +173,24 @@
 }
 
 // addBackend adds a backend, and checks that there are want backends then.
-func addBackend(t *testing.T, k *agree.Client, want uint64) {
+func addBackend(t *testing.T, client *agree.Client, want uint64) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	b := window.Backend{ID: fmt.Sprint("b", want), Region: "r", Zone: "z", Size: 1, Ready: true}
-	if a := propose(t, k, window.Backends{Put: []window.Backend{b}}); a.Result != window.OK {
+	if a := propose(t, client, window.Backends{Put: []window.Backend{b}}); a.Result != window.OK {
 		t.Fatal(a.Describe())
 	}
-	if got, err := countBackends(ctx, k); got != want || err != nil {
+	if got, err := countBackends(ctx, client); got != want || err != nil {
 		t.Fatalf("%d backends (%v), not %d", got, err, want)
 	}
 }
 
-// isLeader reports whether the voter of client k answers reads, which only the leader does.
-func isLeader(k *agree.Client) bool {
+// isLeader reports whether the voter of a client answers reads, which only the leader does.
+func isLeader(client *agree.Client) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 	defer cancel()
-	_, err := countBackends(ctx, k)
+	_, err := countBackends(ctx, client)
 	return err == nil
 }
 
@@ -206,9 +206,9 @@
 	for _, p := range paths {
 		voters = append(voters, startVoter(t, p))
 	}
-	k := newClient(t, addrs...)
+	client := newClient(t, addrs...)
 	backendCount := uint64(1)
-	addBackend(t, k, backendCount)
+	addBackend(t, client, backendCount)
 	leader := func() int {
 		for end := time.Now().Add(testTimeout); time.Now().Before(end); {
 			for i := range direct {
@@ -228,7 +228,7 @@
 	voters[i].wait(t)
 	for range 5 {
 		backendCount++
-		addBackend(t, k, backendCount)
+		addBackend(t, client, backendCount)
 	}
 	restart(i)
 
@@ -237,7 +237,7 @@
 	i = leader()
 	voters[i].signal(t, syscall.SIGSTOP)
 	backendCount++
-	addBackend(t, k, backendCount)
+	addBackend(t, client, backendCount)
 	type seen struct {
 		value uint64
 		err   error
@@ -260,7 +260,7 @@
 		}
 	}
 	backendCount++
-	addBackend(t, k, backendCount)
+	addBackend(t, client, backendCount)
 
 	// At SIGTERM the leader transfers its leadership and exits with status 0.
 	i = leader()
@@ -269,7 +269,7 @@
 		t.Fatalf("SIGTERM: %v", err)
 	}
 	backendCount++
-	addBackend(t, k, backendCount)
+	addBackend(t, client, backendCount)
 	restart(i)
 
 	// All voters are killed at once and restarted.
@@ -281,7 +281,7 @@
 		restart(i)
 	}
 	backendCount++
-	addBackend(t, k, backendCount)
+	addBackend(t, client, backendCount)
 
 	// A second process on the same store must not start, nor a voter that lost its store.
 	i = leader()
@@ -302,7 +302,7 @@
 		t.Fatalf("lost store: %s", voters[i].log.String())
 	}
 	backendCount++
-	addBackend(t, k, backendCount)
+	addBackend(t, client, backendCount)
 
 	// It is removed and added under a new name by the commands remove and add.
 	joiner := voterConfigs[i]
@@ -321,7 +321,7 @@
 	voters[j].signal(t, syscall.SIGKILL)
 	voters[j].wait(t)
 	backendCount++
-	addBackend(t, k, backendCount)
+	addBackend(t, client, backendCount)
 }
 
 // The resident memory of an idle voter is logged, and must be below 1 GB.
@@ -332,9 +332,9 @@
 	for _, c := range voterConfigs {
 		voters, addrs = append(voters, startVoter(t, writeConfig(t, c))), append(addrs, c.Listen)
 	}
-	k := newClient(t, addrs...)
+	client := newClient(t, addrs...)
 	for sum := uint64(1); sum <= 100; sum++ {
-		addBackend(t, k, sum)
+		addBackend(t, client, sum)
 	}
 	info, err := os.Stat(program)
 	if err != nil {
@@ -358,31 +358,31 @@
 func TestErrorOutput(t *testing.T) {
 	good := configs(t)[0]
 	change := func(f func(*config)) config {
-		c := good
-		c.Voters = append([]agree.Peer(nil), good.Voters...)
-		f(&c)
-		return c
+		config := good
+		config.Voters = append([]agree.Peer(nil), good.Voters...)
+		f(&config)
+		return config
 	}
 	for _, x := range []struct {
-		c    any
-		want string
+		config any
+		want   string
 	}{
 		{map[string]any{"name": "v1", "quorum": 2}, `unknown field "quorum"`},
 		{map[string]any{"voters": []any{map[string]any{"adress": ""}}}, `unknown field "adress"`},
 		{map[string]any{"name": 7}, `name`},
-		{change(func(c *config) { c.Name = "" }), "name: empty"},
-		{change(func(c *config) { c.Name = "w" }), "voters: w itself is not among them"},
-		{change(func(c *config) { c.Bind = "here" }), "bind: address here: missing port"},
-		{change(func(c *config) { c.Listen = "" }), "listen: missing port"},
-		{change(func(c *config) { c.Data = "" }), "data: empty"},
-		{change(func(c *config) { c.Voters = c.Voters[:2] }), "voters: 2, not 3 or 5"},
-		{change(func(c *config) { c.Voters[1].ClientAddress = c.Voters[0].ClientAddress }), "twice"},
-		{change(func(c *config) { c.Voters[1].RaftAddress = "x" }), "voters: address: address x: missing port"},
-		{change(func(c *config) { c.HeartbeatMS = 1 }), "heartbeat: 1ms, 20ms at least"},
-		{change(func(c *config) { c.Join = true }), "join: v1 is of the initial set"},
+		{change(func(config *config) { config.Name = "" }), "name: empty"},
+		{change(func(config *config) { config.Name = "w" }), "voters: w itself is not among them"},
+		{change(func(config *config) { config.Bind = "here" }), "bind: address here: missing port"},
+		{change(func(config *config) { config.Listen = "" }), "listen: missing port"},
+		{change(func(config *config) { config.Data = "" }), "data: empty"},
+		{change(func(config *config) { config.Voters = config.Voters[:2] }), "voters: 2, not 3 or 5"},
+		{change(func(config *config) { config.Voters[1].ClientAddress = config.Voters[0].ClientAddress }), "twice"},
+		{change(func(config *config) { config.Voters[1].RaftAddress = "x" }), "voters: address: address x: missing port"},
+		{change(func(config *config) { config.HeartbeatMS = 1 }), "heartbeat: 1ms, 20ms at least"},
+		{change(func(config *config) { config.Join = true }), "join: v1 is of the initial set"},
 	} {
 		for _, command := range []string{"check", "serve"} {
-			out, err := exec.Command(program, command, writeConfig(t, x.c)).CombinedOutput()
+			out, err := exec.Command(program, command, writeConfig(t, x.config)).CombinedOutput()
 			if err == nil || !strings.Contains(string(out), x.want) || strings.Count(string(out), "\n") != 1 {
 				t.Errorf("%s: %v, %q, not %q", command, err, out, x.want)
 			}
--- a/cmd/oxbowvoter/window_test.go
+++ b/cmd/oxbowvoter/window_test.go
@@ -14,13 +14,13 @@
 )
 
 // awaitWindow waits until the line of a window contains want, and returns it.
-func awaitWindow(t *testing.T, k *agree.Client, id, want string) string {
+func awaitWindow(t *testing.T, client *agree.Client, id, want string) string {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	last := ""
 	for ; ctx.Err() == nil; time.Sleep(50 * time.Millisecond) {
-		if line, err := query(ctx, k, "SHOW "+id); err == nil {
+		if line, err := query(ctx, client, "SHOW "+id); err == nil {
 			if last = line; strings.Contains(line, want) {
 				return line
 			}
@@ -41,10 +41,10 @@
 		addrs, paths = append(addrs, c.Listen), append(paths, path)
 		voters = append(voters, startVoter(t, path))
 	}
-	k := newClient(t, addrs...)
+	client := newClient(t, addrs...)
 	ok := func(e window.Entry) schedule.Answer {
 		t.Helper()
-		a := propose(t, k, e)
+		a := propose(t, client, e)
 		if a.Result != window.OK && a.Result != window.Repeat {
 			t.Fatal(a.Describe())
 		}
@@ -65,7 +65,7 @@
 	if a := ok(plan("p1", "b0")); a.Result != window.Repeat {
 		t.Errorf("retry of the plan: %s", a.Describe())
 	}
-	first := awaitWindow(t, k, "p1", "fence=")
+	first := awaitWindow(t, client, "p1", "fence=")
 	fence := ok(plan("p1", "b0")).Window.Fence
 
 	// The first is drained while a voter is killed, then all are killed; its grant and
@@ -74,7 +74,7 @@
 	voters[0].signal(t, syscall.SIGKILL)
 	voters[0].wait(t)
 	ok(window.Drained{ID: "p1", Fence: fence, Member: "n2"})
-	awaitWindow(t, k, "p1", "state=out")
+	awaitWindow(t, client, "p1", "state=out")
 	voters[0] = startVoter(t, paths[0])
 	for _, v := range voters {
 		v.signal(t, syscall.SIGKILL)
@@ -83,20 +83,20 @@
 		v.wait(t)
 		voters[i] = startVoter(t, paths[i])
 	}
-	line := awaitWindow(t, k, "p1", "state=out")
+	line := awaitWindow(t, client, "p1", "state=out")
 	if again := ok(plan("p1", "b0")).Window.Fence; again != fence {
 		t.Errorf("granted with fence %v, then with %v: %s then %s", fence, again, first, line)
 	}
-	awaitWindow(t, k, "p2", "state=planned")
-	if a := propose(t, k, window.Drained{ID: "p1", Fence: fence - 1, Member: "n1"}); a.Result != window.Stale {
+	awaitWindow(t, client, "p2", "state=planned")
+	if a := propose(t, client, window.Drained{ID: "p1", Fence: fence - 1, Member: "n1"}); a.Result != window.Stale {
 		t.Errorf("confirmation with an old fence: %s", a.Describe())
 	}
 
 	// The first is returned, then the second is granted.
 	ok(window.Return{ID: "p1", Fence: fence})
 	ok(window.Returned{ID: "p1", Fence: fence})
-	awaitWindow(t, k, "p1", "state=done")
-	awaitWindow(t, k, "p2", "fence=")
+	awaitWindow(t, client, "p1", "state=done")
+	awaitWindow(t, client, "p2", "fence=")
 	if next := ok(plan("p2", "b1")).Window.Fence; next <= fence {
 		t.Errorf("fence %v after %v", next, fence)
 	}
@@ -109,7 +109,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	defer cancel()
 	entry, _ := window.Encode(plan("p3", "b2"))
-	if _, _, err := k.Propose(ctx, entry); err == nil {
+	if _, _, err := client.Propose(ctx, entry); err == nil {
 		t.Error("one of three voters committed a proposal")
 	}
 }
--- a/fleet/agree/agree_test.go
+++ b/fleet/agree/agree_test.go
@@ -19,13 +19,13 @@
 func TestPropose(t *testing.T) {
 	for _, n := range []int{1, 3, 5} {
 		c := newCluster(t, n, newRegister, nil).start()
-		k := c.client()
+		client := c.client()
 		for i := uint64(1); i <= 20; i++ {
-			if got := c.add(k, 1); got != i {
+			if got := c.add(client, 1); got != i {
 				t.Fatalf("%d voters: add %d: answer %d", n, i, got)
 			}
 		}
-		if got := c.read(k); got != 20 {
+		if got := c.read(client); got != 20 {
 			t.Fatalf("%d voters: read %d, not 20", n, got)
 		}
 	}
@@ -47,13 +47,13 @@
 func TestLeaderStopsBeforeReply(t *testing.T) {
 	var c *cluster
 	var once sync.Once
-	entry := register.Add(0, 1000)
+	markedEntry := register.Add(0, 1000)
 	toStop := make(chan *node, 1)
 	c = newCluster(t, 3, nil, nil)
 	for _, n := range c.nodes {
 		n.machine = func() Machine {
 			return hookedMachine{register.New(), func(entry []byte) {
-				if bytes.Equal(entry, entry) && n.voter.leading() {
+				if bytes.Equal(entry, markedEntry) && n.voter.leading() {
 					once.Do(func() {
 						n.server.Close() // the client can't get a reply from here on
 						toStop <- n
@@ -63,11 +63,11 @@
 		}
 	}
 	c.start()
-	k := c.client()
-	c.add(k, 1)
+	client := c.client()
+	c.add(client, 1)
 	var stopped sync.WaitGroup
 	stopped.Go(func() { (<-toStop).stop() })
-	answer, index, err := k.Propose(testContext(t), entry)
+	answer, index, err := client.Propose(testContext(t), markedEntry)
 	if got := value(t, answer, err); got != 1001 {
 		t.Fatalf("answer %d, not 1001", got)
 	}
@@ -75,7 +75,7 @@
 		t.Fatal("index is 0")
 	}
 	stopped.Wait()
-	if got := c.read(k); got != 1001 {
+	if got := c.read(client); got != 1001 {
 		t.Fatalf("read %d, not 1001", got)
 	}
 }
@@ -118,8 +118,8 @@
 // committed, and all voters participate again after the partition heals.
 func TestPartition(t *testing.T) {
 	c := newCluster(t, 5, newRegister, nil).start()
-	k := c.client()
-	c.add(k, 1)
+	client := c.client()
+	c.add(client, 1)
 	leader := c.leader()
 	isolated := []*node{leader} // and one more voter; three are left
 	for _, n := range c.nodes {
@@ -137,7 +137,7 @@
 	if _, _, err := leader.voter.read(testContext(t), register.Get(0)); err == nil {
 		t.Fatal("an isolated leader answered a read")
 	}
-	if got := c.add(k, 1); got != 2 {
+	if got := c.add(client, 1); got != 2 {
 		t.Fatalf("majority of three of five: answer %d, not 2", got)
 	}
 	// With a third one isolated no majority is left.
@@ -145,7 +145,7 @@
 	third.setIsolated(true)
 	ctx, cancel := context.WithTimeout(context.Background(), 5*testHeartbeat)
 	defer cancel()
-	proposal := k.newProposal(register.Add(0, 1))
+	proposal := client.newProposal(register.Add(0, 1))
 	defer proposal.release()
 	if _, _, err := proposal.submit(ctx); err == nil {
 		t.Fatal("two of five voters committed a proposal")
@@ -165,10 +165,10 @@
 	c := newCluster(t, 3, newRegister, func(cfg *Config) {
 		cfg.SnapshotThreshold, cfg.TrailingEntries, cfg.SnapshotInterval = 16, 4, 20*time.Millisecond
 	}).start()
-	k := c.client()
+	client := c.client()
 	for round := range uint64(3) {
 		for i := range uint64(40) {
-			if got := c.add(k, 1); got != 40*round+i+1 {
+			if got := c.add(client, 1); got != 40*round+i+1 {
 				t.Fatalf("round %d: add: answer %d", round, got)
 			}
 		}
@@ -181,14 +181,14 @@
 		}
 		c.start()
 	}
-	if got := c.read(k); got != 120 {
+	if got := c.read(client); got != 120 {
 		t.Fatalf("read %d, not 120", got)
 	}
 	// A voter that is behind by more than the log keeps gets a snapshot.
 	behind := c.nodes[1]
 	behind.stop()
 	for range 60 {
-		c.add(k, 1)
+		c.add(client, 1)
 	}
 	if err := behind.start(); err != nil {
 		t.Fatal(err)
@@ -234,12 +234,12 @@
 			n.fault = func(s *logStore) { injectFault[n] = injectWriteFault(s, after) }
 		}
 		c.start()
-		k := c.client()
-		c.add(k, 1)
+		client := c.client()
+		c.add(client, 1)
 		for sum := uint64(2); sum < 4; sum++ {
 			leader := c.leader()
 			injectFault[leader]()
-			if got := c.add(k, 1); got != sum {
+			if got := c.add(client, 1); got != sum {
 				t.Fatalf("after=%v: answer %d, not %d", after, got, sum)
 			}
 			<-leader.voter.Done()
@@ -252,7 +252,7 @@
 				t.Fatal(err)
 			}
 		}
-		if got := c.read(k); got != 3 {
+		if got := c.read(client); got != 3 {
 			t.Fatalf("after=%v: read %d, not 3", after, got)
 		}
 	}
@@ -266,8 +266,8 @@
 		n.fault = func(s *logStore) { injectFault[n] = injectWriteFault(s, false) }
 	}
 	c.start()
-	k := c.client()
-	c.add(k, 1)
+	client := c.client()
+	c.add(client, 1)
 	leader := c.leader()
 	for _, n := range c.nodes {
 		if n != leader {
@@ -292,7 +292,7 @@
 		n.stop()
 	}
 	c.start()
-	if got := c.read(k); got != 1 {
+	if got := c.read(client); got != 1 {
 		t.Fatalf("read %d, not 1", got)
 	}
 }
@@ -301,8 +301,8 @@
 // forgotten a vote. It can be removed and added under a new name.
 func TestLostStoreIsNotReused(t *testing.T) {
 	c := newCluster(t, 3, newRegister, nil).start()
-	k := c.client()
-	c.add(k, 7)
+	client := c.client()
+	c.add(client, 7)
 	leader := c.leader()
 	var voterNode *node
 	for _, n := range c.nodes {
@@ -328,22 +328,22 @@
 	if err := voterNode.start(); err != nil {
 		t.Fatal(err)
 	}
-	if err := k.RemoveVoter(testContext(t), old); err != nil {
+	if err := client.RemoveVoter(testContext(t), old); err != nil {
 		t.Fatal(err)
 	}
-	if err := k.AddVoter(testContext(t), "v9", voterNode.cfg.Bind); err != nil {
+	if err := client.AddVoter(testContext(t), "v9", voterNode.cfg.Bind); err != nil {
 		t.Fatal(err)
 	}
 	// A removed leader stops. Without it the added voter is needed for the majority.
 	leader = c.leader()
-	if err := k.RemoveVoter(testContext(t), leader.cfg.Name); err != nil {
+	if err := client.RemoveVoter(testContext(t), leader.cfg.Name); err != nil {
 		t.Fatal(err)
 	}
 	<-leader.voter.Done()
 	if err := leader.voter.exitError(); !errors.Is(err, errRemoved) {
 		t.Fatalf("removed leader stopped with error %v", err)
 	}
-	if got := c.add(k, 1); got != 8 {
+	if got := c.add(client, 1); got != 8 {
 		t.Fatalf("add: answer %d, not 8", got)
 	}
 	voterNode.cfg.Name, voterNode.cfg.Join = old, true
@@ -396,10 +396,10 @@
 	c := newCluster(t, 3, newRegister, func(cfg *Config) {
 		cfg.NewTick, cfg.TickInterval = register.Tick, 10*time.Millisecond
 	}).start()
-	k := c.client()
+	client := c.client()
 	start := time.Now()
 	elapsed := func() time.Duration {
-		answer, _, err := k.Read(testContext(t), register.Elapsed())
+		answer, _, err := client.Read(testContext(t), register.Elapsed())
 		return time.Duration(value(t, answer, err))
 	}
 	await(t, "time", func() bool { return elapsed() > 100*time.Millisecond })
@@ -422,13 +422,13 @@
 
 func TestSubscribe(t *testing.T) {
 	c := newCluster(t, 3, newRegister, nil).start()
-	k := c.client()
+	client := c.client()
 	ctx, cancel := context.WithCancel(testContext(t))
 	var got []effect
 	var subscriber sync.WaitGroup
 	const effectCount = 300
 	subscriber.Go(func() {
-		err := k.subscribe(ctx, 1, func(e effect) error {
+		err := client.subscribe(ctx, 1, func(e effect) error {
 			if got = append(got, e); len(got) == effectCount {
 				cancel()
 			}
--- a/fleet/agree/bolt_pages.go
+++ b/fleet/agree/bolt_pages.go
@@ -106,7 +106,7 @@
 // enqueue adds a referenced page to the queue.
 func (p *pageWalk) enqueue(id uint64) error {
 	if id < 2 || id >= p.endPage {
-		return fmt.Errorf("page %d of %d named", id, p.endPage)
+		return fmt.Errorf("reference to page %d, %d pages in use", id, p.endPage)
 	}
 	p.queue = append(p.queue, id)
 	return nil
@@ -127,11 +127,11 @@
 		return err
 	}
 	if got := byteOrder.Uint64(head); got != id {
-		return fmt.Errorf("says that it is %d", got)
+		return fmt.Errorf("header has page ID %d", got)
 	}
 	overflow := uint64(byteOrder.Uint32(head[12:]))
 	if id+overflow >= p.endPage {
-		return fmt.Errorf("%d pages after it of %d", overflow, p.endPage)
+		return fmt.Errorf("%d overflow pages, %d pages in use", overflow, p.endPage)
 	}
 	for i := range overflow + 1 {
 		if err := p.markUsed(id + i); err != nil {
@@ -164,23 +164,23 @@
 		return fmt.Errorf("%d elements in %d bytes", count, len(b))
 	}
 	for i := range count {
-		at := pageHeaderSize + i*size
-		e := b[at:]
+		offset := pageHeaderSize + i*size
+		element := b[offset:]
 		if flags == pageFlagBranch {
-			if uint64(at)+uint64(byteOrder.Uint32(e))+uint64(byteOrder.Uint32(e[4:])) > uint64(len(b)) {
-				return fmt.Errorf("element %d beyond its end", i)
+			if uint64(offset)+uint64(byteOrder.Uint32(element))+uint64(byteOrder.Uint32(element[4:])) > uint64(len(b)) {
+				return fmt.Errorf("element %d exceeds the page", i)
 			}
-			if err := p.enqueue(byteOrder.Uint64(e[8:])); err != nil {
+			if err := p.enqueue(byteOrder.Uint64(element[8:])); err != nil {
 				return err
 			}
 			continue
 		}
-		from := uint64(at) + uint64(byteOrder.Uint32(e[4:])) + uint64(byteOrder.Uint32(e[8:]))
-		to := from + uint64(byteOrder.Uint32(e[12:]))
+		from := uint64(offset) + uint64(byteOrder.Uint32(element[4:])) + uint64(byteOrder.Uint32(element[8:]))
+		to := from + uint64(byteOrder.Uint32(element[12:]))
 		if to > uint64(len(b)) {
-			return fmt.Errorf("element %d beyond its end", i)
+			return fmt.Errorf("element %d exceeds the page", i)
 		}
-		if flag := byteOrder.Uint32(e); flag > leafFlagBucket {
+		if flag := byteOrder.Uint32(element); flag > leafFlagBucket {
 			return fmt.Errorf("element %d: flags %d", i, flag)
 		} else if flag == leafFlagBucket {
 			if err := p.checkBucket(b[from:to]); err != nil {
--- a/fleet/agree/client.go
+++ b/fleet/agree/client.go
@@ -25,14 +25,14 @@
 		return errors.New("agree: client: no voters")
 	}
 	for _, d := range []struct {
-		to  *time.Duration
-		def time.Duration
+		setting *time.Duration
+		value   time.Duration
 	}{
 		{&c.RequestTimeout, 2 * time.Second}, {&c.InitialBackoff, 20 * time.Millisecond}, {&c.MaxBackoff, time.Second},
 		{&c.PingInterval, 10 * time.Second},
 	} {
-		if *d.to == 0 {
-			*d.to = d.def
+		if *d.setting == 0 {
+			*d.setting = d.value
 		}
 	}
 	if c.MaxProposals == 0 {
--- a/fleet/agree/cluster_test.go
+++ b/fleet/agree/cluster_test.go
@@ -218,12 +218,12 @@
 
 func (c *cluster) client() *Client {
 	c.t.Helper()
-	k, err := NewClient(ClientConfig{Voters: c.clientAddrs, RequestTimeout: 4 * testHeartbeat}, quiet)
+	client, err := NewClient(ClientConfig{Voters: c.clientAddrs, RequestTimeout: 4 * testHeartbeat}, quiet)
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	c.t.Cleanup(k.Close)
-	return k
+	c.t.Cleanup(client.Close)
+	return client
 }
 
 // value decodes an answer of the register machine.
@@ -239,14 +239,14 @@
 	return v
 }
 
-func (c *cluster) add(k *Client, n uint64) uint64 {
+func (c *cluster) add(client *Client, n uint64) uint64 {
 	c.t.Helper()
-	answer, _, err := k.Propose(testContext(c.t), register.Add(0, n))
+	answer, _, err := client.Propose(testContext(c.t), register.Add(0, n))
 	return value(c.t, answer, err)
 }
 
-func (c *cluster) read(k *Client) uint64 {
+func (c *cluster) read(client *Client) uint64 {
 	c.t.Helper()
-	answer, _, err := k.Read(testContext(c.t), register.Get(0))
+	answer, _, err := client.Read(testContext(c.t), register.Get(0))
 	return value(c.t, answer, err)
 }
--- a/fleet/agree/config.go
+++ b/fleet/agree/config.go
@@ -73,7 +73,7 @@
 // checkVoters validates the initial set, and checks that this voter either is in it or joins.
 func (c *Config) checkVoters() error {
 	if n := len(c.InitialVoters); n != 1 && n != 3 && n != 5 {
-		return fmt.Errorf("voters: %d, not 3 or 5 (or 1 to try things out)", n)
+		return fmt.Errorf("voters: %d, not 3 or 5 (or 1 for tests)", n)
 	}
 	seen := map[string]bool{}
 	for _, p := range c.InitialVoters {
@@ -94,9 +94,9 @@
 			}
 		}
 	}
-	if own := seen["name"+c.Name]; own && c.Join {
+	if inSet := seen["name"+c.Name]; inSet && c.Join {
 		return fmt.Errorf("join: %s is of the initial set; a voter that lost its store joins by a new name", c.Name)
-	} else if !own && !c.Join {
+	} else if !inSet && !c.Join {
 		return fmt.Errorf("voters: %s itself is not among them", c.Name)
 	}
 	return nil
@@ -105,14 +105,14 @@
 // setDefaults replaces zero values by the defaults. Negative numbers stay.
 func (c *Config) setDefaults() {
 	for _, d := range []struct {
-		to  *time.Duration
-		def time.Duration
+		setting *time.Duration
+		value   time.Duration
 	}{
 		{&c.TickInterval, time.Second}, {&c.HeartbeatTimeout, time.Second}, {&c.RetryAfter, 200 * time.Millisecond},
 		{&c.SnapshotInterval, 2 * time.Minute},
 	} {
-		if *d.to == 0 {
-			*d.to = d.def
+		if *d.setting == 0 {
+			*d.setting = d.value
 		}
 	}
 	if c.MaxPending == 0 {
--- a/fleet/agree/entry.go
+++ b/fleet/agree/entry.go
@@ -57,8 +57,8 @@
 	if c.kind = entryKind(b[1]); c.kind > kindTick {
 		return c, fmt.Errorf("entry kind %d", b[1])
 	}
-	for i, to := range [...]*uint64{&c.term, &c.entry.Session, &c.entry.Seq, &c.entry.Confirmed} {
-		*to = binary.BigEndian.Uint64(b[2+8*i:])
+	for i, field := range [...]*uint64{&c.term, &c.entry.Session, &c.entry.Seq, &c.entry.Confirmed} {
+		*field = binary.BigEndian.Uint64(b[2+8*i:])
 	}
 	c.entry.Data = b[commandHeaderSize:]
 	return c, nil
--- a/fleet/agree/form.go
+++ b/fleet/agree/form.go
@@ -69,7 +69,7 @@
 		return h, fmt.Errorf("store %s: %s: %w", s.path, keyIdentity, err)
 	}
 	if h.Name != cfg.Name {
-		return h, fmt.Errorf("store %s: of voter %s, not %s", s.path, h.Name, cfg.Name)
+		return h, fmt.Errorf("store %s: belongs to voter %s, not %s", s.path, h.Name, cfg.Name)
 	}
 	if h.HasFormed && h.Incarnations == nil {
 		h.Incarnations = map[string]uint64{}
@@ -162,9 +162,9 @@
 // queryPeers queries all other voters of the initial set. The result has those that replied.
 func (v *Voter) queryPeers() (map[string]hello, error) {
 	type answer struct {
-		name string
-		h    hello
-		err  error
+		name      string
+		peerHello hello
+		err       error
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), v.cfg.HeartbeatTimeout)
 	defer cancel()
@@ -176,14 +176,14 @@
 		}
 		queried++
 		go func() {
-			h, err := queryPeer(ctx, p.ClientAddress)
-			answers <- answer{p.Name, h, err}
+			peerHello, err := queryPeer(ctx, p.ClientAddress)
+			answers <- answer{p.Name, peerHello, err}
 		}()
 	}
 	found := map[string]hello{}
 	for range queried {
 		if a := <-answers; a.err == nil {
-			found[a.name] = a.h
+			found[a.name] = a.peerHello
 		}
 	}
 	return found, nil
@@ -215,7 +215,7 @@
 		return h, err
 	}
 	if r.Hello == nil {
-		return h, errors.New("agree: no hello")
+		return h, errors.New("agree: reply without hello")
 	}
 	return *r.Hello, nil
 }
@@ -224,7 +224,7 @@
 // returns the incarnations to form with, or nil if the voter can't form yet. If formed is true,
 // another voter has formed with these incarnations, and no second round is needed.
 func decideFormation(self hello, voters []Peer, found map[string]hello) (incarnations map[string]uint64, formed bool, err error) {
-	all := map[string]uint64{self.Name: self.Incarnation}
+	incarnationsByName := map[string]uint64{self.Name: self.Incarnation}
 	for _, p := range voters {
 		h, ok := found[p.Name]
 		if !ok {
@@ -236,7 +236,7 @@
 		if h.VoterSetHash != self.VoterSetHash {
 			return nil, false, fmt.Errorf("agree: voters: %s is configured with another set", p.Name)
 		}
-		all[p.Name] = h.Incarnation
+		incarnationsByName[p.Name] = h.Incarnation
 		if h.Incarnations == nil && !h.HasFormed {
 			continue
 		}
@@ -251,8 +251,8 @@
 	if incarnations != nil {
 		return incarnations, true, nil
 	}
-	if len(all) == len(voters) {
-		return all, false, nil
+	if len(incarnationsByName) == len(voters) {
+		return incarnationsByName, false, nil
 	}
 	return nil, false, nil
 }
--- a/fleet/agree/frame.go
+++ b/fleet/agree/frame.go
@@ -69,14 +69,14 @@
 
 // decOptions returns strict options: no indefinite lengths, tags, duplicate keys or unknown
 // fields, and limits on nesting and on the number of elements.
-func decOptions(most int) cbor.DecOptions {
+func decOptions(maxArrayElements int) cbor.DecOptions {
 	return cbor.DecOptions{
 		DupMapKey:         cbor.DupMapKeyEnforcedAPF,
 		IndefLength:       cbor.IndefLengthForbidden,
 		TagsMd:            cbor.TagsForbidden,
 		ExtraReturnErrors: cbor.ExtraDecErrorUnknownField,
 		MaxNestedLevels:   8,
-		MaxArrayElements:  max(most, 16),
+		MaxArrayElements:  max(maxArrayElements, 16),
 		MaxMapPairs:       16,
 	}
 }
--- a/fleet/agree/history_test.go
+++ b/fleet/agree/history_test.go
@@ -69,25 +69,25 @@
 }
 
 // runOperation runs a random operation and records it.
-func (h *history) runOperation(ctx context.Context, clientID int, k *Client, rng *rand.Rand) {
-	i := operationInput{[]string{"add", "add", "set", "get", "read"}[rng.IntN(5)], byte(rng.IntN(3)), rng.Uint64N(1000) + 1}
+func (h *history) runOperation(ctx context.Context, clientID int, client *Client, rng *rand.Rand) {
+	input := operationInput{[]string{"add", "add", "set", "get", "read"}[rng.IntN(5)], byte(rng.IntN(3)), rng.Uint64N(1000) + 1}
 	call := time.Since(h.start)
 	var answer []byte
 	var err error
-	switch i.op {
+	switch input.op {
 	case "add":
-		answer, _, err = k.Propose(ctx, register.Add(i.register, i.operand))
+		answer, _, err = client.Propose(ctx, register.Add(input.register, input.operand))
 	case "set":
-		answer, _, err = k.Propose(ctx, register.Set(i.register, i.operand))
+		answer, _, err = client.Propose(ctx, register.Set(input.register, input.operand))
 	case "get":
-		answer, _, err = k.Propose(ctx, register.Get(i.register))
+		answer, _, err = client.Propose(ctx, register.Get(input.register))
 	case "read":
-		answer, _, err = k.Read(ctx, register.Get(i.register))
+		answer, _, err = client.Read(ctx, register.Get(input.register))
 	}
 	end := time.Since(h.start)
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	o := porcupine.Operation{ClientId: clientID, Input: i, Call: int64(call), Return: int64(end)}
+	o := porcupine.Operation{ClientId: clientID, Input: input, Call: int64(call), Return: int64(end)}
 	switch {
 	case err == nil:
 		v, err := register.Value(answer)
@@ -95,7 +95,7 @@
 			panic(err)
 		}
 		o.Output = operationOutput{value: v}
-	case err == ErrOutcomeUnknown && i.op != "get":
+	case err == ErrOutcomeUnknown && input.op != "get":
 		o.Output, o.Return = operationOutput{unknown: true}, math.MaxInt64
 		h.unknownOutcomes++
 	default:
@@ -110,7 +110,7 @@
 	stop := make(chan struct{})
 	var running sync.WaitGroup
 	for i := range clients {
-		k := c.client()
+		client := c.client()
 		rng := rand.New(rand.NewPCG(uint64(i), 7))
 		running.Go(func() {
 			for {
@@ -124,7 +124,7 @@
 				if rng.IntN(20) == 0 {
 					ctx, cancel = context.WithTimeout(context.Background(), time.Millisecond)
 				}
-				h.runOperation(ctx, i, k, rng)
+				h.runOperation(ctx, i, client, rng)
 				cancel()
 				time.Sleep(time.Duration(rng.IntN(10)) * time.Millisecond) // keeps the history short enough for the check
 			}
--- a/fleet/agree/proposal.go
+++ b/fleet/agree/proposal.go
@@ -203,11 +203,11 @@
 		answer, index, err := v.fsm.query(sent.proposal.data)
 		return result{answer, index, err}
 	}
-	d, ok := sent.future.(raft.ApplyFuture).Response().(decision)
+	applied, ok := sent.future.(raft.ApplyFuture).Response().(decision)
 	if !ok { // the state machine failed
 		return result{err: ErrOutcomeUnknown}
 	}
-	switch d.outcome {
+	switch applied.outcome {
 	case outcomeUnknownSession:
 		return result{err: ErrUnknownSession}
 	case outcomeConfirmed:
@@ -215,7 +215,7 @@
 	case outcomeTooManyUnconfirmed:
 		return result{err: ErrTooManyUnconfirmed}
 	}
-	return result{answer: d.answer, index: d.index}
+	return result{answer: applied.answer, index: applied.index}
 }
 
 // proposalError maps the error of a raft future to the error of its proposal: either
--- a/fleet/agree/raft.go
+++ b/fleet/agree/raft.go
@@ -25,11 +25,11 @@
 		return err
 	}
 	conf := v.cfg.raft(v.hclog)
-	known, err := raft.HasExistingState(v.store, v.store, v.snaps)
+	hasState, err := raft.HasExistingState(v.store, v.store, v.snaps)
 	if err != nil {
 		return err
 	}
-	if !known && !v.cfg.Join {
+	if !hasState && !v.cfg.Join {
 		var servers []raft.Server
 		for _, p := range v.cfg.InitialVoters {
 			servers = append(servers,
@@ -37,7 +37,7 @@
 		}
 		initial := raft.Configuration{Servers: servers}
 		if err := raft.BootstrapCluster(conf, v.store, v.store, v.snaps, v.trans, initial); err != nil {
-			return fmt.Errorf("agree: first start: %w", err)
+			return fmt.Errorf("agree: bootstrap: %w", err)
 		}
 	}
 	r, err := raft.NewRaft(conf, v.fsm, v.store, v.store, v.snaps, v.trans)
@@ -99,21 +99,21 @@
 type raftLogSink struct{ log *slog.Logger }
 
 func (s raftLogSink) Accept(_ string, level hclog.Level, msg string, args ...any) {
-	to := slog.LevelDebug
+	slogLevel := slog.LevelDebug
 	switch {
 	case level >= hclog.Error:
-		to = slog.LevelError
+		slogLevel = slog.LevelError
 	case level == hclog.Warn:
-		to = slog.LevelWarn
+		slogLevel = slog.LevelWarn
 	case level == hclog.Info:
-		to = slog.LevelInfo
+		slogLevel = slog.LevelInfo
 	}
-	all := []any{"from", "raft"}
+	attrs := []any{"from", "raft"}
 	for _, a := range args {
 		if f, ok := a.(hclog.Format); ok && len(f) > 0 {
 			a = fmt.Sprintf(fmt.Sprint(f[0]), f[1:]...)
 		}
-		all = append(all, a)
+		attrs = append(attrs, a)
 	}
-	s.log.Log(context.Background(), to, msg, all...)
+	s.log.Log(context.Background(), slogLevel, msg, attrs...)
 }
--- a/fleet/agree/server.go
+++ b/fleet/agree/server.go
@@ -27,11 +27,11 @@
 		l.MaxRequests = 16
 	}
 	for _, d := range []struct {
-		to  *time.Duration
-		def time.Duration
+		setting *time.Duration
+		value   time.Duration
 	}{{&l.IdleTimeout, 30 * time.Second}, {&l.FrameTimeout, 5 * time.Second}, {&l.RequestTimeout, 10 * time.Second}} {
-		if *d.to == 0 {
-			*d.to = d.def
+		if *d.setting == 0 {
+			*d.setting = d.value
 		}
 	}
 }
@@ -222,8 +222,8 @@
 	switch q.Kind {
 	case requestPing:
 	case requestHello:
-		h := p.voter.hello()
-		r.Hello = &h
+		ownHello := p.voter.hello()
+		r.Hello = &ownHello
 	case requestOpenSession:
 		r.Index, err = p.voter.openSession(ctx)
 	case requestPropose:
--- a/fleet/agree/session.go
+++ b/fleet/agree/session.go
@@ -124,23 +124,23 @@
 }
 
 func (s *sessions) image() []sessionImage {
-	all := make([]sessionImage, 0, s.byLastUse.Len())
+	images := make([]sessionImage, 0, s.byLastUse.Len())
 	for e := s.byLastUse.Front(); e != nil; e = e.Next() {
 		sess := e.Value.(*session)
 		image := sessionImage{ID: sess.id, Confirmed: sess.confirmed}
 		for _, seq := range slices.Sorted(maps.Keys(sess.answers)) {
 			image.Answers = append(image.Answers, sess.answers[seq])
 		}
-		all = append(all, image)
+		images = append(images, image)
 	}
-	return all
+	return images
 }
 
-func (s *sessions) restore(all []sessionImage) {
+func (s *sessions) restore(images []sessionImage) {
 	s.byLastUse.Init()
 	clear(s.byID)
 	s.answerBytes = 0
-	for _, image := range all {
+	for _, image := range images {
 		sess := &session{id: image.ID, confirmed: image.Confirmed, answers: map[uint64]cachedAnswer{}}
 		for _, h := range image.Answers {
 			sess.answers[h.Seq] = h
--- a/fleet/agree/store.go
+++ b/fleet/agree/store.go
@@ -93,12 +93,12 @@
 
 // createBuckets creates the two buckets in a new file.
 func (s *logStore) createBuckets() error {
-	made := false
+	exists := false
 	err := s.db.View(func(tx *bbolt.Tx) error {
-		made = tx.Bucket(bucketStable) != nil
+		exists = tx.Bucket(bucketStable) != nil
 		return nil
 	})
-	if made || err != nil {
+	if exists || err != nil {
 		return err
 	}
 	return s.db.Update(func(tx *bbolt.Tx) error {
@@ -173,9 +173,9 @@
 // Deferred functions run, so raft fails the pending proposals with a loss of leadership.
 func (s *logStore) haltCaller(err error) error {
 	s.mu.Lock()
-	strict := s.raftRunning
+	running := s.raftRunning
 	s.mu.Unlock()
-	if strict {
+	if running {
 		runtime.Goexit()
 	}
 	return err
@@ -185,13 +185,13 @@
 	if err := s.firstError(); err != nil {
 		return err
 	}
-	sealed := func(tx *bbolt.Tx) error {
+	withChecksum := func(tx *bbolt.Tx) error {
 		if err := f(tx); err != nil {
 			return err
 		}
 		return writeStableChecksum(tx)
 	}
-	if err := recoverPageFault(func() error { return s.update(sealed) }); err != nil {
+	if err := recoverPageFault(func() error { return s.update(withChecksum) }); err != nil {
 		return s.fail(err)
 	}
 	return nil
--- a/fleet/agree/store_check.go
+++ b/fleet/agree/store_check.go
@@ -41,7 +41,7 @@
 		return nil // the process ended before createBuckets
 	}
 	if log == nil || stable == nil {
-		return errors.New("log or term missing")
+		return errors.New("log or stable bucket missing")
 	}
 	var first, last uint64
 	if text, err := recordPayload(bucketStable, keyBounds, stable.Get(keyBounds)); err != nil {
--- a/fleet/agree/store_log.go
+++ b/fleet/agree/store_log.go
@@ -100,7 +100,7 @@
 	case high == last:
 		last = low - 1
 	default:
-		return fmt.Errorf("store %s: delete of %d to %d from %d to %d", s.path, low, high, first, last)
+		return fmt.Errorf("store %s: delete of %d to %d is not at an end of the log from %d to %d", s.path, low, high, first, last)
 	}
 	err := s.write(func(tx *bbolt.Tx) error {
 		b := tx.Bucket(bucketLog)
--- a/fleet/agree/tick.go
+++ b/fleet/agree/tick.go
@@ -20,11 +20,11 @@
 		t.term = 0
 		return nil
 	}
-	passed, term := now.Sub(t.lastTick), r.CurrentTerm()
+	elapsed, term := now.Sub(t.lastTick), r.CurrentTerm()
 	t.lastTick = now
 	if term != t.term {
 		t.term = term
 		return nil
 	}
-	return (&command{kind: kindTick, term: term, entry: sessionEntry{Data: t.newTick(passed)}}).encode()
+	return (&command{kind: kindTick, term: term, entry: sessionEntry{Data: t.newTick(elapsed)}}).encode()
 }
--- a/fleet/agree/wire_test.go
+++ b/fleet/agree/wire_test.go
@@ -60,7 +60,7 @@
 	binary.BigEndian.PutUint32(cut, uint32(len(cut)-frameHeaderSize-1))
 	for _, x := range []struct {
 		name, want string
-		b          []byte
+		frameBytes []byte
 	}{
 		{"version", "version 7, not 1", version},
 		{"long", "1073741824 bytes", []byte{0x40, 0, 0, 0, 1}},
@@ -70,7 +70,7 @@
 		{"unknown field", "unknown field", append([]byte{0, 0, 0, 5, 1}, 0xa1, 0x18, 0x63, 0x01)},
 	} {
 		c := dial(t, addr)
-		c.Write(x.b)
+		c.Write(x.frameBytes)
 		var r reply
 		if err := readFrame(c, &r, func() {}); err != nil || r.Code != codeBadRequest || !strings.Contains(r.Text, x.want) {
 			t.Errorf("%s: %v, %+v", x.name, err, r)
@@ -146,29 +146,29 @@
 // was proposed. Without a majority of voters a proposal fails, and after Close it
 // returns ErrShutdown.
 func TestClientTimeout(t *testing.T) {
-	k, err := NewClient(ClientConfig{Voters: []string{standin.FreeAddr(t), standin.FreeAddr(t)}}, quiet)
+	client, err := NewClient(ClientConfig{Voters: []string{standin.FreeAddr(t), standin.FreeAddr(t)}}, quiet)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer k.Close()
+	defer client.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
-	if _, _, err := k.Propose(ctx, register.Add(0, 1)); !errors.Is(err, context.DeadlineExceeded) {
+	if _, _, err := client.Propose(ctx, register.Add(0, 1)); !errors.Is(err, context.DeadlineExceeded) {
 		t.Fatalf("no voter reachable: %v", err)
 	}
 	c := newCluster(t, 3, newRegister, nil).start()
-	k = c.client()
-	c.add(k, 1)
+	client = c.client()
+	c.add(client, 1)
 	for _, n := range c.nodes {
 		n.setIsolated(true)
 	}
 	ctx, cancel = context.WithTimeout(context.Background(), 4*testHeartbeat)
 	defer cancel()
-	if _, _, err := k.Propose(ctx, register.Add(0, 1)); err == nil {
+	if _, _, err := client.Propose(ctx, register.Add(0, 1)); err == nil {
 		t.Fatal("committed without a majority")
 	}
-	k.Close()
-	if _, _, err := k.Propose(testContext(t), register.Add(0, 1)); !errors.Is(err, ErrShutdown) {
+	client.Close()
+	if _, _, err := client.Propose(testContext(t), register.Add(0, 1)); !errors.Is(err, ErrShutdown) {
 		t.Fatalf("after Close: %v", err)
 	}
 }
