--- a/cmd/oxbowvoter/main_test.go
+++ b/cmd/oxbowvoter/main_test.go
@@ -177,8 +177,8 @@
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	b := window.Backend{ID: fmt.Sprint("b", want), Region: "r", Zone: "z", Size: 1, Ready: true}
-	if a := propose(t, client, window.Backends{Put: []window.Backend{b}}); a.Result != window.OK {
+	b := window.Backend{ID: fmt.Sprint("b", want), Region: "r", Zone: "z", Size: 1, SkipWarmUp: true}
+	if a := propose(t, client, window.PutBackends{Put: []window.Backend{b}}); a.Result != window.OK {
 		t.Fatal(a.Describe())
 	}
 	if got, err := countBackends(ctx, client); got != want || err != nil {
--- a/fleet/overload/digest.go
+++ b/fleet/overload/digest.go
@@ -7,110 +7,112 @@
 	"math"
 )
 
-// Sizes of an encoded digest, in bytes, and the classes that each form holds.
+// Limits of the two encoded forms of a digest: sizes in bytes and numbers of classes.
 const (
-	DigestMost     = 256
-	CompactMost    = 64
-	ClassesMost    = 8
-	CompactClasses = 4
-	backsMost      = 4
+	MaxDigestSize     = 256
+	MaxCompactSize    = 64
+	MaxClasses        = 8
+	MaxCompactClasses = 4
+	maxRecovered      = 4
 
 	digestVersion = 1
 	compactBit    = 0x80
-	headSize      = 23
+	headerSize    = 23
 )
 
-// Errors of reading a digest. What is wrong with which part is wrapped round them.
+// Errors of ParseDigest, which wraps them with the details.
 var (
-	ErrVersion = errors.New("unknown version")
-	ErrForm    = errors.New("malformed")
+	ErrVersion   = errors.New("unknown version")
+	ErrMalformed = errors.New("malformed")
 )
 
-// Vector is what a member says of itself, or of the mean of those that it hears, a second.
-// All parts are finite and not negative.
+// Vector holds the rates, per second, of one member or the mean over the peers that a member hears.
+// All values are finite and not negative.
 type Vector struct {
-	First   [ClassesMost]float64 // first tries that clients offered, by class
-	Work    float64              // answers in time, each counted at its class's cost
-	Strain  float64              // mean strain, 1 at its target, times Work
-	Turned  float64              // first tries that the own limit turned away, at their class's cost
-	Repeats float64              // attempts made again though the one before may have run
-	Part    float64              // part of the shared limit that is held, in N-ths
-	Level   float64              // share of the work offered that the sender takes the fleet to bear
+	FirstAttempts    [MaxClasses]float64 // first attempts from clients, by class
+	ServedCost       float64             // responses within the deadline, weighted by the cost of their class
+	WeightedLatency  float64             // mean latency ratio (1: at the target) times ServedCost
+	RefusedCost      float64             // first attempts refused by the own limit, weighted by cost
+	Retries          float64             // retries of attempts that may have taken effect
+	LimitShare       float64             // share of the concurrency limit that is held, in N-ths
+	AdmittedFraction float64             // of the offered work that the fleet can serve, by estimate
 }
 
-// Digest is one message of a member to others: its own vector, the mean over those it hears, and, in the
-// long form alone, what operators and the count of a majority want.
+// Digest is a message from one member to others: its own vector, the mean over the peers that it hears, and,
+// in the long form only, values for operators and for the majority's agreement on unreachable members.
 type Digest struct {
-	Compact     bool
-	Classes     int
-	Sender      uint64 // hash of the name
-	Incarnation uint64
-	Sequence    uint32 // tens of ms of the sender's own clock since its start; only grows
-	Spell       uint8  // number of the spell of overload, by serial arithmetic (RFC 1982)
-	Own, Heard  Vector
-	Backs       []uint16 // hashes of backends whose trial just served
+	Compact       bool
+	Classes       int
+	Sender        uint64 // hash of the sender's name
+	Incarnation   uint64
+	Sequence      uint32 // the sender's clock since its start, in units of 10 ms (tens of ms); only grows
+	Episode       uint8  // number of the overload episode, in serial arithmetic (RFC 1982)
+	Own, PeerMean Vector
+	Recovered     []uint16 // hashes of backends whose half-open probe just succeeded
 
-	Served, Refused     [ClassesMost]float64 // long form from here on
-	Trials, Cold, InUse float64
-	Gone                uint64 // of the members that the sender sees gone: their hashes, xor
+	Served, Refused             [MaxClasses]float64 // long form only, from here on
+	Probes, SlowStart, InFlight float64
+	UnreachableHash             uint64 // XOR of the hashes of the members that the sender sees as unreachable
 }
 
-// code is a value on 16 bits: 0, or its logarithm in steps of 0.04% from 1e-4 to 1e8. What no honest
-// member says has no code: not a number and below nothing become 0, and too much becomes the most.
-func code(v float64) uint16 {
-	if !(v >= codeLeast) {
+// encodeValue encodes a value in 16 bits: 0, or its logarithm in steps of 0.04% from 1e-4 to 1e8. Values that
+// no correct member sends have no code: NaN and negative values become 0, and too large ones the maximum.
+func encodeValue(v float64) uint16 {
+	if !(v >= minEncodable) {
 		return 0
 	}
-	return uint16(min(math.MaxUint16, 1+math.Round(math.Log2(v/codeLeast)*codeSteps)))
+	return uint16(min(math.MaxUint16, 1+math.Round(math.Log2(v/minEncodable)*stepsPerDoubling)))
 }
 
 const (
-	codeLeast = 1e-4
-	codeSteps = 65534 / 40.0 // to a doubling
+	minEncodable     = 1e-4
+	stepsPerDoubling = 65534 / 40.0
 )
 
-func value(c uint16) float64 {
+func decodeValue(c uint16) float64 {
 	if c == 0 {
 		return 0
 	}
-	return codeLeast * math.Exp2(float64(c-1)/codeSteps)
+	return minEncodable * math.Exp2(float64(c-1)/stepsPerDoubling)
 }
 
-// fields are the parts of a vector that travel, in order.
-func (v *Vector) fields(classes int) []*float64 {
+// encodedFields returns the fields of a vector in the order of the encoding.
+func (v *Vector) encodedFields(classes int) []*float64 {
 	var all []*float64
 	for c := range classes {
-		all = append(all, &v.First[c])
+		all = append(all, &v.FirstAttempts[c])
 	}
-	return append(all, &v.Work, &v.Strain, &v.Turned, &v.Repeats, &v.Part, &v.Level)
+	return append(all,
+		&v.ServedCost, &v.WeightedLatency, &v.RefusedCost, &v.Retries, &v.LimitShare, &v.AdmittedFraction)
 }
 
-// values are all coded parts of d, in order, but for the hashes.
-func (d *Digest) values() []*float64 {
-	all := append(d.Own.fields(d.Classes), d.Heard.fields(d.Classes)...)
-	all = all[:len(all)-1] // a level is agreed on by those heard alone
+// encodedValues returns all values of d that encodeValue encodes, in order.
+func (d *Digest) encodedValues() []*float64 {
+	all := append(d.Own.encodedFields(d.Classes), d.PeerMean.encodedFields(d.Classes)...)
+	// The admitted fraction is agreed on between members that hear each other directly.
+	all = all[:len(all)-1]
 	if d.Compact {
 		return all
 	}
 	for c := range d.Classes {
 		all = append(all, &d.Served[c], &d.Refused[c])
 	}
-	return append(all, &d.Trials, &d.Cold, &d.InUse)
+	return append(all, &d.Probes, &d.SlowStart, &d.InFlight)
 }
 
-// backs is how many hashes of backends the form holds.
-func (d *Digest) backs() int {
+// recoveredCapacity returns how many hashes of backends the form holds.
+func (d *Digest) recoveredCapacity() int {
 	if d.Compact {
 		return 1
 	}
-	return backsMost
+	return maxRecovered
 }
 
-// Append appends the encoding of d to b. It panics on more classes than the form holds, which only a
-// programming error makes.
+// Append appends the encoding of d to b. It panics on more classes than the form holds, which is a
+// programming error.
 func (d *Digest) Append(b []byte) []byte {
-	if d.Classes < 1 || d.Classes > ClassesMost || d.Compact && d.Classes > CompactClasses {
-		panic(fmt.Sprintf("overload: a digest of %d classes", d.Classes))
+	if d.Classes < 1 || d.Classes > MaxClasses || d.Compact && d.Classes > MaxCompactClasses {
+		panic(fmt.Sprintf("overload: a digest can't hold %d classes", d.Classes))
 	}
 	form := byte(d.Classes)
 	if d.Compact {
@@ -120,59 +122,59 @@
 	b = binary.BigEndian.AppendUint64(b, d.Sender)
 	b = binary.BigEndian.AppendUint64(b, d.Incarnation)
 	b = binary.BigEndian.AppendUint32(b, d.Sequence)
-	b = append(b, d.Spell)
-	for _, v := range d.values() {
-		b = binary.BigEndian.AppendUint16(b, code(*v))
-	}
-	for i := range d.backs() {
-		var back uint16
-		if i < len(d.Backs) {
-			back = d.Backs[i]
+	b = append(b, d.Episode)
+	for _, v := range d.encodedValues() {
+		b = binary.BigEndian.AppendUint16(b, encodeValue(*v))
+	}
+	for i := range d.recoveredCapacity() {
+		var hash uint16
+		if i < len(d.Recovered) {
+			hash = d.Recovered[i]
 		}
-		b = binary.BigEndian.AppendUint16(b, back)
+		b = binary.BigEndian.AppendUint16(b, hash)
 	}
 	if !d.Compact {
-		b = binary.BigEndian.AppendUint64(b, d.Gone)
+		b = binary.BigEndian.AppendUint64(b, d.UnreachableHash)
 	}
 	return b
 }
 
-// ParseDigest reads an encoded digest. Its values are finite and not negative, whatever the bytes are.
+// ParseDigest decodes a digest. Its values are finite and not negative, whatever the input is.
 func ParseDigest(b []byte) (*Digest, error) {
-	if len(b) < headSize {
-		return nil, fmt.Errorf("digest: %d bytes: %w", len(b), ErrForm)
+	if len(b) < headerSize {
+		return nil, fmt.Errorf("digest: %d bytes: %w", len(b), ErrMalformed)
 	}
 	if b[0] != digestVersion {
 		return nil, fmt.Errorf("digest: version %d: %w", b[0], ErrVersion)
 	}
 	d := &Digest{Compact: b[1]&compactBit != 0, Classes: int(b[1] &^ compactBit)}
-	if d.Classes < 1 || d.Classes > ClassesMost || d.Compact && d.Classes > CompactClasses {
-		return nil, fmt.Errorf("digest: %d classes: %w", d.Classes, ErrForm)
+	if d.Classes < 1 || d.Classes > MaxClasses || d.Compact && d.Classes > MaxCompactClasses {
+		return nil, fmt.Errorf("digest: %d classes: %w", d.Classes, ErrMalformed)
 	}
-	values := d.values()
-	want := headSize + 2*len(values) + 2*d.backs()
+	values := d.encodedValues()
+	want := headerSize + 2*len(values) + 2*d.recoveredCapacity()
 	if !d.Compact {
 		want += 8
 	}
 	if len(b) != want {
-		return nil, fmt.Errorf("digest: %d bytes where %d are due: %w", len(b), want, ErrForm)
+		return nil, fmt.Errorf("digest: %d bytes, expected %d: %w", len(b), want, ErrMalformed)
 	}
 	d.Sender = binary.BigEndian.Uint64(b[2:])
 	d.Incarnation = binary.BigEndian.Uint64(b[10:])
 	d.Sequence = binary.BigEndian.Uint32(b[18:])
-	d.Spell = b[22]
-	b = b[headSize:]
+	d.Episode = b[22]
+	b = b[headerSize:]
 	for _, v := range values {
-		*v, b = value(binary.BigEndian.Uint16(b)), b[2:]
+		*v, b = decodeValue(binary.BigEndian.Uint16(b)), b[2:]
 	}
-	for range d.backs() {
-		if back := binary.BigEndian.Uint16(b); back != 0 {
-			d.Backs = append(d.Backs, back)
+	for range d.recoveredCapacity() {
+		if hash := binary.BigEndian.Uint16(b); hash != 0 {
+			d.Recovered = append(d.Recovered, hash)
 		}
 		b = b[2:]
 	}
 	if !d.Compact {
-		d.Gone = binary.BigEndian.Uint64(b)
+		d.UnreachableHash = binary.BigEndian.Uint64(b)
 	}
 	return d, nil
 }
--- a/fleet/overload/overload_test.go
+++ b/fleet/overload/overload_test.go
@@ -11,14 +11,15 @@
 	"time"
 )
 
-func full(compact bool) *Digest {
-	d := &Digest{Compact: compact, Classes: CompactClasses, Sender: 1 << 60, Incarnation: 7, Sequence: 9, Spell: 3,
-		Backs: []uint16{5}}
+func sampleDigest(compact bool) *Digest {
+	d := &Digest{Compact: compact, Classes: MaxCompactClasses, Sender: 1 << 60, Incarnation: 7,
+		Sequence: 9, Episode: 3,
+		Recovered: []uint16{5}}
 	if !compact {
-		d.Classes, d.Backs, d.Gone = ClassesMost, []uint16{1, 2, 3, 4}, 1<<63+1
+		d.Classes, d.Recovered, d.UnreachableHash = MaxClasses, []uint16{1, 2, 3, 4}, 1<<63+1
 	}
-	for i, v := range d.values() {
-		*v = value(code(float64(i) * 1.7))
+	for i, v := range d.encodedValues() {
+		*v = decodeValue(encodeValue(float64(i) * 1.7))
 	}
 	return d
 }
@@ -26,43 +27,43 @@
 func TestDigest(t *testing.T) {
 	for _, tt := range []struct {
 		compact bool
-		most    int
-	}{{true, CompactMost}, {false, DigestMost}} {
-		d := full(tt.compact)
+		maxSize int
+	}{{true, MaxCompactSize}, {false, MaxDigestSize}} {
+		d := sampleDigest(tt.compact)
 		b := d.Append(nil)
-		if len(b) > tt.most {
-			t.Errorf("compact %v: %d bytes", tt.compact, len(b))
+		if len(b) > tt.maxSize {
+			t.Errorf("compact %v: %d bytes exceed the limit", tt.compact, len(b))
 		}
 		got, err := ParseDigest(b)
 		if err != nil || !reflect.DeepEqual(got, d) {
 			t.Errorf("compact %v: got %+v, %v; want %+v", tt.compact, got, err, d)
 		}
 		for n := range b {
-			if _, err := ParseDigest(b[:n]); !errors.Is(err, ErrForm) {
-				t.Errorf("%d of %d bytes: %v", n, len(b), err)
+			if _, err := ParseDigest(b[:n]); !errors.Is(err, ErrMalformed) {
+				t.Errorf("%d of %d bytes: got error %v, want ErrMalformed", n, len(b), err)
 			}
 		}
 	}
-	b := full(true).Append(nil)
+	b := sampleDigest(true).Append(nil)
 	b[0]++
 	if _, err := ParseDigest(b); !errors.Is(err, ErrVersion) {
-		t.Errorf("another version: %v", err)
+		t.Errorf("unknown version: got error %v, want ErrVersion", err)
 	}
 }
 
-func TestCode(t *testing.T) {
-	for _, tt := range []struct{ in, least, most float64 }{
+func TestValueEncoding(t *testing.T) {
+	for _, tt := range []struct{ in, minValue, maxValue float64 }{
 		{0, 0, 0}, {-1, 0, 0}, {math.NaN(), 0, 0}, {math.Inf(-1), 0, 0}, {1e-9, 0, 0},
 		{1, 0.9997, 1.0003}, {123.4, 123.36, 123.44}, {math.Inf(1), 1e8, 2e8}, {1e300, 1e8, 2e8},
 	} {
-		if got := value(code(tt.in)); !(got >= tt.least && got <= tt.most) {
-			t.Errorf("%v travels as %v", tt.in, got)
+		if got := decodeValue(encodeValue(tt.in)); !(got >= tt.minValue && got <= tt.maxValue) {
+			t.Errorf("%v is decoded as %v", tt.in, got)
 		}
 	}
 }
 
-// team is n members, all alive, of which none has heard anything yet.
-func team(n int) (fleets []*Fleet, view []Member) {
+// newFleets returns n members, all alive, that have not received any digest yet.
+func newFleets(n int) (fleets []*Fleet, view []Member) {
 	for i := range n {
 		view = append(view, Member{Name: fmt.Sprint("m", i), Zone: fmt.Sprint("z", i%3), Incarnation: 2})
 	}
@@ -71,34 +72,36 @@
 		if err != nil {
 			panic(err)
 		}
-		f.View(0, n, view)
+		f.SetMembers(0, n, view)
 		fleets = append(fleets, f)
 	}
 	return fleets, view
 }
 
-// counters of half a second with so many first tries of a class, and a share of them turned away.
-func counters(first, turned float64) Counters {
-	c := Counters{Answers: first, Strain: first * (0.3 + min(0.7, 10*turned))}
+// testCounters returns the counters of half a second with a number of first attempts of each class, of which
+// a fraction is refused.
+func testCounters(attempts, refusedFraction float64) Counters {
+	c := Counters{LatencySamples: attempts, LatencyRatioSum: attempts * (0.3 + min(0.7, 10*refusedFraction))}
 	for range testClasses {
-		c.First = append(c.First, first)
-		c.Served = append(c.Served, first*(1-turned))
-		c.Refused = append(c.Refused, first*turned)
+		c.FirstAttempts = append(c.FirstAttempts, attempts)
+		c.Served = append(c.Served, attempts*(1-refusedFraction))
+		c.Refused = append(c.Refused, attempts*refusedFraction)
 	}
 	return c
 }
 
-// talk lets all tell and hear all, but for those that deaf says, for a time.
-func talk(fleets []*Fleet, from, span Time, c Counters, apart func(i, j int) bool) Time {
-	for now := from; now < from+span; now += half {
+// exchangeDigests lets all members report counters and exchange digests for a time, except between the pairs
+// that blocked selects. It returns the time afterwards.
+func exchangeDigests(fleets []*Fleet, from, span Time, c Counters, blocked func(i, j int) bool) Time {
+	for now := from; now < from+span; now += halfSecond {
 		for _, f := range fleets {
-			f.Own(now, c)
+			f.AddCounters(now, c)
 		}
 		for i, f := range fleets {
-			b := f.Digest(now)
+			b := f.NextDigest(now)
 			for j, to := range fleets {
-				if i != j && (apart == nil || !apart(i, j)) {
-					to.Take(now, b)
+				if i != j && (blocked == nil || !blocked(i, j)) {
+					to.ReceiveDigest(now, b)
 				}
 			}
 		}
@@ -106,347 +109,358 @@
 	return from + span
 }
 
-// TestTaken: what isn't taken changes no number and no digest to come: after it a member does what its twin
-// does that never got it.
-func TestTaken(t *testing.T) {
-	fleets, view := team(5)
-	twins, _ := team(5)
-	now := talk(fleets, half, 5*time.Second, counters(5, 0), nil)
-	talk(twins, half, 5*time.Second, counters(5, 0), nil)
+// A dropped digest must not influence a member. Each case compares the member with a twin that never received
+// the digest: both must have the same controls and send the same digests afterwards.
+func TestDroppedDigestsChangeNothing(t *testing.T) {
+	fleets, view := newFleets(5)
+	twins, _ := newFleets(5)
+	now := exchangeDigests(fleets, halfSecond, 5*time.Second, testCounters(5, 0), nil)
+	exchangeDigests(twins, halfSecond, 5*time.Second, testCounters(5, 0), nil)
 	f, twin := fleets[0], twins[0]
 	digest := func(change func(*Digest)) []byte {
-		d, _ := ParseDigest(fleets[1].Digest(now))
+		d, _ := ParseDigest(fleets[1].NextDigest(now))
 		d.Sequence += 10
-		d.Own.First[0] *= 3
+		d.Own.FirstAttempts[0] *= 3
 		change(d)
 		return d.Append(nil)
 	}
-	unlike := func() bool {
-		now += half
-		f.Own(now, counters(5, 0))
-		twin.Own(now, counters(5, 0))
-		return f.Numbers(now) != twin.Numbers(now) || !bytes.Equal(f.Digest(now), twin.Digest(now))
+	differs := func() bool {
+		now += halfSecond
+		f.AddCounters(now, testCounters(5, 0))
+		twin.AddCounters(now, testCounters(5, 0))
+		return f.Controls(now) != twin.Controls(now) || !bytes.Equal(f.NextDigest(now), twin.NextDigest(now))
 	}
 	tests := []struct {
 		name string
 		b    []byte
 		err  error
 	}{
-		{"doubled", digest(func(d *Digest) { d.Sequence = f.by[d.Sender].digest.Sequence }), ErrOld},
-		{"late, from before", digest(func(d *Digest) { d.Sequence = 1 }), ErrOld},
-		{"older life", digest(func(d *Digest) { d.Incarnation = 1 }), ErrUnknown},
-		{"life that membership knows nothing of", digest(func(d *Digest) { d.Incarnation = 3 }), ErrUnknown},
-		{"stranger", digest(func(d *Digest) { d.Sender++ }), ErrUnknown},
-		{"own, sent back", digest(func(d *Digest) { d.Sender = f.me.hash }), ErrUnknown},
-		{"huge", digest(func(d *Digest) { d.Own.First[0] = math.Inf(1) }), ErrAbsurd},
-		{"other classes", digest(func(d *Digest) { d.Classes = 2 }), ErrForm},
-		{"empty", nil, ErrForm},
+		{"duplicate", digest(func(d *Digest) {
+			d.Sequence = f.peersByHash[d.Sender].digest.Sequence
+		}), ErrStaleDigest},
+		{"reordered", digest(func(d *Digest) { d.Sequence = 1 }), ErrStaleDigest},
+		{"older incarnation", digest(func(d *Digest) { d.Incarnation = 1 }), ErrUnknownMember},
+		{"unknown incarnation", digest(func(d *Digest) { d.Incarnation = 3 }), ErrUnknownMember},
+		{"unknown sender", digest(func(d *Digest) { d.Sender++ }), ErrUnknownMember},
+		{"own digest, reflected", digest(func(d *Digest) { d.Sender = f.self.hash }), ErrUnknownMember},
+		{"outlier", digest(func(d *Digest) { d.Own.FirstAttempts[0] = math.Inf(1) }), ErrOutlier},
+		{"other number of classes", digest(func(d *Digest) { d.Classes = 2 }), ErrMalformed},
+		{"empty", nil, ErrMalformed},
 	}
 	for _, tt := range tests {
-		if err := f.Take(now, tt.b); !errors.Is(err, tt.err) {
-			t.Errorf("%s: %v", tt.name, err)
+		if err := f.ReceiveDigest(now, tt.b); !errors.Is(err, tt.err) {
+			t.Errorf("%s: unexpected error %v", tt.name, err)
 		}
-		if unlike() {
-			t.Fatalf("%s: %+v, and without %+v", tt.name, f.Numbers(now), twin.Numbers(now))
+		if differs() {
+			t.Fatalf("%s: controls %+v, without the digest %+v", tt.name, f.Controls(now), twin.Controls(now))
 		}
 	}
-	if got, want := f.Dropped(), (Dropped{Malformed: 2, Unknown: 4, Old: 2, Absurd: 1}); got != want {
+	if got, want := f.Dropped(), (DropCounts{Malformed: 2, Unknown: 4, Stale: 2, Outlier: 1}); got != want {
 		t.Errorf("dropped %+v, want %+v", got, want)
 	}
-	// Planted: one that is taken shows.
-	if err := f.Take(now, digest(func(*Digest) {})); err != nil || !unlike() {
-		t.Errorf("a good digest changes nothing, %v", err)
+	// Checks the comparison itself: an accepted digest makes a difference.
+	if err := f.ReceiveDigest(now, digest(func(*Digest) {})); err != nil || !differs() {
+		t.Errorf("a valid digest changes nothing, error %v", err)
 	}
-	// A member in its next life is heard from its first digest on, and its old life no more.
-	old := fleets[1].Digest(now)
+	// After a restart a member is heard from its first digest on, and digests of its old incarnation are
+	// dropped.
+	old := fleets[1].NextDigest(now)
 	view[1].Incarnation = 3
-	f.View(now, 5, view)
-	if err := f.Take(now, old); !errors.Is(err, ErrUnknown) {
-		t.Errorf("the old life is heard: %v", err)
+	f.SetMembers(now, 5, view)
+	if err := f.ReceiveDigest(now, old); !errors.Is(err, ErrUnknownMember) {
+		t.Errorf("digest of the old incarnation: got error %v, want ErrUnknownMember", err)
 	}
 	next, _ := New(now, Settings{Classes: testClasses}, view[1])
-	if err := f.Take(now, next.Digest(now)); err != nil {
-		t.Errorf("the next life: %v", err)
+	if err := f.ReceiveDigest(now, next.NextDigest(now)); err != nil {
+		t.Errorf("digest of the new incarnation: %v", err)
 	}
 }
 
-// TestLate: a digest that was long under way counts for its age.
-func TestLate(t *testing.T) {
-	fleets, _ := team(2)
-	now := talk(fleets, half, 5*time.Second, counters(5, 0), nil)
-	b := fleets[1].Digest(now)
-	e := fleets[0].others[0]
-	fleets[0].Take(now+3*time.Second, b)
-	if w := fleets[0].weight(now+3*time.Second, e); w > 0.5 {
-		t.Errorf("3 s under way, and it weighs %.2f", w)
+// A digest that was delayed in transit is weighted by its age.
+func TestDelayedDigestIsAged(t *testing.T) {
+	fleets, _ := newFleets(2)
+	now := exchangeDigests(fleets, halfSecond, 5*time.Second, testCounters(5, 0), nil)
+	b := fleets[1].NextDigest(now)
+	e := fleets[0].peers[0]
+	fleets[0].ReceiveDigest(now+3*time.Second, b)
+	if w := fleets[0].peerWeight(now+3*time.Second, e); w > 0.5 {
+		t.Errorf("digest delayed by 3 s has weight %.2f", w)
 	}
 }
 
-// TestMalformedCounters: counters that no honest caller tells count as none.
+// Invalid counters (NaN, negative or infinite) count as 0.
 func TestMalformedCounters(t *testing.T) {
-	fleets, _ := team(1)
-	bad := Counters{First: []float64{math.NaN(), -5, math.Inf(1), 7, 8}, Strain: math.NaN(), Answers: 1, Repeats: -1}
-	fleets[0].Own(half, bad)
-	if f := fleets[0]; f.own != (Vector{}) || f.Numbers(half) != Alone() {
-		t.Errorf("own %+v", f.own)
+	fleets, _ := newFleets(1)
+	bad := Counters{FirstAttempts: []float64{math.NaN(), -5, math.Inf(1), 7, 8},
+		LatencyRatioSum: math.NaN(), LatencySamples: 1, Retries: -1}
+	fleets[0].AddCounters(halfSecond, bad)
+	if f := fleets[0]; f.ownRates != (Vector{}) || f.Controls(halfSecond) != Standalone() {
+		t.Errorf("invalid counters give rates %+v", f.ownRates)
 	}
 }
 
-// TestShed: members that hear the same shed the same keys, about as many as the cut says, and other keys in
-// the next spell.
-func TestShed(t *testing.T) {
-	fleets, _ := team(6)
-	talk(fleets, half, 15*time.Second, counters(50, 0.3), nil)
-	all := make([]Numbers, len(fleets))
+// Members with the same inputs must shed the same keys, about as many as the shed fraction says, and other
+// keys in the next episode. Otherwise every retry at another member would have a new chance.
+func TestConsistentShedding(t *testing.T) {
+	fleets, _ := newFleets(6)
+	exchangeDigests(fleets, halfSecond, 15*time.Second, testCounters(50, 0.3), nil)
+	all := make([]Controls, len(fleets))
 	for i, f := range fleets {
-		all[i] = f.Numbers(15 * time.Second)
+		all[i] = f.Controls(15 * time.Second)
 	}
-	if cut := all[0].Cut; cut[0] != 0 || cut[2] < 0.5 {
-		t.Fatalf("cut %v", cut)
+	if shedFraction := all[0].ShedFraction; shedFraction[0] != 0 || shedFraction[2] < 0.5 {
+		t.Fatalf("shed fractions %v", shedFraction)
 	}
 	rng := rand.New(rand.NewPCG(1, 1))
 	const keys = 10000
-	shed, unlike, other := 0, 0, 0
+	shed, inconsistent, changed := 0, 0, 0
 	for range keys {
 		key := rng.Uint64()
 		next := all[0]
-		next.Spell++
-		is := all[0].Shed(1, key) || all[0].Shed(2, key)
-		if is {
+		next.Episode++
+		isShed := all[0].ShouldShed(1, key) || all[0].ShouldShed(2, key)
+		if isShed {
 			shed++
 		}
 		for i := range all[1:] {
-			if all[1+i].Spell != all[0].Spell || is != (all[1+i].Shed(1, key) || all[1+i].Shed(2, key)) {
-				unlike++
+			if all[1+i].Episode != all[0].Episode ||
+				isShed != (all[1+i].ShouldShed(1, key) || all[1+i].ShouldShed(2, key)) {
+				inconsistent++
 				break
 			}
 		}
-		if all[0].Shed(2, key) != next.Shed(2, key) {
-			other++
+		if all[0].ShouldShed(2, key) != next.ShouldShed(2, key) {
+			changed++
 		}
 	}
-	if unlike > keys/20 {
-		t.Errorf("%d of %d keys are shed at some members alone", unlike, keys)
+	if inconsistent > keys/20 {
+		t.Errorf("%d of %d keys are shed by some members only", inconsistent, keys)
 	}
-	if cut := all[0].Cut[2]; cut < 0.99 && other == 0 {
-		t.Error("the next spell sheds the same keys")
+	if shedFraction := all[0].ShedFraction[2]; shedFraction < 0.99 && changed == 0 {
+		t.Error("the next episode sheds the same keys")
 	}
-	dice := func() bool { return rng.Float64() < all[0].Cut[2]*0.9 } // planted: what dice would do
-	unlike = 0
+	// Checks the bound itself: shedding at random must exceed it.
+	randomShed := func() bool { return rng.Float64() < all[0].ShedFraction[2]*0.9 }
+	inconsistent = 0
 	for range keys {
-		if one, other := dice(), dice(); one != other {
-			unlike++
+		if first, second := randomShed(), randomShed(); first != second {
+			inconsistent++
 		}
 	}
-	if unlike <= keys/20 {
-		t.Error("the check would let dice pass")
+	if inconsistent <= keys/20 {
+		t.Error("random shedding passes the check")
 	}
 }
 
-// TestComeBack: spread by the key, never over what clients obey, and exactly the base for one alone.
-func TestComeBack(t *testing.T) {
-	n := Alone()
-	if got := n.ComeBack(1, time.Second, time.Minute); got != time.Second {
-		t.Errorf("alone: %v", got)
-	}
-	n.Trust = 1
-	least, most := time.Hour, time.Duration(0)
+// Waits are spread by the key, never exceed the maximum that clients obey, and equal the base for a
+// standalone member.
+func TestRetryAfterSpread(t *testing.T) {
+	n := Standalone()
+	if got := n.RetryAfter(1, time.Second, time.Minute); got != time.Second {
+		t.Errorf("standalone: wait %v, want 1s", got)
+	}
+	n.Confidence = 1
+	shortest, longest := time.Hour, time.Duration(0)
 	for key := range uint64(1000) {
-		got := n.ComeBack(key, time.Second, 1400*time.Millisecond)
-		least, most = min(least, got), max(most, got)
+		got := n.RetryAfter(key, time.Second, 1400*time.Millisecond)
+		shortest, longest = min(shortest, got), max(longest, got)
 	}
-	if least > 550*time.Millisecond || most != 1400*time.Millisecond {
-		t.Errorf("spread over %v to %v", least, most)
+	if shortest > 550*time.Millisecond || longest != 1400*time.Millisecond {
+		t.Errorf("waits range from %v to %v", shortest, longest)
 	}
 }
 
-// TestTrials: one member a zone tries a dead backend, whether there are 10 of them or 300, and an owner that
-// is not heard of is passed over. Once one has found it serving, all may try, spread over seconds.
-func TestTrials(t *testing.T) {
+// One member per zone probes a failed backend, with 10 members as with 300; a prober that is not heard is
+// replaced. Once a probe succeeds, all members may probe, spread over seconds.
+func TestOneProberPerZone(t *testing.T) {
 	for _, n := range []int{10, 300} {
-		fleets, _ := team(n)
-		far := func(i, j int) bool { return n > 10 && (j-i+n)%n > 4 } // of many each hears a few
-		now := talk(fleets, half, 4*time.Second, counters(5, 0), far)
-		owners := func(backend string) (who []int) {
+		fleets, _ := newFleets(n)
+		outOfReach := func(i, j int) bool { return n > 10 && (j-i+n)%n > 4 } // of 300, each hears a few
+		now := exchangeDigests(fleets, halfSecond, 4*time.Second, testCounters(5, 0), outOfReach)
+		probers := func(backend string) (who []int) {
 			for i, f := range fleets {
-				if f.Trial(now, backend, f.me.Zone) {
+				if f.MayProbe(now, backend, f.self.Zone) {
 					who = append(who, i)
 				}
 			}
 			return who
 		}
-		first := owners("b")
+		first := probers("b")
 		if len(first) != 3 {
-			t.Errorf("%d members: %v try it", n, first)
+			t.Errorf("%d members: %v probe the backend", n, first)
 		}
 		if n > 10 {
 			continue
 		}
-		dead := first[0]
-		now = talk(fleets, now, 8*time.Second, counters(5, 0), func(i, j int) bool { return i == dead || j == dead })
-		if after := owners("b"); len(after) != 4 || reflect.DeepEqual(first, after) {
-			t.Errorf("with %d cut off: %v try it", dead, after)
+		cutOff := first[0]
+		now = exchangeDigests(fleets, now, 8*time.Second, testCounters(5, 0),
+			func(i, j int) bool { return i == cutOff || j == cutOff })
+		if after := probers("b"); len(after) != 4 || reflect.DeepEqual(first, after) {
+			t.Errorf("with %d cut off: %v probe the backend", cutOff, after)
 		}
-		fleets[first[1]].Found(now, "b")
-		now = talk(fleets, now, 3*time.Second, counters(5, 0), nil)
-		if found := owners("b"); len(found) != n {
-			t.Errorf("once found: %v try it", found)
+		fleets[first[1]].ProbeSucceeded(now, "b")
+		now = exchangeDigests(fleets, now, 3*time.Second, testCounters(5, 0), nil)
+		if probersAfter := probers("b"); len(probersAfter) != n {
+			t.Errorf("after a successful probe: %v probe the backend", probersAfter)
 		}
 	}
 }
 
-// TestFreed: what the dead held goes to others once a majority of the roster sees them gone, a tenth of the
-// whole at most; what was left in order goes at once.
-func TestFreed(t *testing.T) {
+// The limit shares of unreachable members go to the others once a majority of the roster agrees on them, up
+// to a tenth of the whole limit. Shares of members that announced their leaving are freed at once.
+func TestFreedLimitShare(t *testing.T) {
 	tests := []struct {
-		name        string
-		state       State
-		out, roster int
-		see         int     // of the others that see it
-		most, least float64 // what travels is rounded by 0.04%
-		planted     bool    // who is left takes itself for the roster
+		name           string
+		state          State
+		absent, roster int
+		observers      int     // members that observe the change
+		maxSum, minSum float64 // encoded values are rounded by 0.04%
+		selfAsRoster   bool    // the observers use their own number as the roster size
 	}{
 		{"left", Left, 3, 10, 7, 10.01, 9.8, false},
-		{"seen gone by all", Gone, 3, 10, 7, 7.9, 7.6, false},
-		{"seen gone by half", Gone, 3, 10, 5, 7.05, 6.8, false},
-		{"a minority sees the others gone", Gone, 6, 10, 4, 4.05, 3.8, false},
-		{"planted: a minority that asks itself", Gone, 6, 10, 4, 4.05, 3.8, true},
+		{"unreachable for all", Unreachable, 3, 10, 7, 7.9, 7.6, false},
+		{"unreachable for half", Unreachable, 3, 10, 5, 7.05, 6.8, false},
+		{"others unreachable for a minority", Unreachable, 6, 10, 4, 4.05, 3.8, false},
+		{"violation: a minority counts only itself as the roster", Unreachable, 6, 10, 4, 4.05, 3.8, true},
 	}
 	for _, tt := range tests {
-		fleets, view := team(tt.roster)
-		now := talk(fleets, half, 6*time.Second, counters(5, 0), nil)
-		for i := range tt.out {
+		fleets, view := newFleets(tt.roster)
+		now := exchangeDigests(fleets, halfSecond, 6*time.Second, testCounters(5, 0), nil)
+		for i := range tt.absent {
 			view[i].State = tt.state
 		}
-		rest := fleets[tt.out:]
-		for i, f := range rest {
-			if i < tt.see {
-				f.View(now, map[bool]int{false: tt.roster, true: tt.roster - tt.out}[tt.planted], view)
+		remaining := fleets[tt.absent:]
+		for i, f := range remaining {
+			if i < tt.observers {
+				f.SetMembers(now,
+					map[bool]int{false: tt.roster, true: tt.roster - tt.absent}[tt.selfAsRoster], view)
 			}
 		}
-		now = talk(rest, now, 20*time.Second, counters(5, 0), nil)
+		now = exchangeDigests(remaining, now, 20*time.Second, testCounters(5, 0), nil)
 		sum := 0.0
-		for _, f := range rest {
-			sum += f.Numbers(now).LimitPart
+		for _, f := range remaining {
+			sum += f.Controls(now).LimitShare
 		}
-		if broken := sum > tt.most || sum < tt.least; broken != tt.planted {
-			t.Errorf("%s: %.2f N-ths are held, want %v to %v", tt.name, sum, tt.least, tt.most)
+		if violated := sum > tt.maxSum || sum < tt.minSum; violated != tt.selfAsRoster {
+			t.Errorf("%s: limit shares sum to %.2f N-ths, want %v to %v", tt.name, sum, tt.minSum, tt.maxSum)
 		}
 	}
 }
 
-// TestRepeats: 300 members that all want to repeat as much as they may stay under the fleet's budget in
-// every second, with a third of them cut off, and with one that has saved up planted for the check.
-func TestRepeats(t *testing.T) {
+// 300 members that retry as much as they may must stay within the fleet's budget in every second, also with a
+// third of them cut off. To check the test itself, a third of the members spends saved retries in one second.
+func TestRetryBudgetFleetWide(t *testing.T) {
 	const n, first = 300, 4.0 // of each class, in half a second
-	worst := func(plant bool) (most float64) {
-		fleets, _ := team(n)
+	peakRetries := func(hoard bool) (peak float64) {
+		fleets, _ := newFleets(n)
 		rng := rand.New(rand.NewPCG(3, 3))
-		var spent []Time
-		far := func(i, j int) bool { return (j-i+n)%n > 4 }
-		now := talk(fleets, half, 3*time.Second, counters(first, 0), far)
+		var retryTimes []Time
+		outOfReach := func(i, j int) bool { return (j-i+n)%n > 4 }
+		now := exchangeDigests(fleets, halfSecond, 3*time.Second, testCounters(first, 0), outOfReach)
 		for step := range 60 {
 			if step%5 == 0 {
 				for _, f := range fleets {
-					f.Own(now, counters(first, 0))
+					f.AddCounters(now, testCounters(first, 0))
 				}
 				for i, f := range fleets {
-					b := f.Digest(now)
+					b := f.NextDigest(now)
 					for range 3 {
 						if j := rng.IntN(n); i != j && (i < n/3) == (j < n/3) {
-							fleets[j].Take(now, b)
+							fleets[j].ReceiveDigest(now, b)
 						}
 					}
 				}
 			}
 			for i, f := range fleets {
 				for range 10 {
-					if f.Repeat(now) || plant && step == 30 && i < n/3 {
-						spent = append(spent, now)
+					if f.AllowRetry(now) || hoard && step == 30 && i < n/3 {
+						retryTimes = append(retryTimes, now)
 					}
 				}
 			}
 			now += 100 * time.Millisecond
-			in := 0.0
-			for _, at := range spent {
+			recent := 0.0
+			for _, at := range retryTimes {
 				if now-at <= time.Second {
-					in++
+					recent++
 				}
 			}
-			most = max(most, in)
+			peak = max(peak, recent)
 		}
-		return most
+		return peak
 	}
 	budget := 0.1 * n * 2 * first * float64(len(testClasses))
-	if got := worst(false); got > budget+3*math.Sqrt(budget) || got < budget/3 {
-		t.Errorf("%.0f repeats in a second, budget %.0f", got, budget)
+	if got := peakRetries(false); got > budget+3*math.Sqrt(budget) || got < budget/3 {
+		t.Errorf("%.0f retries in a second, budget %.0f", got, budget)
 	}
-	if got := worst(true); got <= budget+3*math.Sqrt(budget) {
-		t.Errorf("planted: %.0f repeats in a second pass, budget %.0f", got, budget)
+	if got := peakRetries(true); got <= budget+3*math.Sqrt(budget) {
+		t.Errorf("%.0f retries in a second with hoarded ones pass, budget %.0f", got, budget)
 	}
 }
 
-// FuzzTake: whatever comes, nothing panics and every number stays in its bounds; what is read is written alike.
-func FuzzTake(f *testing.F) {
-	f.Add(full(true).Append(nil))
-	f.Add(full(false).Append(nil))
+// No input makes ReceiveDigest panic or pushes a control out of its bounds; parsed digests survive a round
+// trip.
+func FuzzReceiveDigest(f *testing.F) {
+	f.Add(sampleDigest(true).Append(nil))
+	f.Add(sampleDigest(false).Append(nil))
 	f.Add([]byte{digestVersion, 1})
-	fleets, _ := team(3)
-	f.Add(fleets[1].Digest(half))
+	fleets, _ := newFleets(3)
+	f.Add(fleets[1].NextDigest(halfSecond))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		fleets, _ := team(3)
-		fleets[0].Own(half, counters(5, 0.2))
+		fleets, _ := newFleets(3)
+		fleets[0].AddCounters(halfSecond, testCounters(5, 0.2))
 		for i := range 5 {
-			now := Time(i+1) * half
-			fleets[0].Take(now, b)
-			fleets[0].Take(now, fleets[2].Digest(now))
-			n := fleets[0].Numbers(now)
-			for _, v := range append([]float64{n.Trust, n.RepeatsPart, n.ColdPart, n.LimitPart / shareMost}, n.Cut[:]...) {
+			now := Time(i+1) * halfSecond
+			fleets[0].ReceiveDigest(now, b)
+			fleets[0].ReceiveDigest(now, fleets[2].NextDigest(now))
+			n := fleets[0].Controls(now)
+			for _, v := range append([]float64{n.Confidence, n.RetryFraction, n.SlowStartFraction,
+				n.LimitShare / maxLimitShare}, n.ShedFraction[:]...) {
 				if !(v >= 0 && v <= 1) {
-					t.Fatalf("numbers %+v", n)
+					t.Fatalf("controls out of bounds: %+v", n)
 				}
 			}
 		}
 		if d, err := ParseDigest(b); err == nil {
 			if again, err := ParseDigest(d.Append(nil)); err != nil || !reflect.DeepEqual(d, again) {
-				t.Fatalf("%+v, then %+v, %v", d, again, err)
+				t.Fatalf("round trip of %+v gives %+v, error %v", d, again, err)
 			}
 		}
 	})
 }
 
-// BenchmarkSecond is what a second costs a member: two tellings, ten looks at its numbers and the digests
-// that it hears.
-func BenchmarkSecond(b *testing.B) {
+// BenchmarkOneSecond measures a member's work for one second: two reports of counters, ten reads of its
+// controls and the digests that it hears.
+func BenchmarkOneSecond(b *testing.B) {
 	for _, heard := range []int{2, 300} {
 		b.Run(fmt.Sprint(heard), func(b *testing.B) {
-			fleets, _ := team(301)
-			now := half
+			fleets, _ := newFleets(301)
+			now := halfSecond
 			for b.Loop() {
 				for range 2 {
-					fleets[0].Own(now, counters(5, 0.1))
-					now += half
+					fleets[0].AddCounters(now, testCounters(5, 0.1))
+					now += halfSecond
 				}
 				for i := range 10 {
-					fleets[0].Numbers(now - time.Second + Time(i)*tick)
+					fleets[0].Controls(now - time.Second + Time(i)*minStep)
 				}
 				for i := range heard {
 					b.StopTimer()
 					j := 1 + (int(now/time.Second)*heard+i)%300
-					d := fleets[j].Digest(now)
+					d := fleets[j].NextDigest(now)
 					b.StartTimer()
-					fleets[0].Take(now, d)
+					fleets[0].ReceiveDigest(now, d)
 				}
 			}
 		})
 	}
 }
 
-// BenchmarkShed is what the fleet costs a request.
-func BenchmarkShed(b *testing.B) {
-	n := Alone()
-	n.Cut[0] = 0.5
+// BenchmarkShouldShed measures the cost per request.
+func BenchmarkShouldShed(b *testing.B) {
+	n := Standalone()
+	n.ShedFraction[0] = 0.5
 	for i := uint64(0); b.Loop(); i++ {
-		n.Shed(0, i)
+		n.ShouldShed(0, i)
 	}
 }
--- a/fleet/window/encoding_test.go
+++ b/fleet/window/encoding_test.go
@@ -9,8 +9,9 @@
 	"oxbowloft/fleet/window"
 )
 
-// storedSnapshot is a snapshot as earlier builds write it. Voters of two builds exchange snapshots, and
-// they are stored: a field that is written under another name is lost.
+// storedSnapshot is a snapshot as earlier builds write it. Snapshots are stored, and
+// voters of different builds exchange them, so a field encoded under another name would
+// be lost.
 const storedSnapshot = "01a801a767486973746f72790667486f72697a6f6e1b00009d29229e0000674d61785469636b1b000000012a05f200674f76" +
 	"657272756e1b0000000df8475800684d6178506c616e73076a4d617853657276696e67096b4d61784261636b656e64730802" +
 	"05031ab2d05e0004010582a70162623002617203617a040a051b0000000df84758000619012c07f5a7016262310261720361" +
@@ -27,14 +28,14 @@
 		t.Fatal(err)
 	}
 	for i, e := range []window.Entry{
-		window.Backends{Put: []window.Backend{
-			{ID: "b0", Region: "r", Zone: "z", Size: 10, Warm: time.Minute, Cold: 300, Ready: true},
-			{ID: "b1", Region: "r", Zone: "z", Size: 20, Warm: time.Minute, Cold: 300},
+		window.PutBackends{Put: []window.Backend{
+			{ID: "b0", Region: "r", Zone: "z", Size: 10, WarmUpTime: time.Minute, InitialPermille: 300, SkipWarmUp: true},
+			{ID: "b1", Region: "r", Zone: "z", Size: 20, WarmUpTime: time.Minute, InitialPermille: 300},
 		}},
-		window.SetFloor{Scope: window.Scope{Region: "r"}, Steps: []window.Step{{Floor: 5}, {From: time.Hour, Floor: 6}}},
-		window.Ask{ID: "p1", Region: "r", Backends: []string{"b0"}, Duration: time.Hour, Latest: 40 * time.Hour,
-			Priority: 1, Notice: time.Second, Recall: true},
-		window.Ask{ID: "p2", Region: "r", Zone: "z", Amount: 1000, Duration: time.Hour, Latest: 40 * time.Hour},
+		window.SetFloor{Scope: window.Scope{Region: "r"}, Steps: []window.Step{{Capacity: 5}, {From: time.Hour, Capacity: 6}}},
+		window.Request{ID: "p1", Region: "r", Backends: []string{"b0"}, Duration: time.Hour, LatestEnd: 40 * time.Hour,
+			Priority: 1, Notice: time.Second, Recallable: true},
+		window.Request{ID: "p2", Region: "r", Zone: "z", Amount: 1000, Duration: time.Hour, LatestEnd: 40 * time.Hour},
 		window.Tick{Elapsed: 3 * time.Second},
 	} {
 		text, err := window.Encode(e)
@@ -48,7 +49,7 @@
 		t.Fatal(err)
 	}
 	if got := hex.EncodeToString(text); got != storedSnapshot {
-		t.Errorf("written as\n%s, want\n%s", got, storedSnapshot)
+		t.Errorf("encoded as\n%s, want\n%s", got, storedSnapshot)
 	}
 	stored, err := hex.DecodeString(storedSnapshot)
 	if err != nil {
@@ -60,6 +61,6 @@
 	}
 	again, err := restored.Snapshot()
 	if err != nil || !bytes.Equal(again, stored) {
-		t.Errorf("read and written again as\n%x, %v, want\n%x", again, err, stored)
+		t.Errorf("decoded and encoded again as\n%x, %v, want\n%x", again, err, stored)
 	}
 }
--- a/fleet/window/machine_test.go
+++ b/fleet/window/machine_test.go
@@ -8,118 +8,125 @@
 	"time"
 )
 
-// bench is one machine that a table test drives.
-type bench struct {
-	t     *testing.T
-	m     *Machine
-	index uint64
+// harness drives one machine in a table test.
+type harness struct {
+	t       *testing.T
+	machine *Machine
+	index   uint64
 }
 
-func newBench(t *testing.T) *bench {
-	m, err := New(Settings{MaxTick: time.Hour, MaxPlans: 3, History: 2})
+func newHarness(t *testing.T) *harness {
+	machine, err := New(Settings{MaxTick: time.Hour, MaxPlans: 3, History: 2})
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &bench{t: t, m: m}
-	b.do(Backends{[]Backend{
+	h := &harness{t: t, machine: machine}
+	h.apply(PutBackends{[]Backend{
 		{"a", "north", "n1", 10, 10 * minute, 500, true}, {"b", "north", "n1", 10, 10 * minute, 500, true},
 		{"c", "north", "n2", 10, 0, 0, true}, {"d", "south", "s1", 10, 0, 0, true}}})
-	b.do(Serving{[]string{"m1", "m2"}})
-	return b
+	h.apply(SetServing{[]string{"m1", "m2"}})
+	return h
 }
 
-func (b *bench) do(e Entry) Answer {
-	b.t.Helper()
+func (h *harness) apply(e Entry) Answer {
+	h.t.Helper()
 	data, err := Encode(e)
 	if err != nil {
-		b.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	b.index++
-	return b.m.Apply(b.index, data)
+	h.index++
+	return h.machine.Apply(h.index, data)
 }
 
-// want does an entry and checks the result and a part of the answer's line.
-func (b *bench) want(e Entry, r Result, part string) Answer {
-	b.t.Helper()
-	a := b.do(e)
-	if line := a.Describe(); a.Result != r || !strings.Contains(line, part) {
-		b.t.Fatalf("%T%+v: %s\nwant %v and %q", e, e, line, r, part)
+// applyWant applies an entry and checks the result and a part of the answer's line.
+func (h *harness) applyWant(e Entry, wantResult Result, wantText string) Answer {
+	h.t.Helper()
+	a := h.apply(e)
+	if line := a.Describe(); a.Result != wantResult || !strings.Contains(line, wantText) {
+		h.t.Fatalf("%T%+v: %s\nwant %v and %q", e, e, line, wantResult, wantText)
 	}
 	return a
 }
 
-func (b *bench) state(id string, s State) Window {
-	b.t.Helper()
-	w, ok := b.m.Window(id)
-	if !ok || w.State != s {
-		b.t.Fatalf("%s: %s (%v), want %v", id, w.Describe(), ok, s)
+func (h *harness) wantState(id string, want State) Window {
+	h.t.Helper()
+	w, ok := h.machine.Window(id)
+	if !ok || w.State != want {
+		h.t.Fatalf("%s: %s (%v), want %v", id, w.Describe(), ok, want)
 	}
 	return w
 }
 
-// ask is a plan for backend a that can start at once.
-func ask(change func(*Ask)) Ask {
-	e := Ask{ID: "p", Region: "north", Backends: []string{"a"}, Duration: 30 * minute, Latest: 10 * time.Hour}
+// newRequest returns a request for backend a that can start at once, after change has
+// modified it.
+func newRequest(change func(*Request)) Request {
+	e := Request{ID: "p", Region: "north", Backends: []string{"a"}, Duration: 30 * minute, LatestEnd: 10 * time.Hour}
 	if change != nil {
 		change(&e)
 	}
 	return e
 }
 
-func TestStates(t *testing.T) {
-	later := ask(func(e *Ask) { e.Earliest = time.Hour })
-	grant := []Entry{ask(nil)}
+func TestStateTransitions(t *testing.T) {
+	later := newRequest(func(e *Request) { e.EarliestStart = time.Hour })
+	grant := []Entry{newRequest(nil)}
 	for _, c := range []struct {
 		name    string
-		entries func(f Fence) []Entry // after the grant's, f being its fence
+		entries func(f Fence) []Entry // entries after the grant with fence f
 		first   []Entry
 		want    State
 		why     string
 	}{
 		{"asked to planned", nil, []Entry{later}, Planned, ""},
-		{"planned to asked", nil, []Entry{later, SetFloor{Scope{"north", "n1"}, []Step{{0, 20}}}}, Asked, "no place: north/n1 would have 10"},
+		{"planned to asked", nil, []Entry{later, SetFloor{Scope{"north", "n1"}, []Step{{0, 20}}}}, Requested,
+			"no place: north/n1 would have 10"},
 		{"asked to planned again", nil, []Entry{later, SetFloor{Scope{"north", "n1"}, []Step{{0, 20}}},
 			SetFloor{Scope{"north", "n1"}, []Step{{0, 10}}}}, Planned, ""},
-		{"asked to cancelled", nil, []Entry{later, SetFloor{Scope{"north", "n1"}, []Step{{0, 20}}}, Cancel{"p"}}, Cancelled, "by its asker"},
+		{"asked to cancelled", nil, []Entry{later, SetFloor{Scope{"north", "n1"}, []Step{{0, 20}}}, Cancel{"p"}}, Cancelled,
+			"by its asker"},
 		{"planned to cancelled", nil, []Entry{later, Cancel{"p"}}, Cancelled, "by its asker"},
-		{"planned to refused", nil, []Entry{ask(func(e *Ask) { e.Earliest, e.Latest = time.Hour, 3*time.Hour }),
-			Failed{[]string{"b"}}, SetFloor{Scope{"north", "n1"}, []Step{{0, 10}}}, Tick{time.Hour}, Tick{time.Hour}, Tick{time.Hour}},
+		{"planned to refused", nil, []Entry{newRequest(func(e *Request) { e.EarliestStart, e.LatestEnd = time.Hour, 3*time.Hour }),
+			BackendsFailed{[]string{"b"}}, SetFloor{Scope{"north", "n1"}, []Step{{0, 10}}}, Tick{time.Hour}, Tick{time.Hour},
+			Tick{time.Hour}},
 			Refused, "end: no room before the latest end"},
 		{"planned to granted", nil, grant, Granted, ""},
 		{"planned to granted by time", nil, []Entry{later, Tick{time.Hour}}, Granted, ""},
 		{"granted to draining", func(f Fence) []Entry { return []Entry{Drained{"p", f, "m1"}} }, grant, Draining, ""},
-		{"draining to out", func(f Fence) []Entry { return []Entry{Drained{"p", f, "m1"}, Drained{"p", f, "m2"}} }, grant, Out, ""},
-		{"draining to out, as one no longer serves", func(f Fence) []Entry {
-			return []Entry{Drained{"p", f, "m1"}, Serving{[]string{"m1"}}}
-		}, grant, Out, ""},
-		{"draining goes on with none that serves", func(f Fence) []Entry {
-			return []Entry{Drained{"p", f, "m1"}, Serving{}}
+		{"draining to out", func(f Fence) []Entry { return []Entry{Drained{"p", f, "m1"}, Drained{"p", f, "m2"}} }, grant,
+			OutOfService, ""},
+		{"draining to out when a member stops serving", func(f Fence) []Entry {
+			return []Entry{Drained{"p", f, "m1"}, SetServing{[]string{"m1"}}}
+		}, grant, OutOfService, ""},
+		{"draining continues while no member serves", func(f Fence) []Entry {
+			return []Entry{Drained{"p", f, "m1"}, SetServing{}}
 		}, grant, Draining, ""},
 		{"granted to returning", func(f Fence) []Entry { return []Entry{Return{"p", f}} }, grant, Returning, ""},
-		{"granted to warm", func(f Fence) []Entry { return []Entry{Returned{"p", f}} }, grant, Warm, ""},
+		{"granted to warm", func(f Fence) []Entry { return []Entry{Returned{"p", f}} }, grant, WarmingUp, ""},
 		{"out to returning", func(f Fence) []Entry {
 			return []Entry{Drained{"p", f, "m1"}, Drained{"p", f, "m2"}, Return{"p", f}}
 		}, grant, Returning, ""},
-		{"returning to warm", func(f Fence) []Entry { return []Entry{Return{"p", f}, Returned{"p", f}} }, grant, Warm, ""},
-		{"warm stays to the end of the warm-up", func(f Fence) []Entry {
+		{"returning to warm", func(f Fence) []Entry { return []Entry{Return{"p", f}, Returned{"p", f}} }, grant, WarmingUp, ""},
+		{"warm until the end of the warm-up", func(f Fence) []Entry {
 			return []Entry{Returned{"p", f}, Tick{10*minute - 1}}
-		}, grant, Warm, ""},
+		}, grant, WarmingUp, ""},
 		{"warm to done", func(f Fence) []Entry { return []Entry{Returned{"p", f}, Tick{10 * minute}} }, grant, Done, ""},
 		{"granted to recalled by cancel", func(f Fence) []Entry { return []Entry{Cancel{"p"}} }, grant, Recalled, "cancelled by its asker"},
 		{"granted to recalled by a failure", func(f Fence) []Entry {
-			return []Entry{SetFloor{Scope{"north", "n1"}, []Step{{0, 10}}}, Failed{[]string{"b"}}}
+			return []Entry{SetFloor{Scope{"north", "n1"}, []Step{{0, 10}}}, BackendsFailed{[]string{"b"}}}
 		}, grant, Recalled, "north/n1 is below its floor 10"},
 		{"out is not recalled", func(f Fence) []Entry {
-			return []Entry{SetFloor{Scope{"north", "n1"}, []Step{{0, 10}}}, Drained{"p", f, "m1"}, Drained{"p", f, "m2"}, Failed{[]string{"b"}}}
-		}, grant, Out, ""},
-		{"out to recalled, as its asker allows", func(f Fence) []Entry {
-			return []Entry{SetFloor{Scope{"north", "n1"}, []Step{{0, 10}}}, Drained{"p", f, "m1"}, Drained{"p", f, "m2"}, Failed{[]string{"b"}}}
-		}, []Entry{ask(func(e *Ask) { e.Recall = true })}, Recalled, "below its floor"},
-		{"its own backend's failure does not recall", func(f Fence) []Entry {
-			return []Entry{SetFloor{Scope{"north", "n1"}, []Step{{0, 10}}}, Failed{[]string{"a"}}}
+			return []Entry{SetFloor{Scope{"north", "n1"}, []Step{{0, 10}}}, Drained{"p", f, "m1"}, Drained{"p", f, "m2"},
+				BackendsFailed{[]string{"b"}}}
+		}, grant, OutOfService, ""},
+		{"out to recalled if the request allows it", func(f Fence) []Entry {
+			return []Entry{SetFloor{Scope{"north", "n1"}, []Step{{0, 10}}}, Drained{"p", f, "m1"}, Drained{"p", f, "m2"},
+				BackendsFailed{[]string{"b"}}}
+		}, []Entry{newRequest(func(e *Request) { e.Recallable = true })}, Recalled, "below its floor"},
+		{"failure of its own backend does not recall", func(f Fence) []Entry {
+			return []Entry{SetFloor{Scope{"north", "n1"}, []Step{{0, 10}}}, BackendsFailed{[]string{"a"}}}
 		}, grant, Granted, ""},
 		{"recalled to returning", func(f Fence) []Entry { return []Entry{Cancel{"p"}, Return{"p", f}} }, grant, Returning, ""},
-		{"recalled to warm", func(f Fence) []Entry { return []Entry{Cancel{"p"}, Returned{"p", f}} }, grant, Warm, ""},
+		{"recalled to warm", func(f Fence) []Entry { return []Entry{Cancel{"p"}, Returned{"p", f}} }, grant, WarmingUp, ""},
 		{"recalled to done", func(f Fence) []Entry {
 			return []Entry{Cancel{"p"}, Returned{"p", f}, Tick{10 * minute}}
 		}, grant, Done, "cancelled by its asker"},
@@ -127,38 +134,39 @@
 		{"granted to overdue", func(f Fence) []Entry { return []Entry{Tick{30*minute + 1}} }, grant, Overdue, ""},
 		{"returning to overdue", func(f Fence) []Entry { return []Entry{Return{"p", f}, Tick{31 * minute}} }, grant, Overdue, ""},
 		{"recalled to overdue", func(f Fence) []Entry { return []Entry{Cancel{"p"}, Tick{31 * minute}} }, grant, Overdue, "cancelled"},
-		{"overdue stays so by Return", func(f Fence) []Entry { return []Entry{Tick{31 * minute}, Return{"p", f}} }, grant, Overdue, ""},
-		{"overdue to warm", func(f Fence) []Entry { return []Entry{Tick{31 * minute}, Returned{"p", f}} }, grant, Warm, ""},
+		{"Return leaves overdue unchanged", func(f Fence) []Entry { return []Entry{Tick{31 * minute}, Return{"p", f}} }, grant, Overdue,
+			""},
+		{"overdue to warm", func(f Fence) []Entry { return []Entry{Tick{31 * minute}, Returned{"p", f}} }, grant, WarmingUp, ""},
 		{"stale confirmations do nothing", func(f Fence) []Entry {
 			return []Entry{Drained{"p", f - 1, "m1"}, Return{"p", f + 1}, Returned{"p", 0}}
 		}, grant, Granted, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			b := newBench(t)
+			h := newHarness(t)
 			for _, e := range c.first {
-				b.do(e)
+				h.apply(e)
 			}
 			if c.entries != nil {
-				for _, e := range c.entries(b.state("p", Granted).Fence) {
-					b.do(e)
+				for _, e := range c.entries(h.wantState("p", Granted).Fence) {
+					h.apply(e)
 				}
 			}
-			if w := b.state("p", c.want); !strings.Contains(w.Why, c.why) {
-				t.Errorf("why %q, want %q", w.Why, c.why)
+			if w := h.wantState("p", c.want); !strings.Contains(w.Reason, c.why) {
+				t.Errorf("reason %q, want %q", w.Reason, c.why)
 			}
 		})
 	}
 }
 
 func TestRefusals(t *testing.T) {
-	put := func(change func(*Backend)) Entry {
+	putBackend := func(change func(*Backend)) Entry {
 		x := Backend{"x", "north", "n1", 1, 0, 0, true}
 		change(&x)
-		return Backends{[]Backend{x}}
+		return PutBackends{[]Backend{x}}
 	}
-	many := make([]string, MaxPart+1)
-	for i := range many {
-		many[i] = fmt.Sprint("b", i)
+	tooMany := make([]string, MaxPlanBackends+1)
+	for i := range tooMany {
+		tooMany[i] = fmt.Sprint("b", i)
 	}
 	for _, c := range []struct {
 		first []Entry
@@ -166,190 +174,196 @@
 		want  Result
 		part  string
 	}{
-		{nil, Tick{0}, Bad, "tick: elapsed: 0s"},
-		{nil, Tick{time.Hour + 1}, Bad, "elapsed"},
-		{nil, put(func(x *Backend) { x.ID = "" }), Bad, "backend: id"},
-		{nil, put(func(x *Backend) { x.Region = "a b" }), Bad, "region: \\\"a b\\\" has other signs"},
-		{nil, put(func(x *Backend) { x.Size = 0 }), Bad, "size: 0"},
-		{nil, put(func(x *Backend) { x.Cold = 1001 }), Bad, "cold: 1001"},
-		{nil, put(func(x *Backend) { x.Warm = -1 }), Bad, "warm: -1"},
-		{nil, Backends{[]Backend{{"x", "r", "z", 1, 0, 0, true}, {"x", "r", "z", 1, 0, 0, true}}}, Bad, "twice"},
-		{[]Entry{ask(nil)}, Backends{[]Backend{{"a", "north", "n2", 1, 0, 0, true}}}, Bad, "zone: can't change while plan p"},
-		{[]Entry{ask(nil)}, Remove{[]string{"a"}}, Bad, "plan p names it"},
-		{nil, Remove{[]string{"x"}}, Bad, "remove: backend \\\"x\\\" is not known"},
-		{nil, Failed{[]string{"x"}}, Bad, "failed: backend"},
-		{nil, Recovered{[]string{"x"}}, Bad, "recovered: backend"},
-		{nil, Recovered{[]string{"a"}}, Repeat, ""},
-		{nil, Serving{[]string{""}}, Bad, "serving: member"},
-		{nil, SetFloor{Scope{"", "z"}, nil}, Bad, "zone: \\\"z\\\" without a region"},
-		{nil, SetFloor{Scope{}, []Step{{day, 1}}}, Bad, "from"},
-		{nil, SetFloor{Scope{}, []Step{{0, -1}}}, Bad, "floor: -1"},
-		{nil, SetFloor{Scope{}, []Step{{minute, 1}, {minute, 2}}}, Bad, "is not after"},
-		{nil, SetFloor{Scope{}, make([]Step, MaxSteps+1)}, Bad, "steps are over"},
-		{[]Entry{ask(nil)}, SetFloor{Scope{}, []Step{{0, 35}}}, Pending, "floor: all: pending"},
-		{nil, ask(func(e *Ask) { e.ID = strings.Repeat("x", MaxID+1) }), Bad, "ask: id: 65 bytes"},
-		{nil, ask(func(e *Ask) { e.Region = "" }), Bad, "plan p: region"},
-		{nil, ask(func(e *Ask) { e.Duration = 0 }), Bad, "duration: 0"},
-		{nil, ask(func(e *Ask) { e.Earliest, e.Latest = 2, 1 }), Bad, "window: plan p: end before start"},
-		{nil, ask(func(e *Ask) { e.Latest = time.Hour }), Bad, "latest: needs to be 0d01:30:00 at least"},
-		{nil, ask(func(e *Ask) { e.Latest = 15 * day }), Bad, "latest: over 336h"},
-		{nil, ask(func(e *Ask) { e.Priority = 10 }), Bad, "priority: 10"},
-		{nil, ask(func(e *Ask) { e.Notice = -1 }), Bad, "notice: -1"},
-		{nil, ask(func(e *Ask) { e.Backends = nil }), Bad, "backends: either these"},
-		{nil, ask(func(e *Ask) { e.Zone, e.Amount = "n1", 1 }), Bad, "backends: either these"},
-		{nil, ask(func(e *Ask) { e.Backends = []string{"a", "a"} }), Bad, "named twice"},
-		{nil, ask(func(e *Ask) { e.Backends = many }), Bad, "backends: 1281 are over 1280"},
-		{nil, ask(func(e *Ask) { e.Backends = []string{"x"} }), Bad, "backends: x is not known"},
-		{nil, ask(func(e *Ask) { e.Backends = []string{"d"} }), Bad, "backends: d is in region south"},
-		{nil, ask(func(e *Ask) { e.Backends, e.Zone, e.Amount = nil, "n9", 1 }), Bad, "zone: north/n9 has no backends"},
-		{nil, ask(func(e *Ask) { e.Backends, e.Zone, e.Amount = nil, "n1", 21 }), Refuse, "earliest=none"},
-		{[]Entry{SetFloor{Scope{"north", ""}, []Step{{0, 30}}}}, ask(nil), Refuse, "no room: north would have 20"},
-		{[]Entry{SetFloor{Scope{}, []Step{{0, 40}, {12 * time.Hour, 0}}}}, ask(nil), Refuse, "earliest=0d12:00:00"},
-		{[]Entry{ask(nil)}, ask(func(e *Ask) { e.ID, e.Latest = "q", 100*minute }), Refuse, "plan p has a backend of it"},
-		{[]Entry{ask(func(e *Ask) { e.Latest = 100 * minute })},
-			ask(func(e *Ask) { e.ID, e.Priority, e.Latest = "q", 9, 100*minute }), Refuse, "earliest=0d00:40:00"},
-		{[]Entry{ask(nil)}, ask(nil), Repeat, "state=granted"},
-		{[]Entry{ask(nil)}, ask(func(e *Ask) { e.Duration++ }), Bad, "plan p: duration: differs"},
-		{[]Entry{ask(nil)}, ask(func(e *Ask) { e.Recall = true }), Bad, "plan p: recall: differs"},
-		{[]Entry{ask(nil)}, ask(func(e *Ask) { e.Backends = []string{"b"} }), Bad, "plan p: backends: differs"},
-		{[]Entry{SetFloor{Scope{"north", ""}, []Step{{0, 30}}}, ask(nil)}, ask(nil), Refuse, "no room: north would have 20"},
-		{[]Entry{ask(nil), ask(func(e *Ask) { e.ID = "q" }), ask(func(e *Ask) { e.ID = "r" })},
-			ask(func(e *Ask) { e.ID = "s" }), Refuse, "busy: 3 plans are open"},
-		{nil, Cancel{"x"}, Bad, "cancel: plan \\\"x\\\" is not known"},
-		{[]Entry{ask(nil), Cancel{"p"}}, Cancel{"p"}, Repeat, ""},
-		{nil, Drained{"x", 1, "m1"}, Bad, "drained: plan \\\"x\\\""},
-		{[]Entry{ask(nil)}, Drained{"p", 1, "m1"}, Stale, "fence: 0.1 is not that of the grant"},
-		{[]Entry{ask(nil)}, Drained{"p", 3 << fenceBits, "m9"}, Bad, "member: \\\"m9\\\" is not among"},
-		{[]Entry{ask(nil)}, Return{"p", 1}, Stale, "return: plan p: fence"},
-		{[]Entry{ask(nil), Returned{"p", 3 << fenceBits}}, Returned{"p", 3 << fenceBits}, Repeat, ""},
-		{[]Entry{ask(func(e *Ask) { e.Earliest = 1 })}, Returned{"p", 0}, Stale, "returned: plan p: fence"},
+		{nil, Tick{0}, Invalid, "tick: elapsed: 0s"},
+		{nil, Tick{time.Hour + 1}, Invalid, "elapsed"},
+		{nil, putBackend(func(x *Backend) { x.ID = "" }), Invalid, "backend: id"},
+		{nil, putBackend(func(x *Backend) { x.Region = "a b" }), Invalid, "region: \\\"a b\\\" has other signs"},
+		{nil, putBackend(func(x *Backend) { x.Size = 0 }), Invalid, "size: 0"},
+		{nil, putBackend(func(x *Backend) { x.InitialPermille = 1001 }), Invalid, "cold: 1001"},
+		{nil, putBackend(func(x *Backend) { x.WarmUpTime = -1 }), Invalid, "warm: -1"},
+		{nil, PutBackends{[]Backend{{"x", "r", "z", 1, 0, 0, true}, {"x", "r", "z", 1, 0, 0, true}}}, Invalid, "twice"},
+		{[]Entry{newRequest(nil)}, PutBackends{[]Backend{{"a", "north", "n2", 1, 0, 0, true}}}, Invalid, "zone: can't change while plan p"},
+		{[]Entry{newRequest(nil)}, RemoveBackends{[]string{"a"}}, Invalid, "plan p names it"},
+		{nil, RemoveBackends{[]string{"x"}}, Invalid, "remove: backend \\\"x\\\" is not known"},
+		{nil, BackendsFailed{[]string{"x"}}, Invalid, "failed: backend"},
+		{nil, BackendsRecovered{[]string{"x"}}, Invalid, "recovered: backend"},
+		{nil, BackendsRecovered{[]string{"a"}}, Duplicate, ""},
+		{nil, SetServing{[]string{""}}, Invalid, "serving: member"},
+		{nil, SetFloor{Scope{"", "z"}, nil}, Invalid, "zone: \\\"z\\\" without a region"},
+		{nil, SetFloor{Scope{}, []Step{{day, 1}}}, Invalid, "from"},
+		{nil, SetFloor{Scope{}, []Step{{0, -1}}}, Invalid, "floor: -1"},
+		{nil, SetFloor{Scope{}, []Step{{minute, 1}, {minute, 2}}}, Invalid, "is not after"},
+		{nil, SetFloor{Scope{}, make([]Step, MaxFloorSteps+1)}, Invalid, "steps are over"},
+		{[]Entry{newRequest(nil)}, SetFloor{Scope{}, []Step{{0, 35}}}, Pending, "floor: all: pending"},
+		{nil, newRequest(func(e *Request) { e.ID = strings.Repeat("x", MaxIDBytes+1) }), Invalid, "ask: id: 65 bytes"},
+		{nil, newRequest(func(e *Request) { e.Region = "" }), Invalid, "plan p: region"},
+		{nil, newRequest(func(e *Request) { e.Duration = 0 }), Invalid, "duration: 0"},
+		{nil, newRequest(func(e *Request) { e.EarliestStart, e.LatestEnd = 2, 1 }), Invalid, "window: plan p: end before start"},
+		{nil, newRequest(func(e *Request) { e.LatestEnd = time.Hour }), Invalid, "latest: needs to be 0d01:30:00 at least"},
+		{nil, newRequest(func(e *Request) { e.LatestEnd = 15 * day }), Invalid, "latest: over 336h"},
+		{nil, newRequest(func(e *Request) { e.Priority = 10 }), Invalid, "priority: 10"},
+		{nil, newRequest(func(e *Request) { e.Notice = -1 }), Invalid, "notice: -1"},
+		{nil, newRequest(func(e *Request) { e.Backends = nil }), Invalid, "backends: either these"},
+		{nil, newRequest(func(e *Request) { e.Zone, e.Amount = "n1", 1 }), Invalid, "backends: either these"},
+		{nil, newRequest(func(e *Request) { e.Backends = []string{"a", "a"} }), Invalid, "named twice"},
+		{nil, newRequest(func(e *Request) { e.Backends = tooMany }), Invalid, "backends: 1281 are over 1280"},
+		{nil, newRequest(func(e *Request) { e.Backends = []string{"x"} }), Invalid, "backends: x is not known"},
+		{nil, newRequest(func(e *Request) { e.Backends = []string{"d"} }), Invalid, "backends: d is in region south"},
+		{nil, newRequest(func(e *Request) { e.Backends, e.Zone, e.Amount = nil, "n9", 1 }), Invalid, "zone: north/n9 has no backends"},
+		{nil, newRequest(func(e *Request) { e.Backends, e.Zone, e.Amount = nil, "n1", 21 }), Rejected, "earliest=none"},
+		{[]Entry{SetFloor{Scope{"north", ""}, []Step{{0, 30}}}}, newRequest(nil), Rejected, "no room: north would have 20"},
+		{[]Entry{SetFloor{Scope{}, []Step{{0, 40}, {12 * time.Hour, 0}}}}, newRequest(nil), Rejected, "earliest=0d12:00:00"},
+		{[]Entry{newRequest(nil)}, newRequest(func(e *Request) { e.ID, e.LatestEnd = "q", 100*minute }), Rejected,
+			"plan p has a backend of it"},
+		{[]Entry{newRequest(func(e *Request) { e.LatestEnd = 100 * minute })},
+			newRequest(func(e *Request) { e.ID, e.Priority, e.LatestEnd = "q", 9, 100*minute }), Rejected, "earliest=0d00:40:00"},
+		{[]Entry{newRequest(nil)}, newRequest(nil), Duplicate, "state=granted"},
+		{[]Entry{newRequest(nil)}, newRequest(func(e *Request) { e.Duration++ }), Invalid, "plan p: duration: differs"},
+		{[]Entry{newRequest(nil)}, newRequest(func(e *Request) { e.Recallable = true }), Invalid, "plan p: recall: differs"},
+		{[]Entry{newRequest(nil)}, newRequest(func(e *Request) { e.Backends = []string{"b"} }), Invalid, "plan p: backends: differs"},
+		{[]Entry{SetFloor{Scope{"north", ""}, []Step{{0, 30}}}, newRequest(nil)}, newRequest(nil), Rejected,
+			"no room: north would have 20"},
+		{[]Entry{newRequest(nil), newRequest(func(e *Request) { e.ID = "q" }), newRequest(func(e *Request) { e.ID = "r" })},
+			newRequest(func(e *Request) { e.ID = "s" }), Rejected, "busy: 3 plans are open"},
+		{nil, Cancel{"x"}, Invalid, "cancel: plan \\\"x\\\" is not known"},
+		{[]Entry{newRequest(nil), Cancel{"p"}}, Cancel{"p"}, Duplicate, ""},
+		{nil, Drained{"x", 1, "m1"}, Invalid, "drained: plan \\\"x\\\""},
+		{[]Entry{newRequest(nil)}, Drained{"p", 1, "m1"}, Stale, "fence: 0.1 is not that of the grant"},
+		{[]Entry{newRequest(nil)}, Drained{"p", 3 << fenceGrantBits, "m9"}, Invalid, "member: \\\"m9\\\" is not among"},
+		{[]Entry{newRequest(nil)}, Return{"p", 1}, Stale, "return: plan p: fence"},
+		{[]Entry{newRequest(nil), Returned{"p", 3 << fenceGrantBits}}, Returned{"p", 3 << fenceGrantBits}, Duplicate, ""},
+		{[]Entry{newRequest(func(e *Request) { e.EarliestStart = 1 })}, Returned{"p", 0}, Stale, "returned: plan p: fence"},
 	} {
 		t.Run(fmt.Sprintf("%T %s", c.e, c.part), func(t *testing.T) {
-			b := newBench(t)
+			h := newHarness(t)
 			for _, e := range c.first {
-				b.do(e)
+				h.apply(e)
 			}
-			b.want(c.e, c.want, c.part)
+			h.applyWant(c.e, c.want, c.part)
 		})
 	}
 }
 
 func TestBytesAreChecked(t *testing.T) {
-	b := newBench(t)
-	before, _ := b.m.Snapshot()
-	good, _ := Encode(Tick{minute})
+	h := newHarness(t)
+	before, _ := h.machine.Snapshot()
+	validTick, _ := Encode(Tick{minute})
 	for _, c := range []struct {
 		data []byte
 		part string
 	}{
 		{nil, "entry of 0 bytes"}, {[]byte{9, 1, 0xa0}, "unknown version 9"}, {[]byte{Version, 99, 0xa0}, "unknown kind 99"},
-		{good[:len(good)-1], "entry of kind 1"}, {append(good[:len(good):len(good)], 0), "entry of kind 1"},
-		{[]byte{Version, 1, 0xa1, 0x18, 99, 0}, "unknown field"}, {make([]byte, MaxEntry+1), "bytes"},
+		{validTick[:len(validTick)-1], "entry of kind 1"}, {append(validTick[:len(validTick):len(validTick)], 0), "entry of kind 1"},
+		{[]byte{Version, 1, 0xa1, 0x18, 99, 0}, "unknown field"}, {make([]byte, MaxEntryBytes+1), "bytes"},
 	} {
-		b.index++
-		if a := b.m.Apply(b.index, c.data); a.Result != Bad || !strings.Contains(a.Err, c.part) {
+		h.index++
+		if a := h.machine.Apply(h.index, c.data); a.Result != Invalid || !strings.Contains(a.Err, c.part) {
 			t.Errorf("%x: %v %q, want %q", c.data[:min(8, len(c.data))], a.Result, a.Err, c.part)
 		}
 	}
-	if a := b.m.Apply(b.index, good); a.Result != Bad || b.m.Now() != 0 {
-		t.Errorf("an index applied again: %s", a.Describe())
+	if a := h.machine.Apply(h.index, validTick); a.Result != Invalid || h.machine.Now() != 0 {
+		t.Errorf("an index that was applied before: %s", a.Describe())
 	}
-	b.m.index = 2 // of before; entries that can't be read change nothing else
-	if after, _ := b.m.Snapshot(); !bytes.Equal(before, after) {
-		t.Error("entries that can't be read changed the state")
+	h.machine.index = 2 // the index before them; entries that can't be decoded change nothing else
+	if after, _ := h.machine.Snapshot(); !bytes.Equal(before, after) {
+		t.Error("entries that can't be decoded changed the state")
 	}
 }
 
-// TestWarmUp follows what counts as out: all of it to the return, then the cold
-// share, rising.
+// TestWarmUp checks the available capacity: without the backend until its return, then
+// with its initial fraction, rising.
 func TestWarmUp(t *testing.T) {
-	b := newBench(t)
-	b.do(SetFloor{Scope{"north", "n1"}, []Step{{0, 1}}})
-	b.do(ask(nil))
-	f := b.state("p", Granted).Fence
+	h := newHarness(t)
+	h.apply(SetFloor{Scope{"north", "n1"}, []Step{{0, 1}}})
+	h.apply(newRequest(nil))
+	f := h.wantState("p", Granted).Fence
 	for _, c := range []struct {
 		e    Entry
 		have int64
 	}{{Tick{minute}, 10}, {Return{"p", f}, 10}, {Returned{"p", f}, 15}, {Tick{5 * minute}, 17}, {Tick{4 * minute}, 19},
-		{Tick{minute}, 20}, {Failed{[]string{"b"}}, 10}, {Recovered{[]string{"b"}}, 15}, {Tick{10 * minute}, 20}} {
-		b.do(c.e)
-		if got := b.m.Floors()[0].Have; got != c.have {
-			t.Fatalf("after %T%+v: %d, want %d", c.e, c.e, got, c.have)
+		{Tick{minute}, 20}, {BackendsFailed{[]string{"b"}}, 10}, {BackendsRecovered{[]string{"b"}}, 15}, {Tick{10 * minute}, 20}} {
+		h.apply(c.e)
+		if got := h.machine.Floors()[0].Available; got != c.have {
+			t.Fatalf("after %T%+v: available %d, want %d", c.e, c.e, got, c.have)
 		}
 	}
 }
 
-// TestPendingFloor: not in force while it would be breached, and no grant meanwhile.
+// TestPendingFloor checks that a floor stays pending while it would be breached, and
+// blocks grants meanwhile.
 func TestPendingFloor(t *testing.T) {
-	b := newBench(t)
-	b.do(ask(nil))
-	f := b.state("p", Granted).Fence
-	b.want(SetFloor{Scope{"north", "n1"}, []Step{{0, 20}}}, Pending, "grants wait for it")
-	if line := b.m.Floors()[0].Describe(); line != "FLOOR north/n1 state=held floor=0 have=10 total=20 steps=none pending=00:00=20" {
+	h := newHarness(t)
+	h.apply(newRequest(nil))
+	f := h.wantState("p", Granted).Fence
+	h.applyWant(SetFloor{Scope{"north", "n1"}, []Step{{0, 20}}}, Pending, "grants wait for it")
+	if line := h.machine.Floors()[0].Describe(); line != "FLOOR north/n1 state=held floor=0 have=10 total=20 steps=none pending=00:00=20" {
 		t.Error(line)
 	}
-	b.want(ask(func(e *Ask) { e.ID, e.Backends = "q", []string{"b"} }), Refuse, "floor is 20")
-	b.do(Returned{"p", f})
-	a := b.do(Tick{10 * minute})
+	h.applyWant(newRequest(func(e *Request) { e.ID, e.Backends = "q", []string{"b"} }), Rejected, "floor is 20")
+	h.apply(Returned{"p", f})
+	a := h.apply(Tick{10 * minute})
 	if last := a.Events[len(a.Events)-1].Describe(); last != "FLOOR north/n1 state=in-force floor=20" {
 		t.Error(last)
 	}
 }
 
-// TestLatestGrantIsRecalledFirst, and no more than it takes.
+// TestLatestGrantIsRecalledFirst checks that the latest grant is recalled, and no more
+// than the floor needs.
 func TestLatestGrantIsRecalledFirst(t *testing.T) {
-	b := newBench(t)
-	b.do(SetFloor{Scope{"north", ""}, []Step{{0, 10}}})
-	b.do(ask(nil))
-	b.do(ask(func(e *Ask) { e.ID, e.Backends = "q", []string{"b"} }))
-	a := b.do(Failed{[]string{"c"}})
-	b.state("p", Granted)
-	b.state("q", Recalled)
+	h := newHarness(t)
+	h.apply(SetFloor{Scope{"north", ""}, []Step{{0, 10}}})
+	h.apply(newRequest(nil))
+	h.apply(newRequest(func(e *Request) { e.ID, e.Backends = "q", []string{"b"} }))
+	a := h.apply(BackendsFailed{[]string{"c"}})
+	h.wantState("p", Granted)
+	h.wantState("q", Recalled)
 	if !strings.Contains(a.Events[len(a.Events)-1].Describe(), "FLOOR north state=short floor=10 have=0") {
 		t.Errorf("%v", a.Events)
 	}
 }
 
-// TestBackfill: a small plan passes a large one that waits, and does not delay it.
+// TestBackfill checks that a small plan overtakes a large waiting one without delaying
+// it.
 func TestBackfill(t *testing.T) {
-	b := newBench(t)
-	b.m.set.MaxTick = minute
-	b.do(SetFloor{Scope{"north", ""}, []Step{{0, 10}}})
-	b.do(ask(nil)) // a until 0:30, warm at 0:40
-	b.do(ask(func(e *Ask) { e.ID, e.Backends, e.Priority = "large", []string{"b", "c"}, 5 }))
-	large := b.state("large", Planned)
+	h := newHarness(t)
+	h.machine.settings.MaxTick = minute
+	h.apply(SetFloor{Scope{"north", ""}, []Step{{0, 10}}})
+	h.apply(newRequest(nil)) // backend a is out until 0:30 and warm at 0:40
+	h.apply(newRequest(func(e *Request) { e.ID, e.Backends, e.Priority = "large", []string{"b", "c"}, 5 }))
+	large := h.wantState("large", Planned)
 	if large.Start != 40*minute {
-		t.Errorf("large at %v", large.Start)
+		t.Errorf("large planned at %v, want 40 min", large.Start)
 	}
-	b.do(ask(func(e *Ask) { e.ID, e.Backends, e.Duration = "small", []string{"c"}, 20*minute }))
-	b.state("small", Granted)
-	if got := b.state("large", Planned); got.Start != large.Start {
+	h.apply(newRequest(func(e *Request) { e.ID, e.Backends, e.Duration = "small", []string{"c"}, 20*minute }))
+	h.wantState("small", Granted)
+	if got := h.wantState("large", Planned); got.Start != large.Start {
 		t.Errorf("large moved from %v to %v", large.Start, got.Start)
 	}
-	b.do(Returned{"small", b.state("small", Granted).Fence})
-	b.do(Tick{minute})
-	b.do(ask(func(e *Ask) { e.ID, e.Backends, e.Duration = "long", []string{"c"}, 50*minute }))
-	if long := b.state("long", Planned); long.Start < large.Start+30*minute {
-		t.Errorf("long at %v, before large is back", long.Start)
+	h.apply(Returned{"small", h.wantState("small", Granted).Fence})
+	h.apply(Tick{minute})
+	h.apply(newRequest(func(e *Request) { e.ID, e.Backends, e.Duration = "long", []string{"c"}, 50*minute }))
+	if long := h.wantState("long", Planned); long.Start < large.Start+30*minute {
+		t.Errorf("long planned at %v, before the end of large", long.Start)
 	}
-	if got := b.state("large", Planned); got.Start != large.Start {
+	if got := h.wantState("large", Planned); got.Start != large.Start {
 		t.Errorf("large moved from %v to %v", large.Start, got.Start)
 	}
 }
 
-// TestOldAnswers: a repeated id has its old answer as long as the history goes.
-func TestOldAnswers(t *testing.T) {
-	b := newBench(t)
+// TestRepeatedIDGetsStoredAnswer checks that a repeated id gets its stored answer as
+// long as the history holds it.
+func TestRepeatedIDGetsStoredAnswer(t *testing.T) {
+	h := newHarness(t)
 	for _, id := range []string{"p", "q", "r"} {
-		b.do(ask(func(e *Ask) { e.ID = id }))
-		b.do(Cancel{id})
-		b.do(Returned{id, Fence(b.index-1) << fenceBits})
-		b.do(Tick{10 * minute})
+		h.apply(newRequest(func(e *Request) { e.ID = id }))
+		h.apply(Cancel{id})
+		h.apply(Returned{id, Fence(h.index-1) << fenceGrantBits})
+		h.apply(Tick{10 * minute})
 	}
-	b.want(ask(func(e *Ask) { e.ID = "r" }), Repeat, "state=done")
-	b.want(ask(func(e *Ask) { e.ID = "q" }), Repeat, "state=done")
-	b.want(ask(nil), OK, "state=granted")                                 // forgotten: a new plan
-	b.want(Returned{"p", 3 << fenceBits}, Stale, "not that of the grant") // of its first life
+	h.applyWant(newRequest(func(e *Request) { e.ID = "r" }), Duplicate, "state=done")
+	h.applyWant(newRequest(func(e *Request) { e.ID = "q" }), Duplicate, "state=done")
+	h.applyWant(newRequest(nil), OK, "state=granted")                               // no longer in the history: a new plan
+	h.applyWant(Returned{"p", 3 << fenceGrantBits}, Stale, "not that of the grant") // the fence of the earlier plan
 }
 
 func TestSettings(t *testing.T) {
@@ -366,39 +380,39 @@
 
 func FuzzDecode(f *testing.F) {
 	for seed := range uint64(4) {
-		r := newRun(seeded(seed), breaker{})
-		r.asks = []Ask{ask(nil)}
+		r := newRun(seededDraw(seed), faultInjection{})
+		r.requests = []Request{newRequest(nil)}
 		for range 40 {
-			if data, err := Encode(r.next()); err == nil {
+			if data, err := Encode(r.nextEntry()); err == nil {
 				f.Add(data)
 			}
 		}
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		b := newBench(t)
-		b.do(ask(nil))
-		b.index++
-		b.m.Apply(b.index, data)
-		b.do(Tick{time.Hour})
+		h := newHarness(t)
+		h.apply(newRequest(nil))
+		h.index++
+		h.machine.Apply(h.index, data)
+		h.apply(Tick{time.Hour})
 		e, err := Decode(data)
 		if err != nil {
 			return
 		}
-		again, err := Encode(e)
+		reencoded, err := Encode(e)
 		if err != nil {
-			t.Skip() // longer in its plain form
+			t.Skip() // the re-encoding exceeds MaxEntryBytes
 		}
-		if _, err := Decode(again); err != nil {
-			t.Errorf("%x: encoded again: %v", data, err)
+		if _, err := Decode(reencoded); err != nil {
+			t.Errorf("%x: decoding the re-encoded entry: %v", data, err)
 		}
 	})
 }
 
 func FuzzRestore(f *testing.F) {
 	for seed := range uint64(4) {
-		r := newRun(seeded(seed), breaker{})
-		_ = r.schedule(60)
-		data, _ := r.a.Snapshot()
+		r := newRun(seededDraw(seed), faultInjection{})
+		_ = r.play(60)
+		data, _ := r.first.Snapshot()
 		f.Add(data)
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
@@ -414,12 +428,12 @@
 			}
 			_ = m.Floors()
 		}
-		again, err := m.Snapshot()
+		snapshot, err := m.Snapshot()
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := Restore(again); err != nil {
-			t.Errorf("restored, applied, and restored again: %v", err)
+		if _, err := Restore(snapshot); err != nil {
+			t.Errorf("restoring a snapshot of the restored machine: %v", err)
 		}
 	})
 }
--- a/fleet/window/model_test.go
+++ b/fleet/window/model_test.go
@@ -10,156 +10,160 @@
 	"time"
 )
 
-// This file is a model of capacity, small and of its own, that watches a machine
-// from outside: entries and answers, and the list where it says so. It keeps no
-// plan and knows nothing of the planner.
+// This file is a small independent model of capacity that checks a machine from outside,
+// by its entries, its answers and, where noted, its list of windows. It keeps no
+// schedule and does not know the planner.
 
-type held struct {
-	ask        Ask
+type activeWindow struct {
+	request    Request
 	fence      Fence
 	start, end time.Duration
-	returned   time.Duration // -1: not yet
-	called     bool
+	returned   time.Duration // -1: not returned yet
+	recalled   bool
 	drained    map[string]bool
 }
 
-type promise struct {
-	ask   Ask
-	index uint64 // of the entry that took it
-	at    time.Duration
-	start time.Duration // last told
-	state State
-	hope  bool // it was told that it counts on what is out by itself to come back
+type acceptedPlan struct {
+	request           Request
+	index             uint64 // of the entry that accepted it
+	requestedAt       time.Duration
+	announcedStart    time.Duration
+	state             State
+	dependsOnRecovery bool // the answer said that it relies on failed or overdue capacity to come back
 }
 
 type model struct {
-	set       Settings
-	now       time.Duration
-	index     uint64
-	backends  map[string]Backend
-	failed    map[string]bool
-	ramp      map[string]time.Duration // start of a warm-up of its own
-	floors    map[Scope][]Step         // asked last
-	inForce   map[Scope][]Step
-	serving   map[string]bool
-	holds     map[string]*held
-	promises  map[string]*promise
-	lastFence map[string]Fence
-	disturbed uint64 // index of the last entry after which less may be there than was known
-	lastGrant map[Scope]uint64
-}
-
-func newModel(set Settings) *model {
-	return &model{set: set, backends: map[string]Backend{}, failed: map[string]bool{},
-		ramp: map[string]time.Duration{}, floors: map[Scope][]Step{}, inForce: map[Scope][]Step{},
-		serving: map[string]bool{}, holds: map[string]*held{}, promises: map[string]*promise{},
-		lastFence: map[string]Fence{}, lastGrant: map[Scope]uint64{}}
-}
-
-func in(sc Scope, region, zone string) bool {
+	settings        Settings
+	now             time.Duration
+	index           uint64
+	backends        map[string]Backend
+	failed          map[string]bool
+	warmUpStart     map[string]time.Duration // start of a warm-up outside windows
+	requestedFloors map[Scope][]Step         // last accepted
+	activeFloors    map[Scope][]Step
+	serving         map[string]bool
+	active          map[string]*activeWindow
+	accepted        map[string]*acceptedPlan
+	lastFence       map[string]Fence
+	lastDisturbance uint64 // index of the last entry that may have left less capacity than was known before
+	lastGrantIndex  map[Scope]uint64
+}
+
+func newModel(settings Settings) *model {
+	return &model{settings: settings, backends: map[string]Backend{}, failed: map[string]bool{},
+		warmUpStart: map[string]time.Duration{}, requestedFloors: map[Scope][]Step{}, activeFloors: map[Scope][]Step{},
+		serving: map[string]bool{}, active: map[string]*activeWindow{}, accepted: map[string]*acceptedPlan{},
+		lastFence: map[string]Fence{}, lastGrantIndex: map[Scope]uint64{}}
+}
+
+func scopeContains(sc Scope, region, zone string) bool {
 	return sc == Scope{} || sc == Scope{Region: region} || sc == Scope{region, zone}
 }
 
-// lacks is the part of the whole that is missing into a warm-up.
-func lacks(cold int64, warm, into time.Duration) float64 {
-	if into >= warm {
+// warmUpLoss returns the missing fraction of a backend's size when elapsed of its
+// warm-up has passed.
+func warmUpLoss(initialPermille int64, warmUp, elapsed time.Duration) float64 {
+	if elapsed >= warmUp {
 		return 0
 	}
-	return (1 - float64(cold)/1000) * (1 - float64(into)/float64(warm))
+	return (1 - float64(initialPermille)/1000) * (1 - float64(elapsed)/float64(warmUp))
 }
 
-// have is what a scope has at t (now or later) as far as is known: windows end at
-// their end, those past it and what failed do not come back.
-func (o *model) have(sc Scope, t time.Duration, without func(*held) bool) float64 {
+// available returns the capacity of a scope at t (now or later) as far as is known:
+// windows end at their end, while overdue windows and failed backends do not come back.
+// Windows for which exclude returns true are left out.
+func (m *model) available(sc Scope, t time.Duration, exclude func(*activeWindow) bool) float64 {
 	var sum float64
-	taken := map[string]float64{}
-	for _, id := range slices.Sorted(maps.Keys(o.holds)) {
-		h := o.holds[id]
-		if without != nil && without(h) {
+	inWindow := map[string]float64{}
+	for _, id := range slices.Sorted(maps.Keys(m.active)) {
+		active := m.active[id]
+		if exclude != nil && exclude(active) {
 			continue
 		}
-		ids, cold, warm := h.ask.Backends, int64(1000), time.Duration(0)
-		if h.ask.Amount > 0 {
-			for _, b := range o.backends {
-				if b.Region == h.ask.Region && b.Zone == h.ask.Zone {
-					cold, warm = min(cold, b.Cold), max(warm, b.Warm)
+		ids, initialPermille, warmUp := active.request.Backends, int64(1000), time.Duration(0)
+		if active.request.Amount > 0 {
+			for _, b := range m.backends {
+				if b.Region == active.request.Region && b.Zone == active.request.Zone {
+					initialPermille, warmUp = min(initialPermille, b.InitialPermille), max(warmUp, b.WarmUpTime)
 				}
 			}
-			if in(sc, h.ask.Region, h.ask.Zone) {
-				sum -= float64(h.ask.Amount) * o.share(h, t, cold, warm)
+			if scopeContains(sc, active.request.Region, active.request.Zone) {
+				sum -= float64(active.request.Amount) * m.unavailableShare(active, t, initialPermille, warmUp)
 			}
 		}
 		for _, b := range ids {
-			taken[b] = max(taken[b], o.share(h, t, o.backends[b].Cold, o.backends[b].Warm))
+			inWindow[b] = max(inWindow[b], m.unavailableShare(active, t, m.backends[b].InitialPermille, m.backends[b].WarmUpTime))
 		}
 	}
-	for id, b := range o.backends {
-		if !in(sc, b.Region, b.Zone) {
+	for id, b := range m.backends {
+		if !scopeContains(sc, b.Region, b.Zone) {
 			continue
 		}
-		lack := taken[id]
-		if o.failed[id] {
-			lack = 1
-		} else if since, ok := o.ramp[id]; ok {
-			lack = max(lack, lacks(b.Cold, b.Warm, t-since))
+		lost := inWindow[id]
+		if m.failed[id] {
+			lost = 1
+		} else if since, ok := m.warmUpStart[id]; ok {
+			lost = max(lost, warmUpLoss(b.InitialPermille, b.WarmUpTime, t-since))
 		}
-		sum += float64(b.Size) * (1 - lack)
+		sum += float64(b.Size) * (1 - lost)
 	}
 	return sum
 }
 
-func (o *model) share(h *held, t time.Duration, cold int64, warm time.Duration) float64 {
+func (m *model) unavailableShare(active *activeWindow, t time.Duration, initialPermille int64, warmUp time.Duration) float64 {
 	switch {
-	case h.returned >= 0:
-		return lacks(cold, warm, t-h.returned)
-	case t < h.end || o.now >= h.end:
+	case active.returned >= 0:
+		return warmUpLoss(initialPermille, warmUp, t-active.returned)
+	case t < active.end || m.now >= active.end:
 		return 1
 	}
-	return lacks(cold, warm, t-h.end)
+	return warmUpLoss(initialPermille, warmUp, t-active.end)
 }
 
-func floorAt(steps []Step, t time.Duration) float64 {
+func modelFloorAt(steps []Step, t time.Duration) float64 {
 	v := 0.0
-	for pass := range 2 { // the day before, then this day
+	for pass := range 2 { // the previous day, then this day
 		for _, s := range steps {
 			if pass == 0 || s.From <= t%(24*time.Hour) {
-				v = float64(s.Floor)
+				v = float64(s.Capacity)
 			}
 		}
 	}
 	return v
 }
 
-const eps = 1e-6
+const tolerance = 1e-6
 
-// watch checks one entry and its answer, and the list after it.
-func (o *model) watch(e Entry, a Answer, list []Window) error {
-	o.index = a.Index
-	if err := o.facts(e, a); err != nil {
+// check checks one entry, its answer, and the list of windows after it.
+func (m *model) check(e Entry, a Answer, windows []Window) error {
+	m.index = a.Index
+	if err := m.applyEntry(e, a); err != nil {
 		return err
 	}
 	for _, ev := range a.Events {
 		switch ev.Kind {
 		case EventState:
-			if err := o.turns(ev.Window); err != nil {
+			if err := m.checkTransition(ev.Window); err != nil {
 				return err
 			}
-		case EventMoved:
-			p := o.promises[ev.Window.Ask.ID]
-			if s := ev.Window.Start; s < min(p.start, o.now+p.ask.Notice) {
-				return fmt.Errorf("notice: %s moved from %v to %v at %v", p.ask.ID, p.start, s, o.now)
-			} else if _, isAsk := e.(Ask); isAsk && p.start > o.now && p.start-o.now < p.ask.Notice && !o.troubled() {
-				return fmt.Errorf("notice: %s moved within its notice by another plan", p.ask.ID)
+		case EventStartMoved:
+			accepted := m.accepted[ev.Window.Request.ID]
+			if newStart := ev.Window.Start; newStart < min(accepted.announcedStart, m.now+accepted.request.Notice) {
+				return fmt.Errorf("notice: %s moved from %v to %v at %v", accepted.request.ID, accepted.announcedStart, newStart, m.now)
+			} else if _, isRequest := e.(Request); isRequest && accepted.announcedStart > m.now &&
+				accepted.announcedStart-m.now < accepted.request.Notice &&
+				!m.hasUnplannedLoss() {
+				return fmt.Errorf("notice: another plan moved %s within its notice", accepted.request.ID)
 			}
-			p.start = ev.Window.Start
-		case EventInForce:
-			o.inForce[ev.Scope] = o.floors[ev.Scope]
+			accepted.announcedStart = ev.Window.Start
+		case EventFloorInForce:
+			m.activeFloors[ev.Scope] = m.requestedFloors[ev.Scope]
 		}
 	}
-	return cmpErr(o.floorsHeld(), o.recalls(), o.kept(list))
+	return firstError(m.checkActiveFloors(), m.checkRecalls(), m.checkListed(windows))
 }
 
-func cmpErr(errs ...error) error {
+func firstError(errs ...error) error {
 	for _, err := range errs {
 		if err != nil {
 			return err
@@ -168,87 +172,88 @@
 	return nil
 }
 
-// troubled says whether something is out that is not as planned.
-func (o *model) troubled() bool {
-	for _, h := range o.holds {
-		if h.returned < 0 && o.now >= h.end {
+// hasUnplannedLoss reports whether an overdue window, a failure or a warm-up outside
+// windows reduces capacity.
+func (m *model) hasUnplannedLoss() bool {
+	for _, active := range m.active {
+		if active.returned < 0 && m.now >= active.end {
 			return true
 		}
 	}
-	return len(o.failed) > 0 || len(o.ramp) > 0
+	return len(m.failed) > 0 || len(m.warmUpStart) > 0
 }
 
-// facts takes in what the entry says, judging by itself what it does.
-func (o *model) facts(e Entry, a Answer) error {
+// applyEntry updates the model from an entry, by its own rules.
+func (m *model) applyEntry(e Entry, a Answer) error {
 	if t, ok := e.(Tick); ok && a.Result == OK {
-		o.now += t.Elapsed
+		m.now += t.Elapsed
 	}
-	if a.Now != o.now {
-		return fmt.Errorf("time: %v, not %v", a.Now, o.now)
+	if a.Now != m.now {
+		return fmt.Errorf("time: log time is %v, want %v", a.Now, m.now)
 	}
-	for _, h := range o.holds {
-		if h.returned < 0 && o.now > h.end {
-			o.disturbed = o.index
+	for _, active := range m.active {
+		if active.returned < 0 && m.now > active.end {
+			m.lastDisturbance = m.index
 		}
 	}
-	for id, since := range o.ramp {
-		if o.now-since >= o.backends[id].Warm {
-			delete(o.ramp, id)
+	for id, since := range m.warmUpStart {
+		if m.now-since >= m.backends[id].WarmUpTime {
+			delete(m.warmUpStart, id)
 		}
 	}
 	if c, ok := confirmation(e); ok {
-		return o.confirms(e, c, a)
+		return m.checkConfirmation(e, c, a)
 	}
-	if a.Result == Bad {
+	if a.Result == Invalid {
 		return nil
 	}
 	switch e := e.(type) {
-	case Backends:
-		o.disturbed = o.index
+	case PutBackends:
+		m.lastDisturbance = m.index
 		for _, b := range e.Put {
-			if _, known := o.backends[b.ID]; !known && !b.Ready {
-				o.ramp[b.ID] = o.now
+			if _, known := m.backends[b.ID]; !known && !b.SkipWarmUp {
+				m.warmUpStart[b.ID] = m.now
 			}
-			o.backends[b.ID] = b
+			m.backends[b.ID] = b
 		}
-	case Remove:
-		o.disturbed = o.index
+	case RemoveBackends:
+		m.lastDisturbance = m.index
 		for _, id := range e.IDs {
-			delete(o.backends, id)
-			delete(o.failed, id)
-			delete(o.ramp, id)
+			delete(m.backends, id)
+			delete(m.failed, id)
+			delete(m.warmUpStart, id)
 		}
-	case Failed:
-		o.disturbed = o.index
+	case BackendsFailed:
+		m.lastDisturbance = m.index
 		for _, id := range e.IDs {
-			o.failed[id] = true
-			delete(o.ramp, id)
+			m.failed[id] = true
+			delete(m.warmUpStart, id)
 		}
-	case Recovered:
-		o.disturbed = o.index
+	case BackendsRecovered:
+		m.lastDisturbance = m.index
 		for _, id := range e.IDs {
-			if o.failed[id] {
-				delete(o.failed, id)
-				o.ramp[id] = o.now
+			if m.failed[id] {
+				delete(m.failed, id)
+				m.warmUpStart[id] = m.now
 			}
 		}
-	case Serving:
-		o.serving = map[string]bool{}
+	case SetServing:
+		m.serving = map[string]bool{}
 		for _, s := range e.Members {
-			o.serving[s] = true
+			m.serving[s] = true
 		}
 	case SetFloor:
-		o.disturbed = o.index
-		o.floors[e.Scope] = e.Steps
-		want := floorAt(e.Steps, o.now)
-		if a.Result == OK && o.have(e.Scope, o.now, nil) < want-eps && want > floorAt(o.inForce[e.Scope], o.now) {
-			return fmt.Errorf("pending: floor %v of %v in force, and there is %v", want, e.Scope, o.have(e.Scope, o.now, nil))
+		m.lastDisturbance = m.index
+		m.requestedFloors[e.Scope] = e.Steps
+		want := modelFloorAt(e.Steps, m.now)
+		if a.Result == OK && m.available(e.Scope, m.now, nil) < want-tolerance && want > modelFloorAt(m.activeFloors[e.Scope], m.now) {
+			return fmt.Errorf("pending: floor %v of %v in force, but only %v is available", want, e.Scope, m.available(e.Scope, m.now, nil))
 		}
 		if a.Result == OK {
-			o.inForce[e.Scope] = e.Steps
+			m.activeFloors[e.Scope] = e.Steps
 		}
-	case Ask:
-		return o.asked(e, a)
+	case Request:
+		return m.checkRequest(e, a)
 	}
 	return nil
 }
@@ -265,160 +270,164 @@
 	return Returned{}, false
 }
 
-func (o *model) confirms(e Entry, c Returned, a Answer) error {
-	h := o.holds[c.ID]
-	if h == nil || h.fence != c.Fence {
+func (m *model) checkConfirmation(e Entry, confirmed Returned, a Answer) error {
+	active := m.active[confirmed.ID]
+	if active == nil || active.fence != confirmed.Fence {
 		if a.Result == OK {
-			return fmt.Errorf("stale: a confirmation of %s with fence %v was taken", c.ID, c.Fence)
+			return fmt.Errorf("stale: a confirmation of %s with fence %v was accepted", confirmed.ID, confirmed.Fence)
 		}
 		return nil
 	}
 	switch e := e.(type) {
 	case Drained:
-		if o.serving[e.Member] {
-			h.drained[e.Member] = true
+		if m.serving[e.Member] {
+			active.drained[e.Member] = true
 		}
 	case Returned:
-		if h.returned < 0 {
-			h.returned = o.now
+		if active.returned < 0 {
+			active.returned = m.now
 		}
 	}
 	return nil
 }
 
-func (o *model) asked(e Ask, a Answer) error {
-	p := o.promises[e.ID]
+func (m *model) checkRequest(e Request, a Answer) error {
+	known := m.accepted[e.ID]
 	slices.Sort(e.Backends)
-	if p != nil && (a.Result == OK || a.Result == Refuse) {
-		return fmt.Errorf("id: %s was taken once and is answered %v", e.ID, a.Result)
+	if known != nil && (a.Result == OK || a.Result == Rejected) {
+		return fmt.Errorf("id: %s was accepted before, and the repeated request got %v", e.ID, a.Result)
 	}
-	if p != nil && fmt.Sprint(e) != fmt.Sprint(p.ask) {
-		return fmt.Errorf("id: %s with other content is answered %v", e.ID, a.Result)
+	if known != nil && fmt.Sprint(e) != fmt.Sprint(known.request) {
+		return fmt.Errorf("id: a request that reuses %s with other content got %v", e.ID, a.Result)
 	}
 	if a.Result == OK {
-		o.promises[e.ID] = &promise{ask: e, index: o.index, at: o.now, start: a.Window.First,
-			hope: strings.HasPrefix(a.Window.Why, "counts on")}
+		m.accepted[e.ID] = &acceptedPlan{request: e, index: m.index, requestedAt: m.now, announcedStart: a.Window.FirstStart,
+			dependsOnRecovery: strings.HasPrefix(a.Window.Reason, "counts on")}
 	}
 	return nil
 }
 
-// follows is the table of states in doc.go.
-var follows = map[State][]State{
-	Asked:     {Planned, Cancelled, Refused},
-	Planned:   {Granted, Asked, Cancelled, Refused},
-	Granted:   {Draining, Returning, Warm, Recalled, Overdue, Out},
-	Draining:  {Out, Returning, Warm, Recalled, Overdue},
-	Out:       {Returning, Warm, Recalled, Overdue},
-	Recalled:  {Returning, Warm, Overdue},
-	Returning: {Warm, Overdue},
-	Overdue:   {Warm},
-	Warm:      {Done},
-}
-
-// turns checks one change of a plan's state.
-func (o *model) turns(w Window) error {
-	id := w.Ask.ID
-	p := o.promises[id]
-	if p == nil {
+// allowedTransitions is the table of states in doc.go.
+var allowedTransitions = map[State][]State{
+	Requested:    {Planned, Cancelled, Refused},
+	Planned:      {Granted, Requested, Cancelled, Refused},
+	Granted:      {Draining, Returning, WarmingUp, Recalled, Overdue, OutOfService},
+	Draining:     {OutOfService, Returning, WarmingUp, Recalled, Overdue},
+	OutOfService: {Returning, WarmingUp, Recalled, Overdue},
+	Recalled:     {Returning, WarmingUp, Overdue},
+	Returning:    {WarmingUp, Overdue},
+	Overdue:      {WarmingUp},
+	WarmingUp:    {Done},
+}
+
+// checkTransition checks one state change of a plan.
+func (m *model) checkTransition(w Window) error {
+	id := w.Request.ID
+	accepted := m.accepted[id]
+	if accepted == nil {
 		if w.State == Refused {
-			return nil // when asked
+			return nil // refused when requested
 		}
-		return fmt.Errorf("kept: %s is %v and was never taken", id, w.State)
+		return fmt.Errorf("kept: %s is %v, but was never accepted", id, w.State)
 	}
 	if w.State == Granted {
-		if err := o.grants(w, p); err != nil {
+		if err := m.checkGrant(w, accepted); err != nil {
 			return err
 		}
 	}
-	if !slices.Contains(follows[p.state], w.State) {
-		return fmt.Errorf("states: %s from %v to %v", id, p.state, w.State)
+	if !slices.Contains(allowedTransitions[accepted.state], w.State) {
+		return fmt.Errorf("states: %s changed from %v to %v", id, accepted.state, w.State)
 	}
-	p.state = w.State
-	h := o.holds[id]
+	accepted.state = w.State
+	active := m.active[id]
 	if w.State == Done {
-		defer delete(o.holds, id)
+		defer delete(m.active, id)
 	}
 	switch w.State {
 	case Planned:
-		p.start = w.Start
-	case Out:
-		for s := range o.serving {
-			if !h.drained[s] {
-				return fmt.Errorf("drained: %s is out and %s has not confirmed", id, s)
+		accepted.announcedStart = w.Start
+	case OutOfService:
+		for s := range m.serving {
+			if !active.drained[s] {
+				return fmt.Errorf("drained: %s is out, but %s has not confirmed", id, s)
 			}
 		}
 	case Recalled:
-		h.called = true
-	case Warm, Done:
-		if h != nil && h.returned < 0 {
-			return fmt.Errorf("return: %s is %v and did not return", id, w.State)
+		active.recalled = true
+	case WarmingUp, Done:
+		if active != nil && active.returned < 0 {
+			return fmt.Errorf("return: %s is %v, but its return was not confirmed", id, w.State)
 		}
 	case Refused:
-		if o.disturbed <= p.index && !p.hope {
-			return fmt.Errorf("kept: %s was taken and is refused, and nothing happened: %s", id, w.Why)
+		if m.lastDisturbance <= accepted.index && !accepted.dependsOnRecovery {
+			return fmt.Errorf("kept: %s was accepted, and refused without a disturbance: %s", id, w.Reason)
 		}
 	}
 	return nil
 }
 
-func (o *model) grants(w Window, p *promise) error {
-	id := w.Ask.ID
-	if _, twice := o.holds[id]; twice || p.state > Planned {
+func (m *model) checkGrant(w Window, accepted *acceptedPlan) error {
+	id := w.Request.ID
+	if _, already := m.active[id]; already || accepted.state > Planned {
 		return fmt.Errorf("once: %s is granted twice", id)
 	}
-	if w.Fence.Index() != o.index {
-		return fmt.Errorf("fence: %s has %v at entry %d", id, w.Fence, o.index)
+	if w.Fence.Index() != m.index {
+		return fmt.Errorf("fence: %s was granted with fence %v by entry %d", id, w.Fence, m.index)
 	}
-	for _, b := range w.Ask.Backends {
-		if o.lastFence[b] >= w.Fence {
-			return fmt.Errorf("fence: of backend %s is %v after %v", b, w.Fence, o.lastFence[b])
+	for _, b := range w.Request.Backends {
+		if m.lastFence[b] >= w.Fence {
+			return fmt.Errorf("fence: backend %s got fence %v after %v", b, w.Fence, m.lastFence[b])
 		}
-		o.lastFence[b] = w.Fence
-		for _, other := range slices.Sorted(maps.Keys(o.holds)) {
-			if h := o.holds[other]; h.returned < 0 && slices.Contains(h.ask.Backends, b) {
-				return fmt.Errorf("once: backend %s is out by %s and %s", b, other, id)
+		m.lastFence[b] = w.Fence
+		for _, other := range slices.Sorted(maps.Keys(m.active)) {
+			if h := m.active[other]; h.returned < 0 && slices.Contains(h.request.Backends, b) {
+				return fmt.Errorf("once: backend %s is out for both %s and %s", b, other, id)
 			}
 		}
 	}
-	if o.now < p.at+p.ask.Notice || o.now < p.ask.Earliest || o.now < p.start {
-		return fmt.Errorf("notice: %s, asked at %v for %v, is granted at %v", id, p.at, p.start, o.now)
+	if m.now < accepted.requestedAt+accepted.request.Notice || m.now < accepted.request.EarliestStart || m.now < accepted.announcedStart {
+		return fmt.Errorf("notice: %s, requested at %v and planned for %v, was granted at %v", id, accepted.requestedAt,
+			accepted.announcedStart, m.now)
 	}
-	if o.now+p.ask.Duration > p.ask.Latest {
-		return fmt.Errorf("end: %s is granted too late", id)
+	if m.now+accepted.request.Duration > accepted.request.LatestEnd {
+		return fmt.Errorf("end: %s was granted too late to end in time", id)
 	}
-	o.holds[id] = &held{ask: p.ask, fence: w.Fence, start: o.now, end: o.now + p.ask.Duration, returned: -1,
-		drained: map[string]bool{}}
-	return o.leaves(id)
+	m.active[id] = &activeWindow{request: accepted.request, fence: w.Fence, start: m.now, end: m.now + accepted.request.Duration,
+		returned: -1,
+		drained:  map[string]bool{}}
+	return m.checkFloorsAfterGrant(id)
 }
 
-// leaves looks over a new window, moment by moment, for what it leaves.
-func (o *model) leaves(id string) error {
-	h := o.holds[id]
-	regions := map[Scope]bool{{}: true, {Region: h.ask.Region}: true}
-	last := h.end
-	for _, b := range o.backends {
-		if slices.Contains(h.ask.Backends, b.ID) || h.ask.Amount > 0 && h.ask.Zone == b.Zone && h.ask.Region == b.Region {
-			regions[Scope{b.Region, b.Zone}] = true
-			last = max(last, h.end+b.Warm)
+// checkFloorsAfterGrant checks at sampled times that a newly granted window leaves the
+// floors intact.
+func (m *model) checkFloorsAfterGrant(id string) error {
+	granted := m.active[id]
+	scopes := map[Scope]bool{{}: true, {Region: granted.request.Region}: true}
+	last := granted.end
+	for _, b := range m.backends {
+		if slices.Contains(granted.request.Backends, b.ID) || granted.request.Amount > 0 && granted.request.Zone == b.Zone &&
+			granted.request.Region == b.Region {
+			scopes[Scope{b.Region, b.Zone}] = true
+			last = max(last, granted.end+b.WarmUpTime)
 		}
 	}
-	times := []time.Duration{o.now}
+	times := []time.Duration{m.now}
 	for k := range time.Duration(12) {
-		times = append(times, o.now+(last-o.now)/12*k)
+		times = append(times, m.now+(last-m.now)/12*k)
 	}
-	for sc := range regions {
-		o.lastGrant[sc] = o.index
-		for _, steps := range [][]Step{o.floors[sc], o.inForce[sc]} {
+	for sc := range scopes {
+		m.lastGrantIndex[sc] = m.index
+		for _, steps := range [][]Step{m.requestedFloors[sc], m.activeFloors[sc]} {
 			for _, s := range steps {
-				for d := o.now - o.now%day; d < last; d += day {
-					if t := d + s.From; t > o.now && t < last {
+				for d := m.now - m.now%day; d < last; d += day {
+					if t := d + s.From; t > m.now && t < last {
 						times = append(times, t)
 					}
 				}
 			}
 			for _, t := range times {
-				if have, want := o.have(sc, t, nil), floorAt(steps, t); have < want-eps {
-					return fmt.Errorf("floor: %s granted at %v leaves %v of %v at %v, floor %v", id, o.now, have, sc, t, want)
+				if have, want := m.available(sc, t, nil), modelFloorAt(steps, t); have < want-tolerance {
+					return fmt.Errorf("floor: granting %s at %v leaves %v in %v at %v, floor %v", id, m.now, have, sc, t, want)
 				}
 			}
 		}
@@ -426,138 +435,143 @@
 	return nil
 }
 
-// floorsHeld: a floor in force is breached only by what came after the last grant.
-func (o *model) floorsHeld() error {
-	for sc, steps := range o.inForce {
-		if have, want := o.have(sc, o.now, nil), floorAt(steps, o.now); have < want-eps && o.disturbed < o.lastGrant[sc] {
-			return fmt.Errorf("floor: %v has %v at %v, floor %v, and nothing happened", sc, have, o.now, want)
+// checkActiveFloors checks that a floor in force is only breached by what happened after
+// the last grant.
+func (m *model) checkActiveFloors() error {
+	for sc, steps := range m.activeFloors {
+		if have, want := m.available(sc, m.now, nil), modelFloorAt(steps, m.now); have < want-tolerance &&
+			m.lastDisturbance < m.lastGrantIndex[sc] {
+			return fmt.Errorf("floor: %v has %v at %v, floor %v, without a disturbance", sc, have, m.now, want)
 		}
 	}
 	return nil
 }
 
-// recalls: where a floor is short, what can be called back is, as far as it takes.
-func (o *model) recalls() error {
-	for sc, steps := range o.inForce {
-		want := floorAt(steps, o.now)
-		if o.have(sc, o.now, nil) >= want-eps {
+// checkRecalls checks that, while a floor is breached, every window whose recall would
+// help is recalled.
+func (m *model) checkRecalls() error {
+	for sc, steps := range m.activeFloors {
+		want := modelFloorAt(steps, m.now)
+		if m.available(sc, m.now, nil) >= want-tolerance {
 			continue
 		}
-		coming := func(h *held) bool {
-			s := o.promises[h.ask.ID].state
-			return h.called || s == Returning || s == Overdue
+		returning := func(active *activeWindow) bool {
+			s := m.accepted[active.request.ID].state
+			return active.recalled || s == Returning || s == Overdue
 		}
-		if o.have(sc, o.now, coming) >= want-1 { // sums are rounded in the machine
+		if m.available(sc, m.now, returning) >= want-1 { // the machine rounds sums
 			continue
 		}
-		for id, h := range o.holds {
-			s := o.promises[id].state
-			can := s == Granted || s == Draining || s == Out && h.ask.Recall
-			without := func(x *held) bool { return coming(x) || x == h }
-			if can && o.have(sc, o.now, without) > o.have(sc, o.now, coming)+1 {
-				return fmt.Errorf("recall: %v is short of %v and %s is %v", sc, want, id, s)
+		for id, active := range m.active {
+			s := m.accepted[id].state
+			recallable := s == Granted || s == Draining || s == OutOfService && active.request.Recallable
+			without := func(x *activeWindow) bool { return returning(x) || x == active }
+			if recallable && m.available(sc, m.now, without) > m.available(sc, m.now, returning)+1 {
+				return fmt.Errorf("recall: %v is below its floor %v, and %s is still %v", sc, want, id, s)
 			}
 		}
 	}
 	return nil
 }
 
-// kept: what was taken is in the list, in the state that was told.
-func (o *model) kept(list []Window) error {
-	rows, ended := map[string]Window{}, 0
-	for _, w := range list {
-		if _, twice := rows[w.Ask.ID]; twice {
-			return fmt.Errorf("id: %s is two plans", w.Ask.ID)
+// checkListed checks that every accepted plan is listed, in its last announced state.
+func (m *model) checkListed(windows []Window) error {
+	byID, ended := map[string]Window{}, 0
+	for _, w := range windows {
+		if _, duplicate := byID[w.Request.ID]; duplicate {
+			return fmt.Errorf("id: two plans have the id %s", w.Request.ID)
 		}
-		rows[w.Ask.ID] = w
+		byID[w.Request.ID] = w
 		if w.State.Ended() {
 			ended++
 		}
 	}
-	if ended > o.set.History || len(list)-ended > o.set.MaxPlans {
-		return fmt.Errorf("bounds: %d open and %d ended plans", len(list)-ended, ended)
+	if ended > m.settings.History || len(windows)-ended > m.settings.MaxPlans {
+		return fmt.Errorf("bounds: %d open and %d ended plans", len(windows)-ended, ended)
 	}
-	for id, p := range o.promises {
-		w, ok := rows[id]
-		if !ok && p.state.Ended() {
-			delete(o.promises, id) // compacted
+	for id, accepted := range m.accepted {
+		w, ok := byID[id]
+		if !ok && accepted.state.Ended() {
+			delete(m.accepted, id) // dropped from the history
 			continue
 		}
-		if !ok || w.State != p.state {
-			return fmt.Errorf("kept: %s is listed as %v (%v), told %v", id, w.State, ok, p.state)
+		if !ok || w.State != accepted.state {
+			return fmt.Errorf("kept: %s is listed as %v (found: %v), last announced as %v", id, w.State, ok, accepted.state)
 		}
-		if h := o.holds[id]; h != nil && h.returned < 0 && o.now > h.end && w.State != Overdue {
-			return fmt.Errorf("overdue: %s is %v", id, w.State)
+		if active := m.active[id]; active != nil && active.returned < 0 && m.now > active.end && w.State != Overdue {
+			return fmt.Errorf("overdue: %s is past its end, but %v", id, w.State)
 		}
 	}
 	return nil
 }
 
-// breaker is a planted violation: it meddles with entries, state or answers.
-type breaker struct {
-	before func(m *Machine, e Entry) Entry
-	after  func(m *Machine, e Entry, a *Answer)
-	other  func(m *Machine) // with the second replica only, now and then
+// faultInjection makes a machine violate an invariant by changing entries, state or
+// answers.
+type faultInjection struct {
+	beforeApply     func(m *Machine, e Entry) Entry
+	afterApply      func(m *Machine, e Entry, a *Answer)
+	onSecondReplica func(m *Machine) // on the second replica only, at random
 }
 
-// run is one schedule over two replicas, the second now and then restored.
-type run struct {
-	draw    func(n int) int
-	br      breaker
-	a, b    *Machine
-	model   *model
-	index   uint64
-	asks    []Ask
-	log     []string
-	verbose bool
-	stats   map[string]int
+// scheduleRun is one random schedule on two replicas; the second is sometimes restored
+// from a snapshot.
+type scheduleRun struct {
+	draw          func(n int) int
+	fault         faultInjection
+	first, second *Machine
+	model         *model
+	index         uint64
+	requests      []Request
+	log           []string
+	verbose       bool
+	stats         map[string]int
 }
 
-var testSet = Settings{MaxTick: 5 * time.Minute, History: 8, MaxPlans: 12}
+var testSettings = Settings{MaxTick: 5 * time.Minute, History: 8, MaxPlans: 12}
 
 const minute = time.Minute
 
-func newRun(draw func(n int) int, br breaker) *run {
-	r := &run{draw: draw, br: br, stats: map[string]int{}}
-	r.a, _ = New(testSet)
-	r.b, _ = New(testSet)
-	set := testSet
-	_ = set.check()
-	r.model = newModel(set)
+func newRun(draw func(n int) int, fault faultInjection) *scheduleRun {
+	r := &scheduleRun{draw: draw, fault: fault, stats: map[string]int{}}
+	r.first, _ = New(testSettings)
+	r.second, _ = New(testSettings)
+	settings := testSettings
+	_ = settings.check()
+	r.model = newModel(settings)
 	return r
 }
 
-func (r *run) apply(e Entry) error {
+func (r *scheduleRun) apply(e Entry) error {
 	data, err := Encode(e)
 	if err != nil {
 		return err
 	}
 	r.index += 1 + uint64(r.draw(2))
 	var answers [2]string
-	for i, m := range []*Machine{r.a, r.b} {
-		x, d := e, data
-		if r.br.before != nil {
-			if x = r.br.before(m, e); x != nil {
-				d, _ = Encode(x)
+	for i, replica := range []*Machine{r.first, r.second} {
+		applied, encoded := e, data
+		if r.fault.beforeApply != nil {
+			if applied = r.fault.beforeApply(replica, e); applied != nil {
+				encoded, _ = Encode(applied)
 			}
 		}
-		ans := m.Apply(r.index, d)
-		if r.br.after != nil {
-			r.br.after(m, e, &ans)
+		answer := replica.Apply(r.index, encoded)
+		if r.fault.afterApply != nil {
+			r.fault.afterApply(replica, e, &answer)
 		}
-		if i == 1 && r.br.other != nil && r.draw(10) == 0 {
-			r.br.other(m)
+		if i == 1 && r.fault.onSecondReplica != nil && r.draw(10) == 0 {
+			r.fault.onSecondReplica(replica)
 		}
-		answers[i] = fmt.Sprintf("%+v", ans)
+		answers[i] = fmt.Sprintf("%+v", answer)
 		if i == 0 {
 			if r.verbose {
-				r.log = append(r.log, fmt.Sprintf("%T%+v", e, e), "  "+ans.Describe())
-				for _, ev := range ans.Events {
+				r.log = append(r.log, fmt.Sprintf("%T%+v", e, e), "  "+answer.Describe())
+				for _, ev := range answer.Events {
 					r.log = append(r.log, "  "+ev.Describe())
 				}
 			}
-			r.note(e, ans)
-			if err := r.model.watch(e, ans, m.List()); err != nil {
+			r.countStats(e, answer)
+			if err := r.model.check(e, answer, replica.List()); err != nil {
 				return err
 			}
 		}
@@ -565,23 +579,23 @@
 	if answers[0] != answers[1] {
 		return fmt.Errorf("same: answers differ:\n%s\n%s", answers[0], answers[1])
 	}
-	sa, err := r.a.Snapshot()
+	firstSnapshot, err := r.first.Snapshot()
 	if err != nil {
 		return err
 	}
-	sb, _ := r.b.Snapshot()
-	if !bytes.Equal(sa, sb) {
-		return fmt.Errorf("same: states differ")
+	secondSnapshot, _ := r.second.Snapshot()
+	if !bytes.Equal(firstSnapshot, secondSnapshot) {
+		return fmt.Errorf("same: snapshots differ")
 	}
 	if r.draw(12) == 0 {
-		if r.b, err = Restore(sb); err != nil {
+		if r.second, err = Restore(secondSnapshot); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (r *run) note(e Entry, a Answer) {
+func (r *scheduleRun) countStats(e Entry, a Answer) {
 	r.stats[strings.TrimPrefix(fmt.Sprintf("%T ", e), "window.")+a.Result.String()]++
 	for _, ev := range a.Events {
 		if ev.Kind == EventState {
@@ -590,13 +604,13 @@
 	}
 }
 
-func (r *run) minutes(least, most int) time.Duration {
-	return time.Duration(least+r.draw(most-least+1)) * minute
+func (r *scheduleRun) minutes(lowest, highest int) time.Duration {
+	return time.Duration(lowest+r.draw(highest-lowest+1)) * minute
 }
 
 var testScopes = []Scope{{}, {Region: "r0"}, {Region: "r1"}, {"r0", "z0"}, {"r0", "z1"}, {"r1", "z0"}, {"r1", "z1"}}
 
-func (r *run) steps(total int64) []Step {
+func (r *scheduleRun) steps(total int64) []Step {
 	var steps []Step
 	from := r.minutes(0, 100)
 	for range 1 + r.draw(3) {
@@ -606,25 +620,25 @@
 	return steps
 }
 
-func (r *run) total(sc Scope) (sum int64) {
+func (r *scheduleRun) total(sc Scope) (sum int64) {
 	for _, b := range r.model.backends {
-		if in(sc, b.Region, b.Zone) {
+		if scopeContains(sc, b.Region, b.Zone) {
 			sum += b.Size
 		}
 	}
 	return sum
 }
 
-func (r *run) put(i int, ready bool) Backend {
+func (r *scheduleRun) backend(i int, ready bool) Backend {
 	return Backend{ID: fmt.Sprintf("b%02d", i), Region: fmt.Sprintf("r%d", i%2), Zone: fmt.Sprintf("z%d", i/2%2),
-		Size: int64(5 + r.draw(16)), Warm: r.minutes(0, 20), Cold: int64(r.draw(600)), Ready: ready}
+		Size: int64(5 + r.draw(16)), WarmUpTime: r.minutes(0, 20), InitialPermille: int64(r.draw(600)), SkipWarmUp: ready}
 }
 
-func (r *run) ask() Ask {
-	e := Ask{ID: fmt.Sprintf("p%d", len(r.asks)), Region: fmt.Sprintf("r%d", r.draw(2)),
-		Duration: r.minutes(3, 90), Earliest: r.model.now + r.minutes(0, 60), Priority: r.draw(3),
-		Notice: r.minutes(0, 2) * time.Duration(r.draw(10)), Recall: r.draw(2) == 0}
-	e.Latest = max(e.Earliest, r.model.now+e.Notice) + e.Duration + r.minutes(5, 400)
+func (r *scheduleRun) request() Request {
+	e := Request{ID: fmt.Sprintf("p%d", len(r.requests)), Region: fmt.Sprintf("r%d", r.draw(2)),
+		Duration: r.minutes(3, 90), EarliestStart: r.model.now + r.minutes(0, 60), Priority: r.draw(3),
+		Notice: r.minutes(0, 2) * time.Duration(r.draw(10)), Recallable: r.draw(2) == 0}
+	e.LatestEnd = max(e.EarliestStart, r.model.now+e.Notice) + e.Duration + r.minutes(5, 400)
 	if r.draw(4) == 0 {
 		e.Zone, e.Amount = fmt.Sprintf("z%d", r.draw(2)), int64(1+r.draw(25))
 		return e
@@ -637,11 +651,12 @@
 	return e
 }
 
-// pick is a window that is not back: mostly one of those that have to come back.
-func (r *run) pick() (string, Fence) {
+// pickConfirmation returns the id and fence of a window, mostly one that has not
+// returned yet, and sometimes an outdated fence.
+func (r *scheduleRun) pickConfirmation() (string, Fence) {
 	var ids []string
-	for _, id := range slices.Sorted(maps.Keys(r.model.holds)) {
-		if r.model.holds[id].returned < 0 || r.draw(20) == 0 {
+	for _, id := range slices.Sorted(maps.Keys(r.model.active)) {
+		if r.model.active[id].returned < 0 || r.draw(20) == 0 {
 			ids = append(ids, id)
 		}
 	}
@@ -649,67 +664,68 @@
 		return "p0", 1024
 	}
 	id := ids[r.draw(len(ids))]
-	f := r.model.holds[id].fence
+	f := r.model.active[id].fence
 	if r.draw(8) == 0 {
 		f -= Fence(1 + r.draw(2000))
 	}
 	return id, f
 }
 
-func (r *run) next() Entry {
-	some := func() []string { return []string{fmt.Sprintf("b%02d", r.draw(12))} }
-	switch k := r.draw(100); {
-	case k < 38:
+func (r *scheduleRun) nextEntry() Entry {
+	randomBackend := func() []string { return []string{fmt.Sprintf("b%02d", r.draw(12))} }
+	switch choice := r.draw(100); {
+	case choice < 38:
 		return Tick{time.Duration(1+r.draw(5)) * minute}
-	case k < 40:
+	case choice < 40:
 		return Tick{time.Duration(r.draw(int(6 * minute)))}
-	case k < 56:
-		e := r.ask()
-		r.asks = append(r.asks, e)
+	case choice < 56:
+		e := r.request()
+		r.requests = append(r.requests, e)
 		return e
-	case k < 60 && len(r.asks) > 0:
-		e := r.asks[r.draw(len(r.asks))]
+	case choice < 60 && len(r.requests) > 0:
+		e := r.requests[r.draw(len(r.requests))]
 		if r.draw(2) == 0 {
 			e.Duration += minute
 		}
 		return e
-	case k < 72:
-		id, f := r.pick()
+	case choice < 72:
+		id, f := r.pickConfirmation()
 		return Drained{id, f, fmt.Sprintf("m%d", r.draw(3))}
-	case k < 75:
-		id, f := r.pick()
+	case choice < 75:
+		id, f := r.pickConfirmation()
 		return Return{id, f}
-	case k < 83:
-		id, f := r.pick()
+	case choice < 83:
+		id, f := r.pickConfirmation()
 		return Returned{id, f}
-	case k < 86:
-		return Failed{some()}
-	case k < 90:
+	case choice < 86:
+		return BackendsFailed{randomBackend()}
+	case choice < 90:
 		for _, id := range slices.Sorted(maps.Keys(r.model.failed)) {
-			return Recovered{[]string{id}}
+			return BackendsRecovered{[]string{id}}
 		}
-		return Recovered{some()}
-	case k < 93:
+		return BackendsRecovered{randomBackend()}
+	case choice < 93:
 		sc := testScopes[r.draw(len(testScopes))]
 		return SetFloor{sc, r.steps(r.total(sc))}
-	case k < 95:
-		return Cancel{fmt.Sprintf("p%d", r.draw(len(r.asks)+1))}
-	case k < 97:
-		return Serving{[]string{"m0", "m1", "m2"}[:r.draw(4)]}
-	case k < 99:
-		return Backends{[]Backend{r.put(r.draw(13), r.draw(2) == 0)}}
+	case choice < 95:
+		return Cancel{fmt.Sprintf("p%d", r.draw(len(r.requests)+1))}
+	case choice < 97:
+		return SetServing{[]string{"m0", "m1", "m2"}[:r.draw(4)]}
+	case choice < 99:
+		return PutBackends{[]Backend{r.backend(r.draw(13), r.draw(2) == 0)}}
 	default:
-		return Remove{some()}
+		return RemoveBackends{randomBackend()}
 	}
 }
 
-// schedule plays one world and returns the first violation.
-func (r *run) schedule(steps int) error {
+// play runs a schedule with the given number of random entries and returns the first
+// violation.
+func (r *scheduleRun) play(steps int) error {
 	var all []Backend
 	for i := range 12 {
-		all = append(all, r.put(i, true))
+		all = append(all, r.backend(i, true))
 	}
-	first := []Entry{Backends{all}, Serving{[]string{"m0", "m1"}}}
+	first := []Entry{PutBackends{all}, SetServing{[]string{"m0", "m1"}}}
 	for _, e := range first {
 		if err := r.apply(e); err != nil {
 			return err
@@ -723,13 +739,13 @@
 		}
 	}
 	for range steps {
-		if err := r.apply(r.next()); err != nil {
+		if err := r.apply(r.nextEntry()); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func seeded(seed uint64) func(int) int {
+func seededDraw(seed uint64) func(int) int {
 	return rand.New(rand.NewPCG(seed, 1)).IntN
 }
