--- a/cmd/oxbowvoter/main_test.go
+++ b/cmd/oxbowvoter/main_test.go
@@ -45,8 +45,8 @@
 	os.Exit(code)
 }
 
-// configs returns the configurations of three voters.
-func configs(t *testing.T) []config {
+// newConfigs returns the configurations of three voters.
+func newConfigs(t *testing.T) []config {
 	var peers []agree.Peer
 	for i := range 3 {
 		peers = append(peers, agree.Peer{Name: fmt.Sprintf("v%d", i+1), RaftAddress: standin.FreeAddr(t), ClientAddress: standin.FreeAddr(t)})
@@ -71,8 +71,8 @@
 	return path
 }
 
-// process is a running voter.
-type process struct {
+// voterProcess is a running voter.
+type voterProcess struct {
 	cmd    *exec.Cmd
 	exited chan error
 
@@ -80,15 +80,15 @@
 	log bytes.Buffer
 }
 
-func (p *process) Write(b []byte) (int, error) {
+func (p *voterProcess) Write(b []byte) (int, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.log.Write(b)
 }
 
-func startVoter(t *testing.T, path string) *process {
+func startVoter(t *testing.T, path string) *voterProcess {
 	t.Helper()
-	p := &process{cmd: exec.Command(program, "serve", path), exited: make(chan error, 1)}
+	p := &voterProcess{cmd: exec.Command(program, "serve", path), exited: make(chan error, 1)}
 	p.cmd.Stderr = p
 	if err := p.cmd.Start(); err != nil {
 		t.Fatal(err)
@@ -106,14 +106,14 @@
 	return p
 }
 
-func (p *process) signal(t *testing.T, s os.Signal) {
+func (p *voterProcess) signal(t *testing.T, s os.Signal) {
 	t.Helper()
 	if err := p.cmd.Process.Signal(s); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func (p *process) wait(t *testing.T) error {
+func (p *voterProcess) wait(t *testing.T) error {
 	t.Helper()
 	select {
 	case err := <-p.exited:
@@ -195,13 +195,13 @@
 }
 
 func TestFleetVoters(t *testing.T) {
-	voterConfigs := configs(t)
+	voterConfigs := newConfigs(t)
 	var paths, addrs []string
-	var voters []*process
-	var direct []*agree.Client
+	var voters []*voterProcess
+	var clients []*agree.Client
 	for _, c := range voterConfigs {
 		paths, addrs = append(paths, writeConfig(t, c)), append(addrs, c.Listen)
-		direct = append(direct, newClient(t, c.Listen))
+		clients = append(clients, newClient(t, c.Listen))
 	}
 	for _, p := range paths {
 		voters = append(voters, startVoter(t, p))
@@ -211,8 +211,8 @@
 	addBackend(t, client, backendCount)
 	leader := func() int {
 		for end := time.Now().Add(testTimeout); time.Now().Before(end); {
-			for i := range direct {
-				if isLeader(direct[i]) {
+			for i := range clients {
+				if isLeader(clients[i]) {
 					return i
 				}
 			}
@@ -326,8 +326,8 @@
 
 // The resident memory of an idle voter is logged, and must be below 1 GB.
 func TestIdleMemory(t *testing.T) {
-	voterConfigs := configs(t)
-	var voters []*process
+	voterConfigs := newConfigs(t)
+	var voters []*voterProcess
 	var addrs []string
 	for _, c := range voterConfigs {
 		voters, addrs = append(voters, startVoter(t, writeConfig(t, c))), append(addrs, c.Listen)
@@ -356,7 +356,7 @@
 
 // An invalid configuration causes one line on standard error and a nonzero exit status.
 func TestErrorOutput(t *testing.T) {
-	good := configs(t)[0]
+	good := newConfigs(t)[0]
 	change := func(f func(*config)) config {
 		config := good
 		config.Voters = append([]agree.Peer(nil), good.Voters...)
--- a/cmd/oxbowvoter/window_test.go
+++ b/cmd/oxbowvoter/window_test.go
@@ -35,8 +35,8 @@
 // and a granted one remains granted after a restart of all voters.
 func TestFleetWindows(t *testing.T) {
 	var addrs, paths []string
-	var voters []*process
-	for _, c := range configs(t) {
+	var voters []*voterProcess
+	for _, c := range newConfigs(t) {
 		path := writeConfig(t, c)
 		addrs, paths = append(addrs, c.Listen), append(paths, path)
 		voters = append(voters, startVoter(t, path))
--- a/fleet/agree/agree_test.go
+++ b/fleet/agree/agree_test.go
@@ -68,7 +68,7 @@
 	var stopped sync.WaitGroup
 	stopped.Go(func() { (<-toStop).stop() })
 	answer, index, err := client.Propose(testContext(t), markedEntry)
-	if got := value(t, answer, err); got != 1001 {
+	if got := registerValue(t, answer, err); got != 1001 {
 		t.Fatalf("answer %d, not 1001", got)
 	}
 	if index == 0 {
@@ -91,10 +91,10 @@
 	}
 	proposal := sessionEntry{Session: session, Seq: 1, Data: register.Add(0, 5)}
 	first, index, err := v.propose(ctx, proposal)
-	value(t, first, err)
+	registerValue(t, first, err)
 	for range 3 {
 		again, at, err := v.propose(ctx, proposal)
-		if value(t, again, err) != 5 || at != index {
+		if registerValue(t, again, err) != 5 || at != index {
 			t.Fatalf("retry: answer %v at index %d, first %v at %d", again, at, first, index)
 		}
 	}
@@ -154,7 +154,7 @@
 		n.setIsolated(false)
 	}
 	answer, _, err := proposal.submit(testContext(t))
-	if got := value(t, answer, err); got != 3 {
+	if got := registerValue(t, answer, err); got != 3 {
 		t.Fatalf("after the partition healed: answer %d, not 3", got)
 	}
 }
@@ -203,7 +203,7 @@
 
 // injectWriteFault returns a function that makes all later writes of a store fail, either before
 // or, if after is true, after the data is on disk.
-func injectWriteFault(s *logStore, after bool) (arm func()) {
+func injectWriteFault(s *logStore, after bool) (enable func()) {
 	var failing bool
 	var mu sync.Mutex
 	s.update = func(f func(*bbolt.Tx) error) error {
@@ -231,7 +231,7 @@
 		c := newCluster(t, 3, newRegister, nil)
 		injectFault := map[*node]func(){}
 		for _, n := range c.nodes {
-			n.fault = func(s *logStore) { injectFault[n] = injectWriteFault(s, after) }
+			n.injectFault = func(s *logStore) { injectFault[n] = injectWriteFault(s, after) }
 		}
 		c.start()
 		client := c.client()
@@ -247,7 +247,7 @@
 				t.Fatalf("after=%v: voter stopped with error %v", after, err)
 			}
 			leader.stop()
-			leader.fault = nil
+			leader.injectFault = nil
 			if err := leader.start(); err != nil {
 				t.Fatal(err)
 			}
@@ -263,7 +263,7 @@
 	c := newCluster(t, 3, newRegister, nil)
 	injectFault := map[*node]func(){}
 	for _, n := range c.nodes {
-		n.fault = func(s *logStore) { injectFault[n] = injectWriteFault(s, false) }
+		n.injectFault = func(s *logStore) { injectFault[n] = injectWriteFault(s, false) }
 	}
 	c.start()
 	client := c.client()
@@ -276,7 +276,7 @@
 	}
 	leader.stop()
 	for _, n := range c.nodes {
-		n.fault = nil
+		n.injectFault = nil
 	}
 	// Of the two remaining voters only the first candidate is certain to write a term
 	// and a vote, so the stop of one is enough.
@@ -400,7 +400,7 @@
 	start := time.Now()
 	elapsed := func() time.Duration {
 		answer, _, err := client.Read(testContext(t), register.Elapsed())
-		return time.Duration(value(t, answer, err))
+		return time.Duration(registerValue(t, answer, err))
 	}
 	await(t, "time", func() bool { return elapsed() > 100*time.Millisecond })
 	for range 2 {
@@ -442,7 +442,7 @@
 	var want []effect
 	for i := range effectCount {
 		answer, index, err := proposer.Propose(testContext(t), register.Add(0, 1))
-		value(t, answer, err)
+		registerValue(t, answer, err)
 		want = append(want, effect{index, answer})
 		if i == effectCount/2 {
 			leader := c.leader()
--- a/fleet/agree/client.go
+++ b/fleet/agree/client.go
@@ -54,11 +54,11 @@
 	// sessionOpening is a semaphore: one goroutine at a time opens a session.
 	sessionOpening chan struct{}
 
-	mu      sync.Mutex
-	closed  bool
-	target  int // index into cfg.Voters
-	conn    *clientConn
-	dialing chan struct{} // closed at the end of the current dial; nil: none
+	mu          sync.Mutex
+	closed      bool
+	targetIndex int // index into cfg.Voters
+	conn        *clientConn
+	dialing     chan struct{} // closed at the end of the current dial; nil: none
 
 	session     uint64          // 0: none
 	seq         uint64          // the last sequence number assigned
@@ -73,7 +73,7 @@
 	}
 	return &Client{
 		cfg: cfg, log: log, slots: make(chan struct{}, cfg.MaxProposals), sessionOpening: make(chan struct{}, 1),
-		target: rand.IntN(len(cfg.Voters)), outstanding: map[uint64]bool{},
+		targetIndex: rand.IntN(len(cfg.Voters)), outstanding: map[uint64]bool{},
 	}, nil
 }
 
--- a/fleet/agree/client_conn.go
+++ b/fleet/agree/client_conn.go
@@ -29,7 +29,7 @@
 
 	mu      sync.Mutex
 	lastID  uint64
-	waiting map[uint64]*replyWaiter
+	waiters map[uint64]*replyWaiter
 	state   connState
 	err     error // in connClosed: the reason
 }
@@ -44,7 +44,7 @@
 }
 
 func newClientConn(conn net.Conn, cfg *ClientConfig) *clientConn {
-	c := &clientConn{conn: conn, cfg: cfg, closed: make(chan struct{}), waiting: map[uint64]*replyWaiter{}}
+	c := &clientConn{conn: conn, cfg: cfg, closed: make(chan struct{}), waiters: map[uint64]*replyWaiter{}}
 	go c.read()
 	go c.ping()
 	return c
@@ -67,9 +67,9 @@
 	c.state, c.err = connClosed, err
 	close(c.closed)
 	c.conn.Close()
-	for id, w := range c.waiting {
+	for id, w := range c.waiters {
 		close(w.replies)
-		delete(c.waiting, id)
+		delete(c.waiters, id)
 	}
 }
 
@@ -78,13 +78,13 @@
 func (c *clientConn) drain() {
 	c.mu.Lock()
 	c.state = max(c.state, connDraining)
-	for id, w := range c.waiting {
+	for id, w := range c.waiters {
 		if cap(w.replies) == subscriberBuffer {
 			close(w.replies)
-			delete(c.waiting, id)
+			delete(c.waiters, id)
 		}
 	}
-	idle := len(c.waiting) == 0
+	idle := len(c.waiters) == 0
 	c.mu.Unlock()
 	if idle {
 		c.fail(net.ErrClosed)
@@ -102,7 +102,7 @@
 	c.lastID++
 	q.ID = c.lastID
 	w := &replyWaiter{q.ID, make(chan *reply, buffer)}
-	c.waiting[q.ID] = w
+	c.waiters[q.ID] = w
 	c.mu.Unlock()
 	frame, err := encodeFrame(q)
 	if err != nil {
@@ -122,8 +122,8 @@
 // forget removes a waiter; its later replies are discarded.
 func (c *clientConn) forget(w *replyWaiter) {
 	c.mu.Lock()
-	delete(c.waiting, w.id)
-	idle := c.state == connDraining && len(c.waiting) == 0
+	delete(c.waiters, w.id)
+	idle := c.state == connDraining && len(c.waiters) == 0
 	c.mu.Unlock()
 	if idle {
 		c.fail(net.ErrClosed)
@@ -151,7 +151,7 @@
 func (c *clientConn) deliver(r *reply) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	w := c.waiting[r.ID]
+	w := c.waiters[r.ID]
 	if w == nil {
 		return
 	}
@@ -163,7 +163,7 @@
 	default:
 		close(w.replies)
 	}
-	delete(c.waiting, r.ID)
+	delete(c.waiters, r.ID)
 }
 
 // ping sends a request every ClientConfig.PingInterval, so that a broken connection is detected.
--- a/fleet/agree/client_connect.go
+++ b/fleet/agree/client_connect.go
@@ -32,12 +32,12 @@
 		}
 	}
 	if c.conn != nil { // it failed, so the next voter is tried
-		c.target = (c.target + 1) % len(c.cfg.Voters)
+		c.targetIndex = (c.targetIndex + 1) % len(c.cfg.Voters)
 		c.conn = nil
 	}
 	dialed := make(chan struct{})
 	c.dialing = dialed
-	addr := c.cfg.Voters[c.target]
+	addr := c.cfg.Voters[c.targetIndex]
 	c.mu.Unlock()
 
 	conn, err := net.DialTimeout("tcp", addr, c.cfg.RequestTimeout)
@@ -47,7 +47,7 @@
 	c.dialing = nil
 	close(dialed)
 	if err != nil {
-		c.target = (c.target + 1) % len(c.cfg.Voters)
+		c.targetIndex = (c.targetIndex + 1) % len(c.cfg.Voters)
 		return nil, fmt.Errorf("agree: %w", err)
 	}
 	if c.closed {
@@ -76,10 +76,10 @@
 		c.mu.Unlock()
 		return // another call has switched already
 	}
-	if next < 0 || next == c.target {
-		next = (c.target + 1) % len(c.cfg.Voters)
+	if next < 0 || next == c.targetIndex {
+		next = (c.targetIndex + 1) % len(c.cfg.Voters)
 	}
-	c.target, c.conn = next, nil
+	c.targetIndex, c.conn = next, nil
 	c.mu.Unlock()
 	from.drain()
 }
--- a/fleet/agree/cluster_test.go
+++ b/fleet/agree/cluster_test.go
@@ -25,20 +25,20 @@
 	testHeartbeat = 150 * time.Millisecond
 )
 
-var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
+var discardLogger = slog.New(slog.NewTextHandler(io.Discard, nil))
 
 func init() {
 	if os.Getenv("AGREE_LOG") != "" {
-		quiet = slog.New(slog.NewTextHandler(os.Stderr, nil))
+		discardLogger = slog.New(slog.NewTextHandler(os.Stderr, nil))
 	}
 }
 
 // await polls a condition until it holds, and fails the test after testTimeout.
-func await(t testing.TB, what string, ok func() bool) {
+func await(t testing.TB, description string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("waiting for %s: not within %v", what, testTimeout)
+			t.Fatalf("waiting for %s: not within %v", description, testTimeout)
 		}
 	}
 }
@@ -51,11 +51,11 @@
 
 // node has the configuration, directory and network of a voter that can be restarted.
 type node struct {
-	t          testing.TB
-	cfg        Config
-	clientAddr string // for clients
-	machine    func() Machine
-	fault      func(*logStore) // injects a fault into the store before it is used
+	tb          testing.TB
+	cfg         Config
+	clientAddr  string // for clients
+	machine     func() Machine
+	injectFault func(*logStore) // injects a fault into the store before it is used
 
 	mu       sync.Mutex
 	isolated bool
@@ -110,10 +110,10 @@
 }
 
 // setIsolated isolates a node from other voters or reconnects it. It closes all connections.
-func (n *node) setIsolated(cut bool) {
+func (n *node) setIsolated(isolated bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.isolated = cut
+	n.isolated = isolated
 	for c := range n.conns {
 		c.Close()
 		delete(n.conns, c)
@@ -128,25 +128,25 @@
 	}
 	cfg := n.cfg
 	cfg.streamLayer = &nodeLayer{ln, n}
-	if n.fault != nil {
+	if n.injectFault != nil {
 		if cfg.store, err = openStore(cfg.Dir); err != nil {
 			ln.Close()
 			return err
 		}
-		n.fault(cfg.store)
+		n.injectFault(cfg.store)
 	}
-	v, err := Start(cfg, n.machine(), quiet)
+	v, err := Start(cfg, n.machine(), discardLogger)
 	if err != nil {
 		ln.Close()
 		return err
 	}
-	ask, err := net.Listen("tcp", n.clientAddr)
+	clientListener, err := net.Listen("tcp", n.clientAddr)
 	if err != nil {
 		v.Stop(false)
 		ln.Close()
 		return err
 	}
-	n.voter, n.server = v, Serve(ask, v, ServerLimits{}, quiet)
+	n.voter, n.server = v, Serve(clientListener, v, ServerLimits{}, discardLogger)
 	return nil
 }
 
@@ -163,13 +163,13 @@
 }
 
 type cluster struct {
-	t           testing.TB
+	tb          testing.TB
 	nodes       []*node
 	clientAddrs []string // for clients
 }
 
 func newCluster(t testing.TB, n int, machine func() Machine, adjust func(*Config)) *cluster {
-	c := &cluster{t: t}
+	c := &cluster{tb: t}
 	var peers []Peer
 	for i := range n {
 		p := Peer{fmt.Sprintf("v%d", i+1), standin.FreeAddr(t), standin.FreeAddr(t)}
@@ -180,7 +180,7 @@
 		if adjust != nil {
 			adjust(&cfg)
 		}
-		c.nodes = append(c.nodes, &node{t: t, cfg: cfg, clientAddr: p.ClientAddress, machine: machine, conns: map[net.Conn]bool{}})
+		c.nodes = append(c.nodes, &node{tb: t, cfg: cfg, clientAddr: p.ClientAddress, machine: machine, conns: map[net.Conn]bool{}})
 	}
 	t.Cleanup(func() {
 		for _, n := range c.nodes {
@@ -193,18 +193,18 @@
 func newRegister() Machine { return register.New() }
 
 func (c *cluster) start() *cluster {
-	c.t.Helper()
+	c.tb.Helper()
 	for _, n := range c.nodes {
 		if err := n.start(); err != nil {
-			c.t.Fatal(err)
+			c.tb.Fatal(err)
 		}
 	}
 	return c
 }
 
 func (c *cluster) leader() (found *node) {
-	c.t.Helper()
-	await(c.t, "a leader", func() bool {
+	c.tb.Helper()
+	await(c.tb, "a leader", func() bool {
 		for _, n := range c.nodes {
 			if n.voter != nil && !n.isIsolated() && n.voter.leading() {
 				found = n
@@ -217,17 +217,17 @@
 }
 
 func (c *cluster) client() *Client {
-	c.t.Helper()
-	client, err := NewClient(ClientConfig{Voters: c.clientAddrs, RequestTimeout: 4 * testHeartbeat}, quiet)
+	c.tb.Helper()
+	client, err := NewClient(ClientConfig{Voters: c.clientAddrs, RequestTimeout: 4 * testHeartbeat}, discardLogger)
 	if err != nil {
-		c.t.Fatal(err)
+		c.tb.Fatal(err)
 	}
-	c.t.Cleanup(client.Close)
+	c.tb.Cleanup(client.Close)
 	return client
 }
 
-// value decodes an answer of the register machine.
-func value(t testing.TB, answer []byte, err error) uint64 {
+// registerValue decodes an answer of the register machine.
+func registerValue(t testing.TB, answer []byte, err error) uint64 {
 	t.Helper()
 	if err != nil {
 		t.Fatal(err)
@@ -240,13 +240,13 @@
 }
 
 func (c *cluster) add(client *Client, n uint64) uint64 {
-	c.t.Helper()
-	answer, _, err := client.Propose(testContext(c.t), register.Add(0, n))
-	return value(c.t, answer, err)
+	c.tb.Helper()
+	answer, _, err := client.Propose(testContext(c.tb), register.Add(0, n))
+	return registerValue(c.tb, answer, err)
 }
 
 func (c *cluster) read(client *Client) uint64 {
-	c.t.Helper()
-	answer, _, err := client.Read(testContext(c.t), register.Get(0))
-	return value(c.t, answer, err)
+	c.tb.Helper()
+	answer, _, err := client.Read(testContext(c.tb), register.Get(0))
+	return registerValue(c.tb, answer, err)
 }
--- a/fleet/agree/errors.go
+++ b/fleet/agree/errors.go
@@ -64,11 +64,11 @@
 	return fmt.Sprintf("agree: effects before %d are not kept", e.Oldest)
 }
 
-// code is a result code on the wire.
-type code uint8
+// resultCode is a result code on the wire.
+type resultCode uint8
 
 const (
-	codeOK code = iota
+	codeOK resultCode = iota
 	codeNotLeader
 	codeBusy
 	codeOutcomeUnknown
@@ -82,7 +82,7 @@
 	codeEffect     // an effect; the subscription goes on
 )
 
-var errorsByCode = map[code]error{
+var errorsByCode = map[resultCode]error{
 	codeOutcomeUnknown: ErrOutcomeUnknown, codeShutdown: ErrShutdown, codeUnknownSession: ErrUnknownSession, codeConfirmed: ErrConfirmed,
 	codeTooManyUnconfirmed: ErrTooManyUnconfirmed, codeTooLong: ErrTooLong,
 }
--- a/fleet/agree/form.go
+++ b/fleet/agree/form.go
@@ -38,8 +38,8 @@
 	Name         string            `cbor:"1,keyasint"`
 	VoterSetHash uint64            `cbor:"2,keyasint"` // hash of the names and addresses of the initial set
 	Incarnation  uint64            `cbor:"3,keyasint"`
-	Incarnations map[string]uint64 `cbor:"4,keyasint,omitempty"` // of all initial voters when this one formed; nil: not formed
-	HasFormed    bool              `cbor:"5,keyasint,omitempty"` // set even if Incarnations is empty, as for an added voter
+	Incarnations map[string]uint64 `cbor:"4,keyasint,omitempty"` // of the initial voters, once formed
+	HasFormed    bool              `cbor:"5,keyasint,omitempty"` // set also for an added voter
 }
 
 var (
@@ -122,11 +122,11 @@
 	v.log.Info("forming", "life", v.identity.Incarnation)
 	var previous map[string]uint64
 	for {
-		found, err := v.queryPeers()
+		replies, err := v.queryPeers()
 		if err != nil {
 			return err
 		}
-		incarnations, formed, err := decideFormation(v.identity, v.cfg.InitialVoters, found)
+		incarnations, formed, err := decideFormation(v.identity, v.cfg.InitialVoters, replies)
 		if err != nil {
 			return err
 		}
@@ -180,13 +180,13 @@
 			answers <- answer{p.Name, peerHello, err}
 		}()
 	}
-	found := map[string]hello{}
+	replies := map[string]hello{}
 	for range queried {
 		if a := <-answers; a.err == nil {
-			found[a.name] = a.peerHello
+			replies[a.name] = a.peerHello
 		}
 	}
-	return found, nil
+	return replies, nil
 }
 
 // queryPeer queries the voter at addr.
@@ -223,10 +223,10 @@
 // decideFormation decides from the replies of the other voters whether a voter may form. It
 // returns the incarnations to form with, or nil if the voter can't form yet. If formed is true,
 // another voter has formed with these incarnations, and no second round is needed.
-func decideFormation(self hello, voters []Peer, found map[string]hello) (incarnations map[string]uint64, formed bool, err error) {
+func decideFormation(self hello, voters []Peer, replies map[string]hello) (incarnations map[string]uint64, formed bool, err error) {
 	incarnationsByName := map[string]uint64{self.Name: self.Incarnation}
 	for _, p := range voters {
-		h, ok := found[p.Name]
+		h, ok := replies[p.Name]
 		if !ok {
 			continue
 		}
--- a/fleet/agree/frame.go
+++ b/fleet/agree/frame.go
@@ -44,7 +44,7 @@
 	Seq       uint64      `cbor:"4,keyasint,omitempty"`
 	Confirmed uint64      `cbor:"5,keyasint,omitempty"`
 	From      uint64      `cbor:"6,keyasint,omitempty"` // first index of a subscription
-	Timeout   int64       `cbor:"7,keyasint,omitempty"` // how long the client waits, in ms; 0: not limited by the client
+	Timeout   int64       `cbor:"7,keyasint,omitempty"` // of the client, in ms; 0: none
 	Body      []byte      `cbor:"8,keyasint,omitempty"` // the entry or the query
 	Name      string      `cbor:"9,keyasint,omitempty"`
 	Address   string      `cbor:"10,keyasint,omitempty"`
@@ -52,13 +52,13 @@
 
 // reply is a message from a voter to a client.
 type reply struct {
-	ID         uint64 `cbor:"1,keyasint"`
-	Code       code   `cbor:"2,keyasint,omitempty"`
-	Index      uint64 `cbor:"3,keyasint,omitempty"`
-	Body       []byte `cbor:"4,keyasint,omitempty"`
-	Text       string `cbor:"5,keyasint,omitempty"` // the leader's address, or the reason of codeBadRequest
-	RetryAfter int64  `cbor:"6,keyasint,omitempty"` // delay before the next attempt, in ms
-	Hello      *hello `cbor:"7,keyasint,omitempty"`
+	ID         uint64     `cbor:"1,keyasint"`
+	Code       resultCode `cbor:"2,keyasint,omitempty"`
+	Index      uint64     `cbor:"3,keyasint,omitempty"`
+	Body       []byte     `cbor:"4,keyasint,omitempty"`
+	Text       string     `cbor:"5,keyasint,omitempty"` // the leader's address, or the reason of codeBadRequest
+	RetryAfter int64      `cbor:"6,keyasint,omitempty"` // delay before the next attempt, in ms
+	Hello      *hello     `cbor:"7,keyasint,omitempty"`
 }
 
 var (
@@ -103,11 +103,11 @@
 	return frame, nil
 }
 
-// errFrame is wrapped by errors of malformed frames, as opposed to errors of the connection.
-var errFrame = errors.New("agree: bad frame")
+// errMalformedFrame is wrapped by errors of malformed frames, as opposed to errors of the connection.
+var errMalformedFrame = errors.New("agree: bad frame")
 
 // readFrame reads a frame into m, a *request or *reply. Memory is allocated for the
-// bytes received, not for the length announced. An error that wraps errFrame means
+// bytes received, not for the length announced. An error that wraps errMalformedFrame means
 // that the sender sent a malformed frame. onFirstByte is called after the first byte.
 func readFrame(r io.Reader, m any, onFirstByte func()) error {
 	var head [frameHeaderSize]byte
@@ -120,17 +120,17 @@
 	}
 	size := binary.BigEndian.Uint32(head[:])
 	if size < 2 || size > maxFrame {
-		return fmt.Errorf("%w: %d bytes", errFrame, size)
+		return fmt.Errorf("%w: %d bytes", errMalformedFrame, size)
 	}
 	var b bytes.Buffer
 	if _, err := io.CopyN(&b, r, int64(size)); err != nil {
 		return toUnexpectedEOF(err)
 	}
 	if version := b.Bytes()[0]; version != wireVersion {
-		return fmt.Errorf("%w: version %d, not %d", errFrame, version, wireVersion)
+		return fmt.Errorf("%w: version %d, not %d", errMalformedFrame, version, wireVersion)
 	}
 	if err := decMode.Unmarshal(b.Bytes()[1:], m); err != nil {
-		return fmt.Errorf("%w: %w", errFrame, err)
+		return fmt.Errorf("%w: %w", errMalformedFrame, err)
 	}
 	return nil
 }
--- a/fleet/agree/large_test.go
+++ b/fleet/agree/large_test.go
@@ -12,12 +12,12 @@
 	long := bytes.Repeat([]byte("x"), MaxEntry)
 	sent := request{Kind: requestPropose, ID: most, Session: most, Seq: most, Confirmed: most, From: most, Timeout: 1 << 62, Body: long}
 	var got request
-	if err := readFrame(bytes.NewReader(frame(t, &sent)), &got, func() {}); err != nil || !bytes.Equal(got.Body, long) {
+	if err := readFrame(bytes.NewReader(mustEncodeFrame(t, &sent)), &got, func() {}); err != nil || !bytes.Equal(got.Body, long) {
 		t.Errorf("request: body of %d bytes, error %v", len(got.Body), err)
 	}
 	answer := reply{ID: most, Index: most, Body: long, RetryAfter: 1 << 62}
 	var back reply
-	if err := readFrame(bytes.NewReader(frame(t, &answer)), &back, func() {}); err != nil || !bytes.Equal(back.Body, long) {
+	if err := readFrame(bytes.NewReader(mustEncodeFrame(t, &answer)), &back, func() {}); err != nil || !bytes.Equal(back.Body, long) {
 		t.Errorf("reply: body of %d bytes, error %v", len(back.Body), err)
 	}
 }
--- a/fleet/agree/proposal.go
+++ b/fleet/agree/proposal.go
@@ -124,7 +124,7 @@
 	}
 	p.reply = make(chan result, 1)
 	select {
-	case v.inbox <- p:
+	case v.proposals <- p:
 	default:
 		return nil, 0, &busyError{v.cfg.RetryAfter}
 	}
--- a/fleet/agree/raft.go
+++ b/fleet/agree/raft.go
@@ -17,15 +17,15 @@
 		if p := recover(); p != nil { // raft panics if it can't read its log
 			err = fmt.Errorf("agree: raft: %v", p)
 		}
-		if err != nil && v.trans != nil {
-			v.trans.Close()
+		if err != nil && v.transport != nil {
+			v.transport.Close()
 		}
 	}()
-	if v.trans, err = v.listen(); err != nil {
+	if v.transport, err = v.listen(); err != nil {
 		return err
 	}
-	conf := v.cfg.raft(v.hclog)
-	hasState, err := raft.HasExistingState(v.store, v.store, v.snaps)
+	conf := v.cfg.raft(v.raftLogger)
+	hasState, err := raft.HasExistingState(v.store, v.store, v.snapshots)
 	if err != nil {
 		return err
 	}
@@ -36,11 +36,11 @@
 				raft.Server{ID: raft.ServerID(p.Name), Address: raft.ServerAddress(p.RaftAddress)})
 		}
 		initial := raft.Configuration{Servers: servers}
-		if err := raft.BootstrapCluster(conf, v.store, v.store, v.snaps, v.trans, initial); err != nil {
+		if err := raft.BootstrapCluster(conf, v.store, v.store, v.snapshots, v.transport, initial); err != nil {
 			return fmt.Errorf("agree: bootstrap: %w", err)
 		}
 	}
-	r, err := raft.NewRaft(conf, v.fsm, v.store, v.store, v.snaps, v.trans)
+	r, err := raft.NewRaft(conf, v.fsm, v.store, v.store, v.snapshots, v.transport)
 	if err != nil {
 		return fmt.Errorf("agree: %w", err)
 	}
@@ -54,7 +54,7 @@
 
 func (v *Voter) listen() (*raft.NetworkTransport, error) {
 	conf := &raft.NetworkTransportConfig{
-		Stream: v.cfg.streamLayer, MaxPool: 2, Timeout: 10 * v.cfg.HeartbeatTimeout, Logger: v.hclog,
+		Stream: v.cfg.streamLayer, MaxPool: 2, Timeout: 10 * v.cfg.HeartbeatTimeout, Logger: v.raftLogger,
 	}
 	if conf.Stream != nil {
 		return raft.NewNetworkTransportWithConfig(conf), nil
@@ -96,7 +96,7 @@
 	return l
 }
 
-type raftLogSink struct{ log *slog.Logger }
+type raftLogSink struct{ logger *slog.Logger }
 
 func (s raftLogSink) Accept(_ string, level hclog.Level, msg string, args ...any) {
 	slogLevel := slog.LevelDebug
@@ -115,5 +115,5 @@
 		}
 		attrs = append(attrs, a)
 	}
-	s.log.Log(context.Background(), slogLevel, msg, attrs...)
+	s.logger.Log(context.Background(), slogLevel, msg, attrs...)
 }
--- a/fleet/agree/server.go
+++ b/fleet/agree/server.go
@@ -131,10 +131,10 @@
 // serverConn is a client's connection.
 type serverConn struct {
 	*Server
-	conn    net.Conn
-	ctx     context.Context
-	slots   chan struct{}  // one is taken by each request in progress
-	running sync.WaitGroup // requests and subscriptions
+	conn  net.Conn
+	ctx   context.Context
+	slots chan struct{}  // one is taken by each request in progress
+	tasks sync.WaitGroup // requests and subscriptions
 
 	endSubscription func() // cancels the subscription and waits until it has ended
 
@@ -146,14 +146,14 @@
 func (s *Server) serve(c net.Conn) {
 	ctx, cancel := context.WithCancel(s.ctx)
 	p := &serverConn{Server: s, conn: c, ctx: ctx, slots: make(chan struct{}, s.limits.MaxRequests), endSubscription: func() {}}
-	defer p.running.Wait()
+	defer p.tasks.Wait()
 	defer cancel()
 	in := bufio.NewReaderSize(c, 1024)
 	for {
 		c.SetReadDeadline(time.Now().Add(s.limits.IdleTimeout))
 		var q request
 		err := readFrame(in, &q, func() { c.SetReadDeadline(time.Now().Add(s.limits.FrameTimeout)) })
-		if errors.Is(err, errFrame) {
+		if errors.Is(err, errMalformedFrame) {
 			p.send(&reply{Code: codeBadRequest, Text: err.Error()})
 		}
 		if err != nil {
@@ -173,7 +173,7 @@
 	ctx, end := context.WithCancel(p.ctx)
 	ended := make(chan struct{})
 	p.endSubscription = func() { end(); <-ended }
-	p.running.Go(func() {
+	p.tasks.Go(func() {
 		defer close(ended)
 		p.subscribe(ctx, q.ID, q.From)
 	})
@@ -189,7 +189,7 @@
 		p.send(r)
 		return
 	}
-	p.running.Go(func() {
+	p.tasks.Go(func() {
 		defer func() { <-p.slots }()
 		p.send(p.answer(q))
 	})
--- a/fleet/agree/session_test.go
+++ b/fleet/agree/session_test.go
@@ -19,19 +19,19 @@
 // countingMachine answers each entry with the number of entries applied so far.
 type countingMachine struct {
 	applied map[string]int
-	n       uint64
+	count   uint64
 }
 
 func (c *countingMachine) Apply(_ uint64, entry []byte) []byte {
-	c.n++
+	c.count++
 	c.applied[string(entry)]++
-	return binary.BigEndian.AppendUint64(nil, c.n)
+	return binary.BigEndian.AppendUint64(nil, c.count)
 }
 
-func (c *countingMachine) Snapshot() []byte { return binary.BigEndian.AppendUint64(nil, c.n) }
+func (c *countingMachine) Snapshot() []byte { return binary.BigEndian.AppendUint64(nil, c.count) }
 
 func (c *countingMachine) Restore(b []byte) error {
-	c.n = binary.BigEndian.Uint64(b)
+	c.count = binary.BigEndian.Uint64(b)
 	return nil
 }
 
@@ -115,13 +115,13 @@
 // badSnapshotMachine returns corrupt snapshots, each different from the previous one.
 type badSnapshotMachine struct {
 	Machine
-	n *int
+	snapshots *int
 }
 
 func (m badSnapshotMachine) Snapshot() []byte {
-	*m.n++
+	*m.snapshots++
 	b := m.Machine.Snapshot()
-	b[0] ^= byte(*m.n)
+	b[0] ^= byte(*m.snapshots)
 	return b
 }
 
@@ -153,8 +153,8 @@
 	tick := command{kind: kindTick, term: 3, entry: sessionEntry{Data: []byte("t")}}
 	f.Apply(&raft.Log{Index: 1, Term: 3, Data: tick.encode()})
 	f.Apply(&raft.Log{Index: 2, Term: 5, Data: tick.encode()})
-	if m.n != 1 {
-		t.Fatalf("%d ticks applied, not 1", m.n)
+	if m.count != 1 {
+		t.Fatalf("%d ticks applied, not 1", m.count)
 	}
 	b := tick.encode()
 	b[0] = 9
@@ -165,7 +165,7 @@
 		t.Fatal(err)
 	}
 	f.Apply(&raft.Log{Index: 4, Term: 3, Data: tick.encode()})
-	if _, err := f.Snapshot(); m.n != 1 || err == nil {
+	if _, err := f.Snapshot(); m.count != 1 || err == nil {
 		t.Fatal("state machine continued after an entry that it could not apply")
 	}
 }
@@ -178,9 +178,9 @@
 	if len(f.effects) != maxEffects || f.lastDropped != 10 {
 		t.Fatalf("%d effects, dropped up to %d", len(f.effects), f.lastDropped)
 	}
-	big := make([]byte, 1<<20)
+	large := make([]byte, 1<<20)
 	for i := range uint64(10) {
-		f.appendEffect(effect{maxEffects + 11 + i, big})
+		f.appendEffect(effect{maxEffects + 11 + i, large})
 	}
 	if f.effectBytes > maxEffectsBytes {
 		t.Fatalf("effects of %d bytes", f.effectBytes)
--- a/fleet/agree/snapshot.go
+++ b/fleet/agree/snapshot.go
@@ -61,7 +61,7 @@
 // openSnapshots verifies all snapshots in dir, and that the log has no gap after the
 // latest one. Raft itself would fall back to an earlier snapshot, or to none.
 func openSnapshots(dir string, store *logStore, log hclog.Logger) (*raft.FileSnapshotStore, error) {
-	snaps, err := raft.NewFileSnapshotStoreWithLogger(dir, 2, log)
+	snapshots, err := raft.NewFileSnapshotStoreWithLogger(dir, 2, log)
 	if err != nil {
 		return nil, fmt.Errorf("store %s: %w", dir, err)
 	}
@@ -70,7 +70,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("store: %w", err)
 	}
-	var covered uint64
+	var snapshotIndex uint64
 	for _, e := range entries {
 		path := filepath.Join(base, e.Name())
 		if strings.HasSuffix(e.Name(), ".tmp") { // the process ended while writing it
@@ -79,28 +79,28 @@
 			}
 			continue
 		}
-		index, err := checkSnapshot(snaps, e.Name())
+		index, err := checkSnapshot(snapshots, e.Name())
 		if err != nil {
 			return nil, fmt.Errorf("store %s: %w", path, err)
 		}
-		covered = max(covered, index)
+		snapshotIndex = max(snapshotIndex, index)
 	}
 	first, last := store.bounds()
-	if first > covered+1 {
-		return nil, fmt.Errorf("store %s: log %d: missing, snapshots end at %d", store.path, first-1, covered)
+	if first > snapshotIndex+1 {
+		return nil, fmt.Errorf("store %s: log %d: missing, snapshots end at %d", store.path, first-1, snapshotIndex)
 	}
-	if last < covered && last != 0 {
+	if last < snapshotIndex && last != 0 {
 		// The process ended after it received a snapshot from the leader and before
 		// the log was cleared.
 		if err := store.DeleteRange(first, last); err != nil {
 			return nil, err
 		}
 	}
-	return snaps, nil
+	return snapshots, nil
 }
 
-func checkSnapshot(snaps *raft.FileSnapshotStore, id string) (index uint64, err error) {
-	meta, r, err := snaps.Open(id)
+func checkSnapshot(snapshots *raft.FileSnapshotStore, id string) (index uint64, err error) {
+	meta, r, err := snapshots.Open(id)
 	if err != nil {
 		return 0, err
 	}
--- a/fleet/agree/store_test.go
+++ b/fleet/agree/store_test.go
@@ -15,7 +15,7 @@
 	"pgregory.net/rapid"
 )
 
-func mustOpen(t interface{ Fatal(...any) }, dir string) *logStore {
+func mustOpenStore(t interface{ Fatal(...any) }, dir string) *logStore {
 	s, err := openStore(dir)
 	if err != nil {
 		t.Fatal(err)
@@ -27,7 +27,7 @@
 func newFilledStore(t testing.TB, n uint64) (dir string) {
 	t.Helper()
 	dir = t.TempDir()
-	s := mustOpen(t, dir)
+	s := mustOpenStore(t, dir)
 	defer s.Close()
 	for i := uint64(1); i <= n; i++ {
 		if err := s.StoreLog(&raft.Log{Index: i, Term: 3, Data: fmt.Appendf(nil, "entry %d", i)}); err != nil {
@@ -94,7 +94,7 @@
 			}
 			if _, err := Start(Config{
 				Name: "a", Dir: dir, InitialVoters: []Peer{{"a", "127.0.0.1:0", "127.0.0.1:0"}},
-			}, newRegister(), quiet); err == nil || err.Error() != want {
+			}, newRegister(), discardLogger); err == nil || err.Error() != want {
 				t.Fatalf("Start: error %v", err)
 			}
 		})
@@ -104,12 +104,12 @@
 func TestTruncatedStore(t *testing.T) {
 	dir := newFilledStore(t, 200)
 	path := filepath.Join(dir, "raft.db")
-	whole, err := os.ReadFile(path)
+	original, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, size := range []int{1, 4096, 8192, 16384, 20000} {
-		if err := os.WriteFile(path, whole[:size], 0o600); err != nil {
+		if err := os.WriteFile(path, original[:size], 0o600); err != nil {
 			t.Fatal(err)
 		}
 		_, err := openStore(dir)
@@ -119,8 +119,8 @@
 	}
 }
 
-// contents returns all that raft can read from a store.
-func contents(s *logStore) string {
+// storeContents returns all that raft can read from a store.
+func storeContents(s *logStore) string {
 	var b strings.Builder
 	first, _ := s.FirstIndex()
 	last, _ := s.LastIndex()
@@ -139,22 +139,22 @@
 func TestCorruptBytes(t *testing.T) {
 	dir := newFilledStore(t, 60)
 	path := filepath.Join(dir, "raft.db")
-	s := mustOpen(t, dir)
-	want := contents(s)
+	s := mustOpenStore(t, dir)
+	want := storeContents(s)
 	s.Close()
-	whole, err := os.ReadFile(path)
+	original, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	rng := rand.New(rand.NewPCG(1, 2))
 	rejected := 0
-	const tries = 1000
-	for range tries {
-		at, bit := rng.IntN(len(whole)), byte(1)<<rng.IntN(8)
+	const attempts = 1000
+	for range attempts {
+		at, bit := rng.IntN(len(original)), byte(1)<<rng.IntN(8)
 		if rng.IntN(2) == 0 {
 			at = at/4096*4096 + rng.IntN(128) // page headers
 		}
-		corrupt := bytes.Clone(whole)
+		corrupt := bytes.Clone(original)
 		corrupt[at] ^= bit
 		if err := os.WriteFile(path, corrupt, 0o600); err != nil {
 			t.Fatal(err)
@@ -164,22 +164,22 @@
 			rejected++
 			continue
 		}
-		if got := contents(s); got != want {
+		if got := storeContents(s); got != want {
 			t.Fatalf("byte %d, bit %08b: opened with contents\n%snot\n%s", at, bit, got, want)
 		}
 		s.Close()
 	}
-	t.Logf("%d of %d rejected", rejected, tries)
+	t.Logf("%d of %d rejected", rejected, attempts)
 }
 
 func TestLockedStore(t *testing.T) {
 	dir := newFilledStore(t, 1)
-	s := mustOpen(t, dir)
+	s := mustOpenStore(t, dir)
 	if _, err := openStore(dir); err == nil || !strings.HasSuffix(err.Error(), "in use by another process") {
 		t.Fatalf("second open: error %v", err)
 	}
 	s.Close()
-	mustOpen(t, dir).Close()
+	mustOpenStore(t, dir).Close()
 }
 
 // If the file can't grow, the append and all later calls fail, and earlier entries are kept.
@@ -202,7 +202,7 @@
 		t.Fatal("a call succeeded after a failed write")
 	}
 	s.Close()
-	s = mustOpen(t, dir)
+	s = mustOpenStore(t, dir)
 	defer s.Close()
 	if got, _ := s.LastIndex(); got != last || last < 10 {
 		t.Fatalf("last index %d, not %d", got, last)
@@ -217,7 +217,7 @@
 			t.Fatal(err)
 		}
 		defer os.RemoveAll(dir)
-		s := mustOpen(t, dir)
+		s := mustOpenStore(t, dir)
 		s.db.NoSync = true
 		defer func() { s.Close() }()
 		model := map[uint64]string{}
@@ -261,7 +261,7 @@
 				}
 			case 5:
 				s.Close()
-				s = mustOpen(t, dir)
+				s = mustOpenStore(t, dir)
 				s.db.NoSync = true
 			}
 			gotFirst, _ := s.FirstIndex()
--- a/fleet/agree/voter.go
+++ b/fleet/agree/voter.go
@@ -27,26 +27,26 @@
 // One goroutine takes proposals from a bounded queue and hands them to raft. The methods may be
 // called from any goroutine.
 type Voter struct {
-	cfg      Config
-	log      *slog.Logger
-	hclog    hclog.Logger
-	store    *logStore
-	snaps    *raft.FileSnapshotStore
-	fsm      *fsm
-	identity hello // sent to other voters during formation
-
-	inbox    chan *proposal
-	pending  chan pending  // handed to raft, in this order
-	stop     chan bool     // the value: whether to transfer leadership first
-	raftDown chan struct{} // closed once raft has shut down
-	done     chan struct{}
-	stopOnce sync.Once
-
-	mu    sync.Mutex
-	phase phase
-	raft  *raft.Raft
-	trans *raft.NetworkTransport
-	err   error // why it stopped by itself
+	cfg        Config
+	log        *slog.Logger
+	raftLogger hclog.Logger
+	store      *logStore
+	snapshots  *raft.FileSnapshotStore
+	fsm        *fsm
+	identity   hello // sent to other voters during formation
+
+	proposals chan *proposal
+	pending   chan pending  // handed to raft, in this order
+	stop      chan bool     // the value: whether to transfer leadership first
+	raftDown  chan struct{} // closed once raft has shut down
+	done      chan struct{}
+	stopOnce  sync.Once
+
+	mu        sync.Mutex
+	phase     phase
+	raft      *raft.Raft
+	transport *raft.NetworkTransport
+	err       error // why it stopped by itself
 }
 
 // Start opens the store in cfg.Dir and starts the voter. It returns an error if cfg is invalid
@@ -67,10 +67,10 @@
 	}
 	v := &Voter{
 		cfg: cfg, log: log.With("voter", cfg.Name), store: store, fsm: newFSM(m),
-		inbox: make(chan *proposal, cfg.MaxPending), pending: make(chan pending, cfg.MaxPending),
+		proposals: make(chan *proposal, cfg.MaxPending), pending: make(chan pending, cfg.MaxPending),
 		stop: make(chan bool, 1), raftDown: make(chan struct{}), done: make(chan struct{}),
 	}
-	v.hclog = newRaftLogger(v.log)
+	v.raftLogger = newRaftLogger(v.log)
 	if err := v.prepare(); err != nil {
 		store.Close()
 		return nil, err
@@ -84,7 +84,7 @@
 	if v.identity, err = v.store.loadIdentity(&v.cfg); err != nil {
 		return err
 	}
-	if v.snaps, err = openSnapshots(v.cfg.Dir, v.store, v.hclog); err != nil {
+	if v.snapshots, err = openSnapshots(v.cfg.Dir, v.store, v.raftLogger); err != nil {
 		return err
 	}
 	if v.identity.Incarnations == nil && v.cfg.Join {
@@ -128,7 +128,7 @@
 func (v *Voter) rejectQueued() {
 	for {
 		select {
-		case p := <-v.inbox:
+		case p := <-v.proposals:
 			p.reply <- result{err: ErrShutdown}
 		default:
 			return
@@ -150,7 +150,7 @@
 	clock := leaderClock{newTick: v.cfg.NewTick}
 	for {
 		select {
-		case p := <-v.inbox:
+		case p := <-v.proposals:
 			if err := v.submit(p); err != nil {
 				return err
 			}
@@ -193,7 +193,7 @@
 	if err := v.raft.Shutdown().Error(); err != nil {
 		v.log.Warn("shutdown", "err", err)
 	}
-	v.trans.Close()
+	v.transport.Close()
 }
 
 // notLeaderError returns an error with the leader's address, if that is known.
--- a/fleet/agree/wire_test.go
+++ b/fleet/agree/wire_test.go
@@ -25,12 +25,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s = Serve(ln, c.nodes[0].voter, limits, quiet)
+	s = Serve(ln, c.nodes[0].voter, limits, discardLogger)
 	t.Cleanup(s.Close)
 	return ln.Addr().String(), s
 }
 
-func dial(t *testing.T, addr string) net.Conn {
+func dialServer(t *testing.T, addr string) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -41,7 +41,7 @@
 	return c
 }
 
-func frame(t testing.TB, m any) []byte {
+func mustEncodeFrame(t testing.TB, m any) []byte {
 	t.Helper()
 	b, err := encodeFrame(m)
 	if err != nil {
@@ -53,11 +53,11 @@
 // A malformed frame gets one error reply, then the connection is closed.
 func TestBadFrames(t *testing.T) {
 	addr, _ := startServer(t, ServerLimits{FrameTimeout: 200 * time.Millisecond})
-	good := frame(t, &request{Kind: requestPing, ID: 1})
-	version := bytes.Clone(good)
+	valid := mustEncodeFrame(t, &request{Kind: requestPing, ID: 1})
+	version := bytes.Clone(valid)
 	version[frameHeaderSize] = 7
-	cut := bytes.Clone(good)
-	binary.BigEndian.PutUint32(cut, uint32(len(cut)-frameHeaderSize-1))
+	truncated := bytes.Clone(valid)
+	binary.BigEndian.PutUint32(truncated, uint32(len(truncated)-frameHeaderSize-1))
 	for _, x := range []struct {
 		name, want string
 		frameBytes []byte
@@ -66,10 +66,10 @@
 		{"long", "1073741824 bytes", []byte{0x40, 0, 0, 0, 1}},
 		{"empty", "0 bytes", []byte{0, 0, 0, 0}},
 		{"not CBOR", "bad frame", []byte{0, 0, 0, 3, 1, 0xff, 0xff}},
-		{"cut", "bad frame", cut},
+		{"cut", "bad frame", truncated},
 		{"unknown field", "unknown field", append([]byte{0, 0, 0, 5, 1}, 0xa1, 0x18, 0x63, 0x01)},
 	} {
-		c := dial(t, addr)
+		c := dialServer(t, addr)
 		c.Write(x.frameBytes)
 		var r reply
 		if err := readFrame(c, &r, func() {}); err != nil || r.Code != codeBadRequest || !strings.Contains(r.Text, x.want) {
@@ -79,8 +79,8 @@
 			t.Errorf("%s: connection not closed after the error", x.name)
 		}
 	}
-	c := dial(t, addr) // an incomplete frame
-	c.Write(good[:3])
+	c := dialServer(t, addr) // an incomplete frame
+	c.Write(valid[:3])
 	if n, err := c.Read(make([]byte, 1)); n != 0 || err == nil {
 		t.Errorf("incomplete frame: %v", err)
 	}
@@ -88,15 +88,15 @@
 
 func TestServerLimits(t *testing.T) {
 	addr, s := startServer(t, ServerLimits{MaxConnections: 2, IdleTimeout: 300 * time.Millisecond})
-	first, second := dial(t, addr), dial(t, addr)
+	first, second := dialServer(t, addr), dialServer(t, addr)
 	for _, c := range []net.Conn{first, second} {
-		c.Write(frame(t, &request{Kind: requestPing, ID: 9}))
+		c.Write(mustEncodeFrame(t, &request{Kind: requestPing, ID: 9}))
 		var r reply
 		if err := readFrame(c, &r, func() {}); err != nil || r.ID != 9 || r.Code != codeOK {
 			t.Fatalf("%v, %+v", err, r)
 		}
 	}
-	third := dial(t, addr)
+	third := dialServer(t, addr)
 	var r reply
 	if err := readFrame(third, &r, func() {}); err != nil || r.Code != codeBusy {
 		t.Fatalf("third connection of two: %v, %+v", err, r)
@@ -122,9 +122,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	conn := dial(t, c.clientAddrs[0])
+	conn := dialServer(t, c.clientAddrs[0])
 	for i := range uint64(40) {
-		conn.Write(frame(t, &request{Kind: requestPropose, ID: i + 1, Session: session, Seq: i + 1, Body: register.Add(0, 1)}))
+		conn.Write(mustEncodeFrame(t, &request{Kind: requestPropose, ID: i + 1, Session: session, Seq: i + 1, Body: register.Add(0, 1)}))
 	}
 	busy := 0
 	for range 40 - 16 {
@@ -146,7 +146,7 @@
 // was proposed. Without a majority of voters a proposal fails, and after Close it
 // returns ErrShutdown.
 func TestClientTimeout(t *testing.T) {
-	client, err := NewClient(ClientConfig{Voters: []string{standin.FreeAddr(t), standin.FreeAddr(t)}}, quiet)
+	client, err := NewClient(ClientConfig{Voters: []string{standin.FreeAddr(t), standin.FreeAddr(t)}}, discardLogger)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -180,7 +180,7 @@
 	} {
 		var r, back reply
 		r.setError(err)
-		if e := readFrame(bytes.NewReader(frame(t, &r)), &back, func() {}); e != nil {
+		if e := readFrame(bytes.NewReader(mustEncodeFrame(t, &r)), &back, func() {}); e != nil {
 			t.Fatal(e)
 		}
 		if got := back.err(); !reflect.DeepEqual(got, err) {
@@ -190,9 +190,9 @@
 }
 
 func FuzzFrame(f *testing.F) {
-	f.Add(frame(f, &request{Kind: requestPropose, ID: 1, Session: 2, Seq: 3, Confirmed: 1, Body: []byte("entry")}))
-	f.Add(frame(f, &reply{ID: 1, Code: codeNotLeader, Text: "127.0.0.1:1"}))
-	f.Add(frame(f, &reply{Hello: &hello{Name: "a", Incarnation: 3, Incarnations: map[string]uint64{"a": 3}}}))
+	f.Add(mustEncodeFrame(f, &request{Kind: requestPropose, ID: 1, Session: 2, Seq: 3, Confirmed: 1, Body: []byte("entry")}))
+	f.Add(mustEncodeFrame(f, &reply{ID: 1, Code: codeNotLeader, Text: "127.0.0.1:1"}))
+	f.Add(mustEncodeFrame(f, &reply{Hello: &hello{Name: "a", Incarnation: 3, Incarnations: map[string]uint64{"a": 3}}}))
 	f.Add([]byte{0, 0, 0, 2, 1, 0xa0})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		for _, m := range []any{&request{}, &reply{}} {
@@ -200,7 +200,7 @@
 				continue
 			}
 			again := reflect.New(reflect.TypeOf(m).Elem()).Interface()
-			if err := readFrame(bytes.NewReader(frame(t, m)), again, func() {}); err != nil {
+			if err := readFrame(bytes.NewReader(mustEncodeFrame(t, m)), again, func() {}); err != nil {
 				t.Fatalf("%+v can't be decoded after encoding: %v", m, err)
 			}
 			if r, ok := m.(*reply); ok {
