--- a/fleet/agree/client_connect.go
+++ b/fleet/agree/client_connect.go
@@ -8,7 +8,7 @@
 	"slices"
 )
 
-// connect returns the connection, which it makes if there is none.
+// connect returns the current connection, or dials one if there is none.
 func (c *Client) connect(ctx context.Context) (*clientConn, error) {
 	for {
 		c.mu.Lock()
@@ -31,23 +31,23 @@
 			return nil, ctx.Err()
 		}
 	}
-	if c.conn != nil { // it broke: its voter is passed over
-		c.target = (c.target + 1) % len(c.cfg.Voters)
+	if c.conn != nil { // it failed, so the next voter is tried
+		c.targetIndex = (c.targetIndex + 1) % len(c.cfg.Voters)
 		c.conn = nil
 	}
 	dialed := make(chan struct{})
 	c.dialing = dialed
-	addr := c.cfg.Voters[c.target]
+	addr := c.cfg.Voters[c.targetIndex]
 	c.mu.Unlock()
 
-	conn, err := net.DialTimeout("tcp", addr, c.cfg.Try)
+	conn, err := net.DialTimeout("tcp", addr, c.cfg.RequestTimeout)
 
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.dialing = nil
 	close(dialed)
 	if err != nil {
-		c.target = (c.target + 1) % len(c.cfg.Voters)
+		c.targetIndex = (c.targetIndex + 1) % len(c.cfg.Voters)
 		return nil, fmt.Errorf("agree: %w", err)
 	}
 	if c.closed {
@@ -58,27 +58,28 @@
 	return c.conn, nil
 }
 
-// switchVoter goes to another voter if err says that the one of connection from is not the one to ask.
+// switchVoter selects another voter if err means that the voter of connection from can't answer:
+// it isn't the leader, is stopping, or didn't reply in time.
 func (c *Client) switchVoter(from *clientConn, err error) {
 	var notLeader *notLeaderError
 	next := -1
 	switch {
 	case errors.As(err, &notLeader):
-		// Only one that we were told at our start: a wrong hint leads nowhere else.
+		// Only configured addresses are used, so a wrong hint can't lead elsewhere.
 		next = slices.Index(c.cfg.Voters, notLeader.Leader)
-	case errors.Is(err, ErrShutdown), errors.Is(err, ErrUnknown):
+	case errors.Is(err, ErrShutdown), errors.Is(err, ErrOutcomeUnknown):
 	default:
 		return
 	}
 	c.mu.Lock()
 	if c.conn != from {
 		c.mu.Unlock()
-		return // somebody else has
+		return // another call has switched already
 	}
-	if next < 0 || next == c.target {
-		next = (c.target + 1) % len(c.cfg.Voters)
+	if next < 0 || next == c.targetIndex {
+		next = (c.targetIndex + 1) % len(c.cfg.Voters)
 	}
-	c.target, c.conn = next, nil
+	c.targetIndex, c.conn = next, nil
 	c.mu.Unlock()
 	from.drain()
 }
--- a/fleet/agree/raft.go
+++ b/fleet/agree/raft.go
@@ -11,40 +11,40 @@
 	"github.com/hashicorp/raft"
 )
 
-// startRaft lets this voter take part from here on.
+// startRaft starts raft, and on the first start writes the initial configuration to the log.
 func (v *Voter) startRaft() (err error) {
 	defer func() {
-		if p := recover(); p != nil { // raft's way to say that it can't read its log
+		if p := recover(); p != nil { // raft panics if it can't read its log
 			err = fmt.Errorf("agree: raft: %v", p)
 		}
-		if err != nil && v.trans != nil {
-			v.trans.Close()
+		if err != nil && v.transport != nil {
+			v.transport.Close()
 		}
 	}()
-	if v.trans, err = v.listen(); err != nil {
+	if v.transport, err = v.listen(); err != nil {
 		return err
 	}
-	conf := v.cfg.raft(v.hclog)
-	known, err := raft.HasExistingState(v.store, v.store, v.snaps)
+	conf := v.cfg.raft(v.raftLogger)
+	hasState, err := raft.HasExistingState(v.store, v.store, v.snapshots)
 	if err != nil {
 		return err
 	}
-	if !known && !v.cfg.Join {
+	if !hasState && !v.cfg.Join {
 		var servers []raft.Server
-		for _, p := range v.cfg.Voters {
+		for _, p := range v.cfg.InitialVoters {
 			servers = append(servers,
-				raft.Server{ID: raft.ServerID(p.Name), Address: raft.ServerAddress(p.Address)})
+				raft.Server{ID: raft.ServerID(p.Name), Address: raft.ServerAddress(p.RaftAddress)})
 		}
 		initial := raft.Configuration{Servers: servers}
-		if err := raft.BootstrapCluster(conf, v.store, v.store, v.snaps, v.trans, initial); err != nil {
-			return fmt.Errorf("agree: first start: %w", err)
+		if err := raft.BootstrapCluster(conf, v.store, v.store, v.snapshots, v.transport, initial); err != nil {
+			return fmt.Errorf("agree: bootstrap: %w", err)
 		}
 	}
-	r, err := raft.NewRaft(conf, v.fsm, v.store, v.store, v.snaps, v.trans)
+	r, err := raft.NewRaft(conf, v.fsm, v.store, v.store, v.snapshots, v.transport)
 	if err != nil {
 		return fmt.Errorf("agree: %w", err)
 	}
-	v.store.enterRaft()
+	v.store.setRaftRunning()
 	v.mu.Lock()
 	v.raft, v.phase = r, phaseRunning
 	v.mu.Unlock()
@@ -54,15 +54,15 @@
 
 func (v *Voter) listen() (*raft.NetworkTransport, error) {
 	conf := &raft.NetworkTransportConfig{
-		Stream: v.cfg.layer, MaxPool: 2, Timeout: 10 * v.cfg.Heartbeat, Logger: v.hclog,
+		Stream: v.cfg.streamLayer, MaxPool: 2, Timeout: 10 * v.cfg.HeartbeatTimeout, Logger: v.raftLogger,
 	}
 	if conf.Stream != nil {
 		return raft.NewNetworkTransportWithConfig(conf), nil
 	}
 	var advertise net.Addr
-	for _, p := range v.cfg.Voters {
+	for _, p := range v.cfg.InitialVoters {
 		if p.Name == v.cfg.Name {
-			a, err := net.ResolveTCPAddr("tcp", p.Address)
+			a, err := net.ResolveTCPAddr("tcp", p.RaftAddress)
 			if err != nil {
 				return nil, fmt.Errorf("agree: voters: address: %w", err)
 			}
@@ -79,41 +79,41 @@
 func (c *Config) raft(log hclog.Logger) *raft.Config {
 	r := raft.DefaultConfig()
 	r.LocalID = raft.ServerID(c.Name)
-	r.HeartbeatTimeout, r.ElectionTimeout = c.Heartbeat, c.Heartbeat
-	r.LeaderLeaseTimeout = c.Heartbeat / 2
-	r.CommitTimeout = c.Heartbeat / 20
-	r.SnapshotThreshold, r.TrailingLogs, r.SnapshotInterval = c.SnapshotEvery, c.Trailing, c.SnapshotCheck
-	r.BatchApplyCh = true // what comes during one fsync goes into the next
+	r.HeartbeatTimeout, r.ElectionTimeout = c.HeartbeatTimeout, c.HeartbeatTimeout
+	r.LeaderLeaseTimeout = c.HeartbeatTimeout / 2
+	r.CommitTimeout = c.HeartbeatTimeout / 20
+	r.SnapshotThreshold, r.TrailingLogs, r.SnapshotInterval = c.SnapshotThreshold, c.TrailingEntries, c.SnapshotInterval
+	r.BatchApplyCh = true // entries that arrive during an fsync share the next one
 	r.NoLegacyTelemetry = true
 	r.Logger = log
 	return r
 }
 
-// newRaftLogger hands raft's log on.
+// newRaftLogger returns a logger for raft that forwards to log.
 func newRaftLogger(log *slog.Logger) hclog.Logger {
 	l := hclog.NewInterceptLogger(&hclog.LoggerOptions{Level: hclog.Info, Output: io.Discard})
 	l.RegisterSink(raftLogSink{log})
 	return l
 }
 
-type raftLogSink struct{ log *slog.Logger }
+type raftLogSink struct{ logger *slog.Logger }
 
 func (s raftLogSink) Accept(_ string, level hclog.Level, msg string, args ...any) {
-	to := slog.LevelDebug
+	slogLevel := slog.LevelDebug
 	switch {
 	case level >= hclog.Error:
-		to = slog.LevelError
+		slogLevel = slog.LevelError
 	case level == hclog.Warn:
-		to = slog.LevelWarn
+		slogLevel = slog.LevelWarn
 	case level == hclog.Info:
-		to = slog.LevelInfo
+		slogLevel = slog.LevelInfo
 	}
-	all := []any{"from", "raft"}
+	attrs := []any{"from", "raft"}
 	for _, a := range args {
 		if f, ok := a.(hclog.Format); ok && len(f) > 0 {
 			a = fmt.Sprintf(fmt.Sprint(f[0]), f[1:]...)
 		}
-		all = append(all, a)
+		attrs = append(attrs, a)
 	}
-	s.log.Log(context.Background(), to, msg, all...)
+	s.logger.Log(context.Background(), slogLevel, msg, attrs...)
 }
