--- a/fleet/member/actions.go
+++ b/fleet/member/actions.go
@@ -60,7 +60,7 @@
 		Kind:        kindTold,
 		From:        self.Name,
 		Incarnation: self.Incarnation,
-		Life:        self.Life,
+		RunID:       self.RunID,
 		About:       &life,
 	})
 }
@@ -69,7 +69,7 @@
 func (n *Node) publishMeta(self Member, leaving bool) {
 	buf, err := encode(meta{
 		Incarnation: self.Incarnation,
-		Life:        self.Life,
+		RunID:       self.RunID,
 		Zone:        self.Zone,
 		Version:     self.Version,
 		Leaving:     leaving,
--- a/fleet/member/config.go
+++ b/fleet/member/config.go
@@ -42,7 +42,7 @@
 	PushPullInterval time.Duration
 	// DeadGossip is how long a dead member is still told that it is: 30 s, two full
 	// exchanges. After it only rejoining brings it back.
-	DeadGossip time.Duration
+	GossipToDeadTime time.Duration
 	// StreamTimeout bounds connecting and a full exchange: 2 s. Half of the shortest
 	// suspicion, so that a seed that is down does not hold up a start.
 	StreamTimeout time.Duration
@@ -50,8 +50,8 @@
 	// members: 1 s and 30 s.
 	RejoinMin, RejoinMax time.Duration
 
-	EventRoom   int // events that wait for their reader: 256
-	MessageRoom int // messages that wait for theirs: 1024
+	EventBuffer   int // events that wait for their reader: 256
+	MessageBuffer int // messages that wait for theirs: 1024
 
 	Logger *slog.Logger // nil: no log
 
@@ -92,12 +92,12 @@
 	c.SuspicionMult = cmp.Or(c.SuspicionMult, 4)
 	c.GossipInterval = cmp.Or(c.GossipInterval, 200*time.Millisecond)
 	c.PushPullInterval = cmp.Or(c.PushPullInterval, 15*time.Second)
-	c.DeadGossip = cmp.Or(c.DeadGossip, 30*time.Second)
+	c.GossipToDeadTime = cmp.Or(c.GossipToDeadTime, 30*time.Second)
 	c.StreamTimeout = cmp.Or(c.StreamTimeout, 2*time.Second)
 	c.RejoinMin = cmp.Or(c.RejoinMin, time.Second)
 	c.RejoinMax = cmp.Or(c.RejoinMax, max(c.RejoinMin, 30*time.Second))
-	c.EventRoom = cmp.Or(c.EventRoom, 256)
-	c.MessageRoom = cmp.Or(c.MessageRoom, 1024)
+	c.EventBuffer = cmp.Or(c.EventBuffer, 256)
+	c.MessageBuffer = cmp.Or(c.MessageBuffer, 1024)
 	if c.Logger == nil {
 		c.Logger = slog.New(slog.DiscardHandler)
 	}
@@ -114,8 +114,8 @@
 		return fmt.Errorf("key: %d bytes, 16, 24 or 32 needed", k)
 	case c.ProbeInterval < 0 || c.ProbeTimeout < 0 || c.ProbeTimeout > c.ProbeInterval:
 		return fmt.Errorf("probe: a time-out of %v with an interval of %v", c.ProbeTimeout, c.ProbeInterval)
-	case c.GossipInterval < 0 || c.PushPullInterval < 0 || c.DeadGossip < 0 || c.StreamTimeout < 0 ||
-		c.SuspicionMult < 0 || c.EventRoom < 0 || c.MessageRoom < 0:
+	case c.GossipInterval < 0 || c.PushPullInterval < 0 || c.GossipToDeadTime < 0 || c.StreamTimeout < 0 ||
+		c.SuspicionMult < 0 || c.EventBuffer < 0 || c.MessageBuffer < 0:
 		return errors.New("times and numbers: one is negative")
 	case c.RejoinMin < 0 || c.RejoinMax < c.RejoinMin:
 		return fmt.Errorf("rejoin: from %v to %v", c.RejoinMin, c.RejoinMax)
@@ -160,7 +160,7 @@
 	c.SuspicionMult = n.cfg.SuspicionMult
 	c.GossipInterval = n.cfg.GossipInterval
 	c.PushPullInterval = n.cfg.PushPullInterval
-	c.GossipToTheDeadTime = n.cfg.DeadGossip
+	c.GossipToTheDeadTime = n.cfg.GossipToDeadTime
 	c.RetransmitMult = retransmitMult
 	c.TCPTimeout = n.cfg.StreamTimeout
 	c.DeadNodeReclaimTime = reclaimAfter
--- a/fleet/member/delegate.go
+++ b/fleet/member/delegate.go
@@ -131,7 +131,7 @@
 	return Member{
 		Name:        n.Name,
 		Incarnation: m.Incarnation,
-		Life:        m.Life,
+		RunID:       m.RunID,
 		Zone:        m.Zone,
 		Addr:        net.JoinHostPort(n.Addr.String(), strconv.Itoa(int(n.Port))),
 		Version:     m.Version,
@@ -195,7 +195,7 @@
 		return err
 	}
 	if n.Name == d.name {
-		if m.Life != d.life && !meta.Leaving {
+		if m.RunID != d.life && !meta.Leaving {
 			d.enqueue(nameClaim{m})
 		}
 		return nil
--- a/fleet/member/event.go
+++ b/fleet/member/event.go
@@ -27,8 +27,8 @@
 	Member Member
 	Old    Member // Returned, Restarted, Displaced
 
-	View    []Member // Resync: all that are alive
-	Dropped bool     // Resync: a Resumed was among the events lost
+	View        []Member // Resync: all that are alive
+	LostResumed bool     // Resync: a Resumed was among the events lost
 }
 
 // Phase is the state of one's own membership.
@@ -36,10 +36,10 @@
 
 // The phases. The last two are final.
 const (
-	Starting Phase = iota // asking; no incarnation yet
-	Serving               // a member
-	Aside                 // displaced: another life keeps the name
-	Leaving               // has said that it leaves
+	Starting   Phase = iota // asking; no incarnation yet
+	Serving                 // a member
+	Superseded              // displaced: another life keeps the name
+	Leaving                 // has said that it leaves
 )
 
 func (p Phase) String() string { return [...]string{"starting", "serving", "aside", "leaving"}[p] }
--- a/fleet/member/large_test.go
+++ b/fleet/member/large_test.go
@@ -18,7 +18,7 @@
 	return wireLife{
 		Name:        name + strings.Repeat("n", maxName-len(name)),
 		Incarnation: maxIncarnation,
-		Life:        math.MaxUint64,
+		RunID:       math.MaxUint64,
 		Addr:        strings.Repeat("a", maxAddr),
 		State:       stateGone,
 		Age:         math.MaxUint64,
@@ -63,7 +63,7 @@
 	if got := len(r.Departed()); got != manyMembers {
 		t.Errorf("%d departed lives are remembered, want %d", got, manyMembers)
 	}
-	if got := r.Accept(others[0].Name, 1, others[0].Life); got != verdictOlder {
+	if got := r.Accept(others[0].Name, 1, others[0].RunID); got != verdictOlder {
 		t.Errorf("a message of the first that departed: verdict %d, want %d", got, verdictOlder)
 	}
 }
--- a/fleet/member/member.go
+++ b/fleet/member/member.go
@@ -18,7 +18,7 @@
 	// Incarnation orders the lives of a name. It counts from 1; 0 is a process that
 	// has started and has not yet asked which incarnations there were before it.
 	Incarnation uint64
-	Life        uint64 // random, drawn at the start of the process
+	RunID       uint64 // random, drawn at the start of the process
 	Zone        string
 	Addr        string // host:port where the others reach it
 	Version     uint8  // of the messages that it understands
@@ -53,7 +53,7 @@
 	if c := cmp.Compare(a.Incarnation, b.Incarnation); c != 0 {
 		return c
 	}
-	return cmp.Compare(a.Life, b.Life)
+	return cmp.Compare(a.RunID, b.RunID)
 }
 
 // supersedes tells whether r replaces o. Records of a name are in one total order and the
--- a/fleet/member/messages.go
+++ b/fleet/member/messages.go
@@ -14,9 +14,9 @@
 	// ErrClosed is returned after Close, and by Leave of a node that was displaced.
 	ErrClosed = errors.New("member: node is closed")
 	// ErrUnknown is returned by Send for a name that is not alive, and for the node's own.
-	ErrUnknown = errors.New("member: no such member")
+	ErrUnknownMember = errors.New("member: no such member")
 	// ErrTooLong is returned for a payload of more than MaxPayload bytes.
-	ErrTooLong = fmt.Errorf("member: payload is over %d bytes", MaxPayload)
+	ErrPayloadTooLong = fmt.Errorf("member: payload is over %d bytes", MaxPayload)
 	// ErrNotReady is returned while the node's Phase is not Serving.
 	ErrNotReady = errors.New("member: not a member of the fleet")
 )
@@ -40,11 +40,11 @@
 	to, ok := v.named(name)
 	switch {
 	case len(payload) > MaxPayload:
-		return ErrTooLong
+		return ErrPayloadTooLong
 	case v.phase != Serving:
 		return ErrNotReady
 	case !ok || name == v.self.Name:
-		return ErrUnknown
+		return ErrUnknownMember
 	}
 	select {
 	case <-n.stop:
@@ -55,7 +55,7 @@
 		Kind:        kindData,
 		From:        v.self.Name,
 		Incarnation: v.self.Incarnation,
-		Life:        v.self.Life,
+		RunID:       v.self.RunID,
 		Payload:     payload,
 	})
 }
@@ -74,7 +74,7 @@
 			continue
 		}
 		err := n.Send(v.members[i].Name, payload)
-		if err != nil && !errors.Is(err, ErrUnknown) { // it may have gone meanwhile
+		if err != nil && !errors.Is(err, ErrUnknownMember) { // it may have gone meanwhile
 			return sent, err
 		}
 		if err == nil {
@@ -105,7 +105,7 @@
 		n.roster.Told(now, m.From, m.About.toRecord(now))
 		return
 	}
-	switch n.roster.Accept(m.From, m.Incarnation, m.Life) {
+	switch n.roster.Accept(m.From, m.Incarnation, m.RunID) {
 	case verdictOlder:
 		n.counters.older.Add(1)
 	case verdictUnknown:
--- a/fleet/member/node.go
+++ b/fleet/member/node.go
@@ -64,8 +64,8 @@
 		log:           cfg.Logger.With("member", cfg.Name),
 		start:         time.Now(),
 		inbox:         make(chan any, inboxRoom),
-		events:        make(chan Event, cfg.EventRoom),
-		messages:      make(chan Message, cfg.MessageRoom),
+		events:        make(chan Event, cfg.EventBuffer),
+		messages:      make(chan Message, cfg.MessageBuffer),
 		stop:          make(chan struct{}),
 		stopped:       make(chan struct{}),
 		rejoinBackoff: cfg.RejoinMin,
@@ -104,7 +104,7 @@
 // startRoster makes the roster and publishes it as it is then.
 func (n *Node) startRoster(advertise netip.AddrPort) {
 	self := Member{
-		Name: n.cfg.Name, Life: n.life, Zone: n.cfg.Zone, Addr: advertise.String(), Version: n.cfg.Version,
+		Name: n.cfg.Name, RunID: n.life, Zone: n.cfg.Zone, Addr: advertise.String(), Version: n.cfg.Version,
 	}
 	limits := rosterLimits{
 		StopAfter:   n.stopAfter(),
--- a/fleet/member/node_test.go
+++ b/fleet/member/node_test.go
@@ -201,7 +201,7 @@
 	c.kill("c")
 	c.start("c")
 	c.same()
-	if now := c.nodes["c"].Self(); now.Incarnation <= old.Incarnation || now.Life == old.Life {
+	if now := c.nodes["c"].Self(); now.Incarnation <= old.Incarnation || now.RunID == old.RunID {
 		t.Errorf("%v after %v", now, old)
 	}
 	for _, at := range []string{"a", "b", "d", "e"} {
@@ -215,13 +215,13 @@
 	c.tweak = func(cfg *Config) { cfg.SuspicionMult = 8 }
 	c.start(five...)
 	c.same()
-	life := c.nodes["e"].Self().Life
+	life := c.nodes["e"].Self().RunID
 	c.net.Partition([]string{"a", "b", "c"}, []string{"d", "e"})
 	c.same2("a", "b", "c")
 	c.same2("d", "e")
 	c.net.Heal()
 	c.same()
-	if got := c.nodes["e"].Self(); got.Life != life || got.Incarnation < 2 {
+	if got := c.nodes["e"].Self(); got.RunID != life || got.Incarnation < 2 {
 		t.Errorf("e is %v, its life was %d", got, life)
 	}
 	c.eventually("e returned", c.has("a", Returned, "e"))
@@ -242,7 +242,7 @@
 // After memberlist has forgotten the other side nothing but rejoin brings them together.
 func TestLongPartition(t *testing.T) {
 	c := newCluster(t, five...)
-	c.tweak = func(cfg *Config) { cfg.DeadGossip = 100 * ms }
+	c.tweak = func(cfg *Config) { cfg.GossipToDeadTime = 100 * ms }
 	c.start(five...)
 	c.same()
 	c.net.Partition([]string{"a", "b", "c"}, []string{"d", "e"})
@@ -290,7 +290,7 @@
 	c.startAs("c2", "c")
 	// The newcomer has asked and goes above: it is as a restart elsewhere whose old life
 	// hangs on.
-	c.eventually("one c steps aside", func() bool { return c.nodes["c"].Phase() == Aside })
+	c.eventually("one c steps aside", func() bool { return c.nodes["c"].Phase() == Superseded })
 	if m := c.nodes["c"].Members(); len(m) != 1 {
 		t.Errorf("the displaced sees %v", m)
 	}
@@ -317,7 +317,7 @@
 		keeper, other = other, keeper
 	}
 	c.net.Heal()
-	c.eventually("the lower steps aside", func() bool { return c.nodes[other].Phase() == Aside })
+	c.eventually("the lower steps aside", func() bool { return c.nodes[other].Phase() == Superseded })
 	c.same()
 	if c.nodes[keeper].Phase() != Serving {
 		t.Error("the higher did not keep the name")
@@ -363,10 +363,10 @@
 	if next("b"); len(next("c").Payload) != MaxPayload {
 		t.Error("cut short")
 	}
-	if err := c.nodes["a"].Send("b", make([]byte, MaxPayload+1)); err != ErrTooLong {
+	if err := c.nodes["a"].Send("b", make([]byte, MaxPayload+1)); err != ErrPayloadTooLong {
 		t.Error(err)
 	}
-	if err := c.nodes["a"].Send("nobody", nil); err != ErrUnknown {
+	if err := c.nodes["a"].Send("nobody", nil); err != ErrUnknownMember {
 		t.Error(err)
 	}
 
@@ -375,15 +375,15 @@
 	c.kill("a")
 	c.start("a")
 	c.same()
-	late := message{From: "a", Incarnation: old.Incarnation, Life: old.Life, Payload: []byte("late")}
+	late := message{From: "a", Incarnation: old.Incarnation, RunID: old.RunID, Payload: []byte("late")}
 	if err := c.nodes["c"].sendMessage(c.nodes["b"].Self(), late); err != nil {
 		t.Fatal(err)
 	}
 	b := c.nodes["b"]
-	c.eventually("the late word is counted", func() bool { return b.Stats().OlderLife == 1 })
+	c.eventually("the late word is counted", func() bool { return b.Stats().StaleRun == 1 })
 	late.From = "stranger"
 	c.nodes["c"].sendMessage(b.Self(), late)
-	c.eventually("the stranger's is counted", func() bool { return b.Stats().Unknown == 1 })
+	c.eventually("the stranger's is counted", func() bool { return b.Stats().UnknownSender == 1 })
 	c.nodes["c"].list.SendBestEffort(b.list.LocalNode(), []byte{99, 1, 2})
 	c.eventually("one of a strange version is counted", func() bool { return b.Stats().BadMessage == 1 })
 	if len(b.Messages()) != 0 {
@@ -396,7 +396,7 @@
 	}
 	c.eventually("the rest is dropped", func() bool {
 		c.nodes["c"].Send("b", nil)
-		return b.Stats().Unread > 0
+		return b.Stats().MessagesDropped > 0
 	})
 	c.same()
 }
@@ -404,7 +404,7 @@
 func TestEventsWithoutReader(t *testing.T) {
 	c := newCluster(t, five...)
 	cfg := quick("a", c.ends["a"])
-	cfg.EventRoom = 2
+	cfg.EventBuffer = 2
 	a, err := Start(cfg)
 	if err != nil {
 		t.Fatal(err)
@@ -467,7 +467,7 @@
 		"member: join: ":                  {Name: "a", Bind: "127.0.0.1:0", Join: []string{"nowhere"}},
 		"member: probe: a time-out of 2s": {Name: "a", Bind: "127.0.0.1:0", ProbeTimeout: 2 * time.Second},
 		"member: rejoin: ":                {Name: "a", Bind: "127.0.0.1:0", RejoinMin: 2, RejoinMax: 1},
-		"member: times and numbers":       {Name: "a", Bind: "127.0.0.1:0", EventRoom: -1},
+		"member: times and numbers":       {Name: "a", Bind: "127.0.0.1:0", EventBuffer: -1},
 	} {
 		n, err := Start(c)
 		if err == nil {
@@ -597,7 +597,7 @@
 	cmd.Process.Signal(syscall.SIGCONT)
 	c.eventually("c returned", c.has("a", Returned, "c"))
 	after := c.nodes["a"].Members()[2]
-	if after.Life != before.Life || after.Incarnation <= before.Incarnation {
+	if after.RunID != before.RunID || after.Incarnation <= before.Incarnation {
 		t.Errorf("%v after %v", after, before)
 	}
 	timeout := time.After(10 * time.Second)
--- a/fleet/member/roster.go
+++ b/fleet/member/roster.go
@@ -111,7 +111,7 @@
 func (r *roster) Alive(now clockTime, m Member) {
 	r.detectStop(now)
 	// A process that is still asking is nobody yet.
-	if m.Incarnation == 0 || m.Incarnation > maxIncarnation || r.phase == Aside {
+	if m.Incarnation == 0 || m.Incarnation > maxIncarnation || r.phase == Superseded {
 		return
 	}
 	if m.Name == r.self.Name {
@@ -155,7 +155,7 @@
 
 // mergeDeparted takes in news of a departed life, unless it is too old or not to be believed.
 func (r *roster) mergeDeparted(now clockTime, rec lifeRecord) {
-	if rec.Incarnation == 0 || rec.Incarnation > maxIncarnation || r.phase == Aside ||
+	if rec.Incarnation == 0 || rec.Incarnation > maxIncarnation || r.phase == Superseded ||
 		rec.Name == r.self.Name || now-rec.Since > r.limits.DepartedFor {
 		return
 	}
@@ -186,7 +186,7 @@
 // reportChange reports the step from one record of a name to a higher one.
 func (r *roster) reportChange(old lifeRecord, known bool, rec lifeRecord) {
 	seen := known && old.State != stateHeard
-	sameLife := old.Life == rec.Life
+	sameLife := old.RunID == rec.RunID
 	e := Event{Member: rec.Member, Old: old.Member}
 	switch {
 	case rec.State == stateAlive && !seen:
@@ -220,7 +220,7 @@
 // follow: another life under one's own name, or a second address of another's.
 func (r *roster) Claim(now clockTime, m Member) {
 	r.detectStop(now)
-	if m.Incarnation > maxIncarnation || r.phase == Aside {
+	if m.Incarnation > maxIncarnation || r.phase == Superseded {
 		return
 	}
 	if m.Name == r.self.Name {
@@ -228,7 +228,7 @@
 		return
 	}
 	cur, known := r.names[m.Name]
-	if !known || cur.departed() || m.Incarnation == 0 || m.Life == cur.Life || m.Addr == cur.Addr {
+	if !known || cur.departed() || m.Incarnation == 0 || m.RunID == cur.RunID || m.Addr == cur.Addr {
 		return
 	}
 	if compareLives(m, cur.Member) < 0 {
@@ -285,11 +285,11 @@
 	switch {
 	case !ok || name == r.self.Name:
 		return verdictUnknown
-	case compareLives(Member{Incarnation: incarnation, Life: life}, rec.Member) < 0:
+	case compareLives(Member{Incarnation: incarnation, RunID: life}, rec.Member) < 0:
 		return verdictOlder
-	case rec.departed() && incarnation == rec.Incarnation && life == rec.Life:
+	case rec.departed() && incarnation == rec.Incarnation && life == rec.RunID:
 		return verdictOlder
-	case rec.departed() || life != rec.Life:
+	case rec.departed() || life != rec.RunID:
 		return verdictUnknown
 	}
 	// Its next incarnation may be a little ahead of the news of it.
--- a/fleet/member/roster_test.go
+++ b/fleet/member/roster_test.go
@@ -82,10 +82,10 @@
 	return out
 }
 
-func id(m Member) string { return fmt.Sprintf("%s/%d/%d", m.Name, m.Incarnation, m.Life) }
+func id(m Member) string { return fmt.Sprintf("%s/%d/%d", m.Name, m.Incarnation, m.RunID) }
 
 func mem(name string, incarnation, life uint64) Member {
-	return Member{Name: name, Incarnation: incarnation, Life: life, Addr: name}
+	return Member{Name: name, Incarnation: incarnation, RunID: life, Addr: name}
 }
 
 func at(addr string, m Member) Member { m.Addr = addr; return m }
@@ -301,7 +301,7 @@
 	Kind   int
 	Name   string
 	Inc    uint64
-	Life   uint64
+	RunID  uint64
 	State  lifeState
 	From   string
 	Passes time.Duration
@@ -323,7 +323,7 @@
 		Kind:  rapid.IntRange(0, ops-1).Draw(t, "kind"),
 		Name:  rapid.SampledFrom([]string{"a", "b", "c", "me"}).Draw(t, "name"),
 		Inc:   rapid.Uint64Range(0, 4).Draw(t, "incarnation"),
-		Life:  rapid.Uint64Range(5, 9).Draw(t, "life"),
+		RunID: rapid.Uint64Range(5, 9).Draw(t, "life"),
 		State: rapid.SampledFrom([]lifeState{stateHeard, stateDead, stateGone}).Draw(t, "state"),
 		From:  rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "from"),
 		Passes: rapid.SampledFrom([]time.Duration{0, 0, 0, sec, 3 * sec, 5 * sec, 400 * sec}).
@@ -334,8 +334,8 @@
 var aSchedule = rapid.SliceOfN(anOp, 1, 60)
 
 func (o op) member() Member {
-	m := mem(o.Name, o.Inc, o.Life)
-	if o.Life != 6 && o.Life != 7 { // a life has one address
+	m := mem(o.Name, o.Inc, o.RunID)
+	if o.RunID != 6 && o.RunID != 7 { // a life has one address
 		m.Addr = "other"
 	}
 	return m
@@ -355,7 +355,7 @@
 	case opClaim:
 		r.Claim(now, m)
 	case opTold:
-		r.Told(now, o.From, lifeRecord{Member: mem("me", o.Inc, o.Life), State: o.State})
+		r.Told(now, o.From, lifeRecord{Member: mem("me", o.Inc, o.RunID), State: o.State})
 	case opTick:
 		r.Tick(now)
 	}
@@ -425,7 +425,7 @@
 				}
 				w.model[name] = l.Member
 			case Returned, Restarted:
-				if compareLives(l.Member, l.Old) <= 0 || (l.Kind == Returned) != (l.Member.Life == l.Old.Life) {
+				if compareLives(l.Member, l.Old) <= 0 || (l.Kind == Returned) != (l.Member.RunID == l.Old.RunID) {
 					return fmt.Errorf("%s %s for %s", l.Kind, id(l.Member), id(l.Old))
 				}
 				w.model[name] = l.Member
@@ -467,7 +467,7 @@
 			return fmt.Errorf("view has %s, events say %s", id(m), id(w.model[m.Name]))
 		}
 	}
-	if w.r.Phase() == Aside {
+	if w.r.Phase() == Superseded {
 		clear(w.highest)
 	}
 	remembered := map[string]bool{}
@@ -490,7 +490,7 @@
 			for life := uint64(5); life < 10; life++ {
 				m := mem(name, inc, life)
 				got := w.r.Accept(name, inc, life)
-				if here, in := w.model[name]; got == verdictTake && (!in || here.Life != life) {
+				if here, in := w.model[name]; got == verdictTake && (!in || here.RunID != life) {
 					return fmt.Errorf("a message of %s is taken, the member is %s", id(m), id(here))
 				}
 				if got == verdictTake && compareLives(m, high) < 0 {
@@ -531,7 +531,7 @@
 	if claim && w.r.Phase() == Serving && compareLives(rival, self) > 0 {
 		return fmt.Errorf("%s goes on beside %s", id(self), id(rival))
 	}
-	if claim && w.r.Phase() == Aside && compareLives(rival, self) < 0 {
+	if claim && w.r.Phase() == Superseded && compareLives(rival, self) < 0 {
 		return fmt.Errorf("%s stepped aside for %s", id(self), id(rival))
 	}
 	return nil
@@ -686,7 +686,7 @@
 
 func (r credulous) Told(now clockTime, from string, rec lifeRecord) {
 	r.detectStop(now)
-	if r.phase == Serving && rec.Life == r.self.Life && rec.Incarnation >= r.self.Incarnation {
+	if r.phase == Serving && rec.RunID == r.self.RunID && rec.Incarnation >= r.self.Incarnation {
 		r.resume()
 	}
 }
@@ -713,7 +713,7 @@
 
 func (r timid) Claim(now clockTime, m Member) {
 	r.detectStop(now)
-	if m.Name == r.self.Name && m.Life != r.self.Life && r.phase == Serving {
+	if m.Name == r.self.Name && m.RunID != r.self.RunID && r.phase == Serving {
 		r.stepAside(m)
 		return
 	}
--- a/fleet/member/self.go
+++ b/fleet/member/self.go
@@ -10,9 +10,9 @@
 	r.highestTold = max(r.highestTold, rec.Incarnation)
 	switch {
 	case r.phase == Starting:
-	case rec.Life == r.self.Life && rec.State == stateAlive:
+	case rec.RunID == r.self.RunID && rec.State == stateAlive:
 		// One's own echo. Above one's own incarnation it is damaged or forged.
-	case rec.Life == r.self.Life:
+	case rec.RunID == r.self.RunID:
 		r.countAccuser(from, rec)
 	case rec.departed() || rec.Addr == r.self.Addr:
 		// Who has one's own address can't be running beside.
@@ -23,7 +23,7 @@
 		return // the other steps aside
 	}
 	if r.phase == Serving && r.highestTold >= r.self.Incarnation && r.highestTold < maxIncarnation {
-		if rec.Life != r.self.Life || rec.departed() {
+		if rec.RunID != r.self.RunID || rec.departed() {
 			r.setIncarnation(r.highestTold + 1)
 		}
 	}
@@ -64,7 +64,7 @@
 // stepAside ends this process's part in the fleet, for good: winner keeps the name.
 func (r *roster) stepAside(winner Member) {
 	old := r.self
-	r.phase = Aside
+	r.phase = Superseded
 	clear(r.names)
 	clear(r.notices)
 	r.actions.Happened(Event{Kind: Displaced, Member: winner, Old: old})
--- a/fleet/member/simulate_test.go
+++ b/fleet/member/simulate_test.go
@@ -98,7 +98,7 @@
 func (f *fleet) start(i int) {
 	f.lives++
 	p := &proc{fleet: f, i: i, up: true}
-	self := Member{Name: name(i), Life: f.lives * 2654435761 % 97, Addr: name(i)}
+	self := Member{Name: name(i), RunID: f.lives * 2654435761 % 97, Addr: name(i)}
 	p.r = f.make(f.now, rosterLimits{StopAfter: 4 * sec, DepartedFor: time.Hour, MaxDeparted: 64}, self, p)
 	f.procs[i] = p
 	for j, q := range f.procs {
@@ -280,7 +280,7 @@
 func rivals(make maker, v rivalry) error {
 	var all []subject
 	for i, inc := range v.Incs {
-		self := Member{Name: "me", Life: uint64(i*7%5 + 1), Addr: fmt.Sprint(i)}
+		self := Member{Name: "me", RunID: uint64(i*7%5 + 1), Addr: fmt.Sprint(i)}
 		r := make(0, testLimits, self, &book{})
 		r.Told(0, "", rec(at("before", mem("me", inc, 99)), stateGone))
 		r.Settled(0)
--- a/fleet/member/view.go
+++ b/fleet/member/view.go
@@ -74,7 +74,7 @@
 // resync sends the whole view in place of the events lost, if there is room for it.
 func (n *Node) resync() {
 	v := n.view.Load()
-	e := Event{Kind: Resync, Member: v.self, View: v.members, Dropped: n.backlog == backlogLostResumed}
+	e := Event{Kind: Resync, Member: v.self, View: v.members, LostResumed: n.backlog == backlogLostResumed}
 	select {
 	case n.events <- e:
 		n.backlog = backlogNone
--- a/fleet/member/wire.go
+++ b/fleet/member/wire.go
@@ -27,7 +27,7 @@
 type meta struct {
 	_           struct{} `cbor:",toarray"`
 	Incarnation uint64
-	Life        uint64
+	RunID       uint64
 	Zone        string
 	Version     uint8
 	Leaving     bool
@@ -39,7 +39,7 @@
 	_           struct{} `cbor:",toarray"`
 	Name        string
 	Incarnation uint64
-	Life        uint64
+	RunID       uint64
 	Addr        string
 	State       lifeState
 	Age         uint64 // in milliseconds
@@ -66,7 +66,7 @@
 	Kind        messageKind
 	From        string
 	Incarnation uint64
-	Life        uint64
+	RunID       uint64
 	Payload     []byte    // kindData
 	About       *wireLife // kindTold
 }
@@ -144,13 +144,13 @@
 
 // toRecord puts a life on the clock of the receiver.
 func (l *wireLife) toRecord(now clockTime) lifeRecord {
-	m := Member{Name: l.Name, Incarnation: l.Incarnation, Life: l.Life, Addr: l.Addr}
+	m := Member{Name: l.Name, Incarnation: l.Incarnation, RunID: l.RunID, Addr: l.Addr}
 	age := time.Duration(min(l.Age, uint64(1<<40))) * time.Millisecond
 	return lifeRecord{Member: m, State: l.State, Since: now - age}
 }
 
 func toWireLife(now clockTime, r lifeRecord) wireLife {
-	l := wireLife{Name: r.Name, Incarnation: r.Incarnation, Life: r.Life, Addr: r.Addr, State: r.State}
+	l := wireLife{Name: r.Name, Incarnation: r.Incarnation, RunID: r.RunID, Addr: r.Addr, State: r.State}
 	if r.departed() {
 		l.Age = uint64(max(0, now-r.Since) / time.Millisecond)
 	}
--- a/fleet/member/wire_test.go
+++ b/fleet/member/wire_test.go
@@ -17,12 +17,12 @@
 }
 
 func TestWireRoundTrips(t *testing.T) {
-	m := meta{Incarnation: maxIncarnation, Life: 1<<64 - 1, Zone: strings.Repeat("z", maxName), Version: 255, Leaving: true}
+	m := meta{Incarnation: maxIncarnation, RunID: 1<<64 - 1, Zone: strings.Repeat("z", maxName), Version: 255, Leaving: true}
 	buf := wire(t, m)
 	if got, err := readMeta(buf); got != m || err != nil || len(buf) > 512 {
 		t.Errorf("%+v, %v, %d bytes", got, err, len(buf))
 	}
-	l := wireLife{Name: strings.Repeat("n", maxName), Incarnation: 2, Life: 3, Addr: strings.Repeat("a", maxAddr), State: stateGone, Age: 4}
+	l := wireLife{Name: strings.Repeat("n", maxName), Incarnation: 2, RunID: 3, Addr: strings.Repeat("a", maxAddr), State: stateGone, Age: 4}
 	s := memory{From: "a"}
 	for range maxRecords {
 		s.Records = append(s.Records, l)
@@ -32,7 +32,7 @@
 		t.Errorf("%v, %d bytes", err, len(buf))
 	}
 	for _, d := range []message{
-		{From: l.Name, Incarnation: 1 << 47, Life: 1<<64 - 1, Payload: make([]byte, MaxPayload)},
+		{From: l.Name, Incarnation: 1 << 47, RunID: 1<<64 - 1, Payload: make([]byte, MaxPayload)},
 		{Kind: kindTold, From: "a", About: &l},
 	} {
 		buf = wire(t, d)
@@ -92,12 +92,12 @@
 
 func FuzzMeta(f *testing.F) {
 	f.Add([]byte{})
-	f.Add(wire(f, meta{Incarnation: 1, Life: 1 << 63, Zone: "z", Version: 1}))
+	f.Add(wire(f, meta{Incarnation: 1, RunID: 1 << 63, Zone: "z", Version: 1}))
 	f.Fuzz(func(t *testing.T, buf []byte) { again(t, buf, readMeta) })
 }
 
 func FuzzState(f *testing.F) {
-	f.Add(wire(f, memory{From: "a", Records: []wireLife{{Name: "b", Incarnation: 2, Life: 3, State: stateDead, Age: 1 << 60}}}))
+	f.Add(wire(f, memory{From: "a", Records: []wireLife{{Name: "b", Incarnation: 2, RunID: 3, State: stateDead, Age: 1 << 60}}}))
 	f.Fuzz(func(t *testing.T, buf []byte) {
 		again(t, buf, readMemory)
 		if m, err := readMemory(buf); err == nil { // and a roster bears it
@@ -111,7 +111,7 @@
 }
 
 func FuzzMessage(f *testing.F) {
-	f.Add(wire(f, message{From: "a", Incarnation: 1, Life: 2, Payload: []byte("x")}))
+	f.Add(wire(f, message{From: "a", Incarnation: 1, RunID: 2, Payload: []byte("x")}))
 	f.Add(wire(f, message{Kind: kindTold, From: "a", About: &wireLife{Name: "b"}}))
 	f.Fuzz(func(t *testing.T, buf []byte) {
 		again(t, buf, readMessage)
--- a/internal/scale/hollow/view.go
+++ b/internal/scale/hollow/view.go
@@ -22,7 +22,7 @@
 }
 
 func identityOf(m member.Member) identity {
-	return identity{m.Name, m.Life, m.Incarnation}
+	return identity{m.Name, m.RunID, m.Incarnation}
 }
 
 // Observe waits until the view of each member that is up holds all that are up and that it
