--- a/fleet/member/actions.go
+++ b/fleet/member/actions.go
@@ -10,7 +10,7 @@
 type nodeActions Node
 
 // Happened implements rosterActions: the event is logged, and sent by the next flush.
-func (a *nodeActions) Happened(e Event) {
+func (a *nodeActions) EmitEvent(e Event) {
 	level := slog.LevelInfo
 	if e.Kind == Displaced || e.Kind == Resumed {
 		level = slog.LevelWarn
@@ -38,7 +38,7 @@
 
 // StepAside implements rosterActions: others are told that this life has left, and it is silent
 // from then on. Memberlist's own farewell would hit the winner, which has the same name.
-func (a *nodeActions) StepAside(Member) {
+func (a *nodeActions) Withdraw(Member) {
 	n := (*Node)(a)
 	n.viewChanged = true
 	n.publishMeta(n.roster.Self(), true)
@@ -46,22 +46,22 @@
 		n.listMu.Lock()
 		defer n.listMu.Unlock()
 		n.list.UpdateNode(5 * n.cfg.GossipInterval)
-		n.listDown = true
+		n.listShutdown = true
 		n.list.Shutdown()
 	})
 }
 
 // Tell implements rosterActions: one datagram, which may be lost.
-func (a *nodeActions) Tell(to Member, about lifeRecord) {
+func (a *nodeActions) SendRecord(to Member, about memberRecord) {
 	n := (*Node)(a)
-	life := toWireLife(n.now(), about)
+	record := toWireRecord(n.now(), about)
 	self := n.roster.Self()
 	n.sendMessage(to, message{
-		Kind:        kindTold,
+		Kind:        kindNotice,
 		From:        self.Name,
 		Incarnation: self.Incarnation,
 		RunID:       self.RunID,
-		About:       &life,
+		About:       &record,
 	})
 }
 
@@ -81,11 +81,11 @@
 
 // publishMemory renews what a full exchange carries. Ages in it are as of now: they may go out
 // up to memoryInterval too young, which keeps a departed life in memory that much longer.
-func (n *Node) publishMemory(now clockTime) {
-	n.nextMemory = now + memoryInterval
-	m := memory{From: n.cfg.Name}
+func (n *Node) publishDeparted(now clockTime) {
+	n.nextDepartedPublish = now + departedPublishInterval
+	m := departedState{From: n.cfg.Name}
 	for _, rec := range n.roster.Departed() {
-		m.Records = append(m.Records, toWireLife(now, rec))
+		m.Records = append(m.Records, toWireRecord(now, rec))
 	}
 	if buf, err := encode(m); err == nil {
 		n.delegate.setShared(nil, buf)
--- a/fleet/member/config.go
+++ b/fleet/member/config.go
@@ -63,11 +63,11 @@
 
 // The bounds of a node beside those of Config.
 const (
-	inboxRoom        = 1024
-	rememberDeparted = 24 * time.Hour // longer than any operator's restart takes
-	deadPerJoin      = 3              // dead members tried again beside the seeds, each time
-	maxJoinRounds    = 3              // rounds of asking the seeds before a node serves alone
-	memoryInterval   = 10 * time.Second
+	inboxCapacity           = 1024
+	departedRetention       = 24 * time.Hour // longer than any operator's restart takes
+	maxDeadPerJoin          = 3              // dead members tried again beside the seeds, each time
+	maxJoinRounds           = 3              // rounds of asking the seeds before a node serves alone
+	departedPublishInterval = 10 * time.Second
 	// reclaimAfter is when a name may come back at another address once its old one is dead: at
 	// once, since who it is follows from incarnation and life, not from the address.
 	reclaimAfter = time.Nanosecond
@@ -106,10 +106,10 @@
 // checkBounds checks all but the addresses.
 func (c *Config) checkBounds() error {
 	switch k := len(c.Key); {
-	case c.Name == "" || len(c.Name) > maxName:
-		return fmt.Errorf("name: %d bytes, 1 to %d allowed", len(c.Name), maxName)
-	case len(c.Zone) > maxName:
-		return fmt.Errorf("zone: %d bytes, %d at most", len(c.Zone), maxName)
+	case c.Name == "" || len(c.Name) > maxNameBytes:
+		return fmt.Errorf("name: %d bytes, 1 to %d allowed", len(c.Name), maxNameBytes)
+	case len(c.Zone) > maxNameBytes:
+		return fmt.Errorf("zone: %d bytes, %d at most", len(c.Zone), maxNameBytes)
 	case k != 0 && k != 16 && k != 24 && k != 32:
 		return fmt.Errorf("key: %d bytes, 16, 24 or 32 needed", k)
 	case c.ProbeInterval < 0 || c.ProbeTimeout < 0 || c.ProbeTimeout > c.ProbeInterval:
--- a/fleet/member/delegate.go
+++ b/fleet/member/delegate.go
@@ -16,20 +16,20 @@
 var errTooManyMembers = fmt.Errorf("member: there are %d members already", maxMembers)
 
 // finding is what the failure detector, which is memberlist's, has found of a member.
-type finding uint8
+type liveness uint8
 
 const (
-	foundDead    finding = iota
-	foundAlive           // it joined, or spoke up
-	foundLeaving         // it has said that it leaves, whether or not it is still there
+	livenessDead    liveness = iota
+	livenessAlive            // it joined, or spoke up
+	livenessLeaving          // it has said that it leaves, whether or not it is still there
 )
 
-func (f finding) String() string { return [...]string{"dead", "alive", "leaving"}[f] }
+func (f liveness) String() string { return [...]string{"dead", "alive", "leaving"}[f] }
 
 // memberChange is what memberlist holds of one name.
 type memberChange struct {
-	member  Member
-	finding finding
+	member   Member
+	liveness liveness
 }
 
 // delegate takes memberlist's calls, which come under its locks and must not wait. News of
@@ -37,29 +37,29 @@
 // node's goroutine comes; all else goes through the inbox and is dropped when it is full.
 type delegate struct {
 	name     string
-	life     uint64
+	runID    uint64
 	enqueue  func(any) bool
 	counters *counters
 
-	mu      sync.Mutex
-	meta    []byte
-	memory  []byte
-	alive   map[string]bool         // that are alive
-	changed map[string]memberChange // the latest of each, until changes takes it
-	wake    chan struct{}           // one place
+	mu            sync.Mutex
+	meta          []byte
+	departedState []byte
+	alive         map[string]bool         // that are alive
+	changed       map[string]memberChange // the latest of each, until changes takes it
+	wake          chan struct{}           // one place
 }
 
 // What is posted to the node's inbox.
 type (
 	nameClaim   struct{ member Member }
-	remoteState struct{ memory memory }
+	remoteState struct{ departedState departedState }
 	datagram    struct{ message message }
 )
 
-func newDelegate(name string, life uint64, enqueue func(any) bool, counters *counters) *delegate {
+func newDelegate(name string, runID uint64, enqueue func(any) bool, counters *counters) *delegate {
 	return &delegate{
 		name:     name,
-		life:     life,
+		runID:    runID,
 		enqueue:  enqueue,
 		counters: counters,
 		alive:    map[string]bool{},
@@ -69,14 +69,14 @@
 }
 
 // setShared sets what others are told from now on.
-func (d *delegate) setShared(meta, memory []byte) {
+func (d *delegate) setShared(meta, departedState []byte) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if meta != nil {
 		d.meta = meta
 	}
-	if memory != nil {
-		d.memory = memory
+	if departedState != nil {
+		d.departedState = departedState
 	}
 }
 
@@ -93,20 +93,20 @@
 }
 
 // noteChange keeps what memberlist has found of a member and wakes the node's goroutine.
-func (d *delegate) noteChange(n *memberlist.Node, alive bool) {
+func (d *delegate) recordChange(n *memberlist.Node, alive bool) {
 	m, meta, err := memberOf(n)
 	if err != nil || n.Name == d.name {
 		return
 	}
-	found := foundDead
+	found := livenessDead
 	switch {
 	case meta.Leaving:
-		found = foundLeaving
+		found = livenessLeaving
 	case alive:
-		found = foundAlive
+		found = livenessAlive
 	}
 	d.mu.Lock()
-	d.changed[n.Name] = memberChange{member: m, finding: found}
+	d.changed[n.Name] = memberChange{member: m, liveness: found}
 	if alive {
 		d.alive[n.Name] = true
 	} else {
@@ -125,7 +125,7 @@
 	if err != nil {
 		return Member{}, m, err
 	}
-	if n.Name == "" || len(n.Name) > maxName {
+	if n.Name == "" || len(n.Name) > maxNameBytes {
 		return Member{}, m, errors.New("member: name: empty or too long")
 	}
 	return Member{
@@ -149,12 +149,12 @@
 func (d *delegate) LocalState(bool) []byte {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.memory
+	return d.departedState
 }
 
 // MergeRemoteState implements memberlist.Delegate.
 func (d *delegate) MergeRemoteState(buf []byte, _ bool) {
-	m, err := readMemory(buf)
+	m, err := readDepartedState(buf)
 	if err != nil {
 		d.counters.badState.Add(1)
 		return
@@ -177,14 +177,14 @@
 func (d *delegate) GetBroadcasts(int, int) [][]byte { return nil }
 
 // NotifyJoin implements memberlist.EventDelegate.
-func (d *delegate) NotifyJoin(n *memberlist.Node) { d.noteChange(n, true) }
+func (d *delegate) NotifyJoin(n *memberlist.Node) { d.recordChange(n, true) }
 
 // NotifyUpdate implements memberlist.EventDelegate.
-func (d *delegate) NotifyUpdate(n *memberlist.Node) { d.noteChange(n, true) }
+func (d *delegate) NotifyUpdate(n *memberlist.Node) { d.recordChange(n, true) }
 
 // NotifyLeave implements memberlist.EventDelegate. It comes for deaths as well, and does
 // not tell which: who leaves has said so in its meta before.
-func (d *delegate) NotifyLeave(n *memberlist.Node) { d.noteChange(n, false) }
+func (d *delegate) NotifyLeave(n *memberlist.Node) { d.recordChange(n, false) }
 
 // NotifyAlive implements memberlist.AliveDelegate. It sees each word of a living member
 // before memberlist decides on it, those under one's own name among them.
@@ -195,7 +195,7 @@
 		return err
 	}
 	if n.Name == d.name {
-		if m.RunID != d.life && !meta.Leaving {
+		if m.RunID != d.runID && !meta.Leaving {
 			d.enqueue(nameClaim{m})
 		}
 		return nil
@@ -204,7 +204,7 @@
 	full := !d.alive[n.Name] && len(d.alive) >= maxMembers
 	d.mu.Unlock()
 	if full {
-		d.counters.tooMany.Add(1)
+		d.counters.tooManyMembers.Add(1)
 		return errTooManyMembers
 	}
 	return nil
--- a/fleet/member/event.go
+++ b/fleet/member/event.go
@@ -47,12 +47,12 @@
 // rosterActions carries out what a roster decides, in the order of the calls.
 type rosterActions interface {
 	// Happened reports a change.
-	Happened(Event)
+	EmitEvent(Event)
 	// Announce makes one's own member known to the others as it is now.
 	Announce(self Member)
 	// StepAside ends one's own part in the fleet: the winner keeps the name.
-	StepAside(winner Member)
+	Withdraw(winner Member)
 	// Tell sends to one member, as well as may be, what is known of its name. It may be
 	// lost: what has to arrive is told again.
-	Tell(to Member, about lifeRecord)
+	SendRecord(to Member, about memberRecord)
 }
--- a/fleet/member/leave.go
+++ b/fleet/member/leave.go
@@ -30,7 +30,7 @@
 	}
 	n.listMu.Lock()
 	defer n.listMu.Unlock()
-	if n.listDown {
+	if n.listShutdown {
 		return ErrClosed
 	}
 	// First in words that tell it from a death, then in memberlist's, by which it is no
--- a/fleet/member/member.go
+++ b/fleet/member/member.go
@@ -25,7 +25,7 @@
 }
 
 // lifeState is what is known of a life.
-type lifeState uint8
+type memberState uint8
 
 // The states of a life, each stronger than the one before: of the same incarnation and
 // life the stronger is kept, in whichever order they are heard.
@@ -33,23 +33,23 @@
 	// stateHeard is departed by the word of another member alone. It is weaker than stateAlive: a
 	// member that was cut off believes all others dead, and its return must not kill
 	// those that the rest can see.
-	stateHeard lifeState = iota
+	stateReportedDead memberState = iota
 	stateAlive
 	stateDead // found dead by this member's own failure detector
-	stateGone // has said that it leaves
+	stateLeft // has said that it leaves
 )
 
-func (s lifeState) String() string { return [...]string{"heard", "alive", "dead", "gone"}[s] }
+func (s memberState) String() string { return [...]string{"heard", "alive", "dead", "gone"}[s] }
 
 // lifeRecord is one life and what is known of it.
-type lifeRecord struct {
+type memberRecord struct {
 	Member
-	State lifeState
+	State memberState
 	Since clockTime // when it departed, as far as is known
 }
 
 // compareLives orders two lives of a name.
-func compareLives(a, b Member) int {
+func compareRuns(a, b Member) int {
 	if c := cmp.Compare(a.Incarnation, b.Incarnation); c != 0 {
 		return c
 	}
@@ -58,11 +58,11 @@
 
 // supersedes tells whether r replaces o. Records of a name are in one total order and the
 // highest is kept, so that views depend neither on the order nor on the doubling of news.
-func (r lifeRecord) supersedes(o lifeRecord) bool {
-	if c := compareLives(r.Member, o.Member); c != 0 {
+func (r memberRecord) supersedes(o memberRecord) bool {
+	if c := compareRuns(r.Member, o.Member); c != 0 {
 		return c > 0
 	}
 	return r.State > o.State
 }
 
-func (r lifeRecord) departed() bool { return r.State != stateAlive }
+func (r memberRecord) departed() bool { return r.State != stateAlive }
--- a/fleet/member/messages.go
+++ b/fleet/member/messages.go
@@ -37,7 +37,7 @@
 // ErrClosed, or an error of the socket.
 func (n *Node) Send(name string, payload []byte) error {
 	v := n.view.Load()
-	to, ok := v.named(name)
+	to, ok := v.find(name)
 	switch {
 	case len(payload) > MaxPayload:
 		return ErrPayloadTooLong
@@ -101,20 +101,20 @@
 // receive passes a datagram on to the roster or to the reader of Messages, if its sender is the
 // life that the roster knows.
 func (n *Node) receive(now clockTime, m *message) {
-	if m.Kind == kindTold {
-		n.roster.Told(now, m.From, m.About.toRecord(now))
+	if m.Kind == kindNotice {
+		n.roster.SelfReported(now, m.From, m.About.toRecord(now))
 		return
 	}
-	switch n.roster.Accept(m.From, m.Incarnation, m.RunID) {
-	case verdictOlder:
-		n.counters.older.Add(1)
-	case verdictUnknown:
+	switch n.roster.CheckSender(m.From, m.Incarnation, m.RunID) {
+	case senderStale:
+		n.counters.staleRun.Add(1)
+	case senderUnknown:
 		n.counters.unknown.Add(1)
-	case verdictTake:
+	case senderAccepted:
 		select {
 		case n.messages <- Message{m.From, m.Incarnation, m.Payload}:
 		default:
-			n.counters.unread.Add(1)
+			n.counters.messagesDropped.Add(1)
 		}
 	}
 }
--- a/fleet/member/node.go
+++ b/fleet/member/node.go
@@ -20,7 +20,7 @@
 	cfg      Config
 	log      *slog.Logger
 	start    time.Time
-	life     uint64
+	runID    uint64
 	roster   *roster // only in run, after Start
 	view     atomic.Pointer[view]
 	counters counters
@@ -33,22 +33,22 @@
 	closing  sync.Once
 	tasks    sync.WaitGroup // joins, and the end of one that steps aside
 
-	delegate  *delegate
-	transport *transport
-	list      *memberlist.Memberlist
-	listMu    sync.Mutex // memberlist's Leave and UpdateNode read without its locks
-	listDown  bool       // under listMu: the list has been shut down
-	lastTick  atomic.Int64
+	delegate     *delegate
+	transport    *transport
+	list         *memberlist.Memberlist
+	listMu       sync.Mutex // memberlist's Leave and UpdateNode read without its locks
+	listShutdown bool       // under listMu: the list has been shut down
+	lastTick     atomic.Int64
 
 	// Only in run.
-	pending       []Event
-	viewChanged   bool
-	backlog       eventBacklog
-	joinRunning   bool
-	joinRounds    int
-	rejoinBackoff time.Duration
-	nextJoin      clockTime
-	nextMemory    clockTime
+	pending             []Event
+	viewChanged         bool
+	backlog             eventBacklog
+	joinRunning         bool
+	joinRounds          int
+	rejoinBackoff       time.Duration
+	nextJoin            clockTime
+	nextDepartedPublish clockTime
 }
 
 // Start starts a node, which then joins. It returns at once: until a seed has answered, or all
@@ -63,15 +63,15 @@
 		cfg:           cfg,
 		log:           cfg.Logger.With("member", cfg.Name),
 		start:         time.Now(),
-		inbox:         make(chan any, inboxRoom),
+		inbox:         make(chan any, inboxCapacity),
 		events:        make(chan Event, cfg.EventBuffer),
 		messages:      make(chan Message, cfg.MessageBuffer),
 		stop:          make(chan struct{}),
 		stopped:       make(chan struct{}),
 		rejoinBackoff: cfg.RejoinMin,
 	}
-	n.life = drawLife()
-	n.delegate = newDelegate(cfg.Name, n.life, n.enqueue, &n.counters)
+	n.runID = newRunID()
+	n.delegate = newDelegate(cfg.Name, n.runID, n.enqueue, &n.counters)
 
 	logger := log.New(memberlistLog{n.log}, "", 0)
 	n.transport, err = newTransport(bind.Addr().AsSlice(), int(bind.Port()), logger)
@@ -95,7 +95,7 @@
 }
 
 // drawLife draws the number by which this process differs from others of its name.
-func drawLife() uint64 {
+func newRunID() uint64 {
 	var b [8]byte
 	rand.Read(b[:]) // never fails
 	return binary.BigEndian.Uint64(b[:])
@@ -104,21 +104,21 @@
 // startRoster makes the roster and publishes it as it is then.
 func (n *Node) startRoster(advertise netip.AddrPort) {
 	self := Member{
-		Name: n.cfg.Name, RunID: n.life, Zone: n.cfg.Zone, Addr: advertise.String(), Version: n.cfg.Version,
+		Name: n.cfg.Name, RunID: n.runID, Zone: n.cfg.Zone, Addr: advertise.String(), Version: n.cfg.Version,
 	}
 	limits := rosterLimits{
-		StopAfter:   n.stopAfter(),
-		DepartedFor: rememberDeparted,
-		MaxDeparted: maxRecords,
+		PauseThreshold:    n.pauseThreshold(),
+		DepartedRetention: departedRetention,
+		MaxDeparted:       maxRecords,
 	}
 	n.roster = newRoster(n.now(), limits, self, (*nodeActions)(n))
 	n.publishMeta(self, false)
-	n.publishMemory(n.now())
+	n.publishDeparted(n.now())
 	n.publish()
 }
 
 // stopAfter is the shortest time after which others may take a silent member for dead.
-func (n *Node) stopAfter() time.Duration {
+func (n *Node) pauseThreshold() time.Duration {
 	return time.Duration(n.cfg.SuspicionMult) * n.cfg.ProbeInterval
 }
 
@@ -152,8 +152,8 @@
 			n.applyChanges()
 			n.roster.Tick(n.now())
 			n.lastTick.Store(int64(n.now()))
-			if n.now() >= n.nextMemory {
-				n.publishMemory(n.now())
+			if n.now() >= n.nextDepartedPublish {
+				n.publishDeparted(n.now())
 			}
 		case <-n.delegate.wake:
 			n.applyChanges()
@@ -174,12 +174,12 @@
 	}
 	slices.Sort(names)
 	for _, name := range names {
-		switch c := changes[name]; c.finding {
-		case foundLeaving:
+		switch c := changes[name]; c.liveness {
+		case livenessLeaving:
 			n.roster.Left(n.now(), c.member)
-		case foundAlive:
+		case livenessAlive:
 			n.roster.Alive(n.now(), c.member)
-		case foundDead:
+		case livenessDead:
 			n.roster.Died(n.now(), c.member)
 		}
 	}
@@ -190,20 +190,20 @@
 	now := n.now()
 	switch v := v.(type) {
 	case nameClaim:
-		n.roster.Claim(now, v.member)
+		n.roster.NameClaimed(now, v.member)
 	case remoteState:
-		records := make([]lifeRecord, len(v.memory.Records))
+		records := make([]memberRecord, len(v.departedState.Records))
 		for i := range records {
-			records[i] = v.memory.Records[i].toRecord(now)
+			records[i] = v.departedState.Records[i].toRecord(now)
 		}
-		n.roster.Hearsay(now, v.memory.From, records)
+		n.roster.MergeRemote(now, v.departedState.From, records)
 	case datagram:
 		n.receive(now, &v.message)
 	case joinDone:
 		n.joinRunning = false
 		n.joinRounds++
 		if v.reached > 0 || n.joinRounds >= maxJoinRounds {
-			n.roster.Settled(now)
+			n.roster.JoinFinished(now)
 		}
 	case leaveRequest:
 		n.roster.Leave(now)
@@ -215,7 +215,7 @@
 // not just been stopped for so long that the others may have gone on without it. A Resumed
 // follows where it has.
 func (n *Node) Fresh() bool {
-	return n.now()-clockTime(n.lastTick.Load()) <= n.stopAfter() && n.Phase() == Serving
+	return n.now()-clockTime(n.lastTick.Load()) <= n.pauseThreshold() && n.Phase() == Serving
 }
 
 type (
@@ -230,7 +230,7 @@
 		close(n.stop)
 		<-n.stopped
 		n.listMu.Lock()
-		n.listDown = true
+		n.listShutdown = true
 		n.list.Shutdown()
 		n.listMu.Unlock()
 		n.tasks.Wait()
--- a/fleet/member/node_test.go
+++ b/fleet/member/node_test.go
@@ -22,7 +22,7 @@
 const ms = time.Millisecond
 
 // quick makes times short, so that a death is seen within a second.
-func quick(name string, e faultlink.Endpoint, join ...string) Config {
+func fastConfig(name string, e faultlink.Endpoint, join ...string) Config {
 	return Config{
 		Name: name, Zone: "z", Version: 3, Bind: e.Bind, Advertise: e.Advertise, Join: join,
 		ProbeInterval: 100 * ms, ProbeTimeout: 40 * ms, SuspicionMult: 3, GossipInterval: 20 * ms,
@@ -73,7 +73,7 @@
 
 func (c *cluster) startAs(place, name string) *Node {
 	c.t.Helper()
-	cfg := quick(name, c.ends[place], c.ends["a"].Advertise)
+	cfg := fastConfig(name, c.ends[place], c.ends["a"].Advertise)
 	if c.tweak != nil {
 		c.tweak(&cfg)
 	}
@@ -124,7 +124,7 @@
 }
 
 // same waits until all nodes that run have the same view: themselves.
-func (c *cluster) same() {
+func (c *cluster) waitSameView() {
 	c.t.Helper()
 	c.eventually("the same view at all", func() bool {
 		var want []Member
@@ -146,21 +146,21 @@
 	})
 }
 
-var five = []string{"a", "b", "c", "d", "e"}
+var fiveNodes = []string{"a", "b", "c", "d", "e"}
 
-func (c *cluster) has(at string, k Kind, name string) func() bool {
+func (c *cluster) hasEvent(at string, k Kind, name string) func() bool {
 	return func() bool { return slices.Contains(c.events(at, name), k) }
 }
 
 func TestJoinLeaveKillRestart(t *testing.T) {
-	c := newCluster(t, five...)
-	c.start(five...)
-	c.same()
+	c := newCluster(t, fiveNodes...)
+	c.start(fiveNodes...)
+	c.waitSameView()
 	if m := c.nodes["b"].Members()[0]; m.Zone != "z" || m.Version != 3 || m.Addr != c.ends["a"].Advertise {
 		t.Errorf("%+v", m)
 	}
 	for _, at := range []string{"a", "c"} {
-		c.eventually("b joined", c.has(at, Joined, "b"))
+		c.eventually("b joined", c.hasEvent(at, Joined, "b"))
 	}
 
 	if err := c.nodes["b"].Leave(5 * time.Second); err != nil {
@@ -169,8 +169,8 @@
 	c.kill("b")
 	c.kill("c")
 	for _, at := range []string{"a", "d", "e"} {
-		c.eventually("b left", c.has(at, Left, "b"))
-		c.eventually("c died", c.has(at, Died, "c"))
+		c.eventually("b left", c.hasEvent(at, Left, "b"))
+		c.eventually("c died", c.hasEvent(at, Died, "c"))
 		if got := c.events(at, "b"); slices.Contains(got, Died) {
 			t.Errorf("%s: b has left: %v", at, got)
 		}
@@ -178,58 +178,58 @@
 			t.Errorf("%s: c was killed: %v", at, got)
 		}
 	}
-	c.same()
+	c.waitSameView()
 
 	c.start("b", "c")
-	c.same()
+	c.waitSameView()
 	for _, name := range []string{"b", "c"} {
 		if got := c.nodes[name].Self().Incarnation; got < 2 {
 			t.Errorf("%s has incarnation %d after a restart", name, got)
 		}
 		for _, at := range []string{"a", "d", "e"} {
-			c.eventually(name+" restarted", c.has(at, Restarted, name))
+			c.eventually(name+" restarted", c.hasEvent(at, Restarted, name))
 		}
 	}
 }
 
 // A restart quicker than anybody can notice is one all the same.
-func TestQuickRestart(t *testing.T) {
-	c := newCluster(t, five...)
-	c.start(five...)
-	c.same()
+func TestRestartBeforeDetection(t *testing.T) {
+	c := newCluster(t, fiveNodes...)
+	c.start(fiveNodes...)
+	c.waitSameView()
 	old := c.nodes["c"].Self()
 	c.kill("c")
 	c.start("c")
-	c.same()
+	c.waitSameView()
 	if now := c.nodes["c"].Self(); now.Incarnation <= old.Incarnation || now.RunID == old.RunID {
 		t.Errorf("%v after %v", now, old)
 	}
 	for _, at := range []string{"a", "b", "d", "e"} {
-		c.eventually("c restarted", c.has(at, Restarted, "c"))
+		c.eventually("c restarted", c.hasEvent(at, Restarted, "c"))
 	}
 }
 
 func TestPartitionAndHeal(t *testing.T) {
-	c := newCluster(t, five...)
+	c := newCluster(t, fiveNodes...)
 	// Long enough that a busy machine is not a stop.
 	c.tweak = func(cfg *Config) { cfg.SuspicionMult = 8 }
-	c.start(five...)
-	c.same()
-	life := c.nodes["e"].Self().RunID
+	c.start(fiveNodes...)
+	c.waitSameView()
+	runID := c.nodes["e"].Self().RunID
 	c.net.Partition([]string{"a", "b", "c"}, []string{"d", "e"})
-	c.same2("a", "b", "c")
-	c.same2("d", "e")
+	c.waitMemberCount("a", "b", "c")
+	c.waitMemberCount("d", "e")
 	c.net.Heal()
-	c.same()
-	if got := c.nodes["e"].Self(); got.RunID != life || got.Incarnation < 2 {
-		t.Errorf("e is %v, its life was %d", got, life)
+	c.waitSameView()
+	if got := c.nodes["e"].Self(); got.RunID != runID || got.Incarnation < 2 {
+		t.Errorf("e is %v, its life was %d", got, runID)
 	}
-	c.eventually("e returned", c.has("a", Returned, "e"))
+	c.eventually("e returned", c.hasEvent("a", Returned, "e"))
 	// The smaller side was dead to a majority. The larger was not, unless the other's word
 	// of its death, still on its way as gossip at the heal, has won others over.
-	c.eventually("e resumed", c.has("e", Resumed, "e"))
+	c.eventually("e resumed", c.hasEvent("e", Resumed, "e"))
 	believed := 0
-	for _, at := range five {
+	for _, at := range fiveNodes {
 		if slices.Contains(c.events(at, "a"), Died) {
 			believed++
 		}
@@ -241,52 +241,52 @@
 
 // After memberlist has forgotten the other side nothing but rejoin brings them together.
 func TestLongPartition(t *testing.T) {
-	c := newCluster(t, five...)
+	c := newCluster(t, fiveNodes...)
 	c.tweak = func(cfg *Config) { cfg.GossipToDeadTime = 100 * ms }
-	c.start(five...)
-	c.same()
+	c.start(fiveNodes...)
+	c.waitSameView()
 	c.net.Partition([]string{"a", "b", "c"}, []string{"d", "e"})
-	c.same2("a", "b", "c")
-	c.same2("d", "e")
+	c.waitMemberCount("a", "b", "c")
+	c.waitMemberCount("d", "e")
 	time.Sleep(time.Second) // several times DeadGossip
 	c.net.Heal()
-	c.same()
+	c.waitSameView()
 }
 
 // A cut one way makes neither end dead for ever, and others see both.
 func TestCutOneWay(t *testing.T) {
-	c := newCluster(t, five...)
-	c.start(five...)
-	c.same()
+	c := newCluster(t, fiveNodes...)
+	c.start(fiveNodes...)
+	c.waitSameView()
 	c.net.CutOneWay("b", "c")
 	c.net.CutOneWay("d", "e")
 	// As long as a few suspicions take; whoever is wrongly found dead meanwhile speaks up.
 	time.Sleep(1500 * ms)
-	c.same()
+	c.waitSameView()
 	c.net.Heal()
-	c.same()
+	c.waitSameView()
 	// One that hears and is not heard is dead to all while it lasts, and no longer.
 	for _, to := range []string{"a", "b", "d", "e"} {
 		c.net.CutOneWay("c", to)
 	}
 	c.eventually("c is dead to a", func() bool { return len(c.nodes["a"].Members()) == 4 })
 	c.net.Heal()
-	c.same()
+	c.waitSameView()
 }
 
 func TestLossyLinks(t *testing.T) {
-	c := newCluster(t, five...)
+	c := newCluster(t, fiveNodes...)
 	c.net.SetAll(faultlink.Fault{Loss: 0.2, Duplicate: 0.2, Reorder: 0.2, Delay: 2 * ms, Jitter: 5 * ms})
-	c.start(five...)
-	c.same()
+	c.start(fiveNodes...)
+	c.waitSameView()
 	c.net.Heal()
-	c.same()
+	c.waitSameView()
 }
 
 func TestTwoClaimOneName(t *testing.T) {
 	c := newCluster(t, "a", "b", "c", "d", "c2")
 	c.start("a", "b", "c", "d")
-	c.same()
+	c.waitSameView()
 	c.startAs("c2", "c")
 	// The newcomer has asked and goes above: it is as a restart elsewhere whose old life
 	// hangs on.
@@ -297,11 +297,11 @@
 	if err := c.nodes["c"].Send("a", nil); err != ErrNotReady {
 		t.Errorf("the displaced sends: %v", err)
 	}
-	c.same()
+	c.waitSameView()
 	if got := c.nodes["a"].Members()[2].Addr; got != c.ends["c2"].Advertise {
 		t.Errorf("c is at %s", got)
 	}
-	c.eventually("c displaced", c.has("c", Displaced, "c"))
+	c.eventually("c displaced", c.hasEvent("c", Displaced, "c"))
 }
 
 // Two that started apart, neither knowing of the other.
@@ -310,22 +310,22 @@
 	c.net.Partition([]string{"a", "b", "c"}, []string{"c2"})
 	c.start("a", "b", "c")
 	c.startAs("c2", "c")
-	c.same2("a", "b", "c")
+	c.waitMemberCount("a", "b", "c")
 	c.eventually("c2 serves alone", func() bool { return c.nodes["c2"].Phase() == Serving })
 	keeper, other := "c", "c2"
-	if compareLives(c.nodes["c2"].Self(), c.nodes["c"].Self()) > 0 {
+	if compareRuns(c.nodes["c2"].Self(), c.nodes["c"].Self()) > 0 {
 		keeper, other = other, keeper
 	}
 	c.net.Heal()
 	c.eventually("the lower steps aside", func() bool { return c.nodes[other].Phase() == Superseded })
-	c.same()
+	c.waitSameView()
 	if c.nodes[keeper].Phase() != Serving {
 		t.Error("the higher did not keep the name")
 	}
 }
 
 // same2 waits until the nodes named have as many members as they are.
-func (c *cluster) same2(names ...string) {
+func (c *cluster) waitMemberCount(names ...string) {
 	c.t.Helper()
 	c.eventually("all of "+strings.Join(names, ","), func() bool {
 		for _, name := range names {
@@ -340,7 +340,7 @@
 func TestMessages(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	c.start("a", "b", "c")
-	c.same()
+	c.waitSameView()
 	next := func(at string) Message {
 		t.Helper()
 		select {
@@ -374,15 +374,15 @@
 	old := c.nodes["a"].Self()
 	c.kill("a")
 	c.start("a")
-	c.same()
-	late := message{From: "a", Incarnation: old.Incarnation, RunID: old.RunID, Payload: []byte("late")}
-	if err := c.nodes["c"].sendMessage(c.nodes["b"].Self(), late); err != nil {
+	c.waitSameView()
+	delayed := message{From: "a", Incarnation: old.Incarnation, RunID: old.RunID, Payload: []byte("late")}
+	if err := c.nodes["c"].sendMessage(c.nodes["b"].Self(), delayed); err != nil {
 		t.Fatal(err)
 	}
 	b := c.nodes["b"]
 	c.eventually("the late word is counted", func() bool { return b.Stats().StaleRun == 1 })
-	late.From = "stranger"
-	c.nodes["c"].sendMessage(b.Self(), late)
+	delayed.From = "stranger"
+	c.nodes["c"].sendMessage(b.Self(), delayed)
 	c.eventually("the stranger's is counted", func() bool { return b.Stats().UnknownSender == 1 })
 	c.nodes["c"].list.SendBestEffort(b.list.LocalNode(), []byte{99, 1, 2})
 	c.eventually("one of a strange version is counted", func() bool { return b.Stats().BadMessage == 1 })
@@ -398,12 +398,12 @@
 		c.nodes["c"].Send("b", nil)
 		return b.Stats().MessagesDropped > 0
 	})
-	c.same()
+	c.waitSameView()
 }
 
 func TestEventsWithoutReader(t *testing.T) {
-	c := newCluster(t, five...)
-	cfg := quick("a", c.ends["a"])
+	c := newCluster(t, fiveNodes...)
+	cfg := fastConfig("a", c.ends["a"])
 	cfg.EventBuffer = 2
 	a, err := Start(cfg)
 	if err != nil {
@@ -411,9 +411,9 @@
 	}
 	c.nodes["a"] = a
 	c.start("b", "c", "d", "e")
-	c.same()
+	c.waitSameView()
 	c.kill("e")
-	c.same()
+	c.waitSameView()
 	c.eventually("events are lost", func() bool { return a.Stats().EventsLost > 0 })
 	for range 2 {
 		if e := <-a.Events(); e.Kind != Joined {
@@ -439,7 +439,7 @@
 	c := newCluster(t, "a", "b", "c")
 	key := []byte("0123456789abcdef")
 	for _, name := range []string{"a", "b", "c"} {
-		cfg := quick(name, c.ends[name], c.ends["a"].Advertise)
+		cfg := fastConfig(name, c.ends[name], c.ends["a"].Advertise)
 		if cfg.Key = key; name == "c" {
 			cfg.Key = []byte("another key 1234")
 		}
@@ -449,7 +449,7 @@
 		}
 		c.nodes[name] = n
 	}
-	c.same2("a", "b")
+	c.waitMemberCount("a", "b")
 	c.eventually("c serves alone", func() bool { return c.nodes["c"].Phase() == Serving })
 	if len(c.nodes["c"].Members()) != 1 {
 		t.Error("c got in with a wrong key")
@@ -541,7 +541,7 @@
 func TestManyConnections(t *testing.T) {
 	c := newCluster(t, "a", "b")
 	c.start("a", "b")
-	c.same()
+	c.waitSameView()
 	files := descriptors(t)
 	const many = 4 * maxStreams
 	for range many {
@@ -557,7 +557,7 @@
 		t.Errorf("%d descriptors more", got)
 	}
 	c.eventually("the silent ones end", func() bool { return len(c.nodes["b"].transport.slots) <= 1 })
-	c.same()
+	c.waitSameView()
 }
 
 // A process that is stopped and goes on takes the next incarnation and says that what it
@@ -593,9 +593,9 @@
 	c.eventually("c joined", func() bool { return len(c.nodes["a"].Members()) == 3 })
 	before := c.nodes["a"].Members()[2]
 	cmd.Process.Signal(syscall.SIGSTOP)
-	c.eventually("c died", c.has("a", Died, "c"))
+	c.eventually("c died", c.hasEvent("a", Died, "c"))
 	cmd.Process.Signal(syscall.SIGCONT)
-	c.eventually("c returned", c.has("a", Returned, "c"))
+	c.eventually("c returned", c.hasEvent("a", Returned, "c"))
 	after := c.nodes["a"].Members()[2]
 	if after.RunID != before.RunID || after.Incarnation <= before.Incarnation {
 		t.Errorf("%v after %v", after, before)
@@ -620,7 +620,7 @@
 	if len(place) != 3 {
 		t.Skip("only as a process of TestStoppedProcess")
 	}
-	cfg := quick("c", faultlink.Endpoint{Bind: place[0], Advertise: place[1]}, place[2])
+	cfg := fastConfig("c", faultlink.Endpoint{Bind: place[0], Advertise: place[1]}, place[2])
 	cfg.Logger = slog.New(slog.NewTextHandler(io.Discard, nil))
 	n, err := Start(cfg)
 	if err != nil {
--- a/fleet/member/rejoin.go
+++ b/fleet/member/rejoin.go
@@ -21,7 +21,7 @@
 	if len(targets) == 0 {
 		n.rejoinBackoff = n.cfg.RejoinMin
 		n.nextJoin = now + n.cfg.RejoinMin
-		n.roster.Settled(now)
+		n.roster.JoinFinished(now)
 		return
 	}
 	n.nextJoin = now + time.Duration((0.5+mrand.Float64())*float64(n.rejoinBackoff))
@@ -51,25 +51,25 @@
 
 // joinTargets returns the seeds that are not among the members and some of the dead.
 func (n *Node) joinTargets() []string {
-	here := map[string]bool{n.roster.Self().Addr: true}
+	known := map[string]bool{n.roster.Self().Addr: true}
 	members := n.view.Load().members
 	for _, m := range members {
-		here[m.Addr] = true
+		known[m.Addr] = true
 	}
 	var out []string
 	for _, addr := range n.cfg.Join {
 		_, err := netip.ParseAddrPort(addr)
-		named := err != nil // a host's name can't be told from the addresses of members
-		if !here[addr] && (!named || len(members) == 1) {
+		isHostname := err != nil // a host's name can't be told from the addresses of members
+		if !known[addr] && (!isHostname || len(members) == 1) {
 			out = append(out, addr)
 		}
 	}
 	var dead []string
 	for _, rec := range n.roster.Departed() {
-		if rec.State == stateDead && rec.Addr != "" && !here[rec.Addr] && !slices.Contains(out, rec.Addr) {
+		if rec.State == stateDead && rec.Addr != "" && !known[rec.Addr] && !slices.Contains(out, rec.Addr) {
 			dead = append(dead, rec.Addr)
 		}
 	}
 	mrand.Shuffle(len(dead), func(i, j int) { dead[i], dead[j] = dead[j], dead[i] })
-	return append(out, dead[:min(deadPerJoin, len(dead))]...)
+	return append(out, dead[:min(maxDeadPerJoin, len(dead))]...)
 }
--- a/fleet/member/roster.go
+++ b/fleet/member/roster.go
@@ -9,45 +9,45 @@
 
 // rosterLimits bounds what a roster remembers and waits for.
 type rosterLimits struct {
-	StopAfter   time.Duration // longest time between ticks after which nobody can have taken one for dead
-	DepartedFor time.Duration // how long a departed life is remembered
-	MaxDeparted int           // how many departed names are remembered; the longest departed goes first
+	PauseThreshold    time.Duration // longest time between ticks after which nobody can have taken one for dead
+	DepartedRetention time.Duration // how long a departed life is remembered
+	MaxDeparted       int           // how many departed names are remembered; the longest departed goes first
 }
 
 // verdict is what to make of a message.
-type verdict uint8
+type senderStatus uint8
 
 // The verdicts on a sender.
 const (
-	verdictTake    verdict = iota
-	verdictOlder           // from a life, or an incarnation, that is over
-	verdictUnknown         // from one that is not among the members
+	senderAccepted senderStatus = iota
+	senderStale                 // from a life, or an incarnation, that is over
+	senderUnknown               // from one that is not among the members
 )
 
-func (v verdict) String() string { return [...]string{"take", "older", "unknown"}[v] }
+func (v senderStatus) String() string { return [...]string{"take", "older", "unknown"}[v] }
 
 // roster is one member's view of the fleet. It is not safe for concurrent use.
 type roster struct {
-	limits      rosterLimits
-	actions     rosterActions
-	self        Member
-	phase       Phase
-	names       map[string]lifeRecord // all but one's own
-	highestTold uint64                // the highest incarnation heard of for one's own name
-	lastTick    clockTime
-	notices     map[string]notice
+	limits          rosterLimits
+	actions         rosterActions
+	self            Member
+	phase           Phase
+	names           map[string]memberRecord // all but one's own
+	highestReported uint64                  // the highest incarnation heard of for one's own name
+	lastTick        clockTime
+	notices         map[string]notice
 
 	// Who has said to have found this life dead in incarnation accused. What was said of
 	// those before fresh, the one taken at the last Resumed, is dealt with.
-	resumedIncarnation uint64
-	accusedIncarnation uint64
-	accusers           map[string]bool
+	resumedIncarnation      uint64
+	reportedDeadIncarnation uint64
+	deathReporters          map[string]bool
 }
 
 // notice is something to be told again. A lost one would leave a living member out.
 type notice struct {
 	to        Member
-	about     lifeRecord
+	about     memberRecord
 	remaining int // -1: until it has helped
 }
 
@@ -56,13 +56,13 @@
 func newRoster(now clockTime, limits rosterLimits, self Member, act rosterActions) *roster {
 	self.Incarnation = 0
 	return &roster{
-		limits:   limits,
-		actions:  act,
-		self:     self,
-		names:    map[string]lifeRecord{},
-		lastTick: now,
-		notices:  map[string]notice{},
-		accusers: map[string]bool{},
+		limits:         limits,
+		actions:        act,
+		self:           self,
+		names:          map[string]memberRecord{},
+		lastTick:       now,
+		notices:        map[string]notice{},
+		deathReporters: map[string]bool{},
 	}
 }
 
@@ -85,67 +85,67 @@
 }
 
 // Departed returns the departed lives that are remembered, by name, for the memory of others.
-func (r *roster) Departed() []lifeRecord {
-	var out []lifeRecord
+func (r *roster) Departed() []memberRecord {
+	var out []memberRecord
 	for _, rec := range r.names {
 		if rec.departed() {
 			out = append(out, rec)
 		}
 	}
-	slices.SortFunc(out, func(a, b lifeRecord) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(out, func(a, b memberRecord) int { return strings.Compare(a.Name, b.Name) })
 	return out
 }
 
 // Settled reports that all that could be asked have been: the process takes one more than
 // any incarnation it was told of.
-func (r *roster) Settled(now clockTime) {
+func (r *roster) JoinFinished(now clockTime) {
 	if r.phase != Starting {
 		return
 	}
 	r.phase = Serving
 	r.lastTick = now
-	r.setIncarnation(r.highestTold + 1)
+	r.setIncarnation(r.highestReported + 1)
 }
 
 // Alive reports that the failure detector has m among the living.
 func (r *roster) Alive(now clockTime, m Member) {
-	r.detectStop(now)
+	r.detectPause(now)
 	// A process that is still asking is nobody yet.
 	if m.Incarnation == 0 || m.Incarnation > maxIncarnation || r.phase == Superseded {
 		return
 	}
 	if m.Name == r.self.Name {
-		r.Claim(now, m)
+		r.NameClaimed(now, m)
 		return
 	}
-	r.merge(now, lifeRecord{Member: m, State: stateAlive})
+	r.merge(now, memberRecord{Member: m, State: stateAlive})
 }
 
 // Died reports that the failure detector has found m dead.
 func (r *roster) Died(now clockTime, m Member) {
-	r.detectStop(now)
-	r.mergeDeparted(now, lifeRecord{Member: m, State: stateDead, Since: now})
+	r.detectPause(now)
+	r.mergeDeparted(now, memberRecord{Member: m, State: stateDead, Since: now})
 	r.expireDeparted(now)
 }
 
 // Left reports that m has said that it leaves.
 func (r *roster) Left(now clockTime, m Member) {
-	r.detectStop(now)
-	r.mergeDeparted(now, lifeRecord{Member: m, State: stateGone, Since: now})
+	r.detectPause(now)
+	r.mergeDeparted(now, memberRecord{Member: m, State: stateLeft, Since: now})
 	r.expireDeparted(now)
 }
 
 // Hearsay reports what the member named from remembers as departed. The Since of its
 // records is on the clock of this roster.
-func (r *roster) Hearsay(now clockTime, from string, records []lifeRecord) {
-	r.detectStop(now)
+func (r *roster) MergeRemote(now clockTime, from string, records []memberRecord) {
+	r.detectPause(now)
 	for _, rec := range records {
 		if rec.Name == r.self.Name {
-			r.Told(now, from, rec)
+			r.SelfReported(now, from, rec)
 			continue
 		}
-		if rec.State != stateGone {
-			rec.State = stateHeard
+		if rec.State != stateLeft {
+			rec.State = stateReportedDead
 		}
 		rec.Since = min(rec.Since, now)
 		r.mergeDeparted(now, rec)
@@ -154,16 +154,16 @@
 }
 
 // mergeDeparted takes in news of a departed life, unless it is too old or not to be believed.
-func (r *roster) mergeDeparted(now clockTime, rec lifeRecord) {
+func (r *roster) mergeDeparted(now clockTime, rec memberRecord) {
 	if rec.Incarnation == 0 || rec.Incarnation > maxIncarnation || r.phase == Superseded ||
-		rec.Name == r.self.Name || now-rec.Since > r.limits.DepartedFor {
+		rec.Name == r.self.Name || now-rec.Since > r.limits.DepartedRetention {
 		return
 	}
 	r.merge(now, rec)
 }
 
 // merge takes in news of another name: the higher of what was known and what is reported is kept.
-func (r *roster) merge(now clockTime, rec lifeRecord) {
+func (r *roster) merge(now clockTime, rec memberRecord) {
 	old, known := r.names[rec.Name]
 	switch {
 	case !known || rec.supersedes(old):
@@ -175,7 +175,7 @@
 		// words are dropped here.
 		r.sendNotice(notice{rec.Member, old, -1})
 	case rec.departed() && old.departed():
-		if compareLives(rec.Member, old.Member) == 0 && rec.Since < old.Since {
+		if compareRuns(rec.Member, old.Member) == 0 && rec.Since < old.Since {
 			old.Since = rec.Since
 			r.names[rec.Name] = old
 		}
@@ -184,18 +184,18 @@
 }
 
 // reportChange reports the step from one record of a name to a higher one.
-func (r *roster) reportChange(old lifeRecord, known bool, rec lifeRecord) {
-	seen := known && old.State != stateHeard
-	sameLife := old.RunID == rec.RunID
+func (r *roster) reportChange(old memberRecord, known bool, rec memberRecord) {
+	seen := known && old.State != stateReportedDead
+	sameRun := old.RunID == rec.RunID
 	e := Event{Member: rec.Member, Old: old.Member}
 	switch {
 	case rec.State == stateAlive && !seen:
 		e = Event{Kind: Joined, Member: rec.Member}
-	case rec.State == stateAlive && sameLife:
+	case rec.State == stateAlive && sameRun:
 		e.Kind = Returned
 	case rec.State == stateAlive:
 		e.Kind = Restarted
-	case seen && sameLife && rec.State == stateGone && old.State != stateGone:
+	case seen && sameRun && rec.State == stateLeft && old.State != stateLeft:
 		e = Event{Kind: Left, Member: rec.Member}
 	case known && old.State == stateAlive:
 		// Also where a later life is known to have come and gone meanwhile.
@@ -203,7 +203,7 @@
 	default:
 		return
 	}
-	r.actions.Happened(e)
+	r.actions.EmitEvent(e)
 	if e.Kind == Returned && old.State == stateDead {
 		// Each that had it dead says so once: it must know whether most had.
 		r.sendNotice(notice{rec.Member, old, 2})
@@ -213,43 +213,43 @@
 // sendNotice tells a member what is known of its name, and again with later ticks.
 func (r *roster) sendNotice(t notice) {
 	r.notices[t.to.Name] = t
-	r.actions.Tell(t.to, t.about)
+	r.actions.SendRecord(t.to, t.about)
 }
 
 // Claim reports that m is said to be alive, by a word that the failure detector does not
 // follow: another life under one's own name, or a second address of another's.
-func (r *roster) Claim(now clockTime, m Member) {
-	r.detectStop(now)
+func (r *roster) NameClaimed(now clockTime, m Member) {
+	r.detectPause(now)
 	if m.Incarnation > maxIncarnation || r.phase == Superseded {
 		return
 	}
 	if m.Name == r.self.Name {
-		r.Told(now, "", lifeRecord{Member: m, State: stateAlive})
+		r.SelfReported(now, "", memberRecord{Member: m, State: stateAlive})
 		return
 	}
 	cur, known := r.names[m.Name]
 	if !known || cur.departed() || m.Incarnation == 0 || m.RunID == cur.RunID || m.Addr == cur.Addr {
 		return
 	}
-	if compareLives(m, cur.Member) < 0 {
-		r.actions.Tell(m, cur)
+	if compareRuns(m, cur.Member) < 0 {
+		r.actions.SendRecord(m, cur)
 		return
 	}
 	// Said once a claim: the tell stays until the record changes.
 	if t := r.notices[m.Name]; t.about.Member != m {
-		r.actions.Happened(Event{Kind: Displaced, Member: m, Old: cur.Member})
+		r.actions.EmitEvent(Event{Kind: Displaced, Member: m, Old: cur.Member})
 	}
-	r.sendNotice(notice{cur.Member, lifeRecord{Member: m, State: stateAlive}, -1})
+	r.sendNotice(notice{cur.Member, memberRecord{Member: m, State: stateAlive}, -1})
 }
 
 // Leave reports that the process leaves the fleet.
 func (r *roster) Leave(now clockTime) {
-	r.detectStop(now)
+	r.detectPause(now)
 	if r.phase > Serving {
 		return
 	}
 	if r.phase == Starting {
-		r.self.Incarnation = r.highestTold + 1
+		r.self.Incarnation = r.highestReported + 1
 	}
 	r.phase = Leaving
 	r.actions.Announce(r.self)
@@ -257,7 +257,7 @@
 
 // Tick reports that time has passed. It is to come several times in rosterLimits.StopAfter.
 func (r *roster) Tick(now clockTime) {
-	r.detectStop(now)
+	r.detectPause(now)
 	r.lastTick = now
 	r.expireDeparted(now)
 	names := make([]string, 0, len(r.notices))
@@ -275,34 +275,34 @@
 			t.remaining--
 			r.notices[name] = t
 		}
-		r.actions.Tell(t.to, t.about)
+		r.actions.SendRecord(t.to, t.about)
 	}
 }
 
 // Accept tells what to make of a message that is said to come from a life of name.
-func (r *roster) Accept(name string, incarnation, life uint64) verdict {
+func (r *roster) CheckSender(name string, incarnation, runID uint64) senderStatus {
 	rec, ok := r.names[name]
 	switch {
 	case !ok || name == r.self.Name:
-		return verdictUnknown
-	case compareLives(Member{Incarnation: incarnation, RunID: life}, rec.Member) < 0:
-		return verdictOlder
-	case rec.departed() && incarnation == rec.Incarnation && life == rec.RunID:
-		return verdictOlder
-	case rec.departed() || life != rec.RunID:
-		return verdictUnknown
+		return senderUnknown
+	case compareRuns(Member{Incarnation: incarnation, RunID: runID}, rec.Member) < 0:
+		return senderStale
+	case rec.departed() && incarnation == rec.Incarnation && runID == rec.RunID:
+		return senderStale
+	case rec.departed() || runID != rec.RunID:
+		return senderUnknown
 	}
 	// Its next incarnation may be a little ahead of the news of it.
-	return verdictTake
+	return senderAccepted
 }
 
 // expireDeparted keeps the memory of departed lives within its bounds.
 func (r *roster) expireDeparted(now clockTime) {
-	var departed []lifeRecord
+	var departed []memberRecord
 	for name, rec := range r.names {
 		switch {
 		case !rec.departed():
-		case now-rec.Since > r.limits.DepartedFor:
+		case now-rec.Since > r.limits.DepartedRetention:
 			delete(r.names, name)
 			delete(r.notices, name)
 		default:
@@ -312,7 +312,7 @@
 	if len(departed) <= r.limits.MaxDeparted {
 		return
 	}
-	slices.SortFunc(departed, func(a, b lifeRecord) int {
+	slices.SortFunc(departed, func(a, b memberRecord) int {
 		if c := cmp.Compare(a.Since, b.Since); c != 0 {
 			return c
 		}
--- a/fleet/member/self.go
+++ b/fleet/member/self.go
@@ -2,29 +2,29 @@
 
 // Told reports what the member named from knows of one's own name; "" is a word without a
 // known teller.
-func (r *roster) Told(now clockTime, from string, rec lifeRecord) {
-	r.detectStop(now)
+func (r *roster) SelfReported(now clockTime, from string, rec memberRecord) {
+	r.detectPause(now)
 	if rec.Name != r.self.Name || rec.Incarnation > maxIncarnation || r.phase > Serving {
 		return
 	}
-	r.highestTold = max(r.highestTold, rec.Incarnation)
+	r.highestReported = max(r.highestReported, rec.Incarnation)
 	switch {
 	case r.phase == Starting:
 	case rec.RunID == r.self.RunID && rec.State == stateAlive:
 		// One's own echo. Above one's own incarnation it is damaged or forged.
 	case rec.RunID == r.self.RunID:
-		r.countAccuser(from, rec)
+		r.countDeathReport(from, rec)
 	case rec.departed() || rec.Addr == r.self.Addr:
 		// Who has one's own address can't be running beside.
-	case compareLives(rec.Member, r.self) > 0:
-		r.stepAside(rec.Member)
+	case compareRuns(rec.Member, r.self) > 0:
+		r.withdraw(rec.Member)
 		return
 	default:
 		return // the other steps aside
 	}
-	if r.phase == Serving && r.highestTold >= r.self.Incarnation && r.highestTold < maxIncarnation {
+	if r.phase == Serving && r.highestReported >= r.self.Incarnation && r.highestReported < maxIncarnation {
 		if rec.RunID != r.self.RunID || rec.departed() {
-			r.setIncarnation(r.highestTold + 1)
+			r.setIncarnation(r.highestReported + 1)
 		}
 	}
 }
@@ -32,19 +32,19 @@
 // countAccuser counts those that have found this life dead. When a majority has, its parts may
 // have gone to others, and it must not act on what it holds; one that was cut off alone
 // takes the rest for dead, and must not make all of them drop all.
-func (r *roster) countAccuser(from string, rec lifeRecord) {
-	if rec.State != stateDead || from == "" || rec.Incarnation < max(r.accusedIncarnation, r.resumedIncarnation) {
+func (r *roster) countDeathReport(from string, rec memberRecord) {
+	if rec.State != stateDead || from == "" || rec.Incarnation < max(r.reportedDeadIncarnation, r.resumedIncarnation) {
 		return
 	}
-	if rec.Incarnation > r.accusedIncarnation {
-		r.accusedIncarnation = rec.Incarnation
-		clear(r.accusers)
+	if rec.Incarnation > r.reportedDeadIncarnation {
+		r.reportedDeadIncarnation = rec.Incarnation
+		clear(r.deathReporters)
 	}
-	if r.accusers[from] || 2*len(r.accusers) > r.fleetSize() {
+	if r.deathReporters[from] || 2*len(r.deathReporters) > r.fleetSize() {
 		return
 	}
-	r.accusers[from] = true
-	if 2*len(r.accusers) > r.fleetSize() {
+	r.deathReporters[from] = true
+	if 2*len(r.deathReporters) > r.fleetSize() {
 		r.resume()
 	}
 }
@@ -62,19 +62,19 @@
 }
 
 // stepAside ends this process's part in the fleet, for good: winner keeps the name.
-func (r *roster) stepAside(winner Member) {
+func (r *roster) withdraw(winner Member) {
 	old := r.self
 	r.phase = Superseded
 	clear(r.names)
 	clear(r.notices)
-	r.actions.Happened(Event{Kind: Displaced, Member: winner, Old: old})
-	r.actions.StepAside(winner)
+	r.actions.EmitEvent(Event{Kind: Displaced, Member: winner, Old: old})
+	r.actions.Withdraw(winner)
 }
 
 // detectStop notices at the first event after a stop that the process was stopped for longer
 // than the others wait before they take a member for dead.
-func (r *roster) detectStop(now clockTime) {
-	if r.phase == Serving && now-r.lastTick > r.limits.StopAfter {
+func (r *roster) detectPause(now clockTime) {
+	if r.phase == Serving && now-r.lastTick > r.limits.PauseThreshold {
 		r.lastTick = now
 		r.resume()
 	}
@@ -82,9 +82,9 @@
 
 // resume takes an incarnation above all that others may have accused.
 func (r *roster) resume() {
-	r.setIncarnation(max(r.highestTold, r.self.Incarnation) + 1)
+	r.setIncarnation(max(r.highestReported, r.self.Incarnation) + 1)
 	r.resumedIncarnation = r.self.Incarnation
-	r.actions.Happened(Event{Kind: Resumed, Member: r.self})
+	r.actions.EmitEvent(Event{Kind: Resumed, Member: r.self})
 }
 
 // setIncarnation takes an incarnation and announces it.
--- a/fleet/member/simulate_test.go
+++ b/fleet/member/simulate_test.go
@@ -21,19 +21,19 @@
 }
 
 const (
-	moveNews = iota
+	moveGossip = iota
 	moveKill
 	moveStart
 	movePartition
 	moveCutOneWay
 	moveHeal
-	moveStop // for longer than others wait
+	movePause // for longer than others wait
 	moves
 )
 
 const fleetSize = 5
 
-var aPlay = rapid.SliceOfN(rapid.Custom(func(t *rapid.T) move {
+var genMoves = rapid.SliceOfN(rapid.Custom(func(t *rapid.T) move {
 	kind := rapid.IntRange(0, 2*moves).Draw(t, "kind")
 	return move{
 		Kind:   kind % moves * (kind / moves & 1), // half are news
@@ -46,28 +46,28 @@
 
 // fleet is the model's world.
 type fleet struct {
-	make  maker
-	now   clockTime
-	lives uint64
-	procs [fleetSize]*proc
-	cut   [fleetSize][fleetSize]bool // from, to
-	lost  uint32
-	late  []func() // words under way
+	make    rosterFactory
+	now     clockTime
+	runs    uint64
+	procs   [fleetSize]*proc
+	cut     [fleetSize][fleetSize]bool // from, to
+	lost    uint32
+	delayed []func() // words under way
 }
 
 type proc struct {
-	fleet   *fleet
-	i       int
-	r       subject
-	up      bool
-	stopped bool
-	sees    [fleetSize]Member // whom the failure detector has among the living
+	fleet    *fleet
+	i        int
+	r        rosterUnderTest
+	up       bool
+	paused   bool
+	observed [fleetSize]Member // whom the failure detector has among the living
 }
 
-func (p *proc) Happened(Event)   {}
-func (p *proc) Announce(Member)  {}
-func (p *proc) StepAside(Member) {}
-func (p *proc) Tell(to Member, about lifeRecord) {
+func (p *proc) EmitEvent(Event) {}
+func (p *proc) Announce(Member) {}
+func (p *proc) Withdraw(Member) {}
+func (p *proc) SendRecord(to Member, about memberRecord) {
 	f, from, since := p.fleet, p.r.Self().Name, p.fleet.now
 	age := since - about.Since
 	for j, q := range f.procs {
@@ -75,14 +75,14 @@
 			continue
 		}
 		deliver := func() {
-			if q.up && !q.stopped {
+			if q.up && !q.paused {
 				about.Since = f.now - age
-				q.r.Told(f.now, from, about)
+				q.r.SelfReported(f.now, from, about)
 			}
 		}
-		f.late = append(f.late, deliver)
+		f.delayed = append(f.delayed, deliver)
 		if f.lost&2 != 0 {
-			f.late = append(f.late, deliver) // twice
+			f.delayed = append(f.delayed, deliver) // twice
 		}
 	}
 }
@@ -96,67 +96,67 @@
 func name(i int) string { return string(rune('a' + i)) }
 
 func (f *fleet) start(i int) {
-	f.lives++
+	f.runs++
 	p := &proc{fleet: f, i: i, up: true}
-	self := Member{Name: name(i), RunID: f.lives * 2654435761 % 97, Addr: name(i)}
-	p.r = f.make(f.now, rosterLimits{StopAfter: 4 * sec, DepartedFor: time.Hour, MaxDeparted: 64}, self, p)
+	self := Member{Name: name(i), RunID: f.runs * 2654435761 % 97, Addr: name(i)}
+	p.r = f.make(f.now, rosterLimits{PauseThreshold: 4 * sec, DepartedRetention: time.Hour, MaxDeparted: 64}, self, p)
 	f.procs[i] = p
 	for j, q := range f.procs {
 		if f.linked(i, j) {
-			p.r.Hearsay(f.now, name(j), q.r.Departed())
+			p.r.MergeRemote(f.now, name(j), q.r.Departed())
 			for _, m := range q.r.Members() {
 				if m.Name == name(i) {
-					p.r.Claim(f.now, m)
+					p.r.NameClaimed(f.now, m)
 				}
 			}
 		}
 	}
-	p.r.Settled(f.now)
+	p.r.JoinFinished(f.now)
 }
 
 // linked tells whether i and j can make a full exchange.
 func (f *fleet) linked(i, j int) bool {
-	ok := func(p *proc) bool { return p != nil && p.up && !p.stopped }
+	ok := func(p *proc) bool { return p != nil && p.up && !p.paused }
 	return i != j && ok(f.procs[i]) && ok(f.procs[j]) && !f.cut[i][j] && !f.cut[j][i]
 }
 
 // news lets each running process hear, of each other, what its failure detector finds now.
-func (f *fleet) news(whole bool) {
+func (f *fleet) gossip(lossless bool) {
 	f.now += sec
-	words := f.late
-	f.late = nil
-	for _, w := range words {
+	deliveries := f.delayed
+	f.delayed = nil
+	for _, w := range deliveries {
 		w()
 	}
 	for i, p := range f.procs {
-		if p == nil || !p.up || p.stopped {
+		if p == nil || !p.up || p.paused {
 			continue
 		}
 		p.r.Tick(f.now)
 		for j, q := range f.procs {
-			if i == j || q == nil || !whole && f.drop() {
+			if i == j || q == nil || !lossless && f.drop() {
 				continue
 			}
-			if q.up && !q.stopped && !f.cut[j][i] {
-				p.sees[j] = q.r.Self()
-				p.r.Alive(f.now, p.sees[j])
-			} else if p.sees[j].Name != "" {
-				p.r.Died(f.now, p.sees[j])
-				p.sees[j] = Member{}
+			if q.up && !q.paused && !f.cut[j][i] {
+				p.observed[j] = q.r.Self()
+				p.r.Alive(f.now, p.observed[j])
+			} else if p.observed[j].Name != "" {
+				p.r.Died(f.now, p.observed[j])
+				p.observed[j] = Member{}
 			}
 			if f.linked(i, j) {
-				p.r.Hearsay(f.now, name(j), q.r.Departed())
+				p.r.MergeRemote(f.now, name(j), q.r.Departed())
 			}
 		}
 	}
 }
 
-func (f *fleet) play(m move) {
+func (f *fleet) run(m move) {
 	f.lost = m.Lost
 	p := f.procs[m.A]
 	switch m.Kind {
-	case moveNews:
-		f.news(false)
+	case moveGossip:
+		f.gossip(false)
 	case moveKill:
 		p.up = false
 	case moveStart:
@@ -173,30 +173,30 @@
 		f.cut[m.A][m.B] = true
 	case moveHeal:
 		f.cut = [fleetSize][fleetSize]bool{}
-	case moveStop:
-		p.stopped = true
+	case movePause:
+		p.paused = true
 		for range 6 {
-			f.news(false)
+			f.gossip(false)
 		}
-		p.stopped = false
+		p.paused = false
 	}
 }
 
 // simulate plays the moves, heals all, and checks that all views become the same: just those
 // that run.
-func simulate(make maker, moves []move) error {
+func simulate(make rosterFactory, moves []move) error {
 	f := &fleet{make: make}
 	for i := range f.procs {
 		f.start(i)
 	}
-	f.news(true)
+	f.gossip(true)
 	for _, m := range moves {
-		f.play(m)
+		f.run(m)
 	}
 	f.cut = [fleetSize][fleetSize]bool{}
 	f.lost = 0
 	for range 8 {
-		f.news(true)
+		f.gossip(true)
 	}
 	var want []Member
 	for _, p := range f.procs {
@@ -214,7 +214,7 @@
 
 func TestConvergence(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		if err := simulate(sound, aPlay.Draw(t, "play")); err != nil {
+		if err := simulate(correctRoster, genMoves.Draw(t, "play")); err != nil {
 			t.Fatal(err)
 		}
 	})
@@ -222,11 +222,11 @@
 
 // returnOfOne cuts one member off from all others, and heals: it took them for dead. It must
 // drop what it holds, since all the others went on without it, and none of them may.
-func returnOfOne(make maker) error {
+func healIsolatedMember(make rosterFactory) error {
 	f := &fleet{}
 	resumed := map[string]int{}
-	f.make = func(now clockTime, l rosterLimits, self Member, act rosterActions) subject {
-		return make(now, l, self, watch{act, func(e Event) {
+	f.make = func(now clockTime, l rosterLimits, self Member, act rosterActions) rosterUnderTest {
+		return make(now, l, self, eventWatcher{act, func(e Event) {
 			if e.Kind == Resumed {
 				resumed[self.Name]++
 			}
@@ -235,12 +235,12 @@
 	for i := range f.procs {
 		f.start(i)
 	}
-	f.news(true)
-	f.play(move{Kind: movePartition, Groups: 1})
-	f.news(true)
-	f.play(move{Kind: moveHeal})
+	f.gossip(true)
+	f.run(move{Kind: movePartition, Groups: 1})
+	f.gossip(true)
+	f.run(move{Kind: moveHeal})
 	for range 8 {
-		f.news(true)
+		f.gossip(true)
 	}
 	if len(resumed) != 1 || resumed["a"] != 1 {
 		return fmt.Errorf("resumed: %v", resumed)
@@ -248,53 +248,53 @@
 	return nil
 }
 
-func TestReturnOfOne(t *testing.T) {
-	if err := returnOfOne(sound); err != nil {
+func TestIsolatedMemberReturns(t *testing.T) {
+	if err := healIsolatedMember(correctRoster); err != nil {
 		t.Error(err)
 	}
 }
 
-type watch struct {
+type eventWatcher struct {
 	rosterActions
-	see func(Event)
+	onEvent func(Event)
 }
 
-func (w watch) Happened(e Event) { w.see(e) }
+func (w eventWatcher) EmitEvent(e Event) { w.onEvent(e) }
 
 // rivalry is some processes that claim one name, and the order in which they hear of
 // one another.
-type rivalry struct {
-	Incs  []uint64
-	Order []int
+type claimSchedule struct {
+	Incarnations []uint64
+	Order        []int
 }
 
-var aRivalry = rapid.Custom(func(t *rapid.T) rivalry {
-	return rivalry{
-		Incs:  rapid.SliceOfN(rapid.Uint64Range(0, 2), 2, 4).Draw(t, "incarnations"),
-		Order: rapid.SliceOfN(rapid.IntRange(0, 15), 0, 20).Draw(t, "order"),
+var genClaims = rapid.Custom(func(t *rapid.T) claimSchedule {
+	return claimSchedule{
+		Incarnations: rapid.SliceOfN(rapid.Uint64Range(0, 2), 2, 4).Draw(t, "incarnations"),
+		Order:        rapid.SliceOfN(rapid.IntRange(0, 15), 0, 20).Draw(t, "order"),
 	}
 })
 
 // rivals lets them hear of one another in a random order, then once all of all: one keeps
 // the name, and it is the highest of those that ever served.
-func rivals(make maker, v rivalry) error {
-	var all []subject
-	for i, inc := range v.Incs {
+func resolveClaims(make rosterFactory, v claimSchedule) error {
+	var all []rosterUnderTest
+	for i, inc := range v.Incarnations {
 		self := Member{Name: "me", RunID: uint64(i*7%5 + 1), Addr: fmt.Sprint(i)}
-		r := make(0, testLimits, self, &book{})
-		r.Told(0, "", rec(at("before", mem("me", inc, 99)), stateGone))
-		r.Settled(0)
+		r := make(0, testLimits, self, &actionRecorder{})
+		r.SelfReported(0, "", rec(at("before", mem("me", inc, 99)), stateLeft))
+		r.JoinFinished(0)
 		all = append(all, r)
 	}
 	var best Member
 	for _, r := range all {
-		if compareLives(r.Self(), best) > 0 {
+		if compareRuns(r.Self(), best) > 0 {
 			best = r.Self()
 		}
 	}
 	hear := func(i, j int) {
 		// One that has stepped aside says nothing more; what it said before comes late.
-		all[i].Claim(0, all[j].Self())
+		all[i].NameClaimed(0, all[j].Self())
 	}
 	for _, o := range v.Order {
 		if i, j := o%len(all), o/4%len(all); i != j {
@@ -316,9 +316,9 @@
 	return nil
 }
 
-func TestOneKeepsTheName(t *testing.T) {
+func TestHighestClaimKeepsName(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		if err := rivals(sound, aRivalry.Draw(t, "rivals")); err != nil {
+		if err := resolveClaims(correctRoster, genClaims.Draw(t, "rivals")); err != nil {
 			t.Fatal(err)
 		}
 	})
--- a/fleet/member/stats.go
+++ b/fleet/member/stats.go
@@ -20,9 +20,9 @@
 
 // counters are the node's Stats, written by many goroutines.
 type counters struct {
-	badMeta, badState, badMessage     atomic.Uint64
-	older, unknown, inboxFull, unread atomic.Uint64
-	eventsLost, tooMany               atomic.Uint64
+	badMeta, badState, badMessage                 atomic.Uint64
+	staleRun, unknown, inboxFull, messagesDropped atomic.Uint64
+	eventsLost, tooManyMembers                    atomic.Uint64
 }
 
 // Stats returns what the node dropped since its start.
@@ -32,11 +32,11 @@
 		BadMeta:         c.badMeta.Load(),
 		BadState:        c.badState.Load(),
 		BadMessage:      c.badMessage.Load(),
-		StaleRun:        c.older.Load(),
+		StaleRun:        c.staleRun.Load(),
 		UnknownSender:   c.unknown.Load(),
 		InboxFull:       c.inboxFull.Load(),
-		MessagesDropped: c.unread.Load(),
+		MessagesDropped: c.messagesDropped.Load(),
 		EventsLost:      c.eventsLost.Load(),
-		TooManyMembers:  c.tooMany.Load(),
+		TooManyMembers:  c.tooManyMembers.Load(),
 	}
 }
--- a/fleet/member/transport.go
+++ b/fleet/member/transport.go
@@ -69,22 +69,22 @@
 }
 
 // track closes a connection when the node ends, and says when it is over.
-func (t *transport) track(c net.Conn, over func()) net.Conn {
+func (t *transport) track(c net.Conn, onClose func()) net.Conn {
 	stop := context.AfterFunc(t.ctx, func() { c.Close() })
-	return &stream{Conn: c, over: func() {
+	return &stream{Conn: c, onClose: func() {
 		stop()
-		over()
+		onClose()
 	}}
 }
 
 type stream struct {
 	net.Conn
-	once sync.Once
-	over func()
+	once    sync.Once
+	onClose func()
 }
 
 func (s *stream) Close() error {
-	s.once.Do(s.over)
+	s.once.Do(s.onClose)
 	return s.Conn.Close()
 }
 
--- a/fleet/member/view.go
+++ b/fleet/member/view.go
@@ -24,7 +24,7 @@
 }
 
 // named returns the member with a name.
-func (v *view) named(name string) (Member, bool) {
+func (v *view) find(name string) (Member, bool) {
 	i, ok := slices.BinarySearchFunc(v.members, name, func(m Member, name string) int {
 		return strings.Compare(m.Name, name)
 	})
@@ -60,7 +60,7 @@
 	if n.viewChanged {
 		n.viewChanged = false
 		n.publish()
-		n.publishMemory(n.now())
+		n.publishDeparted(n.now())
 	}
 	for _, e := range n.pending {
 		n.emit(e)
--- a/fleet/member/wire.go
+++ b/fleet/member/wire.go
@@ -14,10 +14,10 @@
 const (
 	wireVersion = 1
 
-	maxName    = 64   // bytes of a name, a zone
-	maxAddr    = 64   // bytes of an address
-	maxRecords = 1536 // departed lives in one state: of a fleet of over a thousand, all of them
-	maxState   = 256 << 10
+	maxNameBytes  = 64   // bytes of a name, a zone
+	maxAddrBytes  = 64   // bytes of an address
+	maxRecords    = 1536 // departed lives in one state: of a fleet of over a thousand, all of them
+	maxStateBytes = 256 << 10
 	// MaxPayload is the longest payload in bytes of one message: with its head, and with
 	// memberlist's, it fits in one Ethernet frame.
 	MaxPayload = 1024
@@ -35,29 +35,29 @@
 
 // wireLife is one lifeRecord on the network. An age travels instead of a time, since no two
 // members' clocks can be compared.
-type wireLife struct {
+type wireRecord struct {
 	_           struct{} `cbor:",toarray"`
 	Name        string
 	Incarnation uint64
 	RunID       uint64
 	Addr        string
-	State       lifeState
+	State       memberState
 	Age         uint64 // in milliseconds
 }
 
 // memory is what members tell one another of departed lives in a full exchange.
-type memory struct {
+type departedState struct {
 	_       struct{} `cbor:",toarray"`
 	From    string
-	Records []wireLife
+	Records []wireRecord
 }
 
 type messageKind uint8
 
 const (
-	kindData messageKind = iota // for the users of the node
-	kindTold                    // what is known of the receiver's name
-	messageKinds
+	kindData   messageKind = iota // for the users of the node
+	kindNotice                    // what is known of the receiver's name
+	messageKindCount
 )
 
 // message is one datagram.
@@ -67,8 +67,8 @@
 	From        string
 	Incarnation uint64
 	RunID       uint64
-	Payload     []byte    // kindData
-	About       *wireLife // kindTold
+	Payload     []byte      // kindData
+	About       *wireRecord // kindTold
 }
 
 var (
@@ -118,8 +118,8 @@
 		switch {
 		case m.Incarnation > maxIncarnation:
 			err = fmt.Errorf("incarnation: %d is too high", m.Incarnation)
-		case len(m.Zone) > maxName:
-			err = fmt.Errorf("zone: %d bytes, %d at most", len(m.Zone), maxName)
+		case len(m.Zone) > maxNameBytes:
+			err = fmt.Errorf("zone: %d bytes, %d at most", len(m.Zone), maxNameBytes)
 		}
 	}
 	if err != nil {
@@ -128,38 +128,38 @@
 	return m, nil
 }
 
-func (l *wireLife) check() error {
+func (l *wireRecord) check() error {
 	switch {
-	case l.Name == "" || len(l.Name) > maxName:
-		return fmt.Errorf("name: %d bytes, 1 to %d allowed", len(l.Name), maxName)
-	case len(l.Addr) > maxAddr:
-		return fmt.Errorf("addr: %d bytes, %d at most", len(l.Addr), maxAddr)
+	case l.Name == "" || len(l.Name) > maxNameBytes:
+		return fmt.Errorf("name: %d bytes, 1 to %d allowed", len(l.Name), maxNameBytes)
+	case len(l.Addr) > maxAddrBytes:
+		return fmt.Errorf("addr: %d bytes, %d at most", len(l.Addr), maxAddrBytes)
 	case l.Incarnation > maxIncarnation:
 		return fmt.Errorf("incarnation: %d is too high", l.Incarnation)
-	case l.State > stateGone:
+	case l.State > stateLeft:
 		return fmt.Errorf("state: %d is not known", l.State)
 	}
 	return nil
 }
 
 // toRecord puts a life on the clock of the receiver.
-func (l *wireLife) toRecord(now clockTime) lifeRecord {
+func (l *wireRecord) toRecord(now clockTime) memberRecord {
 	m := Member{Name: l.Name, Incarnation: l.Incarnation, RunID: l.RunID, Addr: l.Addr}
 	age := time.Duration(min(l.Age, uint64(1<<40))) * time.Millisecond
-	return lifeRecord{Member: m, State: l.State, Since: now - age}
+	return memberRecord{Member: m, State: l.State, Since: now - age}
 }
 
-func toWireLife(now clockTime, r lifeRecord) wireLife {
-	l := wireLife{Name: r.Name, Incarnation: r.Incarnation, RunID: r.RunID, Addr: r.Addr, State: r.State}
+func toWireRecord(now clockTime, r memberRecord) wireRecord {
+	l := wireRecord{Name: r.Name, Incarnation: r.Incarnation, RunID: r.RunID, Addr: r.Addr, State: r.State}
 	if r.departed() {
 		l.Age = uint64(max(0, now-r.Since) / time.Millisecond)
 	}
 	return l
 }
 
-func readMemory(buf []byte) (m memory, err error) {
-	if err = decode(buf, maxState, &m); err == nil && len(m.From) > maxName {
-		err = fmt.Errorf("from: %d bytes, %d at most", len(m.From), maxName)
+func readDepartedState(buf []byte) (m departedState, err error) {
+	if err = decode(buf, maxStateBytes, &m); err == nil && len(m.From) > maxNameBytes {
+		err = fmt.Errorf("from: %d bytes, %d at most", len(m.From), maxNameBytes)
 	}
 	for i := range m.Records {
 		if err == nil {
@@ -170,7 +170,7 @@
 		}
 	}
 	if err != nil {
-		return memory{}, fmt.Errorf("member: state: %w", err)
+		return departedState{}, fmt.Errorf("member: state: %w", err)
 	}
 	return m, nil
 }
@@ -178,15 +178,15 @@
 func readMessage(buf []byte) (m message, err error) {
 	if err = decode(buf, 1400, &m); err == nil {
 		switch {
-		case m.Kind >= messageKinds:
+		case m.Kind >= messageKindCount:
 			err = fmt.Errorf("kind: %d is not known", m.Kind)
-		case m.From == "" || len(m.From) > maxName:
-			err = fmt.Errorf("from: %d bytes, 1 to %d allowed", len(m.From), maxName)
+		case m.From == "" || len(m.From) > maxNameBytes:
+			err = fmt.Errorf("from: %d bytes, 1 to %d allowed", len(m.From), maxNameBytes)
 		case len(m.Payload) > MaxPayload:
 			err = fmt.Errorf("payload: %d bytes, %d at most", len(m.Payload), MaxPayload)
-		case m.Kind == kindTold && m.About == nil:
+		case m.Kind == kindNotice && m.About == nil:
 			err = errors.New("about: missing")
-		case m.Kind == kindTold:
+		case m.Kind == kindNotice:
 			err = m.About.check()
 		}
 	}
--- a/fleet/member/wire_test.go
+++ b/fleet/member/wire_test.go
@@ -17,23 +17,23 @@
 }
 
 func TestWireRoundTrips(t *testing.T) {
-	m := meta{Incarnation: maxIncarnation, RunID: 1<<64 - 1, Zone: strings.Repeat("z", maxName), Version: 255, Leaving: true}
+	m := meta{Incarnation: maxIncarnation, RunID: 1<<64 - 1, Zone: strings.Repeat("z", maxNameBytes), Version: 255, Leaving: true}
 	buf := wire(t, m)
 	if got, err := readMeta(buf); got != m || err != nil || len(buf) > 512 {
 		t.Errorf("%+v, %v, %d bytes", got, err, len(buf))
 	}
-	l := wireLife{Name: strings.Repeat("n", maxName), Incarnation: 2, RunID: 3, Addr: strings.Repeat("a", maxAddr), State: stateGone, Age: 4}
-	s := memory{From: "a"}
+	l := wireRecord{Name: strings.Repeat("n", maxNameBytes), Incarnation: 2, RunID: 3, Addr: strings.Repeat("a", maxAddrBytes), State: stateLeft, Age: 4}
+	s := departedState{From: "a"}
 	for range maxRecords {
 		s.Records = append(s.Records, l)
 	}
 	buf = wire(t, s)
-	if got, err := readMemory(buf); !reflect.DeepEqual(got, s) || err != nil || len(buf) > maxState {
+	if got, err := readDepartedState(buf); !reflect.DeepEqual(got, s) || err != nil || len(buf) > maxStateBytes {
 		t.Errorf("%v, %d bytes", err, len(buf))
 	}
 	for _, d := range []message{
 		{From: l.Name, Incarnation: 1 << 47, RunID: 1<<64 - 1, Payload: make([]byte, MaxPayload)},
-		{Kind: kindTold, From: "a", About: &l},
+		{Kind: kindNotice, From: "a", About: &l},
 	} {
 		buf = wire(t, d)
 		// With memberlist's own bytes: type, checksum, version, nonce and tag of the cipher.
@@ -43,28 +43,28 @@
 	}
 }
 
-func TestWireRefuses(t *testing.T) {
+func TestWireRejectsMalformed(t *testing.T) {
 	long := strings.Repeat("x", 65)
 	for want, err := range map[string]error{
-		"member: meta: empty":           second(readMeta(nil)),
-		"member: meta: version 9":       second(readMeta([]byte{9, 0x80})),
-		"member: meta: 600 bytes":       second(readMeta(append([]byte{1}, make([]byte, 599)...))),
-		"member: meta: zone":            second(readMeta(wire(t, meta{Zone: long}))),
-		"member: meta: incarnation":     second(readMeta(wire(t, meta{Incarnation: 1 << 49}))),
-		"member: meta: cbor":            second(readMeta([]byte{1, 0x82, 1, 1})),
-		"member: state: from":           second(readMemory(wire(t, memory{From: long}))),
-		"member: state: name":           second(readMemory(wire(t, memory{Records: []wireLife{{}}}))),
-		"member: state: state: alive":   second(readMemory(wire(t, memory{Records: []wireLife{{Name: "a", State: stateAlive}}}))),
-		"member: state: state: 9":       second(readMemory(wire(t, memory{Records: []wireLife{{Name: "a", State: 9}}}))),
-		"member: state: addr":           second(readMemory(wire(t, memory{Records: []wireLife{{Name: "a", Addr: long}}}))),
-		"member: state: incarnation":    second(readMemory(wire(t, memory{Records: []wireLife{{Name: "a", Incarnation: 1 << 60}}}))),
-		"member: state: cbor":           second(readMemory(wire(t, memory{Records: make([]wireLife, maxRecords+1)}))),
-		"member: message: from":         second(readMessage(wire(t, message{}))),
-		"member: message: kind":         second(readMessage(wire(t, message{Kind: 7, From: "a"}))),
-		"member: message: about":        second(readMessage(wire(t, message{Kind: kindTold, From: "a"}))),
-		"member: message: payload":      second(readMessage(wire(t, message{From: "a", Payload: make([]byte, MaxPayload+1)}))),
-		"member: message: 1500 bytes":   second(readMessage(append([]byte{1}, make([]byte, 1499)...))),
-		"member: message: cbor: 2 byte": second(readMessage(append(wire(t, message{From: "a"}), 0, 0))),
+		"member: meta: empty":           errorOf(readMeta(nil)),
+		"member: meta: version 9":       errorOf(readMeta([]byte{9, 0x80})),
+		"member: meta: 600 bytes":       errorOf(readMeta(append([]byte{1}, make([]byte, 599)...))),
+		"member: meta: zone":            errorOf(readMeta(wire(t, meta{Zone: long}))),
+		"member: meta: incarnation":     errorOf(readMeta(wire(t, meta{Incarnation: 1 << 49}))),
+		"member: meta: cbor":            errorOf(readMeta([]byte{1, 0x82, 1, 1})),
+		"member: state: from":           errorOf(readDepartedState(wire(t, departedState{From: long}))),
+		"member: state: name":           errorOf(readDepartedState(wire(t, departedState{Records: []wireRecord{{}}}))),
+		"member: state: state: alive":   errorOf(readDepartedState(wire(t, departedState{Records: []wireRecord{{Name: "a", State: stateAlive}}}))),
+		"member: state: state: 9":       errorOf(readDepartedState(wire(t, departedState{Records: []wireRecord{{Name: "a", State: 9}}}))),
+		"member: state: addr":           errorOf(readDepartedState(wire(t, departedState{Records: []wireRecord{{Name: "a", Addr: long}}}))),
+		"member: state: incarnation":    errorOf(readDepartedState(wire(t, departedState{Records: []wireRecord{{Name: "a", Incarnation: 1 << 60}}}))),
+		"member: state: cbor":           errorOf(readDepartedState(wire(t, departedState{Records: make([]wireRecord, maxRecords+1)}))),
+		"member: message: from":         errorOf(readMessage(wire(t, message{}))),
+		"member: message: kind":         errorOf(readMessage(wire(t, message{Kind: 7, From: "a"}))),
+		"member: message: about":        errorOf(readMessage(wire(t, message{Kind: kindNotice, From: "a"}))),
+		"member: message: payload":      errorOf(readMessage(wire(t, message{From: "a", Payload: make([]byte, MaxPayload+1)}))),
+		"member: message: 1500 bytes":   errorOf(readMessage(append([]byte{1}, make([]byte, 1499)...))),
+		"member: message: cbor: 2 byte": errorOf(readMessage(append(wire(t, message{From: "a"}), 0, 0))),
 	} {
 		if err == nil || !strings.HasPrefix(err.Error(), want) {
 			t.Errorf("got %v, want %s", err, want)
@@ -72,10 +72,10 @@
 	}
 }
 
-func second[T any](_ T, err error) error { return err }
+func errorOf[T any](_ T, err error) error { return err }
 
 // again checks that what was read is read the same once written.
-func again[T any](t *testing.T, buf []byte, read func([]byte) (T, error)) {
+func checkReencoded[T any](t *testing.T, buf []byte, read func([]byte) (T, error)) {
 	v, err := read(buf)
 	if err != nil {
 		return
@@ -93,18 +93,18 @@
 func FuzzMeta(f *testing.F) {
 	f.Add([]byte{})
 	f.Add(wire(f, meta{Incarnation: 1, RunID: 1 << 63, Zone: "z", Version: 1}))
-	f.Fuzz(func(t *testing.T, buf []byte) { again(t, buf, readMeta) })
+	f.Fuzz(func(t *testing.T, buf []byte) { checkReencoded(t, buf, readMeta) })
 }
 
 func FuzzState(f *testing.F) {
-	f.Add(wire(f, memory{From: "a", Records: []wireLife{{Name: "b", Incarnation: 2, RunID: 3, State: stateDead, Age: 1 << 60}}}))
+	f.Add(wire(f, departedState{From: "a", Records: []wireRecord{{Name: "b", Incarnation: 2, RunID: 3, State: stateDead, Age: 1 << 60}}}))
 	f.Fuzz(func(t *testing.T, buf []byte) {
-		again(t, buf, readMemory)
-		if m, err := readMemory(buf); err == nil { // and a roster bears it
-			r := newRoster(0, testLimits, mem("me", 0, 7), &book{})
-			r.Settled(0)
+		checkReencoded(t, buf, readDepartedState)
+		if m, err := readDepartedState(buf); err == nil { // and a roster bears it
+			r := newRoster(0, testLimits, mem("me", 0, 7), &actionRecorder{})
+			r.JoinFinished(0)
 			for i := range m.Records {
-				r.Hearsay(sec, m.From, []lifeRecord{m.Records[i].toRecord(sec)})
+				r.MergeRemote(sec, m.From, []memberRecord{m.Records[i].toRecord(sec)})
 			}
 		}
 	})
@@ -112,13 +112,13 @@
 
 func FuzzMessage(f *testing.F) {
 	f.Add(wire(f, message{From: "a", Incarnation: 1, RunID: 2, Payload: []byte("x")}))
-	f.Add(wire(f, message{Kind: kindTold, From: "a", About: &wireLife{Name: "b"}}))
+	f.Add(wire(f, message{Kind: kindNotice, From: "a", About: &wireRecord{Name: "b"}}))
 	f.Fuzz(func(t *testing.T, buf []byte) {
-		again(t, buf, readMessage)
+		checkReencoded(t, buf, readMessage)
 		if m, err := readMessage(buf); err == nil && m.About != nil {
-			r := newRoster(0, testLimits, mem("me", 0, 7), &book{})
-			r.Settled(0)
-			r.Told(sec, m.From, m.About.toRecord(sec))
+			r := newRoster(0, testLimits, mem("me", 0, 7), &actionRecorder{})
+			r.JoinFinished(0)
+			r.SelfReported(sec, m.From, m.About.toRecord(sec))
 		}
 	})
 }
