--- a/fleet/member/actions.go
+++ b/fleet/member/actions.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// nodeActions carries out what the roster decides, in the goroutine of run.
+// nodeActions carries out the roster's decisions. Its methods run on the goroutine of Node.run.
 type nodeActions Node
 
-// Happened implements rosterActions: the event is logged, and sent by the next flush.
+// EmitEvent implements rosterActions. It logs the event and queues it for the next flush.
 func (a *nodeActions) EmitEvent(e Event) {
 	level := slog.LevelInfo
 	if e.Kind == Displaced || e.Kind == Resumed {
@@ -21,23 +21,24 @@
 	a.viewChanged = true
 }
 
-// Announce implements rosterActions: memberlist gossips this node with its new meta.
+// Announce implements rosterActions. memberlist gossips this node with its new metadata.
 func (a *nodeActions) Announce(self Member) {
 	n := (*Node)(a)
 	n.viewChanged = true
 	left := n.roster.Phase() == Leaving
 	n.publishMeta(self, left)
 	if left {
-		return // Leave waits for it to go out
+		return // Leave waits until the update has been sent
 	}
 	n.log.Info("fleet", "event", "member_incarnation", "incarnation", self.Incarnation)
 	n.listMu.Lock()
 	defer n.listMu.Unlock()
-	n.list.UpdateNode(time.Millisecond) // it goes out later; there is nothing to wait for
+	n.list.UpdateNode(time.Millisecond) // gossiped asynchronously; no need to wait for the broadcast
 }
 
-// StepAside implements rosterActions: others are told that this life has left, and it is silent
-// from then on. Memberlist's own farewell would hit the winner, which has the same name.
+// Withdraw implements rosterActions. It announces that this process run has left and then shuts
+// memberlist down. memberlist's own Leave can't be used: it identifies members by name alone and
+// would remove the winner, which has the same name.
 func (a *nodeActions) Withdraw(Member) {
 	n := (*Node)(a)
 	n.viewChanged = true
@@ -51,7 +52,7 @@
 	})
 }
 
-// Tell implements rosterActions: one datagram, which may be lost.
+// SendRecord implements rosterActions. It sends one datagram, which may be lost.
 func (a *nodeActions) SendRecord(to Member, about memberRecord) {
 	n := (*Node)(a)
 	record := toWireRecord(n.now(), about)
@@ -65,7 +66,7 @@
 	})
 }
 
-// publishMeta sets what memberlist gossips of this node.
+// publishMeta sets the metadata that memberlist gossips about this node.
 func (n *Node) publishMeta(self Member, leaving bool) {
 	buf, err := encode(meta{
 		Incarnation: self.Incarnation,
@@ -79,8 +80,9 @@
 	}
 }
 
-// publishMemory renews what a full exchange carries. Ages in it are as of now: they may go out
-// up to memoryInterval too young, which keeps a departed life in memory that much longer.
+// publishDeparted updates the departed members that a full exchange carries. Their ages are computed
+// now and may be sent up to departedPublishInterval later, so that receivers keep a departed member
+// for up to that much longer.
 func (n *Node) publishDeparted(now clockTime) {
 	n.nextDepartedPublish = now + departedPublishInterval
 	m := departedState{From: n.cfg.Name}
--- a/fleet/member/config.go
+++ b/fleet/member/config.go
@@ -13,71 +13,73 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// Config configures a node. Zero durations and numbers stand for the defaults, which are those
-// of a LAN.
+// Config configures a node. Zero durations and numbers stand for the defaults, which suit a LAN.
 type Config struct {
-	Name    string // the operator's, 1 to 64 bytes; outlasts the process
+	Name    string // assigned by the operator, 1 to 64 bytes; stays the same across restarts
 	Zone    string // at most 64 bytes
-	Version uint8  // of the messages that the users of the node understand
+	Version uint8  // version of the application messages that this process understands
 
-	Bind      string   // ip:port; port 0 takes a free one
-	Advertise string   // ip:port where others reach it; "": Bind
-	Join      []string // members to ask first, ip:port or host:port
-	Key       []byte   // of AES-GCM, 16, 24 or 32 bytes; none: plain
+	Bind      string   // ip:port to listen on; port 0 picks a free port
+	Advertise string   // ip:port at which other members reach the node; "": same as Bind
+	Join      []string // seed members to join through, ip:port or host:port
+	Key       []byte   // AES-GCM key of 16, 24 or 32 bytes; empty: no encryption
 
-	// ProbeInterval is between two probes, each of one member: 1 s, so that a death is
-	// seen by somebody within about a second in a fleet of any size.
+	// ProbeInterval is the time between two probes, each of one member. Default 1 s: at least
+	// one member notices a failure within about a second, whatever the size of the fleet.
 	ProbeInterval time.Duration
-	// ProbeTimeout is how long an answer may take before others are asked to probe: 300 ms,
-	// far over a LAN's round trip and a garbage collection, and within ProbeInterval.
+	// ProbeTimeout is how long to wait for an answer before asking other members to probe
+	// indirectly. Default 300 ms: far longer than a LAN round trip or a garbage collection,
+	// and shorter than ProbeInterval.
 	ProbeTimeout time.Duration
 	// SuspicionMult times log10 of the fleet's size times ProbeInterval is how long a
-	// suspected member may take to speak up: 4, so 4 s for up to ten and 10 s for 300.
+	// suspected member has to refute the suspicion. Default 4: 4 s with up to ten members
+	// and 10 s with 300.
 	SuspicionMult int
-	// GossipInterval is between two rounds of gossip, each to three members: 200 ms, so
-	// that news reach 300 in about a second.
+	// GossipInterval is the time between two rounds of gossip, each to three members.
+	// Default 200 ms: an update reaches 300 members in about a second.
 	GossipInterval time.Duration
-	// PushPullInterval is between two full exchanges with a random member: 15 s. It puts
-	// right what gossip lost.
+	// PushPullInterval is the time between two full state exchanges with a random member.
+	// Default 15 s. They repair what was lost in gossip.
 	PushPullInterval time.Duration
-	// DeadGossip is how long a dead member is still told that it is: 30 s, two full
-	// exchanges. After it only rejoining brings it back.
+	// GossipToDeadTime is how long gossip is still sent to a dead member, so that it can
+	// refute its death. Default 30 s, two full exchanges. After that only rejoining brings
+	// the member back.
 	GossipToDeadTime time.Duration
-	// StreamTimeout bounds connecting and a full exchange: 2 s. Half of the shortest
-	// suspicion, so that a seed that is down does not hold up a start.
+	// StreamTimeout is the time limit for connecting and for a full exchange. Default 2 s,
+	// half of the shortest suspicion timeout, so that an unreachable seed does not delay startup.
 	StreamTimeout time.Duration
-	// RejoinMin and RejoinMax bound the time between two tries to reach seeds and dead
-	// members: 1 s and 30 s.
+	// RejoinMin and RejoinMax bound the backoff between two attempts to reach seeds and dead
+	// members. Defaults 1 s and 30 s.
 	RejoinMin, RejoinMax time.Duration
 
-	EventBuffer   int // events that wait for their reader: 256
-	MessageBuffer int // messages that wait for theirs: 1024
+	EventBuffer   int // capacity of the channel of Events; default 256
+	MessageBuffer int // capacity of the channel of Messages; default 1024
 
-	Logger *slog.Logger // nil: no log
+	Logger *slog.Logger // nil: no logging
 
-	// WrapTransport, if set, returns what memberlist sends and receives through in place of
-	// the node's own transport, which it is given. It is for measurements that count messages
-	// and bytes; nil costs nothing.
+	// WrapTransport, if set, wraps the transport that memberlist uses. It is meant for
+	// measurements that count messages and bytes; nil has no cost.
 	WrapTransport func(memberlist.NodeAwareTransport) memberlist.NodeAwareTransport
 }
 
-// The bounds of a node beside those of Config.
+// Limits of a node that are not configurable.
 const (
 	inboxCapacity           = 1024
-	departedRetention       = 24 * time.Hour // longer than any operator's restart takes
-	maxDeadPerJoin          = 3              // dead members tried again beside the seeds, each time
-	maxJoinRounds           = 3              // rounds of asking the seeds before a node serves alone
+	departedRetention       = 24 * time.Hour // longer than any restart by an operator takes
+	maxDeadPerJoin          = 3              // dead members contacted in one rejoin attempt, besides the seeds
+	maxJoinRounds           = 3              // attempts to reach the seeds before a node starts as the only member
 	departedPublishInterval = 10 * time.Second
-	// reclaimAfter is when a name may come back at another address once its old one is dead: at
-	// once, since who it is follows from incarnation and life, not from the address.
+	// reclaimAfter is how soon memberlist lets a dead member's name be used from another address:
+	// immediately, since incarnation and run ID identify a member, not its address.
 	reclaimAfter = time.Nanosecond
-	// retransmitMult times log10 of the fleet's size is how often each member passes on a piece
-	// of news; each other misses it with a chance of about e to the minus that. With
-	// memberlist's 4, at 50 members, that is one pair in 3,000, until a full exchange.
+	// retransmitMult times log10 of the fleet's size is how many times each member sends an
+	// update; a given member misses it with a probability of about e to the minus that number.
+	// With memberlist's default of 4 and 50 members, one pair in 3,000 misses an update until the
+	// next full exchange.
 	retransmitMult = 5
 )
 
-// check fills in defaults and returns the two addresses. Its error names the key that is wrong.
+// check fills in defaults and returns the two addresses. Its error names the invalid setting.
 func (c *Config) check() (bind, advertise netip.AddrPort, err error) {
 	c.setDefaults()
 	if err := c.checkBounds(); err != nil {
@@ -103,7 +105,7 @@
 	}
 }
 
-// checkBounds checks all but the addresses.
+// checkBounds validates everything but the addresses.
 func (c *Config) checkBounds() error {
 	switch k := len(c.Key); {
 	case c.Name == "" || len(c.Name) > maxNameBytes:
@@ -123,8 +125,8 @@
 	return nil
 }
 
-// addresses parses Bind and Advertise, which is not valid if it is to follow from Bind, and
-// checks those of Join.
+// addresses parses Bind and Advertise and checks the addresses in Join. The returned advertise is
+// the zero AddrPort if it is to be derived from bind.
 func (c *Config) addresses() (bind, advertise netip.AddrPort, err error) {
 	if bind, err = netip.ParseAddrPort(c.Bind); err != nil {
 		return bind, advertise, fmt.Errorf("bind: %w", err)
@@ -144,7 +146,7 @@
 	return bind, advertise, nil
 }
 
-// memberlistConfig returns what the node runs memberlist with.
+// memberlistConfig returns the memberlist configuration of the node.
 func (n *Node) memberlistConfig(advertise netip.AddrPort, logger *log.Logger) *memberlist.Config {
 	c := memberlist.DefaultLANConfig()
 	c.Name = n.cfg.Name
@@ -164,7 +166,7 @@
 	c.RetransmitMult = retransmitMult
 	c.TCPTimeout = n.cfg.StreamTimeout
 	c.DeadNodeReclaimTime = reclaimAfter
-	c.EnableCompression = false // messages are small, and processors are the proxies'
+	c.EnableCompression = false // messages are small, and the CPU is needed for proxying
 	c.Logger = logger
 	c.Delegate = n.delegate
 	c.Events = n.delegate
--- a/fleet/member/delegate.go
+++ b/fleet/member/delegate.go
@@ -10,31 +10,32 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// maxMembers bounds the view; 512 bytes each.
+// maxMembers bounds the number of members in the view, at 512 bytes each.
 const maxMembers = 4096
 
 var errTooManyMembers = fmt.Errorf("member: there are %d members already", maxMembers)
 
-// finding is what the failure detector, which is memberlist's, has found of a member.
+// liveness is what memberlist's failure detector reports about a member.
 type liveness uint8
 
 const (
 	livenessDead    liveness = iota
-	livenessAlive            // it joined, or spoke up
-	livenessLeaving          // it has said that it leaves, whether or not it is still there
+	livenessAlive            // it joined, or refuted a suspicion
+	livenessLeaving          // it announced that it leaves; it may or may not still be running
 )
 
 func (f liveness) String() string { return [...]string{"dead", "alive", "leaving"}[f] }
 
-// memberChange is what memberlist holds of one name.
+// memberChange is memberlist's latest state of one name.
 type memberChange struct {
 	member   Member
 	liveness liveness
 }
 
-// delegate takes memberlist's calls, which come under its locks and must not wait. News of
-// who is alive are kept as the latest of each name, so that none is lost however late the
-// node's goroutine comes; all else goes through the inbox and is dropped when it is full.
+// delegate receives memberlist's callbacks, which run under memberlist's locks and must not block.
+// Changes of liveness are coalesced to the latest per name, so that none is lost however late the
+// node's goroutine handles them; everything else goes through the inbox and is dropped when it is
+// full.
 type delegate struct {
 	name     string
 	runID    uint64
@@ -44,12 +45,12 @@
 	mu            sync.Mutex
 	meta          []byte
 	departedState []byte
-	alive         map[string]bool         // that are alive
-	changed       map[string]memberChange // the latest of each, until changes takes it
-	wake          chan struct{}           // one place
+	alive         map[string]bool         // names that are alive
+	changed       map[string]memberChange // latest change per name since the last call of changes
+	wake          chan struct{}           // capacity 1
 }
 
-// What is posted to the node's inbox.
+// Messages posted to the node's inbox.
 type (
 	nameClaim   struct{ member Member }
 	remoteState struct{ departedState departedState }
@@ -68,7 +69,7 @@
 	}
 }
 
-// setShared sets what others are told from now on.
+// setShared sets the metadata and the state sent to other members; nil leaves a value unchanged.
 func (d *delegate) setShared(meta, departedState []byte) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -80,7 +81,7 @@
 	}
 }
 
-// changes returns what is new since the last call.
+// changes returns the changes since the last call.
 func (d *delegate) changes() map[string]memberChange {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -92,7 +93,7 @@
 	return out
 }
 
-// noteChange keeps what memberlist has found of a member and wakes the node's goroutine.
+// recordChange records a member's liveness and wakes the node's goroutine.
 func (d *delegate) recordChange(n *memberlist.Node, alive bool) {
 	m, meta, err := memberOf(n)
 	if err != nil || n.Name == d.name {
@@ -119,7 +120,7 @@
 	}
 }
 
-// memberOf returns the member that memberlist holds, with its meta as it was sent.
+// memberOf converts a memberlist node to a Member and returns its decoded metadata too.
 func memberOf(n *memberlist.Node) (Member, meta, error) {
 	m, err := readMeta(n.Meta)
 	if err != nil {
@@ -164,7 +165,7 @@
 
 // NotifyMsg implements memberlist.Delegate.
 func (d *delegate) NotifyMsg(buf []byte) {
-	m, err := readMessage(buf) // copies what it keeps
+	m, err := readMessage(buf) // the decoder copies, so buf may be reused
 	if err != nil {
 		d.counters.badMessage.Add(1)
 		return
@@ -172,8 +173,8 @@
 	d.enqueue(datagram{m})
 }
 
-// GetBroadcasts implements memberlist.Delegate. All that has to reach each member goes in
-// the meta or in the full exchange.
+// GetBroadcasts implements memberlist.Delegate. There are none: whatever has to reach every member
+// is part of the metadata or of the full exchange.
 func (d *delegate) GetBroadcasts(int, int) [][]byte { return nil }
 
 // NotifyJoin implements memberlist.EventDelegate.
@@ -182,12 +183,12 @@
 // NotifyUpdate implements memberlist.EventDelegate.
 func (d *delegate) NotifyUpdate(n *memberlist.Node) { d.recordChange(n, true) }
 
-// NotifyLeave implements memberlist.EventDelegate. It comes for deaths as well, and does
-// not tell which: who leaves has said so in its meta before.
+// NotifyLeave implements memberlist.EventDelegate. memberlist calls it for deaths as well as for
+// departures; a member that leaves has announced that in its metadata before.
 func (d *delegate) NotifyLeave(n *memberlist.Node) { d.recordChange(n, false) }
 
-// NotifyAlive implements memberlist.AliveDelegate. It sees each word of a living member
-// before memberlist decides on it, those under one's own name among them.
+// NotifyAlive implements memberlist.AliveDelegate. It receives each alive message before memberlist
+// processes it, including those under the node's own name.
 func (d *delegate) NotifyAlive(n *memberlist.Node) error {
 	m, meta, err := memberOf(n)
 	if err != nil {
@@ -210,7 +211,8 @@
 	return nil
 }
 
-// NotifyConflict implements memberlist.ConflictDelegate: a name at two addresses.
+// NotifyConflict implements memberlist.ConflictDelegate. It is called when one name is claimed at two
+// addresses.
 func (d *delegate) NotifyConflict(_, other *memberlist.Node) {
 	m, meta, err := memberOf(other)
 	if err == nil && !meta.Leaving && other.Name != d.name {
--- a/fleet/member/doc.go
+++ b/fleet/member/doc.go
@@ -1,13 +1,13 @@
-// Package member keeps the membership of the fleet: which names are alive, and in
-// which incarnation and life (one run of a process) each is.
+// Package member tracks the membership of the fleet: which names are alive, and the
+// incarnation and run ID (one per process run) of each.
 //
-// The deciding part is in roster.go and self.go: who each name is, by what
-// members report. It does no I/O, has no clock and starts no goroutine. The task
-// in node.go runs github.com/hashicorp/memberlist (failure detector, gossip and
-// full exchanges), tells the roster what happened and when, and carries out the
-// rosterActions that it asks for.
+// roster.go and self.go hold the decision logic: they derive the state of each name
+// from the reports of members, without I/O, clock or goroutines. The goroutine in
+// node.go drives github.com/hashicorp/memberlist (failure detector, gossip and full
+// exchanges), passes events with their times to the roster, and carries out the
+// rosterActions that the roster requests.
 //
 // Membership is gossip (SWIM: Das, Gupta, Motivala, DSN 2002; Lifeguard: Dadgar,
-// Phillips, Currey, DSN 2018): views differ for seconds. Nothing that has to be
-// agreed may rest on them.
+// Phillips, Currey, DSN 2018): the views of members differ for seconds. Nothing that
+// needs agreement may be based on them.
 package member
--- a/fleet/member/event.go
+++ b/fleet/member/event.go
@@ -5,13 +5,13 @@
 
 // The kinds of Event.
 const (
-	Joined    Kind = iota // a name that was not known
-	Left                  // it has said so
-	Died                  // it was found dead; a Left may follow, if that is heard later
-	Returned              // the same life with its next incarnation, believed dead or not
-	Restarted             // another life; Old is the one before
-	Displaced             // Old has lost its name to Member; of oneself: the others are not seen any more
-	Resumed               // oneself, after the fleet went on without: drop what is held
+	Joined    Kind = iota // a name that was not known before
+	Left                  // it announced its departure
+	Died                  // the failure detector declared it dead; a Left may follow, if its announcement arrives later
+	Returned              // the same process run with a higher incarnation, whether or not it was believed dead
+	Restarted             // another process run; Old is the previous one
+	Displaced             // Old has lost its name to Member; if Old is this node, it no longer sees other members
+	Resumed               // this node, after the fleet may have continued without it: it must discard the state it holds
 	Resync                // events were lost; see Node.Events
 )
 
@@ -27,32 +27,32 @@
 	Member Member
 	Old    Member // Returned, Restarted, Displaced
 
-	View        []Member // Resync: all that are alive
-	LostResumed bool     // Resync: a Resumed was among the events lost
+	View        []Member // Resync: all members that are alive
+	LostResumed bool     // Resync: a Resumed was among the lost events
 }
 
-// Phase is the state of one's own membership.
+// Phase is the state of the node's own membership.
 type Phase uint8
 
 // The phases. The last two are final.
 const (
-	Starting   Phase = iota // asking; no incarnation yet
+	Starting   Phase = iota // contacting the seeds; no incarnation yet
 	Serving                 // a member
-	Superseded              // displaced: another life keeps the name
-	Leaving                 // has said that it leaves
+	Superseded              // displaced: another process run keeps the name
+	Leaving                 // has announced that it leaves
 )
 
 func (p Phase) String() string { return [...]string{"starting", "serving", "aside", "leaving"}[p] }
 
-// rosterActions carries out what a roster decides, in the order of the calls.
+// rosterActions carries out the decisions of a roster, in the order of the calls.
 type rosterActions interface {
-	// Happened reports a change.
+	// EmitEvent reports a change of the view.
 	EmitEvent(Event)
-	// Announce makes one's own member known to the others as it is now.
+	// Announce publishes the current state of the node itself to the other members.
 	Announce(self Member)
-	// StepAside ends one's own part in the fleet: the winner keeps the name.
+	// Withdraw ends this process run's membership: the winner keeps the name.
 	Withdraw(winner Member)
-	// Tell sends to one member, as well as may be, what is known of its name. It may be
-	// lost: what has to arrive is told again.
+	// SendRecord sends to one member what is known of its name, best effort. The roster repeats
+	// records that have to arrive.
 	SendRecord(to Member, about memberRecord)
 }
--- a/fleet/member/leave.go
+++ b/fleet/member/leave.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Leave announces that the node leaves, and returns once memberlist has sent it, or an error if
-// it has not within timeout. ErrClosed says that the node was closed or displaced before. The
-// node goes on to receive until it is closed.
+// Leave announces that the node leaves and returns once memberlist has sent the announcement, or an
+// error if that takes longer than timeout. It returns ErrClosed if the node was closed or displaced
+// before. The node keeps receiving until it is closed.
 func (n *Node) Leave(timeout time.Duration) error {
 	until := time.Now().Add(timeout)
 	done := make(chan struct{})
@@ -33,8 +33,8 @@
 	if n.listShutdown {
 		return ErrClosed
 	}
-	// First in words that tell it from a death, then in memberlist's, by which it is no
-	// longer probed.
+	// The metadata update comes first: it distinguishes the departure from a death. memberlist's
+	// own Leave then stops the others from probing this node.
 	if err := n.list.UpdateNode(max(time.Until(until)/2, time.Millisecond)); err != nil {
 		return fmt.Errorf("member: leave: %w", err)
 	}
--- a/fleet/member/log.go
+++ b/fleet/member/log.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// memberlistLog takes memberlist's own log.
+// memberlistLog writes memberlist's log lines to log, at debug level.
 type memberlistLog struct{ log *slog.Logger }
 
 func (d memberlistLog) Write(p []byte) (int, error) {
--- a/fleet/member/member.go
+++ b/fleet/member/member.go
@@ -8,47 +8,47 @@
 // clockTime is a point on the caller's monotonic clock. Only differences matter.
 type clockTime = time.Duration
 
-// maxIncarnation bounds what is believed: one that is forged or damaged must not
-// bring a name near the end of its numbers.
+// maxIncarnation is the highest incarnation that is accepted: a forged or corrupt one must not
+// bring a name close to overflow.
 const maxIncarnation = 1 << 48
 
-// Member is one name of the fleet in one of its lives.
+// Member is one name of the fleet in one of its process runs.
 type Member struct {
 	Name string
-	// Incarnation orders the lives of a name. It counts from 1; 0 is a process that
-	// has started and has not yet asked which incarnations there were before it.
+	// Incarnation orders the process runs of a name. It counts from 1; 0 means that the
+	// process has not yet learned which incarnations preceded it.
 	Incarnation uint64
-	RunID       uint64 // random, drawn at the start of the process
+	RunID       uint64 // random, chosen at process start
 	Zone        string
-	Addr        string // host:port where the others reach it
-	Version     uint8  // of the messages that it understands
+	Addr        string // host:port at which other members reach it
+	Version     uint8  // version of the messages that it understands
 }
 
-// lifeState is what is known of a life.
+// memberState is what is known of one process run.
 type memberState uint8
 
-// The states of a life, each stronger than the one before: of the same incarnation and
-// life the stronger is kept, in whichever order they are heard.
+// The states of a process run, each taking precedence over the ones before: for the same incarnation
+// and run ID the highest is kept, in whichever order the reports arrive.
 const (
-	// stateHeard is departed by the word of another member alone. It is weaker than stateAlive: a
-	// member that was cut off believes all others dead, and its return must not kill
-	// those that the rest can see.
+	// stateReportedDead means dead by the report of another member alone. It ranks below
+	// stateAlive: a member that was partitioned believes all others dead, and its return must
+	// not make the rest drop members that they can reach.
 	stateReportedDead memberState = iota
 	stateAlive
-	stateDead // found dead by this member's own failure detector
-	stateLeft // has said that it leaves
+	stateDead // declared dead by this member's own failure detector
+	stateLeft // announced that it leaves
 )
 
 func (s memberState) String() string { return [...]string{"heard", "alive", "dead", "gone"}[s] }
 
-// lifeRecord is one life and what is known of it.
+// memberRecord is one process run and what is known of it.
 type memberRecord struct {
 	Member
 	State memberState
-	Since clockTime // when it departed, as far as is known
+	Since clockTime // when it departed, as far as known
 }
 
-// compareLives orders two lives of a name.
+// compareRuns orders two process runs of a name.
 func compareRuns(a, b Member) int {
 	if c := cmp.Compare(a.Incarnation, b.Incarnation); c != 0 {
 		return c
@@ -56,8 +56,8 @@
 	return cmp.Compare(a.RunID, b.RunID)
 }
 
-// supersedes tells whether r replaces o. Records of a name are in one total order and the
-// highest is kept, so that views depend neither on the order nor on the doubling of news.
+// supersedes reports whether r replaces o. Records of a name are totally ordered and the highest is
+// kept, so that a view depends neither on the order of reports nor on duplicates.
 func (r memberRecord) supersedes(o memberRecord) bool {
 	if c := compareRuns(r.Member, o.Member); c != 0 {
 		return c > 0
--- a/fleet/member/messages.go
+++ b/fleet/member/messages.go
@@ -13,28 +13,28 @@
 var (
 	// ErrClosed is returned after Close, and by Leave of a node that was displaced.
 	ErrClosed = errors.New("member: node is closed")
-	// ErrUnknown is returned by Send for a name that is not alive, and for the node's own.
+	// ErrUnknownMember is returned by Send for a name that is not alive, and for the node's own name.
 	ErrUnknownMember = errors.New("member: no such member")
-	// ErrTooLong is returned for a payload of more than MaxPayload bytes.
+	// ErrPayloadTooLong is returned for a payload of more than MaxPayload bytes.
 	ErrPayloadTooLong = fmt.Errorf("member: payload is over %d bytes", MaxPayload)
 	// ErrNotReady is returned while the node's Phase is not Serving.
 	ErrNotReady = errors.New("member: not a member of the fleet")
 )
 
-// Message is one datagram from a member. It may be lost, come twice, or late.
+// Message is one datagram from a member. Messages may be lost, duplicated or delayed.
 type Message struct {
 	From        string
-	Incarnation uint64 // of the sender when it sent
+	Incarnation uint64 // of the sender at the time of sending
 	Payload     []byte
 }
 
-// Messages returns what members of the view have sent, in no certain order. When its
-// reader is slow, messages are dropped. The channel is closed when the node is.
+// Messages returns the channel of messages from members of the view, in no guaranteed order.
+// Messages are dropped when its buffer is full. The channel is closed when the node is closed.
 func (n *Node) Messages() <-chan Message { return n.messages }
 
-// Send sends payload, at most MaxPayload bytes, to the member with a name in one datagram, which
-// may be lost, come twice, or late. It returns ErrTooLong, ErrNotReady, ErrUnknown,
-// ErrClosed, or an error of the socket.
+// Send sends payload, at most MaxPayload bytes, to the named member in one datagram, which may be
+// lost, duplicated or delayed. It returns ErrPayloadTooLong, ErrNotReady, ErrUnknownMember,
+// ErrClosed, or a socket error.
 func (n *Node) Send(name string, payload []byte) error {
 	v := n.view.Load()
 	to, ok := v.find(name)
@@ -61,8 +61,8 @@
 }
 
 // Broadcast sends payload, at most MaxPayload bytes, to count random members, or to all others
-// if they are fewer, and returns to how many. It stops at the first error of Send but
-// ErrUnknown.
+// if they are fewer, and returns how many it was sent to. It stops at the first error of Send other
+// than ErrUnknownMember.
 func (n *Node) Broadcast(count int, payload []byte) (int, error) {
 	v := n.view.Load()
 	sent := 0
@@ -74,7 +74,7 @@
 			continue
 		}
 		err := n.Send(v.members[i].Name, payload)
-		if err != nil && !errors.Is(err, ErrUnknownMember) { // it may have gone meanwhile
+		if err != nil && !errors.Is(err, ErrUnknownMember) { // it may have departed in the meantime
 			return sent, err
 		}
 		if err == nil {
@@ -98,8 +98,8 @@
 	return n.list.SendBestEffort(&dest, buf)
 }
 
-// receive passes a datagram on to the roster or to the reader of Messages, if its sender is the
-// life that the roster knows.
+// receive passes a datagram to the roster, or delivers it to Messages if it comes from the sender's
+// current process run as known to the roster.
 func (n *Node) receive(now clockTime, m *message) {
 	if m.Kind == kindNotice {
 		n.roster.SelfReported(now, m.From, m.About.toRecord(now))
