--- a/fleet/member/node.go
+++ b/fleet/member/node.go
@@ -21,7 +21,7 @@
 	log      *slog.Logger
 	start    time.Time
 	runID    uint64
-	roster   *roster // only in run, after Start
+	roster   *roster // used only by run once Start has returned
 	view     atomic.Pointer[view]
 	counters counters
 
@@ -31,16 +31,16 @@
 	stop     chan struct{}
 	stopped  chan struct{}
 	closing  sync.Once
-	tasks    sync.WaitGroup // joins, and the end of one that steps aside
+	tasks    sync.WaitGroup // running joins, and the shutdown after a withdrawal
 
 	delegate     *delegate
 	transport    *transport
 	list         *memberlist.Memberlist
-	listMu       sync.Mutex // memberlist's Leave and UpdateNode read without its locks
-	listShutdown bool       // under listMu: the list has been shut down
+	listMu       sync.Mutex // serializes Leave, UpdateNode and Shutdown: memberlist's Leave and UpdateNode read without its locks
+	listShutdown bool       // guarded by listMu: list has been shut down
 	lastTick     atomic.Int64
 
-	// Only in run.
+	// Used only by run.
 	pending             []Event
 	viewChanged         bool
 	backlog             eventBacklog
@@ -51,9 +51,9 @@
 	nextDepartedPublish clockTime
 }
 
-// Start starts a node, which then joins. It returns at once: until a seed has answered, or all
-// have been asked three times in vain, Self has incarnation 0 and the others don't see it. It
-// returns an error if cfg is not valid or its address can't be listened on.
+// Start starts a node, which joins the fleet in the background. Until a seed has answered, or three
+// attempts to reach any seed have failed, Self has incarnation 0 and other members don't see the
+// node. Start returns an error if cfg is invalid or its address can't be listened on.
 func Start(cfg Config) (*Node, error) {
 	bind, advertise, err := cfg.check()
 	if err != nil {
@@ -94,14 +94,14 @@
 	return n, nil
 }
 
-// drawLife draws the number by which this process differs from others of its name.
+// newRunID returns a random number that distinguishes this process run from others of its name.
 func newRunID() uint64 {
 	var b [8]byte
 	rand.Read(b[:]) // never fails
 	return binary.BigEndian.Uint64(b[:])
 }
 
-// startRoster makes the roster and publishes it as it is then.
+// startRoster creates the roster and publishes its initial state.
 func (n *Node) startRoster(advertise netip.AddrPort) {
 	self := Member{
 		Name: n.cfg.Name, RunID: n.runID, Zone: n.cfg.Zone, Addr: advertise.String(), Version: n.cfg.Version,
@@ -117,14 +117,14 @@
 	n.publish()
 }
 
-// stopAfter is the shortest time after which others may take a silent member for dead.
+// pauseThreshold is the shortest time after which others may declare an unresponsive member dead.
 func (n *Node) pauseThreshold() time.Duration {
 	return time.Duration(n.cfg.SuspicionMult) * n.cfg.ProbeInterval
 }
 
 func (n *Node) now() clockTime { return time.Since(n.start) }
 
-// enqueue puts a message into the inbox, or drops and counts it if there is no room.
+// enqueue puts a message into the inbox, or drops and counts it if the inbox is full.
 func (n *Node) enqueue(v any) bool {
 	select {
 	case n.inbox <- v:
@@ -135,7 +135,7 @@
 	}
 }
 
-// run is the node's goroutine: it alone calls the roster.
+// run is the node's goroutine, the only one that calls the roster.
 func (n *Node) run() {
 	defer close(n.stopped)
 	ticker := time.NewTicker(n.cfg.ProbeInterval / 4)
@@ -158,14 +158,14 @@
 		case <-n.delegate.wake:
 			n.applyChanges()
 		case v := <-n.inbox:
-			n.applyChanges() // who a sender is comes before what it says
+			n.applyChanges() // apply membership changes before the messages of new members
 			n.handleInbox(v)
 		}
 	}
 }
 
-// applyChanges passes to the roster what the failure detector has found, in the order of names:
-// it is the latest of each, so that no other order is known.
+// applyChanges passes the failure detector's changes to the roster, sorted by name: only the latest
+// change of each name is kept, so the order in which they happened is unknown.
 func (n *Node) applyChanges() {
 	changes := n.delegate.changes()
 	names := make([]string, 0, len(changes))
@@ -185,7 +185,7 @@
 	}
 }
 
-// handleInbox passes one message of the inbox to the roster or its reader.
+// handleInbox handles one message of the inbox.
 func (n *Node) handleInbox(v any) {
 	now := n.now()
 	switch v := v.(type) {
@@ -211,9 +211,9 @@
 	}
 }
 
-// Fresh tells whether what the node holds may still be acted on: whether the process has
-// not just been stopped for so long that the others may have gone on without it. A Resumed
-// follows where it has.
+// Fresh reports whether the node's state may still be acted on. It returns false if the node is not
+// serving, or if the process has just been paused for so long that the others may have declared it
+// dead and continued without it; a Resumed event follows in that case.
 func (n *Node) Fresh() bool {
 	return n.now()-clockTime(n.lastTick.Load()) <= n.pauseThreshold() && n.Phase() == Serving
 }
@@ -223,8 +223,9 @@
 	leaveRequest struct{ done chan struct{} }
 )
 
-// Close ends the node without a word: to the others it dies, unless it has left. Sockets
-// are closed and its own goroutines have ended on return; memberlist's end within a probe.
+// Close stops the node without announcing it: unless it has left, the others will see it die. On
+// return its sockets are closed and its own goroutines have ended; those of memberlist end within
+// the duration of a probe.
 func (n *Node) Close() error {
 	n.closing.Do(func() {
 		close(n.stop)
--- a/fleet/member/rejoin.go
+++ b/fleet/member/rejoin.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// rejoin asks the seeds, at the start and whenever one is not among the members, and some
-// of the dead: after a partition longer than memberlist tells the dead that they are, nothing
-// else would bring the sides together.
+// rejoin contacts the seeds, at startup and whenever one is not among the members, and some of the
+// dead members. After a partition longer than Config.GossipToDeadTime nothing else would bring the
+// two sides together.
 func (n *Node) rejoin(now clockTime) {
 	phase := n.roster.Phase()
 	if n.joinRunning || now < n.nextJoin || phase > Serving {
@@ -30,26 +30,26 @@
 	n.tasks.Go(func() { n.joinAll(targets) })
 }
 
-// joinAll asks all targets at once and posts to the inbox how many were reached.
+// joinAll contacts all targets concurrently and posts to the inbox how many were reached.
 func (n *Node) joinAll(targets []string) {
 	var each sync.WaitGroup
 	var reached atomic.Int32
 	for _, addr := range targets {
 		each.Go(func() {
-			if _, err := n.list.Join([]string{addr}); err == nil { // it logs an error itself
+			if _, err := n.list.Join([]string{addr}); err == nil { // memberlist logs the error itself
 				reached.Add(1)
 			}
 		})
 	}
 	each.Wait()
-	// The node must learn that this is over.
+	// This must not be dropped when the inbox is full: without it the node never joins again.
 	select {
 	case n.inbox <- joinDone{int(reached.Load())}:
 	case <-n.stop:
 	}
 }
 
-// joinTargets returns the seeds that are not among the members and some of the dead.
+// joinTargets returns the seeds that are not among the members and some dead members.
 func (n *Node) joinTargets() []string {
 	known := map[string]bool{n.roster.Self().Addr: true}
 	members := n.view.Load().members
@@ -59,7 +59,7 @@
 	var out []string
 	for _, addr := range n.cfg.Join {
 		_, err := netip.ParseAddrPort(addr)
-		isHostname := err != nil // a host's name can't be told from the addresses of members
+		isHostname := err != nil // a host name can't be matched to members' IP addresses
 		if !known[addr] && (!isHostname || len(members) == 1) {
 			out = append(out, addr)
 		}
--- a/fleet/member/roster.go
+++ b/fleet/member/roster.go
@@ -7,21 +7,21 @@
 	"time"
 )
 
-// rosterLimits bounds what a roster remembers and waits for.
+// rosterLimits are the limits of a roster.
 type rosterLimits struct {
-	PauseThreshold    time.Duration // longest time between ticks after which nobody can have taken one for dead
-	DepartedRetention time.Duration // how long a departed life is remembered
-	MaxDeparted       int           // how many departed names are remembered; the longest departed goes first
+	PauseThreshold    time.Duration // longest gap between ticks during which no member can have declared this one dead
+	DepartedRetention time.Duration // how long a departed process run is remembered
+	MaxDeparted       int           // how many departed names are remembered; the earliest departed is evicted first
 }
 
-// verdict is what to make of a message.
+// senderStatus is the result of checking a message's sender.
 type senderStatus uint8
 
-// The verdicts on a sender.
+// The results of CheckSender.
 const (
 	senderAccepted senderStatus = iota
-	senderStale                 // from a life, or an incarnation, that is over
-	senderUnknown               // from one that is not among the members
+	senderStale                 // from a process run or incarnation that has ended
+	senderUnknown               // from a process run that is not among the members
 )
 
 func (v senderStatus) String() string { return [...]string{"take", "older", "unknown"}[v] }
@@ -32,27 +32,29 @@
 	actions         rosterActions
 	self            Member
 	phase           Phase
-	names           map[string]memberRecord // all but one's own
-	highestReported uint64                  // the highest incarnation heard of for one's own name
+	names           map[string]memberRecord // all names but the roster's own
+	highestReported uint64                  // the highest incarnation reported for the roster's own name
 	lastTick        clockTime
 	notices         map[string]notice
 
-	// Who has said to have found this life dead in incarnation accused. What was said of
-	// those before fresh, the one taken at the last Resumed, is dealt with.
+	// deathReporters are the members that declared this process run dead in incarnation
+	// reportedDeadIncarnation. Reports on incarnations before resumedIncarnation, which was
+	// taken at the last Resumed, have been dealt with.
 	resumedIncarnation      uint64
 	reportedDeadIncarnation uint64
 	deathReporters          map[string]bool
 }
 
-// notice is something to be told again. A lost one would leave a living member out.
+// notice is a record to be sent repeatedly to a member: if it were lost, that member could stay excluded
+// though it is alive.
 type notice struct {
 	to        Member
 	about     memberRecord
-	remaining int // -1: until it has helped
+	remaining int // repetitions left; -1: repeat until the record changes
 }
 
-// newRoster returns the view of a process that starts. The incarnation of self is not
-// used: it is known once all have been asked, see Settled.
+// newRoster returns the roster of a process that starts. The incarnation of self is ignored: it is
+// determined once the seeds have been contacted, see JoinFinished.
 func newRoster(now clockTime, limits rosterLimits, self Member, act rosterActions) *roster {
 	self.Incarnation = 0
 	return &roster{
@@ -66,13 +68,13 @@
 	}
 }
 
-// Self returns oneself.
+// Self returns the roster's own member.
 func (r *roster) Self() Member { return r.self }
 
-// Phase returns how far one's own membership has come.
+// Phase returns the state of the roster's own membership.
 func (r *roster) Phase() Phase { return r.phase }
 
-// Members returns all that are alive, oneself among them, by name.
+// Members returns all members that are alive, including Self, sorted by name.
 func (r *roster) Members() []Member {
 	out := []Member{r.self}
 	for _, rec := range r.names {
@@ -84,7 +86,7 @@
 	return out
 }
 
-// Departed returns the departed lives that are remembered, by name, for the memory of others.
+// Departed returns the remembered departed members, sorted by name, for exchange with other members.
 func (r *roster) Departed() []memberRecord {
 	var out []memberRecord
 	for _, rec := range r.names {
@@ -96,8 +98,8 @@
 	return out
 }
 
-// Settled reports that all that could be asked have been: the process takes one more than
-// any incarnation it was told of.
+// JoinFinished reports that all reachable seeds have been contacted. The process takes an incarnation
+// one above the highest that was reported for its name.
 func (r *roster) JoinFinished(now clockTime) {
 	if r.phase != Starting {
 		return
@@ -107,10 +109,10 @@
 	r.setIncarnation(r.highestReported + 1)
 }
 
-// Alive reports that the failure detector has m among the living.
+// Alive reports that the failure detector considers m alive.
 func (r *roster) Alive(now clockTime, m Member) {
 	r.detectPause(now)
-	// A process that is still asking is nobody yet.
+	// Incarnation 0: the process is still joining and not yet a member.
 	if m.Incarnation == 0 || m.Incarnation > maxIncarnation || r.phase == Superseded {
 		return
 	}
@@ -121,22 +123,22 @@
 	r.merge(now, memberRecord{Member: m, State: stateAlive})
 }
 
-// Died reports that the failure detector has found m dead.
+// Died reports that the failure detector declared m dead.
 func (r *roster) Died(now clockTime, m Member) {
 	r.detectPause(now)
 	r.mergeDeparted(now, memberRecord{Member: m, State: stateDead, Since: now})
 	r.expireDeparted(now)
 }
 
-// Left reports that m has said that it leaves.
+// Left reports that m announced that it leaves.
 func (r *roster) Left(now clockTime, m Member) {
 	r.detectPause(now)
 	r.mergeDeparted(now, memberRecord{Member: m, State: stateLeft, Since: now})
 	r.expireDeparted(now)
 }
 
-// Hearsay reports what the member named from remembers as departed. The Since of its
-// records is on the clock of this roster.
+// MergeRemote merges the departed members that the member named from remembers. Since in the records
+// is on this roster's clock.
 func (r *roster) MergeRemote(now clockTime, from string, records []memberRecord) {
 	r.detectPause(now)
 	for _, rec := range records {
@@ -153,7 +155,7 @@
 	r.expireDeparted(now)
 }
 
-// mergeDeparted takes in news of a departed life, unless it is too old or not to be believed.
+// mergeDeparted merges the record of a departed process run, unless it is too old or implausible.
 func (r *roster) mergeDeparted(now clockTime, rec memberRecord) {
 	if rec.Incarnation == 0 || rec.Incarnation > maxIncarnation || r.phase == Superseded ||
 		rec.Name == r.self.Name || now-rec.Since > r.limits.DepartedRetention {
@@ -162,7 +164,7 @@
 	r.merge(now, rec)
 }
 
-// merge takes in news of another name: the higher of what was known and what is reported is kept.
+// merge merges a record of another name; the higher-ranked of the known and the new record is kept.
 func (r *roster) merge(now clockTime, rec memberRecord) {
 	old, known := r.names[rec.Name]
 	switch {
@@ -171,8 +173,8 @@
 		delete(r.notices, rec.Name)
 		r.reportChange(old, known, rec)
 	case rec.State == stateAlive && old.departed():
-		// It lives and does not know how it is remembered. As long as it does not, its
-		// words are dropped here.
+		// The member is alive but recorded here as departed. Its messages are dropped until
+		// it learns of the record and takes a higher incarnation.
 		r.sendNotice(notice{rec.Member, old, -1})
 	case rec.departed() && old.departed():
 		if compareRuns(rec.Member, old.Member) == 0 && rec.Since < old.Since {
@@ -183,7 +185,7 @@
 	}
 }
 
-// reportChange reports the step from one record of a name to a higher one.
+// reportChange emits the event for the replacement of a name's record by a higher-ranked one.
 func (r *roster) reportChange(old memberRecord, known bool, rec memberRecord) {
 	seen := known && old.State != stateReportedDead
 	sameRun := old.RunID == rec.RunID
@@ -198,26 +200,26 @@
 	case seen && sameRun && rec.State == stateLeft && old.State != stateLeft:
 		e = Event{Kind: Left, Member: rec.Member}
 	case known && old.State == stateAlive:
-		// Also where a later life is known to have come and gone meanwhile.
+		// Also if rec is a later process run that has departed in the meantime.
 		e = Event{Kind: Died, Member: old.Member}
 	default:
 		return
 	}
 	r.actions.EmitEvent(e)
 	if e.Kind == Returned && old.State == stateDead {
-		// Each that had it dead says so once: it must know whether most had.
+		// The member has to learn whether a majority had declared it dead, so each that did reports it.
 		r.sendNotice(notice{rec.Member, old, 2})
 	}
 }
 
-// sendNotice tells a member what is known of its name, and again with later ticks.
+// sendNotice sends a member the record of its name and repeats it on later ticks.
 func (r *roster) sendNotice(t notice) {
 	r.notices[t.to.Name] = t
 	r.actions.SendRecord(t.to, t.about)
 }
 
-// Claim reports that m is said to be alive, by a word that the failure detector does not
-// follow: another life under one's own name, or a second address of another's.
+// NameClaimed reports an alive message from m that the failure detector does not act on: another
+// process run under the roster's own name, or a second address for another member's name.
 func (r *roster) NameClaimed(now clockTime, m Member) {
 	r.detectPause(now)
 	if m.Incarnation > maxIncarnation || r.phase == Superseded {
@@ -235,7 +237,7 @@
 		r.actions.SendRecord(m, cur)
 		return
 	}
-	// Said once a claim: the tell stays until the record changes.
+	// Emitted once per claim: the notice stays until the record changes.
 	if t := r.notices[m.Name]; t.about.Member != m {
 		r.actions.EmitEvent(Event{Kind: Displaced, Member: m, Old: cur.Member})
 	}
@@ -255,7 +257,7 @@
 	r.actions.Announce(r.self)
 }
 
-// Tick reports that time has passed. It is to come several times in rosterLimits.StopAfter.
+// Tick reports the time. It has to be called several times per rosterLimits.PauseThreshold.
 func (r *roster) Tick(now clockTime) {
 	r.detectPause(now)
 	r.lastTick = now
@@ -279,7 +281,7 @@
 	}
 }
 
-// Accept tells what to make of a message that is said to come from a life of name.
+// CheckSender reports whether a message from the given process run of name is to be accepted.
 func (r *roster) CheckSender(name string, incarnation, runID uint64) senderStatus {
 	rec, ok := r.names[name]
 	switch {
@@ -292,11 +294,11 @@
 	case rec.departed() || runID != rec.RunID:
 		return senderUnknown
 	}
-	// Its next incarnation may be a little ahead of the news of it.
+	// A message in the sender's next incarnation may arrive before the announcement of it.
 	return senderAccepted
 }
 
-// expireDeparted keeps the memory of departed lives within its bounds.
+// expireDeparted drops departed members beyond the limits of age and number.
 func (r *roster) expireDeparted(now clockTime) {
 	var departed []memberRecord
 	for name, rec := range r.names {
--- a/fleet/member/self.go
+++ b/fleet/member/self.go
@@ -1,7 +1,7 @@
 package member
 
-// Told reports what the member named from knows of one's own name; "" is a word without a
-// known teller.
+// SelfReported handles a record of the roster's own name that the member named from holds; from is
+// "" if the reporter is unknown.
 func (r *roster) SelfReported(now clockTime, from string, rec memberRecord) {
 	r.detectPause(now)
 	if rec.Name != r.self.Name || rec.Incarnation > maxIncarnation || r.phase > Serving {
@@ -11,16 +11,16 @@
 	switch {
 	case r.phase == Starting:
 	case rec.RunID == r.self.RunID && rec.State == stateAlive:
-		// One's own echo. Above one's own incarnation it is damaged or forged.
+		// The roster's own announcement. With a higher incarnation it is corrupt or forged.
 	case rec.RunID == r.self.RunID:
 		r.countDeathReport(from, rec)
 	case rec.departed() || rec.Addr == r.self.Addr:
-		// Who has one's own address can't be running beside.
+		// A process run at the same address can't be running at the same time.
 	case compareRuns(rec.Member, r.self) > 0:
 		r.withdraw(rec.Member)
 		return
 	default:
-		return // the other steps aside
+		return // the other process withdraws
 	}
 	if r.phase == Serving && r.highestReported >= r.self.Incarnation && r.highestReported < maxIncarnation {
 		if rec.RunID != r.self.RunID || rec.departed() {
@@ -29,9 +29,10 @@
 	}
 }
 
-// countAccuser counts those that have found this life dead. When a majority has, its parts may
-// have gone to others, and it must not act on what it holds; one that was cut off alone
-// takes the rest for dead, and must not make all of them drop all.
+// countDeathReport counts the members that declared this process run dead. Once a majority has, its
+// responsibilities may have moved to others, and it must discard its state. Fewer reports don't
+// suffice: a single partitioned member believes all others dead, and must not make all of them
+// discard their state when it returns.
 func (r *roster) countDeathReport(from string, rec memberRecord) {
 	if rec.State != stateDead || from == "" || rec.Incarnation < max(r.reportedDeadIncarnation, r.resumedIncarnation) {
 		return
@@ -49,8 +50,7 @@
 	}
 }
 
-// fleetSize is how many members the fleet has had of late: those that left don't count, those
-// that died do.
+// fleetSize returns the number of recent members: those that died count, those that left don't.
 func (r *roster) fleetSize() int {
 	n := 1
 	for _, rec := range r.names {
@@ -61,7 +61,7 @@
 	return n
 }
 
-// stepAside ends this process's part in the fleet, for good: winner keeps the name.
+// withdraw permanently ends this process's membership: winner keeps the name.
 func (r *roster) withdraw(winner Member) {
 	old := r.self
 	r.phase = Superseded
@@ -71,8 +71,8 @@
 	r.actions.Withdraw(winner)
 }
 
-// detectStop notices at the first event after a stop that the process was stopped for longer
-// than the others wait before they take a member for dead.
+// detectPause detects, at the first event after a pause of the process, that it was paused for longer
+// than the others wait before they declare a member dead.
 func (r *roster) detectPause(now clockTime) {
 	if r.phase == Serving && now-r.lastTick > r.limits.PauseThreshold {
 		r.lastTick = now
@@ -80,14 +80,14 @@
 	}
 }
 
-// resume takes an incarnation above all that others may have accused.
+// resume takes an incarnation above all that others may have declared dead, and emits Resumed.
 func (r *roster) resume() {
 	r.setIncarnation(max(r.highestReported, r.self.Incarnation) + 1)
 	r.resumedIncarnation = r.self.Incarnation
 	r.actions.EmitEvent(Event{Kind: Resumed, Member: r.self})
 }
 
-// setIncarnation takes an incarnation and announces it.
+// setIncarnation sets the roster's own incarnation and announces it.
 func (r *roster) setIncarnation(incarnation uint64) {
 	r.self.Incarnation = incarnation
 	r.actions.Announce(r.self)
--- a/fleet/member/stats.go
+++ b/fleet/member/stats.go
@@ -4,21 +4,21 @@
 	"sync/atomic"
 )
 
-// Stats counts what a node dropped since its start. News of members that are dropped come
-// again with later gossip, a full exchange or a Resync; messages do not.
+// Stats counts what a node dropped since its start. Dropped membership updates are repeated by later
+// gossip, a full exchange or a Resync; dropped messages are lost.
 type Stats struct {
-	BadMeta         uint64 // a member's own data that can't be read; it is not let in
-	BadState        uint64 // full exchanges whose memory can't be read
-	BadMessage      uint64 // datagrams that can't be read
-	StaleRun        uint64 // messages from a life that is over
-	UnknownSender   uint64 // messages from one that is not among the members
-	InboxFull       uint64 // messages, claims and memories for which the inbox had no room
-	MessagesDropped uint64 // messages that their reader had no room for
+	BadMeta         uint64 // malformed metadata; the member is not admitted
+	BadState        uint64 // full exchanges with malformed state
+	BadMessage      uint64 // malformed datagrams
+	StaleRun        uint64 // messages from a process run or incarnation that has ended
+	UnknownSender   uint64 // messages from senders that are not among the members
+	InboxFull       uint64 // messages, name claims and exchanged states dropped because the inbox was full
+	MessagesDropped uint64 // messages dropped because the channel of Messages was full
 	EventsLost      uint64 // events replaced by a Resync
-	TooManyMembers  uint64 // members over the bound of the view
+	TooManyMembers  uint64 // members refused because the view was full
 }
 
-// counters are the node's Stats, written by many goroutines.
+// counters holds the node's Stats, updated concurrently.
 type counters struct {
 	badMeta, badState, badMessage                 atomic.Uint64
 	staleRun, unknown, inboxFull, messagesDropped atomic.Uint64
--- a/fleet/member/transport.go
+++ b/fleet/member/transport.go
@@ -10,20 +10,20 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// maxStreams is how many connections of others are served at a time; more wait in the
-// kernel. A full exchange takes milliseconds, and a silent connection ends after
+// maxStreams is how many incoming connections are served at a time; more wait in the kernel's accept
+// queue. A full exchange takes milliseconds, and an idle connection is closed after
 // Config.StreamTimeout.
 const maxStreams = 16
 
-// transport is memberlist's own, with two things more: connections go out from the bound
-// address, as datagrams do, and those that come in are bounded and end with the node.
+// transport extends memberlist's own transport in two ways: outgoing connections use the bound address
+// as their source, as datagrams do, and incoming ones are limited in number and closed with the node.
 type transport struct {
 	*memberlist.NetTransport
 	dialer  net.Dialer
 	ctx     context.Context
 	cancel  func()
 	streams chan net.Conn
-	slots   chan struct{} // one taken by each connection of others
+	slots   chan struct{} // semaphore: one slot per incoming connection
 	done    sync.WaitGroup
 }
 
@@ -68,7 +68,7 @@
 	}
 }
 
-// track closes a connection when the node ends, and says when it is over.
+// track closes a connection when the transport shuts down, and calls onClose when it is closed.
 func (t *transport) track(c net.Conn, onClose func()) net.Conn {
 	stop := context.AfterFunc(t.ctx, func() { c.Close() })
 	return &stream{Conn: c, onClose: func() {
@@ -109,7 +109,7 @@
 
 // Shutdown implements memberlist.Transport.
 func (t *transport) Shutdown() error {
-	// Connections that wait to be handed on would hold up the listeners' end.
+	// Accepted connections that nobody receives would block the shutdown of the listeners.
 	drained := make(chan struct{})
 	go func() {
 		defer close(drained)
--- a/fleet/member/view.go
+++ b/fleet/member/view.go
@@ -5,25 +5,25 @@
 	"strings"
 )
 
-// eventBacklog is what the reader of Events has missed, and is owed by the next Resync.
+// eventBacklog says which lost events the next Resync has to make up for.
 type eventBacklog uint8
 
 const (
 	backlogNone        eventBacklog = iota
-	backlogLost                     // events were lost, a Resync is due
-	backlogLostResumed              // a Resumed was among them
+	backlogLost                     // events were lost; a Resync has to be sent
+	backlogLostResumed              // events including a Resumed were lost
 )
 
 func (b eventBacklog) String() string { return [...]string{"none", "lost", "lost resumed"}[b] }
 
-// view is what readers see, never changed once published.
+// view is an immutable snapshot of the membership.
 type view struct {
 	self    Member
 	phase   Phase
-	members []Member // by name
+	members []Member // sorted by name
 }
 
-// named returns the member with a name.
+// find returns the member with the given name.
 func (v *view) find(name string) (Member, bool) {
 	i, ok := slices.BinarySearchFunc(v.members, name, func(m Member, name string) int {
 		return strings.Compare(m.Name, name)
@@ -34,28 +34,28 @@
 	return v.members[i], true
 }
 
-// publish makes what the roster holds the view that readers see.
+// publish replaces the view by the roster's current state.
 func (n *Node) publish() {
 	n.view.Store(&view{n.roster.Self(), n.roster.Phase(), n.roster.Members()})
 }
 
-// Self returns the node as others see it; incarnation 0 until the seeds have been asked.
+// Self returns the node as others see it; its incarnation is 0 until the seeds have been contacted.
 func (n *Node) Self() Member { return n.view.Load().self }
 
 // Phase returns the state of the node's own membership.
 func (n *Node) Phase() Phase { return n.view.Load().phase }
 
-// Members returns all that are alive, the node itself among them, by name. The slice is
-// shared and must not be changed.
+// Members returns all members that are alive, including the node itself, sorted by name. The slice is
+// shared and must not be modified.
 func (n *Node) Members() []Member { return n.view.Load().members }
 
-// Events returns the changes of the view. When its reader is so slow that they find no
-// room, events are dropped, and the next is a Resync with the whole View as it is then.
-// The channel is closed when the node is.
+// Events returns the channel of changes of the view. If its buffer is full, events are dropped, and
+// the next event is a Resync with the whole current View. The channel is closed when the node is
+// closed.
 func (n *Node) Events() <-chan Event { return n.events }
 
-// flush publishes what the roster has decided: the view first, so that who gets an event
-// finds at least that much in Members.
+// flush publishes the roster's decisions: the view before the events, so that Members reflects at
+// least every event that was received.
 func (n *Node) flush() {
 	if n.viewChanged {
 		n.viewChanged = false
@@ -71,7 +71,7 @@
 	}
 }
 
-// resync sends the whole view in place of the events lost, if there is room for it.
+// resync sends the whole view in place of the lost events, if the channel has room for it.
 func (n *Node) resync() {
 	v := n.view.Load()
 	e := Event{Kind: Resync, Member: v.self, View: v.members, LostResumed: n.backlog == backlogLostResumed}
@@ -82,8 +82,8 @@
 	}
 }
 
-// emit sends an event, or notes that it is lost: once one is, those after it are too, until a
-// Resync has been sent.
+// emit sends an event, or records that it is lost. After a lost event all further ones are dropped
+// until a Resync has been sent.
 func (n *Node) emit(e Event) {
 	if n.backlog == backlogNone {
 		select {
--- a/fleet/member/wire.go
+++ b/fleet/member/wire.go
@@ -8,22 +8,22 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// What goes over the network: a version in the first byte, then one CBOR array (RFC
-// 8949). Readers bound all that they take, since anyone who has the key, or anyone at
-// all where there is none, can send.
+// Wire format: a version in the first byte, then one CBOR array (RFC 8949). Decoders limit
+// everything that they accept, since anyone with the key, or anyone at all if there is no
+// key, can send.
 const (
 	wireVersion = 1
 
-	maxNameBytes  = 64   // bytes of a name, a zone
-	maxAddrBytes  = 64   // bytes of an address
-	maxRecords    = 1536 // departed lives in one state: of a fleet of over a thousand, all of them
+	maxNameBytes  = 64   // of a name or a zone
+	maxAddrBytes  = 64   // of an address
+	maxRecords    = 1536 // departed members in one exchanged state: enough for all members of a fleet of over a thousand
 	maxStateBytes = 256 << 10
-	// MaxPayload is the longest payload in bytes of one message: with its head, and with
-	// memberlist's, it fits in one Ethernet frame.
+	// MaxPayload is the maximum payload of a message in bytes: with its own and memberlist's
+	// headers, the message fits in one Ethernet frame.
 	MaxPayload = 1024
 )
 
-// meta is what memberlist carries with each member, in at most 512 bytes.
+// meta is the metadata that memberlist gossips with each member, at most 512 bytes.
 type meta struct {
 	_           struct{} `cbor:",toarray"`
 	Incarnation uint64
@@ -33,8 +33,8 @@
 	Leaving     bool
 }
 
-// wireLife is one lifeRecord on the network. An age travels instead of a time, since no two
-// members' clocks can be compared.
+// wireRecord is the wire form of a memberRecord. It carries an age instead of a time, since the clocks
+// of two members can't be compared.
 type wireRecord struct {
 	_           struct{} `cbor:",toarray"`
 	Name        string
@@ -45,7 +45,7 @@
 	Age         uint64 // in milliseconds
 }
 
-// memory is what members tell one another of departed lives in a full exchange.
+// departedState holds the departed members that a member sends in a full exchange.
 type departedState struct {
 	_       struct{} `cbor:",toarray"`
 	From    string
@@ -55,8 +55,8 @@
 type messageKind uint8
 
 const (
-	kindData   messageKind = iota // for the users of the node
-	kindNotice                    // what is known of the receiver's name
+	kindData   messageKind = iota // application message
+	kindNotice                    // a record of the receiver's name
 	messageKindCount
 )
 
@@ -86,7 +86,7 @@
 
 func mustMode[T any](v T, err error) T {
 	if err != nil {
-		panic(err) // the options above are constants
+		panic(err) // the options are constants
 	}
 	return v
 }
@@ -142,7 +142,7 @@
 	return nil
 }
 
-// toRecord puts a life on the clock of the receiver.
+// toRecord converts a wire record to a memberRecord on the receiver's clock.
 func (l *wireRecord) toRecord(now clockTime) memberRecord {
 	m := Member{Name: l.Name, Incarnation: l.Incarnation, RunID: l.RunID, Addr: l.Addr}
 	age := time.Duration(min(l.Age, uint64(1<<40))) * time.Millisecond
