--- a/fleet/member/config.go
+++ b/fleet/member/config.go
@@ -113,14 +113,14 @@
 	case len(c.Zone) > maxNameBytes:
 		return fmt.Errorf("zone: %d bytes, %d at most", len(c.Zone), maxNameBytes)
 	case k != 0 && k != 16 && k != 24 && k != 32:
-		return fmt.Errorf("key: %d bytes, 16, 24 or 32 needed", k)
+		return fmt.Errorf("key: %d bytes, must be 16, 24 or 32", k)
 	case c.ProbeInterval < 0 || c.ProbeTimeout < 0 || c.ProbeTimeout > c.ProbeInterval:
-		return fmt.Errorf("probe: a time-out of %v with an interval of %v", c.ProbeTimeout, c.ProbeInterval)
+		return fmt.Errorf("probe: timeout %v, must be from 0 to the interval of %v", c.ProbeTimeout, c.ProbeInterval)
 	case c.GossipInterval < 0 || c.PushPullInterval < 0 || c.GossipToDeadTime < 0 || c.StreamTimeout < 0 ||
 		c.SuspicionMult < 0 || c.EventBuffer < 0 || c.MessageBuffer < 0:
-		return errors.New("times and numbers: one is negative")
+		return errors.New("intervals and sizes: must not be negative")
 	case c.RejoinMin < 0 || c.RejoinMax < c.RejoinMin:
-		return fmt.Errorf("rejoin: from %v to %v", c.RejoinMin, c.RejoinMax)
+		return fmt.Errorf("rejoin: minimum %v, maximum %v", c.RejoinMin, c.RejoinMax)
 	}
 	return nil
 }
@@ -136,7 +136,7 @@
 			return bind, advertise, fmt.Errorf("advertise: %w", err)
 		}
 	} else if bind.Addr().IsUnspecified() {
-		return bind, advertise, fmt.Errorf("advertise: needed, since bind is %s", bind.Addr())
+		return bind, advertise, fmt.Errorf("advertise: required, since bind is %s", bind.Addr())
 	}
 	for _, s := range c.Join {
 		if _, _, err := net.SplitHostPort(s); err != nil {
--- a/fleet/member/delegate.go
+++ b/fleet/member/delegate.go
@@ -13,7 +13,7 @@
 // maxMembers bounds the number of members in the view, at 512 bytes each.
 const maxMembers = 4096
 
-var errTooManyMembers = fmt.Errorf("member: there are %d members already", maxMembers)
+var errTooManyMembers = fmt.Errorf("member: limit of %d members reached", maxMembers)
 
 // liveness is what memberlist's failure detector reports about a member.
 type liveness uint8
--- a/fleet/member/node_test.go
+++ b/fleet/member/node_test.go
@@ -21,7 +21,7 @@
 
 const ms = time.Millisecond
 
-// quick makes times short, so that a death is seen within a second.
+// fastConfig returns a config with short intervals, so that a death is detected within a second.
 func fastConfig(name string, e faultlink.Endpoint, join ...string) Config {
 	return Config{
 		Name: name, Zone: "z", Version: 3, Bind: e.Bind, Advertise: e.Advertise, Join: join,
@@ -30,14 +30,14 @@
 	}
 }
 
-// cluster is nodes over a faultlink.Net, all of which join the first.
+// cluster is a set of nodes connected by a faultlink.Net, all of which join through node a.
 type cluster struct {
 	t     *testing.T
 	net   *faultlink.Net
 	ends  map[string]faultlink.Endpoint
 	nodes map[string]*Node
 	mu    sync.Mutex
-	seen  map[string][]Event // events of each node that is read
+	seen  map[string][]Event // events that each node emitted
 	tweak func(*Config)
 }
 
@@ -63,7 +63,7 @@
 	return c
 }
 
-// start starts the nodes at their places and reads their events.
+// start starts the named nodes at their own endpoints and records their events.
 func (c *cluster) start(names ...string) {
 	c.t.Helper()
 	for _, name := range names {
@@ -99,7 +99,7 @@
 	delete(c.nodes, name)
 }
 
-// events returns the kinds of events that a node had about a name.
+// events returns the kinds of the events that the node at emitted about name.
 func (c *cluster) events(at, name string) (out []Kind) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -118,15 +118,15 @@
 			for name, n := range c.nodes {
 				c.t.Logf("%s: phase %d, %v, %+v", name, n.Phase(), n.Members(), n.Stats())
 			}
-			c.t.Fatalf("not within 20 s: %s", what)
+			c.t.Fatalf("condition not met within 20 s: %s", what)
 		}
 	}
 }
 
-// same waits until all nodes that run have the same view: themselves.
+// waitSameView waits until every serving node's view is exactly the set of serving nodes.
 func (c *cluster) waitSameView() {
 	c.t.Helper()
-	c.eventually("the same view at all", func() bool {
+	c.eventually("all nodes have the same view", func() bool {
 		var want []Member
 		for _, n := range c.nodes {
 			switch n.Phase() {
@@ -172,10 +172,10 @@
 		c.eventually("b left", c.hasEvent(at, Left, "b"))
 		c.eventually("c died", c.hasEvent(at, Died, "c"))
 		if got := c.events(at, "b"); slices.Contains(got, Died) {
-			t.Errorf("%s: b has left: %v", at, got)
+			t.Errorf("%s: b left but was reported dead: %v", at, got)
 		}
 		if got := c.events(at, "c"); slices.Contains(got, Left) {
-			t.Errorf("%s: c was killed: %v", at, got)
+			t.Errorf("%s: c was killed but was reported as left: %v", at, got)
 		}
 	}
 	c.waitSameView()
@@ -192,7 +192,7 @@
 	}
 }
 
-// A restart quicker than anybody can notice is one all the same.
+// A restart that is faster than failure detection is still reported as a restart.
 func TestRestartBeforeDetection(t *testing.T) {
 	c := newCluster(t, fiveNodes...)
 	c.start(fiveNodes...)
@@ -211,7 +211,7 @@
 
 func TestPartitionAndHeal(t *testing.T) {
 	c := newCluster(t, fiveNodes...)
-	// Long enough that a busy machine is not a stop.
+	// Long enough that scheduling delays on a busy machine don't count as a pause.
 	c.tweak = func(cfg *Config) { cfg.SuspicionMult = 8 }
 	c.start(fiveNodes...)
 	c.waitSameView()
@@ -222,11 +222,11 @@
 	c.net.Heal()
 	c.waitSameView()
 	if got := c.nodes["e"].Self(); got.RunID != runID || got.Incarnation < 2 {
-		t.Errorf("e is %v, its life was %d", got, runID)
+		t.Errorf("e is %v, its run ID was %d", got, runID)
 	}
 	c.eventually("e returned", c.hasEvent("a", Returned, "e"))
-	// The smaller side was dead to a majority. The larger was not, unless the other's word
-	// of its death, still on its way as gossip at the heal, has won others over.
+	// A majority had declared the smaller side dead. That doesn't hold for the larger side,
+	// unless gossip about its death, still in flight when the partition healed, spread to it.
 	c.eventually("e resumed", c.hasEvent("e", Resumed, "e"))
 	believed := 0
 	for _, at := range fiveNodes {
@@ -235,11 +235,11 @@
 		}
 	}
 	if got := c.events("a", "a"); slices.Contains(got, Resumed) && believed <= 2 {
-		t.Errorf("a was dead to %d only: %v", believed, got)
+		t.Errorf("a resumed, although only %d nodes declared it dead: %v", believed, got)
 	}
 }
 
-// After memberlist has forgotten the other side nothing but rejoin brings them together.
+// Once memberlist no longer gossips to the other side of a partition, only rejoining reunites them.
 func TestLongPartition(t *testing.T) {
 	c := newCluster(t, fiveNodes...)
 	c.tweak = func(cfg *Config) { cfg.GossipToDeadTime = 100 * ms }
@@ -248,28 +248,28 @@
 	c.net.Partition([]string{"a", "b", "c"}, []string{"d", "e"})
 	c.waitMemberCount("a", "b", "c")
 	c.waitMemberCount("d", "e")
-	time.Sleep(time.Second) // several times DeadGossip
+	time.Sleep(time.Second) // several times GossipToDeadTime
 	c.net.Heal()
 	c.waitSameView()
 }
 
-// A cut one way makes neither end dead for ever, and others see both.
-func TestCutOneWay(t *testing.T) {
+// A one-way link failure makes neither end permanently dead, and the others keep seeing both.
+func TestOneWayLinkFailure(t *testing.T) {
 	c := newCluster(t, fiveNodes...)
 	c.start(fiveNodes...)
 	c.waitSameView()
 	c.net.CutOneWay("b", "c")
 	c.net.CutOneWay("d", "e")
-	// As long as a few suspicions take; whoever is wrongly found dead meanwhile speaks up.
+	// Several suspicion timeouts; a member that is wrongly declared dead in the meantime refutes it.
 	time.Sleep(1500 * ms)
 	c.waitSameView()
 	c.net.Heal()
 	c.waitSameView()
-	// One that hears and is not heard is dead to all while it lasts, and no longer.
+	// A node that receives but can't send is dead to all others while that lasts, and no longer.
 	for _, to := range []string{"a", "b", "d", "e"} {
 		c.net.CutOneWay("c", to)
 	}
-	c.eventually("c is dead to a", func() bool { return len(c.nodes["a"].Members()) == 4 })
+	c.eventually("a declares c dead", func() bool { return len(c.nodes["a"].Members()) == 4 })
 	c.net.Heal()
 	c.waitSameView()
 }
@@ -288,14 +288,14 @@
 	c.start("a", "b", "c", "d")
 	c.waitSameView()
 	c.startAs("c2", "c")
-	// The newcomer has asked and goes above: it is as a restart elsewhere whose old life
-	// hangs on.
-	c.eventually("one c steps aside", func() bool { return c.nodes["c"].Phase() == Superseded })
+	// The second process has learned the first one's incarnation and takes a higher one: as after
+	// a restart elsewhere while the old process still runs.
+	c.eventually("the older c withdraws", func() bool { return c.nodes["c"].Phase() == Superseded })
 	if m := c.nodes["c"].Members(); len(m) != 1 {
-		t.Errorf("the displaced sees %v", m)
+		t.Errorf("the displaced node sees %v", m)
 	}
 	if err := c.nodes["c"].Send("a", nil); err != ErrNotReady {
-		t.Errorf("the displaced sends: %v", err)
+		t.Errorf("Send of the displaced node returned %v, want ErrNotReady", err)
 	}
 	c.waitSameView()
 	if got := c.nodes["a"].Members()[2].Addr; got != c.ends["c2"].Advertise {
@@ -304,30 +304,30 @@
 	c.eventually("c displaced", c.hasEvent("c", Displaced, "c"))
 }
 
-// Two that started apart, neither knowing of the other.
+// Two processes with the same name start on both sides of a partition, unaware of each other.
 func TestTwoClaimOneNameAfterPartition(t *testing.T) {
 	c := newCluster(t, "a", "b", "c", "c2")
 	c.net.Partition([]string{"a", "b", "c"}, []string{"c2"})
 	c.start("a", "b", "c")
 	c.startAs("c2", "c")
 	c.waitMemberCount("a", "b", "c")
-	c.eventually("c2 serves alone", func() bool { return c.nodes["c2"].Phase() == Serving })
+	c.eventually("c2 serves as the only member", func() bool { return c.nodes["c2"].Phase() == Serving })
 	keeper, other := "c", "c2"
 	if compareRuns(c.nodes["c2"].Self(), c.nodes["c"].Self()) > 0 {
 		keeper, other = other, keeper
 	}
 	c.net.Heal()
-	c.eventually("the lower steps aside", func() bool { return c.nodes[other].Phase() == Superseded })
+	c.eventually("the lower process run withdraws", func() bool { return c.nodes[other].Phase() == Superseded })
 	c.waitSameView()
 	if c.nodes[keeper].Phase() != Serving {
-		t.Error("the higher did not keep the name")
+		t.Error("the higher process run did not keep the name")
 	}
 }
 
-// same2 waits until the nodes named have as many members as they are.
+// waitMemberCount waits until each named node's view has as many members as there are names.
 func (c *cluster) waitMemberCount(names ...string) {
 	c.t.Helper()
-	c.eventually("all of "+strings.Join(names, ","), func() bool {
+	c.eventually("only these members in the views of "+strings.Join(names, ","), func() bool {
 		for _, name := range names {
 			if len(c.nodes[name].Members()) != len(names) {
 				return false
@@ -361,7 +361,7 @@
 		t.Errorf("sent to %d, %v", sent, err)
 	}
 	if next("b"); len(next("c").Payload) != MaxPayload {
-		t.Error("cut short")
+		t.Error("payload was truncated")
 	}
 	if err := c.nodes["a"].Send("b", make([]byte, MaxPayload+1)); err != ErrPayloadTooLong {
 		t.Error(err)
@@ -370,7 +370,7 @@
 		t.Error(err)
 	}
 
-	// A word of an older life comes late.
+	// A message from an earlier process run arrives late.
 	old := c.nodes["a"].Self()
 	c.kill("a")
 	c.start("a")
@@ -380,21 +380,21 @@
 		t.Fatal(err)
 	}
 	b := c.nodes["b"]
-	c.eventually("the late word is counted", func() bool { return b.Stats().StaleRun == 1 })
+	c.eventually("the late message is counted", func() bool { return b.Stats().StaleRun == 1 })
 	delayed.From = "stranger"
 	c.nodes["c"].sendMessage(b.Self(), delayed)
-	c.eventually("the stranger's is counted", func() bool { return b.Stats().UnknownSender == 1 })
+	c.eventually("the message of an unknown sender is counted", func() bool { return b.Stats().UnknownSender == 1 })
 	c.nodes["c"].list.SendBestEffort(b.list.LocalNode(), []byte{99, 1, 2})
-	c.eventually("one of a strange version is counted", func() bool { return b.Stats().BadMessage == 1 })
+	c.eventually("the message of an unsupported version is counted", func() bool { return b.Stats().BadMessage == 1 })
 	if len(b.Messages()) != 0 {
-		t.Error("one of them was delivered")
+		t.Error("a message that should have been dropped was delivered")
 	}
 
-	// A reader that does not read loses messages, and no more.
+	// If Messages is not read, messages are dropped, with no other effect.
 	for range 1200 {
 		c.nodes["c"].Send("b", []byte("more"))
 	}
-	c.eventually("the rest is dropped", func() bool {
+	c.eventually("excess messages are dropped", func() bool {
 		c.nodes["c"].Send("b", nil)
 		return b.Stats().MessagesDropped > 0
 	})
@@ -414,7 +414,7 @@
 	c.waitSameView()
 	c.kill("e")
 	c.waitSameView()
-	c.eventually("events are lost", func() bool { return a.Stats().EventsLost > 0 })
+	c.eventually("events are dropped", func() bool { return a.Stats().EventsLost > 0 })
 	for range 2 {
 		if e := <-a.Events(); e.Kind != Joined {
 			t.Errorf("%+v", e)
@@ -425,7 +425,7 @@
 		t.Errorf("%+v", e)
 	}
 	c.start("e")
-	for e = range a.Events() { // from here on as ever; one may come between
+	for e = range a.Events() { // normal delivery again; another event may come in between
 		if e.Member.Name == "e" {
 			break
 		}
@@ -450,24 +450,24 @@
 		c.nodes[name] = n
 	}
 	c.waitMemberCount("a", "b")
-	c.eventually("c serves alone", func() bool { return c.nodes["c"].Phase() == Serving })
+	c.eventually("c serves as the only member", func() bool { return c.nodes["c"].Phase() == Serving })
 	if len(c.nodes["c"].Members()) != 1 {
-		t.Error("c got in with a wrong key")
+		t.Error("c joined with a wrong key")
 	}
 }
 
 func TestConfig(t *testing.T) {
 	for want, c := range map[string]Config{
-		"member: name: 0 bytes":           {Bind: "127.0.0.1:0"},
-		"member: zone: 65 bytes":          {Name: "a", Zone: strings.Repeat("z", 65), Bind: "127.0.0.1:0"},
-		"member: key: 5 bytes":            {Name: "a", Key: []byte("short"), Bind: "127.0.0.1:0"},
-		"member: bind: ":                  {Name: "a", Bind: "here"},
-		"member: advertise: ":             {Name: "a", Bind: "127.0.0.1:0", Advertise: "there"},
-		"member: advertise: needed":       {Name: "a", Bind: "0.0.0.0:0"},
-		"member: join: ":                  {Name: "a", Bind: "127.0.0.1:0", Join: []string{"nowhere"}},
-		"member: probe: a time-out of 2s": {Name: "a", Bind: "127.0.0.1:0", ProbeTimeout: 2 * time.Second},
-		"member: rejoin: ":                {Name: "a", Bind: "127.0.0.1:0", RejoinMin: 2, RejoinMax: 1},
-		"member: times and numbers":       {Name: "a", Bind: "127.0.0.1:0", EventBuffer: -1},
+		"member: name: 0 bytes":       {Bind: "127.0.0.1:0"},
+		"member: zone: 65 bytes":      {Name: "a", Zone: strings.Repeat("z", 65), Bind: "127.0.0.1:0"},
+		"member: key: 5 bytes":        {Name: "a", Key: []byte("short"), Bind: "127.0.0.1:0"},
+		"member: bind: ":              {Name: "a", Bind: "here"},
+		"member: advertise: ":         {Name: "a", Bind: "127.0.0.1:0", Advertise: "there"},
+		"member: advertise: required": {Name: "a", Bind: "0.0.0.0:0"},
+		"member: join: ":              {Name: "a", Bind: "127.0.0.1:0", Join: []string{"nowhere"}},
+		"member: probe: timeout 2s":   {Name: "a", Bind: "127.0.0.1:0", ProbeTimeout: 2 * time.Second},
+		"member: rejoin: ":            {Name: "a", Bind: "127.0.0.1:0", RejoinMin: 2, RejoinMax: 1},
+		"member: intervals and sizes": {Name: "a", Bind: "127.0.0.1:0", EventBuffer: -1},
 	} {
 		n, err := Start(c)
 		if err == nil {
@@ -479,10 +479,10 @@
 	}
 }
 
-// A node alone, with the defaults: what it holds, and that Close and Leave end.
+// A single node with default settings: its goroutines and descriptors, and that Leave and Close clean up.
 func TestFootprintAndClose(t *testing.T) {
 	c := &cluster{t: t}
-	c.eventually("those of other tests end", func() bool { return !running() })
+	c.eventually("goroutines of other tests end", func() bool { return !running() })
 	goroutines, files := runtime.NumGoroutine(), descriptors(t)
 	n, err := Start(Config{Name: "a", Bind: "127.0.0.1:0"})
 	if err != nil {
@@ -492,8 +492,8 @@
 		time.Sleep(ms)
 	}
 	g, f := runtime.NumGoroutine()-goroutines, descriptors(t)-files
-	t.Logf("a node at rest holds %d goroutines and %d descriptors", g, f)
-	if g > 14 || f > 3 { // the runtime's poller may have come with the first socket
+	t.Logf("an idle node holds %d goroutines and %d descriptors", g, f)
+	if g > 14 || f > 3 { // the first socket may have created the runtime's poller
 		t.Errorf("%d goroutines, %d descriptors", g, f)
 	}
 	if !n.Fresh() {
@@ -505,17 +505,17 @@
 	n.Close()
 	n.Close()
 	if n.Leave(time.Second) != ErrClosed || n.Send("a", nil) == nil {
-		t.Error("works after Close")
+		t.Error("Leave or Send succeeded after Close")
 	}
 	if _, open := <-n.Events(); open {
-		t.Error("events after Close")
+		t.Error("the channel of Events is open after Close")
 	}
 	start := time.Now()
-	c.eventually("all of it ends", func() bool { return !running() })
+	c.eventually("all goroutines of the node end", func() bool { return !running() })
 	t.Logf("memberlist's goroutines ended within %v of Close", time.Since(start))
 }
 
-// running tells whether goroutines of a node or of memberlist are left.
+// running reports whether goroutines of a node or of memberlist are still running.
 func running() bool {
 	buf := make([]byte, 1<<20)
 	all := string(buf[:runtime.Stack(buf, true)])
@@ -537,7 +537,7 @@
 	return n
 }
 
-// More connections than a node serves wait, and it goes on.
+// Connections beyond maxStreams wait, and the node keeps working.
 func TestManyConnections(t *testing.T) {
 	c := newCluster(t, "a", "b")
 	c.start("a", "b")
@@ -551,18 +551,18 @@
 		}
 		defer conn.Close()
 	}
-	c.eventually("all that are served", func() bool { return len(c.nodes["b"].transport.slots) == maxStreams })
-	// Those of this side, and one that the listener holds; some are of exchanges.
+	c.eventually("all connection slots are in use", func() bool { return len(c.nodes["b"].transport.slots) == maxStreams })
+	// The dialed connections, the served ones, one held by the listener, and some of full exchanges.
 	if got := descriptors(t) - files; got > many+maxStreams+8 {
-		t.Errorf("%d descriptors more", got)
+		t.Errorf("%d additional descriptors", got)
 	}
-	c.eventually("the silent ones end", func() bool { return len(c.nodes["b"].transport.slots) <= 1 })
+	c.eventually("the idle connections are closed", func() bool { return len(c.nodes["b"].transport.slots) <= 1 })
 	c.waitSameView()
 }
 
-// A process that is stopped and goes on takes the next incarnation and says that what it
-// holds is old, before the fleet has told it anything.
-func TestStoppedProcess(t *testing.T) {
+// A process that is paused (SIGSTOP) and continued takes the next incarnation and emits Resumed, without
+// waiting for other members to report its death.
+func TestPausedProcess(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	c.start("a", "b")
 	cmd := exec.Command(os.Args[0], "-test.run=^TestChild$")
@@ -608,17 +608,17 @@
 				return
 			}
 		case <-timeout:
-			t.Fatal("the process has not noticed")
+			t.Fatal("the process did not report the pause")
 		}
 	}
 }
 
-// TestChild is the other process of TestStoppedProcess: it prints its events until its
-// input ends.
+// TestChild is the child process of TestPausedProcess. It prints its events until its standard input
+// is closed.
 func TestChild(t *testing.T) {
 	place := strings.Fields(os.Getenv("MEMBER_CHILD"))
 	if len(place) != 3 {
-		t.Skip("only as a process of TestStoppedProcess")
+		t.Skip("runs only as the child process of TestPausedProcess")
 	}
 	cfg := fastConfig("c", faultlink.Endpoint{Bind: place[0], Advertise: place[1]}, place[2])
 	cfg.Logger = slog.New(slog.NewTextHandler(io.Discard, nil))
--- a/fleet/member/wire.go
+++ b/fleet/member/wire.go
@@ -106,7 +106,7 @@
 	case len(buf) == 0:
 		return errEmpty
 	case buf[0] != wireVersion:
-		return fmt.Errorf("version %d is not known", buf[0])
+		return fmt.Errorf("version %d is not supported", buf[0])
 	case len(buf) > limit:
 		return fmt.Errorf("%d bytes, %d at most", len(buf), limit)
 	}
