--- a/fleet/member/large_test.go
+++ b/fleet/member/large_test.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// manyMembers is over a thousand, as a large fleet has.
+// manyMembers is the size of a large fleet, over a thousand.
 const manyMembers = 1100
 
-// longestLife is a departed life whose fields take as many bytes as they may.
+// longestRecord returns the record of a departed member whose fields have their maximum sizes.
 func longestRecord(number int) wireRecord {
 	name := fmt.Sprintf("%04d", number)
 	return wireRecord{
@@ -25,10 +25,10 @@
 	}
 }
 
-// The departed lives of a large fleet go in one state, in all forms that their fields may
-// have. Guards against a state that its readers refuse, by which nobody hears of any.
+// The departed members of a large fleet fit in one exchanged state, even with fields of maximum size.
+// Prevents a state that receivers reject as too large, so that no departure reaches them.
 func TestManyDepartedInOneExchange(t *testing.T) {
-	for name, count := range map[string]int{"a large fleet": manyMembers, "the bound": maxRecords} {
+	for name, count := range map[string]int{"a large fleet": manyMembers, "the limit": maxRecords} {
 		all := departedState{From: strings.Repeat("f", maxNameBytes)}
 		for number := range count {
 			all.Records = append(all.Records, longestRecord(number))
@@ -41,8 +41,8 @@
 	}
 }
 
-// A roster knows all members of a large fleet, and remembers each of them once all have gone.
-// Guards against a life that comes back unnoticed because its end was forgotten for others'.
+// A roster holds all members of a large fleet, and remembers each of them after all have departed.
+// Prevents an ended process run from being accepted again because its record was evicted for others.
 func TestRosterOfManyMembers(t *testing.T) {
 	limits := rosterLimits{PauseThreshold: time.Hour, DepartedRetention: departedRetention, MaxDeparted: maxRecords}
 	r := newRoster(0, limits, mem("self", 0, 1), &actionRecorder{})
@@ -55,15 +55,15 @@
 		r.Alive(sec, m)
 	}
 	if got := len(r.Members()); got != manyMembers+1 {
-		t.Errorf("%d members, want %d with oneself", got, manyMembers+1)
+		t.Errorf("%d members, want %d including self", got, manyMembers+1)
 	}
 	for number, m := range others {
 		r.Died(sec+clockTime(number), m)
 	}
 	if got := len(r.Departed()); got != manyMembers {
-		t.Errorf("%d departed lives are remembered, want %d", got, manyMembers)
+		t.Errorf("%d departed members are remembered, want %d", got, manyMembers)
 	}
 	if got := r.CheckSender(others[0].Name, 1, others[0].RunID); got != senderStale {
-		t.Errorf("a message of the first that departed: verdict %d, want %d", got, senderStale)
+		t.Errorf("message from the first departed member: status %d, want %d", got, senderStale)
 	}
 }
--- a/fleet/member/roster_test.go
+++ b/fleet/member/roster_test.go
@@ -17,7 +17,7 @@
 
 var testLimits = rosterLimits{PauseThreshold: 4 * sec, DepartedRetention: 1000 * sec, MaxDeparted: 8}
 
-// subject is a roster, or one that is broken in one way.
+// rosterUnderTest is a roster, or a variant with one injected fault.
 type rosterUnderTest interface {
 	JoinFinished(clockTime)
 	Alive(clockTime, Member)
@@ -40,7 +40,7 @@
 	return newRoster(now, l, self, act)
 }
 
-// book keeps what a subject asked for, in order.
+// actionRecorder records the requested actions in order.
 type actionRecorder struct{ actions []any }
 
 type (
@@ -78,7 +78,7 @@
 		case announceAction:
 			out = append(out, "announce "+id(l.self))
 		case withdrawAction:
-			out = append(out, "aside for "+id(l.winner))
+			out = append(out, "withdraw for "+id(l.winner))
 		case sendAction:
 			out = append(out, fmt.Sprintf("tell %s of %s %d", id(l.to), id(l.about.Member), l.about.State))
 		}
@@ -120,13 +120,13 @@
 	joinFinished := func(r *roster, now clockTime) { r.JoinFinished(now) }
 	a := mem("a", 1, 5)
 	cases := map[string][]step{
-		"join, death and leaving are three things": {
+		"join, death and departure are distinct": {
 			{alive(a), []string{"joined a/1/5"}},
 			{alive(mem("b", 1, 1)), []string{"joined b/1/1"}},
 			{died(a), []string{"died a/1/5"}},
 			{left(mem("b", 1, 1)), []string{"left b/1/1"}},
 			{died(mem("b", 1, 1)), nil},
-			{left(a), []string{"left a/1/5"}}, // its farewell was slower than the news of its end
+			{left(a), []string{"left a/1/5"}}, // the announcement of its departure arrives after the report of its death
 		},
 		"a restart": {
 			{alive(a), []string{"joined a/1/5"}},
@@ -142,11 +142,11 @@
 			{left(mem("a", 2, 3)), []string{"left a/2/3"}},
 			{alive(mem("a", 3, 9)), []string{"restarted a/3/9 for a/2/3"}},
 		},
-		"one that asks still is nobody": {
+		"a joining process is not a member": {
 			{alive(mem("a", 0, 5)), nil},
 			{alive(a), []string{"joined a/1/5"}},
 		},
-		"wrongly found dead": {
+		"wrongly declared dead": {
 			{alive(a), []string{"joined a/1/5"}},
 			{died(a), []string{"died a/1/5"}},
 			{alive(a), []string{"tell a/1/5 of a/1/5 2"}},
@@ -156,21 +156,21 @@
 			{tick, []string{"tell a/2/5 of a/1/5 2"}},
 			{tick, nil},
 		},
-		"the word of another does not kill, its farewell does": {
+		"a remote report of death is not decisive, an announced departure is": {
 			{alive(a), []string{"joined a/1/5"}},
 			{mergeRemote(rec(a, stateDead)), nil},
 			{mergeRemote(rec(a, stateLeft)), []string{"left a/1/5"}},
 			{mergeRemote(rec(mem("b", 4, 4), stateDead)), nil},
-			{alive(mem("b", 1, 9)), []string{"tell b/1/9 of b/4/4 0"}}, // must go above
+			{alive(mem("b", 1, 9)), []string{"tell b/1/9 of b/4/4 0"}}, // has to take a higher incarnation
 			{alive(mem("b", 5, 9)), []string{"joined b/5/9"}},
 		},
-		"told that one is dead, by one": {
+		"reported dead by one member": {
 			{alive(a), []string{"joined a/1/5"}},
 			{alive(mem("b", 1, 1)), []string{"joined b/1/1"}},
 			{selfReported("a", rec(mem("me", 1, 7), stateDead)), []string{"announce me/2/7"}},
 			{selfReported("a", rec(mem("me", 1, 7), stateDead)), nil},
 		},
-		"told that one is dead, by most": {
+		"reported dead by a majority": {
 			{alive(a), []string{"joined a/1/5"}},
 			{alive(mem("b", 1, 1)), []string{"joined b/1/1"}},
 			{selfReported("a", rec(mem("me", 1, 7), stateDead)), []string{"announce me/2/7"}},
@@ -178,25 +178,25 @@
 			{selfReported("b", rec(mem("me", 1, 7), stateDead)), nil},
 			{selfReported("a", rec(mem("me", 3, 7), stateDead)), []string{"announce me/4/7"}},
 		},
-		"a stop": {
+		"a pause": {
 			{wait(4 * sec), nil},
 			{wait(9 * sec), []string{"announce me/2/7", "resumed me/2/7"}},
 			{wait(10 * sec), nil},
 		},
-		"a stop, noticed by what comes first": {
+		"a pause, detected by the first event": {
 			{func(r *roster, now clockTime) { r.Alive(now+5*sec, a) },
 				[]string{"announce me/2/7", "resumed me/2/7", "joined a/1/5"}},
 			{wait(5 * sec), nil},
 		},
-		"one's old life": {
+		"an earlier process run of the own name": {
 			{selfReported("a", rec(mem("me", 6, 4), stateDead)), []string{"announce me/7/7"}},
-			{claim(mem("me", 9, 4)), []string{"announce me/10/7"}}, // at one's own address
+			{claim(mem("me", 9, 4)), []string{"announce me/10/7"}}, // at the own address
 			{joinFinished, nil},
 		},
 		"displaced": {
 			{alive(a), []string{"joined a/1/5"}},
-			{claim(at("other", mem("me", 1, 6))), nil}, // lower: it steps aside
-			{claim(at("other", mem("me", 1, 8))), []string{"displaced me/1/8 for me/1/7", "aside for me/1/8"}},
+			{claim(at("other", mem("me", 1, 6))), nil}, // lower: the other process withdraws
+			{claim(at("other", mem("me", 1, 8))), []string{"displaced me/1/8 for me/1/7", "withdraw for me/1/8"}},
 			{alive(mem("b", 1, 1)), nil},
 			{wait(9 * sec), nil},
 		},
@@ -213,7 +213,7 @@
 			{selfReported("a", rec(mem("me", 1, 7), stateDead)), nil},
 			{wait(9 * sec), nil},
 		},
-		"incarnations beyond belief": {
+		"implausible incarnations": {
 			{alive(mem("a", 1<<60, 1)), nil},
 			{selfReported("a", rec(mem("me", 1<<60, 7), stateDead)), nil},
 			{mergeRemote(rec(mem("b", 1<<60, 1), stateLeft)), nil},
@@ -225,7 +225,7 @@
 			r := newRoster(0, testLimits, mem("me", 0, 7), &b)
 			r.JoinFinished(0)
 			if got := b.text(); !slices.Equal(got, []string{"announce me/1/7"}) {
-				t.Fatalf("settled: %q", got)
+				t.Fatalf("after JoinFinished: %q", got)
 			}
 			for i, s := range steps {
 				s.do(r, 0)
@@ -237,7 +237,7 @@
 	}
 }
 
-// What is told while asking decides the first incarnation, the departed and the living.
+// Reports received while joining, of departed and of living runs, determine the first incarnation.
 func TestFirstIncarnationIsAboveReported(t *testing.T) {
 	var b actionRecorder
 	r := newRoster(0, testLimits, mem("me", 0, 7), &b)
@@ -245,7 +245,7 @@
 	r.NameClaimed(0, at("other", mem("me", 5, 9)))
 	r.MergeRemote(0, "a", []memberRecord{rec(mem("me", 4, 2), stateDead)})
 	if got := b.text(); got != nil {
-		t.Errorf("before it has asked all: %q", got)
+		t.Errorf("actions before JoinFinished: %q", got)
 	}
 	r.JoinFinished(0)
 	if got := b.text(); !slices.Equal(got, []string{"announce me/6/7"}) {
@@ -265,13 +265,13 @@
 		want               senderStatus
 	}{
 		{"a", 2, 5, senderAccepted},
-		{"a", 3, 5, senderAccepted}, // ahead of the news
+		{"a", 3, 5, senderAccepted}, // ahead of its announcement
 		{"a", 1, 5, senderStale},
 		{"a", 1, 9, senderStale},
 		{"a", 2, 4, senderStale},
 		{"a", 3, 9, senderUnknown},
 		{"b", 2, 5, senderStale},
-		{"b", 3, 5, senderUnknown}, // until it is heard of
+		{"b", 3, 5, senderUnknown}, // until the new incarnation is reported
 		{"c", 1, 1, senderUnknown},
 		{"me", 1, 7, senderUnknown},
 	} {
@@ -288,13 +288,13 @@
 	}
 	d := r.Departed()
 	if len(d) != 8 || d[0].Name != "m04" {
-		t.Errorf("%d remembered, the first is %v", len(d), d[0])
+		t.Errorf("%d departed members remembered, the first is %v", len(d), d[0])
 	}
 	r.Tick(1005*sec + 1)
 	if d = r.Departed(); len(d) != 6 {
-		t.Errorf("%d remembered after their time", len(d))
+		t.Errorf("%d departed members remembered after their retention", len(d))
 	}
-	// The memory of others does not make it younger.
+	// Records from other members don't extend the retention.
 	r.MergeRemote(1007*sec, "a", []memberRecord{{Member: mem("m00", 1, 1), State: stateDead, Since: 0}})
 	r.MergeRemote(1007*sec, "a", []memberRecord{{Member: mem("m11", 1, 1), State: stateDead, Since: 7 * sec}})
 	if d = r.Departed(); len(d) != 5 || d[4].Since != 7*sec {
@@ -302,7 +302,7 @@
 	}
 }
 
-// op is one event of a random schedule.
+// op is one input of a random schedule.
 type op struct {
 	Kind        int
 	Name        string
@@ -341,7 +341,7 @@
 
 func (o op) member() Member {
 	m := mem(o.Name, o.Incarnation, o.RunID)
-	if o.RunID != 6 && o.RunID != 7 { // a life has one address
+	if o.RunID != 6 && o.RunID != 7 { // a process run has one address
 		m.Addr = "other"
 	}
 	return m
@@ -367,7 +367,7 @@
 	}
 }
 
-// walk plays a schedule and checks after each event all that one roster promises.
+// runSchedule applies a schedule to one roster and checks all its invariants after each input.
 func runSchedule(make rosterFactory, schedule []op) error {
 	var b actionRecorder
 	limits := testLimits
@@ -381,7 +381,7 @@
 		before, phase := r.Self(), r.Phase()
 		o.apply(r, w.now)
 		if err := w.check(o, before, phase, b.drain()); err != nil {
-			return fmt.Errorf("event %d, %+v: %w", i+1, o, err)
+			return fmt.Errorf("input %d, %+v: %w", i+1, o, err)
 		}
 	}
 	return nil
@@ -392,9 +392,9 @@
 	limits      rosterLimits
 	now         clockTime
 	lastTick    clockTime
-	model       map[string]Member // the view that follows from the events
-	highestRuns map[string]Member // the highest life of each name that was in the view
-	lost        uint64            // the highest departed incarnation told of one's own name
+	model       map[string]Member // the view as derived from the events
+	highestRuns map[string]Member // the highest process run of each name that was in the view
+	lost        uint64            // the highest departed incarnation reported for the own name
 }
 
 func (w *invariantChecker) check(o op, before Member, phase Phase, actions []any) error {
@@ -410,8 +410,8 @@
 	return w.bounds(o)
 }
 
-// replay checks that each event fits the view that those before it made, and that one's
-// own incarnation is announced before anything follows from it.
+// replay checks that each event is consistent with the view derived from the events before it, and
+// that the roster's own incarnation is announced before it is used.
 func (w *invariantChecker) replay(before Member, actions []any) error {
 	last := before
 	for _, l := range actions {
@@ -427,7 +427,7 @@
 			switch l.Kind {
 			case Joined:
 				if present {
-					return fmt.Errorf("%s joined, but %s is here", id(l.Member), id(previous))
+					return fmt.Errorf("%s joined, but %s is a member already", id(l.Member), id(previous))
 				}
 				w.model[name] = l.Member
 			case Returned, Restarted:
@@ -437,14 +437,14 @@
 				w.model[name] = l.Member
 			case Died:
 				if !present {
-					return fmt.Errorf("%s died, who was not here", id(l.Member))
+					return fmt.Errorf("%s died, but was not a member", id(l.Member))
 				}
 				delete(w.model, name)
 			case Left:
 				delete(w.model, name)
 			case Resumed:
 				if l.Member != last || last == before {
-					return fmt.Errorf("resumed as %s without having said so", id(l.Member))
+					return fmt.Errorf("resumed as %s without announcing it", id(l.Member))
 				}
 			case Displaced:
 				if l.Member.Name == before.Name {
@@ -459,18 +459,18 @@
 	return nil
 }
 
-// view checks that the view is what the events say, and that no name goes back.
+// view checks that the view matches the events, and that no name goes back to a lower process run.
 func (w *invariantChecker) view() error {
 	members := w.r.Members()
 	if len(members) != len(w.model)+1 {
-		return fmt.Errorf("view %v, events say %v", members, w.model)
+		return fmt.Errorf("view is %v, events imply %v", members, w.model)
 	}
 	for _, m := range members {
 		if m.Name == "me" {
 			continue
 		}
 		if w.model[m.Name] != m {
-			return fmt.Errorf("view has %s, events say %s", id(m), id(w.model[m.Name]))
+			return fmt.Errorf("view has %s, events imply %s", id(m), id(w.model[m.Name]))
 		}
 	}
 	if w.r.Phase() == Superseded {
@@ -482,7 +482,7 @@
 	}
 	for name := range w.highestRuns {
 		if _, present := w.model[name]; !present && !remembered[name] {
-			delete(w.highestRuns, name) // forgotten, within the bounds
+			delete(w.highestRuns, name) // evicted, within the limits
 		}
 	}
 	for name, m := range w.model {
@@ -497,10 +497,10 @@
 				m := mem(name, inc, runID)
 				got := w.r.CheckSender(name, inc, runID)
 				if present, in := w.model[name]; got == senderAccepted && (!in || present.RunID != runID) {
-					return fmt.Errorf("a message of %s is taken, the member is %s", id(m), id(present))
+					return fmt.Errorf("a message of %s is accepted, the member is %s", id(m), id(present))
 				}
 				if got == senderAccepted && compareRuns(m, high) < 0 {
-					return fmt.Errorf("a message of %s is taken after %s", id(m), id(high))
+					return fmt.Errorf("a message of %s is accepted after %s", id(m), id(high))
 				}
 			}
 		}
@@ -508,7 +508,7 @@
 	return nil
 }
 
-// own checks one's own incarnation against all that was told of the name.
+// own checks the roster's own incarnation against everything that was reported for its name.
 func (w *invariantChecker) own(o op, before Member, phase Phase, actions []any) error {
 	self := w.r.Self()
 	if compareRuns(self, before) < 0 {
@@ -520,7 +520,7 @@
 	paused := w.now-w.lastTick > w.limits.PauseThreshold && !(o.Kind == opSelfReported && o.Incarnation > maxIncarnation)
 	resumed := slices.ContainsFunc(actions, func(l any) bool { e, ok := l.(Event); return ok && e.Kind == Resumed })
 	if paused && !resumed {
-		return errors.New("a stop was not noticed")
+		return errors.New("a pause was not detected")
 	}
 	if o.Kind == opTick || paused {
 		w.lastTick = w.now
@@ -535,10 +535,10 @@
 	rival := o.member()
 	claim := o.Name == "me" && (o.Kind == opNameClaimed || o.Kind == opAlive && o.Incarnation > 0) && rival.Addr == "other"
 	if claim && w.r.Phase() == Serving && compareRuns(rival, self) > 0 {
-		return fmt.Errorf("%s goes on beside %s", id(self), id(rival))
+		return fmt.Errorf("%s keeps serving despite %s", id(self), id(rival))
 	}
 	if claim && w.r.Phase() == Superseded && compareRuns(rival, self) < 0 {
-		return fmt.Errorf("%s stepped aside for %s", id(self), id(rival))
+		return fmt.Errorf("%s withdrew for %s", id(self), id(rival))
 	}
 	return nil
 }
@@ -546,7 +546,7 @@
 func (w *invariantChecker) bounds(o op) error {
 	d := w.r.Departed()
 	if len(d) > w.limits.MaxDeparted {
-		return fmt.Errorf("%d departed remembered", len(d))
+		return fmt.Errorf("%d departed members remembered", len(d))
 	}
 	for _, rec := range d {
 		if o.Kind == opTick && w.now-rec.Since > w.limits.DepartedRetention {
@@ -564,7 +564,8 @@
 	})
 }
 
-// reorder plays the news of others in two orders, once and doubled: the views are the same.
+// reorder applies the reports about other members in different orders and with duplicates, and checks
+// that the resulting views are the same.
 func reorder(make rosterFactory, schedule []op, order []int) error {
 	limits := testLimits
 	play := func(reports []op) rosterUnderTest {
@@ -601,16 +602,16 @@
 	})
 }
 
-// The planted faults, each of which a check must find.
+// The injected faults, each of which a check must detect.
 
-type lastReportWins struct{ *roster } // the latest news wins
+type lastReportWins struct{ *roster } // the latest report wins
 
 func (r lastReportWins) Alive(now clockTime, m Member) {
 	delete(r.names, m.Name)
 	r.roster.Alive(now, m)
 }
 
-type acceptsOlderRun struct{ *roster } // a lower life replaces a living one, with its event
+type acceptsOlderRun struct{ *roster } // a lower process run replaces a living one, with an event
 
 func (r acceptsOlderRun) Alive(now clockTime, m Member) {
 	if cur, ok := r.names[m.Name]; ok && cur.State == stateAlive && m.Incarnation > 0 && m.Incarnation < cur.Incarnation {
@@ -621,7 +622,7 @@
 	r.roster.Alive(now, m)
 }
 
-type ignoresRetention struct{ *roster } // forgets by number alone
+type ignoresRetention struct{ *roster } // evicts by number alone, never by age
 
 func (r ignoresRetention) Tick(now clockTime) {
 	d := r.limits.DepartedRetention
@@ -630,7 +631,7 @@
 	r.limits.DepartedRetention = d
 }
 
-type ignoresRunID struct{ *roster } // takes messages of any life
+type ignoresRunID struct{ *roster } // accepts messages of any process run
 
 func (r ignoresRunID) CheckSender(name string, _, _ uint64) senderStatus {
 	if rec, ok := r.names[name]; ok && !rec.departed() {
@@ -639,7 +640,7 @@
 	return senderUnknown
 }
 
-type dropsDeathEvent struct{ *roster } // drops the dead without an event
+type dropsDeathEvent struct{ *roster } // removes dead members without an event
 
 func (r dropsDeathEvent) Died(now clockTime, m Member) {
 	if cur, ok := r.names[m.Name]; ok && cur.Member == m {
@@ -647,21 +648,21 @@
 	}
 }
 
-type ignoresReports struct{ *roster } // does not go above what it is told
+type ignoresReports struct{ *roster } // does not take an incarnation above reported ones
 
 func (r ignoresReports) SelfReported(now clockTime, _ string, _ memberRecord) { r.detectPause(now) }
 func (r ignoresReports) MergeRemote(now clockTime, _ string, records []memberRecord) {
 	r.detectPause(now)
 }
 
-type ignoresPauses struct{ *roster } // does not notice a stop
+type ignoresPauses struct{ *roster } // does not detect a pause
 
 func (r ignoresPauses) Tick(now clockTime) {
 	r.lastTick = now
 	r.roster.Tick(now)
 }
 
-type skipsAnnouncement struct{ *roster } // takes the next incarnation and does not say so
+type skipsAnnouncement struct{ *roster } // takes the next incarnation without announcing it
 
 func (r skipsAnnouncement) SelfReported(now clockTime, from string, rec memberRecord) {
 	r.detectPause(now)
@@ -670,7 +671,7 @@
 	}
 }
 
-type neverWithdraws struct{ *roster } // never steps aside
+type neverWithdraws struct{ *roster } // never withdraws
 
 func (r neverWithdraws) NameClaimed(now clockTime, _ Member) { r.detectPause(now) }
 
@@ -681,7 +682,7 @@
 	}
 }
 
-type ignoresMaxDeparted struct{ *roster } // remembers all
+type ignoresMaxDeparted struct{ *roster } // ignores the limit on departed members
 
 func (r ignoresMaxDeparted) Left(now clockTime, m Member) {
 	n := r.limits.MaxDeparted
@@ -690,7 +691,7 @@
 	r.limits.MaxDeparted = n
 }
 
-type trustsOneReport struct{ *roster } // drops what it holds at the word of one
+type trustsOneReport struct{ *roster } // resumes at the report of one member
 
 func (r trustsOneReport) SelfReported(now clockTime, from string, rec memberRecord) {
 	r.detectPause(now)
@@ -709,7 +710,7 @@
 	}
 }
 
-type ignoresMajority struct{ *roster } // never drops what it holds by the word of others
+type ignoresMajority struct{ *roster } // never resumes because of reports
 
 func (r ignoresMajority) SelfReported(now clockTime, _ string, rec memberRecord) {
 	r.roster.SelfReported(now, "", rec)
@@ -719,7 +720,7 @@
 	r.roster.MergeRemote(now, "", records)
 }
 
-type alwaysWithdraws struct{ *roster } // steps aside for anyone
+type alwaysWithdraws struct{ *roster } // withdraws for any claim
 
 func (r alwaysWithdraws) NameClaimed(now clockTime, m Member) {
 	r.detectPause(now)
@@ -749,51 +750,51 @@
 		make  rosterFactory
 		want  string
 	}{
-		"the latest news wins": {order, faulty(func(r *roster) lastReportWins { return lastReportWins{r} }), "in another order"},
-		"a name goes back":     {schedules, faulty(func(r *roster) acceptsOlderRun { return acceptsOlderRun{r} }), " after "},
-		"messages of any life": {schedules, faulty(func(r *roster) ignoresRunID { return ignoresRunID{r} }), "is taken"},
-		"a death without event": {
-			schedules, faulty(func(r *roster) dropsDeathEvent { return dropsDeathEvent{r} }), "events say"},
-		"stays below what it is told": {
+		"the latest report wins":          {order, faulty(func(r *roster) lastReportWins { return lastReportWins{r} }), "in another order"},
+		"a name goes back to a lower run": {schedules, faulty(func(r *roster) acceptsOlderRun { return acceptsOlderRun{r} }), " after "},
+		"messages of any run":             {schedules, faulty(func(r *roster) ignoresRunID { return ignoresRunID{r} }), "is accepted"},
+		"a death without an event": {
+			schedules, faulty(func(r *roster) dropsDeathEvent { return dropsDeathEvent{r} }), "events imply"},
+		"stays below a reported incarnation": {
 			schedules, faulty(func(r *roster) ignoresReports { return ignoresReports{r} }), "not above the departed"},
-		"a stop goes unnoticed": {
-			schedules, faulty(func(r *roster) ignoresPauses { return ignoresPauses{r} }), "a stop was not noticed"},
+		"a pause goes undetected": {
+			schedules, faulty(func(r *roster) ignoresPauses { return ignoresPauses{r} }), "a pause was not detected"},
 		"an incarnation goes unannounced": {
 			schedules, faulty(func(r *roster) skipsAnnouncement { return skipsAnnouncement{r} }), "announced was"},
-		"goes on beside the higher claim": {
-			schedules, faulty(func(r *roster) neverWithdraws { return neverWithdraws{r} }), "goes on beside"},
-		"steps aside for the lower claim": {
-			schedules, faulty(func(r *roster) alwaysWithdraws { return alwaysWithdraws{r} }), "stepped aside for"},
-		"remembers without bound": {
-			schedules, faulty(func(r *roster) ignoresMaxDeparted { return ignoresMaxDeparted{r} }), "departed remembered"},
-		"remembers for ever": {
+		"keeps serving despite a higher claim": {
+			schedules, faulty(func(r *roster) neverWithdraws { return neverWithdraws{r} }), "keeps serving despite"},
+		"withdraws for a lower claim": {
+			schedules, faulty(func(r *roster) alwaysWithdraws { return alwaysWithdraws{r} }), "withdrew for"},
+		"ignores the limit on departed members": {
+			schedules, faulty(func(r *roster) ignoresMaxDeparted { return ignoresMaxDeparted{r} }), "departed members remembered"},
+		"ignores the retention time": {
 			schedules, faulty(func(r *roster) ignoresRetention { return ignoresRetention{r} }), "remembered for"},
-		"views don't converge": {simulations, faulty(func(r *roster) ignoresReports { return ignoresReports{r} }), "running are"},
+		"views don't converge": {simulations, faulty(func(r *roster) ignoresReports { return ignoresReports{r} }), "running processes are"},
 		"both keep the name":   {claims, faulty(func(r *roster) neverWithdraws { return neverWithdraws{r} }), "in phase 1"},
-		"one word makes it drop all": {
+		"one report makes it resume": {
 			isolated, faulty(func(r *roster) trustsOneReport { return trustsOneReport{r} }), "resumed: map[a:"},
-		"not even most make it drop": {
+		"a majority does not make it resume": {
 			isolated, faulty(func(r *roster) ignoresMajority { return ignoresMajority{r} }), "resumed: map[]"},
 		"none keeps the name": {claims, faulty(func(r *roster) alwaysWithdraws { return alwaysWithdraws{r} }), "in phase 2"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range 500 {
 				if err := c.check(correctRoster, seed); err != nil {
-					t.Fatalf("seed %d, sound: %v", seed, err)
+					t.Fatalf("seed %d, without a fault: %v", seed, err)
 				}
-				// Another check may find it first in one schedule, not in all.
+				// In some schedules another check detects the fault first, but not in all.
 				err := c.check(c.make, seed)
 				if err != nil && strings.Contains(err.Error(), c.want) {
-					t.Logf("found at seed %d: %v", seed, err)
+					t.Logf("detected at seed %d: %v", seed, err)
 					return
 				}
 			}
-			t.Error("not found in 500 schedules")
+			t.Error("not detected in 500 schedules")
 		})
 	}
 }
 
-// TestMain sets how many schedules a plain run plays; -rapid.checks says otherwise.
+// TestMain sets the default number of schedules per check; the flag -rapid.checks overrides it.
 func TestMain(m *testing.M) {
 	flag.Set("rapid.checks", "1000")
 	goleak.VerifyTestMain(m)
--- a/fleet/member/simulate_test.go
+++ b/fleet/member/simulate_test.go
@@ -9,15 +9,15 @@
 	"pgregory.net/rapid"
 )
 
-// This file plays whole fleets of rosters against a model of the failure detector and the
-// network: who can't be reached is found dead, words are lost, come twice and late.
+// This file simulates fleets of rosters with a model of the failure detector and the network:
+// unreachable members are declared dead, and records are lost, duplicated and delayed.
 
-// move is one step of a play: something happens to the fleet, or news pass.
+// move is one step of a simulation: an event in the fleet, or a round of gossip.
 type move struct {
 	Kind   int
 	A, B   int
 	Groups uint32
-	Lost   uint32 // which of the words of this step are lost
+	Lost   uint32 // bit pattern that decides which records of this step are lost
 }
 
 const (
@@ -27,7 +27,7 @@
 	movePartition
 	moveCutOneWay
 	moveHeal
-	movePause // for longer than others wait
+	movePause // for longer than the others wait before they declare a member dead
 	moves
 )
 
@@ -36,7 +36,7 @@
 var genMoves = rapid.SliceOfN(rapid.Custom(func(t *rapid.T) move {
 	kind := rapid.IntRange(0, 2*moves).Draw(t, "kind")
 	return move{
-		Kind:   kind % moves * (kind / moves & 1), // half are news
+		Kind:   kind % moves * (kind / moves & 1), // half of the moves are gossip
 		A:      rapid.IntRange(0, fleetSize-1).Draw(t, "a"),
 		B:      rapid.IntRange(0, fleetSize-1).Draw(t, "b"),
 		Groups: rapid.Uint32().Draw(t, "groups"),
@@ -44,15 +44,15 @@
 	}
 }), 1, 40)
 
-// fleet is the model's world.
+// fleet is the state of the simulation.
 type fleet struct {
 	make    rosterFactory
 	now     clockTime
 	runs    uint64
 	procs   [fleetSize]*proc
-	cut     [fleetSize][fleetSize]bool // from, to
+	cut     [fleetSize][fleetSize]bool // indexed by sender and receiver
 	lost    uint32
-	delayed []func() // words under way
+	delayed []func() // records in flight
 }
 
 type proc struct {
@@ -61,7 +61,7 @@
 	r        rosterUnderTest
 	up       bool
 	paused   bool
-	observed [fleetSize]Member // whom the failure detector has among the living
+	observed [fleetSize]Member // members that the failure detector considers alive
 }
 
 func (p *proc) EmitEvent(Event) {}
@@ -82,12 +82,12 @@
 		}
 		f.delayed = append(f.delayed, deliver)
 		if f.lost&2 != 0 {
-			f.delayed = append(f.delayed, deliver) // twice
+			f.delayed = append(f.delayed, deliver) // duplicate
 		}
 	}
 }
 
-// drop draws whether a word is lost.
+// drop decides whether the next record is lost.
 func (f *fleet) drop() bool {
 	f.lost = f.lost>>1 | f.lost<<31
 	return f.lost&1 != 0
@@ -114,13 +114,14 @@
 	p.r.JoinFinished(f.now)
 }
 
-// linked tells whether i and j can make a full exchange.
+// linked reports whether i and j can make a full exchange.
 func (f *fleet) linked(i, j int) bool {
 	ok := func(p *proc) bool { return p != nil && p.up && !p.paused }
 	return i != j && ok(f.procs[i]) && ok(f.procs[j]) && !f.cut[i][j] && !f.cut[j][i]
 }
 
-// news lets each running process hear, of each other, what its failure detector finds now.
+// gossip advances the clock and reports to each running process what its failure detector finds about
+// each other process. Unless lossless, some of these reports are lost.
 func (f *fleet) gossip(lossless bool) {
 	f.now += sec
 	deliveries := f.delayed
@@ -182,8 +183,8 @@
 	}
 }
 
-// simulate plays the moves, heals all, and checks that all views become the same: just those
-// that run.
+// simulate runs the moves, heals all links, and checks that every view converges to the set of running
+// processes.
 func simulate(make rosterFactory, moves []move) error {
 	f := &fleet{make: make}
 	for i := range f.procs {
@@ -206,7 +207,7 @@
 	}
 	for _, p := range f.procs {
 		if p.up && !slices.Equal(p.r.Members(), want) {
-			return fmt.Errorf("%s has %v, running are %v", p.r.Self().Name, p.r.Members(), want)
+			return fmt.Errorf("%s has view %v, running processes are %v", p.r.Self().Name, p.r.Members(), want)
 		}
 	}
 	return nil
@@ -220,8 +221,9 @@
 	})
 }
 
-// returnOfOne cuts one member off from all others, and heals: it took them for dead. It must
-// drop what it holds, since all the others went on without it, and none of them may.
+// healIsolatedMember partitions one member from all others, so that it declares them dead, and heals
+// the partition. That member must discard its state, since the others continued without it, and none
+// of the others may discard theirs.
 func healIsolatedMember(make rosterFactory) error {
 	f := &fleet{}
 	resumed := map[string]int{}
@@ -261,8 +263,8 @@
 
 func (w eventWatcher) EmitEvent(e Event) { w.onEvent(e) }
 
-// rivalry is some processes that claim one name, and the order in which they hear of
-// one another.
+// claimSchedule is a set of processes that claim one name, and the order in which they learn of one
+// another.
 type claimSchedule struct {
 	Incarnations []uint64
 	Order        []int
@@ -275,8 +277,8 @@
 	}
 })
 
-// rivals lets them hear of one another in a random order, then once all of all: one keeps
-// the name, and it is the highest of those that ever served.
+// resolveClaims delivers the claims in a random order and then once more between all pairs, and checks
+// that exactly one process keeps the name: the highest of those that ever served.
 func resolveClaims(make rosterFactory, v claimSchedule) error {
 	var all []rosterUnderTest
 	for i, inc := range v.Incarnations {
@@ -293,7 +295,7 @@
 		}
 	}
 	hear := func(i, j int) {
-		// One that has stepped aside says nothing more; what it said before comes late.
+		// A withdrawn process sends nothing more, but its earlier claims may arrive late.
 		all[i].NameClaimed(0, all[j].Self())
 	}
 	for _, o := range v.Order {
--- a/fleet/member/wire_test.go
+++ b/fleet/member/wire_test.go
@@ -36,7 +36,7 @@
 		{Kind: kindNotice, From: "a", About: &l},
 	} {
 		buf = wire(t, d)
-		// With memberlist's own bytes: type, checksum, version, nonce and tag of the cipher.
+		// Added by memberlist: type, checksum, version, and the cipher's nonce and tag.
 		if got, err := readMessage(buf); !reflect.DeepEqual(got, d) || err != nil || len(buf)+1+5+1+12+16 > 1400 {
 			t.Errorf("%v, %d bytes", err, len(buf))
 		}
@@ -74,7 +74,7 @@
 
 func errorOf[T any](_ T, err error) error { return err }
 
-// again checks that what was read is read the same once written.
+// checkReencoded checks that a decoded value, once encoded, decodes and encodes to the same bytes.
 func checkReencoded[T any](t *testing.T, buf []byte, read func([]byte) (T, error)) {
 	v, err := read(buf)
 	if err != nil {
@@ -83,10 +83,10 @@
 	one := wire(t, v)
 	w, err := read(one)
 	if err != nil {
-		t.Fatalf("%x gives %+v, which is not read again: %v", buf, v, err)
+		t.Fatalf("%x decodes to %+v, whose encoding is rejected: %v", buf, v, err)
 	}
 	if two := wire(t, w); !bytes.Equal(one, two) {
-		t.Fatalf("%x, then %x", one, two)
+		t.Fatalf("encoded as %x, and after decoding as %x", one, two)
 	}
 }
 
@@ -100,7 +100,7 @@
 	f.Add(wire(f, departedState{From: "a", Records: []wireRecord{{Name: "b", Incarnation: 2, RunID: 3, State: stateDead, Age: 1 << 60}}}))
 	f.Fuzz(func(t *testing.T, buf []byte) {
 		checkReencoded(t, buf, readDepartedState)
-		if m, err := readDepartedState(buf); err == nil { // and a roster bears it
+		if m, err := readDepartedState(buf); err == nil { // and a roster can process it
 			r := newRoster(0, testLimits, mem("me", 0, 7), &actionRecorder{})
 			r.JoinFinished(0)
 			for i := range m.Records {
