--- a/fleet/member/large_test.go
+++ b/fleet/member/large_test.go
@@ -45,11 +45,11 @@
 // Prevents an ended process run from being accepted again because its record was evicted for others.
 func TestRosterOfManyMembers(t *testing.T) {
 	limits := rosterLimits{PauseThreshold: time.Hour, DepartedRetention: departedRetention, MaxDeparted: maxRecords}
-	r := newRoster(0, limits, mem("self", 0, 1), &actionRecorder{})
+	r := newRoster(0, limits, newMember("self", 0, 1), &actionRecorder{})
 	r.JoinFinished(0)
 	var others []Member
 	for number := range manyMembers {
-		others = append(others, mem(fmt.Sprintf("member-%04d", number), 1, uint64(number)))
+		others = append(others, newMember(fmt.Sprintf("member-%04d", number), 1, uint64(number)))
 	}
 	for _, m := range others {
 		r.Alive(sec, m)
--- a/fleet/member/roster.go
+++ b/fleet/member/roster.go
@@ -59,7 +59,7 @@
 	self.Incarnation = 0
 	return &roster{
 		limits:         limits,
-		actions:        act,
+		actions:  act,
 		self:           self,
 		names:          map[string]memberRecord{},
 		lastTick:       now,
@@ -187,17 +187,17 @@
 
 // reportChange emits the event for the replacement of a name's record by a higher-ranked one.
 func (r *roster) reportChange(old memberRecord, known bool, rec memberRecord) {
-	seen := known && old.State != stateReportedDead
+	observed := known && old.State != stateReportedDead
 	sameRun := old.RunID == rec.RunID
 	e := Event{Member: rec.Member, Old: old.Member}
 	switch {
-	case rec.State == stateAlive && !seen:
+	case rec.State == stateAlive && !observed:
 		e = Event{Kind: Joined, Member: rec.Member}
 	case rec.State == stateAlive && sameRun:
 		e.Kind = Returned
 	case rec.State == stateAlive:
 		e.Kind = Restarted
-	case seen && sameRun && rec.State == stateLeft && old.State != stateLeft:
+	case observed && sameRun && rec.State == stateLeft && old.State != stateLeft:
 		e = Event{Kind: Left, Member: rec.Member}
 	case known && old.State == stateAlive:
 		// Also if rec is a later process run that has departed in the meantime.
--- a/fleet/member/roster_test.go
+++ b/fleet/member/roster_test.go
@@ -36,8 +36,8 @@
 
 type rosterFactory func(clockTime, rosterLimits, Member, rosterActions) rosterUnderTest
 
-func correctRoster(now clockTime, l rosterLimits, self Member, act rosterActions) rosterUnderTest {
-	return newRoster(now, l, self, act)
+func correctRoster(now clockTime, l rosterLimits, self Member, actions rosterActions) rosterUnderTest {
+	return newRoster(now, l, self, actions)
 }
 
 // actionRecorder records the requested actions in order.
@@ -80,7 +80,7 @@
 		case withdrawAction:
 			out = append(out, "withdraw for "+id(l.winner))
 		case sendAction:
-			out = append(out, fmt.Sprintf("tell %s of %s %d", id(l.to), id(l.about.Member), l.about.State))
+			out = append(out, fmt.Sprintf("send %s record %s %d", id(l.to), id(l.about.Member), l.about.State))
 		}
 	}
 	return out
@@ -88,11 +88,11 @@
 
 func id(m Member) string { return fmt.Sprintf("%s/%d/%d", m.Name, m.Incarnation, m.RunID) }
 
-func mem(name string, incarnation, runID uint64) Member {
+func newMember(name string, incarnation, runID uint64) Member {
 	return Member{Name: name, Incarnation: incarnation, RunID: runID, Addr: name}
 }
 
-func at(addr string, m Member) Member { m.Addr = addr; return m }
+func withAddr(addr string, m Member) Member { m.Addr = addr; return m }
 
 func rec(m Member, s memberState) memberRecord { return memberRecord{Member: m, State: s} }
 
@@ -118,19 +118,19 @@
 		return func(r *roster, now clockTime) { r.Tick(now + d) }
 	}
 	joinFinished := func(r *roster, now clockTime) { r.JoinFinished(now) }
-	a := mem("a", 1, 5)
+	a := newMember("a", 1, 5)
 	cases := map[string][]step{
 		"join, death and departure are distinct": {
 			{alive(a), []string{"joined a/1/5"}},
-			{alive(mem("b", 1, 1)), []string{"joined b/1/1"}},
+			{alive(newMember("b", 1, 1)), []string{"joined b/1/1"}},
 			{died(a), []string{"died a/1/5"}},
-			{left(mem("b", 1, 1)), []string{"left b/1/1"}},
-			{died(mem("b", 1, 1)), nil},
+			{left(newMember("b", 1, 1)), []string{"left b/1/1"}},
+			{died(newMember("b", 1, 1)), nil},
 			{left(a), []string{"left a/1/5"}}, // the announcement of its departure arrives after the report of its death
 		},
 		"a restart": {
 			{alive(a), []string{"joined a/1/5"}},
-			{alive(mem("a", 2, 3)), []string{"restarted a/2/3 for a/1/5"}},
+			{alive(newMember("a", 2, 3)), []string{"restarted a/2/3 for a/1/5"}},
 			{alive(a), nil},
 			{died(a), nil},
 			{left(a), nil},
@@ -138,45 +138,45 @@
 		"a restart after death and after leaving": {
 			{alive(a), []string{"joined a/1/5"}},
 			{died(a), []string{"died a/1/5"}},
-			{alive(mem("a", 2, 3)), []string{"restarted a/2/3 for a/1/5"}},
-			{left(mem("a", 2, 3)), []string{"left a/2/3"}},
-			{alive(mem("a", 3, 9)), []string{"restarted a/3/9 for a/2/3"}},
+			{alive(newMember("a", 2, 3)), []string{"restarted a/2/3 for a/1/5"}},
+			{left(newMember("a", 2, 3)), []string{"left a/2/3"}},
+			{alive(newMember("a", 3, 9)), []string{"restarted a/3/9 for a/2/3"}},
 		},
 		"a joining process is not a member": {
-			{alive(mem("a", 0, 5)), nil},
+			{alive(newMember("a", 0, 5)), nil},
 			{alive(a), []string{"joined a/1/5"}},
 		},
 		"wrongly declared dead": {
 			{alive(a), []string{"joined a/1/5"}},
 			{died(a), []string{"died a/1/5"}},
-			{alive(a), []string{"tell a/1/5 of a/1/5 2"}},
-			{tick, []string{"tell a/1/5 of a/1/5 2"}},
-			{alive(mem("a", 2, 5)), []string{"returned a/2/5 for a/1/5", "tell a/2/5 of a/1/5 2"}},
-			{tick, []string{"tell a/2/5 of a/1/5 2"}},
-			{tick, []string{"tell a/2/5 of a/1/5 2"}},
+			{alive(a), []string{"send a/1/5 record a/1/5 2"}},
+			{tick, []string{"send a/1/5 record a/1/5 2"}},
+			{alive(newMember("a", 2, 5)), []string{"returned a/2/5 for a/1/5", "send a/2/5 record a/1/5 2"}},
+			{tick, []string{"send a/2/5 record a/1/5 2"}},
+			{tick, []string{"send a/2/5 record a/1/5 2"}},
 			{tick, nil},
 		},
 		"a remote report of death is not decisive, an announced departure is": {
 			{alive(a), []string{"joined a/1/5"}},
 			{mergeRemote(rec(a, stateDead)), nil},
 			{mergeRemote(rec(a, stateLeft)), []string{"left a/1/5"}},
-			{mergeRemote(rec(mem("b", 4, 4), stateDead)), nil},
-			{alive(mem("b", 1, 9)), []string{"tell b/1/9 of b/4/4 0"}}, // has to take a higher incarnation
-			{alive(mem("b", 5, 9)), []string{"joined b/5/9"}},
+			{mergeRemote(rec(newMember("b", 4, 4), stateDead)), nil},
+			{alive(newMember("b", 1, 9)), []string{"send b/1/9 record b/4/4 0"}}, // has to take a higher incarnation
+			{alive(newMember("b", 5, 9)), []string{"joined b/5/9"}},
 		},
 		"reported dead by one member": {
 			{alive(a), []string{"joined a/1/5"}},
-			{alive(mem("b", 1, 1)), []string{"joined b/1/1"}},
-			{selfReported("a", rec(mem("me", 1, 7), stateDead)), []string{"announce me/2/7"}},
-			{selfReported("a", rec(mem("me", 1, 7), stateDead)), nil},
+			{alive(newMember("b", 1, 1)), []string{"joined b/1/1"}},
+			{selfReported("a", rec(newMember("me", 1, 7), stateDead)), []string{"announce me/2/7"}},
+			{selfReported("a", rec(newMember("me", 1, 7), stateDead)), nil},
 		},
 		"reported dead by a majority": {
 			{alive(a), []string{"joined a/1/5"}},
-			{alive(mem("b", 1, 1)), []string{"joined b/1/1"}},
-			{selfReported("a", rec(mem("me", 1, 7), stateDead)), []string{"announce me/2/7"}},
-			{selfReported("b", rec(mem("me", 1, 7), stateDead)), []string{"announce me/3/7", "resumed me/3/7"}},
-			{selfReported("b", rec(mem("me", 1, 7), stateDead)), nil},
-			{selfReported("a", rec(mem("me", 3, 7), stateDead)), []string{"announce me/4/7"}},
+			{alive(newMember("b", 1, 1)), []string{"joined b/1/1"}},
+			{selfReported("a", rec(newMember("me", 1, 7), stateDead)), []string{"announce me/2/7"}},
+			{selfReported("b", rec(newMember("me", 1, 7), stateDead)), []string{"announce me/3/7", "resumed me/3/7"}},
+			{selfReported("b", rec(newMember("me", 1, 7), stateDead)), nil},
+			{selfReported("a", rec(newMember("me", 3, 7), stateDead)), []string{"announce me/4/7"}},
 		},
 		"a pause": {
 			{wait(4 * sec), nil},
@@ -189,40 +189,40 @@
 			{wait(5 * sec), nil},
 		},
 		"an earlier process run of the own name": {
-			{selfReported("a", rec(mem("me", 6, 4), stateDead)), []string{"announce me/7/7"}},
-			{claim(mem("me", 9, 4)), []string{"announce me/10/7"}}, // at the own address
+			{selfReported("a", rec(newMember("me", 6, 4), stateDead)), []string{"announce me/7/7"}},
+			{claim(newMember("me", 9, 4)), []string{"announce me/10/7"}}, // at the own address
 			{joinFinished, nil},
 		},
 		"displaced": {
 			{alive(a), []string{"joined a/1/5"}},
-			{claim(at("other", mem("me", 1, 6))), nil}, // lower: the other process withdraws
-			{claim(at("other", mem("me", 1, 8))), []string{"displaced me/1/8 for me/1/7", "withdraw for me/1/8"}},
-			{alive(mem("b", 1, 1)), nil},
+			{claim(withAddr("other", newMember("me", 1, 6))), nil}, // lower: the other process withdraws
+			{claim(withAddr("other", newMember("me", 1, 8))), []string{"displaced me/1/8 for me/1/7", "withdraw for me/1/8"}},
+			{alive(newMember("b", 1, 1)), nil},
 			{wait(9 * sec), nil},
 		},
 		"a name at two addresses": {
 			{alive(a), []string{"joined a/1/5"}},
-			{claim(at("other", mem("a", 1, 4))), []string{"tell a/1/4 of a/1/5 1"}},
-			{claim(at("other", mem("a", 2, 4))), []string{"displaced a/2/4 for a/1/5", "tell a/1/5 of a/2/4 1"}},
-			{claim(at("other", mem("a", 2, 4))), []string{"tell a/1/5 of a/2/4 1"}},
+			{claim(withAddr("other", newMember("a", 1, 4))), []string{"send a/1/4 record a/1/5 1"}},
+			{claim(withAddr("other", newMember("a", 2, 4))), []string{"displaced a/2/4 for a/1/5", "send a/1/5 record a/2/4 1"}},
+			{claim(withAddr("other", newMember("a", 2, 4))), []string{"send a/1/5 record a/2/4 1"}},
 			{left(a), []string{"left a/1/5"}},
-			{alive(at("other", mem("a", 2, 4))), []string{"restarted a/2/4 for a/1/5"}},
+			{alive(withAddr("other", newMember("a", 2, 4))), []string{"restarted a/2/4 for a/1/5"}},
 		},
 		"leaving": {
 			{func(r *roster, now clockTime) { r.Leave(now) }, []string{"announce me/1/7"}},
-			{selfReported("a", rec(mem("me", 1, 7), stateDead)), nil},
+			{selfReported("a", rec(newMember("me", 1, 7), stateDead)), nil},
 			{wait(9 * sec), nil},
 		},
 		"implausible incarnations": {
-			{alive(mem("a", 1<<60, 1)), nil},
-			{selfReported("a", rec(mem("me", 1<<60, 7), stateDead)), nil},
-			{mergeRemote(rec(mem("b", 1<<60, 1), stateLeft)), nil},
+			{alive(newMember("a", 1<<60, 1)), nil},
+			{selfReported("a", rec(newMember("me", 1<<60, 7), stateDead)), nil},
+			{mergeRemote(rec(newMember("b", 1<<60, 1), stateLeft)), nil},
 		},
 	}
 	for name, steps := range cases {
 		t.Run(name, func(t *testing.T) {
 			var b actionRecorder
-			r := newRoster(0, testLimits, mem("me", 0, 7), &b)
+			r := newRoster(0, testLimits, newMember("me", 0, 7), &b)
 			r.JoinFinished(0)
 			if got := b.text(); !slices.Equal(got, []string{"announce me/1/7"}) {
 				t.Fatalf("after JoinFinished: %q", got)
@@ -240,10 +240,10 @@
 // Reports received while joining, of departed and of living runs, determine the first incarnation.
 func TestFirstIncarnationIsAboveReported(t *testing.T) {
 	var b actionRecorder
-	r := newRoster(0, testLimits, mem("me", 0, 7), &b)
-	r.MergeRemote(0, "a", []memberRecord{rec(mem("me", 3, 1), stateLeft)})
-	r.NameClaimed(0, at("other", mem("me", 5, 9)))
-	r.MergeRemote(0, "a", []memberRecord{rec(mem("me", 4, 2), stateDead)})
+	r := newRoster(0, testLimits, newMember("me", 0, 7), &b)
+	r.MergeRemote(0, "a", []memberRecord{rec(newMember("me", 3, 1), stateLeft)})
+	r.NameClaimed(0, withAddr("other", newMember("me", 5, 9)))
+	r.MergeRemote(0, "a", []memberRecord{rec(newMember("me", 4, 2), stateDead)})
 	if got := b.text(); got != nil {
 		t.Errorf("actions before JoinFinished: %q", got)
 	}
@@ -254,11 +254,11 @@
 }
 
 func TestCheckSender(t *testing.T) {
-	r := newRoster(0, testLimits, mem("me", 0, 7), &actionRecorder{})
+	r := newRoster(0, testLimits, newMember("me", 0, 7), &actionRecorder{})
 	r.JoinFinished(0)
-	r.Alive(0, mem("a", 2, 5))
-	r.Alive(0, mem("b", 2, 5))
-	r.Died(0, mem("b", 2, 5))
+	r.Alive(0, newMember("a", 2, 5))
+	r.Alive(0, newMember("b", 2, 5))
+	r.Died(0, newMember("b", 2, 5))
 	for _, c := range []struct {
 		name               string
 		incarnation, runID uint64
@@ -282,9 +282,9 @@
 }
 
 func TestDepartedRetention(t *testing.T) {
-	r := newRoster(0, testLimits, mem("me", 0, 7), &actionRecorder{})
+	r := newRoster(0, testLimits, newMember("me", 0, 7), &actionRecorder{})
 	for i := range 12 {
-		r.Died(clockTime(i)*sec, mem(fmt.Sprintf("m%02d", i), 1, 1))
+		r.Died(clockTime(i)*sec, newMember(fmt.Sprintf("m%02d", i), 1, 1))
 	}
 	d := r.Departed()
 	if len(d) != 8 || d[0].Name != "m04" {
@@ -295,8 +295,8 @@
 		t.Errorf("%d departed members remembered after their retention", len(d))
 	}
 	// Records from other members don't extend the retention.
-	r.MergeRemote(1007*sec, "a", []memberRecord{{Member: mem("m00", 1, 1), State: stateDead, Since: 0}})
-	r.MergeRemote(1007*sec, "a", []memberRecord{{Member: mem("m11", 1, 1), State: stateDead, Since: 7 * sec}})
+	r.MergeRemote(1007*sec, "a", []memberRecord{{Member: newMember("m00", 1, 1), State: stateDead, Since: 0}})
+	r.MergeRemote(1007*sec, "a", []memberRecord{{Member: newMember("m11", 1, 1), State: stateDead, Since: 7 * sec}})
 	if d = r.Departed(); len(d) != 5 || d[4].Since != 7*sec {
 		t.Errorf("%v", d)
 	}
@@ -304,13 +304,13 @@
 
 // op is one input of a random schedule.
 type op struct {
-	Kind        int
-	Name        string
-	Incarnation uint64
-	RunID       uint64
-	State       memberState
-	From        string
-	Elapsed     time.Duration
+	Kind                int
+	Name                string
+	ReportedIncarnation uint64
+	RunID               uint64
+	State               memberState
+	From                string
+	Elapsed             time.Duration
 }
 
 const (
@@ -326,12 +326,12 @@
 
 var genOp = rapid.Custom(func(t *rapid.T) op {
 	return op{
-		Kind:        rapid.IntRange(0, ops-1).Draw(t, "kind"),
-		Name:        rapid.SampledFrom([]string{"a", "b", "c", "me"}).Draw(t, "name"),
-		Incarnation: rapid.Uint64Range(0, 4).Draw(t, "incarnation"),
-		RunID:       rapid.Uint64Range(5, 9).Draw(t, "life"),
-		State:       rapid.SampledFrom([]memberState{stateReportedDead, stateDead, stateLeft}).Draw(t, "state"),
-		From:        rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "from"),
+		Kind:                rapid.IntRange(0, ops-1).Draw(t, "kind"),
+		Name:                rapid.SampledFrom([]string{"a", "b", "c", "me"}).Draw(t, "name"),
+		ReportedIncarnation: rapid.Uint64Range(0, 4).Draw(t, "incarnation"),
+		RunID:               rapid.Uint64Range(5, 9).Draw(t, "run ID"),
+		State:               rapid.SampledFrom([]memberState{stateReportedDead, stateDead, stateLeft}).Draw(t, "state"),
+		From:                rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "from"),
 		Elapsed: rapid.SampledFrom([]time.Duration{0, 0, 0, sec, 3 * sec, 5 * sec, 400 * sec}).
 			Draw(t, "passes"),
 	}
@@ -340,7 +340,7 @@
 var genSchedule = rapid.SliceOfN(genOp, 1, 60)
 
 func (o op) member() Member {
-	m := mem(o.Name, o.Incarnation, o.RunID)
+	m := newMember(o.Name, o.ReportedIncarnation, o.RunID)
 	if o.RunID != 6 && o.RunID != 7 { // a process run has one address
 		m.Addr = "other"
 	}
@@ -361,7 +361,7 @@
 	case opNameClaimed:
 		r.NameClaimed(now, m)
 	case opSelfReported:
-		r.SelfReported(now, o.From, memberRecord{Member: mem("me", o.Incarnation, o.RunID), State: o.State})
+		r.SelfReported(now, o.From, memberRecord{Member: newMember("me", o.ReportedIncarnation, o.RunID), State: o.State})
 	case opTick:
 		r.Tick(now)
 	}
@@ -372,7 +372,7 @@
 	var b actionRecorder
 	limits := testLimits
 	limits.MaxDeparted = 2
-	r := make(0, limits, mem("me", 0, 7), &b)
+	r := make(0, limits, newMember("me", 0, 7), &b)
 	r.JoinFinished(0)
 	b.drain()
 	w := invariantChecker{r: r, limits: limits, model: map[string]Member{}, highestRuns: map[string]Member{}}
@@ -494,7 +494,7 @@
 	for name, high := range w.highestRuns {
 		for inc := range uint64(6) {
 			for runID := uint64(5); runID < 10; runID++ {
-				m := mem(name, inc, runID)
+				m := newMember(name, inc, runID)
 				got := w.r.CheckSender(name, inc, runID)
 				if present, in := w.model[name]; got == senderAccepted && (!in || present.RunID != runID) {
 					return fmt.Errorf("a message of %s is accepted, the member is %s", id(m), id(present))
@@ -517,7 +517,7 @@
 	if phase != Serving {
 		return nil
 	}
-	paused := w.now-w.lastTick > w.limits.PauseThreshold && !(o.Kind == opSelfReported && o.Incarnation > maxIncarnation)
+	paused := w.now-w.lastTick > w.limits.PauseThreshold && !(o.Kind == opSelfReported && o.ReportedIncarnation > maxIncarnation)
 	resumed := slices.ContainsFunc(actions, func(l any) bool { e, ok := l.(Event); return ok && e.Kind == Resumed })
 	if paused && !resumed {
 		return errors.New("a pause was not detected")
@@ -527,13 +527,13 @@
 	}
 	about := o.Name == "me" && o.Kind == opMergeRemote || o.Kind == opSelfReported
 	if about {
-		w.lost = max(w.lost, o.Incarnation)
+		w.lost = max(w.lost, o.ReportedIncarnation)
 	}
 	if w.r.Phase() == Serving && self.Incarnation <= w.lost {
 		return fmt.Errorf("%s is not above the departed incarnation %d", id(self), w.lost)
 	}
 	rival := o.member()
-	claim := o.Name == "me" && (o.Kind == opNameClaimed || o.Kind == opAlive && o.Incarnation > 0) && rival.Addr == "other"
+	claim := o.Name == "me" && (o.Kind == opNameClaimed || o.Kind == opAlive && o.ReportedIncarnation > 0) && rival.Addr == "other"
 	if claim && w.r.Phase() == Serving && compareRuns(rival, self) > 0 {
 		return fmt.Errorf("%s keeps serving despite %s", id(self), id(rival))
 	}
@@ -569,7 +569,7 @@
 func reorder(make rosterFactory, schedule []op, order []int) error {
 	limits := testLimits
 	play := func(reports []op) rosterUnderTest {
-		r := make(0, limits, mem("me", 0, 7), &actionRecorder{})
+		r := make(0, limits, newMember("me", 0, 7), &actionRecorder{})
 		r.JoinFinished(0)
 		for _, o := range reports {
 			if o.Kind <= opMergeRemote && o.Name != "me" {
@@ -732,8 +732,8 @@
 }
 
 func faulty[T rosterUnderTest](wrap func(*roster) T) rosterFactory {
-	return func(now clockTime, l rosterLimits, self Member, act rosterActions) rosterUnderTest {
-		return wrap(newRoster(now, l, self, act))
+	return func(now clockTime, l rosterLimits, self Member, actions rosterActions) rosterUnderTest {
+		return wrap(newRoster(now, l, self, actions))
 	}
 }
 
--- a/fleet/member/simulate_test.go
+++ b/fleet/member/simulate_test.go
@@ -227,8 +227,8 @@
 func healIsolatedMember(make rosterFactory) error {
 	f := &fleet{}
 	resumed := map[string]int{}
-	f.make = func(now clockTime, l rosterLimits, self Member, act rosterActions) rosterUnderTest {
-		return make(now, l, self, eventWatcher{act, func(e Event) {
+	f.make = func(now clockTime, l rosterLimits, self Member, actions rosterActions) rosterUnderTest {
+		return make(now, l, self, eventWatcher{actions, func(e Event) {
 			if e.Kind == Resumed {
 				resumed[self.Name]++
 			}
@@ -284,7 +284,7 @@
 	for i, inc := range v.Incarnations {
 		self := Member{Name: "me", RunID: uint64(i*7%5 + 1), Addr: fmt.Sprint(i)}
 		r := make(0, testLimits, self, &actionRecorder{})
-		r.SelfReported(0, "", rec(at("before", mem("me", inc, 99)), stateLeft))
+		r.SelfReported(0, "", rec(withAddr("before", newMember("me", inc, 99)), stateLeft))
 		r.JoinFinished(0)
 		all = append(all, r)
 	}
@@ -294,19 +294,19 @@
 			best = r.Self()
 		}
 	}
-	hear := func(i, j int) {
+	deliverClaim := func(i, j int) {
 		// A withdrawn process sends nothing more, but its earlier claims may arrive late.
 		all[i].NameClaimed(0, all[j].Self())
 	}
 	for _, o := range v.Order {
 		if i, j := o%len(all), o/4%len(all); i != j {
-			hear(i, j)
+			deliverClaim(i, j)
 		}
 	}
 	for i := range all {
 		for j := range all {
 			if i != j {
-				hear(i, j)
+				deliverClaim(i, j)
 			}
 		}
 	}
@@ -320,7 +320,7 @@
 
 func TestHighestClaimKeepsName(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		if err := resolveClaims(correctRoster, genClaims.Draw(t, "rivals")); err != nil {
+		if err := resolveClaims(correctRoster, genClaims.Draw(t, "claims")); err != nil {
 			t.Fatal(err)
 		}
 	})
--- a/fleet/member/wire.go
+++ b/fleet/member/wire.go
@@ -128,33 +128,33 @@
 	return m, nil
 }
 
-func (l *wireRecord) check() error {
+func (r *wireRecord) check() error {
 	switch {
-	case l.Name == "" || len(l.Name) > maxNameBytes:
-		return fmt.Errorf("name: %d bytes, 1 to %d allowed", len(l.Name), maxNameBytes)
-	case len(l.Addr) > maxAddrBytes:
-		return fmt.Errorf("addr: %d bytes, %d at most", len(l.Addr), maxAddrBytes)
-	case l.Incarnation > maxIncarnation:
-		return fmt.Errorf("incarnation: %d is too high", l.Incarnation)
-	case l.State > stateLeft:
-		return fmt.Errorf("state: %d is not known", l.State)
+	case r.Name == "" || len(r.Name) > maxNameBytes:
+		return fmt.Errorf("name: %d bytes, 1 to %d allowed", len(r.Name), maxNameBytes)
+	case len(r.Addr) > maxAddrBytes:
+		return fmt.Errorf("addr: %d bytes, %d at most", len(r.Addr), maxAddrBytes)
+	case r.Incarnation > maxIncarnation:
+		return fmt.Errorf("incarnation: %d is too high", r.Incarnation)
+	case r.State > stateLeft:
+		return fmt.Errorf("state: %d is not known", r.State)
 	}
 	return nil
 }
 
 // toRecord converts a wire record to a memberRecord on the receiver's clock.
-func (l *wireRecord) toRecord(now clockTime) memberRecord {
-	m := Member{Name: l.Name, Incarnation: l.Incarnation, RunID: l.RunID, Addr: l.Addr}
-	age := time.Duration(min(l.Age, uint64(1<<40))) * time.Millisecond
-	return memberRecord{Member: m, State: l.State, Since: now - age}
+func (r *wireRecord) toRecord(now clockTime) memberRecord {
+	m := Member{Name: r.Name, Incarnation: r.Incarnation, RunID: r.RunID, Addr: r.Addr}
+	age := time.Duration(min(r.Age, uint64(1<<40))) * time.Millisecond
+	return memberRecord{Member: m, State: r.State, Since: now - age}
 }
 
 func toWireRecord(now clockTime, r memberRecord) wireRecord {
-	l := wireRecord{Name: r.Name, Incarnation: r.Incarnation, RunID: r.RunID, Addr: r.Addr, State: r.State}
+	wire := wireRecord{Name: r.Name, Incarnation: r.Incarnation, RunID: r.RunID, Addr: r.Addr, State: r.State}
 	if r.departed() {
-		l.Age = uint64(max(0, now-r.Since) / time.Millisecond)
+		wire.Age = uint64(max(0, now-r.Since) / time.Millisecond)
 	}
-	return l
+	return wire
 }
 
 func readDepartedState(buf []byte) (m departedState, err error) {
--- a/fleet/member/wire_test.go
+++ b/fleet/member/wire_test.go
@@ -101,7 +101,7 @@
 	f.Fuzz(func(t *testing.T, buf []byte) {
 		checkReencoded(t, buf, readDepartedState)
 		if m, err := readDepartedState(buf); err == nil { // and a roster can process it
-			r := newRoster(0, testLimits, mem("me", 0, 7), &actionRecorder{})
+			r := newRoster(0, testLimits, newMember("me", 0, 7), &actionRecorder{})
 			r.JoinFinished(0)
 			for i := range m.Records {
 				r.MergeRemote(sec, m.From, []memberRecord{m.Records[i].toRecord(sec)})
@@ -116,7 +116,7 @@
 	f.Fuzz(func(t *testing.T, buf []byte) {
 		checkReencoded(t, buf, readMessage)
 		if m, err := readMessage(buf); err == nil && m.About != nil {
-			r := newRoster(0, testLimits, mem("me", 0, 7), &actionRecorder{})
+			r := newRoster(0, testLimits, newMember("me", 0, 7), &actionRecorder{})
 			r.JoinFinished(0)
 			r.SelfReported(sec, m.From, m.About.toRecord(sec))
 		}
