--- a/fleet/member/roster.go
+++ b/fleet/member/roster.go
@@ -59,7 +59,7 @@
 	self.Incarnation = 0
 	return &roster{
 		limits:         limits,
-		actions:  act,
+		actions:        act,
 		self:           self,
 		names:          map[string]memberRecord{},
 		lastTick:       now,
