--- a/fleet/member/delegate.go
+++ b/fleet/member/delegate.go
@@ -10,56 +10,57 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// maxMembers bounds the view; 512 bytes each.
+// maxMembers bounds the number of members in the view, at 512 bytes each.
 const maxMembers = 4096
 
-var errTooManyMembers = fmt.Errorf("member: there are %d members already", maxMembers)
+var errTooManyMembers = fmt.Errorf("member: limit of %d members reached", maxMembers)
 
-// finding is what the failure detector, which is memberlist's, has found of a member.
-type finding uint8
+// liveness is what memberlist's failure detector reports about a member.
+type liveness uint8
 
 const (
-	foundDead    finding = iota
-	foundAlive           // it joined, or spoke up
-	foundLeaving         // it has said that it leaves, whether or not it is still there
+	livenessDead    liveness = iota
+	livenessAlive            // it joined, or refuted a suspicion
+	livenessLeaving          // it announced that it leaves; it may or may not still be running
 )
 
-func (f finding) String() string { return [...]string{"dead", "alive", "leaving"}[f] }
+func (f liveness) String() string { return [...]string{"dead", "alive", "leaving"}[f] }
 
-// memberChange is what memberlist holds of one name.
+// memberChange is memberlist's latest state of one name.
 type memberChange struct {
-	member  Member
-	finding finding
+	member   Member
+	liveness liveness
 }
 
-// delegate takes memberlist's calls, which come under its locks and must not wait. News of
-// who is alive are kept as the latest of each name, so that none is lost however late the
-// node's goroutine comes; all else goes through the inbox and is dropped when it is full.
+// delegate receives memberlist's callbacks, which run under memberlist's locks and must not block.
+// Changes of liveness are coalesced to the latest per name, so that none is lost however late the
+// node's goroutine handles them; everything else goes through the inbox and is dropped when it is
+// full.
 type delegate struct {
 	name     string
-	life     uint64
+	runID    uint64
 	enqueue  func(any) bool
 	counters *counters
 
-	mu      sync.Mutex
-	meta    []byte
-	memory  []byte
-	alive   map[string]bool         // that are alive
-	changed map[string]memberChange // the latest of each, until changes takes it
-	wake    chan struct{}           // one place
+	mu            sync.Mutex
+	meta          []byte
+	departedState []byte
+	alive         map[string]bool         // names that are alive
+	changed       map[string]memberChange // latest change per name since the last call of changes
+	wake          chan struct{}           // capacity 1
 }
 
-// What is posted to the node's inbox.
+// Messages posted to the node's inbox.
 type (
 	nameClaim   struct{ member Member }
-	remoteState struct{ memory memory }
+	remoteState struct{ departedState departedState }
 	datagram    struct{ message message }
 )
 
-func newDelegate(name string, life uint64, enqueue func(any) bool, counters *counters) *delegate {
+func newDelegate(name string, runID uint64, enqueue func(any) bool, counters *counters) *delegate {
 	return &delegate{
 		name:     name,
-		life:     life,
+		runID:    runID,
 		enqueue:  enqueue,
 		counters: counters,
 		alive:    map[string]bool{},
@@ -68,19 +69,19 @@
 	}
 }
 
-// setShared sets what others are told from now on.
-func (d *delegate) setShared(meta, memory []byte) {
+// setShared sets the metadata and the state sent to other members; nil leaves a value unchanged.
+func (d *delegate) setShared(meta, departedState []byte) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if meta != nil {
 		d.meta = meta
 	}
-	if memory != nil {
-		d.memory = memory
+	if departedState != nil {
+		d.departedState = departedState
 	}
 }
 
-// changes returns what is new since the last call.
+// changes returns the changes since the last call.
 func (d *delegate) changes() map[string]memberChange {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -92,21 +93,21 @@
 	return out
 }
 
-// noteChange keeps what memberlist has found of a member and wakes the node's goroutine.
-func (d *delegate) noteChange(n *memberlist.Node, alive bool) {
+// recordChange records a member's liveness and wakes the node's goroutine.
+func (d *delegate) recordChange(n *memberlist.Node, alive bool) {
 	m, meta, err := memberOf(n)
 	if err != nil || n.Name == d.name {
 		return
 	}
-	found := foundDead
+	found := livenessDead
 	switch {
 	case meta.Leaving:
-		found = foundLeaving
+		found = livenessLeaving
 	case alive:
-		found = foundAlive
+		found = livenessAlive
 	}
 	d.mu.Lock()
-	d.changed[n.Name] = memberChange{member: m, finding: found}
+	d.changed[n.Name] = memberChange{member: m, liveness: found}
 	if alive {
 		d.alive[n.Name] = true
 	} else {
@@ -119,19 +120,19 @@
 	}
 }
 
-// memberOf returns the member that memberlist holds, with its meta as it was sent.
+// memberOf converts a memberlist node to a Member and returns its decoded metadata too.
 func memberOf(n *memberlist.Node) (Member, meta, error) {
 	m, err := readMeta(n.Meta)
 	if err != nil {
 		return Member{}, m, err
 	}
-	if n.Name == "" || len(n.Name) > maxName {
+	if n.Name == "" || len(n.Name) > maxNameBytes {
 		return Member{}, m, errors.New("member: name: empty or too long")
 	}
 	return Member{
 		Name:        n.Name,
 		Incarnation: m.Incarnation,
-		Life:        m.Life,
+		RunID:       m.RunID,
 		Zone:        m.Zone,
 		Addr:        net.JoinHostPort(n.Addr.String(), strconv.Itoa(int(n.Port))),
 		Version:     m.Version,
@@ -149,12 +150,12 @@
 func (d *delegate) LocalState(bool) []byte {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.memory
+	return d.departedState
 }
 
 // MergeRemoteState implements memberlist.Delegate.
 func (d *delegate) MergeRemoteState(buf []byte, _ bool) {
-	m, err := readMemory(buf)
+	m, err := readDepartedState(buf)
 	if err != nil {
 		d.counters.badState.Add(1)
 		return
@@ -164,7 +165,7 @@
 
 // NotifyMsg implements memberlist.Delegate.
 func (d *delegate) NotifyMsg(buf []byte) {
-	m, err := readMessage(buf) // copies what it keeps
+	m, err := readMessage(buf) // the decoder copies, so buf may be reused
 	if err != nil {
 		d.counters.badMessage.Add(1)
 		return
@@ -172,22 +173,22 @@
 	d.enqueue(datagram{m})
 }
 
-// GetBroadcasts implements memberlist.Delegate. All that has to reach each member goes in
-// the meta or in the full exchange.
+// GetBroadcasts implements memberlist.Delegate. There are none: whatever has to reach every member
+// is part of the metadata or of the full exchange.
 func (d *delegate) GetBroadcasts(int, int) [][]byte { return nil }
 
 // NotifyJoin implements memberlist.EventDelegate.
-func (d *delegate) NotifyJoin(n *memberlist.Node) { d.noteChange(n, true) }
+func (d *delegate) NotifyJoin(n *memberlist.Node) { d.recordChange(n, true) }
 
 // NotifyUpdate implements memberlist.EventDelegate.
-func (d *delegate) NotifyUpdate(n *memberlist.Node) { d.noteChange(n, true) }
+func (d *delegate) NotifyUpdate(n *memberlist.Node) { d.recordChange(n, true) }
 
-// NotifyLeave implements memberlist.EventDelegate. It comes for deaths as well, and does
-// not tell which: who leaves has said so in its meta before.
-func (d *delegate) NotifyLeave(n *memberlist.Node) { d.noteChange(n, false) }
+// NotifyLeave implements memberlist.EventDelegate. memberlist calls it for deaths as well as for
+// departures; a member that leaves has announced that in its metadata before.
+func (d *delegate) NotifyLeave(n *memberlist.Node) { d.recordChange(n, false) }
 
-// NotifyAlive implements memberlist.AliveDelegate. It sees each word of a living member
-// before memberlist decides on it, those under one's own name among them.
+// NotifyAlive implements memberlist.AliveDelegate. It receives each alive message before memberlist
+// processes it, including those under the node's own name.
 func (d *delegate) NotifyAlive(n *memberlist.Node) error {
 	m, meta, err := memberOf(n)
 	if err != nil {
@@ -195,7 +196,7 @@
 		return err
 	}
 	if n.Name == d.name {
-		if m.Life != d.life && !meta.Leaving {
+		if m.RunID != d.runID && !meta.Leaving {
 			d.enqueue(nameClaim{m})
 		}
 		return nil
@@ -204,13 +205,14 @@
 	full := !d.alive[n.Name] && len(d.alive) >= maxMembers
 	d.mu.Unlock()
 	if full {
-		d.counters.tooMany.Add(1)
+		d.counters.tooManyMembers.Add(1)
 		return errTooManyMembers
 	}
 	return nil
 }
 
-// NotifyConflict implements memberlist.ConflictDelegate: a name at two addresses.
+// NotifyConflict implements memberlist.ConflictDelegate. It is called when one name is claimed at two
+// addresses.
 func (d *delegate) NotifyConflict(_, other *memberlist.Node) {
 	m, meta, err := memberOf(other)
 	if err == nil && !meta.Leaving && other.Name != d.name {
