--- a/cmd/oxbowvoter/config.go
+++ b/cmd/oxbowvoter/config.go
@@ -12,20 +12,21 @@
 	"oxbowloft/fleet/agree"
 )
 
-// config is the configuration file. All of the initial set name the same voters.
+// config is the content of the configuration file. All voters of the initial set must list the
+// same voters.
 type config struct {
 	Name   string       `json:"name"`
-	Bind   string       `json:"bind"`   // for other voters
-	Listen string       `json:"listen"` // for askers
-	Data   string       `json:"data"`   // directory
+	Bind   string       `json:"bind"`   // address for raft connections of other voters
+	Listen string       `json:"listen"` // address for clients
+	Data   string       `json:"data"`   // directory of the store and the snapshots
 	Voters []agree.Peer `json:"voters"`
-	Join   bool         `json:"join"` // waits to be added, see agree.Config
+	Join   bool         `json:"join"` // waits until it is added; see agree.Config
 
-	HeartbeatMS int64 `json:"heartbeat_ms"` // silence after which a leader is given up; 0: 1000
+	HeartbeatMS int64 `json:"heartbeat_ms"` // silence of the leader after which an election starts; 0: 1000
 }
 
-// load reads the configuration file at path.
-func load(path string) (*config, error) {
+// loadConfig reads and validates the configuration file at path.
+func loadConfig(path string) (*config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
@@ -37,7 +38,7 @@
 		return nil, fmt.Errorf("configuration %s: %w", path, err)
 	}
 	if _, err := d.Token(); err != io.EOF {
-		return nil, fmt.Errorf("configuration %s: text after its end", path)
+		return nil, fmt.Errorf("configuration %s: data after the JSON object", path)
 	}
 	if err := c.check(); err != nil {
 		return nil, fmt.Errorf("configuration %s: %w", path, err)
@@ -54,12 +55,12 @@
 	if c.Data == "" {
 		return fmt.Errorf("data: empty")
 	}
-	return c.voter().Check()
+	return c.voterConfig().Check()
 }
 
-func (c *config) voter() *agree.Config {
+func (c *config) voterConfig() *agree.Config {
 	return &agree.Config{
-		Name: c.Name, Bind: c.Bind, Dir: c.Data, Voters: c.Voters, Join: c.Join,
-		Heartbeat: time.Duration(c.HeartbeatMS) * time.Millisecond,
+		Name: c.Name, Bind: c.Bind, Dir: c.Data, InitialVoters: c.Voters, Join: c.Join,
+		HeartbeatTimeout: time.Duration(c.HeartbeatMS) * time.Millisecond,
 	}
 }
--- a/cmd/oxbowvoter/main_test.go
+++ b/cmd/oxbowvoter/main_test.go
@@ -24,9 +24,9 @@
 	"oxbowloft/internal/standin"
 )
 
-// These tests start the built program and signal only what they started.
+// These tests run the built program, and signal only processes that they started.
 
-const patience = 60 * time.Second
+const testTimeout = 60 * time.Second
 
 var program string
 
@@ -45,20 +45,20 @@
 	os.Exit(code)
 }
 
-// configs are the configurations of three voters.
-func configs(t *testing.T) []config {
+// newConfigs returns the configurations of three voters.
+func newConfigs(t *testing.T) []config {
 	var peers []agree.Peer
 	for i := range 3 {
-		peers = append(peers, agree.Peer{Name: fmt.Sprintf("v%d", i+1), Address: standin.FreeAddr(t), Ask: standin.FreeAddr(t)})
+		peers = append(peers, agree.Peer{Name: fmt.Sprintf("v%d", i+1), RaftAddress: standin.FreeAddr(t), ClientAddress: standin.FreeAddr(t)})
 	}
 	var all []config
 	for _, p := range peers {
-		all = append(all, config{p.Name, p.Address, p.Ask, filepath.Join(t.TempDir(), "data"), peers, false, 300})
+		all = append(all, config{p.Name, p.RaftAddress, p.ClientAddress, filepath.Join(t.TempDir(), "data"), peers, false, 300})
 	}
 	return all
 }
 
-func write(t *testing.T, c any) (path string) {
+func writeConfig(t *testing.T, c any) (path string) {
 	t.Helper()
 	text, err := json.Marshal(c)
 	if err != nil {
@@ -71,29 +71,29 @@
 	return path
 }
 
-// process is a started voter.
-type process struct {
-	cmd  *exec.Cmd
-	dead chan error
+// voterProcess is a running voter.
+type voterProcess struct {
+	cmd    *exec.Cmd
+	exited chan error
 
 	mu  sync.Mutex
 	log bytes.Buffer
 }
 
-func (p *process) Write(b []byte) (int, error) {
+func (p *voterProcess) Write(b []byte) (int, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.log.Write(b)
 }
 
-func start(t *testing.T, path string) *process {
+func startVoter(t *testing.T, path string) *voterProcess {
 	t.Helper()
-	p := &process{cmd: exec.Command(program, "serve", path), dead: make(chan error, 1)}
+	p := &voterProcess{cmd: exec.Command(program, "serve", path), exited: make(chan error, 1)}
 	p.cmd.Stderr = p
 	if err := p.cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	go func() { p.dead <- p.cmd.Wait() }()
+	go func() { p.exited <- p.cmd.Wait() }()
 	t.Cleanup(func() {
 		p.cmd.Process.Signal(syscall.SIGCONT)
 		p.cmd.Process.Kill()
@@ -106,45 +106,45 @@
 	return p
 }
 
-func (p *process) signal(t *testing.T, s os.Signal) {
+func (p *voterProcess) signal(t *testing.T, s os.Signal) {
 	t.Helper()
 	if err := p.cmd.Process.Signal(s); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func (p *process) wait(t *testing.T) error {
+func (p *voterProcess) wait(t *testing.T) error {
 	t.Helper()
 	select {
-	case err := <-p.dead:
-		p.dead <- err
+	case err := <-p.exited:
+		p.exited <- err
 		return err
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("still running")
 		return nil
 	}
 }
 
-func client(t *testing.T, addrs ...string) *agree.Client {
+func newClient(t *testing.T, addrs ...string) *agree.Client {
 	t.Helper()
-	k, err := agree.NewClient(agree.ClientConfig{Voters: addrs}, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	client, err := agree.NewClient(agree.ClientConfig{Voters: addrs}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(k.Close)
-	return k
+	t.Cleanup(client.Close)
+	return client
 }
 
-// ask asks the voters to agree on an entry.
-func ask(t *testing.T, k *agree.Client, e window.Entry) schedule.Answer {
+// propose proposes an entry and returns the answer.
+func propose(t *testing.T, client *agree.Client, e window.Entry) schedule.Answer {
 	t.Helper()
 	entry, err := window.Encode(e)
 	if err != nil {
 		t.Fatal(err)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	text, _, err := k.Ask(ctx, entry)
+	text, _, err := client.Propose(ctx, entry)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -155,64 +155,64 @@
 	return a
 }
 
-// read asks for lines of the door.
-func read(ctx context.Context, k *agree.Client, line string) (string, error) {
-	text, _, err := k.Read(ctx, []byte(line))
+// query returns the lines with which the schedule answers a command line.
+func query(ctx context.Context, client *agree.Client, line string) (string, error) {
+	text, _, err := client.Read(ctx, []byte(line))
 	return string(text), err
 }
 
-var backends = regexp.MustCompile(`backends=(\d+)`)
+var backendsPattern = regexp.MustCompile(`backends=(\d+)`)
 
-// count reads how many backends there are.
-func count(ctx context.Context, k *agree.Client) (n uint64, err error) {
-	text, err := read(ctx, k, "STATUS")
-	if m := backends.FindStringSubmatch(text); m != nil {
+// countBackends returns the number of backends in the schedule.
+func countBackends(ctx context.Context, client *agree.Client) (n uint64, err error) {
+	text, err := query(ctx, client, "STATUS")
+	if m := backendsPattern.FindStringSubmatch(text); m != nil {
 		n, _ = strconv.ParseUint(m[1], 10, 64)
 	}
 	return n, err
 }
 
-// addOne adds a backend, and compares how many there are.
-func addOne(t *testing.T, k *agree.Client, want uint64) {
+// addBackend adds a backend, and checks that there are want backends then.
+func addBackend(t *testing.T, client *agree.Client, want uint64) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	b := window.Backend{ID: fmt.Sprint("b", want), Region: "r", Zone: "z", Size: 1, SkipWarmUp: true}
-	if a := ask(t, k, window.PutBackends{Put: []window.Backend{b}}); a.Result != window.OK {
+	if a := propose(t, client, window.PutBackends{Put: []window.Backend{b}}); a.Result != window.OK {
 		t.Fatal(a.Describe())
 	}
-	if got, err := count(ctx, k); got != want || err != nil {
+	if got, err := countBackends(ctx, client); got != want || err != nil {
 		t.Fatalf("%d backends (%v), not %d", got, err, want)
 	}
 }
 
-// leads tells whether the voter at addr answers reads, which the leader alone does.
-func leads(k *agree.Client) bool {
+// isLeader reports whether the voter of a client answers reads, which only the leader does.
+func isLeader(client *agree.Client) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 	defer cancel()
-	_, err := count(ctx, k)
+	_, err := countBackends(ctx, client)
 	return err == nil
 }
 
 func TestFleetVoters(t *testing.T) {
-	set := configs(t)
+	voterConfigs := newConfigs(t)
 	var paths, addrs []string
-	var voters []*process
-	var direct []*agree.Client
-	for _, c := range set {
-		paths, addrs = append(paths, write(t, c)), append(addrs, c.Listen)
-		direct = append(direct, client(t, c.Listen))
+	var voters []*voterProcess
+	var clients []*agree.Client
+	for _, c := range voterConfigs {
+		paths, addrs = append(paths, writeConfig(t, c)), append(addrs, c.Listen)
+		clients = append(clients, newClient(t, c.Listen))
 	}
 	for _, p := range paths {
-		voters = append(voters, start(t, p))
+		voters = append(voters, startVoter(t, p))
 	}
-	k := client(t, addrs...)
-	sum := uint64(1)
-	addOne(t, k, sum)
+	client := newClient(t, addrs...)
+	backendCount := uint64(1)
+	addBackend(t, client, backendCount)
 	leader := func() int {
-		for end := time.Now().Add(patience); time.Now().Before(end); {
-			for i := range direct {
-				if leads(direct[i]) {
+		for end := time.Now().Add(testTimeout); time.Now().Before(end); {
+			for i := range clients {
+				if isLeader(clients[i]) {
 					return i
 				}
 			}
@@ -220,98 +220,98 @@
 		t.Fatal("no leader")
 		return -1
 	}
-	again := func(i int) { voters[i] = start(t, paths[i]) }
+	restart := func(i int) { voters[i] = startVoter(t, paths[i]) }
 
-	// The leader is killed. The others go on, and it comes back.
+	// The leader is killed. The others continue, and it is restarted.
 	i := leader()
 	voters[i].signal(t, syscall.SIGKILL)
 	voters[i].wait(t)
 	for range 5 {
-		sum++
-		addOne(t, k, sum)
+		backendCount++
+		addBackend(t, client, backendCount)
 	}
-	again(i)
+	restart(i)
 
-	// The leader is stopped until another leads, and goes on believing that it
-	// does. It must not answer a read with what was before.
+	// The leader is paused until another leads, and then resumes in the belief that it
+	// is the leader. It must not answer a read with outdated state.
 	i = leader()
 	voters[i].signal(t, syscall.SIGSTOP)
-	sum++
-	addOne(t, k, sum)
+	backendCount++
+	addBackend(t, client, backendCount)
 	type seen struct {
 		value uint64
 		err   error
 	}
 	reads := make(chan seen)
 	for range 4 {
-		old := client(t, addrs[i])
-		go func() { // connected and asked while it is stopped
+		old := newClient(t, addrs[i])
+		go func() { // connects and sends its request during the pause
 			ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 			defer cancel()
-			value, err := count(ctx, old)
+			value, err := countBackends(ctx, old)
 			reads <- seen{value, err}
 		}()
 	}
-	time.Sleep(200 * time.Millisecond) // for the reads to be on their way; not needed for the result
+	time.Sleep(200 * time.Millisecond) // lets the reads be sent during the pause; a later one is valid as well
 	voters[i].signal(t, syscall.SIGCONT)
 	for range 4 {
-		if r := <-reads; r.err == nil && r.value != sum {
-			t.Fatalf("the leader of before read %d, not %d", r.value, sum)
+		if r := <-reads; r.err == nil && r.value != backendCount {
+			t.Fatalf("the former leader read %d, not %d", r.value, backendCount)
 		}
 	}
-	sum++
-	addOne(t, k, sum)
+	backendCount++
+	addBackend(t, client, backendCount)
 
-	// SIGTERM: the leader hands over and ends well.
+	// At SIGTERM the leader transfers its leadership and exits with status 0.
 	i = leader()
 	voters[i].signal(t, syscall.SIGTERM)
 	if err := voters[i].wait(t); err != nil {
 		t.Fatalf("SIGTERM: %v", err)
 	}
-	sum++
-	addOne(t, k, sum)
-	again(i)
+	backendCount++
+	addBackend(t, client, backendCount)
+	restart(i)
 
-	// All are killed at once and start again.
+	// All voters are killed at once and restarted.
 	for _, v := range voters {
 		v.signal(t, syscall.SIGKILL)
 	}
 	for i, v := range voters {
 		v.wait(t)
-		again(i)
+		restart(i)
 	}
-	sum++
-	addOne(t, k, sum)
+	backendCount++
+	addBackend(t, client, backendCount)
 
-	// A second process on one store is refused, and one whose store is lost.
+	// A second process on the same store must not start, nor a voter that lost its store.
 	i = leader()
-	second := set[i]
+	second := voterConfigs[i]
 	second.Bind, second.Listen = standin.FreeAddr(t), standin.FreeAddr(t)
-	p := start(t, write(t, second))
+	p := startVoter(t, writeConfig(t, second))
 	if p.wait(t) == nil || !strings.Contains(p.log.String(), "in use by another process") {
-		t.Fatalf("second on one store: %s", p.log.String())
+		t.Fatalf("second process on one store: %s", p.log.String())
 	}
 	i = (i + 1) % 3
 	voters[i].signal(t, syscall.SIGKILL)
 	voters[i].wait(t)
-	if err := os.RemoveAll(set[i].Data); err != nil {
+	if err := os.RemoveAll(voterConfigs[i].Data); err != nil {
 		t.Fatal(err)
 	}
-	again(i)
+	restart(i)
 	if voters[i].wait(t) == nil || !strings.Contains(voters[i].log.String(), "know an earlier life") {
 		t.Fatalf("lost store: %s", voters[i].log.String())
 	}
-	sum++
-	addOne(t, k, sum)
+	backendCount++
+	addBackend(t, client, backendCount)
 
-	// It comes back by a new name, by the commands for it.
-	joiner := set[i]
+	// It is removed and added under a new name by the commands remove and add.
+	joiner := voterConfigs[i]
 	joiner.Name, joiner.Join, joiner.Data = "v9", true, filepath.Join(t.TempDir(), "data")
-	old := set[i].Name
+	old := voterConfigs[i].Name
 	for _, args := range [][]string{{"remove", paths[(i+1)%3], old}, {"add", paths[(i+1)%3], "v9", joiner.Bind}} {
 		if args[0] == "add" {
-			paths[i] = write(t, joiner)
-			again(i)
+			paths[i] = writeConfig(t, joiner)
+			restart(i)
 		}
 		if out, err := exec.Command(program, args...).CombinedOutput(); err != nil {
 			t.Fatalf("%v: %v\n%s", args, err, out)
@@ -320,21 +320,21 @@
 	j := leader()
 	voters[j].signal(t, syscall.SIGKILL)
 	voters[j].wait(t)
-	sum++
-	addOne(t, k, sum)
+	backendCount++
+	addBackend(t, client, backendCount)
 }
 
-// At rest a voter takes little. The figure is logged, and bounded widely.
-func TestAtRest(t *testing.T) {
-	set := configs(t)
-	var voters []*process
+// The resident memory of an idle voter is logged, and must be below 1 GB.
+func TestIdleMemory(t *testing.T) {
+	voterConfigs := newConfigs(t)
+	var voters []*voterProcess
 	var addrs []string
-	for _, c := range set {
-		voters, addrs = append(voters, start(t, write(t, c))), append(addrs, c.Listen)
+	for _, c := range voterConfigs {
+		voters, addrs = append(voters, startVoter(t, writeConfig(t, c))), append(addrs, c.Listen)
 	}
-	k := client(t, addrs...)
+	client := newClient(t, addrs...)
 	for sum := uint64(1); sum <= 100; sum++ {
-		addOne(t, k, sum)
+		addBackend(t, client, sum)
 	}
 	info, err := os.Stat(program)
 	if err != nil {
@@ -354,41 +354,41 @@
 	}
 }
 
-// What is wrong is one line on standard error, and the exit is not zero.
-func TestPlainErrors(t *testing.T) {
-	good := configs(t)[0]
+// An invalid configuration causes one line on standard error and a nonzero exit status.
+func TestErrorOutput(t *testing.T) {
+	good := newConfigs(t)[0]
 	change := func(f func(*config)) config {
-		c := good
-		c.Voters = append([]agree.Peer(nil), good.Voters...)
-		f(&c)
-		return c
+		config := good
+		config.Voters = append([]agree.Peer(nil), good.Voters...)
+		f(&config)
+		return config
 	}
 	for _, x := range []struct {
-		c    any
-		want string
+		config any
+		want   string
 	}{
 		{map[string]any{"name": "v1", "quorum": 2}, `unknown field "quorum"`},
 		{map[string]any{"voters": []any{map[string]any{"adress": ""}}}, `unknown field "adress"`},
 		{map[string]any{"name": 7}, `name`},
-		{change(func(c *config) { c.Name = "" }), "name: empty"},
-		{change(func(c *config) { c.Name = "w" }), "voters: w itself is not among them"},
-		{change(func(c *config) { c.Bind = "here" }), "bind: address here: missing port"},
-		{change(func(c *config) { c.Listen = "" }), "listen: missing port"},
-		{change(func(c *config) { c.Data = "" }), "data: empty"},
-		{change(func(c *config) { c.Voters = c.Voters[:2] }), "voters: 2, not 3 or 5"},
-		{change(func(c *config) { c.Voters[1].Ask = c.Voters[0].Ask }), "twice"},
-		{change(func(c *config) { c.Voters[1].Address = "x" }), "voters: address: address x: missing port"},
-		{change(func(c *config) { c.HeartbeatMS = 1 }), "heartbeat: 1ms, 20ms at least"},
-		{change(func(c *config) { c.Join = true }), "join: v1 is of the initial set"},
+		{change(func(config *config) { config.Name = "" }), "name: empty"},
+		{change(func(config *config) { config.Name = "w" }), "voters: w itself is not among them"},
+		{change(func(config *config) { config.Bind = "here" }), "bind: address here: missing port"},
+		{change(func(config *config) { config.Listen = "" }), "listen: missing port"},
+		{change(func(config *config) { config.Data = "" }), "data: empty"},
+		{change(func(config *config) { config.Voters = config.Voters[:2] }), "voters: 2, not 3 or 5"},
+		{change(func(config *config) { config.Voters[1].ClientAddress = config.Voters[0].ClientAddress }), "twice"},
+		{change(func(config *config) { config.Voters[1].RaftAddress = "x" }), "voters: address: address x: missing port"},
+		{change(func(config *config) { config.HeartbeatMS = 1 }), "heartbeat: 1ms, 20ms at least"},
+		{change(func(config *config) { config.Join = true }), "join: v1 is of the initial set"},
 	} {
 		for _, command := range []string{"check", "serve"} {
-			out, err := exec.Command(program, command, write(t, x.c)).CombinedOutput()
+			out, err := exec.Command(program, command, writeConfig(t, x.config)).CombinedOutput()
 			if err == nil || !strings.Contains(string(out), x.want) || strings.Count(string(out), "\n") != 1 {
 				t.Errorf("%s: %v, %q, not %q", command, err, out, x.want)
 			}
 		}
 	}
-	out, err := exec.Command(program, "check", write(t, good)).CombinedOutput()
+	out, err := exec.Command(program, "check", writeConfig(t, good)).CombinedOutput()
 	if err != nil || string(out) != "ok\n" {
 		t.Errorf("good: %v, %q", err, out)
 	}
@@ -397,7 +397,7 @@
 	}
 }
 
-// The balancer links nothing of this.
+// The balancer must not link packages of the voters.
 func TestBalancerLinksNoVoter(t *testing.T) {
 	for _, pkg := range []string{"./cmd/oxbowloft", "./cmd/wirehost"} {
 		cmd := exec.Command("go", "list", "-deps", pkg)
@@ -424,8 +424,8 @@
 		if err := os.WriteFile(path, text, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if c, err := load(path); err == nil && (c.Name == "" || len(c.Voters) == 0) {
-			t.Fatalf("%s is taken", text)
+		if c, err := loadConfig(path); err == nil && (c.Name == "" || len(c.Voters) == 0) {
+			t.Fatalf("invalid configuration %s was accepted", text)
 		}
 	})
 }
--- a/fleet/agree/errors.go
+++ b/fleet/agree/errors.go
@@ -6,35 +6,37 @@
 	"time"
 )
 
-// Bounds on what is agreed, in bytes.
+// Size limits, in bytes.
 const (
-	// MaxEntry bounds an entry, a query and an answer each.
+	// MaxEntry is the maximum size of an entry, of a query and of an answer.
 	MaxEntry = 96 << 10
 )
 
 var (
-	// ErrUnknown is returned for an ask that may have been agreed or may yet
-	// be. Only the same ask again, with its session and sequence, tells.
-	ErrUnknown = errors.New("agree: outcome unknown, ask again with the same sequence")
-	// ErrShutdown is returned by a voter that is going or gone. The ask was not
-	// proposed.
+	// ErrOutcomeUnknown is returned for a proposal that may have been committed
+	// or may still be. To learn the outcome, retry it with the same session and
+	// sequence number.
+	ErrOutcomeUnknown = errors.New("agree: outcome unknown, ask again with the same sequence")
+	// ErrShutdown is returned by a voter that is stopping or has stopped. The
+	// entry was not proposed.
 	ErrShutdown = errors.New("agree: voter shut down")
-	// ErrSession is returned if the session is not known: it was never opened,
-	// or others have been used since by more askers than are remembered. This
-	// try was not applied; an earlier one may have been.
-	ErrSession = errors.New("agree: session not known")
-	// ErrStale is returned for a sequence whose answer the asker has confirmed.
-	ErrStale = errors.New("agree: sequence confirmed before")
-	// ErrCrowded is returned if a session has too many unconfirmed answers. The
-	// ask was not applied.
-	ErrCrowded = errors.New("agree: too many unconfirmed answers in the session")
-	// ErrTooLong is returned for an entry or query of more than MaxEntry bytes.
+	// ErrUnknownSession is returned if the session was never opened or has been
+	// evicted as the least recently used one. This attempt was not applied; an
+	// earlier one may have been.
+	ErrUnknownSession = errors.New("agree: session not known")
+	// ErrConfirmed is returned for a sequence number whose answer the client has
+	// confirmed.
+	ErrConfirmed = errors.New("agree: sequence confirmed before")
+	// ErrTooManyUnconfirmed is returned if a session has too many unconfirmed
+	// answers. The entry was not applied.
+	ErrTooManyUnconfirmed = errors.New("agree: too many unconfirmed answers in the session")
+	// ErrTooLong is returned for an entry or a query of more than MaxEntry bytes.
 	ErrTooLong = fmt.Errorf("agree: longer than %d bytes", MaxEntry)
 )
 
-// notLeaderError is returned by a voter that doesn't lead. The ask was not proposed.
+// notLeaderError is returned by a voter that is not the leader. The entry was not proposed.
 type notLeaderError struct {
-	Leader string // where the leader is to be asked; empty: not known
+	Leader string // the leader's address for clients; empty if not known
 }
 
 func (e *notLeaderError) Error() string {
@@ -44,52 +46,53 @@
 	return "agree: not the leader, which is at " + e.Leader
 }
 
-// busyError is returned when the inbox is full. The ask was not proposed.
+// busyError is returned when the proposal queue is full. The entry was not proposed.
 type busyError struct {
-	ComeBack time.Duration // after which to ask again
+	RetryAfter time.Duration // delay before the next attempt
 }
 
-func (e *busyError) Error() string { return fmt.Sprintf("agree: busy, come back in %v", e.ComeBack) }
+func (e *busyError) Error() string { return fmt.Sprintf("agree: busy, come back in %v", e.RetryAfter) }
 
-// goneError is returned for effects that are not kept any more. Read the state,
-// then subscribe from the index after the one that it was read at.
-type goneError struct {
-	Oldest uint64 // index from which on effects are kept
+// compactedError is returned for effects that have been dropped from the buffer.
+// The subscriber has to read the state and subscribe from the index after that of
+// the read.
+type compactedError struct {
+	Oldest uint64 // index from which all effects are available
 }
 
-func (e *goneError) Error() string {
+func (e *compactedError) Error() string {
 	return fmt.Sprintf("agree: effects before %d are not kept", e.Oldest)
 }
 
-// code is an error on the wire.
-type code uint8
+// resultCode is a result code on the wire.
+type resultCode uint8
 
 const (
-	codeOK code = iota
+	codeOK resultCode = iota
 	codeNotLeader
 	codeBusy
-	codeUnknown
+	codeOutcomeUnknown
 	codeShutdown
-	codeSession
-	codeStale
-	codeCrowded
+	codeUnknownSession
+	codeConfirmed
+	codeTooManyUnconfirmed
 	codeTooLong
-	codeGone
-	codeBad  // the frame or its message; Text says how
-	codeMore // an effect, others follow
+	codeCompacted
+	codeBadRequest // malformed frame or refused request; Text has the reason
+	codeEffect     // an effect; the subscription goes on
 )
 
-var plainErrors = map[code]error{
-	codeUnknown: ErrUnknown, codeShutdown: ErrShutdown, codeSession: ErrSession, codeStale: ErrStale,
-	codeCrowded: ErrCrowded, codeTooLong: ErrTooLong,
+var errorsByCode = map[resultCode]error{
+	codeOutcomeUnknown: ErrOutcomeUnknown, codeShutdown: ErrShutdown, codeUnknownSession: ErrUnknownSession, codeConfirmed: ErrConfirmed,
+	codeTooManyUnconfirmed: ErrTooManyUnconfirmed, codeTooLong: ErrTooLong,
 }
 
-// setError fills in the fields of r that say err.
+// setError encodes err in the fields of r.
 func (r *reply) setError(err error) {
 	var (
 		notLeader *notLeaderError
 		busy      *busyError
-		gone      *goneError
+		compacted *compactedError
 	)
 	switch {
 	case err == nil:
@@ -97,12 +100,12 @@
 	case errors.As(err, &notLeader):
 		r.Code, r.Text = codeNotLeader, notLeader.Leader
 	case errors.As(err, &busy):
-		r.Code, r.ComeBack = codeBusy, busy.ComeBack.Milliseconds()
-	case errors.As(err, &gone):
-		r.Code, r.Index = codeGone, gone.Oldest
+		r.Code, r.RetryAfter = codeBusy, busy.RetryAfter.Milliseconds()
+	case errors.As(err, &compacted):
+		r.Code, r.Index = codeCompacted, compacted.Oldest
 	default:
-		r.Code, r.Text = codeBad, err.Error()
-		for c, e := range plainErrors {
+		r.Code, r.Text = codeBadRequest, err.Error()
+		for c, e := range errorsByCode {
 			if errors.Is(err, e) {
 				r.Code, r.Text = c, ""
 			}
@@ -110,22 +113,22 @@
 	}
 }
 
-// err is the error that r says; nil for none.
+// err decodes the error in r; nil if there is none.
 func (r *reply) err() error {
 	switch r.Code {
-	case codeOK, codeMore:
+	case codeOK, codeEffect:
 		return nil
 	case codeNotLeader:
 		return &notLeaderError{Leader: r.Text}
 	case codeBusy:
 		const longest = int64(time.Hour / time.Millisecond)
-		return &busyError{ComeBack: time.Duration(min(max(r.ComeBack, 0), longest)) * time.Millisecond}
-	case codeGone:
-		return &goneError{Oldest: r.Index}
-	case codeBad:
+		return &busyError{RetryAfter: time.Duration(min(max(r.RetryAfter, 0), longest)) * time.Millisecond}
+	case codeCompacted:
+		return &compactedError{Oldest: r.Index}
+	case codeBadRequest:
 		return fmt.Errorf("agree: refused: %.200q", r.Text)
 	}
-	if err := plainErrors[r.Code]; err != nil {
+	if err := errorsByCode[r.Code]; err != nil {
 		return err
 	}
 	return fmt.Errorf("agree: answer with code %d", r.Code)
--- a/fleet/agree/form.go
+++ b/fleet/agree/form.go
@@ -12,105 +12,106 @@
 	"time"
 )
 
-// How a voter with an empty store begins.
+// Cluster formation: how a voter with an empty store starts.
 //
-// It can't tell whether it is new or has lost its disk, and one that has lost
-// it must not vote: it may have voted, or acknowledged an entry, that it has
-// forgotten. So it draws a random life, kept in its store, and asks the others
-// of the initial set:
+// Such a voter is either new or has lost its disk. One that has lost its disk must
+// not vote, because it may have forgotten a vote or an acknowledged entry. So a voter
+// generates a random incarnation number, saves it in its store, and queries the other
+// voters of the initial set:
 //
-//   - one that has formed, with this life in its list of lives: form with its list;
-//   - one that has formed, with another life under this name: the store of that
-//     life is lost. End. The operator removes this voter from the set and adds
-//     another, with a new name and Config.Join;
-//   - all answer, none has formed, all name the same set, and all answer the
-//     same when asked again: form with their lives. Asking twice means that there
-//     was a time at which all of these lives were there and none had formed;
-//   - else ask again later.
+//   - if one has formed, and its list of incarnations has this voter's: form with that
+//     list;
+//   - if one has formed, and its list has another incarnation for this voter's name:
+//     the store of that incarnation is lost, so this voter stops. The operator has to
+//     remove it from the set and add another with a new name and Config.Join;
+//   - if all reply, none has formed, all have the same initial set, and a second round
+//     gives the same replies: form with their incarnations. Two equal rounds prove that
+//     all of these incarnations existed at one time and none had formed then;
+//   - otherwise query again later.
 //
-// Who forms writes the list of lives down before it takes part. This holds while
-// a majority of those that have formed keep their disks; without, what was agreed
-// is lost in any case.
+// A voter saves the list of incarnations before it participates in raft. The scheme is
+// safe as long as a majority of the formed voters keep their disks; otherwise the
+// replicated state is lost in any case.
 
-// hello is what a voter tells of itself.
+// hello describes a voter to others during formation.
 type hello struct {
-	Name   string            `cbor:"1,keyasint"`
-	Set    uint64            `cbor:"2,keyasint"` // sum of the names and addresses of the initial set
-	Life   uint64            `cbor:"3,keyasint"`
-	Formed map[string]uint64 `cbor:"4,keyasint,omitempty"` // lives of all when it formed; nil: it hasn't
-	Member bool              `cbor:"5,keyasint,omitempty"` // it has formed, by being added
+	Name         string            `cbor:"1,keyasint"`
+	VoterSetHash uint64            `cbor:"2,keyasint"` // hash of the names and addresses of the initial set
+	Incarnation  uint64            `cbor:"3,keyasint"`
+	Incarnations map[string]uint64 `cbor:"4,keyasint,omitempty"` // of the initial voters, once formed
+	HasFormed    bool              `cbor:"5,keyasint,omitempty"` // set also for an added voter
 }
 
 var (
-	keySelf = []byte("agree/self")
+	keyIdentity = []byte("agree/self")
 
-	errLost = errors.New("store empty, but others know an earlier life of this voter: " +
+	errStoreLost = errors.New("store empty, but others know an earlier life of this voter: " +
 		"remove it and add it by a new name")
 )
 
-// identity reads who the store belongs to, or makes it this voter's.
-func (s *logStore) identity(cfg *Config) (h hello, err error) {
-	text, err := s.Get(keySelf)
+// loadIdentity reads the identity of the voter that owns the store, or creates one in a new store.
+func (s *logStore) loadIdentity(cfg *Config) (h hello, err error) {
+	text, err := s.Get(keyIdentity)
 	if err != nil {
 		return h, err
 	}
 	if len(text) == 0 {
-		// What has a log but no owner has not been written by us.
+		// A store with a log but without an identity was not written by this package.
 		if _, last := s.bounds(); last != 0 {
-			return h, fmt.Errorf("store %s: %s: missing", s.path, keySelf)
+			return h, fmt.Errorf("store %s: %s: missing", s.path, keyIdentity)
 		}
-		var life [8]byte
-		rand.Read(life[:])
-		h = hello{Name: cfg.Name, Set: cfg.set(), Life: binary.BigEndian.Uint64(life[:])}
-		return h, s.setSelf(&h)
+		var random [8]byte
+		rand.Read(random[:])
+		h = hello{Name: cfg.Name, VoterSetHash: cfg.voterSetHash(), Incarnation: binary.BigEndian.Uint64(random[:])}
+		return h, s.saveIdentity(&h)
 	}
 	if err := decMode.Unmarshal(text, &h); err != nil {
-		return h, fmt.Errorf("store %s: %s: %w", s.path, keySelf, err)
+		return h, fmt.Errorf("store %s: %s: %w", s.path, keyIdentity, err)
 	}
 	if h.Name != cfg.Name {
-		return h, fmt.Errorf("store %s: of voter %s, not %s", s.path, h.Name, cfg.Name)
+		return h, fmt.Errorf("store %s: belongs to voter %s, not %s", s.path, h.Name, cfg.Name)
 	}
-	if h.Member && h.Formed == nil {
-		h.Formed = map[string]uint64{}
+	if h.HasFormed && h.Incarnations == nil {
+		h.Incarnations = map[string]uint64{}
 	}
-	h.Set = cfg.set()
+	h.VoterSetHash = cfg.voterSetHash()
 	return h, nil
 }
 
-func (s *logStore) setSelf(h *hello) error {
+func (s *logStore) saveIdentity(h *hello) error {
 	text, err := encMode.Marshal(h)
 	if err != nil {
 		return err
 	}
-	return s.Set(keySelf, text)
+	return s.Set(keyIdentity, text)
 }
 
-// setFormed writes down that the voter takes part from here on.
-func (s *logStore) setFormed(h *hello, lives map[string]uint64) error {
-	h.Formed, h.Member = lives, true
-	return s.setSelf(h)
+// saveFormed saves that the voter has formed with these incarnations.
+func (s *logStore) saveFormed(h *hello, incarnations map[string]uint64) error {
+	h.Incarnations, h.HasFormed = incarnations, true
+	return s.saveIdentity(h)
 }
 
-// set is the sum of the initial set, whatever its order.
-func (c *Config) set() (n uint64) {
-	for _, p := range c.Voters {
+// voterSetHash returns a hash of the initial set that doesn't depend on its order.
+func (c *Config) voterSetHash() (n uint64) {
+	for _, p := range c.InitialVoters {
 		h := fnv.New64a()
-		fmt.Fprintf(h, "%q %q %q", p.Name, p.Address, p.Ask)
+		fmt.Fprintf(h, "%q %q %q", p.Name, p.RaftAddress, p.ClientAddress)
 		n += h.Sum64()
 	}
 	return n
 }
 
-// hello returns what this voter tells of itself.
+// hello returns the description of this voter for others.
 func (v *Voter) hello() hello {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	h := v.self
-	h.Formed = maps.Clone(h.Formed)
+	h := v.identity
+	h.Incarnations = maps.Clone(h.Incarnations)
 	return h
 }
 
-// form returns once this voter takes part, or with the error for which it never will.
+// form returns nil once this voter participates in raft, or the error that prevents it.
 func (v *Voter) form() error {
 	v.mu.Lock()
 	formed := v.phase == phaseRunning
@@ -118,23 +119,23 @@
 	if formed {
 		return nil
 	}
-	v.log.Info("forming", "life", v.self.Life)
-	var before map[string]uint64
+	v.log.Info("forming", "life", v.identity.Incarnation)
+	var previous map[string]uint64
 	for {
-		found, err := v.askPeers()
+		replies, err := v.queryPeers()
 		if err != nil {
 			return err
 		}
-		lives, formed, err := decideFormation(v.self, v.cfg.Voters, found)
+		incarnations, formed, err := decideFormation(v.identity, v.cfg.InitialVoters, replies)
 		if err != nil {
 			return err
 		}
-		if lives != nil && (formed || maps.Equal(lives, before)) {
-			return v.formWith(lives)
+		if incarnations != nil && (formed || maps.Equal(incarnations, previous)) {
+			return v.completeFormation(incarnations)
 		}
-		before = lives
+		previous = incarnations
 		select {
-		case <-time.After(v.cfg.Heartbeat / 4):
+		case <-time.After(v.cfg.HeartbeatTimeout / 4):
 		case err := <-v.store.Failed():
 			return err
 		case <-v.stop:
@@ -143,53 +144,53 @@
 	}
 }
 
-func (v *Voter) formWith(lives map[string]uint64) error {
+func (v *Voter) completeFormation(incarnations map[string]uint64) error {
 	self := v.hello()
-	if err := v.store.setFormed(&self, lives); err != nil {
+	if err := v.store.saveFormed(&self, incarnations); err != nil {
 		return err
 	}
 	v.mu.Lock()
-	v.self = self
+	v.identity = self
 	v.mu.Unlock()
-	v.log.Info("formed", "lives", len(lives))
+	v.log.Info("formed", "lives", len(incarnations))
 	return v.startRaft()
 }
 
-// errStopped ends a voter that is stopped before it has formed.
+// errStopped is returned by form if Stop is called before the voter has formed.
 var errStopped = errors.New("agree: stopped before it had formed")
 
-// askPeers asks all others what they are. Who doesn't answer is left out.
-func (v *Voter) askPeers() (map[string]hello, error) {
+// queryPeers queries all other voters of the initial set. The result has those that replied.
+func (v *Voter) queryPeers() (map[string]hello, error) {
 	type answer struct {
-		name string
-		h    hello
-		err  error
+		name      string
+		peerHello hello
+		err       error
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), v.cfg.Heartbeat)
+	ctx, cancel := context.WithTimeout(context.Background(), v.cfg.HeartbeatTimeout)
 	defer cancel()
-	answers := make(chan answer, len(v.cfg.Voters))
-	asked := 0
-	for _, p := range v.cfg.Voters {
+	answers := make(chan answer, len(v.cfg.InitialVoters))
+	queried := 0
+	for _, p := range v.cfg.InitialVoters {
 		if p.Name == v.cfg.Name {
 			continue
 		}
-		asked++
+		queried++
 		go func() {
-			h, err := askPeer(ctx, p.Ask)
-			answers <- answer{p.Name, h, err}
+			peerHello, err := queryPeer(ctx, p.ClientAddress)
+			answers <- answer{p.Name, peerHello, err}
 		}()
 	}
-	found := map[string]hello{}
-	for range asked {
+	replies := map[string]hello{}
+	for range queried {
 		if a := <-answers; a.err == nil {
-			found[a.name] = a.h
+			replies[a.name] = a.peerHello
 		}
 	}
-	return found, nil
+	return replies, nil
 }
 
-// askPeer asks the voter at addr what it is.
-func askPeer(ctx context.Context, addr string) (h hello, err error) {
+// queryPeer queries the voter at addr.
+func queryPeer(ctx context.Context, addr string) (h hello, err error) {
 	var d net.Dialer
 	c, err := d.DialContext(ctx, "tcp", addr)
 	if err != nil {
@@ -214,43 +215,44 @@
 		return h, err
 	}
 	if r.Hello == nil {
-		return h, errors.New("agree: no hello")
+		return h, errors.New("agree: reply without hello")
 	}
 	return *r.Hello, nil
 }
 
-// decideFormation decides whether a voter may form, by what the others found say; nil
-// lives: not yet. If formed is true another has, with these lives.
-func decideFormation(self hello, voters []Peer, found map[string]hello) (lives map[string]uint64, formed bool, err error) {
-	all := map[string]uint64{self.Name: self.Life}
+// decideFormation decides from the replies of the other voters whether a voter may form. It
+// returns the incarnations to form with, or nil if the voter can't form yet. If formed is true,
+// another voter has formed with these incarnations, and no second round is needed.
+func decideFormation(self hello, voters []Peer, replies map[string]hello) (incarnations map[string]uint64, formed bool, err error) {
+	incarnationsByName := map[string]uint64{self.Name: self.Incarnation}
 	for _, p := range voters {
-		h, ok := found[p.Name]
+		h, ok := replies[p.Name]
 		if !ok {
 			continue
 		}
 		if h.Name != p.Name {
 			return nil, false, fmt.Errorf("agree: voters: %s is at the address of %s", h.Name, p.Name)
 		}
-		if h.Set != self.Set {
+		if h.VoterSetHash != self.VoterSetHash {
 			return nil, false, fmt.Errorf("agree: voters: %s is configured with another set", p.Name)
 		}
-		all[p.Name] = h.Life
-		if h.Formed == nil && !h.Member {
+		incarnationsByName[p.Name] = h.Incarnation
+		if h.Incarnations == nil && !h.HasFormed {
 			continue
 		}
-		if h.Formed[self.Name] != self.Life {
-			return nil, false, fmt.Errorf("agree: %s: %w", self.Name, errLost)
+		if h.Incarnations[self.Name] != self.Incarnation {
+			return nil, false, fmt.Errorf("agree: %s: %w", self.Name, errStoreLost)
 		}
-		if lives != nil && !maps.Equal(lives, h.Formed) {
-			return nil, false, errors.New("agree: voters have formed with different lives")
+		if incarnations != nil && !maps.Equal(incarnations, h.Incarnations) {
+			return nil, false, errors.New("agree: voters have formed with different incarnations")
 		}
-		lives = h.Formed
+		incarnations = h.Incarnations
 	}
-	if lives != nil {
-		return lives, true, nil
+	if incarnations != nil {
+		return incarnations, true, nil
 	}
-	if len(all) == len(voters) {
-		return all, false, nil
+	if len(incarnationsByName) == len(voters) {
+		return incarnationsByName, false, nil
 	}
 	return nil, false, nil
 }
--- a/fleet/agree/store_check.go
+++ b/fleet/agree/store_check.go
@@ -13,7 +13,7 @@
 	"go.etcd.io/bbolt"
 )
 
-// check reads the whole file without writing to it.
+// check verifies the whole file without writing to it.
 func (s *logStore) check() error {
 	if info, err := os.Stat(s.path); errors.Is(err, os.ErrNotExist) || err == nil && info.Size() == 0 {
 		return nil
@@ -23,7 +23,7 @@
 	if err := checkPages(s.path); err != nil {
 		return err
 	}
-	return recoverFault(func() error {
+	return recoverPageFault(func() error {
 		db, err := bbolt.Open(s.path, 0o600, &bbolt.Options{ReadOnly: true, Timeout: time.Second})
 		if err != nil {
 			return err
@@ -33,20 +33,20 @@
 	})
 }
 
-// checkRecords reads every record by the order of keys and by its key, and
-// compares the log's ends with those written down beside it.
+// checkRecords reads every record both by iteration and by its key, and compares the
+// bounds of the log with the stored ones.
 func (s *logStore) checkRecords(tx *bbolt.Tx) error {
 	log, stable := tx.Bucket(bucketLog), tx.Bucket(bucketStable)
-	if log == nil && stable == nil && tx.ID() <= boltMade {
-		return nil // it ended before our first transaction
+	if log == nil && stable == nil && tx.ID() <= newFileTxID {
+		return nil // the process ended before createBuckets
 	}
 	if log == nil || stable == nil {
-		return errors.New("log or term missing")
+		return errors.New("log or stable bucket missing")
 	}
 	var first, last uint64
-	if text, err := recordPayload(bucketStable, keySpan, stable.Get(keySpan)); err != nil {
+	if text, err := recordPayload(bucketStable, keyBounds, stable.Get(keyBounds)); err != nil {
 		return err
-	} else if len(text) == spanSize {
+	} else if len(text) == boundsSize {
 		first, last = binary.BigEndian.Uint64(text), binary.BigEndian.Uint64(text[8:])
 	}
 	if err := checkLogBucket(log, first, last); err != nil {
@@ -55,11 +55,11 @@
 	if err := checkStableBucket(stable); err != nil {
 		return err
 	}
-	s.first, s.last = first, last
+	s.firstIndex, s.lastIndex = first, last
 	return nil
 }
 
-// checkLogBucket checks that the log is whole from first to last and nothing beside.
+// checkLogBucket checks that the log has exactly the entries from first to last, all intact.
 func checkLogBucket(log *bbolt.Bucket, first, last uint64) error {
 	next := first
 	for k, v, c := seekFirst(log); k != nil; k, v = c.Next() {
@@ -84,7 +84,8 @@
 	return nil
 }
 
-// checkStableBucket checks each record beside the log, and by their sum that none is missing.
+// checkStableBucket verifies each record of bucketStable, and by their checksum that none is
+// missing.
 func checkStableBucket(stable *bbolt.Bucket) error {
 	for k, v, c := seekFirst(stable); k != nil; k, v = c.Next() {
 		if _, err := recordPayload(bucketStable, k, v); err != nil {
@@ -94,24 +95,25 @@
 			return fmt.Errorf("%s: not found by its key", k)
 		}
 	}
-	if text, err := recordPayload(bucketStable, keySeal, stable.Get(keySeal)); err != nil {
+	if text, err := recordPayload(bucketStable, keyStableChecksum, stable.Get(keyStableChecksum)); err != nil {
 		return err
-	} else if !bytes.Equal(text, stableSum(stable)) {
+	} else if !bytes.Equal(text, stableChecksum(stable)) {
 		return errors.New("term or vote: missing")
 	}
 	return nil
 }
 
-// writeSeal keeps what tells that a key has gone missing. It ends each transaction.
-func writeSeal(tx *bbolt.Tx) error {
+// writeStableChecksum stores the checksum over bucketStable by which a missing record is detected.
+// It has to be the last write of each transaction.
+func writeStableChecksum(tx *bbolt.Tx) error {
 	b := tx.Bucket(bucketStable)
-	return b.Put(keySeal, newRecord(bucketStable, keySeal, stableSum(b)))
+	return b.Put(keyStableChecksum, newRecord(bucketStable, keyStableChecksum, stableChecksum(b)))
 }
 
-func stableSum(stable *bbolt.Bucket) []byte {
+func stableChecksum(stable *bbolt.Bucket) []byte {
 	var c uint32
 	for k, v, cur := seekFirst(stable); k != nil; k, v = cur.Next() {
-		if !bytes.Equal(k, keySeal) {
+		if !bytes.Equal(k, keyStableChecksum) {
 			c = crc32.Update(crc32.Update(c, castagnoli, k), castagnoli, v)
 		}
 	}
--- a/fleet/agree/wire_test.go
+++ b/fleet/agree/wire_test.go
@@ -16,8 +16,8 @@
 	"oxbowloft/internal/standin"
 )
 
-// served is a voter alone with a server of its own limits.
-func served(t *testing.T, limits ServerLimits) (addr string, s *Server) {
+// startServer starts a single voter and a server with the given limits.
+func startServer(t *testing.T, limits ServerLimits) (addr string, s *Server) {
 	t.Helper()
 	c := newCluster(t, 1, newRegister, nil).start()
 	c.leader()
@@ -25,23 +25,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s = Serve(ln, c.nodes[0].voter, limits, quiet)
+	s = Serve(ln, c.nodes[0].voter, limits, discardLogger)
 	t.Cleanup(s.Close)
 	return ln.Addr().String(), s
 }
 
-func dial(t *testing.T, addr string) net.Conn {
+func dialServer(t *testing.T, addr string) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	return c
 }
 
-func frame(t testing.TB, m any) []byte {
+func mustEncodeFrame(t testing.TB, m any) []byte {
 	t.Helper()
 	b, err := encodeFrame(m)
 	if err != nil {
@@ -50,81 +50,81 @@
 	return b
 }
 
-// A bad frame gets one error, then the end.
+// A malformed frame gets one error reply, then the connection is closed.
 func TestBadFrames(t *testing.T) {
-	addr, _ := served(t, ServerLimits{Slow: 200 * time.Millisecond})
-	good := frame(t, &request{Kind: requestPing, ID: 1})
-	version := bytes.Clone(good)
+	addr, _ := startServer(t, ServerLimits{FrameTimeout: 200 * time.Millisecond})
+	valid := mustEncodeFrame(t, &request{Kind: requestPing, ID: 1})
+	version := bytes.Clone(valid)
 	version[frameHeaderSize] = 7
-	cut := bytes.Clone(good)
-	binary.BigEndian.PutUint32(cut, uint32(len(cut)-frameHeaderSize-1))
+	truncated := bytes.Clone(valid)
+	binary.BigEndian.PutUint32(truncated, uint32(len(truncated)-frameHeaderSize-1))
 	for _, x := range []struct {
 		name, want string
-		b          []byte
+		frameBytes []byte
 	}{
 		{"version", "version 7, not 1", version},
 		{"long", "1073741824 bytes", []byte{0x40, 0, 0, 0, 1}},
 		{"empty", "0 bytes", []byte{0, 0, 0, 0}},
 		{"not CBOR", "bad frame", []byte{0, 0, 0, 3, 1, 0xff, 0xff}},
-		{"cut", "bad frame", cut},
+		{"cut", "bad frame", truncated},
 		{"unknown field", "unknown field", append([]byte{0, 0, 0, 5, 1}, 0xa1, 0x18, 0x63, 0x01)},
 	} {
-		c := dial(t, addr)
-		c.Write(x.b)
+		c := dialServer(t, addr)
+		c.Write(x.frameBytes)
 		var r reply
-		if err := readFrame(c, &r, func() {}); err != nil || r.Code != codeBad || !strings.Contains(r.Text, x.want) {
+		if err := readFrame(c, &r, func() {}); err != nil || r.Code != codeBadRequest || !strings.Contains(r.Text, x.want) {
 			t.Errorf("%s: %v, %+v", x.name, err, r)
 		}
 		if err := readFrame(c, &r, func() {}); err == nil {
-			t.Errorf("%s: more after the error", x.name)
+			t.Errorf("%s: connection not closed after the error", x.name)
 		}
 	}
-	c := dial(t, addr) // a frame that does not go on
-	c.Write(good[:3])
+	c := dialServer(t, addr) // an incomplete frame
+	c.Write(valid[:3])
 	if n, err := c.Read(make([]byte, 1)); n != 0 || err == nil {
-		t.Errorf("a frame that stops: %v", err)
+		t.Errorf("incomplete frame: %v", err)
 	}
 }
 
 func TestServerLimits(t *testing.T) {
-	addr, s := served(t, ServerLimits{Connections: 2, Idle: 300 * time.Millisecond})
-	first, second := dial(t, addr), dial(t, addr)
+	addr, s := startServer(t, ServerLimits{MaxConnections: 2, IdleTimeout: 300 * time.Millisecond})
+	first, second := dialServer(t, addr), dialServer(t, addr)
 	for _, c := range []net.Conn{first, second} {
-		c.Write(frame(t, &request{Kind: requestPing, ID: 9}))
+		c.Write(mustEncodeFrame(t, &request{Kind: requestPing, ID: 9}))
 		var r reply
 		if err := readFrame(c, &r, func() {}); err != nil || r.ID != 9 || r.Code != codeOK {
 			t.Fatalf("%v, %+v", err, r)
 		}
 	}
-	third := dial(t, addr)
+	third := dialServer(t, addr)
 	var r reply
 	if err := readFrame(third, &r, func() {}); err != nil || r.Code != codeBusy {
-		t.Fatalf("third of two: %v, %+v", err, r)
+		t.Fatalf("third connection of two: %v, %+v", err, r)
 	}
-	// Silent ones are closed, and their places are free again.
+	// Idle connections are closed and no longer counted.
 	if _, err := first.Read(make([]byte, 1)); err != io.EOF {
-		t.Fatalf("silent: %v", err)
+		t.Fatalf("idle connection: %v", err)
 	}
-	await(t, "places", func() bool {
+	await(t, "idle connections to be closed", func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		return len(s.conns) == 0
 	})
 }
 
-// One connection has a bound of asks under way; those over it are told busy.
-func TestAsksOfOneConnection(t *testing.T) {
-	hold := make(chan struct{})
+// The number of concurrent requests of a connection is limited; further ones get a busy reply.
+func TestConnectionRequestLimit(t *testing.T) {
+	release := make(chan struct{})
 	c := newCluster(t, 1, func() Machine {
-		return hooked{register.New(), func([]byte) { <-hold }}
+		return hookedMachine{register.New(), func([]byte) { <-release }}
 	}, nil).start()
-	session, err := c.leader().voter.openSession(within(t))
+	session, err := c.leader().voter.openSession(testContext(t))
 	if err != nil {
 		t.Fatal(err)
 	}
-	conn := dial(t, c.addrs[0])
+	conn := dialServer(t, c.clientAddrs[0])
 	for i := range uint64(40) {
-		conn.Write(frame(t, &request{Kind: requestAsk, ID: i + 1, Session: session, Seq: i + 1, Body: register.Add(0, 1)}))
+		conn.Write(mustEncodeFrame(t, &request{Kind: requestPropose, ID: i + 1, Session: session, Seq: i + 1, Body: register.Add(0, 1)}))
 	}
 	busy := 0
 	for range 40 - 16 {
@@ -132,66 +132,67 @@
 		if err := readFrame(conn, &r, func() {}); err != nil {
 			t.Fatal(err)
 		}
-		if r.Code == codeBusy && r.ComeBack > 0 {
+		if r.Code == codeBusy && r.RetryAfter > 0 {
 			busy++
 		}
 	}
-	close(hold)
+	close(release)
 	if busy != 40-16 {
-		t.Fatalf("%d told busy, not %d", busy, 40-16)
+		t.Fatalf("%d busy replies, not %d", busy, 40-16)
 	}
 }
 
-// A client that no voter answers gives up with its context, and says that
-// nothing was asked; one without a majority says that it does not know.
-func TestClientGivesUp(t *testing.T) {
-	k, err := NewClient(ClientConfig{Voters: []string{standin.FreeAddr(t), standin.FreeAddr(t)}}, quiet)
+// A client that can't reach any voter returns the error of its context, because nothing
+// was proposed. Without a majority of voters a proposal fails, and after Close it
+// returns ErrShutdown.
+func TestClientTimeout(t *testing.T) {
+	client, err := NewClient(ClientConfig{Voters: []string{standin.FreeAddr(t), standin.FreeAddr(t)}}, discardLogger)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer k.Close()
+	defer client.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
-	if _, _, err := k.Ask(ctx, register.Add(0, 1)); !errors.Is(err, context.DeadlineExceeded) {
-		t.Fatalf("nobody there: %v", err)
+	if _, _, err := client.Propose(ctx, register.Add(0, 1)); !errors.Is(err, context.DeadlineExceeded) {
+		t.Fatalf("no voter reachable: %v", err)
 	}
 	c := newCluster(t, 3, newRegister, nil).start()
-	k = c.client()
-	c.add(k, 1)
+	client = c.client()
+	c.add(client, 1)
 	for _, n := range c.nodes {
-		n.setCut(true)
+		n.setIsolated(true)
 	}
-	ctx, cancel = context.WithTimeout(context.Background(), 4*heartbeat)
+	ctx, cancel = context.WithTimeout(context.Background(), 4*testHeartbeat)
 	defer cancel()
-	if _, _, err := k.Ask(ctx, register.Add(0, 1)); err == nil {
-		t.Fatal("agreed without a majority")
+	if _, _, err := client.Propose(ctx, register.Add(0, 1)); err == nil {
+		t.Fatal("committed without a majority")
 	}
-	k.Close()
-	if _, _, err := k.Ask(within(t), register.Add(0, 1)); !errors.Is(err, ErrShutdown) {
-		t.Fatalf("after its end: %v", err)
+	client.Close()
+	if _, _, err := client.Propose(testContext(t), register.Add(0, 1)); !errors.Is(err, ErrShutdown) {
+		t.Fatalf("after Close: %v", err)
 	}
 }
 
-func TestErrorsOnTheWire(t *testing.T) {
+func TestErrorEncoding(t *testing.T) {
 	for _, err := range []error{
-		nil, ErrUnknown, ErrShutdown, ErrSession, ErrStale, ErrCrowded, ErrTooLong,
-		&notLeaderError{"127.0.0.1:1"}, &notLeaderError{}, &busyError{30 * time.Millisecond}, &goneError{7},
+		nil, ErrOutcomeUnknown, ErrShutdown, ErrUnknownSession, ErrConfirmed, ErrTooManyUnconfirmed, ErrTooLong,
+		&notLeaderError{"127.0.0.1:1"}, &notLeaderError{}, &busyError{30 * time.Millisecond}, &compactedError{7},
 	} {
 		var r, back reply
 		r.setError(err)
-		if e := readFrame(bytes.NewReader(frame(t, &r)), &back, func() {}); e != nil {
+		if e := readFrame(bytes.NewReader(mustEncodeFrame(t, &r)), &back, func() {}); e != nil {
 			t.Fatal(e)
 		}
 		if got := back.err(); !reflect.DeepEqual(got, err) {
-			t.Errorf("%v came as %v", err, got)
+			t.Errorf("%v was decoded as %v", err, got)
 		}
 	}
 }
 
 func FuzzFrame(f *testing.F) {
-	f.Add(frame(f, &request{Kind: requestAsk, ID: 1, Session: 2, Seq: 3, Done: 1, Body: []byte("entry")}))
-	f.Add(frame(f, &reply{ID: 1, Code: codeNotLeader, Text: "127.0.0.1:1"}))
-	f.Add(frame(f, &reply{Hello: &hello{Name: "a", Life: 3, Formed: map[string]uint64{"a": 3}}}))
+	f.Add(mustEncodeFrame(f, &request{Kind: requestPropose, ID: 1, Session: 2, Seq: 3, Confirmed: 1, Body: []byte("entry")}))
+	f.Add(mustEncodeFrame(f, &reply{ID: 1, Code: codeNotLeader, Text: "127.0.0.1:1"}))
+	f.Add(mustEncodeFrame(f, &reply{Hello: &hello{Name: "a", Incarnation: 3, Incarnations: map[string]uint64{"a": 3}}}))
 	f.Add([]byte{0, 0, 0, 2, 1, 0xa0})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		for _, m := range []any{&request{}, &reply{}} {
@@ -199,8 +200,8 @@
 				continue
 			}
 			again := reflect.New(reflect.TypeOf(m).Elem()).Interface()
-			if err := readFrame(bytes.NewReader(frame(t, m)), again, func() {}); err != nil {
-				t.Fatalf("%+v written is not read: %v", m, err)
+			if err := readFrame(bytes.NewReader(mustEncodeFrame(t, m)), again, func() {}); err != nil {
+				t.Fatalf("%+v can't be decoded after encoding: %v", m, err)
 			}
 			if r, ok := m.(*reply); ok {
 				r.err()
--- a/fleet/member/self.go
+++ b/fleet/member/self.go
@@ -1,56 +1,56 @@
 package member
 
-// Told reports what the member named from knows of one's own name; "" is a word without a
-// known teller.
-func (r *roster) Told(now clockTime, from string, rec lifeRecord) {
-	r.detectStop(now)
+// SelfReported handles a record of the roster's own name that the member named from holds; from is
+// "" if the reporter is unknown.
+func (r *roster) SelfReported(now clockTime, from string, rec memberRecord) {
+	r.detectPause(now)
 	if rec.Name != r.self.Name || rec.Incarnation > maxIncarnation || r.phase > Serving {
 		return
 	}
-	r.highestTold = max(r.highestTold, rec.Incarnation)
+	r.highestReported = max(r.highestReported, rec.Incarnation)
 	switch {
 	case r.phase == Starting:
-	case rec.Life == r.self.Life && rec.State == stateAlive:
-		// One's own echo. Above one's own incarnation it is damaged or forged.
-	case rec.Life == r.self.Life:
-		r.countAccuser(from, rec)
+	case rec.RunID == r.self.RunID && rec.State == stateAlive:
+		// The roster's own announcement. With a higher incarnation it is corrupt or forged.
+	case rec.RunID == r.self.RunID:
+		r.countDeathReport(from, rec)
 	case rec.departed() || rec.Addr == r.self.Addr:
-		// Who has one's own address can't be running beside.
-	case compareLives(rec.Member, r.self) > 0:
-		r.stepAside(rec.Member)
+		// A process run at the same address can't be running at the same time.
+	case compareRuns(rec.Member, r.self) > 0:
+		r.withdraw(rec.Member)
 		return
 	default:
-		return // the other steps aside
+		return // the other process withdraws
 	}
-	if r.phase == Serving && r.highestTold >= r.self.Incarnation && r.highestTold < maxIncarnation {
-		if rec.Life != r.self.Life || rec.departed() {
-			r.setIncarnation(r.highestTold + 1)
+	if r.phase == Serving && r.highestReported >= r.self.Incarnation && r.highestReported < maxIncarnation {
+		if rec.RunID != r.self.RunID || rec.departed() {
+			r.setIncarnation(r.highestReported + 1)
 		}
 	}
 }
 
-// countAccuser counts those that have found this life dead. When a majority has, its parts may
-// have gone to others, and it must not act on what it holds; one that was cut off alone
-// takes the rest for dead, and must not make all of them drop all.
-func (r *roster) countAccuser(from string, rec lifeRecord) {
-	if rec.State != stateDead || from == "" || rec.Incarnation < max(r.accusedIncarnation, r.resumedIncarnation) {
+// countDeathReport counts the members that declared this process run dead. Once a majority has, its
+// responsibilities may have moved to others, and it must discard its state. Fewer reports don't
+// suffice: a single partitioned member believes all others dead, and must not make all of them
+// discard their state when it returns.
+func (r *roster) countDeathReport(from string, rec memberRecord) {
+	if rec.State != stateDead || from == "" || rec.Incarnation < max(r.reportedDeadIncarnation, r.resumedIncarnation) {
 		return
 	}
-	if rec.Incarnation > r.accusedIncarnation {
-		r.accusedIncarnation = rec.Incarnation
-		clear(r.accusers)
+	if rec.Incarnation > r.reportedDeadIncarnation {
+		r.reportedDeadIncarnation = rec.Incarnation
+		clear(r.deathReporters)
 	}
-	if r.accusers[from] || 2*len(r.accusers) > r.fleetSize() {
+	if r.deathReporters[from] || 2*len(r.deathReporters) > r.fleetSize() {
 		return
 	}
-	r.accusers[from] = true
-	if 2*len(r.accusers) > r.fleetSize() {
+	r.deathReporters[from] = true
+	if 2*len(r.deathReporters) > r.fleetSize() {
 		r.resume()
 	}
 }
 
-// fleetSize is how many members the fleet has had of late: those that left don't count, those
-// that died do.
+// fleetSize returns the number of recent members: those that died count, those that left don't.
 func (r *roster) fleetSize() int {
 	n := 1
 	for _, rec := range r.names {
@@ -61,33 +61,33 @@
 	return n
 }
 
-// stepAside ends this process's part in the fleet, for good: winner keeps the name.
-func (r *roster) stepAside(winner Member) {
+// withdraw permanently ends this process's membership: winner keeps the name.
+func (r *roster) withdraw(winner Member) {
 	old := r.self
-	r.phase = Aside
+	r.phase = Superseded
 	clear(r.names)
 	clear(r.notices)
-	r.actions.Happened(Event{Kind: Displaced, Member: winner, Old: old})
-	r.actions.StepAside(winner)
+	r.actions.EmitEvent(Event{Kind: Displaced, Member: winner, Old: old})
+	r.actions.Withdraw(winner)
 }
 
-// detectStop notices at the first event after a stop that the process was stopped for longer
-// than the others wait before they take a member for dead.
-func (r *roster) detectStop(now clockTime) {
-	if r.phase == Serving && now-r.lastTick > r.limits.StopAfter {
+// detectPause detects, at the first event after a pause of the process, that it was paused for longer
+// than the others wait before they declare a member dead.
+func (r *roster) detectPause(now clockTime) {
+	if r.phase == Serving && now-r.lastTick > r.limits.PauseThreshold {
 		r.lastTick = now
 		r.resume()
 	}
 }
 
-// resume takes an incarnation above all that others may have accused.
+// resume takes an incarnation above all that others may have declared dead, and emits Resumed.
 func (r *roster) resume() {
-	r.setIncarnation(max(r.highestTold, r.self.Incarnation) + 1)
+	r.setIncarnation(max(r.highestReported, r.self.Incarnation) + 1)
 	r.resumedIncarnation = r.self.Incarnation
-	r.actions.Happened(Event{Kind: Resumed, Member: r.self})
+	r.actions.EmitEvent(Event{Kind: Resumed, Member: r.self})
 }
 
-// setIncarnation takes an incarnation and announces it.
+// setIncarnation sets the roster's own incarnation and announces it.
 func (r *roster) setIncarnation(incarnation uint64) {
 	r.self.Incarnation = incarnation
 	r.actions.Announce(r.self)
--- a/fleet/member/wire.go
+++ b/fleet/member/wire.go
@@ -8,56 +8,56 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// What goes over the network: a version in the first byte, then one CBOR array (RFC
-// 8949). Readers bound all that they take, since anyone who has the key, or anyone at
-// all where there is none, can send.
+// Wire format: a version in the first byte, then one CBOR array (RFC 8949). Decoders limit
+// everything that they accept, since anyone with the key, or anyone at all if there is no
+// key, can send.
 const (
 	wireVersion = 1
 
-	maxName    = 64   // bytes of a name, a zone
-	maxAddr    = 64   // bytes of an address
-	maxRecords = 1536 // departed lives in one state: of a fleet of over a thousand, all of them
-	maxState   = 256 << 10
-	// MaxPayload is the longest payload in bytes of one message: with its head, and with
-	// memberlist's, it fits in one Ethernet frame.
+	maxNameBytes  = 64   // of a name or a zone
+	maxAddrBytes  = 64   // of an address
+	maxRecords    = 1536 // departed members in one exchanged state: enough for all members of a fleet of over a thousand
+	maxStateBytes = 256 << 10
+	// MaxPayload is the maximum payload of a message in bytes: with its own and memberlist's
+	// headers, the message fits in one Ethernet frame.
 	MaxPayload = 1024
 )
 
-// meta is what memberlist carries with each member, in at most 512 bytes.
+// meta is the metadata that memberlist gossips with each member, at most 512 bytes.
 type meta struct {
 	_           struct{} `cbor:",toarray"`
 	Incarnation uint64
-	Life        uint64
+	RunID       uint64
 	Zone        string
 	Version     uint8
 	Leaving     bool
 }
 
-// wireLife is one lifeRecord on the network. An age travels instead of a time, since no two
-// members' clocks can be compared.
-type wireLife struct {
+// wireRecord is the wire form of a memberRecord. It carries an age instead of a time, since the clocks
+// of two members can't be compared.
+type wireRecord struct {
 	_           struct{} `cbor:",toarray"`
 	Name        string
 	Incarnation uint64
-	Life        uint64
+	RunID       uint64
 	Addr        string
-	State       lifeState
+	State       memberState
 	Age         uint64 // in milliseconds
 }
 
-// memory is what members tell one another of departed lives in a full exchange.
-type memory struct {
+// departedState holds the departed members that a member sends in a full exchange.
+type departedState struct {
 	_       struct{} `cbor:",toarray"`
 	From    string
-	Records []wireLife
+	Records []wireRecord
 }
 
 type messageKind uint8
 
 const (
-	kindData messageKind = iota // for the users of the node
-	kindTold                    // what is known of the receiver's name
-	messageKinds
+	kindData   messageKind = iota // application message
+	kindNotice                    // a record of the receiver's name
+	messageKindCount
 )
 
 // message is one datagram.
@@ -66,9 +66,9 @@
 	Kind        messageKind
 	From        string
 	Incarnation uint64
-	Life        uint64
-	Payload     []byte    // kindData
-	About       *wireLife // kindTold
+	RunID       uint64
+	Payload     []byte      // kindData
+	About       *wireRecord // kindTold
 }
 
 var (
@@ -86,7 +86,7 @@
 
 func mustMode[T any](v T, err error) T {
 	if err != nil {
-		panic(err) // the options above are constants
+		panic(err) // the options are constants
 	}
 	return v
 }
@@ -106,7 +106,7 @@
 	case len(buf) == 0:
 		return errEmpty
 	case buf[0] != wireVersion:
-		return fmt.Errorf("version %d is not known", buf[0])
+		return fmt.Errorf("version %d is not supported", buf[0])
 	case len(buf) > limit:
 		return fmt.Errorf("%d bytes, %d at most", len(buf), limit)
 	}
@@ -118,8 +118,8 @@
 		switch {
 		case m.Incarnation > maxIncarnation:
 			err = fmt.Errorf("incarnation: %d is too high", m.Incarnation)
-		case len(m.Zone) > maxName:
-			err = fmt.Errorf("zone: %d bytes, %d at most", len(m.Zone), maxName)
+		case len(m.Zone) > maxNameBytes:
+			err = fmt.Errorf("zone: %d bytes, %d at most", len(m.Zone), maxNameBytes)
 		}
 	}
 	if err != nil {
@@ -128,38 +128,38 @@
 	return m, nil
 }
 
-func (l *wireLife) check() error {
+func (r *wireRecord) check() error {
 	switch {
-	case l.Name == "" || len(l.Name) > maxName:
-		return fmt.Errorf("name: %d bytes, 1 to %d allowed", len(l.Name), maxName)
-	case len(l.Addr) > maxAddr:
-		return fmt.Errorf("addr: %d bytes, %d at most", len(l.Addr), maxAddr)
-	case l.Incarnation > maxIncarnation:
-		return fmt.Errorf("incarnation: %d is too high", l.Incarnation)
-	case l.State > stateGone:
-		return fmt.Errorf("state: %d is not known", l.State)
+	case r.Name == "" || len(r.Name) > maxNameBytes:
+		return fmt.Errorf("name: %d bytes, 1 to %d allowed", len(r.Name), maxNameBytes)
+	case len(r.Addr) > maxAddrBytes:
+		return fmt.Errorf("addr: %d bytes, %d at most", len(r.Addr), maxAddrBytes)
+	case r.Incarnation > maxIncarnation:
+		return fmt.Errorf("incarnation: %d is too high", r.Incarnation)
+	case r.State > stateLeft:
+		return fmt.Errorf("state: %d is not known", r.State)
 	}
 	return nil
 }
 
-// toRecord puts a life on the clock of the receiver.
-func (l *wireLife) toRecord(now clockTime) lifeRecord {
-	m := Member{Name: l.Name, Incarnation: l.Incarnation, Life: l.Life, Addr: l.Addr}
-	age := time.Duration(min(l.Age, uint64(1<<40))) * time.Millisecond
-	return lifeRecord{Member: m, State: l.State, Since: now - age}
+// toRecord converts a wire record to a memberRecord on the receiver's clock.
+func (r *wireRecord) toRecord(now clockTime) memberRecord {
+	m := Member{Name: r.Name, Incarnation: r.Incarnation, RunID: r.RunID, Addr: r.Addr}
+	age := time.Duration(min(r.Age, uint64(1<<40))) * time.Millisecond
+	return memberRecord{Member: m, State: r.State, Since: now - age}
 }
 
-func toWireLife(now clockTime, r lifeRecord) wireLife {
-	l := wireLife{Name: r.Name, Incarnation: r.Incarnation, Life: r.Life, Addr: r.Addr, State: r.State}
+func toWireRecord(now clockTime, r memberRecord) wireRecord {
+	wire := wireRecord{Name: r.Name, Incarnation: r.Incarnation, RunID: r.RunID, Addr: r.Addr, State: r.State}
 	if r.departed() {
-		l.Age = uint64(max(0, now-r.Since) / time.Millisecond)
+		wire.Age = uint64(max(0, now-r.Since) / time.Millisecond)
 	}
-	return l
+	return wire
 }
 
-func readMemory(buf []byte) (m memory, err error) {
-	if err = decode(buf, maxState, &m); err == nil && len(m.From) > maxName {
-		err = fmt.Errorf("from: %d bytes, %d at most", len(m.From), maxName)
+func readDepartedState(buf []byte) (m departedState, err error) {
+	if err = decode(buf, maxStateBytes, &m); err == nil && len(m.From) > maxNameBytes {
+		err = fmt.Errorf("from: %d bytes, %d at most", len(m.From), maxNameBytes)
 	}
 	for i := range m.Records {
 		if err == nil {
@@ -170,7 +170,7 @@
 		}
 	}
 	if err != nil {
-		return memory{}, fmt.Errorf("member: state: %w", err)
+		return departedState{}, fmt.Errorf("member: state: %w", err)
 	}
 	return m, nil
 }
@@ -178,15 +178,15 @@
 func readMessage(buf []byte) (m message, err error) {
 	if err = decode(buf, 1400, &m); err == nil {
 		switch {
-		case m.Kind >= messageKinds:
+		case m.Kind >= messageKindCount:
 			err = fmt.Errorf("kind: %d is not known", m.Kind)
-		case m.From == "" || len(m.From) > maxName:
-			err = fmt.Errorf("from: %d bytes, 1 to %d allowed", len(m.From), maxName)
+		case m.From == "" || len(m.From) > maxNameBytes:
+			err = fmt.Errorf("from: %d bytes, 1 to %d allowed", len(m.From), maxNameBytes)
 		case len(m.Payload) > MaxPayload:
 			err = fmt.Errorf("payload: %d bytes, %d at most", len(m.Payload), MaxPayload)
-		case m.Kind == kindTold && m.About == nil:
+		case m.Kind == kindNotice && m.About == nil:
 			err = errors.New("about: missing")
-		case m.Kind == kindTold:
+		case m.Kind == kindNotice:
 			err = m.About.check()
 		}
 	}
--- a/internal/scale/localfleet/view.go
+++ b/internal/scale/localfleet/view.go
@@ -14,15 +14,15 @@
 	AllConvergedAfter time.Duration   // time until all views were correct at once; 0 unless Unconverged is 0
 }
 
-// identity is what a view must record of a member: its current life and incarnation.
+// identity is what a view must record of a member: its current run ID and incarnation.
 type identity struct {
 	name        string
-	life        uint64
+	runID       uint64
 	incarnation uint64
 }
 
 func identityOf(m member.Member) identity {
-	return identity{m.Name, m.Life, m.Incarnation}
+	return identity{m.Name, m.RunID, m.Incarnation}
 }
 
 // Observe waits until the view of every running member consists of exactly the running members
