--- a/fleet/schedule/encoding_test.go
+++ b/fleet/schedule/encoding_test.go
@@ -12,27 +12,28 @@
 	"oxbowloft/fleet/window"
 )
 
-// fullAnswer is an answer in which every field is set.
+// fullAnswer returns an answer in which every field is set.
 func fullAnswer() schedule.Answer {
 	plan := window.Window{
-		Ask: window.Ask{ID: "p1", Region: "r", Zone: "z", Amount: 5, Duration: time.Hour, Earliest: time.Minute,
-			Latest: 50 * time.Hour, Priority: 2, Notice: time.Second, Recall: true},
-		State: window.Refused, First: 1, Start: 2, End: 3, Fence: 4, Drained: 5, Serving: 6, Why: "no room", Could: 7,
+		Request: window.Request{ID: "p1", Region: "r", Zone: "z", Amount: 5, Duration: time.Hour, EarliestStart: time.Minute,
+			LatestEnd: 50 * time.Hour, Priority: 2, Notice: time.Second, Recallable: true},
+		State: window.Refused, FirstStart: 1, Start: 2, End: 3, Fence: 4, Drained: 5, Serving: 6, Reason: "no room", EarliestFeasible: 7,
 	}
 	moved := plan
-	moved.Ask.Backends = []string{"b0", "b1"}
+	moved.Request.Backends = []string{"b0", "b1"}
 	return schedule.Answer{
 		Answer: window.Answer{
-			Index: 11, Now: time.Minute, Result: window.Bad, Err: "window: ask", Known: true, Window: plan,
-			Events: []window.Event{{Kind: window.EventMoved, Window: moved,
-				Scope: window.Scope{Region: "r", Zone: "z"}, Floor: 30, Have: 29}},
+			Index: 11, Now: time.Minute, Result: window.Invalid, Err: "window: ask", HasWindow: true, Window: plan,
+			Events: []window.Event{{Kind: window.EventStartMoved, Window: moved,
+				Scope: window.Scope{Region: "r", Zone: "z"}, Required: 30, Available: 29}},
 		},
-		Left: 8,
+		OmittedEvents: 8,
 	}
 }
 
-// fullAnswerBytes is fullAnswer as voters of earlier builds write it. Voters of two builds read each
-// other's answers, and answers are stored: a field that is written under another name is lost.
+// fullAnswerBytes is fullAnswer as earlier builds encode it. Answers are stored, and
+// voters of different builds read each other's, so a field encoded under another name
+// would be lost.
 const fullAnswerBytes = "a865496e6465780b634e6f771b0000000df847580066526573756c7405634572726b77696e646f773a2061736b654b6e6f77" +
 	"6ef56657696e646f77aa6341736baa0162703102617204617a0505061b0000034630b8a000071b0000000df8475800081b00" +
 	"00a3b5840f400009020a1a3b9aca000ef56553746174650b654669727374016553746172740263456e64036546656e636504" +
@@ -57,6 +58,6 @@
 	const version = 1
 	got, err := schedule.Parse(append([]byte{version}, stored...))
 	if err != nil || !reflect.DeepEqual(got, fullAnswer()) {
-		t.Errorf("read as %+v, %v, want %+v", got, err, fullAnswer())
+		t.Errorf("decoded as %+v, %v, want %+v", got, err, fullAnswer())
 	}
 }
--- a/fleet/window/describe.go
+++ b/fleet/window/describe.go
@@ -6,9 +6,10 @@
 	"time"
 )
 
-// stamp writes log time as days and time of day, to the millisecond.
-func stamp(t time.Duration) string {
-	if t >= never-maxTime {
+// formatLogTime formats log time as days and time of day, with milliseconds if there are
+// any.
+func formatLogTime(t time.Duration) string {
+	if t >= unboundedTime-maxLogTime {
 		return "never"
 	}
 	s := fmt.Sprintf("%dd%02d:%02d:%02d",
@@ -19,8 +20,8 @@
 	return s
 }
 
-// name is how a scope is called in lines: all, region, or region/zone.
-func name(s Scope) string {
+// scopeName returns the name of a scope in output lines: all, region, or region/zone.
+func scopeName(s Scope) string {
 	switch {
 	case s.Region == "":
 		return "all"
@@ -30,23 +31,23 @@
 	return s.Region + "/" + s.Zone
 }
 
-// Describe is a window in one line of the door.
+// Describe formats a window as one line of the admin endpoint.
 func (w Window) Describe() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "WINDOW %s state=%v region=%s", w.Ask.ID, w.State, w.Ask.Region)
-	if w.Ask.Amount > 0 {
-		fmt.Fprintf(&b, " zone=%s amount=%d", w.Ask.Zone, w.Ask.Amount)
+	fmt.Fprintf(&b, "WINDOW %s state=%v region=%s", w.Request.ID, w.State, w.Request.Region)
+	if w.Request.Amount > 0 {
+		fmt.Fprintf(&b, " zone=%s amount=%d", w.Request.Zone, w.Request.Amount)
 	} else {
-		fmt.Fprintf(&b, " backends=%s", strings.Join(w.Ask.Backends, ","))
+		fmt.Fprintf(&b, " backends=%s", strings.Join(w.Request.Backends, ","))
 	}
-	fmt.Fprintf(&b, " priority=%d", w.Ask.Priority)
+	fmt.Fprintf(&b, " priority=%d", w.Request.Priority)
 	switch {
-	case w.State == Refused && w.Could >= 0:
-		fmt.Fprintf(&b, " earliest=%s", stamp(w.Could))
+	case w.State == Refused && w.EarliestFeasible >= 0:
+		fmt.Fprintf(&b, " earliest=%s", formatLogTime(w.EarliestFeasible))
 	case w.State == Refused:
 		b.WriteString(" earliest=none")
-	case w.State != Asked && w.State != Cancelled:
-		fmt.Fprintf(&b, " start=%s end=%s", stamp(w.Start), stamp(w.End))
+	case w.State != Requested && w.State != Cancelled:
+		fmt.Fprintf(&b, " start=%s end=%s", formatLogTime(w.Start), formatLogTime(w.End))
 	}
 	if w.Fence != 0 {
 		fmt.Fprintf(&b, " fence=%v", w.Fence)
@@ -54,33 +55,35 @@
 	if w.State == Granted || w.State == Draining {
 		fmt.Fprintf(&b, " drained=%d/%d", w.Drained, w.Serving)
 	}
-	if w.Why != "" {
-		fmt.Fprintf(&b, " why=%q", w.Why)
+	if w.Reason != "" {
+		fmt.Fprintf(&b, " why=%q", w.Reason)
 	}
 	return b.String()
 }
 
-// Describe is an event in one line.
+// Describe formats an event as one line.
 func (e Event) Describe() string {
 	switch e.Kind {
 	case EventState:
 		return e.Window.Describe()
-	case EventMoved:
+	case EventStartMoved:
 		return e.Window.Describe() + " moved=yes"
-	case EventShort:
-		return fmt.Sprintf("FLOOR %s state=short floor=%d have=%d", name(e.Scope), e.Floor, e.Have)
-	case EventHeld:
-		return fmt.Sprintf("FLOOR %s state=held floor=%d have=%d", name(e.Scope), e.Floor, e.Have)
+	case EventBelowFloor:
+		return fmt.Sprintf("FLOOR %s state=short floor=%d have=%d", scopeName(e.Scope), e.Required,
+			e.Available)
+	case EventFloorRestored:
+		return fmt.Sprintf("FLOOR %s state=held floor=%d have=%d", scopeName(e.Scope), e.Required,
+			e.Available)
 	default:
-		return fmt.Sprintf("FLOOR %s state=in-force floor=%d", name(e.Scope), e.Floor)
+		return fmt.Sprintf("FLOOR %s state=in-force floor=%d", scopeName(e.Scope), e.Required)
 	}
 }
 
-// Describe is an answer in one line: the result, the log time, then the window or
+// Describe formats an answer as one line: the result, the log time, then the window or
 // the reason.
 func (a Answer) Describe() string {
-	s := fmt.Sprintf("%s now=%s index=%d", strings.ToUpper(a.Result.String()), stamp(a.Now), a.Index)
-	if a.Known {
+	s := fmt.Sprintf("%s now=%s index=%d", strings.ToUpper(a.Result.String()), formatLogTime(a.Now), a.Index)
+	if a.HasWindow {
 		s += " " + a.Window.Describe()
 	}
 	if a.Err != "" {
@@ -89,56 +92,59 @@
 	return s
 }
 
-// Floor is a scope's floor as operators see it.
+// Floor is the view of a scope's floor that operators get. Sizes are capacity units.
 type Floor struct {
-	Scope   Scope
-	Steps   []Step // in force
-	Pending []Step // not in force yet; grants keep to it already
-	Total   int64  // size of all backends
-	Have    int64  // of that, what is not out, by itself or by windows
-	Floor   int64  // in force now
+	Scope     Scope
+	Steps     []Step // in force
+	Pending   []Step // not in force yet, but already binding for grants
+	Total     int64  // size of all backends of the scope
+	Available int64  // part of Total that is neither failed, warming up nor in a window
+	Required  int64  // capacity required by Steps now
 }
 
-// Floors returns the floors in the order of their scopes.
+// Floors returns the floors in order of scope.
 func (m *Machine) Floors() []Floor {
-	var all []Floor
-	v := m.view(true)
+	var floors []Floor
+	fc := m.forecast(true)
 	for _, f := range m.floors {
-		all = append(all, Floor{Scope: f.Scope, Steps: append([]Step(nil), f.Steps...),
-			Pending: append([]Step(nil), f.Next...), Total: m.totals[f.Scope], Have: v.room(f.Scope, m.now),
-			Floor: at(f.Steps, m.now)})
+		floors = append(floors, Floor{Scope: f.Scope, Steps: append([]Step(nil), f.Steps...),
+			Pending: append([]Step(nil), f.Pending...), Total: m.totalSizes[f.Scope],
+			Available: fc.available(f.Scope, m.now),
+			Required:  requiredAt(f.Steps, m.now)})
 	}
-	return all
+	return floors
 }
 
-// Describe is a floor in one line of the door.
+// Describe formats a floor as one line of the admin endpoint.
 func (f Floor) Describe() string {
 	state := "held"
-	if f.Have < f.Floor {
+	if f.Available < f.Required {
 		state = "short"
 	}
 	s := fmt.Sprintf("FLOOR %s state=%s floor=%d have=%d total=%d steps=%s",
-		name(f.Scope), state, f.Floor, f.Have, f.Total, stepsText(f.Steps))
+		scopeName(f.Scope), state, f.Required, f.Available, f.Total, formatSteps(f.Steps))
 	if len(f.Pending) > 0 {
-		s += " pending=" + stepsText(f.Pending)
+		s += " pending=" + formatSteps(f.Pending)
 	}
 	return s
 }
 
-func stepsText(steps []Step) string {
-	var all []string
+func formatSteps(steps []Step) string {
+	var parts []string
 	for _, s := range steps {
-		at := s.From
-		all = append(all, fmt.Sprintf("%02d:%02d=%d", at/time.Hour, at%time.Hour/time.Minute, s.Floor))
+		from := s.From
+		parts = append(parts, fmt.Sprintf("%02d:%02d=%d", from/time.Hour, from%time.Hour/time.Minute,
+			s.Capacity))
 	}
-	if all == nil {
+	if parts == nil {
 		return "none"
 	}
-	return strings.Join(all, ",")
+	return strings.Join(parts, ",")
 }
 
-// Status is the machine in one line of the door.
+// Status formats a summary of the machine as one line of the admin endpoint.
 func (m *Machine) Status() string {
 	return fmt.Sprintf("STATUS now=%s index=%d backends=%d serving=%d open=%d ended=%d",
-		stamp(m.now), m.index, len(m.backends), len(m.serving), len(m.open), len(m.ended))
+		formatLogTime(m.now), m.index, len(m.backends), len(m.servingMembers), len(m.openPlans),
+		len(m.endedPlans))
 }
--- a/fleet/window/makespan_test.go
+++ b/fleet/window/makespan_test.go
@@ -9,20 +9,20 @@
 	"time"
 )
 
-var makespanSets = flag.Int("window.sets", 12, "random sets of plans in TestMakespan")
+var makespanSets = flag.Int("window.sets", 12, "number of random sets of plans in TestMakespan")
 
-// makespanSet is one random set of plans, all asked at the start, that are drained
-// at once and returned at their end.
+// makespanSet is a random set of plans that are all requested at the start, drained at
+// once and returned at their end.
 type makespanSet struct {
-	rng      *rand.Rand
-	m        *Machine
-	index    uint64
-	backends []Backend
-	floors   map[Scope][]Step
-	plans    []Ask
-	named    map[string]int
-	share    float64       // a plan takes no more of the least room of a scope; 0: any
-	last     time.Duration // end of the last warm-up
+	rng        *rand.Rand
+	machine    *Machine
+	index      uint64
+	backends   []Backend
+	floors     map[Scope][]Step
+	plans      []Request
+	nameCounts map[string]int
+	maxShare   float64       // limit of a plan's share of the smallest free capacity of a scope; 0: none
+	lastDone   time.Duration // time at which the last plan was done
 }
 
 func (s *makespanSet) apply(t *testing.T, e Entry) Answer {
@@ -31,16 +31,16 @@
 		t.Fatal(err)
 	}
 	s.index++
-	a := s.m.Apply(s.index, data)
+	a := s.machine.Apply(s.index, data)
 	for _, ev := range a.Events {
 		if ev.Kind == EventState && ev.Window.State == Done {
-			s.last = a.Now
+			s.lastDone = a.Now
 		}
 	}
 	return a
 }
 
-func (s *makespanSet) between(least, most int) int { return least + s.rng.IntN(most-least+1) }
+func (s *makespanSet) between(lowest, highest int) int { return lowest + s.rng.IntN(highest-lowest+1) }
 
 func (s *makespanSet) build(t *testing.T, daily bool) {
 	for r := range s.between(2, 3) {
@@ -48,43 +48,43 @@
 			for i := range s.between(14, 24) {
 				s.backends = append(s.backends, Backend{ID: fmt.Sprintf("b-%d-%d-%d", r, z, i),
 					Region: fmt.Sprint("r", r), Zone: fmt.Sprint("z", z), Size: int64(s.between(1, 4)),
-					Warm: time.Duration(s.between(0, 10)) * minute, Cold: int64(s.between(200, 600)), Ready: true})
+					WarmUpTime: time.Duration(s.between(0, 10)) * minute, InitialPermille: int64(s.between(200, 600)), SkipWarmUp: true})
 			}
 		}
 	}
-	s.apply(t, Backends{s.backends})
+	s.apply(t, PutBackends{s.backends})
 	totals := map[Scope]int64{}
-	var order []Scope
+	var scopes []Scope
 	for _, b := range s.backends {
 		for _, sc := range scopesOf(b.Region, b.Zone) {
 			if totals[sc] == 0 {
-				order = append(order, sc)
+				scopes = append(scopes, sc)
 			}
 			totals[sc] += b.Size
 		}
 	}
-	for _, sc := range order {
-		least, most := 60, 80
+	for _, sc := range scopes {
+		lowestPercent, highestPercent := 60, 80
 		if sc.Zone == "" {
-			least, most = 70, 80
+			lowestPercent, highestPercent = 70, 80
 		}
 		if sc.Region == "" {
-			least, most = 91, 95
+			lowestPercent, highestPercent = 91, 95
 		}
-		steps := []Step{{0, totals[sc] * int64(s.between(least, most)) / 100}}
+		steps := []Step{{0, totals[sc] * int64(s.between(lowestPercent, highestPercent)) / 100}}
 		if daily {
-			steps = append(steps, Step{6 * time.Hour, steps[0].Floor + (totals[sc]-steps[0].Floor)*int64(s.between(0, 25))/100},
-				Step{22 * time.Hour, steps[0].Floor})
+			steps = append(steps, Step{6 * time.Hour, steps[0].Capacity + (totals[sc]-steps[0].Capacity)*int64(s.between(0, 25))/100},
+				Step{22 * time.Hour, steps[0].Capacity})
 		}
 		s.floors[sc] = steps
 		s.apply(t, SetFloor{sc, steps})
 	}
 }
 
-func (s *makespanSet) ask(t *testing.T, n int) {
+func (s *makespanSet) request(t *testing.T, n int) {
 	first := s.backends[s.rng.IntN(len(s.backends))]
-	e := Ask{ID: fmt.Sprint("p", n), Region: first.Region, Duration: time.Duration(s.between(10, 40)) * minute,
-		Earliest: time.Duration(max(0, s.between(-90, 30))) * minute, Latest: 13 * day, Priority: s.rng.IntN(4),
+	e := Request{ID: fmt.Sprint("p", n), Region: first.Region, Duration: time.Duration(s.between(10, 40)) * minute,
+		EarliestStart: time.Duration(max(0, s.between(-90, 30))) * minute, LatestEnd: 13 * day, Priority: s.rng.IntN(4),
 		Notice: time.Duration(s.between(0, 2)*5) * minute}
 	if s.rng.IntN(4) == 0 {
 		e.Zone, e.Amount = first.Zone, int64(s.between(1, 6))
@@ -96,139 +96,141 @@
 			}
 		}
 	}
-	if s.share > 0 && s.largest(e) > s.share {
+	if s.maxShare > 0 && s.largestShare(e) > s.maxShare {
 		return
 	}
 	for _, id := range e.Backends {
-		if s.named[id] >= 1 {
+		if s.nameCounts[id] >= 1 {
 			return
 		}
 	}
 	for _, id := range e.Backends {
-		s.named[id]++
+		s.nameCounts[id]++
 	}
-	if s.apply(t, e).Result == OK { // else it is larger than the room at any time
+	if s.apply(t, e).Result == OK { // otherwise it never fits
 		s.plans = append(s.plans, e)
 	}
 }
 
-// bound is the lower bound: in each scope the work, warm-ups in, over the room; the
-// longest plan; and for each backend the plans that name it one after the other.
-func (s *makespanSet) bound() time.Duration {
-	var most time.Duration
-	work := map[Scope]map[time.Duration]float64{} // size times minutes, by the earliest start
-	chain := map[string]time.Duration{}
-	start := map[string]time.Duration{}
+// lowerBound returns a lower bound of the makespan, the largest of: in each scope the
+// work, with warm-ups, over the free capacity; the plans that can't overlap; the longest
+// plan; and for each backend the sum of the plans that name it.
+func (s *makespanSet) lowerBound() time.Duration {
+	var longest time.Duration
+	work := map[Scope]map[time.Duration]float64{} // size times minutes, by earliest start
+	chainLength := map[string]time.Duration{}
+	chainStart := map[string]time.Duration{}
 	byID := map[string]Backend{}
 	for _, b := range s.backends {
 		byID[b.ID] = b
 	}
 	for _, p := range s.plans {
-		first := max(p.Earliest, p.Notice)
-		warm := time.Duration(0)
-		add := func(region, zone string, size, cold int64, w time.Duration) {
-			warm = max(warm, w)
+		first := max(p.EarliestStart, p.Notice)
+		longestWarmUp := time.Duration(0)
+		add := func(region, zone string, size, initialPermille int64, warmUp time.Duration) {
+			longestWarmUp = max(longestWarmUp, warmUp)
 			for _, sc := range scopesOf(region, zone) {
 				if work[sc] == nil {
 					work[sc] = map[time.Duration]float64{}
 				}
-				work[sc][first] += float64(size) * (p.Duration.Minutes() + w.Minutes()*(1-float64(cold)/1000)/2)
+				work[sc][first] += float64(size) * (p.Duration.Minutes() + warmUp.Minutes()*(1-float64(initialPermille)/1000)/2)
 			}
 		}
 		if p.Amount > 0 {
-			cold, w := int64(1000), time.Duration(0)
+			initialPermille, warmUp := int64(1000), time.Duration(0)
 			for _, b := range s.backends {
 				if b.Region == p.Region && b.Zone == p.Zone {
-					cold, w = min(cold, b.Cold), max(w, b.Warm)
+					initialPermille, warmUp = min(initialPermille, b.InitialPermille), max(warmUp, b.WarmUpTime)
 				}
 			}
-			add(p.Region, p.Zone, p.Amount, cold, w)
+			add(p.Region, p.Zone, p.Amount, initialPermille, warmUp)
 		}
 		for _, id := range p.Backends {
 			b := byID[id]
-			add(b.Region, b.Zone, b.Size, b.Cold, b.Warm)
+			add(b.Region, b.Zone, b.Size, b.InitialPermille, b.WarmUpTime)
 		}
-		most = max(most, first+p.Duration+warm)
+		longest = max(longest, first+p.Duration+longestWarmUp)
 		for _, id := range p.Backends {
-			if old, ok := start[id]; !ok || first < old {
-				start[id] = first
+			if old, ok := chainStart[id]; !ok || first < old {
+				chainStart[id] = first
 			}
-			chain[id] += p.Duration + warm
-			most = max(most, start[id]+chain[id])
+			chainLength[id] += p.Duration + longestWarmUp
+			longest = max(longest, chainStart[id]+chainLength[id])
 		}
 	}
-	for sc, w := range work {
-		most = max(most, s.oneByOne(sc))
+	for sc, workByStart := range work {
+		longest = max(longest, s.exclusiveChain(sc))
 		var total int64
 		for _, b := range s.backends {
-			if in(sc, b.Region, b.Zone) {
+			if scopeContains(sc, b.Region, b.Zone) {
 				total += b.Size
 			}
 		}
-		t, open, ahead := time.Duration(0), 0.0, len(w)
-		for ; ahead > 0 || open > 0; t += minute {
-			if more, ok := w[t]; ok {
-				open, ahead = open+more, ahead-1
+		t, remaining, unreleased := time.Duration(0), 0.0, len(workByStart)
+		for ; unreleased > 0 || remaining > 0; t += minute {
+			if more, ok := workByStart[t]; ok {
+				remaining, unreleased = remaining+more, unreleased-1
 			}
-			open = max(0, open-max(0, float64(total)-floorAt(s.floors[sc], t)))
+			remaining = max(0, remaining-max(0, float64(total)-modelFloorAt(s.floors[sc], t)))
 		}
-		most = max(most, t)
+		longest = max(longest, t)
 	}
-	return most
+	return longest
 }
 
-// largest is the most that a plan takes of the least room of a scope.
-func (s *makespanSet) largest(e Ask) (most float64) {
+// largestShare returns the largest share that the request takes of the smallest free
+// capacity of any of its scopes.
+func (s *makespanSet) largestShare(e Request) (largest float64) {
 	for sc, steps := range s.floors {
-		var room, size, floor int64
-		if in(sc, e.Region, e.Zone) {
+		var total, size, floor int64
+		if scopeContains(sc, e.Region, e.Zone) {
 			size = e.Amount
 		}
 		for _, b := range s.backends {
-			if !in(sc, b.Region, b.Zone) {
+			if !scopeContains(sc, b.Region, b.Zone) {
 				continue
 			}
-			room += b.Size
+			total += b.Size
 			if slices.Contains(e.Backends, b.ID) {
 				size += b.Size
 			}
 		}
 		for _, step := range steps {
-			floor = max(floor, step.Floor)
+			floor = max(floor, step.Capacity)
 		}
-		most = max(most, float64(size)/float64(room-floor))
+		largest = max(largest, float64(size)/float64(total-floor))
 	}
-	return most
+	return largest
 }
 
-// oneByOne is the chain of the plans of a scope of which no two can be out
-// together, as each takes more than half of the most room there ever is.
-func (s *makespanSet) oneByOne(sc Scope) time.Duration {
-	var total, least int64 = 0, never64
-	sizes := map[string]Backend{}
+// exclusiveChain returns the end of the chain of those plans of a scope that can't
+// overlap, as each takes more than half of the largest free capacity.
+func (s *makespanSet) exclusiveChain(sc Scope) time.Duration {
+	var total, lowestFloor int64 = 0, unboundedTime64
+	byID := map[string]Backend{}
 	for _, b := range s.backends {
-		sizes[b.ID] = b
-		if in(sc, b.Region, b.Zone) {
+		byID[b.ID] = b
+		if scopeContains(sc, b.Region, b.Zone) {
 			total += b.Size
 		}
 	}
 	for _, step := range s.floors[sc] {
-		least = min(least, step.Floor)
+		lowestFloor = min(lowestFloor, step.Capacity)
 	}
-	sum, first := time.Duration(0), time.Duration(never64)
+	sum, first := time.Duration(0), time.Duration(unboundedTime64)
 	for _, p := range s.plans {
 		var size int64
-		if in(sc, p.Region, p.Zone) {
+		if scopeContains(sc, p.Region, p.Zone) {
 			size = p.Amount
 		}
 		for _, id := range p.Backends {
-			if b := sizes[id]; in(sc, b.Region, b.Zone) {
+			if b := byID[id]; scopeContains(sc, b.Region, b.Zone) {
 				size += b.Size
 			}
 		}
-		if 2*size > total-least {
+		if 2*size > total-lowestFloor {
 			sum += p.Duration
-			first = min(first, max(p.Earliest, p.Notice))
+			first = min(first, max(p.EarliestStart, p.Notice))
 		}
 	}
 	if sum == 0 {
@@ -237,28 +239,28 @@
 	return first + sum
 }
 
-const never64 = int64(never)
+const unboundedTime64 = int64(unboundedTime)
 
 func (s *makespanSet) run(t *testing.T) {
-	for len(s.m.open) > 0 {
-		for _, w := range s.m.List() {
-			if w.State.holding() && s.m.Now() >= w.End {
-				s.apply(t, Returned{w.Ask.ID, w.Fence})
+	for len(s.machine.openPlans) > 0 {
+		for _, w := range s.machine.List() {
+			if w.State.holdsCapacity() && s.machine.Now() >= w.End {
+				s.apply(t, Returned{w.Request.ID, w.Fence})
 			}
 		}
 		s.apply(t, Tick{minute / 4})
 	}
-	for _, w := range s.m.List() {
+	for _, w := range s.machine.List() {
 		if w.State != Done && w.Fence != 0 {
-			t.Errorf("%s", w.Describe())
+			t.Errorf("granted, but not done: %s", w.Describe())
 		}
 	}
 }
 
-// TestMakespan holds the time to the end of the last window against the bound, where
-// the queue is long (80 to 110 plans of 10 to 40 minutes) and no plan takes more than
-// a third of the room of a scope: Graham's bound is work by room plus the longest plan,
-// so with few or large plans no list scheduler can be near work by room alone.
+// TestMakespan compares the end of the last window with the lower bound. The queue is
+// long (80 to 110 plans of 10 to 40 minutes) and no plan takes more than a third of the
+// free capacity of a scope: Graham's bound is work over capacity plus the longest plan,
+// so with few or large plans no list scheduler comes close to work over capacity alone.
 func TestMakespan(t *testing.T) {
 	var worst, sum float64
 	sets := *makespanSets
@@ -268,21 +270,21 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s := &makespanSet{rng: rand.New(rand.NewPCG(seed, 7)), m: m, floors: map[Scope][]Step{},
-			share: 1. / 3, named: map[string]int{}}
+		s := &makespanSet{rng: rand.New(rand.NewPCG(seed, 7)), machine: m, floors: map[Scope][]Step{},
+			maxShare: 1. / 3, nameCounts: map[string]int{}}
 		s.build(t, seed%2 == 1)
 		want := s.between(80, 110)
 		for n := 0; n < 400 && len(s.plans) < want; n++ {
-			s.ask(t, n)
+			s.request(t, n)
 		}
-		bound := s.bound()
+		bound := s.lowerBound()
 		s.run(t)
-		ratio := float64(s.last) / float64(bound)
+		ratio := float64(s.lastDone) / float64(bound)
 		worst, sum = max(worst, ratio), sum+ratio
 		count += len(s.plans)
 		if ratio > 1.3 {
-			t.Errorf("set %d: %d plans end at %v, bound %v: %.3f", seed, len(s.plans), s.last, bound, ratio)
+			t.Errorf("set %d: %d plans end at %v, lower bound %v: ratio %.3f", seed, len(s.plans), s.lastDone, bound, ratio)
 		}
 	}
-	t.Logf("%d sets, %d plans: end over lower bound: mean %.3f, worst %.3f", sets, count, sum/float64(sets), worst)
+	t.Logf("%d sets, %d plans: makespan over lower bound: mean %.3f, worst %.3f", sets, count, sum/float64(sets), worst)
 }
