--- a/cmd/oxbowvoter/main.go
+++ b/cmd/oxbowvoter/main.go
@@ -1,5 +1,5 @@
-// Command oxbowvoter is one of the three or five voters that agree for a fleet
-// of balancers.
+// Command oxbowvoter runs one of the three or five voters that replicate the
+// maintenance schedule of a fleet of load balancers.
 package main
 
 import (
@@ -21,9 +21,10 @@
 
 var version = "0.1.0"
 
-// machine makes the state that is agreed on, and tick its entry for passed time. The
-// settings are the defaults: a change of them is a change of the log's meaning.
-func machine() (agree.Machine, func(time.Duration) []byte, error) {
+// newMachine returns the replicated state machine and the function that makes its tick
+// entries. It always uses the default settings: with others, voters would derive
+// another state from the same log.
+func newMachine() (agree.Machine, func(time.Duration) []byte, error) {
 	m, err := schedule.New(window.Settings{})
 	return m, schedule.Tick, err
 }
@@ -31,11 +32,11 @@
 func main() {
 	root := &cobra.Command{
 		Use:           "oxbowvoter",
-		Short:         "A voter of a fleet of load balancers",
+		Short:         "Run and administer the voters of a fleet of load balancers",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
-	root.AddCommand(serve(), check(), add(), remove(), &cobra.Command{
+	root.AddCommand(serveCommand(), checkCommand(), addCommand(), removeCommand(), &cobra.Command{
 		Use:   "version",
 		Short: "Print the version",
 		Args:  cobra.NoArgs,
@@ -47,35 +48,35 @@
 	}
 }
 
-func serve() *cobra.Command {
+func serveCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "serve config.json",
-		Short: "Vote until SIGTERM, then hand leadership over and stop",
+		Short: "Run the voter until SIGTERM, then transfer leadership and stop",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
-			c, err := load(args[0])
+			c, err := loadConfig(args[0])
 			if err != nil {
 				return err
 			}
 			ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 			context.AfterFunc(ctx, stop) // a second signal ends the process
-			return run(ctx, c, logger())
+			return runVoter(ctx, c, newLogger())
 		},
 	}
 }
 
-func run(ctx context.Context, c *config, log *slog.Logger) error {
+func runVoter(ctx context.Context, c *config, log *slog.Logger) error {
 	ln, err := net.Listen("tcp", c.Listen)
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
-	m, tick, err := machine()
+	m, tick, err := newMachine()
 	if err != nil {
 		ln.Close()
 		return err
 	}
-	cfg := c.voter()
-	cfg.Tick = tick
+	cfg := c.voterConfig()
+	cfg.NewTick = tick
 	v, err := agree.Start(*cfg, m, log)
 	if err != nil {
 		ln.Close()
@@ -85,13 +86,13 @@
 	defer s.Close()
 	select {
 	case <-ctx.Done():
-	case <-v.Over():
+	case <-v.Done():
 	}
 	return v.Stop(true)
 }
 
-// logger writes lines that begin with the time and the event, as oxbowloft's do.
-func logger() *slog.Logger {
+// newLogger returns a logger whose lines begin with the time and the event, like those of oxbowloft.
+func newLogger() *slog.Logger {
 	return slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{
 		ReplaceAttr: func(groups []string, a slog.Attr) slog.Attr {
 			if len(groups) == 0 && a.Key == slog.MessageKey {
@@ -102,13 +103,13 @@
 	}))
 }
 
-func check() *cobra.Command {
+func checkCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "check config.json",
-		Short: "Read a configuration and say what is wrong with it",
+		Short: "Validate a configuration file",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
-			_, err := load(args[0])
+			_, err := loadConfig(args[0])
 			if err == nil {
 				fmt.Println("ok")
 			}
@@ -117,43 +118,43 @@
 	}
 }
 
-func add() *cobra.Command {
+func addCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "add config.json name address",
-		Short: "Add a voter that has been started with \"join\"; address is for other voters",
+		Short: "Add a voter that was started with \"join\"; address is the one for other voters",
 		Args:  cobra.ExactArgs(3),
 		RunE: func(_ *cobra.Command, args []string) error {
-			return change(args[0], func(ctx context.Context, c *agree.Client) error {
-				return c.Add(ctx, args[1], args[2])
+			return changeVoters(args[0], func(ctx context.Context, c *agree.Client) error {
+				return c.AddVoter(ctx, args[1], args[2])
 			})
 		},
 	}
 }
 
-func remove() *cobra.Command {
+func removeCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "remove config.json name",
-		Short: "Remove a voter for good",
+		Short: "Remove a voter; its name must not be used again",
 		Args:  cobra.ExactArgs(2),
 		RunE: func(_ *cobra.Command, args []string) error {
-			return change(args[0], func(ctx context.Context, c *agree.Client) error {
-				return c.Remove(ctx, args[1])
+			return changeVoters(args[0], func(ctx context.Context, c *agree.Client) error {
+				return c.RemoveVoter(ctx, args[1])
 			})
 		},
 	}
 }
 
-// change asks the voters of a configuration to change their set.
-func change(path string, f func(context.Context, *agree.Client) error) error {
-	c, err := load(path)
+// changeVoters calls f with a client of the voters in a configuration file.
+func changeVoters(path string, f func(context.Context, *agree.Client) error) error {
+	c, err := loadConfig(path)
 	if err != nil {
 		return err
 	}
 	var cfg agree.ClientConfig
 	for _, p := range c.Voters {
-		cfg.Voters = append(cfg.Voters, p.Ask)
+		cfg.Voters = append(cfg.Voters, p.ClientAddress)
 	}
-	client, err := agree.NewClient(cfg, logger())
+	client, err := agree.NewClient(cfg, newLogger())
 	if err != nil {
 		return err
 	}
--- a/fleet/agree/cluster_test.go
+++ b/fleet/agree/cluster_test.go
@@ -18,89 +18,89 @@
 	"oxbowloft/internal/standin"
 )
 
-// This file starts voters in one process, on loopback, and cuts and ends them.
+// Helpers that run voters in one process on loopback, and isolate, stop and restart them.
 
 const (
-	patience  = 30 * time.Second // bound on what should take parts of a second
-	heartbeat = 150 * time.Millisecond
+	testTimeout   = 30 * time.Second // upper bound for steps that usually take less than a second
+	testHeartbeat = 150 * time.Millisecond
 )
 
-var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
+var discardLogger = slog.New(slog.NewTextHandler(io.Discard, nil))
 
 func init() {
 	if os.Getenv("AGREE_LOG") != "" {
-		quiet = slog.New(slog.NewTextHandler(os.Stderr, nil))
+		discardLogger = slog.New(slog.NewTextHandler(os.Stderr, nil))
 	}
 }
 
-// await waits for a condition.
-func await(t testing.TB, what string, ok func() bool) {
+// await polls a condition until it holds, and fails the test after testTimeout.
+func await(t testing.TB, description string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !ok(); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%s: not within %v", what, patience)
+			t.Fatalf("waiting for %s: not within %v", description, testTimeout)
 		}
 	}
 }
 
-func within(t testing.TB) context.Context {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+func testContext(t testing.TB) context.Context {
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	t.Cleanup(cancel)
 	return ctx
 }
 
-// node is a place where a voter runs, again and again.
+// node has the configuration, directory and network of a voter that can be restarted.
 type node struct {
-	t       testing.TB
-	cfg     Config
-	ask     string // for askers
-	machine func() Machine
-	fault   func(*logStore) // put into the store before it is used
+	tb          testing.TB
+	cfg         Config
+	clientAddr  string // for clients
+	machine     func() Machine
+	injectFault func(*logStore) // injects a fault into the store before it is used
 
-	mu    sync.Mutex
-	cut   bool
-	conns map[net.Conn]bool
+	mu       sync.Mutex
+	isolated bool
+	conns    map[net.Conn]bool
 
 	voter  *Voter
 	server *Server
 }
 
-// layer is a node's network towards other voters.
-type layer struct {
+// nodeLayer is a node's raft.StreamLayer, which can isolate it from other voters.
+type nodeLayer struct {
 	net.Listener
-	n *node
+	node *node
 }
 
-var errCut = errors.New("cut off")
+var errIsolated = errors.New("isolated")
 
-func (l *layer) Dial(addr raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
-	if l.n.isCut() {
-		return nil, errCut
+func (l *nodeLayer) Dial(addr raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
+	if l.node.isIsolated() {
+		return nil, errIsolated
 	}
 	c, err := net.DialTimeout("tcp", string(addr), timeout)
 	if err != nil {
 		return nil, err
 	}
-	return l.n.keep(c), nil
+	return l.node.track(c), nil
 }
 
-func (l *layer) Accept() (net.Conn, error) {
+func (l *nodeLayer) Accept() (net.Conn, error) {
 	for {
 		c, err := l.Listener.Accept()
-		if err != nil || !l.n.isCut() {
-			return l.n.keep(c), err
+		if err != nil || !l.node.isIsolated() {
+			return l.node.track(c), err
 		}
 		c.Close()
 	}
 }
 
-func (n *node) isCut() bool {
+func (n *node) isIsolated() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.cut
+	return n.isolated
 }
 
-func (n *node) keep(c net.Conn) net.Conn {
+func (n *node) track(c net.Conn) net.Conn {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if c != nil {
@@ -109,11 +109,11 @@
 	return c
 }
 
-// setCut cuts a node off from other voters, or joins it to them again.
-func (n *node) setCut(cut bool) {
+// setIsolated isolates a node from other voters or reconnects it. It closes all connections.
+func (n *node) setIsolated(isolated bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cut = cut
+	n.isolated = isolated
 	for c := range n.conns {
 		c.Close()
 		delete(n.conns, c)
@@ -121,66 +121,66 @@
 }
 
 func (n *node) start() error {
-	n.setCut(false)
+	n.setIsolated(false)
 	ln, err := net.Listen("tcp", n.cfg.Bind)
 	if err != nil {
 		return err
 	}
 	cfg := n.cfg
-	cfg.layer = &layer{ln, n}
-	if n.fault != nil {
+	cfg.streamLayer = &nodeLayer{ln, n}
+	if n.injectFault != nil {
 		if cfg.store, err = openStore(cfg.Dir); err != nil {
 			ln.Close()
 			return err
 		}
-		n.fault(cfg.store)
+		n.injectFault(cfg.store)
 	}
-	v, err := Start(cfg, n.machine(), quiet)
+	v, err := Start(cfg, n.machine(), discardLogger)
 	if err != nil {
 		ln.Close()
 		return err
 	}
-	ask, err := net.Listen("tcp", n.ask)
+	clientListener, err := net.Listen("tcp", n.clientAddr)
 	if err != nil {
 		v.Stop(false)
 		ln.Close()
 		return err
 	}
-	n.voter, n.server = v, Serve(ask, v, ServerLimits{}, quiet)
+	n.voter, n.server = v, Serve(clientListener, v, ServerLimits{}, discardLogger)
 	return nil
 }
 
-// stop ends a voter without a word to the others.
+// stop stops a voter without a transfer of leadership.
 func (n *node) stop() {
 	if n.voter == nil {
 		return
 	}
 	n.server.Close()
 	n.voter.Stop(false)
-	n.cfg.layer = nil
-	n.setCut(true)
+	n.cfg.streamLayer = nil
+	n.setIsolated(true)
 	n.voter = nil
 }
 
 type cluster struct {
-	t     testing.TB
-	nodes []*node
-	addrs []string // for askers
+	tb          testing.TB
+	nodes       []*node
+	clientAddrs []string // for clients
 }
 
-func newCluster(t testing.TB, n int, machine func() Machine, tune func(*Config)) *cluster {
-	c := &cluster{t: t}
+func newCluster(t testing.TB, n int, machine func() Machine, adjust func(*Config)) *cluster {
+	c := &cluster{tb: t}
 	var peers []Peer
 	for i := range n {
 		p := Peer{fmt.Sprintf("v%d", i+1), standin.FreeAddr(t), standin.FreeAddr(t)}
-		peers, c.addrs = append(peers, p), append(c.addrs, p.Ask)
+		peers, c.clientAddrs = append(peers, p), append(c.clientAddrs, p.ClientAddress)
 	}
 	for _, p := range peers {
-		cfg := Config{Name: p.Name, Bind: p.Address, Dir: t.TempDir(), Voters: peers, Heartbeat: heartbeat}
-		if tune != nil {
-			tune(&cfg)
+		cfg := Config{Name: p.Name, Bind: p.RaftAddress, Dir: t.TempDir(), InitialVoters: peers, HeartbeatTimeout: testHeartbeat}
+		if adjust != nil {
+			adjust(&cfg)
 		}
-		c.nodes = append(c.nodes, &node{t: t, cfg: cfg, ask: p.Ask, machine: machine, conns: map[net.Conn]bool{}})
+		c.nodes = append(c.nodes, &node{tb: t, cfg: cfg, clientAddr: p.ClientAddress, machine: machine, conns: map[net.Conn]bool{}})
 	}
 	t.Cleanup(func() {
 		for _, n := range c.nodes {
@@ -193,20 +193,20 @@
 func newRegister() Machine { return register.New() }
 
 func (c *cluster) start() *cluster {
-	c.t.Helper()
+	c.tb.Helper()
 	for _, n := range c.nodes {
 		if err := n.start(); err != nil {
-			c.t.Fatal(err)
+			c.tb.Fatal(err)
 		}
 	}
 	return c
 }
 
 func (c *cluster) leader() (found *node) {
-	c.t.Helper()
-	await(c.t, "a leader", func() bool {
+	c.tb.Helper()
+	await(c.tb, "a leader", func() bool {
 		for _, n := range c.nodes {
-			if n.voter != nil && !n.isCut() && n.voter.leading() {
+			if n.voter != nil && !n.isIsolated() && n.voter.leading() {
 				found = n
 				return true
 			}
@@ -217,17 +217,17 @@
 }
 
 func (c *cluster) client() *Client {
-	c.t.Helper()
-	k, err := NewClient(ClientConfig{Voters: c.addrs, Try: 4 * heartbeat}, quiet)
+	c.tb.Helper()
+	client, err := NewClient(ClientConfig{Voters: c.clientAddrs, RequestTimeout: 4 * testHeartbeat}, discardLogger)
 	if err != nil {
-		c.t.Fatal(err)
+		c.tb.Fatal(err)
 	}
-	c.t.Cleanup(k.Close)
-	return k
+	c.tb.Cleanup(client.Close)
+	return client
 }
 
-// value unpacks the answer to an ask of the register machine.
-func value(t testing.TB, answer []byte, err error) uint64 {
+// registerValue decodes an answer of the register machine.
+func registerValue(t testing.TB, answer []byte, err error) uint64 {
 	t.Helper()
 	if err != nil {
 		t.Fatal(err)
@@ -239,14 +239,14 @@
 	return v
 }
 
-func (c *cluster) add(k *Client, n uint64) uint64 {
-	c.t.Helper()
-	answer, _, err := k.Ask(within(c.t), register.Add(0, n))
-	return value(c.t, answer, err)
+func (c *cluster) add(client *Client, n uint64) uint64 {
+	c.tb.Helper()
+	answer, _, err := client.Propose(testContext(c.tb), register.Add(0, n))
+	return registerValue(c.tb, answer, err)
 }
 
-func (c *cluster) read(k *Client) uint64 {
-	c.t.Helper()
-	answer, _, err := k.Read(within(c.t), register.Get(0))
-	return value(c.t, answer, err)
+func (c *cluster) read(client *Client) uint64 {
+	c.tb.Helper()
+	answer, _, err := client.Read(testContext(c.tb), register.Get(0))
+	return registerValue(c.tb, answer, err)
 }
--- a/fleet/agree/entry.go
+++ b/fleet/agree/entry.go
@@ -5,47 +5,48 @@
 	"fmt"
 )
 
-// entryVersion is the first byte of each command in the log. A voter that meets
-// another stops: it can't skip what the others apply.
+// entryVersion is the first byte of each command in the log. A voter stops at a
+// command of another version, because skipping what other voters apply would make
+// its state diverge.
 const entryVersion = 1
 
-// entryKind says what a command in the log is.
+// entryKind is the type of a command in the log.
 type entryKind uint8
 
 const (
-	kindOpen entryKind = iota // of a session, which is named by the entry's index
-	kindAsk                   // for the machine, once for each session and sequence
-	kindTick                  // for the machine, if the term is still the one it is of
+	kindOpenSession entryKind = iota // opens a session, whose ID is the index of the entry
+	kindPropose                      // machine entry, applied once per session and sequence number
+	kindTick                         // machine entry, applied only in the term in which it was proposed
 )
 
 func (k entryKind) String() string { return [...]string{"open", "ask", "tick"}[k] }
 
-// sessionEntry is one entry that an asker wants to be agreed.
+// sessionEntry is a machine entry proposed in a client's session.
 type sessionEntry struct {
-	Session uint64 // as Voter.openSession returned it
-	Seq     uint64 // of the session, from 1; the same each time this is asked again
-	Done    uint64 // answers to this and all lower sequences have been had
-	Entry   []byte // for the machine, MaxEntry bytes at most
+	Session   uint64 // ID returned by Voter.openSession
+	Seq       uint64 // sequence number in the session, from 1; the same in each retry
+	Confirmed uint64 // the client needs no answers up to this sequence number any more
+	Data      []byte // entry for the machine, at most MaxEntry bytes
 }
 
-// command is what the log holds.
+// command is the decoded content of a log entry.
 type command struct {
-	kind entryKind
-	term uint64       // of a tick
-	ask  sessionEntry // a tick has its entry alone
+	kind  entryKind
+	term  uint64       // of a tick: the term in which it was proposed
+	entry sessionEntry // a tick uses only Data
 }
 
 const commandHeaderSize = 1 + 1 + 4*8
 
 func (c *command) encode() []byte {
-	b := append(make([]byte, 0, commandHeaderSize+len(c.ask.Entry)), entryVersion, byte(c.kind))
-	for _, n := range [...]uint64{c.term, c.ask.Session, c.ask.Seq, c.ask.Done} {
+	b := append(make([]byte, 0, commandHeaderSize+len(c.entry.Data)), entryVersion, byte(c.kind))
+	for _, n := range [...]uint64{c.term, c.entry.Session, c.entry.Seq, c.entry.Confirmed} {
 		b = binary.BigEndian.AppendUint64(b, n)
 	}
-	return append(b, c.ask.Entry...)
+	return append(b, c.entry.Data...)
 }
 
-// decodeCommand reads a command. Its entry shares memory with b.
+// decodeCommand decodes a command. Its entry data shares memory with b.
 func decodeCommand(b []byte) (c command, err error) {
 	if len(b) < commandHeaderSize {
 		return c, fmt.Errorf("entry of %d bytes", len(b))
@@ -56,9 +57,9 @@
 	if c.kind = entryKind(b[1]); c.kind > kindTick {
 		return c, fmt.Errorf("entry kind %d", b[1])
 	}
-	for i, to := range [...]*uint64{&c.term, &c.ask.Session, &c.ask.Seq, &c.ask.Done} {
-		*to = binary.BigEndian.Uint64(b[2+8*i:])
+	for i, field := range [...]*uint64{&c.term, &c.entry.Session, &c.entry.Seq, &c.entry.Confirmed} {
+		*field = binary.BigEndian.Uint64(b[2+8*i:])
 	}
-	c.ask.Entry = b[commandHeaderSize:]
+	c.entry.Data = b[commandHeaderSize:]
 	return c, nil
 }
--- a/fleet/agree/snapshot.go
+++ b/fleet/agree/snapshot.go
@@ -14,19 +14,19 @@
 	"github.com/hashicorp/raft"
 )
 
-// snapshotVersion is the format of what is in our snapshots:
+// snapshotVersion is the version of the snapshot format:
 //
-//	version (1 byte), CBOR of image, CRC-32C of all before (4 bytes)
+//	version (1 byte), CBOR of a snapshotImage, CRC-32C of the preceding bytes (4 bytes)
 const snapshotVersion = 1
 
-// snapshotImage is the agreed state with the sessions.
+// snapshotImage is the replicated state: the sessions and the machine's state.
 type snapshotImage struct {
-	Index    uint64         `cbor:"1,keyasint"` // of the last command applied
+	Index    uint64         `cbor:"1,keyasint"` // of the last applied command
 	Sessions []sessionImage `cbor:"2,keyasint"`
 	Machine  []byte         `cbor:"3,keyasint"`
 }
 
-func sealSnapshot(body []byte) []byte {
+func encodeSnapshot(body []byte) []byte {
 	b := append([]byte{snapshotVersion}, body...)
 	return binary.BigEndian.AppendUint32(b, crc32.Checksum(b, castagnoli))
 }
@@ -42,10 +42,10 @@
 	if body[0] != snapshotVersion {
 		return i, fmt.Errorf("format version %d, not %d", body[0], snapshotVersion)
 	}
-	return i, snapMode.Unmarshal(body[1:], &i)
+	return i, snapshotDecMode.Unmarshal(body[1:], &i)
 }
 
-// snapshot is an encoded state on its way to disk.
+// snapshot is an encoded snapshot, which implements raft.FSMSnapshot.
 type snapshot []byte
 
 func (s snapshot) Persist(sink raft.SnapshotSink) error {
@@ -58,10 +58,10 @@
 
 func (snapshot) Release() {}
 
-// openSnapshots checks all snapshots in dir and that the log goes on from the
-// latest. Raft by itself would go back to an earlier one, or to none.
+// openSnapshots verifies all snapshots in dir, and that the log has no gap after the
+// latest one. Raft itself would fall back to an earlier snapshot, or to none.
 func openSnapshots(dir string, store *logStore, log hclog.Logger) (*raft.FileSnapshotStore, error) {
-	snaps, err := raft.NewFileSnapshotStoreWithLogger(dir, 2, log)
+	snapshots, err := raft.NewFileSnapshotStoreWithLogger(dir, 2, log)
 	if err != nil {
 		return nil, fmt.Errorf("store %s: %w", dir, err)
 	}
@@ -70,36 +70,37 @@
 	if err != nil {
 		return nil, fmt.Errorf("store: %w", err)
 	}
-	var covered uint64
+	var snapshotIndex uint64
 	for _, e := range entries {
 		path := filepath.Join(base, e.Name())
-		if strings.HasSuffix(e.Name(), ".tmp") { // it ended while it wrote it
+		if strings.HasSuffix(e.Name(), ".tmp") { // the process ended while writing it
 			if err := os.RemoveAll(path); err != nil {
 				return nil, fmt.Errorf("store: %w", err)
 			}
 			continue
 		}
-		index, err := checkSnapshot(snaps, e.Name())
+		index, err := checkSnapshot(snapshots, e.Name())
 		if err != nil {
 			return nil, fmt.Errorf("store %s: %w", path, err)
 		}
-		covered = max(covered, index)
+		snapshotIndex = max(snapshotIndex, index)
 	}
 	first, last := store.bounds()
-	if first > covered+1 {
-		return nil, fmt.Errorf("store %s: log %d: missing, snapshots end at %d", store.path, first-1, covered)
+	if first > snapshotIndex+1 {
+		return nil, fmt.Errorf("store %s: log %d: missing, snapshots end at %d", store.path, first-1, snapshotIndex)
 	}
-	if last < covered && last != 0 {
-		// It ended between a snapshot from the leader and the clearing of the log.
+	if last < snapshotIndex && last != 0 {
+		// The process ended after it received a snapshot from the leader and before
+		// the log was cleared.
 		if err := store.DeleteRange(first, last); err != nil {
 			return nil, err
 		}
 	}
-	return snaps, nil
+	return snapshots, nil
 }
 
-func checkSnapshot(snaps *raft.FileSnapshotStore, id string) (index uint64, err error) {
-	meta, r, err := snaps.Open(id)
+func checkSnapshot(snapshots *raft.FileSnapshotStore, id string) (index uint64, err error) {
+	meta, r, err := snapshots.Open(id)
 	if err != nil {
 		return 0, err
 	}
--- a/fleet/member/actions.go
+++ b/fleet/member/actions.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// nodeActions carries out what the roster decides, in the goroutine of run.
+// nodeActions carries out the roster's decisions. Its methods run on the goroutine of Node.run.
 type nodeActions Node
 
-// Happened implements rosterActions: the event is logged, and sent by the next flush.
-func (a *nodeActions) Happened(e Event) {
+// EmitEvent implements rosterActions. It logs the event and queues it for the next flush.
+func (a *nodeActions) EmitEvent(e Event) {
 	level := slog.LevelInfo
 	if e.Kind == Displaced || e.Kind == Resumed {
 		level = slog.LevelWarn
@@ -21,24 +21,25 @@
 	a.viewChanged = true
 }
 
-// Announce implements rosterActions: memberlist gossips this node with its new meta.
+// Announce implements rosterActions. memberlist gossips this node with its new metadata.
 func (a *nodeActions) Announce(self Member) {
 	n := (*Node)(a)
 	n.viewChanged = true
 	left := n.roster.Phase() == Leaving
 	n.publishMeta(self, left)
 	if left {
-		return // Leave waits for it to go out
+		return // Leave waits until the update has been sent
 	}
 	n.log.Info("fleet", "event", "member_incarnation", "incarnation", self.Incarnation)
 	n.listMu.Lock()
 	defer n.listMu.Unlock()
-	n.list.UpdateNode(time.Millisecond) // it goes out later; there is nothing to wait for
+	n.list.UpdateNode(time.Millisecond) // gossiped asynchronously; no need to wait for the broadcast
 }
 
-// StepAside implements rosterActions: others are told that this life has left, and it is silent
-// from then on. Memberlist's own farewell would hit the winner, which has the same name.
-func (a *nodeActions) StepAside(Member) {
+// Withdraw implements rosterActions. It announces that this process run has left and then shuts
+// memberlist down. memberlist's own Leave can't be used: it identifies members by name alone and
+// would remove the winner, which has the same name.
+func (a *nodeActions) Withdraw(Member) {
 	n := (*Node)(a)
 	n.viewChanged = true
 	n.publishMeta(n.roster.Self(), true)
@@ -46,30 +47,30 @@
 		n.listMu.Lock()
 		defer n.listMu.Unlock()
 		n.list.UpdateNode(5 * n.cfg.GossipInterval)
-		n.listDown = true
+		n.listShutdown = true
 		n.list.Shutdown()
 	})
 }
 
-// Tell implements rosterActions: one datagram, which may be lost.
-func (a *nodeActions) Tell(to Member, about lifeRecord) {
+// SendRecord implements rosterActions. It sends one datagram, which may be lost.
+func (a *nodeActions) SendRecord(to Member, about memberRecord) {
 	n := (*Node)(a)
-	life := toWireLife(n.now(), about)
+	record := toWireRecord(n.now(), about)
 	self := n.roster.Self()
 	n.sendMessage(to, message{
-		Kind:        kindTold,
+		Kind:        kindNotice,
 		From:        self.Name,
 		Incarnation: self.Incarnation,
-		Life:        self.Life,
-		About:       &life,
+		RunID:       self.RunID,
+		About:       &record,
 	})
 }
 
-// publishMeta sets what memberlist gossips of this node.
+// publishMeta sets the metadata that memberlist gossips about this node.
 func (n *Node) publishMeta(self Member, leaving bool) {
 	buf, err := encode(meta{
 		Incarnation: self.Incarnation,
-		Life:        self.Life,
+		RunID:       self.RunID,
 		Zone:        self.Zone,
 		Version:     self.Version,
 		Leaving:     leaving,
@@ -79,13 +80,14 @@
 	}
 }
 
-// publishMemory renews what a full exchange carries. Ages in it are as of now: they may go out
-// up to memoryInterval too young, which keeps a departed life in memory that much longer.
-func (n *Node) publishMemory(now clockTime) {
-	n.nextMemory = now + memoryInterval
-	m := memory{From: n.cfg.Name}
+// publishDeparted updates the departed members that a full exchange carries. Their ages are computed
+// now and may be sent up to departedPublishInterval later, so that receivers keep a departed member
+// for up to that much longer.
+func (n *Node) publishDeparted(now clockTime) {
+	n.nextDepartedPublish = now + departedPublishInterval
+	m := departedState{From: n.cfg.Name}
 	for _, rec := range n.roster.Departed() {
-		m.Records = append(m.Records, toWireLife(now, rec))
+		m.Records = append(m.Records, toWireRecord(now, rec))
 	}
 	if buf, err := encode(m); err == nil {
 		n.delegate.setShared(nil, buf)
--- a/fleet/member/stats.go
+++ b/fleet/member/stats.go
@@ -4,39 +4,39 @@
 	"sync/atomic"
 )
 
-// Stats counts what a node dropped since its start. News of members that are dropped come
-// again with later gossip, a full exchange or a Resync; messages do not.
+// Stats counts what a node dropped since its start. Dropped membership updates are repeated by later
+// gossip, a full exchange or a Resync; dropped messages are lost.
 type Stats struct {
-	BadMeta    uint64 // a member's own data that can't be read; it is not let in
-	BadState   uint64 // full exchanges whose memory can't be read
-	BadMessage uint64 // datagrams that can't be read
-	OlderLife  uint64 // messages from a life that is over
-	Unknown    uint64 // messages from one that is not among the members
-	InboxFull  uint64 // messages, claims and memories for which the inbox had no room
-	Unread     uint64 // messages that their reader had no room for
-	EventsLost uint64 // events replaced by a Resync
-	TooMany    uint64 // members over the bound of the view
+	BadMeta         uint64 // malformed metadata; the member is not admitted
+	BadState        uint64 // full exchanges with malformed state
+	BadMessage      uint64 // malformed datagrams
+	StaleRun        uint64 // messages from a process run or incarnation that has ended
+	UnknownSender   uint64 // messages from senders that are not among the members
+	InboxFull       uint64 // messages, name claims and exchanged states dropped because the inbox was full
+	MessagesDropped uint64 // messages dropped because the channel of Messages was full
+	EventsLost      uint64 // events replaced by a Resync
+	TooManyMembers  uint64 // members refused because the view was full
 }
 
-// counters are the node's Stats, written by many goroutines.
+// counters holds the node's Stats, updated concurrently.
 type counters struct {
-	badMeta, badState, badMessage     atomic.Uint64
-	older, unknown, inboxFull, unread atomic.Uint64
-	eventsLost, tooMany               atomic.Uint64
+	badMeta, badState, badMessage                 atomic.Uint64
+	staleRun, unknown, inboxFull, messagesDropped atomic.Uint64
+	eventsLost, tooManyMembers                    atomic.Uint64
 }
 
 // Stats returns what the node dropped since its start.
 func (n *Node) Stats() Stats {
 	c := &n.counters
 	return Stats{
-		BadMeta:    c.badMeta.Load(),
-		BadState:   c.badState.Load(),
-		BadMessage: c.badMessage.Load(),
-		OlderLife:  c.older.Load(),
-		Unknown:    c.unknown.Load(),
-		InboxFull:  c.inboxFull.Load(),
-		Unread:     c.unread.Load(),
-		EventsLost: c.eventsLost.Load(),
-		TooMany:    c.tooMany.Load(),
+		BadMeta:         c.badMeta.Load(),
+		BadState:        c.badState.Load(),
+		BadMessage:      c.badMessage.Load(),
+		StaleRun:        c.staleRun.Load(),
+		UnknownSender:   c.unknown.Load(),
+		InboxFull:       c.inboxFull.Load(),
+		MessagesDropped: c.messagesDropped.Load(),
+		EventsLost:      c.eventsLost.Load(),
+		TooManyMembers:  c.tooManyMembers.Load(),
 	}
 }
