--- a/fleet/faultlink/faultlink.go
+++ b/fleet/faultlink/faultlink.go
@@ -357,6 +357,7 @@
 	}
 }
 
+// String returns the set fields, separated by commas, or "none", as written in the timeline.
 func (f Fault) String() string {
 	var out []string
 	add := func(is bool, format string, args ...any) {
--- a/fleet/member/event.go
+++ b/fleet/member/event.go
@@ -19,6 +19,7 @@
 	"joined", "left", "died", "returned", "restarted", "displaced", "resumed", "resync",
 }
 
+// String returns the lower-case word for the kind, such as "joined".
 func (k Kind) String() string { return kindNames[k] }
 
 // Event is a change of the view.
@@ -42,6 +43,7 @@
 	Leaving                 // has announced that it leaves
 )
 
+// String returns the lower-case word for the phase; that of Superseded is "aside".
 func (p Phase) String() string { return [...]string{"starting", "serving", "aside", "leaving"}[p] }
 
 // rosterActions carries out the decisions of a roster, in the order of the calls.
--- a/fleet/model/config.go
+++ b/fleet/model/config.go
@@ -15,6 +15,7 @@
 	Oracle                    // an ideal policy that knows all rates, queues and the capacity
 )
 
+// String returns the short word for the policy: "alone", "fleet" or "seeing".
 func (p Policy) String() string { return [...]string{"alone", "fleet", "seeing"}[p] }
 
 // Class is a class of requests with its share of the traffic and its cost.
--- a/fleet/track/api.go
+++ b/fleet/track/api.go
@@ -105,6 +105,7 @@
 	FlowEnded                 // the fleet has ended this Generation of a flow: call Open again
 )
 
+// String returns the short word for the kind of verdict, such as "mine" for OpenHere.
 func (k Kind) String() string {
 	return [...]string{"pending", "new", "mine", "elsewhere", "refused", "gone"}[k]
 }
@@ -125,6 +126,7 @@
 	BadRequest             // invalid key, class or target
 )
 
+// String returns the reason in one or two words, and the empty string for NoReason.
 func (r Reason) String() string {
 	return [...]string{"", "no quorum", "learning", "stale", "busy", "too late", "full", "bad request"}[r]
 }
@@ -176,6 +178,7 @@
 	stateTombstone
 )
 
+// String returns the lower-case word for the state; that of Prepared is "new".
 func (s State) String() string {
 	return [...]string{"free", "new", "open", "closing", "closed", "ended"}[s]
 }
--- a/fleet/window/window.go
+++ b/fleet/window/window.go
@@ -106,6 +106,7 @@
 var stateNames = [...]string{"asked", "planned", "granted", "draining", "out", "returning",
 	"recalled", "overdue", "warm", "done", "cancelled", "refused"}
 
+// String returns the lower-case word for the state, or "state(N)" for an unknown number N.
 func (s State) String() string {
 	if int(s) < len(stateNames) {
 		return stateNames[s]
@@ -133,6 +134,7 @@
 // Index returns the index of the log entry that issued the grant.
 func (f Fence) Index() uint64 { return uint64(f) >> fenceGrantBits }
 
+// String returns the token as "index.ordinal": the log entry and the grant within that entry.
 func (f Fence) String() string {
 	return fmt.Sprintf("%d.%d", f.Index(), uint64(f)&(1<<fenceGrantBits-1))
 }
@@ -220,6 +222,7 @@
 
 var resultNames = [...]string{"ok", "repeat", "pending", "stale", "refused", "error"}
 
+// String returns the lower-case word for the result, such as "repeat" for Duplicate.
 func (r Result) String() string { return resultNames[r] }
 
 // EventKind says what an applied entry changed.
--- a/internal/soak/faulty_proxy_test.go
+++ b/internal/soak/faulty_proxy_test.go
@@ -255,7 +255,7 @@
 	}{
 		{1, Plan{Proxies: 6, Backends: 4, Clients: 2, Length: 6 * time.Second}},
 		// Lists get stale while backends drain: there were 284 attempts past the grace before
-		// docs/incidents/herd-day-drains.md was fixed.
+		// proxies with a stale list stopped using draining backends past it.
 		{49014, Plan{Proxies: 8, Backends: 8, Clients: 2, Length: 16 * time.Second}},
 	} {
 		t.Run(fmt.Sprint("seed ", c.seed), func(t *testing.T) {
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -37,6 +37,7 @@
 
 var phaseNames = [...]string{"starting", "serving", "draining", "finishing", "stopped"}
 
+// String returns the lower-case word for the phase, as logged when the proxy enters it.
 func (p Phase) String() string { return phaseNames[p] }
 
 const (
